--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads, checks and completes configuration: the platform's file, which is JSON, and the operators' own
-// file, which is TOML. It owns all defaults and bounds of both. Errors name the key that they are about. The package
-// starts nothing and writes nothing; what it returns belongs to the caller.
+// Package config reads and validates the configuration: the platform's file in JSON, and the operators' file in TOML. It defines
+// all defaults and bounds of both. Each error contains the key that it is about. The package has no side effects, and its results
+// are owned by the caller.
 package config
 
 import (
@@ -17,31 +17,31 @@
 // Config is the platform's configuration of one scheduler.
 type Config struct {
 	Name      string
-	Listen    netip.AddrPort // where clients connect
-	Discovery netip.AddrPort // where the endpoint list is watched
-	// Management is where operators' calls are answered; not valid: nowhere.
+	Listen    netip.AddrPort // address for clients and for callbacks of workers
+	Discovery netip.AddrPort // address of the discovery service
+	// Management is the address for operators' calls. If it is not valid, there are none.
 	Management netip.AddrPort
-	// StateDir holds what outlives the process, for the one that replaces it: $TMPDIR if Management is valid, else empty.
+	// StateDir is the directory for state that a later process needs: $TMPDIR if Management is valid, else empty.
 	StateDir string
-	// PeerListen is where datagrams of other schedulers arrive, and Peers are the addresses from which they come, by the
-	// schedulers' numbers, this one's included; not valid and nil: schedulers tell each other nothing.
+	// PeerListen is the address for datagrams of other schedulers, and Peers contains the addresses that they are sent from, by the
+	// numbers of the schedulers, including this one. They are not valid and nil if schedulers exchange no messages.
 	PeerListen netip.AddrPort
 	Peers      []netip.AddrPort
-	// Seed is that of all random draws.
+	// Seed is the seed of all random numbers.
 	Seed   uint64
 	Limits Limits
-	// KnownEndpoints is the endpoint list as the platform last saw it, perhaps long ago.
+	// KnownEndpoints is the last endpoint list that the platform has. It may be old.
 	KnownEndpoints requests.EndpointList
 	Settings       Settings
-	// PlatformSettings is the text from which Settings were decoded, for DecodeSettings.
+	// PlatformSettings is the JSON from which Settings was decoded; see DecodeSettings.
 	PlatformSettings []byte
 }
 
-// errNoFile reports that nothing names the platform's file.
+// errNoFile is returned if PROXY_CONFIG is not set.
 var errNoFile = errors.New("PROXY_CONFIG: not set; it names the configuration file")
 
-// Load reads the platform's file, which PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and
-// PROXY_MANAGEMENT stand in for keys that it lacks. The error is the first of those that LoadAll returns.
+// Load reads the platform's file at the path in PROXY_CONFIG. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_MANAGEMENT are
+// the defaults of missing keys. env returns the value of an environment variable. The error is the first one of LoadAll.
 func Load(env func(string) string) (Config, error) {
 	config, errs := load(env)
 	if len(errs) > 0 {
@@ -50,7 +50,7 @@
 	return config, nil
 }
 
-// load is Load with all errors, in the order in which they were found.
+// load is Load with all errors, in order of detection.
 func load(env func(string) string) (Config, []error) {
 	path := env("PROXY_CONFIG")
 	if path == "" {
@@ -64,9 +64,9 @@
 	return config, errs.in(path)
 }
 
-// LoadAll reads the platform's file, as Load does, and the operators' file, as LoadOps does. It checks them together if
-// the platform's has no errors. It returns all errors of both, in the order in which they were found; what was read is
-// complete only if there are none.
+// LoadAll reads the platform's file like Load, and the operators' file like LoadOps. If the platform's file has no errors, it
+// also checks them against each other. It returns all errors, in order of detection. The configurations are complete only if
+// there are none.
 func LoadAll(env func(string) string, opsPath string) (Config, Ops, []error) {
 	config, errs := load(env)
 	ops, opsErrors, err := loadOps(opsPath)
@@ -79,8 +79,8 @@
 	return config, ops, append(errs, opsErrors.in(opsPath)...)
 }
 
-// Reload reads the file again for a scheduler that runs by c. What can't change in a running process stays as it is in
-// c; kept names the keys of it that differ in the file. After an error next is c.
+// Reload reads the platform's file again for a running scheduler with configuration c. Settings that can't change in a running
+// process keep the values of c; kept contains the keys of those that differ in the file. With an error, next is c.
 func (c Config) Reload(env func(string) string) (next Config, kept []string, err error) {
 	next, err = Load(env)
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// KeyError reports what is wrong with one key of a configuration file, or with the file's text as a whole.
+// KeyError is the error of one key of a configuration file, or of the file as a whole.
 type KeyError struct {
-	// Key has dots between names and brackets around indices, as in settings.classes[1].give_up. It is empty where the
-	// text as a whole is meant.
+	// Key is the path of the key, such as settings.classes[1].give_up. It is empty for an error of the file as a whole.
 	Key string
-	// Err says what is wrong: a *ValueError, a *MissingError, a *PortConflictError, a *SyntaxError, ErrUnknownKey or
+	// Err is the cause: a *ValueError, a *MissingError, a *PortConflictError, a *SyntaxError, ErrUnknownKey or
 	// ErrNotRecorded.
 	Err error
 }
 
-func (e *KeyError) Error() string {
-	if e.Key == "" {
-		return e.Err.Error()
+// Error returns the key and the cause.
+func (k *KeyError) Error() string {
+	if k.Key == "" {
+		return k.Err.Error()
 	}
-	return fmt.Sprintf("key %q: %v", e.Key, e.Err)
+	return fmt.Sprintf("key %q: %v", k.Key, k.Err)
 }
 
-// Unwrap returns what is wrong with the key.
-func (e *KeyError) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (k *KeyError) Unwrap() error { return k.Err }
 
-// ValueError reports a value that is not as expected.
+// ValueError is the error of an invalid value.
 type ValueError struct {
 	Expected string // completes "expected ..."
-	Value    any    // nil where its kind alone is wrong, and where nothing was expected
+	Value    any    // nil if the value has the wrong type, or no value is allowed
 }
 
-func (e *ValueError) Error() string {
-	if e.Value == nil {
-		return "expected " + e.Expected
+// Error returns the expected and the actual value.
+func (v *ValueError) Error() string {
+	if v.Value == nil {
+		return "expected " + v.Expected
 	}
-	return "expected " + e.Expected + ", got " + formatValue(e.Value)
+	return "expected " + v.Expected + ", got " + formatValue(v.Value)
 }
 
-// formatValue writes numbers plainly, durations with their unit, and all else, such as texts, in Go's syntax.
+// formatValue returns numbers in decimal, durations with their unit, and other values in Go's syntax.
 func formatValue(value any) string {
 	switch value.(type) {
 	case int, int64, float64, time.Duration:
@@ -51,48 +52,52 @@
 	}
 }
 
-// MissingError reports a key that has to be there.
+// MissingError is the error of a required key that is absent.
 type MissingError struct {
-	Variable string // the environment variable that could stand in for the key; empty: none could
+	Variable string // environment variable with the default of the key; empty: none
 }
 
-func (e *MissingError) Error() string {
-	if e.Variable == "" {
+// Error returns the name of the environment variable, if there is one.
+func (m *MissingError) Error() string {
+	if m.Variable == "" {
 		return "missing"
 	}
-	return "missing, and " + e.Variable + " is not set"
+	return "missing, and " + m.Variable + " is not set"
 }
 
-// PortConflictError reports a port to listen at that is already that of PROXY_LISTEN.
+// PortConflictError is the error of a port that is also that of PROXY_LISTEN.
 type PortConflictError struct {
 	Port uint16
 }
 
-func (e *PortConflictError) Error() string {
-	return fmt.Sprintf("%d is the port of PROXY_LISTEN", e.Port)
+// Error returns the port.
+func (p *PortConflictError) Error() string {
+	return fmt.Sprintf("%d is the port of PROXY_LISTEN", p.Port)
 }
 
-// SyntaxError reports a text, or a value in it, that does not parse.
+// SyntaxError is the error of a text, or of a value in it, that can't be parsed.
 type SyntaxError struct {
 	Format string // JSON or TOML
-	Err    error  // the parser's
+	Err    error  // error of the parser
 }
 
-func (e *SyntaxError) Error() string { return fmt.Sprintf("not %s: %v", e.Format, e.Err) }
+// Error returns the format and the parser's error.
+func (s *SyntaxError) Error() string { return fmt.Sprintf("not %s: %v", s.Format, s.Err) }
 
 // Unwrap returns the parser's error.
-func (e *SyntaxError) Unwrap() error { return e.Err }
+func (s *SyntaxError) Unwrap() error { return s.Err }
 
 var (
-	// ErrUnknownKey reports a key of the operators' file that has no meaning there.
+	// ErrUnknownKey is the cause for an unknown key of the operators' file.
 	ErrUnknownKey = errors.New("not known")
-	// ErrNotRecorded reports a key of [replay.settings] that the recorded settings lack.
+	// ErrNotRecorded is the cause for a key of [replay.settings] that is not in the recorded settings.
 	ErrNotRecorded = errors.New("not among the recorded settings")
 )
 
+// newKeyError returns the error of the key at a path.
 func newKeyError(path []string, err error) *KeyError { return &KeyError{Key: keyOf(path), Err: err} }
 
-// keyOf joins the elements of a path. Those that are numbers are indices.
+// keyOf returns the key at a path. Elements that are numbers are indices.
 func keyOf(path []string) string {
 	key := ""
 	for _, element := range path {
@@ -107,26 +112,26 @@
 	return key
 }
 
-// maxKeyErrors bounds how many errors of a file are reported.
+// maxKeyErrors is the maximum number of errors of a file that are reported.
 const maxKeyErrors = 100
 
-// keyErrors are the errors of one file, in the order in which they were found.
+// keyErrors contains the errors of one file, in order of detection.
 type keyErrors []*KeyError
 
-// add appends an error. One at or under a key that already has one follows from that, and is left out.
-func (e *keyErrors) add(next *KeyError) {
-	if len(*e) == maxKeyErrors {
+// add appends an error, unless there is one for the same key or for a key that contains it.
+func (k *keyErrors) add(next *KeyError) {
+	if len(*k) == maxKeyErrors {
 		return
 	}
-	for _, earlier := range *e {
+	for _, earlier := range *k {
 		if isAtOrUnder(next.Key, earlier.Key) {
 			return
 		}
 	}
-	*e = append(*e, next)
+	*k = append(*k, next)
 }
 
-// isAtOrUnder tells whether key is parent or lies within it. All keys lie within the empty one.
+// isAtOrUnder reports whether key is parent or within it. All keys are within the empty one.
 func isAtOrUnder(key, parent string) bool {
 	remainder, hasPrefix := strings.CutPrefix(key, parent)
 	if !hasPrefix {
@@ -136,17 +141,17 @@
 }
 
 // first returns the first error, or nil.
-func (e keyErrors) first() error {
-	if len(e) == 0 {
+func (k keyErrors) first() error {
+	if len(k) == 0 {
 		return nil
 	}
-	return e[0]
+	return k[0]
 }
 
-// in returns the errors with the file's path in front of each, or as they are if the path is empty.
-func (e keyErrors) in(path string) []error {
+// in returns the errors, each with the path of the file as a prefix unless that is empty.
+func (k keyErrors) in(path string) []error {
 	var list []error
-	for _, keyError := range e {
+	for _, keyError := range k {
 		if path == "" {
 			list = append(list, keyError)
 		} else {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -37,7 +37,7 @@
 	checkGoldenPlatform(t, goldenPlatformWithPeers, want, "PeerBudget")
 }
 
-// goldenPlatformConfig is what the first golden file holds.
+// goldenPlatformConfig is the configuration in the first golden file.
 func goldenPlatformConfig() Config {
 	return Config{
 		Name:       "s-eu-3",
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -9,166 +9,174 @@
 )
 
 const (
-	// maxExactInteger bounds the integers that JSON numbers hold exactly.
+	// maxExactInteger bounds the integers that a JSON number represents exactly.
 	maxExactInteger = 1 << 53
 	maxMicroseconds = float64(math.MaxInt64 / int64(time.Microsecond))
 )
 
-// jsonReader reads a JSON text key by key. It collects errors with the path at which it stands. A value of the wrong kind
-// is an error and is skipped; null stands for an absent value.
+// jsonReader reads a JSON text key by key. It collects errors with their keys. A value of the wrong type is an error, and is
+// skipped. null is equivalent to an absent value.
 type jsonReader struct {
 	iterator *jsoniter.Iterator
-	path     []string
+	path     []string // of the current value
 	errors   keyErrors
-	broken   bool // the text itself is malformed: nothing after that can be read
+	broken   bool // there was a syntax error: the rest can't be read
 }
 
-// newJSONReader returns a reader of a text that stands at a path of its file.
+// newJSONReader returns a reader of a text whose value is at a path of its file.
 func newJSONReader(text []byte, path ...string) *jsonReader {
 	return &jsonReader{iterator: jsoniter.ParseBytes(jsoniter.ConfigDefault, text), path: path}
 }
 
-// fields are the known keys of an object, each with the function that reads its value.
+// fields maps the known keys of an object to functions that read their values.
 type fields map[string]func()
 
-// object reads an object. Keys that are not known are skipped.
-func (r *jsonReader) object(known fields) {
-	if !r.expect(jsoniter.ObjectValue, "an object") {
+// object reads an object. Unknown keys are skipped.
+func (j *jsonReader) object(known fields) {
+	if !j.expect(jsoniter.ObjectValue, "an object") {
 		return
 	}
-	r.iterator.ReadObjectCB(func(_ *jsoniter.Iterator, key string) bool {
+	j.iterator.ReadObjectCB(func(_ *jsoniter.Iterator, key string) bool {
 		read := known[key]
 		if read == nil {
-			read = r.skip
+			read = j.skip
 		}
-		return r.within(key, read)
+		return j.within(key, read)
 	})
-	r.checkSyntax()
+	j.checkSyntax()
 }
 
 // list reads a list. element reads or skips one element.
-func (r *jsonReader) list(element func(index int)) {
-	if !r.expect(jsoniter.ArrayValue, "a list") {
+func (j *jsonReader) list(element func(index int)) {
+	if !j.expect(jsoniter.ArrayValue, "a list") {
 		return
 	}
 	index := 0
-	r.iterator.ReadArrayCB(func(*jsoniter.Iterator) bool {
-		readable := r.within(strconv.Itoa(index), func() { element(index) })
+	j.iterator.ReadArrayCB(func(*jsoniter.Iterator) bool {
+		readable := j.within(strconv.Itoa(index), func() { element(index) })
 		index++
 		return readable
 	})
-	r.checkSyntax()
+	j.checkSyntax()
 }
 
-// within reads the value at a further element of the path. It tells whether more can be read after it.
-func (r *jsonReader) within(element string, read func()) bool {
-	r.path = append(r.path, element)
+// within reads the value of a key or an index. It reports whether more can be read after it.
+func (j *jsonReader) within(element string, read func()) bool {
+	j.path = append(j.path, element)
 	read()
-	r.checkSyntax()
-	r.path = r.path[:len(r.path)-1]
-	return !r.broken
+	j.checkSyntax()
+	j.path = j.path[:len(j.path)-1]
+	return !j.broken
 }
 
-// end reports whatever follows the object.
-func (r *jsonReader) end() {
-	if !r.broken && r.iterator.WhatIsNext() != jsoniter.InvalidValue {
-		r.report(&ValueError{Expected: "nothing after the object"})
+// end adds an error if there is anything after the object.
+func (j *jsonReader) end() {
+	if !j.broken && j.iterator.WhatIsNext() != jsoniter.InvalidValue {
+		j.report(&ValueError{Expected: "nothing after the object"})
 	}
 }
 
-func (r *jsonReader) report(err error) { r.errors.add(newKeyError(r.path, err)) }
+// report adds an error for the current path.
+func (j *jsonReader) report(err error) { j.errors.add(newKeyError(j.path, err)) }
 
-// checkSyntax reports an error of the parser at the place where it is first seen.
-func (r *jsonReader) checkSyntax() {
-	if r.iterator.Error == nil || r.broken {
+// checkSyntax adds an error of the parser for the path at which it occurred.
+func (j *jsonReader) checkSyntax() {
+	if j.iterator.Error == nil || j.broken {
 		return
 	}
-	r.report(&SyntaxError{Format: "JSON", Err: r.iterator.Error})
-	r.broken = true
+	j.report(&SyntaxError{Format: "JSON", Err: j.iterator.Error})
+	j.broken = true
 }
 
-// isPresent tells whether the next value is other than null.
-func (r *jsonReader) isPresent() bool { return r.iterator.WhatIsNext() != jsoniter.NilValue }
+// isPresent reports whether the next value is not null.
+func (j *jsonReader) isPresent() bool { return j.iterator.WhatIsNext() != jsoniter.NilValue }
 
-// expect tells whether the next value is of a kind. Any other value is skipped, and reported unless it is null.
-func (r *jsonReader) expect(kind jsoniter.ValueType, expected string) bool {
-	next := r.iterator.WhatIsNext()
-	if r.broken {
+// expect reports whether the next value has a type. Any other value is skipped, and an error is added unless it is null.
+func (j *jsonReader) expect(kind jsoniter.ValueType, expected string) bool {
+	next := j.iterator.WhatIsNext()
+	if j.broken {
 		return false
 	}
 	if next == kind {
 		return true
 	}
 	if next != jsoniter.NilValue {
-		r.report(&ValueError{Expected: expected})
+		j.report(&ValueError{Expected: expected})
 	}
-	r.skip()
+	j.skip()
 	return false
 }
 
-func (r *jsonReader) skip() { r.iterator.Skip() }
+// skip skips the next value.
+func (j *jsonReader) skip() { j.iterator.Skip() }
 
-// value reads an object into a Go value by its tags.
-func (r *jsonReader) value(destination any) {
-	if r.expect(jsoniter.ObjectValue, "an object") {
-		r.iterator.ReadVal(destination)
+// value decodes an object into a Go value according to its tags.
+func (j *jsonReader) value(destination any) {
+	if j.expect(jsoniter.ObjectValue, "an object") {
+		j.iterator.ReadVal(destination)
 	}
 }
 
-func (r *jsonReader) text() string {
-	if !r.expect(jsoniter.StringValue, "text") {
+// text reads a string.
+func (j *jsonReader) text() string {
+	if !j.expect(jsoniter.StringValue, "text") {
 		return ""
 	}
-	return r.iterator.ReadString()
+	return j.iterator.ReadString()
 }
 
-func (r *jsonReader) number() float64 {
-	if !r.expect(jsoniter.NumberValue, "a number") {
+// number reads a number.
+func (j *jsonReader) number() float64 {
+	if !j.expect(jsoniter.NumberValue, "a number") {
 		return 0
 	}
-	return r.iterator.ReadFloat64()
+	return j.iterator.ReadFloat64()
 }
 
-func (r *jsonReader) integer() int {
-	number := r.number()
+// integer reads a whole number.
+func (j *jsonReader) integer() int {
+	number := j.number()
 	if number != math.Trunc(number) || math.Abs(number) > maxExactInteger {
-		r.report(&ValueError{Expected: "a whole number", Value: number})
+		j.report(&ValueError{Expected: "a whole number", Value: number})
 	}
 	return int(number)
 }
 
-func (r *jsonReader) boolean() bool {
-	return r.expect(jsoniter.BoolValue, "true or false") && r.iterator.ReadBool()
+// boolean reads true or false.
+func (j *jsonReader) boolean() bool {
+	return j.expect(jsoniter.BoolValue, "true or false") && j.iterator.ReadBool()
 }
 
 // duration reads a number of microseconds.
-func (r *jsonReader) duration() time.Duration {
-	microseconds := r.number()
+func (j *jsonReader) duration() time.Duration {
+	microseconds := j.number()
 	if math.Abs(microseconds) > maxMicroseconds {
-		r.report(&ValueError{Expected: "microseconds", Value: microseconds})
+		j.report(&ValueError{Expected: "microseconds", Value: microseconds})
 		return 0
 	}
 	return time.Duration(microseconds * float64(time.Microsecond))
 }
 
-func (r *jsonReader) texts() []string {
+// texts reads a list of strings.
+func (j *jsonReader) texts() []string {
 	var list []string
-	r.list(func(int) { list = append(list, r.text()) })
+	j.list(func(int) { list = append(list, j.text()) })
 	return list
 }
 
-func (r *jsonReader) numbers() []float64 {
+// numbers reads a list of numbers.
+func (j *jsonReader) numbers() []float64 {
 	var list []float64
-	r.list(func(int) { list = append(list, r.number()) })
+	j.list(func(int) { list = append(list, j.number()) })
 	return list
 }
 
-// integers returns nil only if the value is absent: an empty list allows nothing.
-func (r *jsonReader) integers() []int {
+// integers reads a list of whole numbers. It returns nil only if the value is absent, which is different from an empty list.
+func (j *jsonReader) integers() []int {
 	var list []int
-	if r.isPresent() {
+	if j.isPresent() {
 		list = []int{}
 	}
-	r.list(func(int) { list = append(list, r.integer()) })
+	j.list(func(int) { list = append(list, j.integer()) })
 	return list
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,32 +2,32 @@
 
 import "strconv"
 
-// Limits are the resources that the process may use.
+// Limits contains the resources that the process may use.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int // file descriptors of the process
 }
 
-// defaultLimits are those of the platform's smallest machine.
+// defaultLimits contains the limits of the platform's smallest machine.
 var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
 const (
 	minMemoryMB = 16
-	// minSockets leaves room for the scheduler's own descriptors, some connections of workers and some of clients.
+	// minSockets is sufficient for the scheduler's own descriptors and some connections to workers and clients.
 	minSockets = 64
 )
 
 // readLimits reads the section limits.
-func (r *jsonReader) readLimits(limits *Limits) {
-	r.object(fields{
-		"cores":     func() { limits.Cores = r.number() },
-		"memory_mb": func() { limits.MemoryMB = int(r.number()) },
-		"sockets":   func() { limits.Sockets = r.integer() },
+func (j *jsonReader) readLimits(limits *Limits) {
+	j.object(fields{
+		"cores":     func() { limits.Cores = j.number() },
+		"memory_mb": func() { limits.MemoryMB = int(j.number()) },
+		"sockets":   func() { limits.Sockets = j.integer() },
 	})
 }
 
-// check reports limits that a scheduler can't work with.
+// check adds an error for each limit that is too low for a scheduler.
 func (l Limits) check(errs *keyErrors) {
 	report := func(key, expected string, value any) {
 		errs.add(newKeyError([]string{"limits", key}, &ValueError{Expected: expected, Value: value}))
@@ -43,4 +43,5 @@
 	}
 }
 
+// atLeast returns the text for a lower bound.
 func atLeast(minimum int) string { return strconv.Itoa(minimum) + " at least" }
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -10,8 +10,8 @@
 	"valvecove/internal/aperture"
 )
 
-// Ops is the operators' file: how the log is written, and the features that are on. A feature whose section is absent is
-// nil, and off.
+// Ops is the configuration in the operators' file: the form of the log, and the enabled features. A feature whose section is
+// absent is nil, and disabled.
 type Ops struct {
 	Log       Log
 	Status    *Status
@@ -23,7 +23,7 @@
 	Replay    *Replay
 }
 
-// LoadOps reads the operators' file. With an empty path all features are off.
+// LoadOps reads the operators' file. With an empty path all features are disabled.
 func LoadOps(path string) (Ops, error) {
 	ops, errs, err := loadOps(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return ops, nil
 }
 
-// loadOps returns errors in the file apart from err, which reports a file that can't be read.
+// loadOps is LoadOps with all errors in the file. err is the error of reading the file.
 func loadOps(path string) (Ops, keyErrors, error) {
 	if path == "" {
 		return Ops{}, nil, nil
@@ -48,12 +48,13 @@
 	return ops, errs, nil
 }
 
-// DecodeOps reads the operators' file from its text. The error is the first *KeyError.
+// DecodeOps decodes the text of an operators' file. The error is the first *KeyError.
 func DecodeOps(text string) (Ops, error) {
 	ops, errs := decodeOps(text)
 	return ops, errs.first()
 }
 
+// decodeOps is DecodeOps with all errors.
 func decodeOps(text string) (Ops, keyErrors) {
 	var keys map[string]any
 	if _, err := toml.Decode(text, &keys); err != nil {
@@ -76,7 +77,7 @@
 	return ops, errs
 }
 
-// decodeSection decodes the table of a key; nil if there is none.
+// decodeSection decodes the section with a key, and returns nil if there is none.
 func decodeSection[T any](file *table, key string, decode func(*table) T) *T {
 	section := file.table(key)
 	if section == nil {
@@ -87,13 +88,14 @@
 	return &value
 }
 
-// Check returns the first *KeyError about what does not go together with the platform's configuration.
+// Check returns the first *KeyError about a conflict with the platform's configuration.
 func (o Ops) Check(config Config) error {
 	var errs keyErrors
 	o.checkAgainst(config, &errs)
 	return errs.first()
 }
 
+// checkAgainst adds an error for each conflict with the platform's configuration.
 func (o Ops) checkAgainst(config Config, errs *keyErrors) {
 	if o.Status != nil && o.Status.Port == config.Listen.Port() {
 		errs.add(newKeyError([]string{"status", "listen_port"}, &PortConflictError{o.Status.Port}))
@@ -103,19 +105,20 @@
 	}
 }
 
-// StatusAddr is where the status call listens: on the address of PROXY_LISTEN. Status must not be nil.
+// StatusAddr returns the address of the status call, whose IP address is that of PROXY_LISTEN. Status must not be nil.
 func (o Ops) StatusAddr(config Config) netip.AddrPort {
 	return netip.AddrPortFrom(config.Listen.Addr(), o.Status.Port)
 }
 
-// Override decodes recorded settings of the platform, with those of [replay.settings] in place of their own. Errors are
-// *KeyError with the key under replay.settings, except for recorded settings that do not parse. What ApplyTo has decided
-// about them is recorded by itself.
+// Override decodes recorded settings of the platform after it has replaced those in [replay.settings]. Errors are *KeyError with
+// a key under replay.settings, except for recorded settings that can't be parsed. The changes of ApplyTo are not included;
+// captures contain them separately.
 func (o Ops) Override(recorded []byte) (Settings, error) {
 	path := []string{"replay", "settings"}
 	if o.Replay != nil && len(o.Replay.settings) > 0 {
 		var err error
-		if recorded, err = o.Replay.override(recorded, path); err != nil {
+		recorded, err = o.Replay.override(recorded, path)
+		if err != nil {
 			return Settings{}, err
 		}
 	}
--- a/internal/config/ops_aperture.go
+++ b/internal/config/ops_aperture.go
@@ -6,8 +6,9 @@
 	"valvecove/internal/aperture"
 )
 
+// Bounds of the section aperture.
 const (
-	maxApertureCount      = 1_000_000 // of workers, or of schedulers
+	maxApertureCount      = 1_000_000 // number of workers, or of schedulers
 	minApertureCoverage   = 2
 	maxApertureCoverage   = 1000
 	minApertureSchedulers = 2
@@ -17,6 +18,7 @@
 	maxApertureRetention  = time.Hour
 )
 
+// decodeAperture decodes the section aperture.
 func decodeAperture(section *table) aperture.Config {
 	defaults := aperture.DefaultConfig()
 	return aperture.Config{
--- a/internal/config/ops_capture.go
+++ b/internal/config/ops_capture.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Capture configures the record of what the scheduler receives and decides. It is kept in memory or in files.
+// Capture configures the capture, which is stored in a ring in memory or in files; see package capture.
 type Capture struct {
-	MemoryKB int    // of the ring in memory
-	Dir      string // for files in place of the ring; empty: the ring
-	FileMB   int    // of one file, at which another begins
-	Files    int    // that are kept
+	MemoryKB int    // size of the ring in memory
+	Dir      string // directory for files; empty: the ring is used
+	FileMB   int    // size of a file from which the next one is started
+	Files    int    // maximum number of files
 }
 
 const (
@@ -19,12 +19,13 @@
 	defaultCaptureFiles    = 4
 	maxCaptureFiles        = 1000
 
-	// maxRingShare is the part of the memory limit, as its inverse, that the ring may have. It may be there twice, while
-	// a copy of it is written out.
-	maxRingShare = 8
-	kbPerMB      = 1 << 10
+	// maxRingDivisor is the minimum ratio of the memory limit to the size of the ring. There are two rings in memory while a copy
+	// is being written.
+	maxRingDivisor = 8
+	kbPerMB        = 1 << 10
 )
 
+// decodeCapture decodes the section capture.
 func decodeCapture(section *table) Capture {
 	return Capture{
 		MemoryKB: section.integer("memory_kb", defaultCaptureMemoryKB, minCaptureMemoryKB, maxCaptureMemoryKB),
@@ -34,9 +35,9 @@
 	}
 }
 
-// checkMemory reports a ring that is too large for the memory limit.
+// checkMemory adds an error if the ring is too large for the memory limit.
 func (c *Capture) checkMemory(limits Limits, errs *keyErrors) {
-	maxRingKB := limits.MemoryMB * kbPerMB / maxRingShare
+	maxRingKB := limits.MemoryMB * kbPerMB / maxRingDivisor
 	if c.Dir != "" || c.MemoryKB <= maxRingKB {
 		return
 	}
--- a/internal/config/ops_gossip.go
+++ b/internal/config/ops_gossip.go
@@ -1,24 +1,27 @@
 package config
 
-// Gossip has schedulers tell each other of leases of slots, where the platform's settings allow it.
+// Gossip configures the messages between schedulers about leases, if the platform's settings allow them.
 type Gossip struct {
-	Budget float64 // the share of the result that messages may cost
+	Budget float64 // maximum cost of the messages, as a fraction of the result
 }
 
+// defaultGossipBudget is the default of Gossip.Budget.
 const defaultGossipBudget = 0.02
 
+// decodeGossip decodes the section gossip.
 func decodeGossip(section *table) Gossip {
 	return Gossip{Budget: section.number("budget", defaultGossipBudget, 0, 1)}
 }
 
-// ApplyTo sets what the operators' file decides about the settings: without [gossip], schedulers tell each other nothing.
+// ApplyTo sets the dispatcher's settings that depend on the operators' file. Without the section gossip, messages between
+// schedulers are disabled.
 func (o Ops) ApplyTo(settings *Settings) {
 	if o.Gossip == nil {
 		settings.PeerMessages = false
 		return
 	}
 	settings.PeerBudget = o.Gossip.Budget
-	if o.Gossip.Budget == 0 { // which stands for the default in the dispatcher's settings
+	if o.Gossip.Budget == 0 { // in the dispatcher's settings, 0 means the default
 		settings.PeerMessages = settings.PeerMessages && settings.PeerCost == 0
 	}
 }
--- a/internal/config/ops_log.go
+++ b/internal/config/ops_log.go
@@ -2,13 +2,13 @@
 
 import "log/slog"
 
-// Log says how the log is written. Its zero value holds without the section: text, and no lines for debugging.
+// Log configures the form of the log. The zero value is the default: text, from level info on.
 type Log struct {
 	JSON  bool
-	Level slog.Level // lines below it are not written
+	Level slog.Level // minimum level of lines that are written
 }
 
-// logLevels are the values of log.level.
+// logLevels maps the values of log.level to levels.
 var logLevels = map[string]slog.Level{
 	"debug": slog.LevelDebug,
 	"info":  slog.LevelInfo,
@@ -16,6 +16,7 @@
 	"error": slog.LevelError,
 }
 
+// decodeLog decodes the section log.
 func decodeLog(section *table) Log {
 	return Log{
 		JSON:  section.choice("format", "text", "text", "json") == "json",
--- a/internal/config/ops_metrics.go
+++ b/internal/config/ops_metrics.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Metrics configures the export of counters, gauges and timers to a collector. With neither a target nor a file they go to
-// standard error.
+// Metrics configures the export of counters, gauges and timers to a collector. Without a target and a file they are
+// written to standard error.
 type Metrics struct {
 	Format        string // statsd or influx
 	FlushInterval time.Duration
-	UDPTarget     netip.AddrPort // not valid: none
-	File          string         // empty: none
-	MaxBatchBytes int            // of one datagram or write
+	UDPTarget     netip.AddrPort // not valid: no collector
+	File          string         // path; empty: no file
+	MaxBatchBytes int            // maximum size of a datagram or a write
 }
 
+// Defaults and bounds of the section figures.
 const (
 	defaultFlushMilliseconds = 10_000
 	minFlushMilliseconds     = 10
@@ -23,6 +24,7 @@
 	maxMaxBatchBytes         = 65_000
 )
 
+// decodeMetrics decodes the section figures.
 func decodeMetrics(section *table) Metrics {
 	return Metrics{
 		Format:        section.choice("format", "statsd", "statsd", "influx"),
@@ -33,6 +35,7 @@
 	}
 }
 
+// decodeFlushInterval decodes the key flush_ms.
 func decodeFlushInterval(section *table) time.Duration {
 	milliseconds := section.integer("flush_ms", defaultFlushMilliseconds, minFlushMilliseconds, maxFlushMilliseconds)
 	return time.Duration(milliseconds) * time.Millisecond
--- a/internal/config/ops_replay.go
+++ b/internal/config/ops_replay.go
@@ -8,11 +8,12 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Replay configures the replay of a capture, and nothing else.
+// Replay configures the replay of a capture. It has no effect on a scheduler.
 type Replay struct {
-	settings map[string]any // in place of recorded ones, by their names
+	settings map[string]any // replacements of recorded settings, by key
 }
 
+// decodeReplay decodes the section replay.
 func decodeReplay(section *table) Replay {
 	settings := section.table("settings")
 	if settings == nil {
@@ -21,10 +22,10 @@
 	return Replay{settings: settings.keys}
 }
 
-// exactJSON keeps numbers as they are written, and writes keys in one order: the first error of a text is reported.
+// exactJSON preserves the text of numbers, and sorts keys, so that the first error does not depend on the order of a map.
 var exactJSON = jsoniter.Config{UseNumber: true, SortMapKeys: true}.Froze()
 
-// override replaces values in the text of recorded settings. path is where the replacements stand.
+// override replaces values in the text of recorded settings. path is the path of the replacements in the operators' file.
 func (r *Replay) override(recorded []byte, path []string) ([]byte, error) {
 	var tree any
 	if err := exactJSON.Unmarshal(recorded, &tree); err != nil {
@@ -41,8 +42,8 @@
 	return text, nil
 }
 
-// overrideValue returns the replacement of a recorded value. A table replaces only what it names: the keys of an object,
-// or the elements of a list by their key name. Recorded objects and lists are changed in place.
+// overrideValue returns the replacement of a recorded value. A table replaces only the values of its keys: those with the same
+// keys in an object, or the elements of a list whose field "name" is the key. Recorded objects and lists are changed in place.
 func overrideValue(path []string, recorded, replacement any) (any, error) {
 	table, ok := replacement.(map[string]any)
 	if !ok {
@@ -61,7 +62,7 @@
 	return recorded, nil
 }
 
-// overrideKey replaces what the last element of the path names within a recorded value, if it is there.
+// overrideKey replaces the part of a recorded value whose key is the last element of the path, if there is one.
 func overrideKey(path []string, recorded, replacement any) (found bool, err error) {
 	name := path[len(path)-1]
 	switch recorded := recorded.(type) {
--- a/internal/config/ops_status.go
+++ b/internal/config/ops_status.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Status configures the status call, which has a port of its own.
+// Status configures the status call, which has its own port.
 type Status struct {
 	Port       uint16
-	Retention  time.Duration // how long an ended job is kept
-	MaxEntries int           // jobs that are kept, open and ended
+	Retention  time.Duration // time that an ended job is stored
+	MaxEntries int           // maximum number of stored jobs, open and ended
 }
 
+// Defaults and bounds of the section status.
 const (
 	maxPort                 = 65535
 	defaultStatusRetention  = 600 * time.Second
@@ -17,6 +18,7 @@
 	maxStatusMaxEntries     = 1_000_000
 )
 
+// decodeStatus decodes the section status.
 func decodeStatus(section *table) Status {
 	section.require("listen_port")
 	return Status{
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The deployment's file has no errors, and goes together with the platform's. The status call is off there, and leases are on.
+// The deployment's file has no errors, and no conflict with the platform's. The status call is disabled there, and leases are enabled.
 func TestDecodeOpsOfDeployment(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/ops.toml")
 	if err != nil {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Schedulers tell each other nothing without the section, or where a price is set and the budget is none.
+// Messages between schedulers are disabled without the section, and with a price and a budget of 0.
 func TestGossipAppliesToSettings(t *testing.T) {
 	for _, test := range []struct {
 		name, ops         string
@@ -200,8 +200,8 @@
 	}
 }
 
-// The section turns on nothing that the platform's settings don't allow. Recorded settings stay as they are, whatever the
-// file of the replay says: what the recording scheduler's file decided is recorded too.
+// The section enables nothing that the platform's settings do not allow. The section of a replay's file does not change recorded settings, as
+// the effect of the recording scheduler's file is recorded too.
 func TestGossipOfRecordedSettings(t *testing.T) {
 	for _, test := range []struct {
 		ops, peers    string
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// null stands for an absent value, also where a value has precedence over another one.
+// null is equivalent to an absent value, also if the value has precedence over another one.
 func TestDecodeNullStretch(t *testing.T) {
 	for text, want := range map[string]float64{`"aim_stretch":1.5`: 1.5, `"aim_stretch":null`: 2, `"later":null`: 2} {
 		config, err := Decode([]byte(strings.Replace(validPlatform, `"aim_stretch":1.5`, text, 1)), noEnvironment)
@@ -127,7 +127,7 @@
 	}
 }
 
-// peersOfTwo are the keys by which two schedulers may tell each other something, in validPlatform.
+// peersOfTwo contains the keys of validPlatform that enable messages between two schedulers.
 const peersOfTwo = `"peer_listen":"127.0.0.1:7946","peers":["127.0.1.1:7946","127.0.1.2:7946"],"limits":`
 
 func withPeers(replacements ...string) string {
@@ -154,7 +154,7 @@
 	}
 }
 
-// Where the settings or one of the keys don't allow messages, there are none, whatever the other keys say.
+// Messages are disabled if the settings or one of the keys do not allow them, for any values of the other keys.
 func TestDecodeWithoutPeers(t *testing.T) {
 	for name, replacements := range map[string][]string{
 		"not allowed":               {`"peers":true`, `"peers":false`},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,18 +9,17 @@
 	"valvecove/internal/requests"
 )
 
-// Settings are the deployment's settings: those of the dispatcher, and the names by which messages refer to classes,
-// tenants, zones and machine types.
+// Settings contains the deployment's settings: those of the dispatcher, and the names of classes, tenants, zones and machine types.
 type Settings struct {
 	dispatch.Settings
 	Names requests.NameTable
 }
 
-// DecodeSettings reads the object settings of the platform's file, in which times are in microseconds. Keys that are not
-// known are skipped, and those that are absent leave their zero value. The error is the first *KeyError.
+// DecodeSettings decodes the object settings of the platform's file, in which durations are in microseconds. Unknown keys are
+// skipped. The value of an absent key is the zero value. The error is the first *KeyError.
 func DecodeSettings(object []byte) (Settings, error) { return decodeSettings(object) }
 
-// decodeSettings reads an object that stands at a path of its file.
+// decodeSettings decodes an object at a path of its file.
 func decodeSettings(object []byte, path ...string) (Settings, error) {
 	decoder := settingsDecoder{jsonReader: newJSONReader(object, path...)}
 	decoder.read()
@@ -28,12 +27,12 @@
 	return decoder.settings, decoder.errors.first()
 }
 
-// settingsDecoder reads the object settings. What several keys decide together is kept until all are read.
+// settingsDecoder decodes the object settings. It stores values that are combined with others until all keys are read.
 type settingsDecoder struct {
 	*jsonReader
 	settings Settings
 
-	kindOfClass     []float64       // domain.class_kind; below 0: any
+	kindOfClass     []float64       // domain.class_kind; negative: any
 	stretchOfClass  []float64       // domain.class_stretch
 	explicitStretch map[int]float64 // classes[i].aim_stretch, which has precedence
 	sendRetryAfter  bool
@@ -43,51 +42,51 @@
 }
 
 // read reads the object.
-func (d *settingsDecoder) read() {
-	settings := &d.settings
-	d.object(fields{
-		"replicas_of_me": func() { settings.Replicas = d.integer() },
-		"me":             func() { settings.ReplicaIndex = d.integer() },
-		"zone":           func() { settings.Zone = d.integer() },
-		"zones":          func() { settings.Names.Zones = d.texts() },
-		"kinds":          func() { settings.Names.MachineTypes = d.texts() },
-		"discovery":      func() { settings.MustSubscribe = d.text() == "subscribe" },
-		"classes":        func() { d.list(d.readClass) },
-		"tenants":        func() { d.list(d.readTenant) },
-		"bounds":         d.readBounds,
-		"domain":         d.readDomain,
-		"prices":         d.readPrices,
-		"rules":          d.readRules,
-		"goal":           d.readGoal,
-		"telemetry":      d.readTelemetry,
+func (s *settingsDecoder) read() {
+	settings := &s.settings
+	s.object(fields{
+		"replicas_of_me": func() { settings.Replicas = s.integer() },
+		"me":             func() { settings.ReplicaIndex = s.integer() },
+		"zone":           func() { settings.Zone = s.integer() },
+		"zones":          func() { settings.Names.Zones = s.texts() },
+		"kinds":          func() { settings.Names.MachineTypes = s.texts() },
+		"discovery":      func() { settings.MustSubscribe = s.text() == "subscribe" },
+		"classes":        func() { s.list(s.readClass) },
+		"tenants":        func() { s.list(s.readTenant) },
+		"bounds":         s.readBounds,
+		"domain":         s.readDomain,
+		"prices":         s.readPrices,
+		"rules":          s.readRules,
+		"goal":           s.readGoal,
+		"telemetry":      s.readTelemetry,
 	})
-	d.combine()
+	s.combine()
 }
 
-// combine sets what several keys decide together.
-func (d *settingsDecoder) combine() {
-	d.settings.ZoneCount = len(d.settings.Names.Zones)
-	if d.sendRetryAfter {
-		d.settings.MaxRetryAfter = d.maxRetryAfter
+// combine sets the settings that depend on several keys.
+func (s *settingsDecoder) combine() {
+	s.settings.ZoneCount = len(s.settings.Names.Zones)
+	if s.sendRetryAfter {
+		s.settings.MaxRetryAfter = s.maxRetryAfter
 	}
-	for i := range d.settings.Classes {
-		d.combineClass(i)
+	for i := range s.settings.Classes {
+		s.combineClass(i)
 	}
-	for _, name := range d.reportFields {
-		d.settings.ReportFields = append(d.settings.ReportFields, d.meanings.field(name))
+	for _, name := range s.reportFields {
+		s.settings.ReportFields = append(s.settings.ReportFields, s.meanings.field(name))
 	}
 }
 
-// combineClass sets what a class's own keys and the section domain decide together.
-func (d *settingsDecoder) combineClass(index int) {
-	class := &d.settings.Classes[index]
-	if index < len(d.kindOfClass) && d.kindOfClass[index] >= 0 {
-		class.Kinds = onlyKind(class.Kinds, int(d.kindOfClass[index]))
+// combineClass sets the settings of a class that depend on its keys and on the section domain.
+func (s *settingsDecoder) combineClass(index int) {
+	class := &s.settings.Classes[index]
+	if index < len(s.kindOfClass) && s.kindOfClass[index] >= 0 {
+		class.Kinds = onlyKind(class.Kinds, int(s.kindOfClass[index]))
 	}
-	if index < len(d.stretchOfClass) {
-		class.ObjectiveStretch = d.stretchOfClass[index]
+	if index < len(s.stretchOfClass) {
+		class.ObjectiveStretch = s.stretchOfClass[index]
 	}
-	if stretch, ok := d.explicitStretch[index]; ok {
+	if stretch, ok := s.explicitStretch[index]; ok {
 		class.ObjectiveStretch = stretch
 	}
 }
@@ -95,7 +94,7 @@
 // noKind is a machine type that no worker has.
 const noKind = -1
 
-// onlyKind restricts the allowed machine types, where nil allows all, to one.
+// onlyKind returns the intersection of the allowed machine types, where nil means all, with one type.
 func onlyKind(allowed []int, kind int) []int {
 	if allowed != nil && !slices.Contains(allowed, kind) {
 		return []int{noKind}
@@ -103,7 +102,7 @@
 	return []int{kind}
 }
 
-// check reports settings that a scheduler can't work with. path is where they stand.
+// check adds an error for each invalid setting. path is the path of the settings in their file.
 func (s *Settings) check(errs *keyErrors, path ...string) {
 	report := func(err error, key ...string) {
 		errs.add(newKeyError(slices.Concat(path, key), err))
--- a/internal/config/settings_classes.go
+++ b/internal/config/settings_classes.go
@@ -2,47 +2,47 @@
 
 import "valvecove/dispatch"
 
-// idempotencies are the values of the key idempotency. Any other stands for the strictest, dispatch.NonIdempotent.
+// idempotencies maps the values of the key idempotency. Any other value means the strictest one, dispatch.NonIdempotent.
 var idempotencies = map[string]dispatch.Idempotency{
 	"pure":  dispatch.Idempotent,
 	"token": dispatch.IdempotentWithKey,
 }
 
-// deduplicationScopes are the values of the key dedup_scope. Any other stands for the narrowest, dispatch.ScopeCell.
+// deduplicationScopes maps the values of the key dedup_scope. Any other value means the narrowest one, dispatch.ScopeCell.
 var deduplicationScopes = map[string]dispatch.DeduplicationScope{
 	"zone": dispatch.ScopeZone,
 	"all":  dispatch.ScopeAll,
 }
 
 // readClass reads one element of the section classes.
-func (d *settingsDecoder) readClass(index int) {
+func (s *settingsDecoder) readClass(index int) {
 	var class dispatch.Class
 	name := ""
-	d.object(fields{
-		"name":        func() { name = d.text() },
-		"promise":     func() { class.LatencyObjective = d.duration() },
-		"aim_stretch": func() { d.readExplicitStretch(index) },
-		"give_up":     func() { class.ClientTimeout = d.duration() },
-		"idempotency": func() { class.Idempotency = idempotencies[d.text()] },
-		"dedup_scope": func() { class.DeduplicationScope = deduplicationScopes[d.text()] },
-		"window":      func() { class.DeduplicationWindow = d.duration() },
-		"late_share":  func() { class.LateValue = d.number() },
-		"gain":        func() { class.PriorityWeight = d.number() },
-		"bound_to":    func() { class.Kinds = d.integers() },
-		"allowed_in":  func() { class.Zones = d.integers() },
+	s.object(fields{
+		"name":        func() { name = s.text() },
+		"promise":     func() { class.LatencyObjective = s.duration() },
+		"aim_stretch": func() { s.readExplicitStretch(index) },
+		"give_up":     func() { class.ClientTimeout = s.duration() },
+		"idempotency": func() { class.Idempotency = idempotencies[s.text()] },
+		"dedup_scope": func() { class.DeduplicationScope = deduplicationScopes[s.text()] },
+		"window":      func() { class.DeduplicationWindow = s.duration() },
+		"late_share":  func() { class.LateValue = s.number() },
+		"gain":        func() { class.PriorityWeight = s.number() },
+		"bound_to":    func() { class.Kinds = s.integers() },
+		"allowed_in":  func() { class.Zones = s.integers() },
 	})
-	d.settings.Classes = append(d.settings.Classes, class)
-	d.settings.Names.Classes = append(d.settings.Names.Classes, name)
+	s.settings.Classes = append(s.settings.Classes, class)
+	s.settings.Names.Classes = append(s.settings.Names.Classes, name)
 }
 
-// readExplicitStretch reads the stretch that a class names itself. A class without one has that of the section domain.
-func (d *settingsDecoder) readExplicitStretch(class int) {
-	if !d.isPresent() {
-		d.skip()
+// readExplicitStretch reads the stretch of a class, which takes precedence over that of the section domain.
+func (s *settingsDecoder) readExplicitStretch(class int) {
+	if !s.isPresent() {
+		s.skip()
 		return
 	}
-	if d.explicitStretch == nil {
-		d.explicitStretch = map[int]float64{}
+	if s.explicitStretch == nil {
+		s.explicitStretch = map[int]float64{}
 	}
-	d.explicitStretch[class] = d.number()
+	s.explicitStretch[class] = s.number()
 }
--- a/internal/config/settings_domain.go
+++ b/internal/config/settings_domain.go
@@ -2,36 +2,36 @@
 
 import "valvecove/dispatch"
 
-// readDomain reads the section domain: what the deployment's field of use adds to the classes, and what workers tell.
-func (d *settingsDecoder) readDomain() {
-	d.object(fields{
-		"class_kind":    func() { d.kindOfClass = d.numbers() },
-		"class_stretch": func() { d.stretchOfClass = d.numbers() },
-		"progress":      func() { d.settings.ProgressInterval = d.duration() },
-		"tells_start":   func() { d.settings.StartNotifications = d.boolean() },
-		"report_x0":     func() { d.meanings.x0 = d.text() },
-		"report_x1":     func() { d.meanings.x1 = d.text() },
+// readDomain reads the section domain: additional settings of the classes, and the callbacks and load reports of workers.
+func (s *settingsDecoder) readDomain() {
+	s.object(fields{
+		"class_kind":    func() { s.kindOfClass = s.numbers() },
+		"class_stretch": func() { s.stretchOfClass = s.numbers() },
+		"progress":      func() { s.settings.ProgressInterval = s.duration() },
+		"tells_start":   func() { s.settings.StartNotifications = s.boolean() },
+		"report_x0":     func() { s.meanings.x0 = s.text() },
+		"report_x1":     func() { s.meanings.x1 = s.text() },
 	})
 }
 
 // readTelemetry reads the section telemetry.
-func (d *settingsDecoder) readTelemetry() {
-	d.object(fields{
-		"fields": func() { d.reportFields = d.texts() },
+func (s *settingsDecoder) readTelemetry() {
+	s.object(fields{
+		"fields": func() { s.reportFields = s.texts() },
 	})
 }
 
-// reportMeanings say what the two fields of load reports mean whose names do not.
+// reportMeanings contains the meanings of the two fields of load reports that have no descriptive names.
 type reportMeanings struct {
 	x0, x1 string
 }
 
-// meaningFreeSlots is the one meaning that the dispatcher uses.
+// meaningFreeSlots is the only meaning that the dispatcher uses.
 const meaningFreeSlots = "free slots"
 
-// field returns the meaning of the field of a name.
-func (m reportMeanings) field(name string) dispatch.ReportField {
-	if name == "x0" && m.x0 == meaningFreeSlots || name == "x1" && m.x1 == meaningFreeSlots {
+// field returns the meaning of the field with a name.
+func (r reportMeanings) field(name string) dispatch.ReportField {
+	if name == "x0" && r.x0 == meaningFreeSlots || name == "x1" && r.x1 == meaningFreeSlots {
 		return dispatch.ReportFieldFreeSlots
 	}
 	return dispatch.ReportFieldOther
--- a/internal/config/settings_goal.go
+++ b/internal/config/settings_goal.go
@@ -1,10 +1,10 @@
 package config
 
-// readGoal reads the section goal: what the service level is measured by.
-func (d *settingsDecoder) readGoal() {
-	settings := &d.settings
-	d.object(fields{
-		"tail_part":    func() { settings.TailShare = d.number() },
-		"borne_misses": func() { settings.MissBudget = d.number() },
+// readGoal reads the section goal: the parameters of the service level.
+func (s *settingsDecoder) readGoal() {
+	settings := &s.settings
+	s.object(fields{
+		"tail_part":    func() { settings.TailShare = s.number() },
+		"borne_misses": func() { settings.MissBudget = s.number() },
 	})
 }
--- a/internal/config/settings_prices.go
+++ b/internal/config/settings_prices.go
@@ -1,12 +1,12 @@
 package config
 
-// readPrices reads the section prices: what actions cost.
-func (d *settingsDecoder) readPrices() {
-	settings := &d.settings
-	d.object(fields{
-		"probe":      func() { settings.HealthCheckCost = d.number() },
-		"cross_zone": func() { settings.CrossZoneCost = d.number() },
-		"peer":       func() { settings.PeerCost = d.number() },
-		"handshake":  func() { settings.HandshakeCost = d.number() },
+// readPrices reads the section prices: the costs of actions.
+func (s *settingsDecoder) readPrices() {
+	settings := &s.settings
+	s.object(fields{
+		"probe":      func() { settings.HealthCheckCost = s.number() },
+		"cross_zone": func() { settings.CrossZoneCost = s.number() },
+		"peer":       func() { settings.PeerCost = s.number() },
+		"handshake":  func() { settings.HandshakeCost = s.number() },
 	})
 }
--- a/internal/config/settings_rules.go
+++ b/internal/config/settings_rules.go
@@ -1,13 +1,13 @@
 package config
 
-// readRules reads the section rules: how discovery and workers behave.
-func (d *settingsDecoder) readRules() {
-	settings := &d.settings
-	d.object(fields{
-		"ask_every":       func() { settings.PollInterval = d.duration() },
-		"cold":            func() { settings.WarmUp = d.duration() },
-		"cold_from":       func() { settings.WarmUpCapacity = d.number() },
-		"overload_factor": func() { settings.OverloadFactor = d.number() },
-		"fall":            func() { settings.OverloadWindow = d.duration() },
+// readRules reads the section rules: the behaviour of discovery and workers.
+func (s *settingsDecoder) readRules() {
+	settings := &s.settings
+	s.object(fields{
+		"ask_every":       func() { settings.PollInterval = s.duration() },
+		"cold":            func() { settings.WarmUp = s.duration() },
+		"cold_from":       func() { settings.WarmUpCapacity = s.number() },
+		"overload_factor": func() { settings.OverloadFactor = s.number() },
+		"fall":            func() { settings.OverloadWindow = s.duration() },
 	})
 }
--- a/internal/config/settings_tenants.go
+++ b/internal/config/settings_tenants.go
@@ -1,12 +1,13 @@
 package config
 
 // readTenant reads one element of the section tenants.
-func (d *settingsDecoder) readTenant(int) {
-	name, quota := "", 0.0
-	d.object(fields{
-		"name":        func() { name = d.text() },
-		"quota_per_s": func() { quota = d.number() },
+func (s *settingsDecoder) readTenant(int) {
+	name := ""
+	quota := 0.0 // requests per second
+	s.object(fields{
+		"name":        func() { name = s.text() },
+		"quota_per_s": func() { quota = s.number() },
 	})
-	d.settings.TenantQuota = append(d.settings.TenantQuota, quota)
-	d.settings.Names.Tenants = append(d.settings.Names.Tenants, name)
+	s.settings.TenantQuota = append(s.settings.TenantQuota, quota)
+	s.settings.Names.Tenants = append(s.settings.Names.Tenants, name)
 }
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// table is one table of the operators' file. Reading a value removes it, so that what remains at the end is not known.
-// Each value that is out of its bounds or of the wrong kind is reported, and what is returned for it means nothing.
+// table is one table of the operators' file. Reading a value removes it, so that the remaining keys are unknown. An error is
+// added for each value that is out of bounds or has the wrong type; the returned value is undefined then.
 type table struct {
-	path   []string
-	keys   map[string]any
-	errors *keyErrors // shared with the tables within
+	path   []string       // in the file
+	keys   map[string]any // that were not read yet
+	errors *keyErrors     // of the file
 }
 
 // report adds an error about a key, or about an element of it if indices are given.
@@ -28,33 +28,36 @@
 	t.errors.add(newKeyError(path, err))
 }
 
+// reportValue adds an error about the value of a key.
 func (t *table) reportValue(key, expected string, value any) {
 	t.report(key, &ValueError{Expected: expected, Value: value})
 }
 
+// reportKind adds an error about the type of a key's value.
 func (t *table) reportKind(key, expected string) { t.report(key, &ValueError{Expected: expected}) }
 
+// take removes and returns the value of a key.
 func (t *table) take(key string) (value any, ok bool) {
 	value, ok = t.keys[key]
 	delete(t.keys, key)
 	return value, ok
 }
 
-// rejectUnread reports each key that has not been read.
+// rejectUnread adds an error for each key that was not read.
 func (t *table) rejectUnread() {
 	for _, key := range slices.Sorted(maps.Keys(t.keys)) {
 		t.report(key, ErrUnknownKey)
 	}
 }
 
-// require reports a key that is absent.
+// require adds an error if a key is absent.
 func (t *table) require(key string) {
 	if _, ok := t.keys[key]; !ok {
 		t.report(key, &MissingError{})
 	}
 }
 
-// table returns a table within; nil if there is none.
+// table returns the table of a key, or nil if there is none.
 func (t *table) table(key string) *table {
 	value, ok := t.take(key)
 	if !ok {
@@ -68,7 +71,7 @@
 	return &table{path: append(slices.Clone(t.path), key), keys: keys, errors: t.errors}
 }
 
-// integer reads a whole number within bounds; fallback is returned for an absent key.
+// integer reads a whole number within bounds. It returns fallback if the key is absent.
 func (t *table) integer(key string, fallback, minimum, maximum int) int {
 	value, ok := t.take(key)
 	if !ok {
@@ -84,7 +87,7 @@
 	return int(number)
 }
 
-// number reads a number, with or without a fraction, within bounds; fallback is returned for an absent key.
+// number reads a number within bounds. It returns fallback if the key is absent.
 func (t *table) number(key string, fallback, minimum, maximum float64) float64 {
 	value, ok := t.take(key)
 	if !ok {
@@ -101,6 +104,7 @@
 	return number
 }
 
+// toFloat returns a number of either type.
 func toFloat(value any) (number float64, ok bool) {
 	switch value := value.(type) {
 	case int64:
@@ -111,13 +115,13 @@
 	return 0, false
 }
 
-// seconds reads a number of seconds within bounds; fallback is returned for an absent key.
+// seconds reads a number of seconds within bounds. It returns fallback if the key is absent.
 func (t *table) seconds(key string, fallback, minimum, maximum time.Duration) time.Duration {
 	seconds := t.number(key, fallback.Seconds(), minimum.Seconds(), maximum.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// text reads a text, which must not be empty; an empty one is returned for an absent key.
+// text reads a text, which must not be empty. It returns an empty one if the key is absent.
 func (t *table) text(key string) string {
 	value, ok := t.take(key)
 	if !ok {
@@ -130,7 +134,7 @@
 	return text
 }
 
-// choice reads one of several texts; fallback is returned for an absent key.
+// choice reads one of several texts. It returns fallback if the key is absent.
 func (t *table) choice(key, fallback string, choices ...string) string {
 	text := t.text(key)
 	if text == "" {
@@ -142,7 +146,7 @@
 	return text
 }
 
-// addrPort reads an address and port to send to; names are not resolved. It is not valid for an absent key.
+// addrPort reads an IP address and a port other than 0. The result is not valid if the key is absent.
 func (t *table) addrPort(key string) netip.AddrPort {
 	text := t.text(key)
 	if text == "" {
@@ -155,7 +159,7 @@
 	return address
 }
 
-// prefixes reads a list of CIDR ranges; nil is returned for an absent key.
+// prefixes reads a list of CIDR ranges. It returns nil if the key is absent.
 func (t *table) prefixes(key string) []netip.Prefix {
 	value, ok := t.take(key)
 	if !ok {
@@ -177,12 +181,13 @@
 	return list
 }
 
-// mappedBits is how many bits IPv4 addresses have before them when written as IPv6.
+// mappedBits is the length of the prefix of IPv4-mapped IPv6 addresses.
 const mappedBits = 96
 
+// errPrefixTooWide is returned for a range of mapped IPv4 addresses that includes other addresses.
 var errPrefixTooWide = errors.New("range of mapped IPv4 addresses is wider than IPv4")
 
-// parsePrefix reads a CIDR range. IPv4 written as IPv6 is taken as IPv4, as the addresses of connections are.
+// parsePrefix parses a CIDR range. A range of IPv4-mapped IPv6 addresses is converted to IPv4, like the addresses of connections.
 func parsePrefix(text string) (netip.Prefix, error) {
 	prefix, err := netip.ParsePrefix(text)
 	if err != nil {
