--- a/internal/discovery/watch/exchange.go
+++ b/internal/discovery/watch/exchange.go
@@ -16,8 +16,6 @@
 // watchPath is followed by the revision after which changes are sent.
 const watchPath = "/discovery/hosts?stream=1&index="
 
-const statusOK = 200
-
 // completeConnect sends the request once the connection is established.
 func (c *Connection) completeConnect(events uint32) error {
 	if err := c.ConnectError(); err != nil {
@@ -57,7 +55,7 @@
 	if c.response.IsInterim() {
 		return true, nil
 	}
-	if c.response.StatusCode != statusOK || !c.response.IsChunked() {
+	if c.response.StatusCode != http1.StatusOK || !c.response.IsChunked() {
 		return false, fmt.Errorf("%w: status %d, chunked %v", errRejected, c.response.StatusCode, c.response.IsChunked())
 	}
 	c.isStreaming = true
--- a/internal/discovery/watch/model_test.go
+++ b/internal/discovery/watch/model_test.go
@@ -36,105 +36,105 @@
 }
 
 // step does one thing at random.
-func (m *watchModel) step() {
-	switch m.Pick(7) {
+func (w *watchModel) step() {
+	switch w.Pick(7) {
 	case 0, 1:
-		m.queueEvent()
+		w.queueEvent()
 	case 2:
-		m.sendAll()
+		w.sendAll()
 	case 3, 4:
-		m.sendPart()
+		w.sendPart()
 	case 5:
-		if m.lost = m.Pick(3) == 0; m.lost {
-			m.breakWatch()
+		if w.lost = w.Pick(3) == 0; w.lost {
+			w.breakWatch()
 		}
 	case 6:
-		m.changeServer()
+		w.changeServer()
 	}
-	m.Time += time.Millisecond
-	m.RunIterations()
+	w.Time += time.Millisecond
+	w.RunIterations()
 }
 
 // queueEvent has the next event sent, in two chunks.
-func (m *watchModel) queueEvent() {
+func (w *watchModel) queueEvent() {
 	revision := 1
-	if len(m.sent) > 0 {
-		revision = m.sent[len(m.sent)-1] + 1
+	if len(w.sent) > 0 {
+		revision = w.sent[len(w.sent)-1] + 1
 	}
 	line := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":"s-%d"}]}`+"\n", revision, revision)
-	cut := m.Pick(len(line)-1) + 1
-	m.unsent += chunk(line[:cut]) + chunk(line[cut:])
-	m.sent = append(m.sent, revision)
+	cut := w.Pick(len(line)-1) + 1
+	w.unsent += chunk(line[:cut]) + chunk(line[cut:])
+	w.sent = append(w.sent, revision)
 }
 
 // sendAll sends all and an empty line: while lines come in time, a watch lives on.
-func (m *watchModel) sendAll() {
-	m.server.Write([]byte(m.unsent + chunk("\n")))
-	m.unsent = ""
-	m.RunIterations()
-	m.Time += 2 * time.Second
+func (w *watchModel) sendAll() {
+	w.server.Write([]byte(w.unsent + chunk("\n")))
+	w.unsent = ""
+	w.RunIterations()
+	w.Time += 2 * time.Second
 }
 
-func (m *watchModel) sendPart() {
-	size := min(len(m.unsent), m.Pick(90))
-	m.server.Write([]byte(m.unsent[:size]))
-	m.unsent = m.unsent[size:]
+func (w *watchModel) sendPart() {
+	size := min(len(w.unsent), w.Pick(90))
+	w.server.Write([]byte(w.unsent[:size]))
+	w.unsent = w.unsent[size:]
 }
 
 // breakWatch ends the watch by silence, by the end of the connection, or by what can't be read.
-func (m *watchModel) breakWatch() {
-	m.server.Write([]byte(m.unsent))
-	m.unsent = ""
-	m.RunIterations()
-	switch m.Pick(3) {
+func (w *watchModel) breakWatch() {
+	w.server.Write([]byte(w.unsent))
+	w.unsent = ""
+	w.RunIterations()
+	switch w.Pick(3) {
 	case 0:
-		m.server.Write([]byte(chunk("\n")))
-		m.RunIterations()
-		m.Time += 3 * time.Second // a line is due every 2 s
+		w.server.Write([]byte(chunk("\n")))
+		w.RunIterations()
+		w.Time += 3 * time.Second // a line is due every 2 s
 	case 1:
-		m.server.Close()
+		w.server.Close()
 	default:
-		m.server.Write([]byte(chunk("}") + chunk("\n"))) // a brace that opens might be an indented list
+		w.server.Write([]byte(chunk("}") + chunk("\n"))) // a brace that opens might be an indented list
 	}
 }
 
 // changeServer has another service watched: whatever the one before still does or sends is not the new one's.
-func (m *watchModel) changeServer() {
-	m.server.Write([]byte(m.unsent))
-	m.RunIterations()
-	previous := m.server
-	address := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(m.dialed)))
-	m.watch.ChangeServer(address)
+func (w *watchModel) changeServer() {
+	w.server.Write([]byte(w.unsent))
+	w.RunIterations()
+	previous := w.server
+	address := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(w.dialed)))
+	w.watch.ChangeServer(address)
 	previous.Write([]byte(chunk("{") + chunk("\n")))
-	if m.Pick(2) == 0 {
+	if w.Pick(2) == 0 {
 		previous.Close()
 	}
-	m.RunIterations()
-	m.server = m.dialed[len(m.dialed)-1]
-	m.server.Read(1 << 12)
+	w.RunIterations()
+	w.server = w.dialed[len(w.dialed)-1]
+	w.server.Read(1 << 12)
 	previous.Read(1 << 12)
-	m.Check(m.server != previous && m.server.address == address && strings.Contains(string(m.server.Received), "&index=0 "),
-		"moved to %v, requested %q", m.server.address, m.server.Received)
-	m.Check(previous.Closed || previous.Ended, "the connection to the previous server goes on")
-	m.unsent = watchResponse
+	w.Check(w.server != previous && w.server.address == address && strings.Contains(string(w.server.Received), "&index=0 "),
+		"moved to %v, requested %q", w.server.address, w.server.Received)
+	w.Check(previous.Closed || previous.Ended, "the connection to the previous server goes on")
+	w.unsent = watchResponse
 }
 
 // check compares the list updates of the policy with what was sent.
-func (m *watchModel) check() {
-	unseen := m.sent
-	for _, event := range m.policy.Received[m.ignored:] {
+func (w *watchModel) check() {
+	unseen := w.sent
+	for _, event := range w.policy.Received[w.ignored:] {
 		list := event.(dispatch.WorkerList)
 		if list.Kind == dispatch.ListUnavailable {
-			m.Check(m.lost, "the list is reported as lost, and is not")
-			m.lost = false
+			w.Check(w.lost, "the list is reported as lost, and is not")
+			w.lost = false
 			continue
 		}
-		m.Check(len(unseen) > 0, "an update that was not sent")
-		if m.table.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
+		w.Check(len(unseen) > 0, "an update that was not sent")
+		if w.table.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
 			unseen = unseen[1:]
 		}
 	}
-	m.Check(!m.lost && len(unseen) == 0, "loss not reported %v, updates not reported %v", m.lost, unseen)
+	w.Check(!w.lost && len(unseen) == 0, "loss not reported %v, updates not reported %v", w.lost, unseen)
 }
 
 // A watch takes lines in any pieces and reports each update once, in order; one that ends, breaks off or falls silent is
--- a/internal/hotrestart/transport/fixture_test.go
+++ b/internal/hotrestart/transport/fixture_test.go
@@ -197,26 +197,26 @@
 // clientSocket is the socket that clients of a process would connect to.
 type clientSocket struct{ process *process }
 
-func (s clientSocket) Socket() int { return s.process.socket }
+func (c clientSocket) Socket() int { return c.process.socket }
 
-func (s clientSocket) AddSocket(descriptor int) error {
-	if err := s.process.Add(descriptor, unix.EPOLLIN, s); err != nil {
+func (c clientSocket) AddSocket(descriptor int) error {
+	if err := c.process.Add(descriptor, unix.EPOLLIN, c); err != nil {
 		return err
 	}
-	s.process.socket = descriptor
+	c.process.socket = descriptor
 	return nil
 }
 
-func (s clientSocket) Listen(address netip.AddrPort, options ...int) error {
-	descriptor, err := s.process.Listen(address, s, options...)
+func (c clientSocket) Listen(address netip.AddrPort, options ...int) error {
+	descriptor, err := c.process.Listen(address, c, options...)
 	if err != nil {
 		return err
 	}
-	s.process.socket = descriptor
+	c.process.socket = descriptor
 	bound, err := unix.Getsockname(descriptor)
-	s.process.address = eventloop.AddrPort(bound)
+	c.process.address = eventloop.AddrPort(bound)
 	return err
 }
 
-func (s clientSocket) HandleEvents(uint32) {}
-func (s clientSocket) HandlePanic()        {}
+func (c clientSocket) HandleEvents(uint32) {}
+func (c clientSocket) HandlePanic()        {}
--- a/internal/hotrestart/transport/predecessor.go
+++ b/internal/hotrestart/transport/predecessor.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"net/http"
 	"time"
 
+	"valvecove/internal/http1"
+
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
@@ -104,72 +105,72 @@
 }
 
 // HandlePanic ends the connection.
-func (c *successorConnection) HandlePanic() { c.disconnect(errHandlerPanicked) }
+func (s *successorConnection) HandlePanic() { s.disconnect(errHandlerPanicked) }
 
 // disconnect ends the connection. This process continues to serve, unless it has relinquished. err is nil if the successor has closed
 // the connection.
-func (c *successorConnection) disconnect(err error) {
-	if !c.IsOpen() {
+func (s *successorConnection) disconnect(err error) {
+	if !s.IsOpen() {
 		return
 	}
-	c.roles.loop.StopTimer(c.handshakeTimer)
-	c.role.connection = nil
-	c.role.protocol.HandleDisconnect()
-	if !c.roles.HasRelinquished() {
-		c.roles.config.SetHalved(false)
+	s.roles.loop.StopTimer(s.handshakeTimer)
+	s.role.connection = nil
+	s.role.protocol.HandleDisconnect()
+	if !s.roles.HasRelinquished() {
+		s.roles.config.SetHalved(false)
 	}
-	c.roles.config.Log.Info("successor disconnected", "error", err)
-	for _, call := range c.pendingCalls.TakeAll() {
-		call.Respond(http.StatusServiceUnavailable, "the process that serves has gone")
+	s.roles.config.Log.Info("successor disconnected", "error", err)
+	for _, call := range s.pendingCalls.TakeAll() {
+		call.Respond(http1.StatusServiceUnavailable, "the process that serves has gone")
 	}
-	c.closeWithDescriptors()
+	s.closeWithDescriptors()
 }
 
 // HandleEvents sends queued output and handles the successor's messages.
-func (c *successorConnection) HandleEvents(events uint32) {
+func (s *successorConnection) HandleEvents(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		if err := c.Flush(); err != nil {
-			c.disconnect(err)
+		if err := s.Flush(); err != nil {
+			s.disconnect(err)
 			return
 		}
 	}
-	hasEnded, err := c.receive()
+	hasEnded, err := s.receive()
 	if errors.Is(err, errInputDelayed) {
-		c.PauseInput()
+		s.PauseInput()
 		return
 	}
 	if err == nil {
-		err = c.handleMessages(c.handleMessage)
+		err = s.handleMessages(s.handleMessage)
 	}
 	if err != nil || hasEnded {
-		c.disconnect(err)
+		s.disconnect(err)
 	}
 }
 
-func (c *successorConnection) handleMessage(message hotrestart.Message, descriptor int) error {
-	c.roles.closeDescriptor(descriptor) // a successor passes none
-	action, err := c.role.protocol.HandleMessage(message)
+func (s *successorConnection) handleMessage(message hotrestart.Message, descriptor int) error {
+	s.roles.closeDescriptor(descriptor) // a successor passes none
+	action, err := s.role.protocol.HandleMessage(message)
 	switch action {
 	case hotrestart.ActionReject:
-		_ = c.sendMessage(hotrestart.Reject{Reason: err.Error()})
+		_ = s.sendMessage(hotrestart.Reject{Reason: err.Error()})
 	case hotrestart.ActionAccept:
-		return c.accept()
+		return s.accept()
 	case hotrestart.ActionApply:
-		c.apply(message)
+		s.apply(message)
 	}
 	return err
 }
 
 // accept lets the successor enter standby, and passes it the socket that clients connect to.
-func (c *successorConnection) accept() error {
-	config := &c.roles.config
-	c.roles.loop.StopTimer(c.handshakeTimer)
+func (s *successorConnection) accept() error {
+	config := &s.roles.config
+	s.roles.loop.StopTimer(s.handshakeTimer)
 	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: config.Cordoned.Cordoned()}
-	if err := c.sendMessageBefore(c.roles.loop.Clock()+transferTimeout, accept, config.Clients.Socket()); err != nil {
+	if err := s.sendMessageBefore(s.roles.loop.Clock()+transferTimeout, accept, config.Clients.Socket()); err != nil {
 		return err
 	}
-	if c.roles.cordons.UnstoredCount() > 0 { // else the successor would prefer the file, should this process die
-		c.roles.CordonsChanged()
+	if s.roles.cordons.UnstoredCount() > 0 { // else the successor would prefer the file, should this process die
+		s.roles.CordonsChanged()
 	}
 	config.Log.Info("successor in standby")
 	config.SetHalved(true)
@@ -177,23 +178,23 @@
 	return nil
 }
 
-func (c *successorConnection) apply(message hotrestart.Message) {
+func (s *successorConnection) apply(message hotrestart.Message) {
 	switch message := message.(type) {
 	case hotrestart.SetCordon:
-		c.roles.cordons.Apply(message, func(result hotrestart.CordonResult) {
-			if c.IsOpen() && c.sendMessage(result) != nil {
-				c.disconnect(errSendFailed)
+		s.roles.cordons.Apply(message, func(result hotrestart.CordonResult) {
+			if s.IsOpen() && s.sendMessage(result) != nil {
+				s.disconnect(errSendFailed)
 			}
 		})
 	case hotrestart.CordonResult:
-		c.pendingCalls.Complete(message)
+		s.pendingCalls.Complete(message)
 	}
 }
 
 // forwardCordon forwards a cordon call to the successor, which owns the requests.
-func (c *successorConnection) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
-	if c.sendCordon(workerID, cordoned, respond) != nil {
-		c.disconnect(errSendFailed)
+func (s *successorConnection) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
+	if s.sendCordon(workerID, cordoned, respond) != nil {
+		s.disconnect(errSendFailed)
 	}
 }
 
@@ -233,19 +234,19 @@
 // takenOverBeforeShutdown shuts the connection down, and reports whether the successor had sent TakenOver before. Nothing that it
 // sends later arrives here, and it is notified of that by an error: there are never two owners. All input is read, however long the
 // machine lacks something for that, as the result must be certain.
-func (c *successorConnection) takenOverBeforeShutdown() bool {
-	syscalls := c.roles.loop.Syscalls()
-	for isMomentary(eventloop.NewCallError(eventloop.CallShutdown, syscalls.Shutdown(c.FD(), unix.SHUT_RDWR))) {
+func (s *successorConnection) takenOverBeforeShutdown() bool {
+	syscalls := s.roles.loop.Syscalls()
+	for isMomentary(eventloop.NewCallError(eventloop.CallShutdown, syscalls.Shutdown(s.FD(), unix.SHUT_RDWR))) {
 		time.Sleep(shortageWait)
 	}
-	c.receiveAll()
+	s.receiveAll()
 	for offset := 0; ; {
-		frame, size, err := hotrestart.ReadFrame(c.Input()[offset:])
+		frame, size, err := hotrestart.ReadFrame(s.Input()[offset:])
 		if err != nil {
 			return false
 		}
 		if frame.Kind == hotrestart.KindTakenOver {
-			_, _ = c.role.protocol.HandleMessage(hotrestart.TakenOver{})
+			_, _ = s.role.protocol.HandleMessage(hotrestart.TakenOver{})
 			return true
 		}
 		offset += size
@@ -253,15 +254,15 @@
 }
 
 // receiveAll reads all input of a connection that was shut down.
-func (c *successorConnection) receiveAll() {
+func (s *successorConnection) receiveAll() {
 	for {
-		before := len(c.Input())
-		hasEnded, err := c.receive()
+		before := len(s.Input())
+		hasEnded, err := s.receive()
 		if errors.Is(err, errInputDelayed) {
 			time.Sleep(shortageWait)
 			continue
 		}
-		if err != nil || hasEnded || len(c.Input()) == before {
+		if err != nil || hasEnded || len(s.Input()) == before {
 			return
 		}
 	}
--- a/internal/hotrestart/transport/roles.go
+++ b/internal/hotrestart/transport/roles.go
@@ -10,10 +10,11 @@
 import (
 	"errors"
 	"log/slog"
-	"net/http"
 	"net/netip"
 	"time"
 
+	"valvecove/internal/http1"
+
 	"valvecove/internal/clock"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
@@ -181,7 +182,7 @@
 		return
 	}
 	if r.predecessor.connection == nil {
-		respond(http.StatusServiceUnavailable, "this process has been replaced")
+		respond(http1.StatusServiceUnavailable, "this process has been replaced")
 		return
 	}
 	r.predecessor.connection.forwardCordon(workerID, cordoned, respond)
--- a/internal/hotrestart/transport/unixsocket.go
+++ b/internal/hotrestart/transport/unixsocket.go
@@ -22,26 +22,26 @@
 
 // dial connects to the first address that answers. An error means that nobody listens, or, if its class is a shortage, that somebody
 // may.
-func (s unixSockets) dial(addresses []string) (descriptor int, err error) {
-	return s.openFirst(addresses, s.connect)
+func (u unixSockets) dial(addresses []string) (descriptor int, err error) {
+	return u.openFirst(addresses, u.connect)
 }
 
 // listen listens at the first address that can be bound. It removes the socket file that an earlier process has left.
-func (s unixSockets) listen(addresses []string) (descriptor int, err error) {
-	return s.openFirst(addresses, func(descriptor int, address unix.Sockaddr) error {
+func (u unixSockets) listen(addresses []string) (descriptor int, err error) {
+	return u.openFirst(addresses, func(descriptor int, address unix.Sockaddr) error {
 		if name := address.(*unix.SockaddrUnix).Name; !hotrestart.IsAbstract(name) {
 			_ = os.Remove(name) // where that fails, so does bind
 		}
-		return s.bindAndListen(descriptor, address)
+		return u.bindAndListen(descriptor, address)
 	})
 }
 
 // openFirst opens a socket at the first address at which setUp succeeds. It returns the last error, but a shortage before any
 // other: once that is over, the address may be usable.
-func (s unixSockets) openFirst(addresses []string, setUp func(descriptor int, address unix.Sockaddr) error) (int, error) {
+func (u unixSockets) openFirst(addresses []string, setUp func(descriptor int, address unix.Sockaddr) error) (int, error) {
 	var failure error
 	for _, address := range addresses {
-		descriptor, err := s.open(address, setUp)
+		descriptor, err := u.open(address, setUp)
 		if err == nil {
 			return descriptor, nil
 		}
@@ -53,9 +53,9 @@
 }
 
 // connect connects a socket. A call that was interrupted may have connected it.
-func (s unixSockets) connect(descriptor int, address unix.Sockaddr) error {
+func (u unixSockets) connect(descriptor int, address unix.Sockaddr) error {
 	for {
-		err := s.syscalls.Connect(descriptor, address)
+		err := u.syscalls.Connect(descriptor, address)
 		if errors.Is(err, unix.EISCONN) {
 			return nil
 		}
@@ -65,26 +65,26 @@
 	}
 }
 
-func (s unixSockets) bindAndListen(descriptor int, address unix.Sockaddr) error {
-	if err := s.syscalls.Bind(descriptor, address); err != nil {
+func (u unixSockets) bindAndListen(descriptor int, address unix.Sockaddr) error {
+	if err := u.syscalls.Bind(descriptor, address); err != nil {
 		return eventloop.NewCallError(eventloop.CallBind, err)
 	}
-	return eventloop.NewCallError(eventloop.CallListen, s.syscalls.Listen(descriptor, successorBacklog))
+	return eventloop.NewCallError(eventloop.CallListen, u.syscalls.Listen(descriptor, successorBacklog))
 }
 
 // open opens a socket and calls setUp to bind or connect it.
-func (s unixSockets) open(path string, setUp func(descriptor int, address unix.Sockaddr) error) (int, error) {
-	address, release, err := s.sockaddr(path)
+func (u unixSockets) open(path string, setUp func(descriptor int, address unix.Sockaddr) error) (int, error) {
+	address, release, err := u.sockaddr(path)
 	if err != nil {
 		return hotrestart.NoDescriptor, err
 	}
 	defer release()
-	descriptor, err := s.syscalls.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	descriptor, err := u.syscalls.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return hotrestart.NoDescriptor, eventloop.NewCallError(eventloop.CallSocket, err)
 	}
 	if err := setUp(descriptor, address); err != nil {
-		_ = s.syscalls.Close(descriptor)
+		_ = u.syscalls.Close(descriptor)
 		return hotrestart.NoDescriptor, err
 	}
 	return descriptor, nil
@@ -92,20 +92,20 @@
 
 // sockaddr returns the socket address of a path. A path that is too long for one is replaced by one through a descriptor of its
 // directory, which release closes.
-func (s unixSockets) sockaddr(path string) (address *unix.SockaddrUnix, release func(), err error) {
+func (u unixSockets) sockaddr(path string) (address *unix.SockaddrUnix, release func(), err error) {
 	if len(path) <= maxSocketPath {
 		return &unix.SockaddrUnix{Name: path}, func() {}, nil
 	}
-	directory, err := s.syscalls.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC)
+	directory, err := u.syscalls.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC)
 	if err != nil {
 		return nil, nil, eventloop.NewCallError(eventloop.CallOpen, err)
 	}
 	name := fmt.Sprintf("/proc/self/fd/%d/%s", directory, filepath.Base(path))
-	return &unix.SockaddrUnix{Name: name}, func() { _ = s.syscalls.Close(directory) }, nil
+	return &unix.SockaddrUnix{Name: name}, func() { _ = u.syscalls.Close(directory) }, nil
 }
 
 // isPeerOwnUser reports whether the process at the other end of a Unix socket runs as the same user.
-func (s unixSockets) isPeerOwnUser(descriptor int) bool {
-	credentials, err := s.syscalls.GetsockoptUcred(descriptor, unix.SOL_SOCKET, unix.SO_PEERCRED)
+func (u unixSockets) isPeerOwnUser(descriptor int) bool {
+	credentials, err := u.syscalls.GetsockoptUcred(descriptor, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	return err == nil && int(credentials.Uid) == os.Geteuid()
 }
--- a/internal/management/calls.go
+++ b/internal/management/calls.go
@@ -3,6 +3,8 @@
 import (
 	"net/url"
 	"strings"
+
+	"valvecove/internal/http1"
 )
 
 // Paths of the operators' calls.
@@ -26,31 +28,31 @@
 )
 
 // handleCall carries out a call.
-func (c *operatorConnection) handleCall(method, target string) {
-	c.state = callPending
-	c.DropInput()
-	c.lastActivity = c.operators.loop.Now()
+func (o *operatorConnection) handleCall(method, target string) {
+	o.state = callPending
+	o.DropInput()
+	o.lastActivity = o.operators.loop.Now()
 	path, _, _ := strings.Cut(target, "?")
 	workerID, action, isWorkerCall := parseWorkerPath(path)
 	switch {
 	case path == pathReady:
-		if c.checkMethod(method, "GET") {
-			c.respondReady()
+		if o.checkMethod(method, "GET") {
+			o.respondReady()
 		}
 	case path == pathMetrics:
-		if c.checkMethod(method, "GET") {
-			c.respondMetrics()
+		if o.checkMethod(method, "GET") {
+			o.respondMetrics()
 		}
 	case path == pathCordons:
-		if c.checkMethod(method, "GET") {
-			c.respondCordons()
+		if o.checkMethod(method, "GET") {
+			o.respondCordons()
 		}
 	case isWorkerCall:
-		if c.checkMethod(method, "PUT") {
-			c.setCordoned(workerID, action == actionCordon)
+		if o.checkMethod(method, "PUT") {
+			o.setCordoned(workerID, action == actionCordon)
 		}
 	default:
-		c.respond(404, "", []byte("no such path\n"))
+		o.respond(http1.StatusNotFound, "", []byte("no such path\n"))
 	}
 }
 
@@ -66,43 +68,43 @@
 }
 
 // checkMethod reports whether a call has the allowed method. If not, the call is answered.
-func (c *operatorConnection) checkMethod(method, allowed string) bool {
+func (o *operatorConnection) checkMethod(method, allowed string) bool {
 	if method != allowed {
-		c.respond(405, "Allow: "+allowed+"\r\n", []byte(allowed+" only\n"))
+		o.respond(http1.StatusMethodNotAllowed, "Allow: "+allowed+"\r\n", []byte(allowed+" only\n"))
 	}
 	return method == allowed
 }
 
-func (c *operatorConnection) respondReady() {
-	if reason := c.operators.config.Scheduler.NotReadyReason(); reason != "" {
-		c.respond(503, "", []byte(reason+"\n"))
+func (o *operatorConnection) respondReady() {
+	if reason := o.operators.config.Scheduler.NotReadyReason(); reason != "" {
+		o.respond(http1.StatusServiceUnavailable, "", []byte(reason+"\n"))
 		return
 	}
-	c.respond(200, "", []byte("ready\n"))
+	o.respond(http1.StatusOK, "", []byte("ready\n"))
 }
 
-func (c *operatorConnection) respondMetrics() {
-	operators := c.operators
+func (o *operatorConnection) respondMetrics() {
+	operators := o.operators
 	operators.metricsText = operators.config.Counters.AppendText(operators.metricsText[:0], operators.config.Scheduler.Gauges())
-	c.respond(200, plainText, operators.metricsText)
+	o.respond(http1.StatusOK, plainText, operators.metricsText)
 }
 
 // respondCordons responds with the cordoned workers, and whether they are stored. Only the process that owns the requests knows.
-func (c *operatorConnection) respondCordons() {
-	cordons := c.operators.config.Cordons
+func (o *operatorConnection) respondCordons() {
+	cordons := o.operators.config.Cordons
 	switch {
 	case cordons.config.Role.HasRelinquished():
-		c.respond(503, "", []byte("this process has been replaced\n"))
+		o.respond(http1.StatusServiceUnavailable, "", []byte("this process has been replaced\n"))
 	case cordons.config.Role.IsStandby():
-		c.respond(503, "", []byte("this process stands by\n"))
+		o.respond(http1.StatusServiceUnavailable, "", []byte("this process stands by\n"))
 	default:
-		c.respond(200, jsonText, cordons.report())
+		o.respond(http1.StatusOK, jsonText, cordons.report())
 	}
 }
 
 // setCordoned cordons or uncordons a worker, and responds once the change is in effect and stored.
-func (c *operatorConnection) setCordoned(workerID string, cordoned bool) {
-	c.operators.config.Cordons.Set(workerID, cordoned, func(statusCode int, message string) {
-		c.respond(statusCode, "", []byte(message+"\n"))
+func (o *operatorConnection) setCordoned(workerID string, cordoned bool) {
+	o.operators.config.Cordons.Set(workerID, cordoned, func(statusCode int, message string) {
+		o.respond(statusCode, "", []byte(message+"\n"))
 	})
 }
--- a/internal/management/cordons.go
+++ b/internal/management/cordons.go
@@ -8,13 +8,7 @@
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
-)
-
-// Status codes of answers to a cordon call.
-const (
-	statusOK          = 200
-	statusNotFound    = 404
-	statusUnavailable = 503
+	"valvecove/internal/http1"
 )
 
 // CordonTable holds the cordoned workers. *requests.Table implements it.
@@ -181,9 +175,9 @@
 	}
 	switch {
 	case !known:
-		respond(statusNotFound, "no such worker node")
+		respond(http1.StatusNotFound, "no such worker node")
 	case full:
-		respond(statusUnavailable, "too many worker nodes are out")
+		respond(http1.StatusServiceUnavailable, "too many worker nodes are out")
 	default:
 		c.storeChange(workerID, cordoned, respond)
 	}
@@ -199,15 +193,15 @@
 	c.config.Role.CordonsChanged()
 	if c.config.Store == nil {
 		// The caller's next call may be accepted in this iteration, and must show the change.
-		c.loop.AfterStep(func() { respond(statusOK, state) })
+		c.loop.AfterStep(func() { respond(http1.StatusOK, state) })
 		return
 	}
 	c.config.Store.Save(c.config.Table.Cordoned(), func(err error) {
 		if err != nil { // the store tries again
-			respond(statusUnavailable, "not kept: "+err.Error())
+			respond(http1.StatusServiceUnavailable, "not kept: "+err.Error())
 			return
 		}
-		respond(statusOK, state)
+		respond(http1.StatusOK, state)
 	})
 }
 
--- a/internal/management/fixture_test.go
+++ b/internal/management/fixture_test.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/http1"
 	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
@@ -137,13 +138,13 @@
 	changes         int
 }
 
-func (r *testRole) HasRelinquished() bool { return r.hasRelinquished }
-func (r *testRole) IsStandby() bool       { return r.isStandby }
-func (r *testRole) CordonsChanged()       { r.changes++ }
+func (t *testRole) HasRelinquished() bool { return t.hasRelinquished }
+func (t *testRole) IsStandby() bool       { return t.isStandby }
+func (t *testRole) CordonsChanged()       { t.changes++ }
 
-func (r *testRole) ForwardCordon(workerID string, _ bool, respond RespondFunc) {
-	r.forwarded = append(r.forwarded, workerID)
-	respond(statusOK, "forwarded")
+func (t *testRole) ForwardCordon(workerID string, _ bool, respond RespondFunc) {
+	t.forwarded = append(t.forwarded, workerID)
+	respond(http1.StatusOK, "forwarded")
 }
 
 // noTransport makes no attempts.
--- a/internal/management/operators.go
+++ b/internal/management/operators.go
@@ -103,8 +103,8 @@
 	callAnswered           // its response was sent, or is being sent
 )
 
-func (s callState) String() string {
-	switch s {
+func (c callState) String() string {
+	switch c {
 	case callReading:
 		return "reading"
 	case callPending:
@@ -112,7 +112,7 @@
 	case callAnswered:
 		return "answered"
 	}
-	return fmt.Sprintf("callState(%d)", int(s))
+	return fmt.Sprintf("callState(%d)", int(c))
 }
 
 // operatorConnection carries one call.
@@ -124,56 +124,56 @@
 }
 
 // Priority implements eventloop.Prioritized.
-func (c *operatorConnection) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
+func (o *operatorConnection) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
-func (c *operatorConnection) closeIfExpired() {
-	age := c.operators.loop.Now() - c.lastActivity
+func (o *operatorConnection) closeIfExpired() {
+	age := o.operators.loop.Now() - o.lastActivity
 	switch {
-	case c.state == callReading && age >= callReadTimeout:
-		c.respond(408, "", []byte("call not whole\n"))
-	case c.state == callPending && age >= callResultTimeout:
-		c.respond(503, "", []byte("not done in time\n"))
+	case o.state == callReading && age >= callReadTimeout:
+		o.respond(http1.StatusRequestTimeout, "", []byte("call not whole\n"))
+	case o.state == callPending && age >= callResultTimeout:
+		o.respond(http1.StatusServiceUnavailable, "", []byte("not done in time\n"))
 	case age >= operatorConnectionTimeout:
-		c.terminate()
+		o.terminate()
 	}
 }
 
 // HandleEvents reads the call and sends its response.
-func (c *operatorConnection) HandleEvents(events uint32) {
-	hasEnded, ok := c.transfer(events)
+func (o *operatorConnection) HandleEvents(events uint32) {
+	hasEnded, ok := o.transfer(events)
 	if !ok {
 		return
 	}
 	switch {
-	case c.state != callReading:
-		c.DropInput() // a connection carries one call
-	case len(c.Input()) > 0:
-		c.readCall(hasEnded)
+	case o.state != callReading:
+		o.DropInput() // a connection carries one call
+	case len(o.Input()) > 0:
+		o.readCall(hasEnded)
 	}
-	if hasEnded && len(c.Output()) == 0 && c.state != callPending {
-		c.terminate()
+	if hasEnded && len(o.Output()) == 0 && o.state != callPending {
+		o.terminate()
 	}
 }
 
-func (c *operatorConnection) readCall(hasInputEnded bool) {
-	request := &c.operators.request
-	_, err := request.Parse(c.Input())
+func (o *operatorConnection) readCall(hasInputEnded bool) {
+	request := &o.operators.request
+	_, err := request.Parse(o.Input())
 	var parseError *http1.ParseError
 	switch {
 	case errors.As(err, &parseError):
-		c.respond(parseError.StatusCode, "", []byte(parseError.Reason+"\n"))
+		o.respond(parseError.StatusCode, "", []byte(parseError.Reason+"\n"))
 	case err == nil:
-		c.handleCall(string(request.Method), string(request.Target))
-	case request.ExpectContinue && !hasInputEnded && !c.continueSent:
-		c.continueSent = true
-		_ = c.Send([]byte(http1.ContinueResponse))
+		o.handleCall(string(request.Method), string(request.Target))
+	case request.ExpectContinue && !hasInputEnded && !o.continueSent:
+		o.continueSent = true
+		_ = o.Send([]byte(http1.ContinueResponse))
 	}
 }
 
 // respond answers the call. It does nothing if the call was answered already or the connection has ended.
-func (c *operatorConnection) respond(statusCode int, fields string, body []byte) {
-	if c.IsOpen() && c.state != callAnswered {
-		c.state = callAnswered
-		c.sendResponse(statusCode, fields, body, false)
+func (o *operatorConnection) respond(statusCode int, fields string, body []byte) {
+	if o.IsOpen() && o.state != callAnswered {
+		o.state = callAnswered
+		o.sendResponse(statusCode, fields, body, false)
 	}
 }
--- a/internal/management/status.go
+++ b/internal/management/status.go
@@ -71,81 +71,81 @@
 	status *Status
 }
 
-func (c *statusConnection) closeIfExpired() {
-	idle := c.status.loop.Now() - c.lastActivity
-	isBusy := len(c.Input()) > 0 || len(c.Output()) > 0 || c.isLastResponse
+func (s *statusConnection) closeIfExpired() {
+	idle := s.status.loop.Now() - s.lastActivity
+	isBusy := len(s.Input()) > 0 || len(s.Output()) > 0 || s.isLastResponse
 	if idle >= statusIdleTimeout || isBusy && idle >= statusRequestTimeout {
-		c.terminate()
+		s.terminate()
 	}
 }
 
 // HandleEvents reads requests and sends responses, one at a time.
-func (c *statusConnection) HandleEvents(events uint32) {
-	if events&^unix.EPOLLOUT != 0 && len(c.Input()) == 0 {
-		c.recordActivity()
+func (s *statusConnection) HandleEvents(events uint32) {
+	if events&^unix.EPOLLOUT != 0 && len(s.Input()) == 0 {
+		s.recordActivity()
 	}
-	hasEnded, ok := c.transfer(events)
+	hasEnded, ok := s.transfer(events)
 	if !ok {
 		return
 	}
-	for !c.isLastResponse && len(c.Input()) > 0 && len(c.Output()) == 0 {
-		if more := c.readRequest(); !more {
+	for !s.isLastResponse && len(s.Input()) > 0 && len(s.Output()) == 0 {
+		if more := s.readRequest(); !more {
 			break
 		}
 	}
-	if hasEnded && len(c.Output()) == 0 {
-		c.terminate()
+	if hasEnded && len(s.Output()) == 0 {
+		s.terminate()
 	}
 }
 
 // readRequest answers the first request of the input. more is false if the input holds no complete request.
-func (c *statusConnection) readRequest() (more bool) {
-	request := &c.status.request
-	size, err := request.Parse(c.Input())
+func (s *statusConnection) readRequest() (more bool) {
+	request := &s.status.request
+	size, err := request.Parse(s.Input())
 	var parseError *http1.ParseError
 	if errors.As(err, &parseError) {
-		c.respond(parseError.StatusCode, "", []byte(parseError.Reason+"\n"), false)
+		s.respond(parseError.StatusCode, "", []byte(parseError.Reason+"\n"), false)
 		return false
 	}
 	if err != nil {
 		return false
 	}
-	c.handleRequest(request)
-	if !c.IsOpen() {
+	s.handleRequest(request)
+	if !s.IsOpen() {
 		return false
 	}
-	c.Consume(size)
+	s.Consume(size)
 	return true
 }
 
-func (c *statusConnection) handleRequest(request *http1.Request) {
+func (s *statusConnection) handleRequest(request *http1.Request) {
 	id, ok := bytes.CutPrefix(request.Target, []byte(status.Path))
 	switch {
 	case !ok || len(id) == 0:
-		c.respond(404, "", []byte("no such path\n"), request.KeepAlive)
+		s.respond(http1.StatusNotFound, "", []byte("no such path\n"), request.KeepAlive)
 	case string(request.Method) != "GET":
-		c.respond(405, "Allow: GET\r\n", []byte("GET only\n"), request.KeepAlive)
+		s.respond(http1.StatusMethodNotAllowed, "Allow: GET\r\n", []byte("GET only\n"), request.KeepAlive)
 	default:
-		c.respondStatus(string(id), request.KeepAlive)
+		s.respondStatus(string(id), request.KeepAlive)
 	}
 }
 
-func (c *statusConnection) respondStatus(id string, keepAlive bool) {
-	body, known := c.status.config.Table.Find(id)
+func (s *statusConnection) respondStatus(id string, keepAlive bool) {
+	body, known := s.status.config.Table.Find(id)
 	if !known {
-		c.respond(404, "", []byte("no such id\n"), keepAlive)
+		s.respond(http1.StatusNotFound, "", []byte("no such id\n"), keepAlive)
 		return
 	}
-	c.respond(200, jsonText, body, keepAlive)
+	s.respond(http1.StatusOK, jsonText, body, keepAlive)
 }
 
-func (c *statusConnection) respond(statusCode int, fields string, body []byte, keepAlive bool) {
-	c.recordActivity()
-	c.sendResponse(statusCode, fields, body, keepAlive)
+func (s *statusConnection) respond(statusCode int, fields string, body []byte, keepAlive bool) {
+	s.recordActivity()
+	s.sendResponse(statusCode, fields, body, keepAlive)
 }
 
 // recordActivity restarts the connection's time limits.
-func (c *statusConnection) recordActivity() {
-	c.lastActivity = c.status.loop.Now()
-	c.status.connections.MoveToBack(c.element)
+func (s *statusConnection) recordActivity() {
+	s.lastActivity = s.status.loop.Now()
+	s.status.connections.MoveToBack(s.element)
 }
--- a/internal/management/status_test.go
+++ b/internal/management/status_test.go
@@ -55,51 +55,51 @@
 	})
 }
 
-func (m *statusModel) act(calls []statusCall) {
-	switch what := m.Pick(8); {
-	case what < 2 && m.unsent == "" && !m.last:
-		m.call = calls[m.Pick(len(calls))]
-		m.unsent = m.call.text
-	case what < 6 && m.unsent != "":
-		m.writePart()
+func (s *statusModel) act(calls []statusCall) {
+	switch what := s.Pick(8); {
+	case what < 2 && s.unsent == "" && !s.last:
+		s.call = calls[s.Pick(len(calls))]
+		s.unsent = s.call.text
+	case what < 6 && s.unsent != "":
+		s.writePart()
 	case what == 6:
-		m.Time += time.Duration(m.Pick(8)) * 250 * time.Millisecond
-		m.Record("wait")
+		s.Time += time.Duration(s.Pick(8)) * 250 * time.Millisecond
+		s.Record("wait")
 	}
 }
 
-func (m *statusModel) writePart() {
-	size := min(len(m.unsent), 1+m.Pick(40))
-	m.peer.Write([]byte(m.unsent[:size]))
-	if len(m.unsent) == len(m.call.text) {
-		m.quiet = m.Time
+func (s *statusModel) writePart() {
+	size := min(len(s.unsent), 1+s.Pick(40))
+	s.peer.Write([]byte(s.unsent[:size]))
+	if len(s.unsent) == len(s.call.text) {
+		s.quiet = s.Time
 	}
-	m.unsent = m.unsent[size:]
-	if m.unsent == "" {
-		m.quiet, m.last = m.Time, m.call.closes
-		m.want += m.call.want + "\n"
+	s.unsent = s.unsent[size:]
+	if s.unsent == "" {
+		s.quiet, s.last = s.Time, s.call.closes
+		s.want += s.call.want + "\n"
 	}
-	m.Record(fmt.Sprint("write ", size, " of ", m.call.text))
+	s.Record(fmt.Sprint("write ", size, " of ", s.call.text))
 }
 
 // check expects all responses that are due, and the connection's end in time.
-func (m *statusModel) check() {
+func (s *statusModel) check() {
 	got := ""
-	for _, part := range strings.Split(string(m.peer.Received), "HTTP/1.1 ")[1:] {
+	for _, part := range strings.Split(string(s.peer.Received), "HTTP/1.1 ")[1:] {
 		header, body, _ := strings.Cut(part, "\r\n\r\n")
 		got += header[:4] + body
 	}
-	m.Check(got == m.want, "got %q, expected %q", got, m.want)
-	isBegun := m.unsent != "" && len(m.unsent) < len(m.call.text)
+	s.Check(got == s.want, "got %q, expected %q", got, s.want)
+	isBegun := s.unsent != "" && len(s.unsent) < len(s.call.text)
 	limit := statusIdleTimeout
-	if m.last || isBegun {
+	if s.last || isBegun {
 		limit = statusRequestTimeout
 	}
-	age := m.Time - m.quiet
-	ended := m.peer.Ended
-	m.Check(!ended || m.last || age >= limit, "ended after %v", age)
-	m.Check(ended || age < limit+expiryInterval, "still there after %v", age)
-	m.Check(!ended || m.status.connections.Len() == 0 || m.last, "a connection is left")
+	age := s.Time - s.quiet
+	ended := s.peer.Ended
+	s.Check(!ended || s.last || age >= limit, "ended after %v", age)
+	s.Check(ended || age < limit+expiryInterval, "still there after %v", age)
+	s.Check(!ended || s.status.connections.Len() == 0 || s.last, "a connection is left")
 }
 
 // A crowd at the status call takes a few descriptors, and the one who asks gets an answer all the same.
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -96,7 +96,7 @@
 }
 
 // Watch watches the endpoint list from now on. A connection that is planned or open is kept.
-func (t workerTransport) Watch(int64) { t.scheduler.watch.Restart() }
+func (w workerTransport) Watch(int64) { w.scheduler.watch.Restart() }
 
 // preparePeerSocket makes the socket for messages between schedulers if the settings allow any. openPeerSocket opens it.
 func (s *Scheduler) preparePeerSocket(conf config.Config) {
--- a/internal/scheduler/features.go
+++ b/internal/scheduler/features.go
@@ -92,17 +92,17 @@
 }
 
 // NotReadyReason returns why this process is not ready to serve; an empty string if it is.
-func (v operatorView) NotReadyReason() string { return v.scheduler.notReadyReason() }
+func (o operatorView) NotReadyReason() string { return o.scheduler.notReadyReason() }
 
 // Gauges returns the gauges of the metrics call.
-func (v operatorView) Gauges() metrics.Gauges {
-	s := v.scheduler
+func (o operatorView) Gauges() metrics.Gauges {
+	s := o.scheduler
 	return metrics.Gauges{
 		OpenRequests:    s.openRequestCount(),
 		ListedWorkers:   s.Requests.ListedCount(),
 		AvoidedWorkers:  s.avoidedCount(),
 		UnstoredCordons: s.cordons.UnstoredCount(),
-		Peers:           s.peerCounts(v.counters.AttemptsWritten()),
+		Peers:           s.peerCounts(o.counters.AttemptsWritten()),
 	}
 }
 
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -75,14 +75,14 @@
 }
 
 // syscalls keeps account of which descriptors are whose, and of the answers that are lost with a connection.
-func (f *systemFaults) syscalls() eventloop.Syscalls {
+func (s *systemFaults) syscalls() eventloop.Syscalls {
 	return eventloop.Syscalls{Interceptor: func(call eventloop.Call, descriptor int) eventloop.Injection {
-		injection := f.injector.Intercept(call, descriptor)
+		injection := s.injector.Intercept(call, descriptor)
 		if injection.Errno != 0 && eventloop.Classify(call, injection.Errno) == eventloop.ErrorConnectionLost {
-			f.loseAnswer(descriptor)
+			s.loseAnswer(descriptor)
 		}
 		if call == eventloop.CallClose {
-			delete(f.farEnds, descriptor)
+			delete(s.farEnds, descriptor)
 		}
 		return injection
 	}}
@@ -90,13 +90,13 @@
 
 // loseAnswer records that a connection is lost with unread input: a worker's response on it ends as a reset, and a list update of
 // discovery arrives when it is sent again.
-func (f *systemFaults) loseAnswer(descriptor int) {
+func (s *systemFaults) loseAnswer(descriptor int) {
 	unread, err := unix.IoctlGetInt(descriptor, unix.TIOCINQ)
-	far := f.farEnds[descriptor]
+	far := s.farEnds[descriptor]
 	switch {
 	case far == nil || err != nil || unread == 0:
 	case far.node == nil:
-		for _, n := range f.nodes {
+		for _, n := range s.nodes {
 			n.drainingSince = 0
 		}
 	case far.answer != nil:
@@ -105,105 +105,105 @@
 }
 
 // listSent records that the whole list was sent on a new watch.
-func (f *systemFaults) listSent() {
-	if f == nil {
+func (s *systemFaults) listSent() {
+	if s == nil {
 		return
 	}
-	for _, n := range f.nodes {
+	for _, n := range s.nodes {
 		if n.Lifecycle != "up" && n.drainingSince == 0 {
-			n.drainingSince = f.now
+			n.drainingSince = s.now
 		}
 	}
 }
 
 // listen returns a socket that listens at an address.
-func (f *systemFaults) listen(address unix.Sockaddr) int {
+func (s *systemFaults) listen(address unix.Sockaddr) int {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = errors.Join(unix.Bind(fd, address), unix.Listen(fd, 256))
 	}
 	if err != nil {
-		f.T.Fatal(err)
+		s.T.Fatal(err)
 	}
 	return fd
 }
 
 // listenForClients has the scheduler accept clients. Its start is tested elsewhere.
-func (f *systemFaults) listenForClients(loop *Scheduler) {
-	socket := f.listen(f.clients)
+func (s *systemFaults) listenForClients(loop *Scheduler) {
+	socket := s.listen(s.clients)
 	for eventloop.ClassOf(loop.clients.AddSocket(socket)).IsMomentary() {
-		f.now += time.Millisecond
+		s.now += time.Millisecond
 	}
-	f.T.Cleanup(func() { _ = unix.Close(f.workerListener) })
+	s.T.Cleanup(func() { _ = unix.Close(s.workerListener) })
 }
 
 // connectClient gives the client's end of a connection, which the loop has yet to accept.
-func (f *systemFaults) connectClient() *peer {
+func (s *systemFaults) connectClient() *peer {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
-		err = unix.Connect(fd, f.clients)
+		err = unix.Connect(fd, s.clients)
 	}
 	if err != nil {
-		f.T.Fatal(err)
+		s.T.Fatal(err)
 	}
 	p := &peer{Peer: &eventlooptest.Peer{FD: fd}}
-	f.T.Cleanup(p.Close)
+	s.T.Cleanup(p.Close)
 	return p
 }
 
 // dial is eventloop.Loop.Dial by Unix sockets, with the far end.
-func (f *systemFaults) dial(far *farEnd) (p *peer, fd int, err error) {
-	syscalls := f.scheduler.Syscalls()
+func (s *systemFaults) dial(far *farEnd) (p *peer, fd int, err error) {
+	syscalls := s.scheduler.Syscalls()
 	fd, err = syscalls.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, -1, eventloop.NewCallError(eventloop.CallSocket, err)
 	}
-	err = syscalls.Connect(fd, f.workers)
+	err = syscalls.Connect(fd, s.workers)
 	if err != nil && eventloop.Classify(eventloop.CallConnect, err) != eventloop.ErrorPending {
 		_ = syscalls.Close(fd)
 		return nil, -1, eventloop.NewCallError(eventloop.CallConnect, err)
 	}
-	accepted, _, err := unix.Accept4(f.workerListener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	accepted, _, err := unix.Accept4(s.workerListener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
-		f.T.Fatal(err)
+		s.T.Fatal(err)
 	}
 	p = &peer{Peer: &eventlooptest.Peer{FD: accepted}}
-	f.T.Cleanup(p.Close)
-	f.farEnds[fd] = far
+	s.T.Cleanup(p.Close)
+	s.farEnds[fd] = far
 	return p, fd, nil
 }
 
 // stall holds the process up in a call, for maxStall at most in one step.
-func (f *systemFaults) stall() {
-	span := min(time.Duration(f.rng.Int64N(int64(maxStall))), f.stallLeft)
-	f.stallLeft -= span
-	f.now += span
-	f.stalled++
+func (s *systemFaults) stall() {
+	span := min(time.Duration(s.rng.Int64N(int64(maxStall))), s.stallLeft)
+	s.stallLeft -= span
+	s.now += span
+	s.stalled++
 }
 
 // checkRest checks that the loop comes to rest: events that it does nothing about would keep it busy.
-func (f *systemFaults) checkRest() {
-	f.stallLeft = maxStall // in the next step
+func (s *systemFaults) checkRest() {
+	s.stallLeft = maxStall // in the next step
 	for range 50 {
-		if f.readyDescriptors() == 0 {
-			f.busySince = 0
+		if s.readyDescriptors() == 0 {
+			s.busySince = 0
 			return
 		}
-		f.runIterations()
+		s.runIterations()
 	}
-	if f.busySince == 0 {
-		f.busySince = f.now
+	if s.busySince == 0 {
+		s.busySince = s.now
 	}
-	f.Check(f.now-f.busySince <= maxBusy, "there have been events for %v that nothing is done about", f.now-f.busySince)
+	s.Check(s.now-s.busySince <= maxBusy, "there have been events for %v that nothing is done about", s.now-s.busySince)
 }
 
 // sendWhatWaits lets the loop send the last answers, which a call that has failed may have held back.
-func (f *systemFaults) sendWhatWaits() {
+func (s *systemFaults) sendWhatWaits() {
 	for range 2 * eventloop.MaxAcceptBackoff / time.Millisecond {
-		f.now += time.Millisecond
-		f.runUntilSettled()
+		s.now += time.Millisecond
+		s.runUntilSettled()
 	}
-	f.Check(f.scheduler.IsQuiet(), "answers are not sent")
+	s.Check(s.scheduler.IsQuiet(), "answers are not sent")
 }
 
 // stalls is how much later than without faults something may be.
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -42,10 +42,10 @@
 }
 
 // Snapshot returns the state as the test has changed it.
-func (s *harnessState) Snapshot() transport.Snapshot {
-	snapshot := s.transferState.Snapshot()
-	if s.alter != nil {
-		s.alter(&snapshot)
+func (h *harnessState) Snapshot() transport.Snapshot {
+	snapshot := h.transferState.Snapshot()
+	if h.alter != nil {
+		h.alter(&snapshot)
 	}
 	return snapshot
 }
--- a/internal/scheduler/harness_worker_test.go
+++ b/internal/scheduler/harness_worker_test.go
@@ -49,13 +49,13 @@
 }
 
 // release establishes the connection.
-func (p *delayedPeer) release() {
-	for b := make([]byte, 4096); p.filledBytes > 0; {
-		n, err := unix.Read(p.FD, b[:min(len(b), p.filledBytes)])
+func (d *delayedPeer) release() {
+	for b := make([]byte, 4096); d.filledBytes > 0; {
+		n, err := unix.Read(d.FD, b[:min(len(b), d.filledBytes)])
 		if err != nil || n == 0 {
 			return
 		}
-		p.filledBytes -= n
+		d.filledBytes -= n
 	}
 }
 
--- a/internal/scheduler/hotrestart.go
+++ b/internal/scheduler/hotrestart.go
@@ -55,25 +55,25 @@
 
 // Settle prepares the state for Snapshot. It returns false while the policy has not received all events, or an attempt has no
 // connection yet.
-func (s transferState) Settle() bool {
-	s.scheduler.Requests.AwaitEndpoints(0) // requests that wait for endpoints are transferred too
-	s.scheduler.workers.EndWaitingDials()
-	return s.scheduler.Requests.FlushEvents(s.scheduler.Now()) && !s.scheduler.workers.HasWaitingDials()
+func (t transferState) Settle() bool {
+	t.scheduler.Requests.AwaitEndpoints(0) // requests that wait for endpoints are transferred too
+	t.scheduler.workers.EndWaitingDials()
+	return t.scheduler.Requests.FlushEvents(t.scheduler.Now()) && !t.scheduler.workers.HasWaitingDials()
 }
 
 // Snapshot returns the state.
-func (s transferState) Snapshot() transport.Snapshot {
-	snapshot := transport.Snapshot{Policy: s.scheduler.dispatcher.Snapshot(nil)}
-	table, openRequests := s.scheduler.Requests.Snapshot()
+func (t transferState) Snapshot() transport.Snapshot {
+	snapshot := transport.Snapshot{Policy: t.scheduler.dispatcher.Snapshot(nil)}
+	table, openRequests := t.scheduler.Requests.Snapshot()
 	snapshot.RequestTable = hotrestart.RequestTable(table)
 	for _, request := range openRequests {
 		snapshot.OpenRequests = append(snapshot.OpenRequests, hotrestart.OpenRequest(request))
 	}
-	for _, c := range s.scheduler.clients.Snapshot() {
+	for _, c := range t.scheduler.clients.Snapshot() {
 		connection := transport.ClientConnection{Record: c.ClientConnection, Descriptor: c.Descriptor}
 		snapshot.ClientConnections = append(snapshot.ClientConnections, connection)
 	}
-	for _, c := range s.scheduler.workers.Snapshot() {
+	for _, c := range t.scheduler.workers.Snapshot() {
 		connection := transport.WorkerConnection{Record: c.WorkerConnection, Descriptor: c.Descriptor}
 		snapshot.WorkerConnections = append(snapshot.WorkerConnections, connection)
 	}
@@ -81,17 +81,17 @@
 }
 
 // Release closes what a successor owns: the connections, the watch and the socket that clients connect to.
-func (s transferState) Release() {
-	s.scheduler.clients.Relinquish()
-	s.scheduler.workers.Relinquish()
-	s.scheduler.watch.Stop()
-	s.scheduler.clients.CloseSocket()
+func (t transferState) Release() {
+	t.scheduler.clients.Relinquish()
+	t.scheduler.workers.Relinquish()
+	t.scheduler.watch.Stop()
+	t.scheduler.clients.CloseSocket()
 }
 
 // Restore adds the state of a predecessor. The order matters: requests refer to client connections, and worker connections to
 // requests.
-func (s transferState) Restore(received hotrestart.ReceivedState) {
-	scheduler := s.scheduler
+func (t transferState) Restore(received hotrestart.ReceivedState) {
+	scheduler := t.scheduler
 	clients := scheduler.clients.Restore(received.ClientConnections)
 	scheduler.Requests.TakeOver(scheduler.Now(), received.RequestTable, received.OpenRequests, clients.Responders(),
 		func() requests.Policy { return scheduler.restorePolicy(received.PolicySnapshot, received.ClockAhead) })
@@ -107,20 +107,20 @@
 type endpointWatch struct{ scheduler *Scheduler }
 
 // WatchEndpoints opens the watch, unless it is open or planned.
-func (w endpointWatch) WatchEndpoints() { w.scheduler.Requests.WatchEndpoints() }
+func (e endpointWatch) WatchEndpoints() { e.scheduler.Requests.WatchEndpoints() }
 
 // HasReceivedEndpoints reports whether a list was received since the watch was last opened.
-func (w endpointWatch) HasReceivedEndpoints() bool { return w.scheduler.watch.HasReceivedEvent() }
+func (e endpointWatch) HasReceivedEndpoints() bool { return e.scheduler.watch.HasReceivedEvent() }
 
 // peerSocket is the socket for messages between schedulers, for a hot restart. There may be none.
 type peerSocket struct{ scheduler *Scheduler }
 
 // Open opens the socket, once its previous owner has closed its own.
-func (s peerSocket) Open() { s.scheduler.openPeerSocket() }
+func (p peerSocket) Open() { p.scheduler.openPeerSocket() }
 
 // Close closes the socket, for a successor to open its own.
-func (s peerSocket) Close() {
-	if s.scheduler.peers != nil {
-		s.scheduler.peers.Close()
+func (p peerSocket) Close() {
+	if p.scheduler.peers != nil {
+		p.scheduler.peers.Close()
 	}
 }
--- a/internal/scheduler/hotrestart_fuzz_test.go
+++ b/internal/scheduler/hotrestart_fuzz_test.go
@@ -63,19 +63,19 @@
 }
 
 // step does the first thing that the choice stands for and that is possible.
-func (m *hotRestartModel) step(choice int) {
+func (h *hotRestartModel) step(choice int) {
 	for _, option := range []struct {
 		chosen bool
 		do     func()
 	}{
-		{choice == 0, m.restart},
-		{choice < 4 && m.canRequest(), m.beginRequest},
-		{m.unsent != "", m.writeRequest},
-		{choice < 6 && m.canSend(), m.sendAttempt},
-		{choice >= 5 && m.response != "", m.writeResponse},
-		{choice >= 6 && m.canComplete(), m.complete},
-		{choice == 8, func() { m.now += 20 * time.Millisecond }},
-		{choice == 9 && !m.inFlight, m.toggleCordon},
+		{choice == 0, h.restart},
+		{choice < 4 && h.canRequest(), h.beginRequest},
+		{h.unsent != "", h.writeRequest},
+		{choice < 6 && h.canSend(), h.sendAttempt},
+		{choice >= 5 && h.response != "", h.writeResponse},
+		{choice >= 6 && h.canComplete(), h.complete},
+		{choice == 8, func() { h.now += 20 * time.Millisecond }},
+		{choice == 9 && !h.inFlight, h.toggleCordon},
 	} {
 		if option.chosen {
 			option.do()
@@ -84,117 +84,117 @@
 	}
 }
 
-func (m *hotRestartModel) canRequest() bool {
-	return m.unsent == "" && m.response == "" && !m.inFlight && m.attempts == m.requested
+func (h *hotRestartModel) canRequest() bool {
+	return h.unsent == "" && h.response == "" && !h.inFlight && h.attempts == h.requested
 }
 
-func (m *hotRestartModel) canSend() bool {
-	return m.attempts < m.requested && !m.inFlight && !m.cordoned && m.scheduler.Requests.OpenCount() == 1
+func (h *hotRestartModel) canSend() bool {
+	return h.attempts < h.requested && !h.inFlight && !h.cordoned && h.scheduler.Requests.OpenCount() == 1
 }
 
-func (m *hotRestartModel) canComplete() bool {
-	return m.response == "" && m.inFlight && m.attempts == m.requested
+func (h *hotRestartModel) canComplete() bool {
+	return h.response == "" && h.inFlight && h.attempts == h.requested
 }
 
-func (m *hotRestartModel) restart() {
-	successor := m.startSuccessorAfterStep(m.dir, m.address, clockSteps[m.restarts%len(clockSteps)])
-	m.restarts++
-	err := m.handOverTo(successor)
-	m.Check(err == nil, "hot restart: %v", err)
-	m.Check(m.scheduler.hasRelinquished() && successor.scheduler.restart.AwaitsSuccessor(), "not replaced")
-	m.harness = successor
-	m.Record("restart")
+func (h *hotRestartModel) restart() {
+	successor := h.startSuccessorAfterStep(h.dir, h.address, clockSteps[h.restarts%len(clockSteps)])
+	h.restarts++
+	err := h.handOverTo(successor)
+	h.Check(err == nil, "hot restart: %v", err)
+	h.Check(h.scheduler.hasRelinquished() && successor.scheduler.restart.AwaitsSuccessor(), "not replaced")
+	h.harness = successor
+	h.Record("restart")
 }
 
-func (m *hotRestartModel) beginRequest() {
-	m.requested++
-	body := strings.Repeat("x", m.bodySize())
-	m.unsent = fmt.Sprintf("POST /a/%d HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q%d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
-		m.requested, m.requested, len(body), body)
-	m.Record("begin request")
+func (h *hotRestartModel) beginRequest() {
+	h.requested++
+	body := strings.Repeat("x", h.bodySize())
+	h.unsent = fmt.Sprintf("POST /a/%d HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q%d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
+		h.requested, h.requested, len(body), body)
+	h.Record("begin request")
 }
 
 // bodySize is that of the latest request.
-func (m *hotRestartModel) bodySize() int { return 15000 * (m.requested % 3) }
+func (h *hotRestartModel) bodySize() int { return 15000 * (h.requested % 3) }
 
-func (m *hotRestartModel) callID() string { return fmt.Sprint("q", m.requested) }
+func (h *hotRestartModel) callID() string { return fmt.Sprint("q", h.requested) }
 
-func (m *hotRestartModel) writeRequest() {
-	size := min(len(m.unsent), 1+m.Pick(8)*m.Pick(200)*30)
-	m.client.Write([]byte(m.unsent[:size]))
-	m.unsent = m.unsent[size:]
-	m.Record(fmt.Sprint("write ", size))
+func (h *hotRestartModel) writeRequest() {
+	size := min(len(h.unsent), 1+h.Pick(8)*h.Pick(200)*30)
+	h.client.Write([]byte(h.unsent[:size]))
+	h.unsent = h.unsent[size:]
+	h.Record(fmt.Sprint("write ", size))
 }
 
-func (m *hotRestartModel) sendAttempt() {
-	id := uint64(m.requested)
-	m.Check(m.scheduler.Requests.Request(id) != nil, "request %d has another number", id)
-	m.policy.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: m.workerID}}
-	m.scheduler.Requests.Wake()
-	m.inFlight = true
-	m.Record("send")
+func (h *hotRestartModel) sendAttempt() {
+	id := uint64(h.requested)
+	h.Check(h.scheduler.Requests.Request(id) != nil, "request %d has another number", id)
+	h.policy.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: h.workerID}}
+	h.scheduler.Requests.Wake()
+	h.inFlight = true
+	h.Record("send")
 }
 
-func (m *hotRestartModel) writeResponse() {
-	size := min(len(m.response), 1+m.Pick(len(m.response)))
-	m.workers[len(m.workers)-1].Write([]byte(m.response[:size]))
-	m.response = m.response[size:]
-	m.Record("respond")
+func (h *hotRestartModel) writeResponse() {
+	size := min(len(h.response), 1+h.Pick(len(h.response)))
+	h.workers[len(h.workers)-1].Write([]byte(h.response[:size]))
+	h.response = h.response[size:]
+	h.Record("respond")
 }
 
-func (m *hotRestartModel) complete() {
-	result := "made of " + m.callID()
-	callback := requests.Callback{CallID: m.callID(), EndpointID: "s-0", State: "done", Result: &result}
-	_, _ = m.scheduler.Requests.HandleCallback(callback)
-	m.received += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(result), result)
-	m.inFlight = false
-	m.answered++
-	m.Record("complete")
+func (h *hotRestartModel) complete() {
+	result := "made of " + h.callID()
+	callback := requests.Callback{CallID: h.callID(), EndpointID: "s-0", State: "done", Result: &result}
+	_, _ = h.scheduler.Requests.HandleCallback(callback)
+	h.received += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(result), result)
+	h.inFlight = false
+	h.answered++
+	h.Record("complete")
 }
 
-func (m *hotRestartModel) toggleCordon() {
-	m.cordoned = !m.cordoned
-	if m.cordoned {
-		m.scheduler.Requests.Cordon("s-0")
+func (h *hotRestartModel) toggleCordon() {
+	h.cordoned = !h.cordoned
+	if h.cordoned {
+		h.scheduler.Requests.Cordon("s-0")
 	} else {
-		m.scheduler.Requests.Uncordon("s-0")
+		h.scheduler.Requests.Uncordon("s-0")
 	}
-	m.Record("cordon or uncordon")
+	h.Record("cordon or uncordon")
 }
 
 // exchange runs the loop, and reads what has come to the worker, at most so many bytes of a connection, and to the client.
-func (m *hotRestartModel) exchange(readSize int) {
-	m.runIterations()
-	cordoned := m.scheduler.Requests.Cordoned()
-	m.Check((len(cordoned) == 1) == m.cordoned, "cordoned %v", cordoned)
-	for _, connection := range m.dialed {
-		if connection.dialedAddress != m.scheduler.watch.Server() { // a process that takes over connects to discovery too
-			m.workers = append(m.workers, connection)
+func (h *hotRestartModel) exchange(readSize int) {
+	h.runIterations()
+	cordoned := h.scheduler.Requests.Cordoned()
+	h.Check((len(cordoned) == 1) == h.cordoned, "cordoned %v", cordoned)
+	for _, connection := range h.dialed {
+		if connection.dialedAddress != h.scheduler.watch.Server() { // a process that takes over connects to discovery too
+			h.workers = append(h.workers, connection)
 		}
 	}
-	m.dialed = nil
-	m.readAttempt(readSize)
-	m.client.Read(1 << 16)
-	m.Check(string(m.client.Received) == m.received && !m.client.Ended, "the client has %q, expected %q", m.client.Received, m.received)
+	h.dialed = nil
+	h.readAttempt(readSize)
+	h.client.Read(1 << 16)
+	h.Check(string(h.client.Received) == h.received && !h.client.Ended, "the client has %q, expected %q", h.client.Received, h.received)
 }
 
 // readAttempt reads worker connections until one has brought a whole attempt.
-func (m *hotRestartModel) readAttempt(readSize int) {
-	last := len(m.workers) - 1
-	for i, connection := range m.workers {
+func (h *hotRestartModel) readAttempt(readSize int) {
+	last := len(h.workers) - 1
+	for i, connection := range h.workers {
 		connection.Read(readSize)
 		var message http1.Request
 		size, err := message.Parse(connection.Received)
 		if err != nil {
 			continue
 		}
-		whole := string(message.Get("X-Call-Id")) == m.callID() && len(message.Body) == m.bodySize() && size == len(connection.Received)
-		m.Check(whole, "attempt %q", connection.Received)
+		whole := string(message.Get("X-Call-Id")) == h.callID() && len(message.Body) == h.bodySize() && size == len(connection.Received)
+		h.Check(whole, "attempt %q", connection.Received)
 		connection.Received = nil
-		m.attempts++
-		m.Check(m.attempts == m.requested, "%d attempts of %d requests", m.attempts, m.requested)
-		m.workers[i], m.workers[last] = m.workers[last], m.workers[i]
-		m.response = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+		h.attempts++
+		h.Check(h.attempts == h.requested, "%d attempts of %d requests", h.attempts, h.requested)
+		h.workers[i], h.workers[last] = h.workers[last], h.workers[i]
+		h.response = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 		return
 	}
 }
