--- a/internal/control/validator/dispatcher_test.go
+++ b/internal/control/validator/dispatcher_test.go
@@ -11,8 +11,8 @@
 )
 
 // Package dispatch and the validator agree on histories: a request with any attempts before it that can go to one worker
-// only is sent there by a dispatcher where the validator allows it, and nowhere else; and it is rejected only where the
-// validator has that for safe.
+// only is sent there by a dispatcher if and only if the validator allows it; and it is rejected only if that is safe by the
+// validator.
 func TestAgreesWithDispatcher(t *testing.T) {
 	sent, notSent := 0, 0
 	for seed := range uint64(6000) {
@@ -23,7 +23,7 @@
 		}
 	}
 	if sent < 1000 || notSent < 1000 {
-		t.Fatalf("%d sent, %d not: the test sees too little", sent, notSent)
+		t.Fatalf("%d sent, %d not: the test covers too little", sent, notSent)
 	}
 }
 
@@ -131,14 +131,14 @@
 	return sent
 }
 
-// allowed is the validator's verdict on a further attempt.
+// allowed returns the validator's verdict on another attempt.
 func (c *agreementCase) allowed() message.RejectReason {
 	return c.validator.Validate(agreementNow, LocalEpoch, &message.SendCommand{
 		RequestID: agreementRequest, Attempt: len(c.previous), WorkerID: agreementWorker,
 	})
 }
 
-// dispatch is what a dispatcher does with the request.
+// dispatch returns the actions of a dispatcher on the request.
 func (c *agreementCase) dispatch() []dispatch.Action {
 	dispatcher := dispatch.New(c.settings, c.seed)
 	dispatcher.Step(agreementNow-time.Millisecond, []dispatch.Event{c.list}, nil)
@@ -163,7 +163,7 @@
 		commands += run.commands
 	}
 	if commands < 3000 {
-		t.Fatalf("only %d commands: the test sees too little", commands)
+		t.Fatalf("only %d commands: the test covers too little", commands)
 	}
 }
 
@@ -280,22 +280,22 @@
 
 // commandOf returns the command of an action; nil: it has none.
 func (r *dispatcherRun) commandOf(action dispatch.Action) message.Command {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case dispatch.Send:
-		attempt := r.attempts[a.Job]
-		r.attempts[a.Job]++
-		r.inFlight = append(r.inFlight, inFlightAttempt{a.Job, a.Worker, attempt})
-		return &message.SendCommand{RequestID: a.Job, Attempt: attempt, WorkerID: a.Worker}
+		attempt := r.attempts[action.Job]
+		r.attempts[action.Job]++
+		r.inFlight = append(r.inFlight, inFlightAttempt{action.Job, action.Worker, attempt})
+		return &message.SendCommand{RequestID: action.Job, Attempt: attempt, WorkerID: action.Worker}
 	case dispatch.Reject:
-		return &message.RejectCommand{RequestID: a.Job}
+		return &message.RejectCommand{RequestID: action.Job}
 	case dispatch.Fail:
-		return &message.FailCommand{RequestID: a.Job}
+		return &message.FailCommand{RequestID: action.Job}
 	case dispatch.Cancel:
-		return &message.CancelCommand{RequestID: a.Job, Attempt: a.Attempt}
+		return &message.CancelCommand{RequestID: action.Job, Attempt: action.Attempt}
 	case dispatch.HealthCheck:
-		return &message.HealthCheckCommand{WorkerID: a.Worker}
+		return &message.HealthCheckCommand{WorkerID: action.Worker}
 	case dispatch.CloseIdleConnections:
-		return &message.CloseIdleCommand{WorkerID: a.Worker}
+		return &message.CloseIdleCommand{WorkerID: action.Worker}
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/control/validator/history_test.go
@@ -0,0 +1,187 @@
+package validator
+
+import (
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// history is the list of all events of a run. The model derives each verdict from the whole of it.
+type history struct {
+	settings dispatch.Settings
+	now      time.Duration
+	records  []record
+}
+
+// record is an entry of the history: a dispatch.Event, a message.WorkerStatus, an assignment, a usedNumber or an
+// appliedCommand.
+type record struct {
+	at   time.Duration
+	what any
+}
+
+// assignment makes a session the owner of a request.
+type assignment struct {
+	request uint64
+	owner   message.Epoch
+}
+
+// usedNumber is the number of a send command of the request's owner.
+type usedNumber struct {
+	request uint64
+	number  int
+}
+
+// appliedCommand is a valid command to send or end a request.
+type appliedCommand struct{ *anyCommand }
+
+func (h *history) add(what any) { h.records = append(h.records, record{h.now, what}) }
+
+// modelWorker is an entry of the own endpoint list, with the revision of the list that last had it.
+type modelWorker struct {
+	dispatch.Worker
+	revision int64
+}
+
+// status returns the worker's status by the own list.
+func (m *modelWorker) status() message.WorkerStatus {
+	status := message.WorkerStatus{WorkerID: m.ID, StartedMs: m.BootAt.Milliseconds(), Revision: m.revision}
+	if !m.Ready {
+		status.State = message.WorkerDraining
+	}
+	return status
+}
+
+// list returns the present own list.
+func (h *history) list() map[uint64]modelWorker { return h.listAfter(len(h.records)) }
+
+// listAfter returns the own list after the first count records.
+func (h *history) listAfter(count int) map[uint64]modelWorker {
+	list := map[uint64]modelWorker{}
+	for _, record := range h.records[:count] {
+		update, ok := record.what.(dispatch.WorkerList)
+		if !ok || update.Kind == dispatch.ListUnavailable {
+			continue
+		}
+		if update.Kind != dispatch.ListDelta {
+			clear(list)
+		}
+		for _, worker := range update.Workers {
+			delete(list, worker.ID)
+			if !worker.Removed {
+				list[worker.ID] = modelWorker{worker, update.Revision}
+			}
+		}
+	}
+	return list
+}
+
+// newestStatus returns the newest status of a worker from planners; nil: there is none.
+func (h *history) newestStatus(workerID uint64) (newest *message.WorkerStatus) {
+	for i := range h.records {
+		status, ok := h.records[i].what.(message.WorkerStatus)
+		if ok && status.WorkerID == workerID && (newest == nil || status.Supersedes(*newest)) {
+			newest = &status
+		}
+	}
+	return newest
+}
+
+// modelRequest is a request as it follows from the history.
+type modelRequest struct {
+	job       dispatch.Job
+	arrivedAt time.Duration
+	closed    bool
+	owner     message.Epoch
+	assigned  bool
+	attempts  []modelAttempt
+	used      []int // numbers of the owner's send commands
+}
+
+// modelAttempt is an attempt as it follows from the history.
+type modelAttempt struct {
+	worker     uint64
+	cell, zone int
+	number     int
+	sentAt     time.Duration
+	ended      bool
+	result     dispatch.Result
+}
+
+func (m modelAttempt) possiblyExecuted() bool {
+	return !m.ended ||
+		m.result != dispatch.WorkerFull && m.result != dispatch.ConnectFailed && m.result != dispatch.NotSent
+}
+
+// request returns the state of a request; nil: it has not arrived.
+func (h *history) request(id uint64) (request *modelRequest) {
+	for i, record := range h.records {
+		if subjectOf(record.what) != id {
+			continue
+		}
+		switch what := record.what.(type) {
+		case dispatch.Job:
+			request = &modelRequest{job: what, arrivedAt: record.at}
+		case dispatch.ClientDisconnected, dispatch.ResponseStarted:
+			request.closed = true
+		case dispatch.Outcome:
+			request.end(what)
+		case assignment:
+			request.assign(what.owner)
+		case usedNumber:
+			request.used = append(request.used, what.number)
+		case appliedCommand:
+			request.apply(what.anyCommand, record.at, h.listAfter(i))
+		}
+	}
+	return request
+}
+
+// subjectOf returns the ID of the request that a record is about; 0: none.
+func subjectOf(what any) uint64 {
+	switch what := what.(type) {
+	case dispatch.Job:
+		return what.ID
+	case dispatch.ClientDisconnected:
+		return what.Job
+	case dispatch.ResponseStarted:
+		return what.Job
+	case dispatch.Outcome:
+		return what.Job
+	case assignment:
+		return what.request
+	case usedNumber:
+		return what.request
+	case appliedCommand:
+		return what.request
+	}
+	return 0
+}
+
+func (m *modelRequest) end(outcome dispatch.Outcome) {
+	m.attempts[outcome.Attempt].ended = true
+	m.attempts[outcome.Attempt].result = outcome.Result
+	m.closed = m.closed || outcome.Closed
+}
+
+func (m *modelRequest) assign(owner message.Epoch) {
+	m.owner = owner
+	m.assigned = true
+	m.used = nil
+	for i := range m.attempts {
+		m.attempts[i].number = i
+		m.used = append(m.used, i)
+	}
+}
+
+func (m *modelRequest) apply(command *anyCommand, at time.Duration, list map[uint64]modelWorker) {
+	if command.kind != message.KindSendCommand {
+		m.closed = true
+		return
+	}
+	worker := list[command.worker]
+	m.attempts = append(m.attempts, modelAttempt{
+		worker: command.worker, cell: worker.Cell, zone: worker.Zone, number: command.attempt, sentAt: at,
+	})
+}
--- a/internal/control/validator/lookup.go
+++ b/internal/control/validator/lookup.go
@@ -6,38 +6,38 @@
 	"valvecove/internal/control/message"
 )
 
-// CanReject reports whether a request may be rejected. Whoever gives it up rejects it then, and else fails it.
+// CanReject reports whether it is safe to reject a request that is given up. Else it must be failed.
 func (v *Validator) CanReject(id uint64) bool {
-	req := v.requests[id]
-	return req != nil && req.canReject()
+	request := v.requests[id]
+	return request != nil && request.canReject()
 }
 
 // InFlight returns the number of a request's attempts that are in flight.
 func (v *Validator) InFlight(id uint64) int {
-	if req := v.requests[id]; req != nil {
-		return req.inFlight
+	if request := v.requests[id]; request != nil {
+		return request.inFlight
 	}
 	return 0
 }
 
-// AppendAttempts appends the attempts of a request to dst, as a request summary has them.
+// AppendAttempts appends the attempts of a request, in their order, to dst.
 func (v *Validator) AppendAttempts(now time.Duration, id uint64, dst []message.PastAttempt) []message.PastAttempt {
 	v.advance(now)
-	req := v.requests[id]
-	if req == nil {
+	request := v.requests[id]
+	if request == nil {
 		return dst
 	}
-	for i := range req.attempts {
-		a := &req.attempts[i]
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
 		past := message.PastAttempt{
-			WorkerID:         a.workerID,
-			SentAgo:          v.now - a.sentAt,
-			Ended:            a.ended,
-			Result:           a.result,
-			PossiblyExecuted: a.possiblyExecuted(),
+			WorkerID:         attempt.workerID,
+			SentAgo:          v.now - attempt.sentAt,
+			Ended:            attempt.ended,
+			Result:           attempt.result,
+			PossiblyExecuted: attempt.possiblyExecuted(),
 		}
-		if a.startedAt > 0 {
-			past.StartedAgo = max(v.now-a.startedAt, 1)
+		if attempt.startedAt > 0 {
+			past.StartedAgo = max(v.now-attempt.startedAt, 1)
 		}
 		dst = append(dst, past)
 	}
--- a/internal/control/validator/observe.go
+++ b/internal/control/validator/observe.go
@@ -2,92 +2,99 @@
 
 import "valvecove/dispatch"
 
+// admit enters a request that has arrived.
 func (v *Validator) admit(job dispatch.Job) {
 	if v.requests[job.ID] != nil || job.Class < 0 || job.Class >= len(v.settings.Classes) {
 		return
 	}
-	req := &request{}
+	request := &requestRecord{}
 	if last := len(v.freeRequests) - 1; last >= 0 {
-		req = v.freeRequests[last]
+		request = v.freeRequests[last]
 		v.freeRequests = v.freeRequests[:last]
 	}
-	*req = request{
+	*request = requestRecord{
 		class:            v.settings.Classes[job.Class],
 		deadline:         v.now + max(job.Remaining, 0),
 		validatedCommand: -1,
-		attempts:         req.attempts[:0],
+		attempts:         request.attempts[:0],
 	}
-	v.requests[job.ID] = req
+	v.requests[job.ID] = request
 }
 
+// attemptSent enters an attempt.
 func (v *Validator) attemptSent(send dispatch.Send) {
-	req := v.requests[send.Job]
-	if req == nil {
+	request := v.requests[send.Job]
+	if request == nil {
 		return
 	}
 	worker := v.workers[send.Worker]
-	req.attempts = append(req.attempts, attempt{
+	request.attempts = append(request.attempts, attemptRecord{
 		workerID:      send.Worker,
 		cell:          worker.cell,
 		zone:          worker.zone,
-		commandNumber: req.validatedCommand,
+		commandNumber: request.validatedCommand,
 		sentAt:        v.now,
 	})
-	req.inFlight++
+	request.inFlight++
 }
 
+// attemptStarted processes that a worker has started an attempt, or shows by an event that it has.
 func (v *Validator) attemptStarted(id uint64, index int, workerID uint64) {
-	req := v.requests[id]
-	if req == nil {
+	request := v.requests[id]
+	if request == nil {
 		return
 	}
-	if a := req.inFlightAttempt(index, workerID); a != nil && a.startedAt == 0 {
-		a.startedAt = max(v.now, 1)
+	if attempt := request.inFlightAttempt(index, workerID); attempt != nil && attempt.startedAt == 0 {
+		attempt.startedAt = max(v.now, 1)
 	}
 }
 
-func (v *Validator) responseStarted(e dispatch.ResponseStarted) {
-	v.attemptStarted(e.Job, e.Attempt, e.Worker)
-	if req := v.requests[e.Job]; req != nil {
-		req.advanceTo(requestStreaming)
+// responseStarted processes that the client is receiving a response: no more commands are valid for the request.
+func (v *Validator) responseStarted(event dispatch.ResponseStarted) {
+	v.attemptStarted(event.Job, event.Attempt, event.Worker)
+	if request := v.requests[event.Job]; request != nil {
+		request.advanceTo(requestStreaming)
 	}
 }
 
+// attemptEnded processes the end of an attempt, and returns its number in the owner's count. It returns false if the
+// attempt is not known.
 func (v *Validator) attemptEnded(outcome dispatch.Outcome) (commandNumber int, ended bool) {
-	req := v.requests[outcome.Job]
-	if req == nil {
+	request := v.requests[outcome.Job]
+	if request == nil {
 		return 0, false
 	}
-	a := req.inFlightAttempt(outcome.Attempt, outcome.Worker)
-	if a == nil && outcome.Closed && outcome.Result == dispatch.NotSent {
-		// The request table had released the request by then, and numbers no attempt of it.
-		a = req.anyInFlightAt(outcome.Worker)
+	attempt := request.inFlightAttempt(outcome.Attempt, outcome.Worker)
+	if attempt == nil && outcome.Closed && outcome.Result == dispatch.NotSent {
+		// The request table has released the request before, so that the event does not number the attempt.
+		attempt = request.anyInFlightAt(outcome.Worker)
 	}
-	if a != nil {
-		a.ended = true
-		a.result = outcome.Result
-		req.inFlight--
-		commandNumber = a.commandNumber
+	if attempt != nil {
+		attempt.ended = true
+		attempt.result = outcome.Result
+		request.inFlight--
+		commandNumber = attempt.commandNumber
 		ended = true
 	}
-	if outcome.Closed || outcome.Result == dispatch.OK || req.state == requestStreaming {
-		req.advanceTo(requestClosed)
+	if outcome.Closed || outcome.Result == dispatch.OK || request.state == requestStreaming {
+		request.advanceTo(requestClosed)
 	}
-	v.releaseIfDone(outcome.Job, req)
+	v.releaseIfDone(outcome.Job, request)
 	return commandNumber, ended
 }
 
+// closeRequest processes that a request has its response, or that its client has disconnected.
 func (v *Validator) closeRequest(id uint64) {
-	if req := v.requests[id]; req != nil {
-		req.advanceTo(requestClosed)
-		v.releaseIfDone(id, req)
+	if request := v.requests[id]; request != nil {
+		request.advanceTo(requestClosed)
+		v.releaseIfDone(id, request)
 	}
 }
 
-// releaseIfDone forgets a request that is closed and has nothing in flight. Its memory is reused.
-func (v *Validator) releaseIfDone(id uint64, req *request) {
-	if req.state == requestClosed && req.inFlight == 0 {
+// releaseIfDone removes a request that is closed and has no attempt in flight. Its memory is reused.
+func (v *Validator) releaseIfDone(id uint64, request *requestRecord) {
+	if request.state == requestClosed && request.inFlight == 0 {
 		delete(v.requests, id)
-		v.freeRequests = append(v.freeRequests, req)
+		v.freeRequests = append(v.freeRequests, request)
 	}
 }
--- a/internal/control/validator/owner.go
+++ b/internal/control/validator/owner.go
@@ -6,52 +6,52 @@
 	"valvecove/internal/control/message"
 )
 
-// Assign makes a session, or the local policy, the owner of a request, which alone may decide on it. The owner's send
-// commands are numbered after the attempts that there have been.
+// Assign makes a session, or the local policy (LocalEpoch), the owner of a request. Only the owner's commands for it are
+// valid. The owner counts the attempts before from 0, and its own send commands after them.
 func (v *Validator) Assign(id uint64, owner message.Epoch) {
-	req := v.requests[id]
-	if req == nil {
+	request := v.requests[id]
+	if request == nil {
 		return
 	}
-	req.assigned = true
-	req.owner = owner
-	req.nextCommand = len(req.attempts)
-	for i := range req.attempts {
-		req.attempts[i].commandNumber = i
+	request.assigned = true
+	request.owner = owner
+	request.nextCommand = len(request.attempts)
+	for i := range request.attempts {
+		request.attempts[i].commandNumber = i
 	}
 }
 
-// Unassign leaves a request without an owner.
+// Unassign removes the owner of a request.
 func (v *Validator) Unassign(id uint64) {
-	if req := v.requests[id]; req != nil {
-		req.assigned = false
+	if request := v.requests[id]; request != nil {
+		request.assigned = false
 	}
 }
 
-// CommandNumber returns the owner's number of an attempt, by the request table's number.
+// CommandNumber converts the request table's number of an attempt to the owner's. It returns false if there is none.
 func (v *Validator) CommandNumber(id uint64, index int) (number int, ok bool) {
-	req := v.requests[id]
-	if req == nil || index < 0 || index >= len(req.attempts) {
+	request := v.requests[id]
+	if request == nil || index < 0 || index >= len(request.attempts) {
 		return 0, false
 	}
-	return req.attempts[index].commandNumber, true
+	return request.attempts[index].commandNumber, true
 }
 
-// NextCommandNumber returns the least number of the owner's next send command.
+// NextCommandNumber returns the lowest valid number of the owner's next send command.
 func (v *Validator) NextCommandNumber(id uint64) int {
-	if req := v.requests[id]; req != nil {
-		return req.nextCommand
+	if request := v.requests[id]; request != nil {
+		return request.nextCommand
 	}
 	return 0
 }
 
-// AttemptIndex returns the request table's number of an attempt, by the owner's number; not ok: it was never sent.
+// AttemptIndex converts the owner's number of an attempt to the request table's. It returns false if it was not sent.
 func (v *Validator) AttemptIndex(id uint64, commandNumber int) (index int, ok bool) {
-	req := v.requests[id]
-	if req == nil {
+	request := v.requests[id]
+	if request == nil {
 		return 0, false
 	}
-	index = slices.IndexFunc(req.attempts, func(a attempt) bool { return a.commandNumber == commandNumber })
+	index = slices.IndexFunc(request.attempts, func(attempt attemptRecord) bool { return attempt.commandNumber == commandNumber })
 	if index < 0 {
 		return 0, false
 	}
--- a/internal/control/validator/request.go
+++ b/internal/control/validator/request.go
@@ -7,15 +7,16 @@
 	"valvecove/internal/control/message"
 )
 
-// requestState is how far a request has come. States follow each other in this order.
+// requestState is the state of a request. It only advances in this order.
 type requestState uint8
 
 const (
-	requestOpen      requestState = iota // commands may decide on it
-	requestStreaming                     // its response has begun to reach the client
+	requestOpen      requestState = iota // its owner's commands are valid
+	requestStreaming                     // its client is receiving the response
 	requestClosed                        // it has its response, or its client has disconnected
 )
 
+// String returns the state's name.
 func (s requestState) String() string {
 	switch s {
 	case requestOpen:
@@ -28,59 +29,59 @@
 	return "unknown"
 }
 
-// request is one that is not closed, or has attempts in flight.
-type request struct {
+// requestRecord is a request that is not closed, or has attempts in flight.
+type requestRecord struct {
 	state            requestState
 	class            dispatch.Class
 	deadline         time.Duration
 	assigned         bool // owner is valid
 	owner            message.Epoch
-	nextCommand      int // least number of the owner's next send command
+	nextCommand      int // lowest valid number of the owner's next send command
 	validatedCommand int // number of the last send command that was validated
 	inFlight         int
-	attempts         []attempt // by the request table's number
+	attempts         []attemptRecord // by the request table's number
 }
 
-// attempt is an attempt that was sent.
-type attempt struct {
+// attemptRecord is an attempt that was sent.
+type attemptRecord struct {
 	workerID      uint64
 	cell          int // of the worker when it was sent
 	zone          int
-	commandNumber int // as the owner counts
+	commandNumber int // in the owner's count
 	sentAt        time.Duration
 	startedAt     time.Duration // 0: the worker reported no start
 	ended         bool
 	result        dispatch.Result // of an attempt that has ended
 }
 
-// advanceTo moves the request to a state, if that is later than its present one.
-func (r *request) advanceTo(state requestState) { r.state = max(r.state, state) }
+// advanceTo changes the state to a later one. It does nothing if the present state is later.
+func (r *requestRecord) advanceTo(state requestState) { r.state = max(r.state, state) }
 
 // inFlightAttempt returns the attempt of a number, if it is in flight at the worker; else nil.
-func (r *request) inFlightAttempt(index int, workerID uint64) *attempt {
+func (r *requestRecord) inFlightAttempt(index int, workerID uint64) *attemptRecord {
 	if index < 0 || index >= len(r.attempts) {
 		return nil
 	}
-	a := &r.attempts[index]
-	if a.ended || a.workerID != workerID {
+	attempt := &r.attempts[index]
+	if attempt.ended || attempt.workerID != workerID {
 		return nil
 	}
-	return a
+	return attempt
 }
 
 // anyInFlightAt returns the first attempt that is in flight at the worker, or nil.
-func (r *request) anyInFlightAt(workerID uint64) *attempt {
+func (r *requestRecord) anyInFlightAt(workerID uint64) *attemptRecord {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.ended && a.workerID == workerID {
-			return a
+		if attempt := &r.attempts[i]; !attempt.ended && attempt.workerID == workerID {
+			return attempt
 		}
 	}
 	return nil
 }
 
-// possiblyExecuted reports whether the worker may have executed the attempt, or may yet. Only three results prove that it
-// has not; a result that this build does not know proves nothing.
-func (a *attempt) possiblyExecuted() bool {
+// possiblyExecuted reports whether the worker may have executed the attempt, or may execute it in future. Only three results
+// exclude that; an unknown result does not.
+func (a *attemptRecord) possiblyExecuted() bool {
 	if !a.ended {
 		return true
 	}
@@ -91,9 +92,9 @@
 	return true
 }
 
-// canReject reports whether a rejection, which has the client try again, is safe: the request was not executed, or may be
-// executed by any worker once more.
-func (r *request) canReject() bool {
+// canReject reports whether a rejection, after which the client retries, is safe: the request was not executed, or any
+// worker may execute it again.
+func (r *requestRecord) canReject() bool {
 	class := &r.class
 	if class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.IdempotentWithKey && class.DeduplicationScope == dispatch.ScopeAll {
--- a/internal/control/validator/request_test.go
+++ b/internal/control/validator/request_test.go
@@ -34,15 +34,16 @@
 }
 
 func TestStatesOnlyAdvance(t *testing.T) {
-	r := &request{}
+	request := &requestRecord{}
 	for _, step := range []struct{ to, want requestState }{
 		{requestStreaming, requestStreaming},
 		{requestOpen, requestStreaming},
 		{requestClosed, requestClosed},
 		{requestStreaming, requestClosed},
 	} {
-		if r.advanceTo(step.to); r.state != step.want {
-			t.Errorf("after %v: %v, expected %v", step.to, r.state, step.want)
+		request.advanceTo(step.to)
+		if request.state != step.want {
+			t.Errorf("after %v: %v, expected %v", step.to, request.state, step.want)
 		}
 	}
 }
--- a/internal/control/validator/rules.go
+++ b/internal/control/validator/rules.go
@@ -9,12 +9,12 @@
 	"valvecove/internal/control/message"
 )
 
-// Validate reports why a command of a session, or of the local policy (LocalEpoch), may not be executed, and counts it;
-// ReasonNone: it may. A valid command is to be executed at once, and reported by Apply. A SendCommand of the request's owner
-// uses up its number, valid or not.
-func (v *Validator) Validate(now time.Duration, epoch message.Epoch, m message.Message) message.RejectReason {
+// Validate returns why a command of a session, or of the local policy (LocalEpoch), may not be executed, and counts it by
+// that reason; ReasonNone: it may be executed. A valid command must be executed at once, and reported by Apply. The number
+// of a SendCommand of the request's owner is used from then on, even if the command is not valid.
+func (v *Validator) Validate(now time.Duration, epoch message.Epoch, command message.Message) message.RejectReason {
 	v.advance(now)
-	reason := v.validate(epoch, m)
+	reason := v.validate(epoch, command)
 	if reason != message.ReasonNone {
 		v.rejected[reason]++
 	}
@@ -29,11 +29,12 @@
 	return 0
 }
 
-func (v *Validator) validate(epoch message.Epoch, m message.Message) message.RejectReason {
+// validate returns why a command may not be executed.
+func (v *Validator) validate(epoch message.Epoch, command message.Message) message.RejectReason {
 	if epoch != LocalEpoch && !v.openSessions[epoch] {
 		return message.ReasonStaleEpoch
 	}
-	switch command := m.(type) {
+	switch command := command.(type) {
 	case *message.HealthCheckCommand:
 		return v.validateHealthCheck(command)
 	case *message.CloseIdleCommand:
@@ -55,43 +56,46 @@
 }
 
 // ownedRequest returns an open request whose owner is the session, or the reason why there is none.
-func (v *Validator) ownedRequest(epoch message.Epoch, id uint64) (*request, message.RejectReason) {
-	req := v.requests[id]
+func (v *Validator) ownedRequest(epoch message.Epoch, id uint64) (*requestRecord, message.RejectReason) {
+	request := v.requests[id]
 	switch {
-	case req == nil || req.state != requestOpen:
+	case request == nil || request.state != requestOpen:
 		return nil, message.ReasonUnknownRequest
-	case !req.assigned || req.owner != epoch:
+	case !request.assigned || request.owner != epoch:
 		return nil, message.ReasonNotOwner
 	}
-	return req, message.ReasonNone
+	return request, message.ReasonNone
 }
 
+// validateSend checks a send command, and uses its number.
 func (v *Validator) validateSend(epoch message.Epoch, command *message.SendCommand) message.RejectReason {
-	req, reason := v.ownedRequest(epoch, command.RequestID)
+	request, reason := v.ownedRequest(epoch, command.RequestID)
 	if reason != message.ReasonNone {
 		return reason
 	}
-	if command.Attempt < req.nextCommand || command.Attempt >= math.MaxInt32 {
+	if command.Attempt < request.nextCommand || command.Attempt >= math.MaxInt32 {
 		return message.ReasonDuplicateCommand
 	}
-	req.nextCommand = command.Attempt + 1
-	req.validatedCommand = command.Attempt
-	return v.validateAttempt(req, command.WorkerID)
+	request.nextCommand = command.Attempt + 1
+	request.validatedCommand = command.Attempt
+	return v.validateAttempt(request, command.WorkerID)
 }
 
+// validateReject checks a reject command.
 func (v *Validator) validateReject(epoch message.Epoch, command *message.RejectCommand) message.RejectReason {
-	req, reason := v.ownedRequest(epoch, command.RequestID)
+	request, reason := v.ownedRequest(epoch, command.RequestID)
 	if reason != message.ReasonNone {
 		return reason
 	}
-	if !req.canReject() {
+	if !request.canReject() {
 		return message.ReasonUnsafeRejection
 	}
 	return message.ReasonNone
 }
 
+// validateCancel checks a cancel command.
 func (v *Validator) validateCancel(epoch message.Epoch, command *message.CancelCommand) message.RejectReason {
-	req, reason := v.ownedRequest(epoch, command.RequestID)
+	request, reason := v.ownedRequest(epoch, command.RequestID)
 	if reason != message.ReasonNone {
 		return reason
 	}
@@ -99,12 +103,13 @@
 		return message.ReasonNotPermitted
 	}
 	index, ok := v.AttemptIndex(command.RequestID, command.Attempt)
-	if !ok || req.attempts[index].ended {
+	if !ok || request.attempts[index].ended {
 		return message.ReasonUnknownRequest
 	}
 	return message.ReasonNone
 }
 
+// validateHealthCheck checks a health check command.
 func (v *Validator) validateHealthCheck(command *message.HealthCheckCommand) message.RejectReason {
 	if reason := v.validateListed(command.WorkerID); reason != message.ReasonNone {
 		return reason
@@ -115,6 +120,7 @@
 	return message.ReasonNone
 }
 
+// validateListed checks that a worker is on the endpoint list.
 func (v *Validator) validateListed(workerID uint64) message.RejectReason {
 	if !v.isListed(workerID) {
 		return message.ReasonUnknownWorker
@@ -122,38 +128,38 @@
 	return message.ReasonNone
 }
 
-// validateAttempt checks a further attempt of a request at a worker against all rules.
-func (v *Validator) validateAttempt(req *request, workerID uint64) message.RejectReason {
+// validateAttempt checks another attempt of a request at a worker.
+func (v *Validator) validateAttempt(request *requestRecord, workerID uint64) message.RejectReason {
 	worker, listed := v.workers[workerID]
 	switch {
-	case v.now >= req.deadline:
+	case v.now >= request.deadline:
 		return message.ReasonDeadlineExceeded
-	case len(req.attempts) >= max(1, v.settings.AttemptLimit):
+	case len(request.attempts) >= max(1, v.settings.AttemptLimit):
 		return message.ReasonAttemptLimit
 	case !listed:
 		return message.ReasonUnknownWorker
-	case !permits(req.class.Kinds, worker.kind) || !permits(req.class.Zones, worker.zone):
+	case !permits(request.class.Kinds, worker.kind) || !permits(request.class.Zones, worker.zone):
 		return message.ReasonClassMismatch
 	case worker.status.State != message.WorkerUp || v.Blocked(workerID):
 		return message.ReasonWorkerDraining
 	}
-	for i := range req.attempts {
-		if reason := v.validateAfter(req, &req.attempts[i], workerID); reason != message.ReasonNone {
+	for i := range request.attempts {
+		if reason := v.validateAfter(request, &request.attempts[i], workerID); reason != message.ReasonNone {
 			return reason
 		}
 	}
 	return message.ReasonNone
 }
 
-// permits reports whether a class may go to a kind or zone of workers. A class without a list of them may go to any.
+// permits reports whether a class permits a kind or a zone of workers. A nil list permits all.
 func permits(permitted []int, index int) bool {
 	return permitted == nil || slices.Contains(permitted, index)
 }
 
-// validateAfter checks a further attempt at a worker against a previous attempt.
-func (v *Validator) validateAfter(req *request, previous *attempt, workerID uint64) message.RejectReason {
+// validateAfter checks another attempt at a worker against a previous attempt.
+func (v *Validator) validateAfter(request *requestRecord, previous *attemptRecord, workerID uint64) message.RejectReason {
 	if previous.possiblyExecuted() {
-		if reason := v.validateRepetition(&req.class, previous, v.workers[workerID]); reason != message.ReasonNone {
+		if reason := v.validateRepetition(&request.class, previous, v.workers[workerID]); reason != message.ReasonNone {
 			return reason
 		}
 	}
@@ -169,7 +175,7 @@
 }
 
 // validateRepetition checks whether a worker may execute a request again that a previous attempt has possibly executed.
-func (v *Validator) validateRepetition(class *dispatch.Class, previous *attempt, worker listedWorker) message.RejectReason {
+func (v *Validator) validateRepetition(class *dispatch.Class, previous *attemptRecord, worker listedWorker) message.RejectReason {
 	switch class.Idempotency {
 	case dispatch.Idempotent:
 		return message.ReasonNone
@@ -179,8 +185,8 @@
 	return message.ReasonPossiblyExecuted
 }
 
-// validateDeduplication checks whether the worker recognises the key of the previous attempt.
-func (v *Validator) validateDeduplication(class *dispatch.Class, previous *attempt, worker listedWorker) message.RejectReason {
+// validateDeduplication checks whether the worker still knows the idempotency key of the previous attempt.
+func (v *Validator) validateDeduplication(class *dispatch.Class, previous *attemptRecord, worker listedWorker) message.RejectReason {
 	switch {
 	case class.DeduplicationScope == dispatch.ScopeCell && worker.cell != previous.cell:
 		return message.ReasonOutsideScope
@@ -193,15 +199,16 @@
 }
 
 const (
-	// windowMarginDivisor leaves this part of a deduplication window for differing clocks and for the time in transit.
+	// The margin at the end of a deduplication window, for clock skew and the time in transit, is at least the window
+	// divided by windowMarginDivisor.
 	windowMarginDivisor = 20
 
-	// repeatMargin is left of a window at least, besides the time for a connection: what the dispatcher leaves for a process
-	// that is held up, for a request that goes in parts, and for the way (mayRepeat in package dispatch).
+	// repeatMargin is the least margin, to which the connect timeout is added. It is that of mayRepeat in package dispatch:
+	// for a paused process, for a request that is written in parts, and for the time in transit.
 	repeatMargin = 210 * time.Millisecond
 )
 
-// usableWindow is the part of a deduplication window in which a request is repeated.
+// usableWindow returns the part of a deduplication window in which another attempt may be sent.
 func (v *Validator) usableWindow(window time.Duration) time.Duration {
 	return window - max(window/windowMarginDivisor, v.settings.ConnectTimeout+repeatMargin)
 }
--- a/internal/control/validator/status_table.go
+++ b/internal/control/validator/status_table.go
@@ -6,21 +6,21 @@
 	"valvecove/internal/control/message"
 )
 
-// maxUnlisted bounds the statuses that are kept of workers that are not on the own endpoint list.
+// maxUnlisted is how many statuses of workers that are not on the forwarder's own endpoint list are kept.
 const maxUnlisted = 4096
 
-// statusTable has the newest status of each worker from others. Workers that are not on the own list are forgotten in the
-// order in which they were found not to be.
+// statusTable holds the newest status of each worker that planners have reported. Statuses of workers that are not on the
+// own endpoint list are removed in the order in which the workers left the list, or were first reported.
 type statusTable struct {
 	latest map[uint64]message.WorkerStatus
 
-	unlisted      []unlistedWorker // a ring; may hold entries that are listed or forgotten by now
-	oldest        int              // index of the ring's oldest entry, once it is full
+	unlisted      []unlistedWorker // a ring buffer; may hold entries that are no longer valid
+	oldest        int              // index of the oldest entry, once the ring buffer is full
 	sequence      uint64
-	unlistedSince map[uint64]uint64 // by worker: the sequence number of its ring entry, if it is not listed
+	unlistedSince map[uint64]uint64 // by worker: the sequence number of its entry, if it is not listed
 }
 
-// unlistedWorker is an entry of the ring. It is valid while unlistedSince has its sequence number.
+// unlistedWorker is an entry of the ring buffer. It is valid as long as unlistedSince has its sequence number.
 type unlistedWorker struct {
 	workerID uint64
 	sequence uint64
@@ -30,7 +30,7 @@
 	return statusTable{latest: map[uint64]message.WorkerStatus{}, unlistedSince: map[uint64]uint64{}}
 }
 
-// update keeps a status that is newer than the worker's last one, and reports whether it is.
+// update enters a status if it is newer than the worker's last one, and reports whether it is.
 func (t *statusTable) update(status message.WorkerStatus, listed bool) bool {
 	previous, known := t.latest[status.WorkerID]
 	if known && !status.Supersedes(previous) {
@@ -45,10 +45,10 @@
 	return true
 }
 
-// markListed notes that a worker is on the own list.
+// markListed records that a worker is on the own list.
 func (t *statusTable) markListed(workerID uint64) { delete(t.unlistedSince, workerID) }
 
-// markUnlisted notes that a worker is not on the own list. Only workers with a status matter.
+// markUnlisted records that a worker is not on the own list. It does nothing for a worker without a status.
 func (t *statusTable) markUnlisted(workerID uint64) {
 	if _, known := t.latest[workerID]; !known || t.unlistedSince[workerID] > 0 {
 		return
@@ -60,20 +60,21 @@
 		t.unlisted = append(t.unlisted, entry)
 		return
 	}
-	t.forget(t.unlisted[t.oldest])
+	t.remove(t.unlisted[t.oldest])
 	t.unlisted[t.oldest] = entry
 	t.oldest = (t.oldest + 1) % maxUnlisted
 }
 
-// forget drops the status of a ring's entry, if that is still valid.
-func (t *statusTable) forget(entry unlistedWorker) {
+// remove removes the status of an entry of the ring buffer, if the entry is valid.
+func (t *statusTable) remove(entry unlistedWorker) {
 	if t.unlistedSince[entry.workerID] == entry.sequence {
 		delete(t.unlistedSince, entry.workerID)
 		delete(t.latest, entry.workerID)
 	}
 }
 
-// resync finds the workers that are not on the own list any more. It is called after markListed for all that are.
+// resync calls markUnlisted for the workers that are no longer on the own list, after markListed was called for all that
+// are.
 func (t *statusTable) resync(isListed func(workerID uint64) bool) {
 	var removed []uint64
 	for workerID := range t.latest {
@@ -87,8 +88,8 @@
 	}
 }
 
-// blocking returns the status from others by which a worker gets nothing, whatever the own list says of it; not ok: there is
-// none. A status that the own list supersedes is forgotten.
+// blocking returns the reported status that excludes a worker which is up on the own list. It returns false if there is
+// none. A reported status that the own list supersedes is removed.
 func (t *statusTable) blocking(own message.WorkerStatus) (status message.WorkerStatus, ok bool) {
 	status, known := t.latest[own.WorkerID]
 	if !known {
--- a/internal/control/validator/status_test.go
+++ b/internal/control/validator/status_test.go
@@ -9,8 +9,8 @@
 	"valvecove/internal/control/message"
 )
 
-// Statuses of unlisted workers are forgotten in the end, those of listed workers are not, and neither depends on the order
-// in which a map is traversed.
+// A bounded number of statuses of unlisted workers is kept, and all of listed workers. Neither depends on the order in which
+// a map is iterated.
 func TestStatusesAreBounded(t *testing.T) {
 	first := keptStatuses(t)
 	second := keptStatuses(t)
@@ -36,10 +36,10 @@
 	}
 	for id := uint64(1); id <= listed; id++ {
 		if !v.Blocked(id) {
-			t.Fatalf("the status of %d, which is listed, is forgotten", id)
+			t.Fatalf("the status of %d, which is listed, is removed", id)
 		}
 	}
-	v.Observe(time.Hour, dispatch.WorkerList{Kind: dispatch.ListFull}) // none is listed any more
+	v.Observe(time.Hour, dispatch.WorkerList{Kind: dispatch.ListFull}) // none is listed from now on
 	for id := uint64(30001); id <= 30003; id++ {
 		v.ObserveStatus(time.Hour, message.WorkerStatus{WorkerID: id, State: message.WorkerGone})
 	}
@@ -51,7 +51,7 @@
 	return kept
 }
 
-// listOf is a full list of ready workers, from 1.
+// listOf returns a full list of count ready workers, numbered from 1.
 func listOf(revision int64, count uint64) dispatch.WorkerList {
 	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: revision}
 	for id := range count {
--- a/internal/control/validator/validator.go
+++ b/internal/control/validator/validator.go
@@ -14,8 +14,8 @@
 type Validator struct {
 	settings     dispatch.Settings
 	now          time.Duration // of the latest call
-	requests     map[uint64]*request
-	freeRequests []*request // for reuse
+	requests     map[uint64]*requestRecord
+	freeRequests []*requestRecord // for reuse
 	openSessions map[message.Epoch]bool
 	workers      map[uint64]listedWorker
 	statuses     statusTable
@@ -26,19 +26,19 @@
 func New(settings dispatch.Settings) *Validator {
 	return &Validator{
 		settings:     settings,
-		requests:     map[uint64]*request{},
+		requests:     map[uint64]*requestRecord{},
 		openSessions: map[message.Epoch]bool{},
 		workers:      map[uint64]listedWorker{},
 		statuses:     newStatusTable(),
 	}
 }
 
-// advance sets the present time. Time never runs backwards.
+// advance sets the present time. An earlier time than the present one is ignored.
 func (v *Validator) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// Observe takes in an event of the request table. If it ends an attempt, commandNumber is that attempt's number as the
-// request's owner counts it. The request table itself may not know it, if the request was closed between two sends of one
-// step.
+// Observe processes an event of the request table. If it ends an attempt, commandNumber is that attempt's number in the
+// count of the request's owner. The request table itself has no number for it if the request was closed between two sends
+// of one step.
 func (v *Validator) Observe(now time.Duration, event dispatch.Event) (commandNumber int, attemptEnded bool) {
 	v.advance(now)
 	switch event := event.(type) {
@@ -60,8 +60,8 @@
 	return 0, false
 }
 
-// Apply takes in an action that is executed: a Send that Validate has allowed, or a final response, whoever decided on it.
-// Other actions have no effect here.
+// Apply records an action that is executed: a Send that Validate has allowed, or a final response of the owner or of the
+// forwarder itself. Other actions are ignored.
 func (v *Validator) Apply(now time.Duration, action dispatch.Action) {
 	v.advance(now)
 	switch action := action.(type) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// OpenSession permits commands of a session.
+// OpenSession makes commands of a session valid.
 func (v *Validator) OpenSession(epoch message.Epoch) { v.openSessions[epoch] = true }
 
-// CloseSession ends a session: its commands are void from now on.
+// CloseSession makes commands of a session invalid.
 func (v *Validator) CloseSession(epoch message.Epoch) { delete(v.openSessions, epoch) }
--- a/internal/control/validator/workers.go
+++ b/internal/control/validator/workers.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// maxClockSkew bounds how far ahead of this process's clock a worker's start may plausibly be.
+// maxClockSkew is how far ahead of this process's clock a worker's start may be in a valid status.
 const maxClockSkew = time.Minute
 
 // listedWorker is an entry of the forwarder's own endpoint list.
@@ -18,7 +18,7 @@
 	status message.WorkerStatus // by the list
 }
 
-// updateList takes in an endpoint list, or changes of it.
+// updateList processes an endpoint list, or changes of it.
 func (v *Validator) updateList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
 		return
@@ -35,6 +35,7 @@
 	}
 }
 
+// updateWorker processes an entry of an endpoint list.
 func (v *Validator) updateWorker(entry *dispatch.Worker, revision int64) {
 	if entry.Removed {
 		delete(v.workers, entry.ID)
@@ -54,13 +55,14 @@
 	v.statuses.markListed(entry.ID)
 }
 
+// isListed reports whether a worker is on the own endpoint list.
 func (v *Validator) isListed(workerID uint64) bool {
 	_, listed := v.workers[workerID]
 	return listed
 }
 
-// ObserveStatus takes in a worker's status from a planner. It reports whether that is newer than all that was known. A
-// status whose start lies in the future, or is negative, is ignored.
+// ObserveStatus processes a worker's status from a planner, and reports whether it is newer than every status before. A
+// status whose start is in the future, beyond maxClockSkew, or negative is ignored.
 func (v *Validator) ObserveStatus(now time.Duration, status message.WorkerStatus) (isNew bool) {
 	v.advance(now)
 	if status.StartedMs < 0 || time.Duration(status.StartedMs) > (v.now+maxClockSkew)/time.Millisecond {
@@ -73,7 +75,7 @@
 	return !listed || status.Supersedes(worker.status)
 }
 
-// BlockingStatus returns the newest status by which a listed worker gets nothing; not ok: there is none.
+// BlockingStatus returns the newest status by which a listed worker may get no attempts. It returns false if there is none.
 func (v *Validator) BlockingStatus(workerID uint64) (status message.WorkerStatus, ok bool) {
 	worker, listed := v.workers[workerID]
 	if !listed {
@@ -85,7 +87,7 @@
 	return worker.status, worker.status.State != message.WorkerUp
 }
 
-// Blocked reports whether a worker that is up on the own list gets nothing all the same, by a status from others.
+// Blocked reports whether a worker that is up on the own list may get no attempts, by a status from a planner.
 func (v *Validator) Blocked(workerID uint64) bool {
 	worker, listed := v.workers[workerID]
 	if !listed || worker.status.State != message.WorkerUp {
