--- a/internal/link/cordon_store_test.go
+++ b/internal/scheduler/cordon_store_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"path/filepath"
@@ -13,23 +13,23 @@
 )
 
 // keepCordonsOn has the cordoned workers kept on a disk of the test.
-func (w *harness) keepCordonsOn(disk *filesystemtest.Disk, stateDir string) {
-	w.loop.files = disk
-	w.cordonStore = w.loop.newCordonStore(stateDir)
-	w.loop.prepareCordons(stateDir, w.cordonStore)
+func (h *harness) keepCordonsOn(disk *filesystemtest.Disk, stateDir string) {
+	h.scheduler.files = disk
+	h.cordonStore = h.scheduler.newCordonStore(stateDir)
+	h.scheduler.prepareCordons(stateDir, h.cordonStore)
 }
 
 // storeCordons moves the clock on and runs the loop until what is cordoned is stored.
-func (w *harness) storeCordons() {
-	for tries := 0; !w.cordonStore.State().Stored; tries++ {
+func (h *harness) storeCordons() {
+	for tries := 0; !h.cordonStore.State().Stored; tries++ {
 		if tries > 100 {
-			w.T.Fatal("never stored")
+			h.T.Fatal("never stored")
 		}
-		if w.cordonStore.IsWriting() {
-			_ = w.loop.RunOnce(1000) // the goroutine of the store wakes the loop
+		if h.cordonStore.IsWriting() {
+			_ = h.scheduler.RunOnce(1000) // the goroutine of the store wakes the loop
 		} else {
-			w.now += 5 * time.Second
-			_ = w.loop.RunOnce(0)
+			h.now += 5 * time.Second
+			_ = h.scheduler.RunOnce(0)
 		}
 	}
 }
@@ -42,9 +42,9 @@
 	disk.SetFault(filesystemtest.FailAll(syscall.EIO, filesystemtest.Sync))
 	predecessor.keepCordonsOn(disk, dir)
 	status := 0
-	predecessor.loop.cordons.Set("s-0", true, func(got int, _ string) { status = got })
+	predecessor.scheduler.cordons.Set("s-0", true, func(got int, _ string) { status = got })
 	for status == 0 {
-		_ = predecessor.loop.RunOnce(1000)
+		_ = predecessor.scheduler.RunOnce(1000)
 	}
 	if status != 503 {
 		t.Errorf("answered %d", status)
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkStoredBy expects a successor to store the cordon of its predecessor, and to remove what stands beside the file.
+// checkStoredBy expects a successor to store the cordon of its predecessor, and to remove other files beside it.
 func checkStoredBy(t *testing.T, successor *harness, disk *filesystemtest.Disk, dir string) {
 	t.Helper()
 	disk.SetFault(nil)
@@ -67,7 +67,7 @@
 	}
 }
 
-// What a predecessor could not store its successor stores, and the predecessor touches the file no more.
+// A cordon that a predecessor could not store is stored by its successor, and the predecessor no longer writes the file.
 func TestUnstoredCordonOutlivesHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
@@ -86,27 +86,27 @@
 	}
 }
 
-// What a predecessor could not store outlives its death too, if a successor had been told of it, before or after they met.
+// A cordon that a predecessor could not store outlives its death, if a successor was notified of it, with the handshake or later.
 func TestUnstoredCordonOutlivesPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
 	successor := startSuccessor()
 	predecessor.runIterations()
 	successor.runIterations()
-	predecessor.loop.restart.Close()
+	predecessor.scheduler.restart.Close()
 	predecessor.runIterations()
 	successor.runIterations()
 	checkStoredBy(t, successor, disk, dir)
 }
 
-// A hand-over that fails leaves the file with the predecessor, which goes on storing.
+// After a transfer that fails the predecessor still owns the file, and continues to store.
 func TestFailedTransferKeepsCordonFile(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
 	successor := startSuccessor()
 	predecessor.state.alter = addBrokenConnection
 	if err := predecessor.handOverTo(successor); err == nil {
-		t.Fatal("handed over to one that did not take it")
+		t.Fatal("relinquished to a successor that did not take over")
 	}
 	disk.SetFault(nil)
 	predecessor.storeCordons()
--- a/internal/link/hotrestart_test.go
+++ b/internal/scheduler/hotrestart_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -21,78 +21,77 @@
 	"valvecove/internal/requests"
 )
 
-// enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
-// after.
-func (w *harness) enableHotRestart() {
-	w.loop.dispatcher = dispatch.New(*w.loop.settings, 1)
-	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
-	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
+// enableHotRestart lets the scheduler be replaced, or replace another one. Its policy is scripted, before and after.
+func (h *harness) enableHotRestart() {
+	h.scheduler.dispatcher = dispatch.New(*h.scheduler.settings, 1)
+	h.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return h.policy }
+	h.scheduler.onFail = func(err error) { h.T.Errorf("a process fails: %v", err) }
 }
 
-// newPredecessorHarness returns a world that serves and awaits a successor, and the address that clients connect to.
+// newPredecessorHarness returns a scheduler that serves and awaits a successor, and the address that clients connect to.
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
-	w := newHarness(choices)
-	w.enableHotRestart()
-	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	h := newHarness(choices)
+	h.enableHotRestart()
+	if err := h.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		choices.T.Fatal(err)
 	}
-	w.loop.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
-	return w, w.loop.Addr()
+	h.scheduler.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, h.scheduler.Addr()))
+	return h, h.scheduler.Addr()
 }
 
-// startSuccessor returns a new world that stands by to replace this one.
-func (w *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
-	return w.startSuccessorAfterStep(dir, address, 0)
+// startSuccessor returns a successor in standby.
+func (h *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
+	return h.startSuccessorAfterStep(dir, address, 0)
 }
 
 // startSuccessorAfterStep is startSuccessor where the wall clock was stepped between the starts of the two processes.
-func (w *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
-	successor := newHarness(w.Steps)
+func (h *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
+	successor := newHarness(h.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.ahead, successor.loop.settings = w.now+step, w.ahead+step, w.loop.settings
-	successor.loop.prepareCordons(dir, nil)
-	w.Check(successor.loop.restart.Join(dir, address), "no predecessor")
+	successor.now, successor.ahead, successor.scheduler.settings = h.now+step, h.ahead+step, h.scheduler.settings
+	successor.scheduler.prepareCordons(dir, nil)
+	h.Check(successor.scheduler.restart.Join(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
-		w.runIterations()
+		h.runIterations()
 		successor.runIterations()
 	}
 	return successor
 }
 
-func (w *harness) successorState() hotrestart.SuccessorState {
-	state, isSuccessor := w.loop.restart.SuccessorState()
+func (h *harness) successorState() hotrestart.SuccessorState {
+	state, isSuccessor := h.scheduler.restart.SuccessorState()
 	if !isSuccessor {
 		return hotrestart.SuccessorServing
 	}
 	return state
 }
 
-// handOverTo hands over to a successor that stands by. The predecessor does nothing else meanwhile, so the successor's loop
-// runs on another goroutine.
-func (w *harness) handOverTo(successor *harness) error {
+// handOverTo transfers the state to a successor in standby. The predecessor does nothing else meanwhile, so the successor's loop runs
+// on another goroutine.
+func (h *harness) handOverTo(successor *harness) error {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for successor.successorState() == hotrestart.SuccessorStandby || successor.successorState() == hotrestart.SuccessorReceiving {
-			_ = successor.loop.RunOnce(1000)
+			_ = successor.scheduler.RunOnce(1000)
 		}
 	}()
-	err := w.loop.Relinquish()
+	err := h.scheduler.Relinquish()
 	if err != nil { // the connection is closed with the end of the iteration
-		_ = w.loop.RunOnce(0)
+		_ = h.scheduler.RunOnce(0)
 	}
 	<-ended
-	w.runIterations()
+	h.runIterations()
 	successor.runIterations()
 	return err
 }
 
-// sendRequest has a client of the world send request "q", on a connection of its own.
-func (w *harness) sendRequest(at netip.AddrPort) *peer {
-	client, fd := w.socketPair()
-	w.loop.clients.AddConnection(fd, at)
-	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
-	w.runIterations()
+// sendRequest has a client send request "q", on a connection of its own.
+func (h *harness) sendRequest(at netip.AddrPort) *peer {
+	client, fd := h.socketPair()
+	h.scheduler.clients.AddConnection(fd, at)
+	client.Write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
+	h.runIterations()
 	return client
 }
 
@@ -102,14 +101,14 @@
 	snapshot.WorkerConnections = append(snapshot.WorkerConnections, broken)
 }
 
-// A transfer that fails changes nothing: the predecessor is still the owner, and serves; the successor keeps nothing of it, and
-// connects again, so that the next transfer succeeds.
+// A transfer that fails changes nothing: the predecessor still owns the state, and serves; the successor discards what it has
+// received, and connects again, so that the next transfer succeeds.
 func TestFailedTransferChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
-	if both := predecessor.loop.clients.Limits().Connections + successor.loop.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
+	if both := predecessor.scheduler.clients.Limits().Connections + successor.scheduler.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
 		t.Errorf("two processes hold %d client connections", both)
 	}
 	peer, socket := predecessor.socketPair()
@@ -117,52 +116,52 @@
 		snapshot.ClientConnections = append(snapshot.ClientConnections, transport.ClientConnection{Descriptor: socket})
 		addBrokenConnection(snapshot)
 	}
-	if err := predecessor.handOverTo(successor); err == nil || predecessor.loop.hasRelinquished() || predecessor.loop.Requests.OpenCount() != 1 {
+	if err := predecessor.handOverTo(successor); err == nil || predecessor.scheduler.hasRelinquished() || predecessor.scheduler.Requests.OpenCount() != 1 {
 		t.Fatalf("handed over to one that did not take it: %v", err)
 	}
 	_ = unix.Close(socket)
 	predecessor.state.alter = nil
-	for successor.successorState() == hotrestart.SuccessorJoining || !predecessor.loop.restart.HasSuccessor() {
+	for successor.successorState() == hotrestart.SuccessorJoining || !predecessor.scheduler.restart.HasSuccessor() {
 		predecessor.runIterations()
 		successor.runIterations()
 	}
-	if peer.read(1); !peer.ended {
+	if peer.Read(1); !peer.Ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Requests.OpenCount() != 0 || successor.loop.clients.ConnectionCount() != 0 || successor.loop.clients.Socket() >= 0 {
+	if successor.scheduler.Requests.OpenCount() != 0 || successor.scheduler.clients.ConnectionCount() != 0 || successor.scheduler.clients.Socket() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
-	if err := predecessor.handOverTo(successor); err != nil || successor.loop.budget.IsHalved() {
+	if err := predecessor.handOverTo(successor); err != nil || successor.scheduler.budget.IsHalved() {
 		t.Fatalf("the second time: %v", err)
 	}
 	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
-	successor.loop.Requests.Wake()
+	successor.scheduler.Requests.Wake()
 	successor.runIterations()
-	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 503 ") {
-		t.Errorf("the client got %q", client.received)
+	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 503 ") {
+		t.Errorf("the client got %q", client.Received)
 	}
 }
 
-// Without a successor there is nothing to hand over to. A second successor is rejected, and takes nobody's place by that.
+// Without a successor, Relinquish fails. A second successor is rejected, and does not serve then.
 func TestSecondSuccessorIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
+	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
 		t.Errorf("without a successor: %v", err)
 	}
 	first := predecessor.startSuccessor(dir, address)
 	second := newHarness(predecessor.Steps)
 	second.enableHotRestart()
 	rejected := false
-	second.loop.onFail = func(error) { rejected = true }
-	if !second.loop.restart.Join(dir, address) {
+	second.scheduler.onFail = func(error) { rejected = true }
+	if !second.scheduler.restart.Join(dir, address) {
 		t.Error("the second successor finds no predecessor")
 	}
 	for !rejected {
 		predecessor.runIterations()
 		second.runIterations()
 	}
-	if second.loop.restart.AwaitsSuccessor() || second.loop.clients.Socket() >= 0 {
+	if second.scheduler.restart.AwaitsSuccessor() || second.scheduler.clients.Socket() >= 0 {
 		t.Error("the second successor serves, or has the predecessor's place")
 	}
 	if err := predecessor.handOverTo(first); err != nil {
@@ -170,7 +169,7 @@
 	}
 }
 
-// A predecessor that dies leaves its cordoned workers, in the file; what is left at the path of its socket is in nobody's way.
+// A predecessor that dies leaves its cordoned workers in the file. The file of its socket does not hinder the next process.
 func TestPredecessorDies(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -178,32 +177,32 @@
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	predecessor.loop.restart.Close()
+	predecessor.scheduler.restart.Close()
 	predecessor.runIterations()
 	successor.runIterations()
-	cordoned := successor.loop.Requests.Cordoned()
-	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.Socket() < 0 || successor.loop.notReadyReason() == "" {
+	cordoned := successor.scheduler.Requests.Cordoned()
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.scheduler.clients.Socket() < 0 || successor.scheduler.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
 	third := successor.startSuccessor(dir, address)
-	if err := successor.handOverTo(third); err != nil || len(third.loop.Requests.Cordoned()) != 1 {
+	if err := successor.handOverTo(third); err != nil || len(third.scheduler.Requests.Cordoned()) != 1 {
 		t.Errorf("the next one: %v", err)
 	}
 }
 
-// A snapshot that is of no use to the next build costs what was learnt, and no request: its policy is told of each request and
-// what became of its attempts.
+// A snapshot that the next build can't restore costs the estimates in it, and no request: the new policy is notified of each request
+// and of the state of its attempts.
 func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
-	predecessor.loop.Requests.Wake()
+	predecessor.scheduler.Requests.Wake()
 	predecessor.runIterations()
 	successor := predecessor.startSuccessor(dir, address)
-	otherSettings := *predecessor.loop.settings
+	otherSettings := *predecessor.scheduler.settings
 	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
-	successor.loop.settings = &otherSettings
+	successor.scheduler.settings = &otherSettings
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
@@ -215,26 +214,26 @@
 		}
 	}
 	if len(resumed) != 1 || resumed[0].Job.ID != 1 || len(resumed[0].Attempts) != 1 || resumed[0].Attempts[0].Ended {
-		t.Fatalf("told of %+v", resumed)
+		t.Fatalf("resumed %+v", resumed)
 	}
 	result := "made"
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
-	_, _ = successor.loop.Requests.HandleCallback(callback)
+	_, _ = successor.scheduler.Requests.HandleCallback(callback)
 	successor.runIterations()
-	if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
-		t.Errorf("the client got %q", client.received)
+	if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
+		t.Errorf("the client got %q", client.Received)
 	}
 }
 
-// A cordon call that was forwarded, and that the predecessor had not read when it handed over, is carried out by the new owner.
+// A cordon call that was forwarded, and that the predecessor had not read at the take-over, is carried out by the new owner.
 func TestCordonCallCrossesTransfer(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
-	successor.loop.cordons.Set("s-0", true, func(got int, _ string) { statusCode = got })
-	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Requests.Cordoned()) != 1 {
-		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Requests.Cordoned())
+	successor.scheduler.cordons.Set("s-0", true, func(got int, _ string) { statusCode = got })
+	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.scheduler.Requests.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.scheduler.Requests.Cordoned())
 	}
 }
 
@@ -244,15 +243,15 @@
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	written := make(chan func(), 1) // what the loop is to run once the file is written
-	predecessor.loop.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+	predecessor.scheduler.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files: filesystem.Disk, StateDir: dir, MaxCallbacks: 1,
-		Now:  predecessor.loop.Now,
+		Now:  predecessor.scheduler.Now,
 		Post: func(finish func()) { written <- finish },
 	}))
 	successor := predecessor.startSuccessor(dir, address)
 	var answers []string
 	call := func(workerID string, cordoned bool) {
-		successor.loop.cordons.Set(workerID, cordoned, func(statusCode int, message string) {
+		successor.scheduler.cordons.Set(workerID, cordoned, func(statusCode int, message string) {
 			answers = append(answers, fmt.Sprint(workerID, " ", statusCode, " ", message))
 		})
 	}
@@ -275,45 +274,45 @@
 	expect("s-9 404 no such worker node", "s-0 200 out", "s-0 200 serving")
 }
 
-// A process that is told to end while it stands by takes nothing along, and the next can stand by.
+// A process that leaves standby takes nothing over, and another one can enter standby.
 func TestLeaveStandby(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
-	if predecessor.loop.LeaveStandby() || !successor.loop.LeaveStandby() || successor.loop.LeaveStandby() {
-		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
+	if predecessor.scheduler.LeaveStandby() || !successor.scheduler.LeaveStandby() || successor.scheduler.LeaveStandby() {
+		t.Error("a process that serves leaves standby, or one in standby does not, or does twice")
 	}
 	successor.runIterations()
 	predecessor.runIterations()
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.budget.IsHalved() {
-		t.Errorf("handed over to nobody: %v", err)
+	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.scheduler.budget.IsHalved() {
+		t.Errorf("relinquished to nobody: %v", err)
 	}
 }
 
-// A process that takes over watches the endpoint list itself, from before it says that it is ready, and goes on to if the watch
-// had just ended.
+// A successor watches the endpoint list itself, from before it reports that it is ready, and still does after the take-over if its
+// watch had just ended.
 func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-		predecessor.loop.settings.MustSubscribe = true // a successor has its predecessor's settings
+		predecessor.scheduler.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
-		if !successor.loop.watch.IsOpen() {
-			t.Error("it stands by without a watch")
+		if !successor.scheduler.watch.IsOpen() {
+			t.Error("in standby without a watch")
 		}
 		if lost {
-			successor.loop.watch.Stop()
+			successor.scheduler.watch.Stop()
 		}
-		// Both are told to read their configuration, which names another discovery and other limits.
+		// Both reload their configuration, with another discovery address and other limits.
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
-		predecessor.loop.Reload(conf)
-		successor.loop.Reload(conf)
-		half := successor.loop.clients.Limits().Connections
+		predecessor.scheduler.Reload(conf)
+		successor.scheduler.Reload(conf)
+		half := successor.scheduler.clients.Limits().Connections
 		err := predecessor.handOverTo(successor)
-		watch := successor.loop.watch
-		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.loop.clients.Limits().Connections < 2*half {
+		watch := successor.scheduler.watch
+		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.scheduler.clients.Limits().Connections < 2*half {
 			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.IsOpen(), watch.Server(),
-				successor.loop.clients.Limits().Connections, half)
+				successor.scheduler.clients.Limits().Connections, half)
 		}
 	}
 }
@@ -321,24 +320,24 @@
 // clockSteps are steps of the wall clock between the starts of two processes.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// The wall clock may be stepped between the starts of two processes: what is handed over lives as long as it would have, and
-// has been idle for as long as it was. An attempt that ends in its last millisecond is still answered.
+// The wall clock may be stepped between the starts of two processes: deadlines and idle times of the transferred state are the same
+// spans as before. An attempt that ends in its last millisecond is still answered.
 func TestHotRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		_, silentClient := predecessor.socketPair()
-		predecessor.loop.clients.AddConnection(silentClient, address)
+		predecessor.scheduler.clients.AddConnection(silentClient, address)
 		client := predecessor.sendRequest(address)
 		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
-		predecessor.loop.Requests.Wake()
+		predecessor.scheduler.Requests.Wake()
 		predecessor.runIterations()
-		predecessor.dialed[0].write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
+		predecessor.dialed[0].Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 		predecessor.runIterations()
 		predecessor.now += time.Second
 		predecessor.runIterations()
 		successor := predecessor.startSuccessorAfterStep(dir, address, step)
-		predecessor.loop.dispatcher.Step(predecessor.now, nil, nil) // its next maintenance is due in 250 ms
+		predecessor.scheduler.dispatcher.Step(predecessor.now, nil, nil) // its next maintenance is due in 250 ms
 		before := predecessor.agesOfState()
 		want := stateAges{4 * time.Second, 4 * time.Second, time.Second, time.Second, time.Second, time.Second}
 		if before != want {
@@ -350,50 +349,50 @@
 		if after := successor.agesOfState(); after != before {
 			t.Errorf("stepped by %v: %+v, before %+v", step, after, before)
 		}
-		early := successor.loop.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
-		onTime := successor.loop.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
+		early := successor.scheduler.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
+		onTime := successor.scheduler.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
 		if len(early) != 0 || len(onTime) != 1 || onTime[0] != (dispatch.SetTimer{After: 250 * time.Millisecond}) {
 			t.Errorf("stepped by %v: the dispatcher acts too early or late: %v, then %v", step, early, onTime)
 		}
 		successor.now += before.untilDeadline - time.Millisecond
 		successor.runIterations()
-		if client.read(1 << 16); len(client.received) > 0 || client.ended {
-			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.received)
+		if client.Read(1 << 16); len(client.Received) > 0 || client.Ended {
+			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.Received)
 		}
 		result := "made"
-		_, _ = successor.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
+		_, _ = successor.scheduler.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
 		successor.runIterations()
-		if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
-			t.Errorf("stepped by %v: the client got %q", step, client.received)
+		if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
+			t.Errorf("stepped by %v: the client got %q", step, client.Received)
 		}
 	}
 }
 
-// stateAges are the spans of what is handed over, by the clock of the process that has it.
+// stateAges are the spans of the transferred state, by the clock of the process that owns it.
 type stateAges struct {
 	untilDeadline, untilAttemptExpires, sinceArrival, sinceSent, clientSilent, workerIdle time.Duration
 }
 
 // agesOfState returns the spans of request 1, of its attempt, of the client that has sent nothing, and of the idle connection
 // to the worker.
-func (w *harness) agesOfState() stateAges {
-	request := w.loop.Requests.Request(1)
-	attempt := w.loop.Requests.InFlightAttempt(1, 0)
+func (h *harness) agesOfState() stateAges {
+	request := h.scheduler.Requests.Request(1)
+	attempt := h.scheduler.Requests.InFlightAttempt(1, 0)
 	if request == nil || attempt == nil {
 		return stateAges{}
 	}
 	ages := stateAges{
-		untilDeadline: request.Deadline - w.now, untilAttemptExpires: attempt.At - w.now,
-		sinceArrival: w.now - request.ArrivedAt, sinceSent: w.now - request.FirstSentAt,
+		untilDeadline: request.Deadline - h.now, untilAttemptExpires: attempt.At - h.now,
+		sinceArrival: h.now - request.ArrivedAt, sinceSent: h.now - request.FirstSentAt,
 	}
-	for _, client := range w.loop.clients.Snapshot() {
+	for _, client := range h.scheduler.clients.Snapshot() {
 		if !client.RequestSeen {
-			ages.clientSilent = w.now - client.LastActivity
+			ages.clientSilent = h.now - client.LastActivity
 		}
 	}
-	for _, connection := range w.loop.workers.Snapshot() {
+	for _, connection := range h.scheduler.workers.Snapshot() {
 		if connection.State == hotrestart.WorkerIdle {
-			ages.workerIdle = w.now - connection.IdleSince
+			ages.workerIdle = h.now - connection.IdleSince
 		}
 	}
 	return ages
--- a/internal/link/outage_test.go
+++ b/internal/scheduler/outage_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"fmt"
@@ -64,7 +64,7 @@
 	d.lastLine = d.now
 	for _, p := range d.discovery {
 		if f := d.known[p]; f != nil && f.filler == 0 && !f.silent {
-			p.write([]byte(emptyLine))
+			p.Write([]byte(emptyLine))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		d.sendEmptyLines()
 		for p, f := range d.known {
 			if f.node != nil && f.try == nil && d.now > until-span/2 {
-				p.close()
+				p.Close()
 			}
 		}
 		d.runUntilSettled()
@@ -86,7 +86,7 @@
 // answerAll lets all requests come to their answers.
 func (d *deployment) answerAll() {
 	for range 2000 {
-		if d.loop.Requests.OpenCount() == 0 {
+		if d.scheduler.Requests.OpenCount() == 0 {
 			break
 		}
 		d.passTime(promptRun, promptRun, false)
@@ -112,8 +112,8 @@
 	return served
 }
 
-// After a long quiet time, in which workers have closed all idle connections and what was learnt has aged, the first burst is
-// served as any other.
+// After a long quiet time, in which workers have closed all idle connections and estimates have decayed, the first burst is served as
+// any other.
 func TestFirstBurstAfterAQuietTime(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -205,7 +205,7 @@
 		if f := d.known[p]; fault.silent && f != nil {
 			f.silent = true
 		} else {
-			p.close()
+			p.Close()
 		}
 	}
 	if fault.dial != nil {
@@ -219,7 +219,7 @@
 	d.neverUp = false
 	for _, p := range d.discovery {
 		if d.rng.IntN(2) == 0 {
-			p.close()
+			p.Close()
 		}
 	}
 }
@@ -299,7 +299,7 @@
 	for name, forget := range map[string]func(p *peer, f *farEnd, t *attempt){
 		"reset": func(p *peer, f *farEnd, t *attempt) {
 			f.try, t.ended = nil, true
-			p.reset()
+			p.Reset()
 		},
 		"black hole": func(*peer, *farEnd, *attempt) {},
 	} {
