--- a/internal/control/message/between_planners.go
+++ b/internal/control/message/between_planners.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// PeerHandshake opens a session of a planner with another one.
+// PeerHandshake opens a session between two planners.
 type PeerHandshake struct {
 	Name        string // of the sender
-	Incarnation uint64 // when its process started, Unix time in ns
+	Incarnation uint64 // start of its process, Unix time in ns
 	Version     int    // of the protocol: major version << 8 | minor version
 }
 
@@ -13,20 +13,20 @@
 func (*PeerHandshake) Kind() Kind { return KindPeerHandshake }
 
 // Clone copies the message.
-func (m *PeerHandshake) Clone() Message { return shallowClone(m) }
+func (p *PeerHandshake) Clone() Message { return shallowClone(p) }
 
-// LoadReport tells how much work a planner has.
+// LoadReport reports the load of a planner to another one.
 type LoadReport struct {
-	OpenRequests   int
-	QueuedRequests int           // of these without an attempt in flight
-	Forwarders     int           // with a session
-	TimerLag       time.Duration // how late it has been for its own timers
-	UsedSlots      float64       // occupied by its attempts
-	FreeSlots      float64       // that it takes to be free
+	OpenRequests   int           // requests that are assigned to the planner
+	QueuedRequests int           // of these, without an attempt in flight
+	Forwarders     int           // forwarders with a session
+	TimerLag       time.Duration // delay of the planner's own timers
+	UsedSlots      float64       // slots of workers that its attempts occupy
+	FreeSlots      float64       // slots of workers that it estimates to be free
 }
 
 // Kind returns KindLoadReport.
 func (*LoadReport) Kind() Kind { return KindLoadReport }
 
 // Clone copies the message.
-func (m *LoadReport) Clone() Message { return shallowClone(m) }
+func (l *LoadReport) Clone() Message { return shallowClone(l) }
--- a/internal/control/message/doc.go
+++ b/internal/control/message/doc.go
@@ -1,9 +1,9 @@
 // Package message defines the control protocol between forwarders and planners as Go types, one for each message. A
 // forwarder accepts clients' requests, sends attempts to workers, and responds; a planner decides for many forwarders
-// which worker each request goes to, and sees summaries and figures only, never payloads.
+// which worker each request is sent to. It receives summaries of requests, never payloads.
 //
-// The package holds values and their rules of precedence. It does not encode them (package codec does), opens no
-// connection, and decides nothing.
+// The package defines the messages, and which of two statuses of a worker supersedes the other. Package codec encodes
+// messages.
 //
 // # Sessions
 //
@@ -17,15 +17,15 @@
 //
 // A request ID is unique within a forwarder's process and never reused. A planner's commands name the request and number
 // its attempts: first those of the RequestOffer, from 0, then one for each SendCommand. Every SendCommand results in
-// exactly one AttemptEnded with its number, also if the forwarder's validator rejects it, unless the session ends or the
-// request is no longer the planner's.
+// exactly one AttemptEnded with its number, even if the forwarder's validator rejects it, unless the session ends or the
+// request is no longer assigned to the planner.
 //
 // # Transfers
 //
-// A planner that can't place a request has it transferred to another planner by name, at most twice in the request's life
+// A planner that can't place a request has it transferred to another planner by name, at most twice per request
 // (RequestSummary.Transfers counts). A TransferCommand without a name returns a request that made the planner's policy
 // panic: the forwarder offers it to another planner, and responds with a failure after the second such command. An offer
 // beyond a forwarder's credit, or beyond a planner's capacity, is transferred or rejected like any other.
 //
-// Times in messages are durations, never instants, as clocks differ. They count from when the message was sent.
+// Times in messages are durations, never instants, as clocks differ. They are relative to the sending of the message.
 package message
--- a/internal/control/message/from_forwarder.go
+++ b/internal/control/message/from_forwarder.go
@@ -10,7 +10,7 @@
 // Handshake opens a session; its envelope's epoch is the new session's.
 type Handshake struct {
 	Name        string // of the forwarder
-	Incarnation uint64 // when its process started, Unix time in ns
+	Incarnation uint64 // start of its process, Unix time in ns
 	Version     int    // of the protocol: major version << 8 | minor version
 }
 
@@ -18,10 +18,10 @@
 func (*Handshake) Kind() Kind { return KindHandshake }
 
 // Clone copies the message.
-func (m *Handshake) Clone() Message { return shallowClone(m) }
+func (h *Handshake) Clone() Message { return shallowClone(h) }
 
-// RequestOffer offers a request to a planner, which then decides on it until it responds, transfers it, or hears that it
-// is closed.
+// RequestOffer assigns a request to a planner, which decides on it until it responds, transfers it, or receives its
+// RequestClosed.
 type RequestOffer struct {
 	RequestID uint64
 	Summary   RequestSummary
@@ -31,41 +31,41 @@
 func (*RequestOffer) Kind() Kind { return KindRequestOffer }
 
 // Clone copies the message with its attempts.
-func (m *RequestOffer) Clone() Message {
-	clone := shallowClone(m)
-	clone.Summary.Attempts = slices.Clone(m.Summary.Attempts)
+func (r *RequestOffer) Clone() Message {
+	clone := shallowClone(r)
+	clone.Summary.Attempts = slices.Clone(r.Summary.Attempts)
 	return clone
 }
 
-// RequestSummary is what a planner knows of a request.
+// RequestSummary describes a request to a planner.
 type RequestSummary struct {
 	Class     int           // index into the settings' classes
 	Tenant    int           // index into the settings' tenants
 	Key       uint64        // hash of the idempotency key; 0: none
 	Remaining time.Duration // until the request's deadline
-	Waited    time.Duration // since it reached the forwarder
+	Waited    time.Duration // since its arrival at the forwarder
 	Hint      time.Duration // expected work on a standard core; 0: unknown
-	Slots     float64       // of a worker's concurrency limit that it occupies
-	Memory    float64       // that it occupies, in units of one slot's memory
+	Slots     float64       // slots of a worker's concurrency limit that an attempt occupies
+	Memory    float64       // memory that an attempt occupies, in units of one slot's memory
 	Retry     bool          // the client marked it as a retry
 	Transfers int           // transfer commands executed so far
-	Attempts  []PastAttempt // made so far, by whichever planner, in order
+	Attempts  []PastAttempt // all attempts so far, of any planner, in order
 }
 
 // PastAttempt is an attempt that was made before the request was offered.
 type PastAttempt struct {
 	WorkerID         uint64
 	SentAgo          time.Duration   // since it was sent
-	StartedAgo       time.Duration   // since the worker reported the start; 0: it has not
+	StartedAgo       time.Duration   // since the worker reported the start; 0: no start was reported
 	Ended            bool            // Result is valid
 	Result           dispatch.Result // of an attempt that has ended
-	PossiblyExecuted bool            // the worker may have executed it, or may yet, by the forwarder's request table
+	PossiblyExecuted bool            // the worker may have executed it, or may execute it in future, by the forwarder's records
 }
 
 // AttemptEnded reports the end of an attempt, or that a send command was rejected.
 type AttemptEnded struct {
 	RequestID uint64
-	Attempt   int // number of the attempt; -1: a reject command was turned into a failure
+	Attempt   int // number of the attempt; -1: a reject command was converted to a failure
 	Result    dispatch.Result
 	Reason    RejectReason // why the validator rejected the command; ReasonNone: it was executed
 }
@@ -74,9 +74,9 @@
 func (*AttemptEnded) Kind() Kind { return KindAttemptEnded }
 
 // Clone copies the message.
-func (m *AttemptEnded) Clone() Message { return shallowClone(m) }
+func (a *AttemptEnded) Clone() Message { return shallowClone(a) }
 
-// AttemptStarted reports that a worker has begun to execute an attempt.
+// AttemptStarted reports that a worker has started to execute an attempt.
 type AttemptStarted struct {
 	RequestID uint64
 	Attempt   int
@@ -86,23 +86,23 @@
 func (*AttemptStarted) Kind() Kind { return KindAttemptStarted }
 
 // Clone copies the message.
-func (m *AttemptStarted) Clone() Message { return shallowClone(m) }
+func (a *AttemptStarted) Clone() Message { return shallowClone(a) }
 
-// AttemptProgress reports how far a worker has come with an attempt.
+// AttemptProgress reports the progress of an attempt at its worker.
 type AttemptProgress struct {
 	RequestID uint64
 	Attempt   int
-	Fraction  float64 // done, from 0 to 1
+	Fraction  float64 // of the work that is done, from 0 to 1
 }
 
 // Kind returns KindAttemptProgress.
 func (*AttemptProgress) Kind() Kind { return KindAttemptProgress }
 
 // Clone copies the message.
-func (m *AttemptProgress) Clone() Message { return shallowClone(m) }
+func (a *AttemptProgress) Clone() Message { return shallowClone(a) }
 
-// RequestClosed tells that a request is no longer the planner's to decide on: it has its response, its client has
-// disconnected, or it was taken back.
+// RequestClosed ends the assignment of a request to the planner: the request has its response, its client has disconnected,
+// or it was revoked.
 type RequestClosed struct {
 	RequestID uint64
 }
@@ -111,7 +111,7 @@
 func (*RequestClosed) Kind() Kind { return KindRequestClosed }
 
 // Clone copies the message.
-func (m *RequestClosed) Clone() Message { return shallowClone(m) }
+func (r *RequestClosed) Clone() Message { return shallowClone(r) }
 
 // HealthCheckResult reports the result of a health check that the planner has commanded.
 type HealthCheckResult struct {
@@ -123,9 +123,9 @@
 func (*HealthCheckResult) Kind() Kind { return KindHealthCheckResult }
 
 // Clone copies the message.
-func (m *HealthCheckResult) Clone() Message { return shallowClone(m) }
+func (h *HealthCheckResult) Clone() Message { return shallowClone(h) }
 
-// Heartbeat asks the planner for a HeartbeatReply, which shows that it has read everything sent before.
+// Heartbeat requests a HeartbeatReply, which shows that the planner has read every message before the heartbeat.
 type Heartbeat struct {
 	Sequence uint64
 }
@@ -134,4 +134,4 @@
 func (*Heartbeat) Kind() Kind { return KindHeartbeat }
 
 // Clone copies the message.
-func (m *Heartbeat) Clone() Message { return shallowClone(m) }
+func (h *Heartbeat) Clone() Message { return shallowClone(h) }
--- a/internal/control/message/from_planner.go
+++ b/internal/control/message/from_planner.go
@@ -8,18 +8,18 @@
 // HandshakeAccept accepts a session.
 type HandshakeAccept struct {
 	Name        string // of the planner
-	Incarnation uint64 // when its process started, Unix time in ns
+	Incarnation uint64 // start of its process, Unix time in ns
 	Version     int    // of the protocol: major version << 8 | minor version
-	Credit      int    // requests that the forwarder may have open with the planner
+	Credit      int    // requests of the forwarder that may be assigned to the planner at a time
 }
 
 // Kind returns KindHandshakeAccept.
 func (*HandshakeAccept) Kind() Kind { return KindHandshakeAccept }
 
 // Clone copies the message.
-func (m *HandshakeAccept) Clone() Message { return shallowClone(m) }
+func (h *HandshakeAccept) Clone() Message { return shallowClone(h) }
 
-// CreditUpdate changes how many requests the forwarder may have open with the planner in all.
+// CreditUpdate sets how many requests of the forwarder may be assigned to the planner at a time.
 type CreditUpdate struct {
 	Credit int
 }
@@ -28,9 +28,9 @@
 func (*CreditUpdate) Kind() Kind { return KindCreditUpdate }
 
 // Clone copies the message.
-func (m *CreditUpdate) Clone() Message { return shallowClone(m) }
+func (c *CreditUpdate) Clone() Message { return shallowClone(c) }
 
-// SendCommand has a request sent to a worker.
+// SendCommand has the forwarder send a request to a worker.
 type SendCommand struct {
 	RequestID uint64
 	Attempt   int // number of the new attempt
@@ -42,25 +42,25 @@
 func (*SendCommand) Kind() Kind { return KindSendCommand }
 
 // Clone copies the message.
-func (m *SendCommand) Clone() Message { return shallowClone(m) }
+func (s *SendCommand) Clone() Message { return shallowClone(s) }
 
 func (*SendCommand) command() {}
 
-// RejectCommand has a request rejected.
+// RejectCommand has the forwarder respond to a request with a rejection.
 type RejectCommand struct {
 	RequestID  uint64
-	RetryAfter time.Duration // when the client should try again
+	RetryAfter time.Duration // delay after which the client may retry
 }
 
 // Kind returns KindRejectCommand.
 func (*RejectCommand) Kind() Kind { return KindRejectCommand }
 
 // Clone copies the message.
-func (m *RejectCommand) Clone() Message { return shallowClone(m) }
+func (r *RejectCommand) Clone() Message { return shallowClone(r) }
 
 func (*RejectCommand) command() {}
 
-// FailCommand has a request answered with a failure.
+// FailCommand has the forwarder respond to a request with a failure.
 type FailCommand struct {
 	RequestID uint64
 }
@@ -69,11 +69,11 @@
 func (*FailCommand) Kind() Kind { return KindFailCommand }
 
 // Clone copies the message.
-func (m *FailCommand) Clone() Message { return shallowClone(m) }
+func (f *FailCommand) Clone() Message { return shallowClone(f) }
 
 func (*FailCommand) command() {}
 
-// CancelCommand has an attempt withdrawn.
+// CancelCommand has the forwarder cancel an attempt.
 type CancelCommand struct {
 	RequestID uint64
 	Attempt   int
@@ -83,11 +83,11 @@
 func (*CancelCommand) Kind() Kind { return KindCancelCommand }
 
 // Clone copies the message.
-func (m *CancelCommand) Clone() Message { return shallowClone(m) }
+func (c *CancelCommand) Clone() Message { return shallowClone(c) }
 
 func (*CancelCommand) command() {}
 
-// HealthCheckCommand has a worker's health checked.
+// HealthCheckCommand has the forwarder check the health of a worker.
 type HealthCheckCommand struct {
 	WorkerID uint64
 }
@@ -96,11 +96,11 @@
 func (*HealthCheckCommand) Kind() Kind { return KindHealthCheckCommand }
 
 // Clone copies the message.
-func (m *HealthCheckCommand) Clone() Message { return shallowClone(m) }
+func (h *HealthCheckCommand) Clone() Message { return shallowClone(h) }
 
 func (*HealthCheckCommand) command() {}
 
-// CloseIdleCommand has idle connections to a worker closed.
+// CloseIdleCommand has the forwarder close its idle connections to a worker.
 type CloseIdleCommand struct {
 	WorkerID uint64
 }
@@ -109,11 +109,11 @@
 func (*CloseIdleCommand) Kind() Kind { return KindCloseIdleCommand }
 
 // Clone copies the message.
-func (m *CloseIdleCommand) Clone() Message { return shallowClone(m) }
+func (c *CloseIdleCommand) Clone() Message { return shallowClone(c) }
 
 func (*CloseIdleCommand) command() {}
 
-// TransferCommand has a request offered to another planner. The sender has dropped it.
+// TransferCommand has the forwarder offer a request to another planner. It ends the assignment to the sender.
 type TransferCommand struct {
 	RequestID uint64
 	Planner   string // name of the other planner; empty: the sender's policy panicked on the request
@@ -123,23 +123,23 @@
 func (*TransferCommand) Kind() Kind { return KindTransferCommand }
 
 // Clone copies the message.
-func (m *TransferCommand) Clone() Message { return shallowClone(m) }
+func (t *TransferCommand) Clone() Message { return shallowClone(t) }
 
 func (*TransferCommand) command() {}
 
 // HeartbeatReply replies to a Heartbeat.
 type HeartbeatReply struct {
 	Sequence uint64
-	TimerLag time.Duration // how late the planner is for its own timers
+	TimerLag time.Duration // delay of the planner's own timers
 }
 
 // Kind returns KindHeartbeatReply.
 func (*HeartbeatReply) Kind() Kind { return KindHeartbeatReply }
 
 // Clone copies the message.
-func (m *HeartbeatReply) Clone() Message { return shallowClone(m) }
+func (h *HeartbeatReply) Clone() Message { return shallowClone(h) }
 
-// ModelSnapshot is the state of the planner's predictors, for a forwarder's policy in standalone mode.
+// ModelSnapshot is the model of a planner's policy, for a forwarder's policy in standalone mode.
 type ModelSnapshot struct {
 	Age  time.Duration // since it was taken
 	Data []byte        // as the policy encodes it
@@ -155,12 +155,12 @@
 	return clone
 }
 
-// Goodbye tells that the planner shuts down: the forwarder is to offer its requests elsewhere. Commands that it has sent
-// remain valid.
+// Goodbye announces that the planner shuts down: the forwarder offers its requests to other planners. Commands that the
+// planner has sent before remain valid.
 type Goodbye struct{}
 
 // Kind returns KindGoodbye.
 func (*Goodbye) Kind() Kind { return KindGoodbye }
 
 // Clone copies the message.
-func (m *Goodbye) Clone() Message { return shallowClone(m) }
+func (g *Goodbye) Clone() Message { return shallowClone(g) }
--- a/internal/control/message/kind.go
+++ b/internal/control/message/kind.go
@@ -65,7 +65,7 @@
 	KindLoadReport:         "load-report",
 }
 
-// String returns the kind's name in lower case with hyphens, or "unknown".
+// String returns the name of the kind in lower case with hyphens, or "unknown".
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && kindNames[k] != "" {
 		return kindNames[k]
--- a/internal/control/message/message.go
+++ b/internal/control/message/message.go
@@ -1,19 +1,19 @@
 package message
 
-// Epoch numbers a session. Of two epochs of one forwarder the greater is the newer session.
+// Epoch is the number of a session. A greater epoch of the same forwarder is a newer session.
 type Epoch uint64
 
-// Message is one message of the protocol: a pointer to one of the types of this package. A message that is shared, by
-// several receivers say, is not to be changed.
+// Message is one message of the protocol: a pointer to one of the types of this package. A message must not be changed
+// once it is sent, as several receivers may share it.
 type Message interface {
 	// Kind identifies the message's type.
 	Kind() Kind
-	// Clone returns a copy that shares no memory with the message. A message that a codec.Reader returned has to be cloned
-	// in order to outlive the reader's next call.
+	// Clone returns a copy that shares no memory with the message. A message that a codec.Reader returned is
+	// valid only until the reader's next call: keep a clone.
 	Clone() Message
 }
 
-// Command is a message by which a planner has a forwarder do something. The forwarder's validator checks each of them.
+// Command is a message by which a planner commands an action of a forwarder. The forwarder's validator checks each of them.
 type Command interface {
 	Message
 	command()
@@ -33,8 +33,8 @@
 	return e
 }
 
-// shallowClone copies a message that has no slices.
-func shallowClone[T any](m *T) *T {
-	clone := *m
+// shallowClone copies a message without its slices, which the copy shares.
+func shallowClone[T any](original *T) *T {
+	clone := *original
 	return &clone
 }
--- a/internal/control/message/message_test.go
+++ b/internal/control/message/message_test.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/control/message"
 )
 
-// allMessages is a message of each type, with a value in every slice.
+// allMessages returns a message of each type, with a value in every slice.
 func allMessages() []message.Message {
 	return []message.Message{
 		&message.Handshake{Name: "f"},
--- a/internal/control/message/reject_reason.go
+++ b/internal/control/message/reject_reason.go
@@ -7,22 +7,22 @@
 // Reasons for which a command is rejected.
 const (
 	ReasonNone              RejectReason = iota // it was not rejected
-	ReasonStaleEpoch                            // its session is over
+	ReasonStaleEpoch                            // its session has ended
 	ReasonUnknownRequest                        // the request is closed, or was never offered to this planner
 	ReasonNotOwner                              // the request is assigned to another planner
 	ReasonPossiblyExecuted                      // a non-idempotent request may have been executed already
 	ReasonOutsideScope                          // the worker is outside the deduplication scope of the attempt that may have been executed
-	ReasonWindowExpired                         // the deduplication window is over
-	ReasonWorkerDraining                        // the worker drains, by its newest status
+	ReasonWindowExpired                         // the deduplication window has expired
+	ReasonWorkerDraining                        // the worker is draining by its newest status
 	ReasonUnknownWorker                         // the worker is not on the forwarder's endpoint list
 	ReasonDuplicateAtWorker                     // the worker has an attempt of the request in flight
-	ReasonHedgingDisabled                       // an attempt is in flight, and the settings allow no second one
-	ReasonAttemptLimit                          // the request has had as many attempts as the settings allow
-	ReasonDeadlineExceeded                      // the request's deadline is over
+	ReasonHedgingDisabled                       // another attempt is in flight, and the settings do not permit hedging
+	ReasonAttemptLimit                          // the request has had the maximum number of attempts
+	ReasonDeadlineExceeded                      // the request's deadline has passed
 	ReasonUnsafeRejection                       // a rejection would promise that the request was not executed
-	ReasonDuplicateCommand                      // a command of that number was given before
-	ReasonClassMismatch                         // the request's class may not go to the worker's kind or zone
-	ReasonNotPermitted                          // the settings rule the command out
+	ReasonDuplicateCommand                      // a command with that number or a higher one was given before
+	ReasonClassMismatch                         // the request's class does not permit the worker's kind or zone
+	ReasonNotPermitted                          // the settings do not permit the command, or it is no command
 	ReasonCount                                 // number of reasons
 )
 
