--- a/internal/control/codec/codec_test.go
+++ b/internal/control/codec/codec_test.go
@@ -25,7 +25,7 @@
 	message.KindWorkerStatus, message.KindPeerHandshake, message.KindLoadReport,
 }
 
-// source is what random messages are drawn from.
+// source is the source of randomness of messages.
 type source interface{ Pick(n int) int }
 
 type randomSource struct{ *rand.Rand }
@@ -177,7 +177,7 @@
 	return bytes.Repeat([]byte{byte(src.Pick(256))}, size)
 }
 
-// decodeAll feeds data in pieces and returns what was decoded.
+// decodeAll feeds data in pieces and returns the decoded messages.
 func decodeAll(r *Reader, data []byte, pieceSize func(remaining int) int) (decoded []message.Envelope, err error) {
 	for first := true; first || len(data) > 0; first = false {
 		size := min(len(data), max(pieceSize(len(data)), 1))
@@ -215,8 +215,8 @@
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// What is written is what is read, in any batches and pieces. After a change in transit the reader returns nothing that
-// was not written before it.
+// A reader returns the messages that were written, in any batches and pieces. If bytes are corrupted, it returns only
+// messages that were written before them.
 func FuzzFrames(f *testing.F) { modeltest.Fuzz(f, runFrames) }
 
 func runFrames(s *modeltest.Steps) {
@@ -238,16 +238,16 @@
 	randomPiece := func(remaining int) int { return 1 + rng.IntN(1+rng.IntN(max(remaining, 1))) }
 	r := NewReader(0)
 	decoded, err := decodeAll(r, wire, randomPiece)
-	s.Check(err == nil && equal(decoded, sent), "%d of %d came, %v", len(decoded), len(sent), err)
-	s.Check(cap(r.buffer) <= 4*maxReusedCapacity, "%d bytes held", cap(r.buffer))
+	s.Check(err == nil && equal(decoded, sent), "%d of %d received, %v", len(decoded), len(sent), err)
+	s.Check(cap(r.buffer) <= 4*maxReusedCapacity, "%d bytes buffered", cap(r.buffer))
 	if len(wire) == 0 {
 		return
 	}
 	for range 8 {
 		changed := corrupt(rng, wire)
 		decoded, err := decodeAll(NewReader(0), changed, randomPiece)
-		s.Check(len(decoded) <= len(sent) && equal(decoded, sent[:len(decoded)]), "believed, after %v", err)
-		s.Check(err != nil || len(decoded) < len(sent) || bytes.Equal(changed[:len(wire)], wire), "a change was not seen")
+		s.Check(len(decoded) <= len(sent) && equal(decoded, sent[:len(decoded)]), "other messages than were written, after %v", err)
+		s.Check(err != nil || len(decoded) < len(sent) || bytes.Equal(changed[:len(wire)], wire), "a corruption was not detected")
 	}
 }
 
@@ -276,7 +276,7 @@
 	}
 	const limit = 1 << 16
 	f.Fuzz(func(t *testing.T, data []byte, isBody bool) {
-		if isBody { // so that the fuzzer gets past the checksums
+		if isBody { // so that the fuzzer also reaches the messages, without valid checksums of its own
 			frame := append(make([]byte, headerSize), byte(min(len(data), 127)))
 			frame = append(frame, data[:min(len(data), 127)]...)
 			sealFrame(frame, Major, Minor)
@@ -300,7 +300,7 @@
 	})
 }
 
-// foreignMessage is of a type that this package does not know.
+// foreignMessage is of a type that is unknown to this package.
 type foreignMessage struct {
 	*message.Goodbye
 	kind message.Kind
@@ -345,7 +345,7 @@
 	}
 	wire := w.Take(nil)
 	if cap(w.buffer)+cap(w.body)+cap(w.fields.buffer) > 2*maxReusedCapacity {
-		t.Error("a writer keeps what it needed once")
+		t.Error("a writer keeps a large buffer")
 	}
 	r := NewReader(0)
 	decoded, err := decodeAll(r, wire, func(int) int { return 1 << 16 })
@@ -353,14 +353,14 @@
 		t.Errorf("%d messages, %v", len(decoded), err)
 	}
 	if r.Feed([]byte{magic0}); cap(r.buffer) > maxReusedCapacity {
-		t.Error("a reader keeps what it needed once")
+		t.Error("a reader keeps a large buffer")
 	}
 	if _, err := decodeAll(NewReader(1<<16), wire, func(int) int { return 100 }); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("over the limit: %v", err)
 	}
 }
 
-// Many small messages are many frames, none of which has to be long.
+// Many small messages are split into frames of limited size.
 func TestFramesAreSplit(t *testing.T) {
 	const count = 20000
 	var w Writer
@@ -371,7 +371,7 @@
 	}
 	decoded, err := decodeAll(NewReader(batchSize), w.Take(nil), func(int) int { return 4096 })
 	if len(decoded) != count || err != nil {
-		t.Fatalf("%d came, %v", len(decoded), err)
+		t.Fatalf("%d received, %v", len(decoded), err)
 	}
 	for i := range decoded {
 		if id := decoded[i].Message.(*message.SendCommand).RequestID; id != uint64(i) {
@@ -380,7 +380,7 @@
 	}
 }
 
-// In a steady state nothing is allocated.
+// In a steady state no memory is allocated.
 func TestNothingIsAllocated(t *testing.T) {
 	var w Writer
 	var wire []byte
@@ -403,7 +403,7 @@
 			decoded++
 		}
 		if decoded != len(all) {
-			t.Fatalf("%d of %d messages came", decoded, len(all))
+			t.Fatalf("%d of %d messages received", decoded, len(all))
 		}
 	}
 	iteration()
--- a/internal/control/codec/errors.go
+++ b/internal/control/codec/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors by which a Reader ends a stream.
+// Errors with which a Reader ends a stream.
 var (
 	ErrBadMagic  = errors.New("codec: not a frame of the control protocol")
 	ErrTooLarge  = errors.New("codec: frame exceeds the size limit")
@@ -21,11 +21,12 @@
 
 // VersionError ends the stream of a peer whose major version differs. Versions are major << 8 | minor.
 type VersionError struct {
-	Peer  int
-	Local int
+	Peer  int // version of the frame's sender
+	Local int // version of this process
 }
 
-func (e *VersionError) Error() string {
+// Error returns both versions.
+func (v *VersionError) Error() string {
 	return fmt.Sprintf("codec: the peer has protocol version %d.%d, this process %d.%d: one of the two must be updated",
-		e.Peer>>8, e.Peer&0xff, e.Local>>8, e.Local&0xff)
+		v.Peer>>8, v.Peer&0xff, v.Local>>8, v.Local&0xff)
 }
--- a/internal/control/codec/fields.go
+++ b/internal/control/codec/fields.go
@@ -10,260 +10,260 @@
 	"valvecove/internal/control/message"
 )
 
-// Bounds of single fields.
+// Bounds of fields.
 const (
-	maxTextLength    = 255
-	maxAttempts      = 255
-	maxInternedNames = 64
+	maxTextLength    = 255 // bytes
+	maxAttempts      = 255 // of a request offer
+	maxInternedNames = 64  // kept by a decoder
 )
 
-// fieldCodec encodes the fields that it visits, or decodes into them, so that one function per kind of message serves
-// both directions. Fields beyond the end of a decoded message are zero.
+// fieldCodec encodes the fields that it visits, or decodes them, so that one function per kind of message serves both
+// directions. Fields beyond the end of a decoded message are zero.
 type fieldCodec struct {
-	buffer      []byte // encoded so far, or left to be decoded
+	buffer      []byte // encoded so far, or yet to be decoded
 	significant int    // encoded bytes up to the last field that is not zero
 	encoding    bool
-	invalid     bool // a field is out of range, or bytes make no sense
+	invalid     bool // a field is out of range, or the bytes are malformed
 
-	// What decoded messages refer to; reused from message to message.
+	// Memory that decoded messages refer to. It is reused for the next message.
 	names    map[string]string
 	attempts []message.PastAttempt
 }
 
-// startEncoding begins a message that is appended to buffer.
-func (c *fieldCodec) startEncoding(buffer []byte) {
-	c.buffer = buffer
-	c.significant = len(buffer)
-	c.encoding = true
-	c.invalid = false
+// startEncoding starts the encoding of a message, which is appended to buffer.
+func (f *fieldCodec) startEncoding(buffer []byte) {
+	f.buffer = buffer
+	f.significant = len(buffer)
+	f.encoding = true
+	f.invalid = false
 }
 
-// startDecoding begins a message whose fields are in data.
-func (c *fieldCodec) startDecoding(data []byte) {
-	c.buffer = data
-	c.encoding = false
-	c.invalid = false
+// startDecoding starts the decoding of a message whose fields are in data.
+func (f *fieldCodec) startDecoding(data []byte) {
+	f.buffer = data
+	f.encoding = false
+	f.invalid = false
 }
 
 // fail marks the message as invalid; nothing more is decoded from it.
-func (c *fieldCodec) fail() {
-	c.invalid = true
-	c.buffer = nil
+func (f *fieldCodec) fail() {
+	f.invalid = true
+	f.buffer = nil
 }
 
-// finishField ends an encoded field. One that is not zero is kept, with all fields before it.
-func (c *fieldCodec) finishField(isZero bool) {
+// finishField ends an encoded field. Unless it is zero, it and all fields before it are significant.
+func (f *fieldCodec) finishField(isZero bool) {
 	if !isZero {
-		c.significant = len(c.buffer)
+		f.significant = len(f.buffer)
 	}
 }
 
 // unsigned visits a varint.
-func (c *fieldCodec) unsigned(field *uint64) {
-	if c.encoding {
-		c.buffer = binary.AppendUvarint(c.buffer, *field)
-		c.finishField(*field == 0)
+func (f *fieldCodec) unsigned(field *uint64) {
+	if f.encoding {
+		f.buffer = binary.AppendUvarint(f.buffer, *field)
+		f.finishField(*field == 0)
 		return
 	}
 	*field = 0
-	if len(c.buffer) == 0 {
+	if len(f.buffer) == 0 {
 		return
 	}
-	value, size := binary.Uvarint(c.buffer)
+	value, size := binary.Uvarint(f.buffer)
 	if size <= 0 {
-		c.fail()
+		f.fail()
 		return
 	}
 	*field = value
-	c.buffer = c.buffer[size:]
+	f.buffer = f.buffer[size:]
 }
 
 // signed visits a varint in zigzag form.
-func (c *fieldCodec) signed(field *int64) {
+func (f *fieldCodec) signed(field *int64) {
 	value := uint64(*field<<1) ^ uint64(*field>>63)
-	c.unsigned(&value)
+	f.unsigned(&value)
 	*field = int64(value>>1) ^ -int64(value&1)
 }
 
 // duration visits a time in nanoseconds.
-func (c *fieldCodec) duration(field *time.Duration) {
-	c.signed((*int64)(field))
+func (f *fieldCodec) duration(field *time.Duration) {
+	f.signed((*int64)(field))
 }
 
-// int visits a count or an index, which has to fit 32 bits.
-func (c *fieldCodec) int(field *int) {
+// int visits a count or an index, which must fit 32 bits.
+func (f *fieldCodec) int(field *int) {
 	value := int64(*field)
-	c.signed(&value)
+	f.signed(&value)
 	if value < math.MinInt32 || value > math.MaxInt32 {
-		c.invalid = true
+		f.invalid = true
 		value = 0
 	}
 	*field = int(value)
 }
 
-// float visits a number, in a form that is short for numbers of few significant bits: the low bits, which are zero then,
-// come last.
-func (c *fieldCodec) float(field *float64) {
+// float visits a number as a varint of its bytes in reverse order. That is short for numbers of few significant bits, as
+// their low bytes are zero.
+func (f *fieldCodec) float(field *float64) {
 	value := bits.ReverseBytes64(math.Float64bits(*field))
-	c.unsigned(&value)
+	f.unsigned(&value)
 	*field = math.Float64frombits(bits.ReverseBytes64(value))
 }
 
-// fixed visits a hash or an instant, which would be longer as a varint.
-func (c *fieldCodec) fixed(field *uint64) {
+// fixed visits a hash or an instant in eight bytes, as a varint would be longer.
+func (f *fieldCodec) fixed(field *uint64) {
 	const size = 8
-	if c.encoding {
-		c.buffer = binary.LittleEndian.AppendUint64(c.buffer, *field)
-		c.finishField(*field == 0)
+	if f.encoding {
+		f.buffer = binary.LittleEndian.AppendUint64(f.buffer, *field)
+		f.finishField(*field == 0)
 		return
 	}
 	*field = 0
 	switch {
-	case len(c.buffer) == 0:
-	case len(c.buffer) < size:
-		c.fail()
+	case len(f.buffer) == 0:
+	case len(f.buffer) < size:
+		f.fail()
 	default:
-		*field = binary.LittleEndian.Uint64(c.buffer)
-		c.buffer = c.buffer[size:]
+		*field = binary.LittleEndian.Uint64(f.buffer)
+		f.buffer = f.buffer[size:]
 	}
 }
 
 // byte visits a number of eight bits.
-func (c *fieldCodec) byte(field *uint8) {
-	if c.encoding {
-		c.buffer = append(c.buffer, *field)
-		c.finishField(*field == 0)
+func (f *fieldCodec) byte(field *uint8) {
+	if f.encoding {
+		f.buffer = append(f.buffer, *field)
+		f.finishField(*field == 0)
 		return
 	}
 	*field = 0
-	if len(c.buffer) > 0 {
-		*field = c.buffer[0]
-		c.buffer = c.buffer[1:]
+	if len(f.buffer) > 0 {
+		*field = f.buffer[0]
+		f.buffer = f.buffer[1:]
 	}
 }
 
 // flags visits up to eight booleans in one byte. Unknown ones are skipped.
-func (c *fieldCodec) flags(fields ...*bool) {
+func (f *fieldCodec) flags(fields ...*bool) {
 	var value uint8
 	for i, field := range fields {
 		if *field {
 			value |= 1 << i
 		}
 	}
-	c.byte(&value)
+	f.byte(&value)
 	for i, field := range fields {
 		*field = value&(1<<i) != 0
 	}
 }
 
 // result visits the result of an attempt or a health check.
-func (c *fieldCodec) result(field *dispatch.Result) {
+func (f *fieldCodec) result(field *dispatch.Result) {
 	value := uint8(*field)
-	if c.encoding && int(*field) != int(value) {
-		c.invalid = true
+	if f.encoding && int(*field) != int(value) {
+		f.invalid = true
 	}
-	c.byte(&value)
+	f.byte(&value)
 	*field = dispatch.Result(value)
 }
 
-// length visits the length of what follows, of which each item takes a byte at least.
-func (c *fieldCodec) length(n, limit int) int {
-	value := uint64(n)
-	c.unsigned(&value)
-	if value > uint64(limit) || !c.encoding && value > uint64(len(c.buffer)) {
-		c.fail()
+// length visits the number of items that follow, each of which has at least one byte.
+func (f *fieldCodec) length(count, limit int) int {
+	value := uint64(count)
+	f.unsigned(&value)
+	if value > uint64(limit) || !f.encoding && value > uint64(len(f.buffer)) {
+		f.fail()
 		return 0
 	}
 	return int(value)
 }
 
 // text visits a name.
-func (c *fieldCodec) text(field *string) {
-	length := c.length(len(*field), maxTextLength)
+func (f *fieldCodec) text(field *string) {
+	length := f.length(len(*field), maxTextLength)
 	switch {
-	case c.invalid:
+	case f.invalid:
 		*field = ""
-	case c.encoding:
-		c.buffer = append(c.buffer, *field...)
-		c.finishField(length == 0)
+	case f.encoding:
+		f.buffer = append(f.buffer, *field...)
+		f.finishField(length == 0)
 	default:
-		*field = c.intern(c.buffer[:length])
-		c.buffer = c.buffer[length:]
+		*field = f.intern(f.buffer[:length])
+		f.buffer = f.buffer[length:]
 	}
 }
 
-// intern returns data as a string. Few different names occur, so most strings are allocated once.
-func (c *fieldCodec) intern(data []byte) string {
-	if name, ok := c.names[string(data)]; ok {
+// intern returns data as a string. It allocates a name once, as there are few different names.
+func (f *fieldCodec) intern(data []byte) string {
+	if name, ok := f.names[string(data)]; ok {
 		return name
 	}
-	if c.names == nil || len(c.names) >= maxInternedNames {
-		c.names = make(map[string]string, maxInternedNames)
+	if f.names == nil || len(f.names) >= maxInternedNames {
+		f.names = make(map[string]string, maxInternedNames)
 	}
 	name := string(data)
-	c.names[name] = name
+	f.names[name] = name
 	return name
 }
 
 // bytes visits opaque data. Decoded data remains in the reader's buffer.
-func (c *fieldCodec) bytes(field *[]byte) {
-	length := c.length(len(*field), MaxPayloadSize)
+func (f *fieldCodec) bytes(field *[]byte) {
+	length := f.length(len(*field), MaxPayloadSize)
 	switch {
-	case c.invalid:
+	case f.invalid:
 		*field = nil
-	case c.encoding:
-		c.buffer = append(c.buffer, *field...)
-		c.finishField(length == 0)
+	case f.encoding:
+		f.buffer = append(f.buffer, *field...)
+		f.finishField(length == 0)
 	case length == 0:
 		*field = nil
 	default:
-		*field = c.buffer[:length:length]
-		c.buffer = c.buffer[length:]
+		*field = f.buffer[:length:length]
+		f.buffer = f.buffer[length:]
 	}
 }
 
-// pastAttempts visits a list whose items have lengths of their own, so that later versions may append fields to them.
-func (c *fieldCodec) pastAttempts(field *[]message.PastAttempt) {
-	count := c.length(len(*field), maxAttempts)
+// pastAttempts visits a list of attempts. Each has a length of its own, so that later versions may append fields to it.
+func (f *fieldCodec) pastAttempts(field *[]message.PastAttempt) {
+	count := f.length(len(*field), maxAttempts)
 	switch {
-	case c.invalid:
-	case c.encoding:
+	case f.invalid:
+	case f.encoding:
 		for i := range *field {
-			c.encodePastAttempt(&(*field)[i])
+			f.encodePastAttempt(&(*field)[i])
 		}
 	default:
-		*field = c.decodePastAttempts(count)
+		*field = f.decodePastAttempts(count)
 	}
 }
 
-func (c *fieldCodec) encodePastAttempt(attempt *message.PastAttempt) {
-	lengthAt := len(c.buffer)
-	c.buffer = append(c.buffer, 0)
+func (f *fieldCodec) encodePastAttempt(attempt *message.PastAttempt) {
+	lengthAt := len(f.buffer)
+	f.buffer = append(f.buffer, 0)
 	item := fieldCodec{}
-	item.startEncoding(c.buffer)
+	item.startEncoding(f.buffer)
 	item.pastAttempt(attempt)
-	c.buffer = item.buffer[:item.significant]
-	c.buffer[lengthAt] = byte(item.significant - lengthAt - 1) // 30 at most
-	c.invalid = c.invalid || item.invalid
-	c.finishField(false)
+	f.buffer = item.buffer[:item.significant]
+	f.buffer[lengthAt] = byte(item.significant - lengthAt - 1) // 30 at most
+	f.invalid = f.invalid || item.invalid
+	f.finishField(false)
 }
 
-func (c *fieldCodec) decodePastAttempts(count int) []message.PastAttempt {
-	c.attempts = c.attempts[:0]
+func (f *fieldCodec) decodePastAttempts(count int) []message.PastAttempt {
+	f.attempts = f.attempts[:0]
 	for range count {
-		size := c.length(0, MaxPayloadSize)
-		if c.invalid {
+		size := f.length(0, MaxPayloadSize)
+		if f.invalid {
 			return nil
 		}
-		c.attempts = append(c.attempts, message.PastAttempt{})
+		f.attempts = append(f.attempts, message.PastAttempt{})
 		item := fieldCodec{}
-		item.startDecoding(c.buffer[:size])
-		item.pastAttempt(&c.attempts[len(c.attempts)-1])
-		c.invalid = c.invalid || item.invalid
-		c.buffer = c.buffer[size:]
+		item.startDecoding(f.buffer[:size])
+		item.pastAttempt(&f.attempts[len(f.attempts)-1])
+		f.invalid = f.invalid || item.invalid
+		f.buffer = f.buffer[size:]
 	}
 	if count == 0 {
 		return nil
 	}
-	return c.attempts
+	return f.attempts
 }
--- a/internal/control/codec/formats.go
+++ b/internal/control/codec/formats.go
@@ -2,41 +2,41 @@
 
 import "valvecove/internal/control/message"
 
-// format is how a kind of message is encoded.
+// format encodes and decodes a kind of message.
 type format struct {
 	// newMessage allocates a message of the kind.
 	newMessage func() message.Message
 	// reset sets a message of the kind to its zero value.
-	reset func(m message.Message)
-	// visit visits the message's fields in their order. It reports whether m is of the kind's type and not nil.
-	visit func(c *fieldCodec, m message.Message) bool
+	reset func(body message.Message)
+	// visit visits the message's fields in their order. It returns false if body is not of the kind's type, or nil.
+	visit func(fields *fieldCodec, body message.Message) bool
 }
 
 // formatOf returns the format of the message type T with a function that visits its fields.
 func formatOf[T any, M interface {
 	*T
 	message.Message
-}](fields func(c *fieldCodec, m M),
+}](visitFields func(fields *fieldCodec, body M),
 ) *format {
 	return &format{
 		newMessage: func() message.Message { return M(new(T)) },
-		reset: func(m message.Message) {
-			if typed, ok := m.(M); ok {
+		reset: func(body message.Message) {
+			if typed, ok := body.(M); ok {
 				*typed = *new(T)
 			}
 		},
-		visit: func(c *fieldCodec, m message.Message) bool {
-			typed, ok := m.(M)
+		visit: func(fields *fieldCodec, body message.Message) bool {
+			typed, ok := body.(M)
 			if !ok || typed == nil {
 				return false
 			}
-			fields(c, typed)
+			visitFields(fields, typed)
 			return true
 		},
 	}
 }
 
-// formatOfKind returns the format of a kind; nil: this version does not know it.
+// formatOfKind returns the format of a kind; nil: the kind is unknown to this version.
 func formatOfKind(kind message.Kind) *format {
 	if int(kind) < len(formats) {
 		return formats[kind]
@@ -46,133 +46,135 @@
 
 // formats are the fields of all messages, by kind. Their order is part of the protocol; new fields are appended.
 var formats = [...]*format{
-	message.KindHandshake: formatOf(func(c *fieldCodec, m *message.Handshake) {
-		c.identity(&m.Name, &m.Incarnation, &m.Version)
+	message.KindHandshake: formatOf(func(fields *fieldCodec, body *message.Handshake) {
+		fields.identity(&body.Name, &body.Incarnation, &body.Version)
 	}),
-	message.KindPeerHandshake: formatOf(func(c *fieldCodec, m *message.PeerHandshake) {
-		c.identity(&m.Name, &m.Incarnation, &m.Version)
+	message.KindPeerHandshake: formatOf(func(fields *fieldCodec, body *message.PeerHandshake) {
+		fields.identity(&body.Name, &body.Incarnation, &body.Version)
 	}),
-	message.KindHandshakeAccept: formatOf(func(c *fieldCodec, m *message.HandshakeAccept) {
-		c.identity(&m.Name, &m.Incarnation, &m.Version)
-		c.int(&m.Credit)
+	message.KindHandshakeAccept: formatOf(func(fields *fieldCodec, body *message.HandshakeAccept) {
+		fields.identity(&body.Name, &body.Incarnation, &body.Version)
+		fields.int(&body.Credit)
 	}),
-	message.KindRequestOffer: formatOf(func(c *fieldCodec, m *message.RequestOffer) {
-		c.unsigned(&m.RequestID)
-		c.requestSummary(&m.Summary)
+	message.KindRequestOffer: formatOf(func(fields *fieldCodec, body *message.RequestOffer) {
+		fields.unsigned(&body.RequestID)
+		fields.requestSummary(&body.Summary)
 	}),
-	message.KindAttemptEnded: formatOf(func(c *fieldCodec, m *message.AttemptEnded) {
-		c.unsigned(&m.RequestID)
-		c.int(&m.Attempt)
-		c.result(&m.Result)
-		c.byte((*uint8)(&m.Reason))
+	message.KindAttemptEnded: formatOf(func(fields *fieldCodec, body *message.AttemptEnded) {
+		fields.unsigned(&body.RequestID)
+		fields.int(&body.Attempt)
+		fields.result(&body.Result)
+		fields.byte((*uint8)(&body.Reason))
 	}),
-	message.KindAttemptStarted: formatOf(func(c *fieldCodec, m *message.AttemptStarted) {
-		c.unsigned(&m.RequestID)
-		c.int(&m.Attempt)
+	message.KindAttemptStarted: formatOf(func(fields *fieldCodec, body *message.AttemptStarted) {
+		fields.unsigned(&body.RequestID)
+		fields.int(&body.Attempt)
 	}),
-	message.KindAttemptProgress: formatOf(func(c *fieldCodec, m *message.AttemptProgress) {
-		c.unsigned(&m.RequestID)
-		c.int(&m.Attempt)
-		c.float(&m.Fraction)
+	message.KindAttemptProgress: formatOf(func(fields *fieldCodec, body *message.AttemptProgress) {
+		fields.unsigned(&body.RequestID)
+		fields.int(&body.Attempt)
+		fields.float(&body.Fraction)
 	}),
-	message.KindRequestClosed: formatOf(func(c *fieldCodec, m *message.RequestClosed) {
-		c.unsigned(&m.RequestID)
+	message.KindRequestClosed: formatOf(func(fields *fieldCodec, body *message.RequestClosed) {
+		fields.unsigned(&body.RequestID)
 	}),
-	message.KindHealthCheckResult: formatOf(func(c *fieldCodec, m *message.HealthCheckResult) {
-		c.fixed(&m.WorkerID)
-		c.result(&m.Result)
+	message.KindHealthCheckResult: formatOf(func(fields *fieldCodec, body *message.HealthCheckResult) {
+		fields.fixed(&body.WorkerID)
+		fields.result(&body.Result)
 	}),
-	message.KindHeartbeat: formatOf(func(c *fieldCodec, m *message.Heartbeat) {
-		c.unsigned(&m.Sequence)
+	message.KindHeartbeat: formatOf(func(fields *fieldCodec, body *message.Heartbeat) {
+		fields.unsigned(&body.Sequence)
 	}),
-	message.KindCreditUpdate: formatOf(func(c *fieldCodec, m *message.CreditUpdate) {
-		c.int(&m.Credit)
+	message.KindCreditUpdate: formatOf(func(fields *fieldCodec, body *message.CreditUpdate) {
+		fields.int(&body.Credit)
 	}),
-	message.KindSendCommand: formatOf(func(c *fieldCodec, m *message.SendCommand) {
-		c.unsigned(&m.RequestID)
-		c.int(&m.Attempt)
-		c.fixed(&m.WorkerID)
-		c.duration(&m.Timeout)
+	message.KindSendCommand: formatOf(func(fields *fieldCodec, body *message.SendCommand) {
+		fields.unsigned(&body.RequestID)
+		fields.int(&body.Attempt)
+		fields.fixed(&body.WorkerID)
+		fields.duration(&body.Timeout)
 	}),
-	message.KindRejectCommand: formatOf(func(c *fieldCodec, m *message.RejectCommand) {
-		c.unsigned(&m.RequestID)
-		c.duration(&m.RetryAfter)
+	message.KindRejectCommand: formatOf(func(fields *fieldCodec, body *message.RejectCommand) {
+		fields.unsigned(&body.RequestID)
+		fields.duration(&body.RetryAfter)
 	}),
-	message.KindFailCommand: formatOf(func(c *fieldCodec, m *message.FailCommand) {
-		c.unsigned(&m.RequestID)
+	message.KindFailCommand: formatOf(func(fields *fieldCodec, body *message.FailCommand) {
+		fields.unsigned(&body.RequestID)
 	}),
-	message.KindCancelCommand: formatOf(func(c *fieldCodec, m *message.CancelCommand) {
-		c.unsigned(&m.RequestID)
-		c.int(&m.Attempt)
+	message.KindCancelCommand: formatOf(func(fields *fieldCodec, body *message.CancelCommand) {
+		fields.unsigned(&body.RequestID)
+		fields.int(&body.Attempt)
 	}),
-	message.KindHealthCheckCommand: formatOf(func(c *fieldCodec, m *message.HealthCheckCommand) {
-		c.fixed(&m.WorkerID)
+	message.KindHealthCheckCommand: formatOf(func(fields *fieldCodec, body *message.HealthCheckCommand) {
+		fields.fixed(&body.WorkerID)
 	}),
-	message.KindCloseIdleCommand: formatOf(func(c *fieldCodec, m *message.CloseIdleCommand) {
-		c.fixed(&m.WorkerID)
+	message.KindCloseIdleCommand: formatOf(func(fields *fieldCodec, body *message.CloseIdleCommand) {
+		fields.fixed(&body.WorkerID)
 	}),
-	message.KindTransferCommand: formatOf(func(c *fieldCodec, m *message.TransferCommand) {
-		c.unsigned(&m.RequestID)
-		c.text(&m.Planner)
+	message.KindTransferCommand: formatOf(func(fields *fieldCodec, body *message.TransferCommand) {
+		fields.unsigned(&body.RequestID)
+		fields.text(&body.Planner)
 	}),
-	message.KindHeartbeatReply: formatOf(func(c *fieldCodec, m *message.HeartbeatReply) {
-		c.unsigned(&m.Sequence)
-		c.duration(&m.TimerLag)
+	message.KindHeartbeatReply: formatOf(func(fields *fieldCodec, body *message.HeartbeatReply) {
+		fields.unsigned(&body.Sequence)
+		fields.duration(&body.TimerLag)
 	}),
-	message.KindModelSnapshot: formatOf(func(c *fieldCodec, m *message.ModelSnapshot) {
-		c.duration(&m.Age)
-		c.bytes(&m.Data)
+	message.KindModelSnapshot: formatOf(func(fields *fieldCodec, body *message.ModelSnapshot) {
+		fields.duration(&body.Age)
+		fields.bytes(&body.Data)
 	}),
 	message.KindGoodbye: formatOf(func(*fieldCodec, *message.Goodbye) {}),
-	message.KindWorkerStatus: formatOf(func(c *fieldCodec, m *message.WorkerStatus) {
-		c.fixed(&m.WorkerID)
-		c.byte((*uint8)(&m.State))
-		c.signed(&m.StartedMs)
-		c.signed(&m.Revision)
-	}),
-	message.KindLoadReport: formatOf(func(c *fieldCodec, m *message.LoadReport) {
-		c.int(&m.OpenRequests)
-		c.int(&m.QueuedRequests)
-		c.int(&m.Forwarders)
-		c.duration(&m.TimerLag)
-		c.float(&m.UsedSlots)
-		c.float(&m.FreeSlots)
+	message.KindWorkerStatus: formatOf(func(fields *fieldCodec, body *message.WorkerStatus) {
+		fields.fixed(&body.WorkerID)
+		fields.byte((*uint8)(&body.State))
+		fields.signed(&body.StartedMs)
+		fields.signed(&body.Revision)
+	}),
+	message.KindLoadReport: formatOf(func(fields *fieldCodec, body *message.LoadReport) {
+		fields.int(&body.OpenRequests)
+		fields.int(&body.QueuedRequests)
+		fields.int(&body.Forwarders)
+		fields.duration(&body.TimerLag)
+		fields.float(&body.UsedSlots)
+		fields.float(&body.FreeSlots)
 	}),
 }
 
-// isHandshake reports whether every version encodes a kind alike, up to the version field.
+// isHandshake reports whether a kind is a handshake, which every version encodes alike up to the version field.
 func isHandshake(kind message.Kind) bool {
 	return kind == message.KindHandshake || kind == message.KindHandshakeAccept || kind == message.KindPeerHandshake
 }
 
 // identity visits the fields of handshake messages that every version encodes alike.
-func (c *fieldCodec) identity(name *string, incarnation *uint64, version *int) {
-	c.text(name)
-	c.fixed(incarnation)
-	c.int(version)
+func (f *fieldCodec) identity(name *string, incarnation *uint64, version *int) {
+	f.text(name)
+	f.fixed(incarnation)
+	f.int(version)
 }
 
-func (c *fieldCodec) requestSummary(summary *message.RequestSummary) {
+// requestSummary visits the fields of a request's summary.
+func (f *fieldCodec) requestSummary(summary *message.RequestSummary) {
 	hasKey := summary.Key != 0
-	c.int(&summary.Class)
-	c.duration(&summary.Remaining)
-	c.float(&summary.Slots)
-	c.duration(&summary.Hint)
-	c.flags(&summary.Retry, &hasKey)
+	f.int(&summary.Class)
+	f.duration(&summary.Remaining)
+	f.float(&summary.Slots)
+	f.duration(&summary.Hint)
+	f.flags(&summary.Retry, &hasKey)
 	if hasKey {
-		c.fixed(&summary.Key)
+		f.fixed(&summary.Key)
 	}
-	c.int(&summary.Tenant)
-	c.float(&summary.Memory)
-	c.duration(&summary.Waited)
-	c.int(&summary.Transfers)
-	c.pastAttempts(&summary.Attempts)
+	f.int(&summary.Tenant)
+	f.float(&summary.Memory)
+	f.duration(&summary.Waited)
+	f.int(&summary.Transfers)
+	f.pastAttempts(&summary.Attempts)
 }
 
-func (c *fieldCodec) pastAttempt(a *message.PastAttempt) {
-	c.fixed(&a.WorkerID)
-	c.duration(&a.SentAgo)
-	c.flags(&a.Ended, &a.PossiblyExecuted)
-	c.result(&a.Result)
-	c.duration(&a.StartedAgo)
+// pastAttempt visits the fields of an attempt.
+func (f *fieldCodec) pastAttempt(attempt *message.PastAttempt) {
+	f.fixed(&attempt.WorkerID)
+	f.duration(&attempt.SentAgo)
+	f.flags(&attempt.Ended, &attempt.PossiblyExecuted)
+	f.result(&attempt.Result)
+	f.duration(&attempt.StartedAgo)
 }
--- a/internal/control/codec/frame.go
+++ b/internal/control/codec/frame.go
@@ -14,9 +14,9 @@
 
 // Bounds of frames and buffers, in bytes.
 const (
-	MaxPayloadSize = 8 << 20 // of a frame; a model snapshot of a large fleet fits
+	MaxPayloadSize = 8 << 20 // of a frame; enough for a model snapshot of a large fleet
 
-	batchSize         = 64 << 10 // a frame is closed before it grows larger, as a reader checks it only once it is whole
+	batchSize         = 64 << 10 // a frame is closed before it exceeds this size, as a reader decodes only complete frames
 	maxReusedCapacity = 1 << 20  // larger buffers are not kept for reuse
 )
 
@@ -35,7 +35,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// sealFrame fills in the header of a frame whose payload is in place.
+// sealFrame writes the header of a frame whose payload is complete.
 func sealFrame(frame []byte, major, minor byte) {
 	length := len(frame) - headerSize
 	frame[0] = magic0
@@ -55,12 +55,12 @@
 	return int(field[0]) | int(field[1])<<8 | int(field[2])<<16
 }
 
-// headerChecksum is the checksum of the header's bytes before it.
+// headerChecksum returns the checksum of the header's bytes before the checksum.
 func headerChecksum(header []byte) byte {
 	return byte(crc32.Checksum(header[:checkOffset], castagnoli))
 }
 
-// frameChecksum is the checksum of a whole frame but the checksum itself.
+// frameChecksum returns the checksum of a frame without the bytes of the checksum itself.
 func frameChecksum(frame []byte) uint32 {
 	return crc32.Update(crc32.Checksum(frame[:checksumOffset], castagnoli), castagnoli, frame[headerSize:])
 }
--- a/internal/control/codec/golden_test.go
+++ b/internal/control/codec/golden_test.go
@@ -47,7 +47,7 @@
 			hex.EncodeToString(wire[headerSize:]))
 		decoded, err := decodeAll(NewReader(0), wire, func(int) int { return 5 })
 		if err != nil || !equal(decoded, []message.Envelope{envelope}) {
-			t.Errorf("%v came as %+v, %v", describe(envelope), decoded, err)
+			t.Errorf("%v was decoded as %+v, %v", describe(envelope), decoded, err)
 		}
 	}
 	fmt.Fprintf(output, "all in one frame\n  %s\n", hex.EncodeToString(encode(t, samples()...)))
@@ -118,14 +118,14 @@
 	return frame
 }
 
-// bodyOf is a message as this version encodes it, without its length.
+// bodyOf returns a message as this version encodes it, without its length.
 func bodyOf(t *testing.T, envelope message.Envelope) []byte {
 	t.Helper()
 	return encode(t, envelope)[headerSize+1:]
 }
 
-// Versions understand each other or refuse each other plainly. Each case is a stream of another version's bytes, and what
-// is decoded from it.
+// A reader decodes the messages of a compatible version, and ends the stream of an incompatible one with an error. Each case
+// is a stream of another version's bytes, with the messages that are decoded from it.
 func TestOtherVersions(t *testing.T) {
 	body := func(m message.Message) []byte { return bodyOf(t, message.Envelope{Message: m}) }
 	handshake := bodyOf(t, samples()[0])
@@ -172,7 +172,7 @@
 	checkGolden(t, "versions.golden", output.String())
 }
 
-// completeMessages are a message of each kind in which every field is set, in the order of allKinds.
+// completeMessages returns a message of each kind in which every field is set, in the order of allKinds.
 func completeMessages() []message.Envelope {
 	all := []message.Message{
 		&message.Handshake{Name: "forwarder-1", Incarnation: 11, Version: Version},
@@ -220,7 +220,7 @@
 	return envelopes
 }
 
-// emptyMessages are a message of each kind whose fields are zero, in the order of allKinds.
+// emptyMessages returns a message of each kind whose fields are zero, in the order of allKinds.
 func emptyMessages() []message.Envelope {
 	envelopes := make([]message.Envelope, len(allKinds))
 	for i, kind := range allKinds {
@@ -230,7 +230,7 @@
 }
 
 // The bytes of each kind are those of earlier builds, with all fields set and with none. The golden file names kinds by
-// their number only, so that it outlasts the names of the messages.
+// their number only, so that it does not depend on the names of the messages.
 func TestBytesOfEveryKind(t *testing.T) {
 	output := &strings.Builder{}
 	for _, set := range []struct {
@@ -249,7 +249,7 @@
 			fmt.Fprintf(output, "kind %d, %s: %s\n", kind, set.name, hex.EncodeToString(wire))
 			decoded, err := decodeAll(NewReader(0), wire, wholeInput)
 			if err != nil || !equal(decoded, []message.Envelope{envelope}) {
-				t.Errorf("%v came as %+v, %v", describe(envelope), decoded, err)
+				t.Errorf("%v was decoded as %+v, %v", describe(envelope), decoded, err)
 			}
 		}
 	}
--- a/internal/control/codec/reader.go
+++ b/internal/control/codec/reader.go
@@ -9,18 +9,18 @@
 // Reader decodes messages from one peer. It is used by one goroutine.
 type Reader struct {
 	buffer     []byte
-	offset     int // of the first byte that is not decoded yet
-	payloadEnd int // of the frame at hand; at or before offset: there is none
-	limit      int // of a frame's payload
-	major      byte
+	offset     int  // index of the first byte that is not decoded yet
+	payloadEnd int  // end of the open frame's payload; not after offset: no frame is open
+	limit      int  // maximum size of a frame's payload
+	major      byte // version of the open frame
 	minor      byte
-	epoch      message.Epoch // of the frame's last message
+	epoch      message.Epoch // of the open frame's last message
 	err        error
 	fields     fieldCodec
 	messages   [len(formats)]message.Message // by kind, allocated on first use and reused
 }
 
-// NewReader returns a reader of frames whose payload is at most limit bytes; 0 stands for MaxPayloadSize.
+// NewReader returns a reader that accepts frames with a payload of at most limit bytes; 0: MaxPayloadSize.
 func NewReader(limit int) *Reader {
 	if limit <= 0 || limit > MaxPayloadSize {
 		limit = MaxPayloadSize
@@ -28,8 +28,8 @@
 	return &Reader{limit: limit}
 }
 
-// Feed takes in received bytes, in pieces of any size, and keeps no reference to data. After each Feed, Next is to be
-// called until it has no more messages.
+// Feed appends received bytes, in pieces of any size, and keeps no reference to data. After each Feed, the caller must call
+// Next until there are no more messages. After an error the bytes are discarded.
 func (r *Reader) Feed(data []byte) {
 	if r.err != nil {
 		return
@@ -38,7 +38,8 @@
 	r.buffer = append(r.buffer, data...)
 }
 
-// compact frees the decoded part of the buffer, so that each byte is moved at most once on average.
+// compact removes the decoded bytes from the buffer. It waits until they are at least half of it, so that each byte is moved
+// at most once on average.
 func (r *Reader) compact() {
 	undecoded := len(r.buffer) - r.offset
 	switch {
@@ -57,8 +58,8 @@
 	}
 }
 
-// Next returns the next message; not ok: there is no whole one. The message belongs to the reader, and holds until the
-// next call of Next or Feed. An error ends the stream, and is returned by all further calls.
+// Next returns the next message, or ok false if there is no complete one. The message belongs to the reader, and is valid
+// until the next call of Next or Feed. An error ends the stream, and is returned by all further calls.
 func (r *Reader) Next() (envelope message.Envelope, ok bool, err error) {
 	for r.err == nil {
 		if r.offset >= r.payloadEnd {
@@ -67,15 +68,15 @@
 			}
 			continue
 		}
-		m, known := r.readMessage()
+		decoded, known := r.readMessage()
 		if r.err == nil && known {
-			return message.Envelope{Epoch: r.epoch, Message: m}, true, nil
+			return message.Envelope{Epoch: r.epoch, Message: decoded}, true, nil
 		}
 	}
 	return message.Envelope{}, false, r.err
 }
 
-// beginFrame begins the next frame. It reports whether that is there as a whole and intact.
+// beginFrame opens the next frame. It returns false if the frame is not complete, or not valid.
 func (r *Reader) beginFrame() bool {
 	frame := r.buffer[r.offset:]
 	if len(frame) > 0 && frame[0] != magic0 || len(frame) > 1 && frame[1] != magic1 {
@@ -110,8 +111,8 @@
 	return true
 }
 
-// readMessage decodes the next message of the frame at hand. Unless known, it is to be skipped.
-func (r *Reader) readMessage() (m message.Message, known bool) {
+// readMessage decodes the next message of the open frame. It returns false if its kind is unknown.
+func (r *Reader) readMessage() (decoded message.Message, known bool) {
 	body, ok := r.nextBody()
 	if !ok {
 		r.err = ErrMalformed
@@ -129,17 +130,17 @@
 	}
 	r.epoch += message.Epoch(epochDelta)
 	r.fields.startDecoding(body[1+size:])
-	m = r.decode(kind)
-	known = m != nil
+	decoded = r.decode(kind)
+	known = decoded != nil
 	isNewer := r.major != Major || r.minor > Minor
 	isComplete := known && len(r.fields.buffer) == 0
 	if r.fields.invalid || !isNewer && !isComplete {
 		r.err = ErrMalformed
 	}
-	return m, known
+	return decoded, known
 }
 
-// nextBody takes the bytes of the next message from the frame at hand; not ok: their length makes no sense.
+// nextBody returns the bytes of the next message of the open frame. It returns false if their length is malformed.
 func (r *Reader) nextBody() (body []byte, ok bool) {
 	undecoded := r.buffer[r.offset:r.payloadEnd]
 	size, prefix := binary.Uvarint(undecoded)
@@ -151,7 +152,7 @@
 	return undecoded[prefix:end], true
 }
 
-// decode decodes the fields of a message of a kind; nil: this version does not know the kind.
+// decode decodes the fields of a message of a kind; nil: the kind is unknown to this version.
 func (r *Reader) decode(kind message.Kind) message.Message {
 	form := formatOfKind(kind)
 	if form == nil {
@@ -160,8 +161,8 @@
 	if r.messages[kind] == nil {
 		r.messages[kind] = form.newMessage()
 	}
-	m := r.messages[kind]
-	form.reset(m)
-	form.visit(&r.fields, m)
-	return m
+	decoded := r.messages[kind]
+	form.reset(decoded)
+	form.visit(&r.fields, decoded)
+	return decoded
 }
--- a/internal/control/codec/writer.go
+++ b/internal/control/codec/writer.go
@@ -7,21 +7,21 @@
 	"valvecove/internal/control/message"
 )
 
-// maxPrefixSize bounds what precedes a message's fields: its length, kind and epoch.
+// maxPrefixSize is the maximum size, in bytes, of a message's length, kind and epoch, which precede its fields.
 const maxPrefixSize = 32
 
-// Writer encodes messages to one peer. Its zero value is ready for use. It is used by one goroutine.
+// Writer encodes messages to one peer. Its zero value is ready to use. It is used by one goroutine.
 type Writer struct {
-	buffer     []byte // whole frames, and the open one
-	frameStart int    // of the open frame, whose header is filled in when it is closed
+	buffer     []byte // complete frames, and the open one
+	frameStart int    // index of the open frame, whose header is written when it is closed
 	frameOpen  bool
 	epoch      message.Epoch // of the frame's last message
 	fields     fieldCodec
 	body       []byte // the encoded fields of a message; reused
 }
 
-// Add encodes a message and keeps nothing of it. A message that can't be encoded is left out, and the error, which wraps
-// ErrUnknownKind, ErrInvalidField or ErrTooLarge, says why.
+// Add encodes a message, and keeps no reference to it. A message that can't be encoded is skipped, with an error that wraps
+// ErrUnknownKind, ErrInvalidField or ErrTooLarge.
 func (w *Writer) Add(envelope message.Envelope) error {
 	if envelope.Message == nil {
 		return fmt.Errorf("encode an empty envelope: %w", ErrUnknownKind)
@@ -47,15 +47,15 @@
 	return nil
 }
 
-// encode returns the encoded fields of a message, which hold until the next call.
-func (w *Writer) encode(kind message.Kind, m message.Message) ([]byte, error) {
+// encode returns the encoded fields of a message. They are valid until the next call.
+func (w *Writer) encode(kind message.Kind, body message.Message) ([]byte, error) {
 	form := formatOfKind(kind)
 	if form == nil {
 		return nil, ErrUnknownKind
 	}
 	fields := &w.fields
 	fields.startEncoding(w.body[:0])
-	isOfKind := form.visit(fields, m)
+	isOfKind := form.visit(fields, body)
 	w.body = fields.buffer[:0]
 	switch {
 	case !isOfKind:
@@ -86,6 +86,7 @@
 	return dst
 }
 
+// openFrame starts a frame.
 func (w *Writer) openFrame() {
 	w.frameStart = len(w.buffer)
 	w.frameOpen = true
@@ -93,6 +94,7 @@
 	w.buffer = append(w.buffer, make([]byte, headerSize)...)
 }
 
+// closeFrame ends the open frame, if there is one.
 func (w *Writer) closeFrame() {
 	if w.frameOpen {
 		sealFrame(w.buffer[w.frameStart:], Major, Minor)
