--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -174,3 +174,18 @@
 		}
 	}
 }
+
+// The simulator's wire protocol has one line for each ejection: its text does not follow the reasons' names in the log.
+func TestWorkerEjectedText(t *testing.T) {
+	for reason, want := range map[EjectionReason]string{
+		EjectedForSilence:     "worker 7 silent: set aside for about 500ms",
+		EjectedForFailures:    "worker 7 fails: set aside for about 500ms",
+		EjectedAsUnreachable:  "worker 7 is unreachable: set aside for about 500ms",
+		EjectedForHealthCheck: "worker 7 does not answer a probe: set aside for about 500ms",
+	} {
+		ejected := WorkerEjected{Worker: 7, Reason: reason, EjectionTime: 500 * time.Millisecond}
+		if got := ejected.Text(); got != want {
+			t.Errorf("%v: %q, expected %q", reason, got, want)
+		}
+	}
+}
--- a/internal/control/planner/command.go
+++ b/internal/control/planner/command.go
@@ -29,7 +29,7 @@
 		case dispatch.Log:
 			p.log(action.Text)
 		case dispatch.WorkerEjected:
-			p.log("worker ejected", "worker", action.Worker, "reason", action.Reason, "ejection_time", action.EjectionTime)
+			p.log("worker ejected", "worker", action.Worker, "reason", action.Reason.String(), "ejection_time", action.EjectionTime)
 		}
 	}
 	clear(actions)
