--- a/dispatch/purity_test.go
+++ b/dispatch/purity_test.go
@@ -50,16 +50,16 @@
 
 func TestImpuritiesAreFound(t *testing.T) {
 	for source, want := range map[string]string{
-		`import "os"; var _ = os.Args`:                              "imports os",
-		`import "valvecove/internal/scheduler"; var _ scheduler.Scheduler`:         "imports valvecove/internal/scheduler",
-		`import "time"; var _ = time.Now()`:                         "uses time.Now",
-		`import "time"; var since = time.Since`:                     "uses time.Since",
-		`import clock "time"; var _ = clock.Now()`:                  "imports time under another name",
-		`import . "time"; var _ = Now()`:                            "imports time under another name",
-		`import "math/rand/v2"; var _ = rand.Float64()`:             "uses rand.Float64",
-		`import "fmt"; func f() { fmt.Println() }`:                  "uses fmt.Println",
-		`import "time"; const limit = 2 * time.Second`:              "",
-		`import "math/rand/v2"; var _ = rand.New(rand.NewPCG(1,2))`: "",
+		`import "os"; var _ = os.Args`:                                     "imports os",
+		`import "valvecove/internal/scheduler"; var _ scheduler.Scheduler`: "imports valvecove/internal/scheduler",
+		`import "time"; var _ = time.Now()`:                                "uses time.Now",
+		`import "time"; var since = time.Since`:                            "uses time.Since",
+		`import clock "time"; var _ = clock.Now()`:                         "imports time under another name",
+		`import . "time"; var _ = Now()`:                                   "imports time under another name",
+		`import "math/rand/v2"; var _ = rand.Float64()`:                    "uses rand.Float64",
+		`import "fmt"; func f() { fmt.Println() }`:                         "uses fmt.Println",
+		`import "time"; const limit = 2 * time.Second`:                     "",
+		`import "math/rand/v2"; var _ = rand.New(rand.NewPCG(1,2))`:        "",
 	} {
 		file, err := parser.ParseFile(token.NewFileSet(), "x.go", "package x; "+source, parser.SkipObjectResolution)
 		if err != nil {
