--- a/internal/aperture/bench_test.go
+++ b/internal/aperture/bench_test.go
@@ -11,10 +11,10 @@
 // fixedPolicy sends each job to the same worker at once.
 type fixedPolicy struct{ worker uint64 }
 
-func (p *fixedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (f *fixedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, event := range events {
 		if job, ok := event.(dispatch.Job); ok {
-			dst = append(dst, dispatch.Send{Job: job.ID, Worker: p.worker})
+			dst = append(dst, dispatch.Send{Job: job.ID, Worker: f.worker})
 		}
 	}
 	return dst
--- a/internal/aperture/helpers_test.go
+++ b/internal/aperture/helpers_test.go
@@ -27,61 +27,61 @@
 	return &recordingPolicy{reporter: reporter, workers: map[uint64]dispatch.Worker{}, inFlight: map[uint64]int{}}
 }
 
-func (p *recordingPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (r *recordingPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, event := range events {
 		switch event := event.(type) {
 		case dispatch.Outcome:
-			p.inFlight[event.Worker]--
+			r.inFlight[event.Worker]--
 		case dispatch.JobResumed:
 			for _, attempt := range event.Attempts {
 				if !attempt.Ended {
-					p.inFlight[attempt.Worker]++
+					r.inFlight[attempt.Worker]++
 				}
 			}
 		case dispatch.WorkerList:
-			p.applyList(event)
+			r.applyList(event)
 		}
 	}
-	if p.act != nil {
-		dst = append(dst, p.act(events)...)
+	if r.act != nil {
+		dst = append(dst, r.act(events)...)
 	}
 	return dst
 }
 
-func (p *recordingPolicy) applyList(list dispatch.WorkerList) {
+func (r *recordingPolicy) applyList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
-		p.subscribed = false
-		p.listKnown = false
+		r.subscribed = false
+		r.listKnown = false
 		return
 	}
 	if list.Kind != dispatch.ListCached { // as the dispatch policy: whoever watches has subscribed
-		p.subscribed = false
-		p.listKnown = true
+		r.subscribed = false
+		r.listKnown = true
 	}
 	if list.Kind != dispatch.ListDelta {
-		p.workers = map[uint64]dispatch.Worker{}
+		r.workers = map[uint64]dispatch.Worker{}
 	}
 	for _, worker := range list.Workers {
-		if _, known := p.workers[worker.ID]; worker.Removed && !known {
-			p.reporter.Errorf("%d is removed that was not there", worker.ID)
+		if _, known := r.workers[worker.ID]; worker.Removed && !known {
+			r.reporter.Errorf("%d is removed that was not there", worker.ID)
 		}
 		if worker.Removed {
-			delete(p.workers, worker.ID)
+			delete(r.workers, worker.ID)
 		} else {
-			p.workers[worker.ID] = worker
+			r.workers[worker.ID] = worker
 		}
 	}
 }
 
 // knows reports whether a worker is in the policy's list.
-func (p *recordingPolicy) knows(id uint64) bool {
-	_, known := p.workers[id]
+func (r *recordingPolicy) knows(id uint64) bool {
+	_, known := r.workers[id]
 	return known
 }
 
 // countReady counts the ready workers.
-func (p *recordingPolicy) countReady() (ready int) {
-	for _, worker := range p.workers {
+func (r *recordingPolicy) countReady() (ready int) {
+	for _, worker := range r.workers {
 		if worker.Ready {
 			ready++
 		}
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -40,23 +40,23 @@
 }
 
 // stalenessDeadline returns the deadline of the change according to the protocol.
-func (c listChange) stalenessDeadline(config Config) time.Duration {
+func (l listChange) stalenessDeadline(config Config) time.Duration {
 	limit := specStaleness
 	if config.PollInterval > 0 {
 		limit = min(limit, config.PollInterval)
 	}
 	deadline := never
-	if c.reachableAt < never {
-		deadline = c.reachableAt + limit
-		if config.Pushed && c.silentAt == never {
-			deadline = c.reachableAt
+	if l.reachableAt < never {
+		deadline = l.reachableAt + limit
+		if config.Pushed && l.silentAt == never {
+			deadline = l.reachableAt
 		}
 	}
-	if c.silentAt < never {
-		deadline = min(deadline, max(c.madeAt, c.silentAt+limit))
+	if l.silentAt < never {
+		deadline = min(deadline, max(l.madeAt, l.silentAt+limit))
 	}
-	if c.serverChangedAt < never {
-		deadline = min(deadline, c.serverChangedAt+specServerChangeStaleness)
+	if l.serverChangedAt < never {
+		deadline = min(deadline, l.serverChangedAt+specServerChangeStaleness)
 	}
 	return deadline
 }
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -47,12 +47,12 @@
 
 // Scan reads data up to the end of the next event or line end, and returns the number of bytes read. After an error the scanner
 // must not be used.
-func (s *EventScanner) Scan(data []byte) (token Token, consumed int, err error) {
-	if s.depth == 0 {
-		s.event = s.event[:0]
+func (e *EventScanner) Scan(data []byte) (token Token, consumed int, err error) {
+	if e.depth == 0 {
+		e.event = e.event[:0]
 	}
 	for i, char := range data {
-		kind, err := s.scanByte(char)
+		kind, err := e.scanByte(char)
 		if err != nil {
 			return Token{}, i, err
 		}
@@ -60,52 +60,52 @@
 		case TokenLineEnd:
 			return Token{Kind: TokenLineEnd}, i + 1, nil
 		case TokenEvent:
-			s.event = append(s.event, data[:i+1]...)
-			return Token{Kind: TokenEvent, Event: s.event}, i + 1, nil
+			e.event = append(e.event, data[:i+1]...)
+			return Token{Kind: TokenEvent, Event: e.event}, i + 1, nil
 		case TokenNone:
 		}
 	}
-	s.event = append(s.event, data...)
-	if len(s.event) > MaxEventSize {
+	e.event = append(e.event, data...)
+	if len(e.event) > MaxEventSize {
 		return Token{}, len(data), ErrEventTooLarge
 	}
 	return Token{}, len(data), nil
 }
 
 // Buffered returns the number of buffered bytes of an incomplete event.
-func (s *EventScanner) Buffered() int { return len(s.event) }
+func (e *EventScanner) Buffered() int { return len(e.event) }
 
 // scanByte reads one byte, and returns the kind of the token that it completes.
-func (s *EventScanner) scanByte(char byte) (TokenKind, error) {
-	switch s.position {
+func (e *EventScanner) scanByte(char byte) (TokenKind, error) {
+	switch e.position {
 	case afterBackslash:
-		s.position = insideString
+		e.position = insideString
 		return TokenNone, nil
 	case insideString:
 		switch char {
 		case '\\':
-			s.position = afterBackslash
+			e.position = afterBackslash
 		case '"':
-			s.position = outsideString
+			e.position = outsideString
 		}
 		return TokenNone, nil
 	case outsideString:
 	}
-	if s.depth == 0 {
-		return s.scanBetweenEvents(char)
+	if e.depth == 0 {
+		return e.scanBetweenEvents(char)
 	}
-	return s.scanStructure(char), nil
+	return e.scanStructure(char), nil
 }
 
 // scanBetweenEvents reads a byte outside of events.
-func (s *EventScanner) scanBetweenEvents(char byte) (TokenKind, error) {
+func (e *EventScanner) scanBetweenEvents(char byte) (TokenKind, error) {
 	switch char {
 	case '\n':
 		return TokenLineEnd, nil
 	case ' ', '\t', '\r':
 		return TokenNone, nil
 	case '{':
-		s.depth = 1
+		e.depth = 1
 		return TokenNone, nil
 	default:
 		return TokenNone, ErrNotAnEvent
@@ -113,15 +113,15 @@
 }
 
 // scanStructure reads a byte within an event, outside of strings.
-func (s *EventScanner) scanStructure(char byte) TokenKind {
+func (e *EventScanner) scanStructure(char byte) TokenKind {
 	switch char {
 	case '"':
-		s.position = insideString
+		e.position = insideString
 	case '{', '[':
-		s.depth++
+		e.depth++
 	case '}', ']':
-		s.depth--
-		if s.depth == 0 {
+		e.depth--
+		if e.depth == 0 {
 			return TokenEvent
 		}
 	}
--- a/internal/hotrestart/clocks.go
+++ b/internal/hotrestart/clocks.go
@@ -25,15 +25,15 @@
 
 // AheadOf returns how far the process's clock is ahead of that of its predecessor, whose readings have just been received. r are
 // the readings of this process, taken now. It returns 0 if the predecessor's build sends no readings.
-func (r ClockReadings) AheadOf(predecessor ClockReadings) time.Duration {
+func (c ClockReadings) AheadOf(predecessor ClockReadings) time.Duration {
 	if predecessor == (ClockReadings{}) {
 		return 0
 	}
-	passed := r.Monotonic - predecessor.Monotonic
+	passed := c.Monotonic - predecessor.Monotonic
 	if passed < 0 || passed > maxMessageDelay { // not the same monotonic clock, for example in another time namespace
 		passed = 0
 	}
-	ahead := r.Clock - predecessor.Clock - passed
+	ahead := c.Clock - predecessor.Clock - passed
 	if ahead.Abs() < clockPrecision {
 		return 0
 	}
--- a/internal/hotrestart/cordon_file.go
+++ b/internal/hotrestart/cordon_file.go
@@ -34,12 +34,12 @@
 }
 
 // Error returns the path and the cause.
-func (e *CordonFileError) Error() string {
-	return fmt.Sprintf("cordoned workers in %s: %v", e.Path, e.Err)
+func (c *CordonFileError) Error() string {
+	return fmt.Sprintf("cordoned workers in %s: %v", c.Path, c.Err)
 }
 
 // Unwrap returns the cause.
-func (e *CordonFileError) Unwrap() error { return e.Err }
+func (c *CordonFileError) Unwrap() error { return c.Err }
 
 // ReadCordonFile calls LoadCordonFile with the file system of the machine.
 func ReadCordonFile(stateDir string) ([]string, error) {
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -65,35 +65,35 @@
 func newEventLoop() *eventLoop { return &eventLoop{posted: make(chan func(), 1)} }
 
 // newStore returns a store of at most 2 waiting calls.
-func (l *eventLoop) newStore(files filesystem.FileSystem, stateDir string) *CordonStore {
+func (e *eventLoop) newStore(files filesystem.FileSystem, stateDir string) *CordonStore {
 	return NewCordonStore(CordonStoreConfig{
 		Files: files, StateDir: stateDir, MaxCallbacks: 2,
-		Now:     func() time.Duration { return l.now },
-		Post:    func(act func()) { l.posted <- act },
-		After:   func(delay time.Duration, act func()) { l.timers = append(l.timers, loopTimer{l.now + delay, act}) },
-		Changed: func(err error) { l.changes = append(l.changes, err) },
+		Now:     func() time.Duration { return e.now },
+		Post:    func(act func()) { e.posted <- act },
+		After:   func(delay time.Duration, act func()) { e.timers = append(e.timers, loopTimer{e.now + delay, act}) },
+		Changed: func(err error) { e.changes = append(e.changes, err) },
 	})
 }
 
-func (l *eventLoop) runOne() { (<-l.posted)() }
+func (e *eventLoop) runOne() { (<-e.posted)() }
 
 // finishWrite handles the end of a write, if one is in progress.
-func (l *eventLoop) finishWrite(store *CordonStore) {
+func (e *eventLoop) finishWrite(store *CordonStore) {
 	if store.IsWriting() {
-		l.runOne()
+		e.runOne()
 	}
 }
 
 // runTimer moves the clock to the only timer and runs it. It returns how far that was.
-func (l *eventLoop) runTimer(t *testing.T) time.Duration {
+func (e *eventLoop) runTimer(t *testing.T) time.Duration {
 	t.Helper()
-	if len(l.timers) != 1 {
-		t.Fatalf("%d timers, expected 1", len(l.timers))
+	if len(e.timers) != 1 {
+		t.Fatalf("%d timers, expected 1", len(e.timers))
 	}
-	timer, before := l.timers[0], l.now
-	l.timers, l.now = nil, timer.at
+	timer, before := e.timers[0], e.now
+	e.timers, e.now = nil, timer.at
 	timer.act()
-	return l.now - before
+	return e.now - before
 }
 
 // Calls are completed once what they saved, or something newer, is in the file.
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -102,7 +102,7 @@
 }
 
 // Error returns the kind of the frame and the reason.
-func (e *FrameError) Error() string { return fmt.Sprintf("invalid frame (%v): %s", e.Kind, e.Reason) }
+func (f *FrameError) Error() string { return fmt.Sprintf("invalid frame (%v): %s", f.Kind, f.Reason) }
 
 // ReadFrame returns the frame at the start of buffer and its size in bytes, header included. The error is ErrIncomplete or a
 // *FrameError.
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -19,8 +19,8 @@
 )
 
 // String returns the name of the state, for logs and errors.
-func (s PredecessorState) String() string {
-	switch s {
+func (p PredecessorState) String() string {
+	switch p {
 	case PredecessorAlone:
 		return "alone"
 	case PredecessorHandshaking:
@@ -34,7 +34,7 @@
 	case PredecessorReplaced:
 		return "replaced"
 	default:
-		return fmt.Sprintf("predecessor state %d", int(s))
+		return fmt.Sprintf("predecessor state %d", int(p))
 	}
 }
 
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -40,38 +40,38 @@
 	relinquished bool
 }
 
-func (m *predecessorModel) connect() {
-	err := m.predecessor.HandleConnect(true)
-	m.Check((err == nil) == (!m.connected && !m.relinquished), "connects: %v", err)
-	m.connected = m.connected || err == nil
-	m.Record("connect")
+func (p *predecessorModel) connect() {
+	err := p.predecessor.HandleConnect(true)
+	p.Check((err == nil) == (!p.connected && !p.relinquished), "connects: %v", err)
+	p.connected = p.connected || err == nil
+	p.Record("connect")
 }
 
-func (m *predecessorModel) disconnect() {
-	m.predecessor.HandleDisconnect()
-	m.connected, m.accepted, m.transferring = false, false, false
-	m.Record("disconnect")
+func (p *predecessorModel) disconnect() {
+	p.predecessor.HandleDisconnect()
+	p.connected, p.accepted, p.transferring = false, false, false
+	p.Record("disconnect")
 }
 
-func (m *predecessorModel) beginTransfer() {
-	begun := m.predecessor.BeginTransfer()
-	m.Check(begun == (m.accepted && !m.transferring && !m.relinquished), "transfer begun: %v", begun)
-	m.transferring = m.transferring || begun
-	m.Record("transfer")
+func (p *predecessorModel) beginTransfer() {
+	begun := p.predecessor.BeginTransfer()
+	p.Check(begun == (p.accepted && !p.transferring && !p.relinquished), "transfer begun: %v", begun)
+	p.transferring = p.transferring || begun
+	p.Record("transfer")
 }
 
-func (m *predecessorModel) receive(message Message) {
+func (p *predecessorModel) receive(message Message) {
 	kind := message.Kind()
-	action, err := m.predecessor.HandleMessage(message)
-	m.Record(kind.String())
+	action, err := p.predecessor.HandleMessage(message)
+	p.Record(kind.String())
 	if err != nil {
-		m.Check(action == ActionNone, "action %d with an error", action)
+		p.Check(action == ActionNone, "action %d with an error", action)
 		return
 	}
-	m.Check(action != ActionAccept || m.connected && !m.accepted && kind == KindHandshake, "accepts at %v", kind)
-	m.Check(action != ActionRelinquish || m.transferring && kind == KindTakenOver, "relinquishes at %v", kind)
-	m.accepted = m.accepted || action == ActionAccept
-	m.relinquished = m.relinquished || action == ActionRelinquish
+	p.Check(action != ActionAccept || p.connected && !p.accepted && kind == KindHandshake, "accepts at %v", kind)
+	p.Check(action != ActionRelinquish || p.transferring && kind == KindTakenOver, "relinquishes at %v", kind)
+	p.accepted = p.accepted || action == ActionAccept
+	p.relinquished = p.relinquished || action == ActionRelinquish
 }
 
 // predecessorIn returns a predecessor in a state.
--- a/internal/hotrestart/received.go
+++ b/internal/hotrestart/received.go
@@ -58,8 +58,8 @@
 }
 
 // Error returns the kind of the connection.
-func (e *MissingDescriptorError) Error() string {
-	return fmt.Sprintf("%v without its descriptor", e.Kind)
+func (m *MissingDescriptorError) Error() string {
+	return fmt.Sprintf("%v without its descriptor", m.Kind)
 }
 
 // SetClocks sets ClockAhead. predecessor was just received, and now are this process's readings.
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -70,8 +70,8 @@
 }
 
 // Error returns the message's kind and the state.
-func (e *UnexpectedMessageError) Error() string {
-	return fmt.Sprintf("unexpected message %q in state %q", e.Kind, e.State)
+func (u *UnexpectedMessageError) Error() string {
+	return fmt.Sprintf("unexpected message %q in state %q", u.Kind, u.State)
 }
 
 // VersionError is the error of a process with another ProtocolVersion.
@@ -80,8 +80,8 @@
 }
 
 // Error returns the text that is also the reason in a Reject. All builds send it in this form.
-func (e *VersionError) Error() string {
-	return fmt.Sprintf("form %d, expected %d", e.Version, ProtocolVersion)
+func (v *VersionError) Error() string {
+	return fmt.Sprintf("form %d, expected %d", v.Version, ProtocolVersion)
 }
 
 // MissingFramesError is the error of a transfer with too few or too many frames between TransferBegin and TransferEnd.
@@ -90,8 +90,8 @@
 }
 
 // Error returns both numbers.
-func (e *MissingFramesError) Error() string {
-	return fmt.Sprintf("%d frames received, %d announced", e.Received, e.Announced)
+func (m *MissingFramesError) Error() string {
+	return fmt.Sprintf("%d frames received, %d announced", m.Received, m.Announced)
 }
 
 // Successor is the state machine of the process that takes over. The zero value is in SuccessorJoining, which is the state once the
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -34,54 +34,54 @@
 }
 
 // disconnect reports whether the successor continues.
-func (m *successorModel) disconnect() bool {
-	action := m.successor.HandleDisconnect()
-	m.Check((action == ActionNone) == m.owner, "disconnected as the owner %v: action %d", m.owner, action)
-	m.lost++
+func (s *successorModel) disconnect() bool {
+	action := s.successor.HandleDisconnect()
+	s.Check((action == ActionNone) == s.owner, "disconnected as the owner %v: action %d", s.owner, action)
+	s.lost++
 	if action != ActionReconnect {
-		m.Check(m.owner || !m.accepted || m.lost == maxSessions, "it does not connect again")
+		s.Check(s.owner || !s.accepted || s.lost == maxSessions, "it does not connect again")
 		return false
 	}
-	m.Check(m.accepted && m.lost < maxSessions, "it connects again for ever")
-	m.accepted, m.begun, m.frames = false, false, 0 // an incomplete transfer is discarded
+	s.Check(s.accepted && s.lost < maxSessions, "it connects again for ever")
+	s.accepted, s.begun, s.frames = false, false, 0 // an incomplete transfer is discarded
 	return true
 }
 
 // receive reports whether the successor continues.
-func (m *successorModel) receive(message Message) bool {
-	action, err := m.successor.HandleMessage(message)
-	m.Record(message.Kind().String())
+func (s *successorModel) receive(message Message) bool {
+	action, err := s.successor.HandleMessage(message)
+	s.Record(message.Kind().String())
 	if err != nil { // like the end of the connection
-		m.Check(action == ActionNone, "action %d with an error", action)
+		s.Check(action == ActionNone, "action %d with an error", action)
 		return false
 	}
 	if action == ActionGiveUp {
-		rejected := !m.accepted && message.Kind() == KindReject
-		m.Check(rejected && m.successor.HandleDisconnect() == ActionNone, "gives up at %v", message.Kind())
+		rejected := !s.accepted && message.Kind() == KindReject
+		s.Check(rejected && s.successor.HandleDisconnect() == ActionNone, "gives up at %v", message.Kind())
 		return false
 	}
 	if action == ActionTakeOver {
 		end, ok := message.(TransferEnd)
-		m.Check(ok && m.begun && end.FrameCount == m.frames, "owner after %d frames: %v", m.frames, message)
-		m.owner = true
-		m.successor.TookOver()
+		s.Check(ok && s.begun && end.FrameCount == s.frames, "owner after %d frames: %v", s.frames, message)
+		s.owner = true
+		s.successor.TookOver()
 	}
-	m.apply(message.Kind())
-	m.Check((m.successor.State() == SuccessorServing) == m.owner, "state %v, owner: %v", m.successor.State(), m.owner)
+	s.apply(message.Kind())
+	s.Check((s.successor.State() == SuccessorServing) == s.owner, "state %v, owner: %v", s.successor.State(), s.owner)
 	return true
 }
 
-func (m *successorModel) apply(kind FrameKind) {
+func (s *successorModel) apply(kind FrameKind) {
 	switch {
 	case kind == KindAccept:
-		m.Check(!m.accepted, "accepted twice")
-		m.accepted = true
+		s.Check(!s.accepted, "accepted twice")
+		s.accepted = true
 	case kind == KindTransferBegin:
-		m.Check(m.accepted && !m.begun, "an unexpected transfer")
-		m.begun = true
+		s.Check(s.accepted && !s.begun, "an unexpected transfer")
+		s.begun = true
 	case kind.isState():
-		m.Check(m.begun && !m.owner, "%v outside a transfer", kind)
-		m.frames++
+		s.Check(s.begun && !s.owner, "%v outside a transfer", kind)
+		s.frames++
 	}
 }
 
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -33,78 +33,78 @@
 }
 
 // step takes one random step.
-func (m *countersModel) step() {
+func (c *countersModel) step() {
 	var request *requests.Request
-	if len(m.open) > 0 {
-		request = m.open[m.Pick(len(m.open))]
+	if len(c.open) > 0 {
+		request = c.open[c.Pick(len(c.open))]
 	}
-	switch choice := m.Pick(7); {
+	switch choice := c.Pick(7); {
 	case choice == 0 || request == nil:
-		m.admit()
+		c.admit()
 	case choice == 1:
-		m.queue([]dispatch.Action{dispatch.Reject{Job: request.ID}, dispatch.Fail{Job: request.ID}}[m.Pick(2)])
+		c.queue([]dispatch.Action{dispatch.Reject{Job: request.ID}, dispatch.Fail{Job: request.ID}}[c.Pick(2)])
 	case choice < 4:
-		worker, _ := m.Table.WorkerNumber("s-" + strconv.Itoa(m.Pick(2)))
-		m.queue(dispatch.Send{Job: request.ID, Worker: worker})
-	case choice == 4 && len(m.Attempts) > 0:
-		m.endAttempt(m.Attempts[m.Pick(len(m.Attempts))])
+		worker, _ := c.Table.WorkerNumber("s-" + strconv.Itoa(c.Pick(2)))
+		c.queue(dispatch.Send{Job: request.ID, Worker: worker})
+	case choice == 4 && len(c.Attempts) > 0:
+		c.endAttempt(c.Attempts[c.Pick(len(c.Attempts))])
 	case choice == 5:
-		m.disconnect(request)
+		c.disconnect(request)
 	case choice == 6:
-		m.Table.ReportRejection(&requests.Arrival{}, 503)
-		m.Table.ReportRejection(nil, 400) // no job
-		m.responses[requests.ResponseRejected]++
-		m.admitted++
+		c.Table.ReportRejection(&requests.Arrival{}, 503)
+		c.Table.ReportRejection(nil, 400) // no job
+		c.responses[requests.ResponseRejected]++
+		c.admitted++
 	}
-	m.Table.Wake()
-	m.Table.Step(m.Now)
+	c.Table.Wake()
+	c.Table.Step(c.Now)
 }
 
 // queue has the policy take an action in the next step.
-func (m *countersModel) queue(action dispatch.Action) { m.Policy.Next = append(m.Policy.Next, action) }
+func (c *countersModel) queue(action dispatch.Action) { c.Policy.Next = append(c.Policy.Next, action) }
 
-func (m *countersModel) admit() {
-	m.admitted++
-	arrival := requests.Arrival{CallID: strconv.Itoa(m.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &m.responses}
-	request, err := m.Table.Admit(m.Now, arrival)
+func (c *countersModel) admit() {
+	c.admitted++
+	arrival := requests.Arrival{CallID: strconv.Itoa(c.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &c.responses}
+	request, err := c.Table.Admit(c.Now, arrival)
 	if err != nil {
-		m.T.Fatal(err)
+		c.T.Fatal(err)
 	}
-	m.open = append(m.open, request)
+	c.open = append(c.open, request)
 }
 
-func (m *countersModel) endAttempt(attempt *requests.Attempt) {
-	m.Table.ReportWritten(attempt)
-	m.written++
-	m.Table.EndAttempt(attempt, []byte("x"), []*requests.AttemptError{nil, {Reason: requests.ReasonRejected}}[m.Pick(2)])
+func (c *countersModel) endAttempt(attempt *requests.Attempt) {
+	c.Table.ReportWritten(attempt)
+	c.written++
+	c.Table.EndAttempt(attempt, []byte("x"), []*requests.AttemptError{nil, {Reason: requests.ReasonRejected}}[c.Pick(2)])
 }
 
-func (m *countersModel) disconnect(request *requests.Request) {
-	if request.Response() == requests.ResponseNone && m.Table.Request(request.ID) != nil {
-		m.disconnected++
+func (c *countersModel) disconnect(request *requests.Request) {
+	if request.Response() == requests.ResponseNone && c.Table.Request(request.ID) != nil {
+		c.disconnected++
 	}
-	m.Table.ClientDisconnected(request)
-	m.open = slices.DeleteFunc(m.open, func(other *requests.Request) bool { return other == request })
+	c.Table.ClientDisconnected(request)
+	c.open = slices.DeleteFunc(c.open, func(other *requests.Request) bool { return other == request })
 }
 
 // check compares the counters with what clients got, and then the exported jobs with the counters.
-func (m *countersModel) check() {
+func (c *countersModel) check() {
 	ended := 0
 	for _, response := range []requests.Response{requests.ResponseResult, requests.ResponseRejected, requests.ResponseFailed} {
-		counted := int(m.counters.Responses(response, 0))
+		counted := int(c.counters.Responses(response, 0))
 		ended += counted
-		m.Check(counted == m.responses[response], "response %d: %d counted, %d given", response, counted, m.responses[response])
+		c.Check(counted == c.responses[response], "response %d: %d counted, %d given", response, counted, c.responses[response])
 	}
-	m.Check(m.admitted == ended+m.disconnected+m.Table.OpenCount(), "%d admitted, %d ended, %d disconnected, %d open",
-		m.admitted, ended, m.disconnected, m.Table.OpenCount())
-	m.Check(int(m.counters.attemptsWritten) == m.written, "%d attempts counted, %d written", m.counters.attemptsWritten, m.written)
-	m.flush()
-	for _, match := range exportedJobs.FindAllStringSubmatch(m.target.text(), -1) {
+	c.Check(c.admitted == ended+c.disconnected+c.Table.OpenCount(), "%d admitted, %d ended, %d disconnected, %d open",
+		c.admitted, ended, c.disconnected, c.Table.OpenCount())
+	c.Check(int(c.counters.attemptsWritten) == c.written, "%d attempts counted, %d written", c.counters.attemptsWritten, c.written)
+	c.flush()
+	for _, match := range exportedJobs.FindAllStringSubmatch(c.target.text(), -1) {
 		count, _ := strconv.Atoi(match[1])
-		m.exportedJobs += count
+		c.exportedJobs += count
 	}
-	m.Check(m.exportedJobs >= ended && m.exportedJobs <= ended+m.disconnected, "%d jobs exported, %d ended, %d disconnected",
-		m.exportedJobs, ended, m.disconnected)
+	c.Check(c.exportedJobs >= ended && c.exportedJobs <= ended+c.disconnected, "%d jobs exported, %d ended, %d disconnected",
+		c.exportedJobs, ended, c.disconnected)
 }
 
 var exportedJobs = regexp.MustCompile(`valvecove\.jobs:(\d+)`)
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -90,74 +90,74 @@
 }
 
 // step takes one random step.
-func (m *exporterModel) step(number int) {
+func (e *exporterModel) step(number int) {
 	var job *modelJob
 	index := 0
-	if len(m.open) > 0 {
-		index = m.Pick(len(m.open))
-		job = m.open[index]
+	if len(e.open) > 0 {
+		index = e.Pick(len(e.open))
+		job = e.open[index]
 	}
-	choice := m.Pick(8)
+	choice := e.Pick(8)
 	switch {
 	case job == nil || choice == 0:
-		m.admit(strconv.Itoa(number))
+		e.admit(strconv.Itoa(number))
 	case choice < 3 && !job.inFlight:
-		m.Send(job.request, "s-0")
-		m.expected["valvecove.outg|#"+job.tags]++
+		e.Send(job.request, "s-0")
+		e.expected["valvecove.outg|#"+job.tags]++
 		job.inFlight = true
 	case choice < 5 && job.inFlight:
-		m.SendCallback(job.id, "s-0", "done", 0)
-		m.expected["valvecove.attemptsc|#"+job.tags+",outcome:served"]++
-		m.expected["valvecove.outg|#"+job.tags]--
-		m.expected["valvecove.heldms|#"+job.tags+",outcome:served"]++
-		m.end(index, "served")
+		e.SendCallback(job.id, "s-0", "done", 0)
+		e.expected["valvecove.attemptsc|#"+job.tags+",outcome:served"]++
+		e.expected["valvecove.outg|#"+job.tags]--
+		e.expected["valvecove.heldms|#"+job.tags+",outcome:served"]++
+		e.end(index, "served")
 	case choice == 5 && !job.inFlight && job.request.FirstSentAt == 0:
-		m.Apply(dispatch.Reject{Job: job.request.ID})
-		m.end(index, "turned_away")
+		e.Apply(dispatch.Reject{Job: job.request.ID})
+		e.end(index, "turned_away")
 	case choice == 6:
-		m.Table.ReportRejection(nil, 400)
-		m.expected["valvecove.bad_requestsc"]++
+		e.Table.ReportRejection(nil, 400)
+		e.expected["valvecove.bad_requestsc"]++
 	case choice == 7:
-		m.flush()
-		m.sum()
+		e.flush()
+		e.sum()
 	}
-	m.Now += time.Millisecond
-	m.Record(strconv.Itoa(choice))
+	e.Now += time.Millisecond
+	e.Record(strconv.Itoa(choice))
 }
 
-func (m *exporterModel) admit(id string) {
-	tenant, class := m.Pick(2), m.Pick(2)
+func (e *exporterModel) admit(id string) {
+	tenant, class := e.Pick(2), e.Pick(2)
 	job := &modelJob{id: id, tags: "tenant:" + names.Tenants[tenant] + ",class:" + names.Classes[class]}
-	job.request = m.Admit(id, tenant, class)
-	m.expected["valvecove.openg|#"+job.tags]++
-	m.open = append(m.open, job)
+	job.request = e.Admit(id, tenant, class)
+	e.expected["valvecove.openg|#"+job.tags]++
+	e.open = append(e.open, job)
 }
 
 // end expects what the end of a job makes.
-func (m *exporterModel) end(index int, outcome string) {
-	tags := m.open[index].tags
-	m.open = append(m.open[:index], m.open[index+1:]...)
-	m.expected["valvecove.jobsc|#"+tags+",outcome:"+outcome]++
-	m.expected["valvecove.timems|#"+tags+",outcome:"+outcome]++
-	m.expected["valvecove.openg|#"+tags]--
+func (e *exporterModel) end(index int, outcome string) {
+	tags := e.open[index].tags
+	e.open = append(e.open[:index], e.open[index+1:]...)
+	e.expected["valvecove.jobsc|#"+tags+",outcome:"+outcome]++
+	e.expected["valvecove.timems|#"+tags+",outcome:"+outcome]++
+	e.expected["valvecove.openg|#"+tags]--
 }
 
 // sum adds up what was sent, and checks the size of the batches.
-func (m *exporterModel) sum() {
-	for _, batch := range m.target.batches {
-		m.Check(len(batch) < m.maxBatchBytes || strings.Count(batch, "\n") == 1, "a batch of %d, under %d", len(batch), m.maxBatchBytes)
+func (e *exporterModel) sum() {
+	for _, batch := range e.target.batches {
+		e.Check(len(batch) < e.maxBatchBytes || strings.Count(batch, "\n") == 1, "a batch of %d, under %d", len(batch), e.maxBatchBytes)
 	}
-	for _, line := range strings.Fields(m.target.text()) {
+	for _, line := range strings.Fields(e.target.text()) {
 		name, valueAndTags, _ := strings.Cut(line, ":")
 		value, tags, ok := strings.Cut(valueAndTags, "|")
 		switch number, err := strconv.Atoi(value); {
 		case err == nil && tags[0] == 'c':
-			m.sent[name+tags] += number
+			e.sent[name+tags] += number
 		case err == nil && tags[0] == 'g':
-			m.sent[name+tags] = number
+			e.sent[name+tags] = number
 		default:
-			m.sent[name+tags]++
-			m.Check(ok && tags[0] == 'm', "%q", line)
+			e.sent[name+tags]++
+			e.Check(ok && tags[0] == 'm', "%q", line)
 		}
 	}
 }
@@ -165,26 +165,26 @@
 func isZero(_ string, value int) bool { return value == 0 } // a gauge may be
 
 // checkSums sends what is left and compares it with what is expected.
-func (m *exporterModel) checkSums() {
-	m.flush()
-	m.sum()
-	maps.DeleteFunc(m.sent, isZero)
-	maps.DeleteFunc(m.expected, isZero)
-	m.Check(maps.Equal(m.sent, m.expected), "sent %v, expected %v", m.sent, m.expected)
+func (e *exporterModel) checkSums() {
+	e.flush()
+	e.sum()
+	maps.DeleteFunc(e.sent, isZero)
+	maps.DeleteFunc(e.expected, isZero)
+	e.Check(maps.Equal(e.sent, e.expected), "sent %v, expected %v", e.sent, e.expected)
 }
 
 // checkFailingTarget has the target fail for one flush, and checks that the next one reports it.
-func (m *exporterModel) checkFailingTarget() {
-	m.target.failing = true
-	m.flush()
-	m.target.failing = false
-	failed := m.exporter.sendErrors
-	if failed == 0 && m.open == nil {
+func (e *exporterModel) checkFailingTarget() {
+	e.target.failing = true
+	e.flush()
+	e.target.failing = false
+	failed := e.exporter.sendErrors
+	if failed == 0 && e.open == nil {
 		return
 	}
 	report := fmt.Sprintf("valvecove.figures_send_errors:%d|c\n", failed)
-	m.flush()
-	m.Check(failed > 0 && strings.Contains(m.target.text(), report), "%q is not in %q", report, m.target.batches)
+	e.flush()
+	e.Check(failed > 0 && strings.Contains(e.target.text(), report), "%q is not in %q", report, e.target.batches)
 }
 
 // Whatever happens, and however small a batch may be, each job, attempt and unreadable request is counted once, gauges are
--- a/internal/metrics/fixture_test.go
+++ b/internal/metrics/fixture_test.go
@@ -23,18 +23,18 @@
 	failing bool
 }
 
-func (t *batchTarget) Send(batch []byte) error {
-	if t.failing {
+func (b *batchTarget) Send(batch []byte) error {
+	if b.failing {
 		return errors.New("target is failing")
 	}
-	t.batches = append(t.batches, string(batch))
+	b.batches = append(b.batches, string(batch))
 	return nil
 }
 
-func (t *batchTarget) text() string { return strings.Join(t.batches, "") }
+func (b *batchTarget) text() string { return strings.Join(b.batches, "") }
 
-func (t *batchTarget) lines() []string {
-	return strings.Split(strings.TrimSuffix(t.text(), "\n"), "\n")
+func (b *batchTarget) lines() []string {
+	return strings.Split(strings.TrimSuffix(b.text(), "\n"), "\n")
 }
 
 // fixture is a request table with counters and an exporter.
--- a/internal/metrics/line_buffer.go
+++ b/internal/metrics/line_buffer.go
@@ -12,27 +12,27 @@
 }
 
 // pending returns the lines that were neither taken nor dropped.
-func (b *lineBuffer) pending() []byte { return b.lines[b.start:] }
+func (l *lineBuffer) pending() []byte { return l.lines[l.start:] }
 
 // add appends a line, and drops the oldest ones if the buffer is full. It returns the number of dropped lines.
-func (b *lineBuffer) add(line []byte) (dropped uint64) {
-	for len(b.pending())+len(line) > maxPendingBytes && len(b.pending()) > 0 {
-		b.start += bytes.IndexByte(b.pending(), '\n') + 1
+func (l *lineBuffer) add(line []byte) (dropped uint64) {
+	for len(l.pending())+len(line) > maxPendingBytes && len(l.pending()) > 0 {
+		l.start += bytes.IndexByte(l.pending(), '\n') + 1
 		dropped++
 	}
-	if b.start > maxPendingBytes/2 {
-		moved := copy(b.lines, b.pending())
-		b.lines = b.lines[:moved]
-		b.start = 0
+	if l.start > maxPendingBytes/2 {
+		moved := copy(l.lines, l.pending())
+		l.lines = l.lines[:moved]
+		l.start = 0
 	}
-	b.lines = append(b.lines, line...)
+	l.lines = append(l.lines, line...)
 	return dropped
 }
 
 // take removes and returns the oldest lines: at least one, and as many as fit into maxBytes. There must be a pending line. The
 // result is valid until the next call of add.
-func (b *lineBuffer) take(maxBytes int) []byte {
-	pending := b.pending()
+func (l *lineBuffer) take(maxBytes int) []byte {
+	pending := l.pending()
 	size := bytes.IndexByte(pending, '\n') + 1
 	for size < len(pending) {
 		next := size + bytes.IndexByte(pending[size:], '\n') + 1
@@ -41,15 +41,15 @@
 		}
 		size = next
 	}
-	b.start += size
+	l.start += size
 	return pending[:size]
 }
 
 // reset discards the sent lines of a buffer without pending ones, and releases the memory if it is large.
-func (b *lineBuffer) reset() {
-	b.lines = b.lines[:0]
-	b.start = 0
-	if cap(b.lines) > maxPendingBytes/4 {
-		b.lines = nil
+func (l *lineBuffer) reset() {
+	l.lines = l.lines[:0]
+	l.start = 0
+	if cap(l.lines) > maxPendingBytes/4 {
+		l.lines = nil
 	}
 }
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -19,8 +19,8 @@
 )
 
 // String returns the name of the state.
-func (s attemptState) String() string {
-	switch s {
+func (a attemptState) String() string {
+	switch a {
 	case attemptCreated:
 		return "created"
 	case attemptInFlight:
@@ -32,12 +32,12 @@
 	case attemptEnded:
 		return "ended"
 	}
-	return fmt.Sprintf("attemptState(%d)", uint8(s))
+	return fmt.Sprintf("attemptState(%d)", uint8(a))
 }
 
 // canBecome reports whether the transition from this state to the next one is valid.
-func (s attemptState) canBecome(next attemptState) bool {
-	switch s {
+func (a attemptState) canBecome(next attemptState) bool {
+	switch a {
 	case attemptCreated:
 		return next == attemptInFlight || next == attemptNotStarted
 	case attemptInFlight:
--- a/internal/requests/attempterror.go
+++ b/internal/requests/attempterror.go
@@ -76,47 +76,47 @@
 }
 
 // Error returns the reason, the stage and the cause, if there is one.
-func (e *AttemptError) Error() string {
-	if e.Cause != nil {
-		return fmt.Sprintf("%s, %s: %v", e.Reason, e.Stage, e.Cause)
+func (a *AttemptError) Error() string {
+	if a.Cause != nil {
+		return fmt.Sprintf("%s, %s: %v", a.Reason, a.Stage, a.Cause)
 	}
-	return fmt.Sprintf("%s, %s", e.Reason, e.Stage)
+	return fmt.Sprintf("%s, %s", a.Reason, a.Stage)
 }
 
 // Unwrap returns the cause, or nil.
-func (e *AttemptError) Unwrap() error { return e.Cause }
+func (a *AttemptError) Unwrap() error { return a.Cause }
 
 // isConnectFailure reports whether the connection failed before the last byte was written: the attempt is not executed.
-func (e *AttemptError) isConnectFailure() bool {
-	return e.Reason == ReasonConnectionLost && e.Stage < StageWritten
+func (a *AttemptError) isConnectFailure() bool {
+	return a.Reason == ReasonConnectionLost && a.Stage < StageWritten
 }
 
 // Outcome returns the outcome of an attempt that ended with the error, or OutcomeServed if e is nil.
-func (e *AttemptError) Outcome() Outcome {
+func (a *AttemptError) Outcome() Outcome {
 	switch {
-	case e == nil:
+	case a == nil:
 		return OutcomeServed
-	case e.isConnectFailure(), e.Reason == ReasonNotSent:
+	case a.isConnectFailure(), a.Reason == ReasonNotSent:
 		return OutcomeConnectFailed
-	case e.Reason == ReasonConnectionLost:
+	case a.Reason == ReasonConnectionLost:
 		return OutcomeConnectionLost
-	case e.Reason == ReasonRejected, e.Reason == ReasonInvalidRequest:
+	case a.Reason == ReasonRejected, a.Reason == ReasonInvalidRequest:
 		return OutcomeRejected
-	case e.Reason == ReasonWorkerError:
+	case a.Reason == ReasonWorkerError:
 		return OutcomeError
 	}
 	return OutcomeTimedOut
 }
 
 // result returns the policy's result of an attempt that ended with the error, or dispatch.OK if e is nil.
-func (e *AttemptError) result() dispatch.Result {
+func (a *AttemptError) result() dispatch.Result {
 	switch {
-	case e == nil:
+	case a == nil:
 		return dispatch.OK
-	case e.isConnectFailure():
+	case a.isConnectFailure():
 		return dispatch.ConnectFailed
 	}
-	switch e.Reason {
+	switch a.Reason {
 	case ReasonConnectionLost:
 		return dispatch.ConnectionReset
 	case ReasonRejected:
--- a/internal/requests/benchmark_test.go
+++ b/internal/requests/benchmark_test.go
@@ -11,10 +11,10 @@
 // sendingPolicy sends each job to one worker at once.
 type sendingPolicy struct{ worker uint64 }
 
-func (p sendingPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (s sendingPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, event := range events {
 		if job, isJob := event.(dispatch.Job); isJob {
-			dst = append(dst, dispatch.Send{Job: job.ID, Worker: p.worker})
+			dst = append(dst, dispatch.Send{Job: job.ID, Worker: s.worker})
 		}
 	}
 	return dst
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -45,9 +45,9 @@
 	number    int
 }
 
-func (r orderedResponder) RespondResult([]byte)          { *r.responded = append(*r.responded, r.number) }
-func (r orderedResponder) RespondRejected(time.Duration) { r.RespondResult(nil) }
-func (r orderedResponder) RespondFailed()                { r.RespondResult(nil) }
+func (o orderedResponder) RespondResult([]byte)          { *o.responded = append(*o.responded, o.number) }
+func (o orderedResponder) RespondRejected(time.Duration) { o.RespondResult(nil) }
+func (o orderedResponder) RespondFailed()                { o.RespondResult(nil) }
 
 // Where many requests are responded to at once, it is in order of arrival, at every run.
 func TestResponsesKeepOrderOfArrival(t *testing.T) {
--- a/internal/requests/cordon_test.go
+++ b/internal/requests/cordon_test.go
@@ -34,60 +34,60 @@
 }
 
 // step takes one random step with an endpoint.
-func (m *cordonModel) step(id string) {
+func (c *cordonModel) step(id string) {
 	wasListed := id != "s-3"
-	switch m.Pick(6) {
+	switch c.Pick(6) {
 	case 0, 1:
-		known, full := m.table.Cordon(id)
-		m.Check(known == wasListed && !full, "cordon %s: known %v, full %v", id, known, full)
+		known, full := c.table.Cordon(id)
+		c.Check(known == wasListed && !full, "cordon %s: known %v, full %v", id, known, full)
 		if known {
-			m.cordoned[id] = true
+			c.cordoned[id] = true
 		}
 	case 2:
-		m.Check(m.table.Uncordon(id) == wasListed, "uncordon %s", id)
-		delete(m.cordoned, id)
+		c.Check(c.table.Uncordon(id) == wasListed, "uncordon %s", id)
+		delete(c.cordoned, id)
 	case 3:
-		endpoint := Endpoint{ID: "s-1", Lifecycle: "up", StartedAtMs: int64(m.Pick(9))}
-		m.table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{endpoint}})
+		endpoint := Endpoint{ID: "s-1", Lifecycle: "up", StartedAtMs: int64(c.Pick(9))}
+		c.table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{endpoint}})
 	case 4:
-		m.restartPolicy()
+		c.restartPolicy()
 	case 5:
-		m.send(id)
+		c.send(id)
 	}
-	m.Record(id)
-	want := slices.Sorted(maps.Keys(m.cordoned))
-	m.Check(slices.Equal(m.table.Cordoned(), want), "cordoned are %v, expected %v", m.table.Cordoned(), want)
+	c.Record(id)
+	want := slices.Sorted(maps.Keys(c.cordoned))
+	c.Check(slices.Equal(c.table.Cordoned(), want), "cordoned are %v, expected %v", c.table.Cordoned(), want)
 }
 
 // restartPolicy has the policy panic, and checks that the next one learns of all cordons.
-func (m *cordonModel) restartPolicy() {
-	m.policy.Panic = true
-	m.policy.Received = nil
-	m.table.Wake()
-	m.table.Step(time.Second)
-	m.table.Step(time.Second)
+func (c *cordonModel) restartPolicy() {
+	c.policy.Panic = true
+	c.policy.Received = nil
+	c.table.Wake()
+	c.table.Step(time.Second)
+	c.table.Step(time.Second)
 	received := 0
-	for _, event := range m.policy.Received {
+	for _, event := range c.policy.Received {
 		if _, isCordon := event.(dispatch.Cordoned); isCordon {
 			received++
 		}
 	}
-	m.Check(received == len(m.cordoned), "a new policy learns of %d cordons of %d", received, len(m.cordoned))
+	c.Check(received == len(c.cordoned), "a new policy learns of %d cordons of %d", received, len(c.cordoned))
 }
 
 // send has the policy send a new request to an endpoint, if that is known.
-func (m *cordonModel) send(id string) {
-	m.admitted++
-	arrival := Arrival{CallID: strconv.Itoa(m.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &countingResponder{}}
-	request, err := m.table.Admit(time.Second, arrival)
-	m.Check(err == nil, "a new call id was rejected: %v", err)
-	worker, known := m.table.WorkerNumber(id)
+func (c *cordonModel) send(id string) {
+	c.admitted++
+	arrival := Arrival{CallID: strconv.Itoa(c.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &countingResponder{}}
+	request, err := c.table.Admit(time.Second, arrival)
+	c.Check(err == nil, "a new call id was rejected: %v", err)
+	worker, known := c.table.WorkerNumber(id)
 	if !known {
 		return
 	}
-	m.policy.Next = []dispatch.Action{dispatch.Send{Job: request.ID, Worker: worker}}
-	m.transport.started = nil
-	m.table.Step(time.Second)
-	wasSent := len(m.transport.started) == 1
-	m.Check(wasSent != m.cordoned[id], "%d sent to %s, cordoned are %v", len(m.transport.started), id, m.cordoned)
+	c.policy.Next = []dispatch.Action{dispatch.Send{Job: request.ID, Worker: worker}}
+	c.transport.started = nil
+	c.table.Step(time.Second)
+	wasSent := len(c.transport.started) == 1
+	c.Check(wasSent != c.cordoned[id], "%d sent to %s, cordoned are %v", len(c.transport.started), id, c.cordoned)
 }
--- a/internal/requests/deadline_test.go
+++ b/internal/requests/deadline_test.go
@@ -17,18 +17,18 @@
 	rng   *rand.Rand
 }
 
-func (r *troubledTransport) Start(attempt *Attempt) {
-	r.recordingTransport.Start(attempt)
-	attempt.Stage = Stage(r.rng.IntN(int(StageAccepted) + 1))
-	if reason := Reason(r.rng.IntN(2 * int(ReasonNotSent))); reason <= ReasonNotSent { // else it hangs there
-		r.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
+func (t *troubledTransport) Start(attempt *Attempt) {
+	t.recordingTransport.Start(attempt)
+	attempt.Stage = Stage(t.rng.IntN(int(StageAccepted) + 1))
+	if reason := Reason(t.rng.IntN(2 * int(ReasonNotSent))); reason <= ReasonNotSent { // else it hangs there
+		t.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
 	}
 }
 
 // Cancel is never confirmed in half of the cases: the worker is cut off.
-func (r *troubledTransport) Cancel(attempt *Attempt) {
-	if r.rng.IntN(2) == 0 {
-		r.recordingTransport.Cancel(attempt)
+func (t *troubledTransport) Cancel(attempt *Attempt) {
+	if t.rng.IntN(2) == 0 {
+		t.recordingTransport.Cancel(attempt)
 	}
 }
 
@@ -39,13 +39,13 @@
 	at  time.Duration
 }
 
-func (r *timedResponder) RespondResult(b []byte) { r.at = *r.now; r.countingResponder.RespondResult(b) }
+func (t *timedResponder) RespondResult(b []byte) { t.at = *t.now; t.countingResponder.RespondResult(b) }
 
-func (r *timedResponder) RespondRejected(retry time.Duration) {
-	r.at = *r.now
-	r.countingResponder.RespondRejected(retry)
+func (t *timedResponder) RespondRejected(retry time.Duration) {
+	t.at = *t.now
+	t.countingResponder.RespondRejected(retry)
 }
-func (r *timedResponder) RespondFailed() { r.at = *r.now; r.countingResponder.RespondFailed() }
+func (t *timedResponder) RespondFailed() { t.at = *t.now; t.countingResponder.RespondFailed() }
 
 // deadlineRun is a table with the real policy, whose workers give nothing but trouble.
 type deadlineRun struct {
@@ -87,71 +87,71 @@
 	return r
 }
 
-func (r *deadlineRun) admit() {
-	responder := &timedResponder{now: &r.now}
-	arrival := Arrival{CallID: fmt.Sprint("c", len(r.requests)), Responder: responder, Job: dispatch.Job{
-		Class: r.rng.IntN(3), Remaining: time.Duration(1+r.rng.IntN(2000)) * time.Millisecond, Slots: 1,
+func (d *deadlineRun) admit() {
+	responder := &timedResponder{now: &d.now}
+	arrival := Arrival{CallID: fmt.Sprint("c", len(d.requests)), Responder: responder, Job: dispatch.Job{
+		Class: d.rng.IntN(3), Remaining: time.Duration(1+d.rng.IntN(2000)) * time.Millisecond, Slots: 1,
 	}}
-	request, err := r.table.Admit(r.now, arrival)
+	request, err := d.table.Admit(d.now, arrival)
 	if err != nil {
-		r.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	r.requests, r.responses = append(r.requests, request), append(r.responses, responder)
+	d.requests, d.responses = append(d.requests, request), append(d.responses, responder)
 }
 
 // disturb has something happen to workers or other clients.
-func (r *deadlineRun) disturb() {
-	id := fmt.Sprint("s-", r.rng.IntN(3))
-	switch r.rng.IntN(8) {
+func (d *deadlineRun) disturb() {
+	id := fmt.Sprint("s-", d.rng.IntN(3))
+	switch d.rng.IntN(8) {
 	case 0:
-		r.table.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: "10.0.0.1:80", Lifecycle: "draining"}}})
+		d.table.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Addr: "10.0.0.1:80", Lifecycle: "draining"}}})
 	case 1:
-		r.table.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Lifecycle: "removed"}}})
+		d.table.UpdateEndpoints(EndpointList{Endpoints: []Endpoint{{ID: id, Lifecycle: "removed"}}})
 	case 2:
-		r.table.UpdateEndpoints(EndpointList{Reset: true})
+		d.table.UpdateEndpoints(EndpointList{Reset: true})
 	case 3:
-		r.table.UpdateEndpoints(endpointRange(0, 3))
+		d.table.UpdateEndpoints(endpointRange(0, 3))
 	case 4:
-		r.table.DiscoveryFailed()
+		d.table.DiscoveryFailed()
 	case 5:
-		r.table.Cordon(id)
+		d.table.Cordon(id)
 	case 6:
-		r.table.Uncordon(id)
+		d.table.Uncordon(id)
 	case 7:
-		if request := r.requests[r.rng.IntN(len(r.requests))]; r.rng.IntN(4) == 0 && r.table.Request(request.ID) == request {
-			r.table.ClientDisconnected(request)
+		if request := d.requests[d.rng.IntN(len(d.requests))]; d.rng.IntN(4) == 0 && d.table.Request(request.ID) == request {
+			d.table.ClientDisconnected(request)
 		}
 	}
 }
 
 // check checks that what is over has one response, in time.
-func (r *deadlineRun) check(held time.Duration) {
-	for i, request := range r.requests {
-		responder := r.responses[i]
+func (d *deadlineRun) check(held time.Duration) {
+	for i, request := range d.requests {
+		responder := d.responses[i]
 		hasLeft := request.IsClosed() && request.Response() == ResponseNone
 		switch {
 		case hasLeft && responder.total() != 0 || responder.total() > 1:
-			r.t.Fatalf("request %d: %d responses", i, responder.total())
-		case !hasLeft && responder.total() == 0 && r.now > request.Deadline+held:
-			r.t.Fatalf("request %d has no response %v after its deadline", i, r.now-request.Deadline)
+			d.t.Fatalf("request %d: %d responses", i, responder.total())
+		case !hasLeft && responder.total() == 0 && d.now > request.Deadline+held:
+			d.t.Fatalf("request %d has no response %v after its deadline", i, d.now-request.Deadline)
 		case responder.at > request.Deadline+held:
-			r.t.Fatalf("request %d: a response %v after its deadline", i, responder.at-request.Deadline)
+			d.t.Fatalf("request %d: a response %v after its deadline", i, responder.at-request.Deadline)
 		}
 	}
 }
 
 // step does what is due next. The process is held up before that now and then, though not twice within a second.
-func (r *deadlineRun) step(held time.Duration) {
-	at, ok := r.table.NextStep()
+func (d *deadlineRun) step(held time.Duration) {
+	at, ok := d.table.NextStep()
 	if !ok {
-		r.t.Fatal("nothing is due")
+		d.t.Fatal("nothing is due")
 	}
-	r.now = max(r.now, at)
-	if held > 0 && r.now > r.heldUpAt+time.Second && r.rng.IntN(20) == 0 {
-		r.now += held
-		r.heldUpAt = r.now
+	d.now = max(d.now, at)
+	if held > 0 && d.now > d.heldUpAt+time.Second && d.rng.IntN(20) == 0 {
+		d.now += held
+		d.heldUpAt = d.now
 	}
-	r.table.Step(r.now)
+	d.table.Step(d.now)
 }
 
 // Whatever its attempts meet at workers, and whatever else happens meanwhile, each request gets its one response by its deadline, in
--- a/internal/requests/helpers_test.go
+++ b/internal/requests/helpers_test.go
@@ -13,10 +13,10 @@
 // countingResponder counts the responses.
 type countingResponder struct{ results, rejected, failed int }
 
-func (r *countingResponder) RespondResult([]byte)          { r.results++ }
-func (r *countingResponder) RespondRejected(time.Duration) { r.rejected++ }
-func (r *countingResponder) RespondFailed()                { r.failed++ }
-func (r *countingResponder) total() int                    { return r.results + r.rejected + r.failed }
+func (c *countingResponder) RespondResult([]byte)          { c.results++ }
+func (c *countingResponder) RespondRejected(time.Duration) { c.rejected++ }
+func (c *countingResponder) RespondFailed()                { c.failed++ }
+func (c *countingResponder) total() int                    { return c.results + c.rejected + c.failed }
 
 // recordingTransport records its calls, and does nothing.
 type recordingTransport struct {
@@ -103,16 +103,16 @@
 }
 
 // step has the policy return actions, and then receive the resulting events.
-func (f *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
-	f.policy.Next = actions
-	f.table.Wake()
-	f.table.Step(now)
-	f.table.Step(now)
+func (a *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
+	a.policy.Next = actions
+	a.table.Wake()
+	a.table.Step(now)
+	a.table.Step(now)
 }
 
 // results returns the results of attempts that the policy has received.
-func (f *attemptFixture) results() (results []dispatch.Result) {
-	for _, event := range f.policy.Received {
+func (a *attemptFixture) results() (results []dispatch.Result) {
+	for _, event := range a.policy.Received {
 		if outcome, isOutcome := event.(dispatch.Outcome); isOutcome {
 			results = append(results, outcome.Result)
 		}
@@ -121,10 +121,10 @@
 }
 
 // callBack has s-0 call back about the request.
-func (f *attemptFixture) callBack(t *testing.T, state string) (known bool) {
+func (a *attemptFixture) callBack(t *testing.T, state string) (known bool) {
 	t.Helper()
 	result := "r"
-	known, err := f.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
+	known, err := a.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
 	if err != nil {
 		t.Error(err)
 	}
@@ -132,15 +132,15 @@
 }
 
 // takeOver replaces the table by one of another process that is restored from its snapshot.
-func (f *attemptFixture) takeOver(t *testing.T) {
+func (a *attemptFixture) takeOver(t *testing.T) {
 	t.Helper()
-	if !f.table.FlushEvents(5) {
+	if !a.table.FlushEvents(5) {
 		t.Fatal("events are pending")
 	}
-	state, open := f.table.Snapshot()
-	f.policy, f.transport = &modeltest.ScriptedPolicy{}, newRecordingTransport()
-	f.table = newTestTable(f.policy, 0, f.transport)
-	responders := map[uint64]Responder{f.request.ID: f.responder}
-	f.table.TakeOver(5, state, open, responders, func() Policy { return f.policy })
-	f.request = f.table.Request(f.request.ID)
+	state, open := a.table.Snapshot()
+	a.policy, a.transport = &modeltest.ScriptedPolicy{}, newRecordingTransport()
+	a.table = newTestTable(a.policy, 0, a.transport)
+	responders := map[uint64]Responder{a.request.ID: a.responder}
+	a.table.TakeOver(5, state, open, responders, func() Policy { return a.policy })
+	a.request = a.table.Request(a.request.ID)
 }
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -30,12 +30,12 @@
 
 // step steps after some time, and checks that one line with the text was logged above the debug level; none if it is
 // empty.
-func (f *logFixture) step(t *testing.T, after time.Duration, want string) {
+func (l *logFixture) step(t *testing.T, after time.Duration, want string) {
 	t.Helper()
-	f.now += after
-	f.table.Step(f.now)
+	l.now += after
+	l.table.Step(l.now)
 	got := ""
-	for line := range strings.Lines(f.log.String()) {
+	for line := range strings.Lines(l.log.String()) {
 		if !strings.Contains(line, "level=DEBUG") {
 			got += line
 		}
@@ -43,7 +43,7 @@
 	if want == "" && got != "" || strings.Count(got, "\n") > 1 || !strings.Contains(got, want) {
 		t.Errorf("expected %q, got %q", want, got)
 	}
-	f.log.Reset()
+	l.log.Reset()
 }
 
 // A start with 10,000 endpoints logs one line, and so does a second in which many change; no change is lost between two
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -50,8 +50,8 @@
 )
 
 // String returns the name of the state.
-func (s requestState) String() string {
-	switch s {
+func (r requestState) String() string {
+	switch r {
 	case requestOpen:
 		return "open"
 	case requestResponded:
@@ -61,12 +61,12 @@
 	case requestEnded:
 		return "ended"
 	}
-	return fmt.Sprintf("requestState(%d)", uint8(s))
+	return fmt.Sprintf("requestState(%d)", uint8(r))
 }
 
 // canBecome reports whether the transition from this state to the next one is valid.
-func (s requestState) canBecome(next requestState) bool {
-	switch s {
+func (r requestState) canBecome(next requestState) bool {
+	switch r {
 	case requestOpen:
 		return next == requestResponded || next == requestDisconnected
 	case requestResponded, requestDisconnected:
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -32,49 +32,49 @@
 }
 
 // wait lets time pass, and has the list be current at its end.
-func (f *startTimesFixture) wait(passed time.Duration) {
-	f.now += passed
-	f.lastViewAt = f.now + f.clockAhead
+func (s *startTimesFixture) wait(passed time.Duration) {
+	s.now += passed
+	s.lastViewAt = s.now + s.clockAhead
 }
 
 // receive applies a list.
-func (f *startTimesFixture) receive(isReset bool, endpoints ...Endpoint) {
-	receipt := Receipt{At: f.now + f.clockAhead, LastViewAt: f.lastViewAt}
-	f.table.UpdateEndpoints(EndpointList{Reset: isReset, Endpoints: endpoints, Receipt: receipt})
+func (s *startTimesFixture) receive(isReset bool, endpoints ...Endpoint) {
+	receipt := Receipt{At: s.now + s.clockAhead, LastViewAt: s.lastViewAt}
+	s.table.UpdateEndpoints(EndpointList{Reset: isReset, Endpoints: endpoints, Receipt: receipt})
 }
 
 // receiveFleet applies a list of ten workers that started long ago or at different times, except s-0.
-func (f *startTimesFixture) receiveFleet(newest Endpoint) {
+func (s *startTimesFixture) receiveFleet(newest Endpoint) {
 	endpoints := []Endpoint{newest}
 	for n := 1; n < 10; n++ {
-		endpoints = append(endpoints, f.started(n, time.Duration(n-1)*24*time.Hour)) // the first of them long ago
+		endpoints = append(endpoints, s.started(n, time.Duration(n-1)*24*time.Hour)) // the first of them long ago
 	}
 	endpoints[1].StartedAtMs = 0
-	f.receive(true, endpoints...)
-	f.wait(0)
+	s.receive(true, endpoints...)
+	s.wait(0)
 }
 
 // started is a worker that started some time ago.
-func (f *startTimesFixture) started(number int, ago time.Duration) Endpoint {
+func (s *startTimesFixture) started(number int, ago time.Duration) Endpoint {
 	return Endpoint{
-		ID: fmt.Sprint("s-", number), Addr: "10.0.0.1:80", Lifecycle: lifecycleUp, StartedAtMs: (f.now - ago).Milliseconds(),
+		ID: fmt.Sprint("s-", number), Addr: "10.0.0.1:80", Lifecycle: lifecycleUp, StartedAtMs: (s.now - ago).Milliseconds(),
 	}
 }
 
 // age is how old the policy takes a worker to be; negative: it is known as started long ago.
-func (f *startTimesFixture) age(number int) time.Duration {
-	worker := f.table.endpoints.listed[hashID(fmt.Sprint("s-", number))]
+func (s *startTimesFixture) age(number int) time.Duration {
+	worker := s.table.endpoints.listed[hashID(fmt.Sprint("s-", number))]
 	if worker.BootAt == 0 {
 		return -1
 	}
-	return f.now + f.clockAhead - worker.BootAt
+	return s.now + s.clockAhead - worker.BootAt
 }
 
 // expectAge checks how old a worker is taken to be.
-func (f *startTimesFixture) expectAge(t *testing.T, what string, number int, least, most time.Duration) {
+func (s *startTimesFixture) expectAge(t *testing.T, what string, number int, least, most time.Duration) {
 	t.Helper()
-	if age := f.age(number); age < least || age > most {
-		t.Errorf("clock ahead by %v, %s: s-%d is taken to be %v old, expected %v to %v", f.clockAhead, what, number, age, least, most)
+	if age := s.age(number); age < least || age > most {
+		t.Errorf("clock ahead by %v, %s: s-%d is taken to be %v old, expected %v to %v", s.clockAhead, what, number, age, least, most)
 	}
 }
 
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -52,173 +52,173 @@
 }
 
 // step takes one random step, and reports whether the policy has panicked.
-func (m *tableModel) step() (hasPanicked bool) {
-	if len(m.requests) == 0 {
-		m.Pick(14)
-		m.admit()
+func (t *tableModel) step() (hasPanicked bool) {
+	if len(t.requests) == 0 {
+		t.Pick(14)
+		t.admit()
 		return false
 	}
-	target := m.requests[m.Pick(len(m.requests))]
-	switch kind := m.Pick(14); kind {
+	target := t.requests[t.Pick(len(t.requests))]
+	switch kind := t.Pick(14); kind {
 	case 0:
-		m.admit()
+		t.admit()
 	case 1, 2, 3:
-		m.send(target)
+		t.send(target)
 	case 4:
 		job := target.request.ID
-		m.act([]dispatch.Action{dispatch.Reject{Job: job}, dispatch.Fail{Job: job}}[m.Pick(2)])
-		m.Record("reject or fail")
+		t.act([]dispatch.Action{dispatch.Reject{Job: job}, dispatch.Fail{Job: job}}[t.Pick(2)])
+		t.Record("reject or fail")
 	case 5:
-		m.act(dispatch.Cancel{Job: target.request.ID, Attempt: m.Pick(5)})
-		m.Record("cancel")
+		t.act(dispatch.Cancel{Job: target.request.ID, Attempt: t.Pick(5)})
+		t.Record("cancel")
 	case 6:
 		target.disconnected = target.disconnected || target.responder.total() == 0
-		m.table.ClientDisconnected(target.request)
-		m.Record("disconnect")
+		t.table.ClientDisconnected(target.request)
+		t.Record("disconnect")
 	case 7:
-		m.callBack(target)
+		t.callBack(target)
 	case 8:
-		m.endAttempt()
+		t.endAttempt()
 	case 9:
-		return m.Pick(8) == 0 && m.panicPolicy()
+		return t.Pick(8) == 0 && t.panicPolicy()
 	case 10, 11:
-		m.accept(kind == 11)
+		t.accept(kind == 11)
 	case 12, 13:
-		if len(m.transport.cancelling) > 0 {
-			m.transport.completeCancel(m.table, kind == 12)
-			m.Record("complete a cancellation")
+		if len(t.transport.cancelling) > 0 {
+			t.transport.completeCancel(t.table, kind == 12)
+			t.Record("complete a cancellation")
 		}
 	}
 	return false
 }
 
 // act has the policy take an action at its next step.
-func (m *tableModel) act(action dispatch.Action) { m.policy.Next = append(m.policy.Next, action) }
+func (t *tableModel) act(action dispatch.Action) { t.policy.Next = append(t.policy.Next, action) }
 
-func (m *tableModel) admit() {
+func (t *tableModel) admit() {
 	responder := &countingResponder{}
-	arrival := Arrival{CallID: strconv.Itoa(len(m.requests)), Job: dispatch.Job{Remaining: time.Second}, Responder: responder}
-	request, err := m.table.Admit(m.now, arrival)
-	m.Check(err == nil, "a new call id was rejected: %v", err)
-	_, err = m.table.Admit(m.now, arrival)
-	m.Check(errors.Is(err, ErrDuplicateCallID), "an open request's call id was admitted again")
-	m.requests = append(m.requests, &modelRequest{request: request, responder: responder})
-	m.Record("admit")
+	arrival := Arrival{CallID: strconv.Itoa(len(t.requests)), Job: dispatch.Job{Remaining: time.Second}, Responder: responder}
+	request, err := t.table.Admit(t.now, arrival)
+	t.Check(err == nil, "a new call id was rejected: %v", err)
+	_, err = t.table.Admit(t.now, arrival)
+	t.Check(errors.Is(err, ErrDuplicateCallID), "an open request's call id was admitted again")
+	t.requests = append(t.requests, &modelRequest{request: request, responder: responder})
+	t.Record("admit")
 }
 
-func (m *tableModel) send(target *modelRequest) {
-	timeout := time.Duration(m.Pick(3)) * 300 * time.Millisecond
-	worker := hashID("s-" + strconv.Itoa(m.Pick(2)))
-	m.act(dispatch.Send{Job: target.request.ID, Worker: worker, AttemptTimeout: timeout})
-	m.table.DiscoveryFailed() // something to step for
-	before := len(m.transport.started)
-	m.table.Step(m.now)
-	if len(m.transport.started) > before {
+func (t *tableModel) send(target *modelRequest) {
+	timeout := time.Duration(t.Pick(3)) * 300 * time.Millisecond
+	worker := hashID("s-" + strconv.Itoa(t.Pick(2)))
+	t.act(dispatch.Send{Job: target.request.ID, Worker: worker, AttemptTimeout: timeout})
+	t.table.DiscoveryFailed() // something to step for
+	before := len(t.transport.started)
+	t.table.Step(t.now)
+	if len(t.transport.started) > before {
 		until := target.request.Deadline
 		if timeout > 0 {
-			until = min(until, m.now+timeout)
+			until = min(until, t.now+timeout)
 		}
-		m.Check(m.transport.started[before].At == until, "attempt timeout not kept or not trimmed")
+		t.Check(t.transport.started[before].At == until, "attempt timeout not kept or not trimmed")
 	}
-	m.Record("send")
+	t.Record("send")
 }
 
-func (m *tableModel) callBack(target *modelRequest) {
+func (t *tableModel) callBack(target *modelRequest) {
 	result := "r"
-	endpoint := "s-" + strconv.Itoa(m.Pick(3))
-	state := []string{"started", "running", "done", "failed", "returned", "lost"}[m.Pick(6)]
+	endpoint := "s-" + strconv.Itoa(t.Pick(3))
+	state := []string{"started", "running", "done", "failed", "returned", "lost"}[t.Pick(6)]
 	callback := Callback{CallID: target.request.CallID, EndpointID: endpoint, State: state, Result: &result}
-	_, err := m.table.HandleCallback(callback)
-	m.Check(err == nil, "a valid callback was rejected")
-	m.Record(state)
+	_, err := t.table.HandleCallback(callback)
+	t.Check(err == nil, "a valid callback was rejected")
+	t.Record(state)
 }
 
 // endAttempt has the transport end an attempt, perhaps once more.
-func (m *tableModel) endAttempt() {
-	if len(m.transport.started) == 0 {
+func (t *tableModel) endAttempt() {
+	if len(t.transport.started) == 0 {
 		return
 	}
-	attempt := m.transport.started[m.Pick(len(m.transport.started))]
-	if stage := Stage(m.Pick(3)); !attempt.HasEnded() && attempt.Stage < StageAccepted {
+	attempt := t.transport.started[t.Pick(len(t.transport.started))]
+	if stage := Stage(t.Pick(3)); !attempt.HasEnded() && attempt.Stage < StageAccepted {
 		attempt.Stage = stage
 	}
-	reason := []Reason{ReasonConnectionLost, ReasonInvalidRequest}[m.Pick(2)]
+	reason := []Reason{ReasonConnectionLost, ReasonInvalidRequest}[t.Pick(2)]
 	request := attempt.Request
 	wasOpen := !attempt.HasEnded() && !request.IsClosed()
-	m.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
+	t.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
 	if reason == ReasonInvalidRequest && wasOpen {
-		m.Check(request.IsClosed() == (request.inFlight == 0), "invalid at its last worker, and not closed")
+		t.Check(request.IsClosed() == (request.inFlight == 0), "invalid at its last worker, and not closed")
 	}
-	m.Record("end " + attempt.Stage.String())
+	t.Record("end " + attempt.Stage.String())
 }
 
 // accept has a worker accept an attempt, and perhaps the policy cancel it.
-func (m *tableModel) accept(cancel bool) {
-	if len(m.transport.started) == 0 {
+func (t *tableModel) accept(cancel bool) {
+	if len(t.transport.started) == 0 {
 		return
 	}
-	attempt := m.transport.started[m.Pick(len(m.transport.started))]
+	attempt := t.transport.started[t.Pick(len(t.transport.started))]
 	if !attempt.HasEnded() {
 		attempt.Stage = StageAccepted
 		if cancel {
-			m.act(dispatch.Cancel{Job: attempt.Request.ID, Attempt: attempt.Number})
+			t.act(dispatch.Cancel{Job: attempt.Request.ID, Attempt: attempt.Number})
 		}
 	}
-	m.Record("accept")
+	t.Record("accept")
 }
 
 // panicPolicy has the policy panic at its next step, and reports whether it had one. A new policy knows no request:
 // each must have its response by the end of the step.
-func (m *tableModel) panicPolicy() bool {
-	m.policy.Panic, m.policy.Next = true, nil
-	m.table.Step(m.now)
-	if m.policy.Panic {
-		m.policy.Panic = false
+func (t *tableModel) panicPolicy() bool {
+	t.policy.Panic, t.policy.Next = true, nil
+	t.table.Step(t.now)
+	if t.policy.Panic {
+		t.policy.Panic = false
 		return false
 	}
-	m.Check(m.table.OpenCount() == 0, "%d requests without a response after a panic", m.table.OpenCount())
-	for _, r := range m.requests {
-		m.Check(r.disconnected || r.responder.total() == 1, "%d responses after a panic", r.responder.total())
+	t.Check(t.table.OpenCount() == 0, "%d requests without a response after a panic", t.table.OpenCount())
+	for _, r := range t.requests {
+		t.Check(r.disconnected || r.responder.total() == 1, "%d responses after a panic", r.responder.total())
 	}
 	return true
 }
 
 // checkAttempts checks after each step that no attempt may be executed without need.
-func (m *tableModel) checkAttempts() {
-	for _, attempt := range m.transport.cancelling {
-		m.Check(attempt.Stage == StageAccepted, "an attempt that is %v is cancelled at its worker", attempt.Stage)
+func (t *tableModel) checkAttempts() {
+	for _, attempt := range t.transport.cancelling {
+		t.Check(attempt.Stage == StageAccepted, "an attempt that is %v is cancelled at its worker", attempt.Stage)
 	}
-	for _, attempt := range m.transport.started {
+	for _, attempt := range t.transport.started {
 		request := attempt.Request
 		isGivenUp := attempt.HasEnded() && attempt.Stage >= StageAccepted &&
 			(attempt.result == dispatch.Cancelled || attempt.result == dispatch.TimedOut)
-		m.Check(!isGivenUp || m.transport.confirmed[attempt] || request.IsClosed() || m.now >= request.Deadline,
+		t.Check(!isGivenUp || t.transport.confirmed[attempt] || request.IsClosed() || t.now >= request.Deadline,
 			"request %d: an accepted attempt is given up, and its worker was not notified", request.ID)
-		m.Check(attempt.HasEnded() || !request.IsClosed() || attempt.Stage >= StageWritten,
+		t.Check(attempt.HasEnded() || !request.IsClosed() || attempt.Stage >= StageWritten,
 			"request %d is closed, and may still be sent", request.ID)
 	}
 }
 
 // expireAll steps past every deadline: attempts expire, and the policy fails what is left.
-func (m *tableModel) expireAll() {
+func (t *tableModel) expireAll() {
 	for range 3 {
-		m.now += 2 * time.Second
-		for _, r := range m.requests {
-			m.act(dispatch.Fail{Job: r.request.ID})
+		t.now += 2 * time.Second
+		for _, r := range t.requests {
+			t.act(dispatch.Fail{Job: r.request.ID})
 		}
-		m.table.UpdateEndpoints(EndpointList{})
-		m.table.Step(m.now)
+		t.table.UpdateEndpoints(EndpointList{})
+		t.table.Step(t.now)
 	}
 }
 
 // checkResponses checks that each request got one response, or has lost its client and got none.
-func (m *tableModel) checkResponses() {
-	for _, r := range m.requests {
+func (t *tableModel) checkResponses() {
+	for _, r := range t.requests {
 		want := 1
 		if r.disconnected {
 			want = 0
 		}
-		m.Check(r.responder.total() == want, "%d responses, disconnected %v", r.responder.total(), r.disconnected)
+		t.Check(r.responder.total() == want, "%d responses, disconnected %v", r.responder.total(), r.disconnected)
 	}
 }
 
@@ -229,16 +229,16 @@
 }
 
 // outcomes returns the outcomes that the policy has received, and checks that there is one for each attempt.
-func (m *tableModel) outcomes() map[attemptID]dispatch.Outcome {
+func (t *tableModel) outcomes() map[attemptID]dispatch.Outcome {
 	outcomes := map[attemptID]dispatch.Outcome{}
-	for _, event := range m.policy.Received {
+	for _, event := range t.policy.Received {
 		outcome, isOutcome := event.(dispatch.Outcome)
 		if !isOutcome {
 			continue
 		}
 		id := attemptID{outcome.Job, outcome.Attempt}
 		_, isSecond := outcomes[id]
-		m.Check(!isSecond || outcome.Result == dispatch.NotSent, "two outcomes for request %d attempt %d", id.job, id.number)
+		t.Check(!isSecond || outcome.Result == dispatch.NotSent, "two outcomes for request %d attempt %d", id.job, id.number)
 		if !isSecond { // a Send for a request that has ended has no number of its own
 			outcomes[id] = outcome
 		}
@@ -247,24 +247,24 @@
 }
 
 // checkOutcomes checks what the policy has received against what the transport was asked for.
-func (m *tableModel) checkOutcomes() {
-	outcomes := m.outcomes()
-	for _, r := range m.requests {
+func (t *tableModel) checkOutcomes() {
+	outcomes := t.outcomes()
+	for _, r := range t.requests {
 		for number := range r.request.attempts {
 			outcome, known := outcomes[attemptID{r.request.ID, number}]
-			m.Check(known, "no outcome for request %d attempt %d", r.request.ID, number)
-			m.Check(outcome.Result != dispatch.OK || outcome.Closed, "served, and not closed")
+			t.Check(known, "no outcome for request %d attempt %d", r.request.ID, number)
+			t.Check(outcome.Result != dispatch.OK || outcome.Closed, "served, and not closed")
 		}
 	}
-	for _, attempt := range m.transport.started {
+	for _, attempt := range t.transport.started {
 		outcome := outcomes[attemptID{attempt.Request.ID, attempt.Number}]
 		isGivenUp := outcome.Result == dispatch.TimedOut || outcome.Result == dispatch.Cancelled
 		isUnwritten := outcome.Result == dispatch.NotSent && outcome.Closed && attempt.Stage < StageWritten
-		isNotified := m.transport.abandoned[attempt] || m.transport.confirmed[attempt]
-		m.Check(!isGivenUp || isNotified, "result %v, and the worker was not notified", outcome.Result)
-		m.Check(!isNotified || isGivenUp || isUnwritten,
+		isNotified := t.transport.abandoned[attempt] || t.transport.confirmed[attempt]
+		t.Check(!isGivenUp || isNotified, "result %v, and the worker was not notified", outcome.Result)
+		t.Check(!isNotified || isGivenUp || isUnwritten,
 			"result %v, stage %v, and the worker was notified", outcome.Result, attempt.Stage)
-		m.Check(outcome.Result != dispatch.ConnectFailed || attempt.Stage < StageWritten,
+		t.Check(outcome.Result != dispatch.ConnectFailed || attempt.Stage < StageWritten,
 			"could not connect, though %v", attempt.Stage)
 	}
 }
--- a/internal/status/model_test.go
+++ b/internal/status/model_test.go
@@ -35,40 +35,40 @@
 var outcomesByCallback = map[string]string{"done": "served", "failed": "error", "returned": "turned away", "lost": "reset"}
 
 // step executes one random step.
-func (m *tableModel) step() {
-	m.Now += time.Duration(m.Pick(100)) * 10 * time.Millisecond
-	id := strconv.Itoa(m.Pick(8))
-	worker, job := "s-"+strconv.Itoa(m.Pick(2)), m.jobs[id]
-	choice := m.Pick(12)
+func (t *tableModel) step() {
+	t.Now += time.Duration(t.Pick(100)) * 10 * time.Millisecond
+	id := strconv.Itoa(t.Pick(8))
+	worker, job := "s-"+strconv.Itoa(t.Pick(2)), t.jobs[id]
+	choice := t.Pick(12)
 	switch {
 	case job == nil || choice == 0 && !job.open && len(job.attempts) == 0: // an id may come again
-		m.jobs[id] = &modelJob{request: m.Admit(id, 0, 0), open: true, attempts: map[string]string{}}
-		m.Record("admit " + id)
+		t.jobs[id] = &modelJob{request: t.Admit(id, 0, 0), open: true, attempts: map[string]string{}}
+		t.Record("admit " + id)
 	case choice < 3:
-		if m.Send(job.request, worker) {
+		if t.Send(job.request, worker) {
 			job.attempts[worker] = "sent"
 		}
-		m.Record("send " + id + " to " + worker)
+		t.Record("send " + id + " to " + worker)
 	case choice < 9:
-		m.callBack(id, worker)
+		t.callBack(id, worker)
 	case choice == 9:
-		m.Apply([]dispatch.Action{dispatch.Reject{Job: job.request.ID}, dispatch.Fail{Job: job.request.ID}}[m.Pick(2)])
-		m.Record("give up " + id)
-		job.giveUp(m.Now)
+		t.Apply([]dispatch.Action{dispatch.Reject{Job: job.request.ID}, dispatch.Fail{Job: job.request.ID}}[t.Pick(2)])
+		t.Record("give up " + id)
+		job.giveUp(t.Now)
 	case choice == 10:
-		m.Table.ClientDisconnected(job.request)
-		m.Record("the client of " + id + " disconnects")
-		job.disconnect(m.Now)
+		t.Table.ClientDisconnected(job.request)
+		t.Record("the client of " + id + " disconnects")
+		job.disconnect(t.Now)
 	}
 }
 
 // callBack sends a random callback of a worker on a job.
-func (m *tableModel) callBack(id, worker string) {
-	state := []string{"started", "running", "done", "failed", "returned", "lost"}[m.Pick(6)]
-	progress := float64(m.Pick(5)) / 4
-	m.SendCallback(id, worker, state, progress)
-	m.Record(fmt.Sprint(worker, " calls back on ", id, " ", state, progress))
-	job := m.jobs[id]
+func (t *tableModel) callBack(id, worker string) {
+	state := []string{"started", "running", "done", "failed", "returned", "lost"}[t.Pick(6)]
+	progress := float64(t.Pick(5)) / 4
+	t.SendCallback(id, worker, state, progress)
+	t.Record(fmt.Sprint(worker, " calls back on ", id, " ", state, progress))
+	job := t.jobs[id]
 	if job.attempts[worker] == "" {
 		return
 	}
@@ -81,63 +81,63 @@
 		}
 	default:
 		delete(job.attempts, worker)
-		job.endAttempt(state, m.Now)
+		job.endAttempt(state, t.Now)
 	}
 }
 
 // endAttempt updates the expectation by the end of an attempt.
-func (j *modelJob) endAttempt(callback string, now time.Duration) {
-	if !j.open {
+func (m *modelJob) endAttempt(callback string, now time.Duration) {
+	if !m.open {
 		return
 	}
 	outcome := outcomesByCallback[callback]
-	if isFinal := j.outcome == "served" || outcome == "turned away" && j.outcome != ""; !isFinal {
-		j.outcome = outcome
+	if isFinal := m.outcome == "served" || outcome == "turned away" && m.outcome != ""; !isFinal {
+		m.outcome = outcome
 	}
-	if callback == "done" && !j.disconnected || j.disconnected && len(j.attempts) == 0 {
-		j.end(j.outcome, now)
+	if callback == "done" && !m.disconnected || m.disconnected && len(m.attempts) == 0 {
+		m.end(m.outcome, now)
 	}
 }
 
 // giveUp updates the expectation by a rejection or a failure.
-func (j *modelJob) giveUp(now time.Duration) {
+func (m *modelJob) giveUp(now time.Duration) {
 	switch {
-	case !j.open || j.disconnected:
-	case len(j.attempts) > 0:
-		j.end("timed out", now)
+	case !m.open || m.disconnected:
+	case len(m.attempts) > 0:
+		m.end("timed out", now)
 	default:
-		j.endWithoutAttempts(now)
+		m.endWithoutAttempts(now)
 	}
 }
 
-func (j *modelJob) disconnect(now time.Duration) {
-	j.disconnected = j.disconnected || j.open
-	if j.open && len(j.attempts) == 0 {
-		j.endWithoutAttempts(now)
+func (m *modelJob) disconnect(now time.Duration) {
+	m.disconnected = m.disconnected || m.open
+	if m.open && len(m.attempts) == 0 {
+		m.endWithoutAttempts(now)
 	}
 }
 
 // endWithoutAttempts ends a job with the outcome of its last attempt, if it had any.
-func (j *modelJob) endWithoutAttempts(now time.Duration) {
-	if j.outcome == "" {
-		j.outcome = "turned away"
+func (m *modelJob) endWithoutAttempts(now time.Duration) {
+	if m.outcome == "" {
+		m.outcome = "turned away"
 	}
-	j.end(j.outcome, now)
+	m.end(m.outcome, now)
 }
 
-func (j *modelJob) end(outcome string, now time.Duration) {
-	j.open = false
-	j.outcome = outcome
-	j.endedAt = now
+func (m *modelJob) end(outcome string, now time.Duration) {
+	m.open = false
+	m.outcome = outcome
+	m.endedAt = now
 }
 
 // expected returns the state of a job, and its progress in the report, if any.
-func (j *modelJob) expected() (state State, progress string) {
-	if !j.open {
+func (m *modelJob) expected() (state State, progress string) {
+	if !m.open {
 		return StateEnded, ""
 	}
 	state = StateWaiting
-	for _, attempt := range j.attempts {
+	for _, attempt := range m.attempts {
 		if attempt != "sent" {
 			state = StateRunning
 		}
@@ -149,11 +149,11 @@
 }
 
 // check compares all entries with the model.
-func (m *tableModel) check() {
-	for id, job := range m.jobs {
-		report, ok := m.find(id)
-		isKept := job.open || m.Now-job.endedAt < modelRetention
-		m.Check(ok == isKept, "%s: found %v, expected %v", id, ok, isKept)
+func (t *tableModel) check() {
+	for id, job := range t.jobs {
+		report, ok := t.find(id)
+		isKept := job.open || t.Now-job.endedAt < modelRetention
+		t.Check(ok == isKept, "%s: found %v, expected %v", id, ok, isKept)
 		if !ok {
 			continue
 		}
@@ -162,11 +162,11 @@
 		if report.Share != nil {
 			shown = fmt.Sprint(*report.Share)
 		}
-		m.Check(report.State == state && shown == progress, "%s: %+v, expected %s, progress %q", id, report, state, progress)
+		t.Check(report.State == state && shown == progress, "%s: %+v, expected %s, progress %q", id, report, state, progress)
 		if job.open {
-			m.Check(report.Outcome == "", "%s: %+v, expected no outcome", id, report)
+			t.Check(report.Outcome == "", "%s: %+v, expected no outcome", id, report)
 		} else {
-			m.Check(string(report.Outcome) == job.outcome, "%s: %+v, expected %s", id, report, job.outcome)
+			t.Check(string(report.Outcome) == job.outcome, "%s: %+v, expected %s", id, report, job.outcome)
 		}
 	}
 }
