--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Over real sockets: who may not connect is closed and logged, on both listeners; a load balancer's header names the client on
-// each line; from others, or malformed, it closes the connection.
+// Over real sockets, on both listeners: the connection of a denied client is closed and logged. A load balancer's PROXY header
+// sets the client on each line; one from another client, or a malformed one, closes the connection.
 func TestAddressLists(t *testing.T) {
 	port := freePort(t)
 	s := startWith(t, conf, "[addresses]\nallow = ['127.0.0.0/8']\ndeny = ['127.0.0.66/32']\ntrusted_fronts = ['127.0.0.9/32']\n"+
@@ -70,7 +70,7 @@
 	s.log(`msg="client connection open" scheduler=n0 client=` + own + " via=" + own)
 }
 
-// With the lists off nothing is said of links, and a header is what it was: bytes that can't be read.
+// Without the section, connections are not logged, and a PROXY header is a malformed request.
 func TestAddressesOff(t *testing.T) {
 	s := start(t, conf)
 	c := s.dial()
--- a/internal/server/capture_test.go
+++ b/internal/server/capture_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/config"
 )
 
-// dumpCapture asks for the capture and reads the log up to its end.
+// dumpCapture requests the capture and reads the log up to its end.
 func (s *started) dumpCapture() string {
 	s.signal(syscall.SIGUSR1)
 	var text strings.Builder
@@ -26,8 +26,8 @@
 	return ""
 }
 
-// What a scheduler has done over real sockets comes out on SIGUSR1, with the log's lines around it, and replays
-// without a difference; under another setting it does not; what is no capture is unusable.
+// The capture of a scheduler over real sockets is written to the log on SIGUSR1, between other lines, and is replayed without a
+// difference, or with differences under another setting. A text without a capture is an error.
 func TestCaptureAndReplay(t *testing.T) {
 	w := work(t, "[capture]")
 	answer := w.submit("9b1f03aa5c7e2d41")
@@ -77,7 +77,7 @@
 	}
 }
 
-// A log that nobody reads delays neither the jobs nor the end, whatever features are on.
+// A log that is not read delays neither the jobs nor the end, with all features enabled.
 func TestLogStuck(t *testing.T) {
 	t.Run("capture", func(t *testing.T) { testStuckLog(t, "[capture]") })
 	t.Run("no feature", func(t *testing.T) { testStuckLog(t, "[log]\nlevel = 'debug'") })
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -9,31 +9,32 @@
 	"valvecove/internal/scheduler"
 )
 
-// After SIGTERM new connections still come for a moment, and clients keep using those that they have. SIGKILL comes no
-// sooner than the longest client timeout, of which maxDrain counts at most, and killMargin more. A request that comes later
-// than killMargin after SIGTERM must be answered before that.
+// After SIGTERM new connections still arrive for a short time, and clients use their open ones. The platform sends SIGKILL after
+// the longest client timeout, limited to maxDrain, plus killMargin. A request that arrives later than killMargin after SIGTERM
+// must be responded to before that.
 const (
 	maxDrain   = 3 * time.Second
 	killMargin = 700 * time.Millisecond
 )
 
-// Steps of the drain, by the time that is left until SIGKILL. The process may be held up for 0.15 s when SIGTERM comes, and again
-// when a step is due: all answers are written by then all the same.
+// Steps of the drain, by the remaining time until SIGKILL. All responses are written in time even if the process is suspended for
+// 0.15 s at SIGTERM, and again when a step is due.
 const (
-	closeBeforeKill        = 1100 * time.Millisecond // a request that comes later would hardly be served in time
-	rejectQueuedBeforeKill = 500 * time.Millisecond  // what came late, or was never sent, is answered
-	finishAllBeforeKill    = 350 * time.Millisecond  // whatever is still open is answered
+	closeBeforeKill        = 1100 * time.Millisecond // a request that arrives later would rarely be served in time
+	rejectQueuedBeforeKill = 500 * time.Millisecond  // late requests, and those without attempts, are responded to
+	finishAllBeforeKill    = 350 * time.Millisecond  // all open requests are responded to
 )
 
-// drainSchedule is when the steps of a drain are taken, counted from SIGTERM.
+// drainSchedule contains the times of the steps of a drain, from SIGTERM.
 type drainSchedule struct {
-	closeAt        time.Duration // connections between requests are closed, and no request is admitted any more
-	rejectQueuedAt time.Duration
-	lateSince      time.Duration // what came later than this is answered with what is queued
-	finishAllAt    time.Duration
-	endAt          time.Duration // the process ends; SIGKILL comes no sooner
+	closeAt        time.Duration // idle connections are closed, and no request is admitted after that
+	rejectQueuedAt time.Duration // requests without attempts are rejected
+	lateSince      time.Duration // requests that arrived after this are responded to at rejectQueuedAt too
+	finishAllAt    time.Duration // all requests are responded to
+	endAt          time.Duration // the process ends; SIGKILL is not sent before
 }
 
+// newDrainSchedule returns the schedule for the settings of a deployment.
 func newDrainSchedule(settings config.Settings) drainSchedule {
 	end := KillDelay(settings)
 	rejectQueuedAt := end - rejectQueuedBeforeKill
@@ -47,13 +48,13 @@
 }
 
 const (
-	// handOverLinger is how long a replaced process stays, for operators' calls that are under way.
+	// handOverLinger is how long a replaced process still responds to operators' calls in progress.
 	handOverLinger = 500 * time.Millisecond
-	// handOverRetryDelay is how long a hand-over waits for state that is not settled yet.
+	// handOverRetryDelay is the delay before a transfer is retried because state could not be transferred yet.
 	handOverRetryDelay = time.Millisecond
 )
 
-// KillDelay returns how long after SIGTERM a scheduler stays, which is when SIGKILL comes at the earliest.
+// KillDelay returns the minimum time between SIGTERM and SIGKILL, which is also the duration of a drain.
 func KillDelay(settings config.Settings) time.Duration {
 	delay := killMargin
 	for _, class := range settings.Classes {
@@ -62,8 +63,8 @@
 	return delay
 }
 
-// stop begins to drain, or ends a process in standby. It does so once: a second SIGTERM must not begin the drain
-// anew.
+// stop starts the drain, or ends a process in standby. It has no effect when it is called again: a second SIGTERM must not
+// restart the drain.
 func (s *server) stop() {
 	if !s.advance(draining) {
 		return
@@ -78,10 +79,10 @@
 	s.handOver()
 }
 
-// drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
+// drain starts a drain according to the settings: requests are served as long as possible, and all are responded to at the end.
 func (s *server) drain() { newDrainSchedule(s.conf.Settings).run(s.scheduler, s.finish) }
 
-// drainable is what a drain needs of a scheduler. *scheduler.Scheduler implements it.
+// drainable is a scheduler that can be drained. *scheduler.Scheduler implements it.
 type drainable interface {
 	After(span time.Duration, act func()) *eventloop.Timer
 	Drain()
@@ -91,7 +92,7 @@
 	FinishAllRequests()
 }
 
-// run takes the steps, the first one at once.
+// run executes the first step, and schedules the others.
 func (d drainSchedule) run(drained drainable, end func()) {
 	drained.Drain()
 	drained.After(d.closeAt, drained.Close)
@@ -103,17 +104,17 @@
 	})
 	drained.After(d.finishAllAt, func() {
 		drained.FinishAllRequests()
-		drained.Close() // of connections that have come since, too: what comes on one that stays open may meet SIGKILL
+		drained.Close() // also connections that were accepted since: a request on one of them could be lost by SIGKILL
 	})
-	// Until then it stays even with nothing in flight. One that has ended looks like one that has died: the load balancer
-	// takes seconds to notice, and clients go on to try it. One that is there answers 503.
+	// The process runs until then even if no request is open. After its end, the load balancer would need seconds to detect that
+	// it is down, as after a crash, and clients would still try to connect. Until then they receive 503.
 	drained.After(d.endAt, end)
 }
 
-// finish has the loop end once it is quiet.
+// finish ends the event loop once all responses are written.
 func (s *server) finish() { s.advance(finished) }
 
-// handOver gives all state to the process that is to replace this one, if one is in standby. If the transfer fails, this process continues to drain.
+// handOver transfers all state to the successor, if one is in standby. If the transfer fails, this process continues to drain.
 func (s *server) handOver() {
 	err := s.scheduler.Relinquish()
 	switch {
--- a/internal/server/drain_requests_test.go
+++ b/internal/server/drain_requests_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// hangingWorkers take requests and never answer any.
+// hangingWorkers accepts connections and requests, and never responds.
 type hangingWorkers struct {
 	net.Listener
 	received sync.Map // by call ID
@@ -40,7 +40,7 @@
 	}
 }
 
-// persistentClient sends one request after the other up to the scheduler's end, on a connection that it keeps.
+// persistentClient sends one request after the other up to the scheduler's end, on one connection.
 type persistentClient struct {
 	name     string
 	address  string
@@ -75,7 +75,7 @@
 	}
 }
 
-// connect returns the client's connection; nil: the scheduler has ended.
+// connect returns the client's connection, or nil if the scheduler has ended.
 func (c *persistentClient) connect() (connection *net.TCPConn, isNew bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,7 +100,7 @@
 	c.connection = nil
 }
 
-// stop lets the client know that the scheduler has ended: what it has not written by now does not come.
+// stop is called when the scheduler has ended, so that no further response is expected.
 func (c *persistentClient) stop() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// hasResponse reports whether a response has come that was not read when the scheduler ended.
+// hasResponse reports whether a response was received that was not read when the scheduler ended.
 func hasResponse(connection *net.TCPConn) bool {
 	_ = connection.SetReadDeadline(time.Time{})
 	raw, err := connection.SyscallConn()
@@ -126,8 +126,8 @@
 	return size > 0 && bytes.HasPrefix(received[:size], []byte("HTTP/1.1 "))
 }
 
-// Where deadlines are short, SIGKILL is due soon after SIGTERM. Whatever else is under way then, with workers that hang through all
-// of it and clients that go on on the connections that they have, each request that was sent to a worker is answered.
+// Where deadlines are short, SIGKILL is due soon after SIGTERM. With hanging workers, and clients
+// that continue on their connections, each request that was sent to a worker is responded to.
 func TestTermWithShortDeadlines(t *testing.T) {
 	const clients = 4
 	for name, reloads := range map[string]int{"discovery is down": 0, "a new configuration": 1, "several": 5} {
@@ -164,7 +164,7 @@
 	}
 }
 
-// expectAnswered expects an answer to each request of the client that workers have received.
+// expectAnswered expects a response to each request of the client that workers have received.
 func (c *persistentClient) expectAnswered(t *testing.T, workers *hangingWorkers) {
 	t.Helper()
 	workers.received.Range(func(id, _ any) bool {
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -11,8 +11,8 @@
 	"valvecove/internal/eventloop"
 )
 
-// Whatever the longest deadline of a deployment, every request has its answer before SIGKILL, also where the process is held up for
-// as long as may be when SIGTERM comes and again when its last step is due; and none is admitted once the queue has been answered.
+// For any longest deadline of a deployment, every request is responded to before SIGKILL, also if the process is suspended for
+// the maximum time at SIGTERM and again when the last step is due. No request is admitted after the queued ones were rejected.
 func TestDrainScheduleEndsBeforeKill(t *testing.T) {
 	const (
 		hold      = 150 * time.Millisecond
@@ -34,14 +34,14 @@
 		if schedule.endAt < kill { // it would look like one that has died
 			t.Fatalf("deadline %v: ends at %v, SIGKILL comes at %v", deadline, schedule.endAt, kill)
 		}
-		// What comes for as long as new connections do has half of its time at least, or a second.
+		// A request that arrives while new connections are still accepted has at least half of its time, or a second.
 		if served := schedule.finishAllAt - forOthers; served < min(deadline/2, time.Second) && deadline > 150*time.Millisecond {
 			t.Fatalf("deadline %v: what comes at %v has %v", deadline, forOthers, served)
 		}
 	}
 }
 
-// recordingLoop notes the steps of a drain, in their order, and takes those that are due at an instant.
+// recordingLoop records the steps of a drain in order, and executes those that are due at an instant.
 type recordingLoop struct {
 	steps []string
 	later []laterStep
@@ -65,8 +65,8 @@
 	r.steps = append(r.steps, "finish the last "+span.String())
 }
 
-// The last answers are followed by another close: a client may have connected since the first one, and what it sends at the moment of
-// SIGKILL would be lost. What came later than 0.7 s after SIGTERM is answered first, where there is such.
+// The last responses are followed by another close: a client may have connected since the first one, and a request that it sends
+// at SIGKILL would be lost. Requests that arrived later than 0.7 s after SIGTERM are responded to before.
 func TestDrainSteps(t *testing.T) {
 	for deadline, want := range map[time.Duration][]string{
 		300 * time.Millisecond: {"drain", "close", "reject queued", "finish all", "close", "end"},
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -8,24 +8,25 @@
 	"valvecove/internal/config"
 )
 
-// gcPercent lets the heap grow to three times what is live between two collections, memory permitting.
+// gcPercent is the argument of debug.SetGCPercent: the heap grows to three times the live memory between two collections, within
+// the memory limit.
 const gcPercent = 200
 
-// Of the configured memory, heapNumerator/heapDenominator may be heap.
+// heapNumerator/heapDenominator is the fraction of the configured memory that the heap may use.
 const (
 	heapNumerator   = 6
 	heapDenominator = 10
 )
 
-// applyLimits keeps the runtime inside what the machine allows.
+// applyLimits configures the Go runtime according to the limits of the process.
 func applyLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
 	debug.SetMemoryLimit(HeapLimit(limits))
 	debug.SetGCPercent(gcPercent)
 }
 
-// HeapLimit returns how many bytes the garbage collector is held to. Memory beyond the heap needs room too, and exceeding
-// the configured memory is a crash, so that the collector works harder well before that.
+// HeapLimit returns the memory limit of the garbage collector, in bytes. It is well below the configured memory, which includes
+// memory outside of the heap: a process that exceeds the configured memory is killed.
 func HeapLimit(limits config.Limits) int64 {
 	return int64(limits.MemoryMB) << 20 * heapNumerator / heapDenominator
 }
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -9,8 +9,7 @@
 	"testing"
 )
 
-// A scheduler that knows 10,000 workers at its start says so in few lines; in JSON each is an object with the
-// fields that it should have.
+// A scheduler with 10,000 known workers at its start logs few lines. In JSON each is an object with the documented fields.
 func TestLogOfALargeStart(t *testing.T) {
 	endpoints := ""
 	for n := range 9_999 {
--- a/internal/server/metric_targets.go
+++ b/internal/server/metric_targets.go
@@ -9,22 +9,23 @@
 	"valvecove/internal/metrics"
 )
 
+// metricsFileMode is the permissions of the file of metrics.
 const metricsFileMode = 0o640
 
-// metricTargets are the targets of metrics that are files or the log. The loop has the one that is a socket.
+// metricTargets contains the targets of metrics other than the collector: a file, or the log.
 type metricTargets struct {
 	targets []metrics.Target
-	writer  *asyncwriter.Writer  // in front of the file
-	file    *filesystem.LineFile // nil: none
+	writer  *asyncwriter.Writer  // asynchronous writer to the file
+	file    *filesystem.LineFile // nil: no file
 }
 
-// asyncTarget is a target in front of which an asynchronous writer stands.
+// asyncTarget is a target that writes asynchronously.
 type asyncTarget struct{ *asyncwriter.Writer }
 
-// Send hands on a batch as a whole.
+// Send writes a batch completely, or returns an error.
 func (t asyncTarget) Send(batch []byte) error { return t.TryWrite(batch) }
 
-// openMetricTargets opens what is configured: a file, or the log if there is neither a file nor a collector.
+// openMetricTargets opens the configured file, or the log if neither a file nor a collector is configured.
 func (s *server) openMetricTargets(conf *config.Metrics) (metricTargets, error) {
 	if conf == nil {
 		return metricTargets{}, nil
@@ -43,7 +44,7 @@
 	return metricTargets{targets: []metrics.Target{asyncTarget{writer}}, writer: writer, file: file}, nil
 }
 
-// close writes out what is pending, and closes the file.
+// close writes pending metrics and closes the file.
 func (t metricTargets) close() {
 	if t.file == nil {
 		return
--- a/internal/server/metric_targets_test.go
+++ b/internal/server/metric_targets_test.go
@@ -11,8 +11,8 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// The file of metrics is begun while the disk is full, goes on once there is room, and has whole lines only; what was lost is
-// reported to the exporter, which counts it.
+// The file of metrics is opened while the disk is full, is written once there is space, and contains complete lines only. Lost
+// batches are reported to the exporter, which counts them.
 func TestMetricsFileOutlastsFullDisk(t *testing.T) {
 	disk := filesystemtest.New(nil)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC))
@@ -47,7 +47,7 @@
 	}
 }
 
-// A log whose writes are cut has no two lines in one.
+// After a partial write to the log, no two lines are joined.
 func TestLogHasWholeLines(t *testing.T) {
 	var log cutWriter
 	writer := newLogWriter(&log, config.Log{}, "n0")
@@ -60,7 +60,7 @@
 	}
 }
 
-// cutWriter cuts the second write.
+// cutWriter writes only a part of the second write.
 type cutWriter struct {
 	text  strings.Builder
 	calls int
--- a/internal/server/metrics_test.go
+++ b/internal/server/metrics_test.go
@@ -21,7 +21,7 @@
 	return l
 }
 
-// awaitBatch reads batches until one has the text that is wanted.
+// awaitBatch reads batches until one contains a text.
 func awaitBatch(t *testing.T, from net.PacketConn, want string, maxBytes int) {
 	t.Helper()
 	b := make([]byte, 1<<16)
@@ -39,7 +39,7 @@
 	}
 }
 
-// serve has a job done.
+// serve has one job served.
 func (w *worked) serve(id string) {
 	answer := w.submit(id)
 	w.accept()
@@ -52,8 +52,8 @@
 
 const servedLine = "valvecove.jobs:1|c|#tenant:swat-society,class:a,outcome:served"
 
-// A collector gets each job; once it is closed jobs are served as before, and batches that are lost are counted, as the
-// file beside it says; when it is back it gets metrics again.
+// A collector receives the metrics of each job. After it is closed, jobs are still served, and lost batches are counted in the
+// file. When it is open again, it receives metrics again.
 func TestMetricsByUDP(t *testing.T) {
 	l, file := collect(t, "127.0.0.1:0"), filepath.Join(t.TempDir(), "figures")
 	w := work(t, "[figures]\nflush_ms = 10\nmax_batch_bytes = 300\nudp_target = '"+l.LocalAddr().String()+"'\nfile = '"+file+"'")
@@ -73,7 +73,7 @@
 	w.stop()
 }
 
-// What has not been flushed is at the end, to a file or to standard error; with both a file and a collector both get it.
+// Pending metrics are written at the end, to a file or to standard error. With a file and a collector, both receive them.
 func TestMetricsAreFlushedAtTheEnd(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "figures")
 	l := collect(t, "127.0.0.1:0")
@@ -91,7 +91,7 @@
 	w.log(servedLine)
 }
 
-// A file that can't be opened ends the start.
+// A file that can't be opened is an error of the start.
 func TestMetricsFileCannotBeOpened(t *testing.T) {
 	s := &started{T: t, path: t.TempDir() + "/config.json", ops: t.TempDir() + "/ops.toml"}
 	s.configure(conf)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server runs a scheduler process: it loads the configuration, opens the event loop, and handles signals, reloads,
-// the drain at the end and the hand-over to a successor. It owns the process's limits and its log. It decides nothing about
-// requests and opens no connection itself.
+// Package server runs a scheduler process: it loads the configuration, opens the scheduler, and handles signals, reloads, the
+// drain after SIGTERM and the transfer to a successor. It sets the limits of the process and writes its log. It makes no decision
+// about requests and opens no connection itself.
 package server
 
 import (
@@ -20,37 +20,37 @@
 	"valvecove/internal/scheduler"
 )
 
-// flushTimeout is how long, at the end, a log or a disk is given to take what is pending.
+// flushTimeout is the maximum time for writing pending data to the log or a disk at the end of the process.
 const flushTimeout = 200 * time.Millisecond
 
-// maxPendingLog is how many bytes of log, or of metrics for a file, may be pending.
+// maxPendingLog is the maximum number of pending bytes of the log, or of metrics for a file.
 const maxPendingLog = 256 << 10
 
-// server is a scheduler process. All its methods run in the event loop.
+// server is a scheduler process. Its methods run on the goroutine of the event loop.
 type server struct {
 	getenv    func(string) string
 	conf      config.Config
 	scheduler *scheduler.Scheduler
 	state     state
-	failure   error // of the scheduler; nil: none
+	failure   error // of the scheduler, after which it can't continue
 	logWriter *asyncwriter.Writer
 	logger    *slog.Logger
 	files     filesystem.FileSystem // of metrics
 }
 
-// state is the state of a server. It only ever advances.
+// state is the state of a server. It changes in order of the constants only.
 type state int
 
 const (
 	serving  state = iota
-	draining       // has received SIGTERM
-	finished       // stays only until its last responses are written
+	draining       // SIGTERM was received
+	finished       // the process ends once its last responses are written
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s state) String() string { return [...]string{"serving", "draining", "finished"}[s] }
 
-// advance makes the transition to a later state. It reports whether the server was not there yet.
+// advance makes the transition to a later state. It returns false and changes nothing if the server has reached that state before.
 func (s *server) advance(next state) bool {
 	if next <= s.state {
 		return false
@@ -59,10 +59,11 @@
 	return true
 }
 
-// Run runs a scheduler until it has drained after SIGTERM, or was replaced. opsPath names the operators' file;
-// without one no feature is on. An error is a fault of the start, or one that the scheduler can't continue after.
+// Run runs a scheduler until it has drained after SIGTERM, or was replaced by a successor. opsPath is the path of the operators'
+// file; if it is empty, all features are disabled. The error is one of the start, or one after which the scheduler can't
+// continue.
 func Run(getenv func(string) string, opsPath string, log io.Writer) error {
-	// From the first moment on: by default SIGHUP ends a process, and with it all that it has admitted.
+	// This is first, because SIGHUP ends a process by default.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -104,10 +105,10 @@
 	return conf, ops, err
 }
 
-// newLogWriter returns a writer in front of the log, which may be slow or gone: nobody waits for it.
+// newLogWriter returns an asynchronous writer to the log, so that a slow or closed log does not block the event loop.
 func newLogWriter(log io.Writer, conf config.Log, scheduler string) *asyncwriter.Writer {
 	return asyncwriter.NewWriter(filesystem.NewLineWriter(log), maxPendingLog, func(pieces uint64) string {
-		return logging.FormatLine(conf, scheduler, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", pieces))
+		return logging.FormatLine(conf, scheduler, slog.LevelWarn, "log lines dropped", slog.Uint64("pieces", pieces))
 	})
 }
 
@@ -123,7 +124,7 @@
 	opened.OnShareLimits(s.shareMemory)
 	opened.OnFail(func(err error) { s.failure = err })
 	opened.OnSuccessor(func() {
-		if s.state != serving { // it has come late, but not too late
+		if s.state != serving { // the successor has connected during the drain
 			s.scheduler.After(0, s.handOver)
 		}
 	})
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// close writes out what the features hold.
+// close writes pending metrics and the capture.
 func (s *server) close() {
 	s.scheduler.FlushMetrics()
 	if s.scheduler.Capture != nil {
@@ -143,12 +144,12 @@
 	}
 }
 
-// hasEnded reports whether the loop is to end.
+// hasEnded reports whether the event loop must end.
 func (s *server) hasEnded() bool {
 	return s.state == finished && s.scheduler.IsQuiet() || s.failure != nil
 }
 
-// shareMemory limits memory to half of what is configured while another process shares it.
+// shareMemory sets the memory limit, which is half of the configured one while another process shares the memory.
 func (s *server) shareMemory(half bool) {
 	limit := HeapLimit(s.conf.Limits)
 	if half {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -34,7 +34,7 @@
 	return startWith(t, conf, "")
 }
 
-// startWith starts one with features on.
+// startWith starts a scheduler with features.
 func startWith(t *testing.T, conf, ops string) *started {
 	t.Helper()
 	s := &started{T: t, path: filepath.Join(t.TempDir(), "config.json"), end: make(chan error, 1)}
@@ -66,7 +66,7 @@
 	}
 }
 
-// log reads the log up to a line that holds what is wanted.
+// log reads the log up to a line that contains a text.
 func (s *started) log(want string) string {
 	for s.lines.Scan() {
 		if strings.Contains(s.lines.Text(), want) {
@@ -104,7 +104,7 @@
 	return l
 }
 
-// expectLine expects a connection and the first line that comes on it.
+// expectLine expects a connection and its first line.
 func (s *started) expectLine(l net.Listener, want string) {
 	c, err := l.Accept()
 	if err != nil {
@@ -118,11 +118,11 @@
 
 const (
 	request = "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: 1\r\nContent-Length: 0\r\n\r\n"
-	// The only worker refuses connections, so the policy gives a request up sooner or later.
+	// The only worker refuses connections, so the policy eventually fails a request.
 	unavailable = "HTTP/1.1 503 Service Unavailable\r\n"
 )
 
-// A scheduler is up once it can serve. On SIGTERM with a request in flight it responds to that and ends without an error.
+// A scheduler is ready once it can serve. On SIGTERM with a request in flight it responds to that and ends without an error.
 func TestStartAndDrain(t *testing.T) {
 	s := start(t, conf)
 	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
@@ -137,14 +137,14 @@
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
-	// With nothing in flight it stays all the same: ended early, it would look as if it had died.
+	// Without requests in flight it still runs until the end of the drain: an early end would look like a crash.
 	if stayed, killDelay := time.Since(stoppedAt), 500*time.Millisecond+killMargin; stayed < killDelay {
 		t.Errorf("ended %v after SIGTERM, %v before SIGKILL is due", stayed, killDelay-stayed)
 	}
 }
 
-// On SIGHUP the file is read again: its discovery is watched, and a request in flight still gets its response. A file with
-// a fault is logged with its key and changes nothing; another one, while draining, is still heeded.
+// On SIGHUP the file is read again: its discovery is watched, and a request in flight still gets its response. An invalid
+// file is logged with its key and changes nothing. A file is also applied during a drain.
 func TestReload(t *testing.T) {
 	worker, second, third := listen(t), listen(t), listen(t)
 	const watch = "GET /discovery/hosts?stream=1&index=0"
@@ -156,11 +156,11 @@
 	answer, other := s.talk(request), s.dial()
 	s.configure(with(second))
 	s.signal(syscall.SIGHUP)
-	s.log(`msg="configuration read anew" scheduler=n0 discovery=` + second.Addr().String())
+	s.log(`msg="configuration reloaded" scheduler=n0 discovery=` + second.Addr().String())
 	s.expectLine(second, watch)
 	s.configure(strings.Replace(with(third), `"sockets":64`, `"sockets":6`, 1))
 	s.signal(syscall.SIGHUP)
-	s.log(`level=ERROR msg="configuration kept as it was" scheduler=n0 error="` + s.path + `: key \"limits.sockets\"`)
+	s.log(`level=ERROR msg="configuration reload failed" scheduler=n0 error="` + s.path + `: key \"limits.sockets\"`)
 	s.signal(syscall.SIGTERM)
 	s.log("draining")
 	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
@@ -169,7 +169,7 @@
 	}
 	s.configure(with(third))
 	s.signal(syscall.SIGHUP)
-	s.log(`msg="configuration read anew" scheduler=n0 discovery=` + third.Addr().String())
+	s.log(`msg="configuration reloaded" scheduler=n0 discovery=` + third.Addr().String())
 	s.expectLine(third, watch)
 	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
 	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
@@ -181,8 +181,8 @@
 	}
 }
 
-// While the loop is blocked by reading a configuration from a slow file, many more reloads and a SIGTERM arrive. The process applies
-// the last configuration, and stops.
+// While the loop is blocked by reading a configuration from a slow file, many more reloads and a SIGTERM arrive. The process
+// applies the last configuration, and stops.
 func TestManySignalsWhileTheLoopIsHeldUp(t *testing.T) {
 	const reloads = 64
 	last := listen(t)
@@ -213,14 +213,14 @@
 	s.signal(syscall.SIGTERM)
 	_, _ = io.WriteString(writer, conf)
 	_ = writer.Close()
-	s.log(`msg="configuration read anew" scheduler=n0 discovery=` + last.Addr().String())
+	s.log(`msg="configuration reloaded" scheduler=n0 discovery=` + last.Addr().String())
 	s.log("draining")
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
 }
 
-// On SIGTERM before any endpoint list has come, it rejects what is queued and ends without an error.
+// On SIGTERM before the first endpoint list, it rejects queued requests and ends without an error.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	from, to := strings.Index(conf, `"known"`), strings.Index(conf, `"settings"`)
 	s := start(t, strings.NewReplacer("80000", "50000000", "500000", "60000000").Replace(conf[:from]+conf[to:]))
@@ -238,7 +238,7 @@
 }
 
 // A worker that hangs on SIGTERM costs no client its response: a request that is in flight there, with more time than is
-// left until SIGKILL, gets its final response, and the process ends by itself.
+// left until SIGKILL, gets its final response, and the process ends before SIGKILL.
 func TestTermWithAHangingWorker(t *testing.T) {
 	worker := listen(t)
 	s := start(t, strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
@@ -254,8 +254,8 @@
 	}
 }
 
-// Idle clients, however many, leave room for others: with all descriptors for clients in use and discovery down, the scheduler
-// is ready, watches the next discovery, reaches workers, and receives their callbacks.
+// Any number of idle clients leaves descriptors for others: with all descriptors for clients in use and discovery down, the
+// scheduler is ready, watches the next discovery, reaches workers, and receives their callbacks.
 func TestIdleClientsLeaveRoomForOthers(t *testing.T) {
 	worker, discovery := listen(t), listen(t)
 	text := strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
@@ -288,8 +288,7 @@
 	}
 }
 
-// Where the platform says that lists come unasked, they come to where discovery is: the watch is opened there from the start,
-// from the list that is known on.
+// If the platform pushes lists to the discovery address, the watch is opened at the start, from the revision of the known list on.
 func TestPushedListIsWatched(t *testing.T) {
 	discovery := listen(t)
 	s := start(t, strings.Replace(conf, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -7,12 +7,12 @@
 	"syscall"
 )
 
-// signalKinds are the signals that are handled apart from each other, in the order in which those that came together are: a
-// new configuration holds for what follows.
+// signalKinds contains the handled signals, in the order in which pending ones are handled: a reloaded configuration applies to
+// the others.
 var signalKinds = [...]os.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGINT}
 
-// pendingSignals has the signals that have come and are not handled yet. Several of one kind count as one: each asks for
-// what has to be done once, after the last of them. So however many come while the loop is held up, none is lost.
+// pendingSignals contains the signals that were received and not handled yet. Several of one kind are handled once, after the
+// last one. None is lost while the event loop is blocked.
 type pendingSignals [len(signalKinds)]atomic.Bool
 
 // add adds a signal. It may be called from any goroutine.
@@ -24,7 +24,7 @@
 	}
 }
 
-// take returns what has come since the last call.
+// take returns the signals that were received since its last call.
 func (p *pendingSignals) take() (received []os.Signal) {
 	for i, kind := range signalKinds {
 		if p[i].Swap(false) {
@@ -34,7 +34,7 @@
 	return received
 }
 
-// forwardSignals has signals handled in the loop. The function that it returns ends that.
+// forwardSignals has signals handled on the event loop until stop is called.
 func (s *server) forwardSignals(signals <-chan os.Signal) (stop func()) {
 	var pending pendingSignals
 	stopped := make(chan struct{})
@@ -57,7 +57,7 @@
 	return func() { close(stopped) }
 }
 
-// handleSignal does what a signal asks for.
+// handleSignal handles a signal.
 func (s *server) handleSignal(received os.Signal) {
 	switch received {
 	case syscall.SIGHUP:
@@ -69,33 +69,33 @@
 	}
 }
 
-// reload goes on by the platform's file as it is now. A file with a fault changes nothing. It works while draining too:
-// requests in flight still need workers, whose drains and starts are still to be notified.
+// reload reads and applies the platform's file. An invalid file changes nothing. Files are also applied during a drain, as
+// requests in flight still need workers and their updates.
 func (s *server) reload() {
 	next, kept, err := s.conf.Reload(s.getenv)
 	if err != nil {
-		s.logger.Error("configuration kept as it was", "error", err)
+		s.logger.Error("configuration reload failed", "error", err)
 		return
 	}
 	applyLimits(next.Limits)
 	s.scheduler.Reload(next)
 	s.conf = next
-	s.logger.Info("configuration read anew", "discovery", next.Discovery.String())
+	s.logger.Info("configuration reloaded", "discovery", next.Discovery.String())
 	if len(kept) > 0 {
-		s.logger.Warn("some of it changes at the next start only", "keys", strings.Join(kept, " "))
+		s.logger.Warn("configuration keys require a restart", "keys", strings.Join(kept, " "))
 	}
 }
 
-// dumpCapture writes a copy of what the capture holds to the log, in one piece.
+// dumpCapture writes a copy of the capture in memory to the log, without other lines in between.
 func (s *server) dumpCapture() {
 	capture := s.scheduler.Capture
 	text := capture.Dump()
 	switch {
 	case text == nil:
-		s.logger.Info("the capture is in files", "pieces_lost", capture.Lost(), "lines_lost", capture.LostLines())
+		s.logger.Info("capture is stored in files", "pieces_lost", capture.Lost(), "lines_lost", capture.LostLines())
 	case s.logWriter.WriteLarge(text):
 		s.logger.Info("capture written", "bytes", len(text), "segments_lost", capture.Lost())
 	default:
-		s.logger.Warn("a capture is still being written")
+		s.logger.Warn("capture dump in progress")
 	}
 }
--- a/internal/server/status_test.go
+++ b/internal/server/status_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// freePort is one at which nobody listens.
+// freePort returns a port without a listener.
 func freePort(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
@@ -19,7 +19,7 @@
 	return port
 }
 
-// body reads one answer.
+// body reads one response.
 func body(t *testing.T, r *bufio.Reader) (status, text string) {
 	t.Helper()
 	length := 0
@@ -43,7 +43,7 @@
 	return status, strings.TrimSpace(string(b))
 }
 
-// worked is a scheduler and its one worker, which the test plays.
+// worked is a scheduler with one worker, which the test implements.
 type worked struct {
 	*started
 	worker net.Listener
@@ -61,7 +61,7 @@
 	return w
 }
 
-// accept plays the worker, which accepts a request.
+// accept accepts a request as the worker.
 func (w *worked) accept() {
 	c, err := w.worker.Accept()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return w.talk("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Caller: swat-society\r\nX-Call-Id: " + id + "\r\nContent-Length: 0\r\n\r\n")
 }
 
-// callBack plays a worker's callback, and waits for the response.
+// callBack sends a worker's callback, and waits for the response.
 func (w *worked) callBack(callback string) {
 	r := w.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := r.ReadString('\n'); line != "HTTP/1.1 204 No Content\r\n" {
@@ -84,7 +84,7 @@
 	}
 }
 
-// poll asks for the status of a job.
+// poll requests the status of a job.
 func (w *worked) poll(id, status, want string) {
 	w.Helper()
 	_, _ = io.WriteString(w.side, "GET /status/"+id+" HTTP/1.1\r\n\r\n")
@@ -100,7 +100,7 @@
 	}
 }
 
-// A client follows a job over real sockets: sent, started, under way, done. While draining too.
+// A client polls the status of a job over real sockets: sent, started, in progress, done. Also during a drain.
 func TestStatusCall(t *testing.T) {
 	port := freePort(t)
 	w := work(t, "[status]\nlisten_port = "+port)
@@ -137,7 +137,7 @@
 	}
 }
 
-// A port that somebody has, or a key that is not known, ends the start with a message that names it.
+// A port that is in use, or an unknown key, is an error of the start that contains it.
 func TestStatusPortTaken(t *testing.T) {
 	l := listen(t)
 	_, port, _ := net.SplitHostPort(l.Addr().String())
