--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -93,7 +93,7 @@
 		peers[number] = newSchedulerOf(t, platformOfPeer(number), filesystem.Disk, slog.New(slog.DiscardHandler), seed+uint64(100*number), capture)
 	}
 	for number, sender := range peers {
-		sender.Table.TellPeer = func(to int, message dispatch.PeerMessage) {
+		sender.Table.SendPeerMessage = func(to int, message dispatch.PeerMessage) {
 			if to != 1-number {
 				t.Errorf("scheduler %d told %d", number, to)
 			}
--- a/internal/requests/step.go
+++ b/internal/requests/step.go
@@ -128,8 +128,8 @@
 	case dispatch.Subscribe:
 		t.WatchEndpoints()
 	case dispatch.SendPeerMessage:
-		if t.TellPeer != nil {
-			t.TellPeer(action.To, action.Message)
+		if t.SendPeerMessage != nil {
+			t.SendPeerMessage(action.To, action.Message)
 		}
 	case dispatch.Log, dispatch.WorkerEjected:
 		t.policyLog.logAction(action)
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -11,9 +11,9 @@
 // of the Table join them. Along the life of a request these are in admission.go, step.go, lifecycle.go, callback.go and
 // completion.go.
 type Table struct {
-	// TellPeer sends a message of the policy to another scheduler, by its number. It is set before the first Step; if it is nil,
+	// SendPeerMessage sends a message of the policy to another scheduler, by its number. It is set before the first Step; if it is nil,
 	// the messages are dropped.
-	TellPeer func(to int, message dispatch.PeerMessage)
+	SendPeerMessage func(to int, message dispatch.PeerMessage)
 
 	maxAttempts int // of a request
 	transport   Transport
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -114,7 +114,7 @@
 		LeaseCounts:     s.leaseCounts,
 		BudgetSpent:     conf.Settings.BudgetSpent,
 	})
-	s.Requests.TellPeer = s.peers.Queue
+	s.Requests.SendPeerMessage = s.peers.Queue
 }
 
 // openPeerSocket opens the socket for messages between schedulers, unless this process is in standby: a successor opens it once
--- a/internal/scheduler/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -197,7 +197,7 @@
 			t.Fatal(err)
 		}
 		isOpen := loop.peers != nil && loop.peers.IsOpen()
-		if isOpen != test.want || (loop.Requests.TellPeer != nil) != test.want {
+		if isOpen != test.want || (loop.Requests.SendPeerMessage != nil) != test.want {
 			t.Errorf("section %v: open %v", test.ops.Gossip, isOpen)
 		}
 		if features := limits.SharesOf(conf, test.ops).FeatureDescriptors; (features == 1) != test.want {
--- a/internal/testbed/simulation/peers.go
+++ b/internal/testbed/simulation/peers.go
@@ -35,7 +35,7 @@
 	if slices.Contains(spec.Liars, proc.scheduler.number) {
 		socket.lie = spec.Lie
 	}
-	proc.requests.TellPeer = socket.queue
+	proc.requests.SendPeerMessage = socket.queue
 	return socket
 }
 
