--- a/internal/server/drain_requests_test.go
+++ b/internal/server/drain_requests_test.go
@@ -22,9 +22,9 @@
 	received sync.Map // by call ID
 }
 
-func (w *hangingWorkers) serve() {
+func (h *hangingWorkers) serve() {
 	for {
-		connection, err := w.Accept()
+		connection, err := h.Accept()
 		if err != nil {
 			return
 		}
@@ -34,7 +34,7 @@
 				if err != nil {
 					return
 				}
-				w.received.Store(request.Header.Get("X-Call-Id"), true)
+				h.received.Store(request.Header.Get("X-Call-Id"), true)
 			}
 		}()
 	}
@@ -52,61 +52,61 @@
 }
 
 // run sends requests until the scheduler has ended.
-func (c *persistentClient) run() {
+func (p *persistentClient) run() {
 	var reader *bufio.Reader
 	for n := 0; ; n++ {
-		connection, isNew := c.connect()
+		connection, isNew := p.connect()
 		if connection == nil {
 			return
 		}
 		if isNew {
 			reader = bufio.NewReader(connection)
 		}
-		id := fmt.Sprintf("%s-%d", c.name, n)
+		id := fmt.Sprintf("%s-%d", p.name, n)
 		_, _ = fmt.Fprintf(connection, "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %s\r\nX-Budget-Ms: 200\r\nContent-Length: 0\r\n\r\n", id)
 		response, err := http.ReadResponse(reader, nil)
 		if err == nil {
 			_, err = io.Copy(io.Discard, response.Body)
 		}
-		c.answered[id] = err == nil || errors.Is(err, os.ErrDeadlineExceeded) && hasResponse(connection)
+		p.answered[id] = err == nil || errors.Is(err, os.ErrDeadlineExceeded) && hasResponse(connection)
 		if err != nil || response.Close { // what crossed a close is sent again, on another connection
-			c.disconnect()
+			p.disconnect()
 		}
 	}
 }
 
 // connect returns the client's connection, or nil if the scheduler has ended.
-func (c *persistentClient) connect() (connection *net.TCPConn, isNew bool) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.ended {
+func (p *persistentClient) connect() (connection *net.TCPConn, isNew bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.ended {
 		return nil, false
 	}
-	if c.connection != nil {
-		return c.connection, false
+	if p.connection != nil {
+		return p.connection, false
 	}
-	dialed, err := net.Dial("tcp", c.address)
+	dialed, err := net.Dial("tcp", p.address)
 	if err != nil {
 		return nil, false
 	}
-	c.connection = dialed.(*net.TCPConn)
-	return c.connection, true
+	p.connection = dialed.(*net.TCPConn)
+	return p.connection, true
 }
 
-func (c *persistentClient) disconnect() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	_ = c.connection.Close()
-	c.connection = nil
+func (p *persistentClient) disconnect() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	_ = p.connection.Close()
+	p.connection = nil
 }
 
 // stop is called when the scheduler has ended, so that no further response is expected.
-func (c *persistentClient) stop() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.ended = true
-	if c.connection != nil {
-		_ = c.connection.SetReadDeadline(time.Unix(1, 0))
+func (p *persistentClient) stop() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.ended = true
+	if p.connection != nil {
+		_ = p.connection.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
@@ -165,10 +165,10 @@
 }
 
 // expectAnswered expects a response to each request of the client that workers have received.
-func (c *persistentClient) expectAnswered(t *testing.T, workers *hangingWorkers) {
+func (p *persistentClient) expectAnswered(t *testing.T, workers *hangingWorkers) {
 	t.Helper()
 	workers.received.Range(func(id, _ any) bool {
-		if strings.HasPrefix(id.(string), c.name+"-") && !c.answered[id.(string)] {
+		if strings.HasPrefix(id.(string), p.name+"-") && !p.answered[id.(string)] {
 			t.Errorf("%s was sent to a worker, and not answered", id)
 		}
 		return true
--- a/internal/server/metric_targets.go
+++ b/internal/server/metric_targets.go
@@ -23,7 +23,7 @@
 type asyncTarget struct{ *asyncwriter.Writer }
 
 // Send writes a batch completely, or returns an error.
-func (t asyncTarget) Send(batch []byte) error { return t.TryWrite(batch) }
+func (a asyncTarget) Send(batch []byte) error { return a.TryWrite(batch) }
 
 // openMetricTargets opens the configured file, or the log if neither a file nor a collector is configured.
 func (s *server) openMetricTargets(conf *config.Metrics) (metricTargets, error) {
@@ -45,10 +45,10 @@
 }
 
 // close writes pending metrics and closes the file.
-func (t metricTargets) close() {
-	if t.file == nil {
+func (m metricTargets) close() {
+	if m.file == nil {
 		return
 	}
-	t.writer.Close(flushTimeout)
-	_ = t.file.Close()
+	m.writer.Close(flushTimeout)
+	_ = m.file.Close()
 }
--- a/internal/server/metric_targets_test.go
+++ b/internal/server/metric_targets_test.go
@@ -66,11 +66,11 @@
 	calls int
 }
 
-func (w *cutWriter) Write(text []byte) (int, error) {
-	w.calls++
-	if w.calls == 2 {
-		w.text.Write(text[:3])
+func (c *cutWriter) Write(text []byte) (int, error) {
+	c.calls++
+	if c.calls == 2 {
+		c.text.Write(text[:3])
 		return 3, syscall.ENOSPC
 	}
-	return w.text.Write(text)
+	return c.text.Write(text)
 }
--- a/internal/worker/connection.go
+++ b/internal/worker/connection.go
@@ -23,8 +23,8 @@
 	stateClosed
 )
 
-func (s connectionState) String() string {
-	switch s {
+func (c connectionState) String() string {
+	switch c {
 	case stateConnecting:
 		return "connecting"
 	case stateIdle:
@@ -36,7 +36,7 @@
 	case stateClosed:
 		return "closed"
 	}
-	return fmt.Sprintf("connectionState(%d)", int(s))
+	return fmt.Sprintf("connectionState(%d)", int(c))
 }
 
 // Causes of the end of a connection, or why it can't be opened. Errors of system calls and of the HTTP parser are passed on as they
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -21,8 +21,8 @@
 	exchangeCancel                   // cancels an attempt that the worker has accepted
 )
 
-func (k exchangeKind) String() string {
-	switch k {
+func (e exchangeKind) String() string {
+	switch e {
 	case exchangeNone:
 		return "none"
 	case exchangeAttempt:
@@ -32,7 +32,7 @@
 	case exchangeCancel:
 		return "cancel"
 	}
-	return fmt.Sprintf("exchangeKind(%d)", int(k))
+	return fmt.Sprintf("exchangeKind(%d)", int(e))
 }
 
 // exchange is a request to a worker and its response.
--- a/internal/worker/model_test.go
+++ b/internal/worker/model_test.go
@@ -75,114 +75,114 @@
 	m.checkOutcomes()
 }
 
-func (m *workerModel) dial(netip.AddrPort) (int, error) {
-	p, fd := m.socketPair()
-	m.dialed = append(m.dialed, p)
-	if m.Pick(4) == 0 {
+func (w *workerModel) dial(netip.AddrPort) (int, error) {
+	p, fd := w.socketPair()
+	w.dialed = append(w.dialed, p)
+	if w.Pick(4) == 0 {
 		p.filledBytes = eventlooptest.FillSocket(fd)
 	}
 	return fd, nil
 }
 
 // act acts as the policy or the worker, and reports whether there was something to do.
-func (m *workerModel) act(what int) bool {
+func (w *workerModel) act(what int) bool {
 	switch {
-	case what < 2 && len(m.jobs) < 8:
-		m.sendAttempt()
-	case what < 6 && len(m.dialed) > 0:
-		if p := m.dialed[m.Pick(len(m.dialed))]; p.filledBytes > 0 {
+	case what < 2 && len(w.jobs) < 8:
+		w.sendAttempt()
+	case what < 6 && len(w.dialed) > 0:
+		if p := w.dialed[w.Pick(len(w.dialed))]; p.filledBytes > 0 {
 			p.release()
-			m.Record("up")
+			w.Record("up")
 		} else {
-			m.actAsWorker(p)
+			w.actAsWorker(p)
 		}
-	case what == 6 && len(m.jobs) > 0:
-		m.policy.Next = append(m.policy.Next, dispatch.Cancel{Job: m.jobs[m.Pick(len(m.jobs))]})
-		m.table.DiscoveryFailed()
-		m.Record("cancel")
+	case what == 6 && len(w.jobs) > 0:
+		w.policy.Next = append(w.policy.Next, dispatch.Cancel{Job: w.jobs[w.Pick(len(w.jobs))]})
+		w.table.DiscoveryFailed()
+		w.Record("cancel")
 	case what == 7:
-		m.policy.Next = append(m.policy.Next, dispatch.HealthCheck{Worker: m.workerNumber()})
-		m.table.DiscoveryFailed()
-		m.healthChecks++
-		m.Record("check health")
+		w.policy.Next = append(w.policy.Next, dispatch.HealthCheck{Worker: w.workerNumber()})
+		w.table.DiscoveryFailed()
+		w.healthChecks++
+		w.Record("check health")
 	case what == 8:
-		m.now += time.Duration(m.Pick(8)) * 100 * time.Millisecond
+		w.now += time.Duration(w.Pick(8)) * 100 * time.Millisecond
 	default:
 		return false
 	}
 	return true
 }
 
-func (m *workerModel) sendAttempt() {
+func (w *workerModel) sendAttempt() {
 	sizes := []int{0, 100, http1.MaxBodySize}
-	id := fmt.Sprint("q", len(m.jobs))
-	request, err := m.table.Admit(m.now, requests.Arrival{
+	id := fmt.Sprint("q", len(w.jobs))
+	request, err := w.table.Admit(w.now, requests.Arrival{
 		CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
-		Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[m.Pick(3)])}, Responder: noResponder{},
+		Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[w.Pick(3)])}, Responder: noResponder{},
 	})
-	m.Check(err == nil, "not admitted: %v", err)
-	m.jobs = append(m.jobs, request.ID)
-	m.policy.Next = append(m.policy.Next, dispatch.Send{Job: request.ID, Worker: m.workerNumber()})
-	m.attempts[id] = &sentAttempt{}
-	m.Record("send")
+	w.Check(err == nil, "not admitted: %v", err)
+	w.jobs = append(w.jobs, request.ID)
+	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: request.ID, Worker: w.workerNumber()})
+	w.attempts[id] = &sentAttempt{}
+	w.Record("send")
 }
 
 // actAsWorker reads from one connection, and then may respond or close it.
-func (m *workerModel) actAsWorker(p *peer) {
-	p.Read([]int{50, 4000, 1 << 20}[m.Pick(3)])
-	p.recordDelete(m.attempts)
+func (w *workerModel) actAsWorker(p *peer) {
+	p.Read([]int{50, 4000, 1 << 20}[w.Pick(3)])
+	p.recordDelete(w.attempts)
 	var request http1.Request
 	n, err := request.Parse(p.Received)
 	var sent *sentAttempt
 	if err == nil {
-		m.Check(n == len(p.Received), "a second request on a connection before the response to the first")
-		sent = m.attempts[string(request.Get("X-Call-Id"))]
-		m.recordWhole(p, sent, &request)
+		w.Check(n == len(p.Received), "a second request on a connection before the response to the first")
+		sent = w.attempts[string(request.Get("X-Call-Id"))]
+		w.recordWhole(p, sent, &request)
 	}
-	switch act := m.Pick(8); {
+	switch act := w.Pick(8); {
 	case act < 4 && err == nil && !p.Closed && !p.Ended:
-		m.respondAsWorker(p, sent, string(request.Get("X-Call-Id")))
+		w.respondAsWorker(p, sent, string(request.Get("X-Call-Id")))
 	case act == 4:
-		m.closeAsWorker(p, sent)
+		w.closeAsWorker(p, sent)
 	}
 }
 
 // recordWhole records that the last byte of an attempt was received; sent is nil for another kind of request.
-func (m *workerModel) recordWhole(p *peer, sent *sentAttempt, request *http1.Request) {
+func (w *workerModel) recordWhole(p *peer, sent *sentAttempt, request *http1.Request) {
 	if sent == nil || sent.peer == p {
 		return
 	}
-	m.Check(sent.peer == nil, "an attempt was sent twice")
+	w.Check(sent.peer == nil, "an attempt was sent twice")
 	sent.peer, sent.isWhole = p, true
-	m.Check(request.Get("X-Budget-Ms") != nil && string(request.Target) == "/a", "a request was changed")
+	w.Check(request.Get("X-Budget-Ms") != nil && string(request.Target) == "/a", "a request was changed")
 }
 
-func (m *workerModel) respondAsWorker(p *peer, sent *sentAttempt, callID string) {
-	response := workerResponses[m.Pick(len(workerResponses))]
+func (w *workerModel) respondAsWorker(p *peer, sent *sentAttempt, callID string) {
+	response := workerResponses[w.Pick(len(workerResponses))]
 	p.Write([]byte(response.text))
 	p.Received = nil
 	if sent != nil {
 		sent.accepted = response.want < 0
-		sent.isKnown = sent.isKnown || sent.accepted && m.isSending(callID)
+		sent.isKnown = sent.isKnown || sent.accepted && w.isSending(callID)
 		sent.want, sent.settled = response.want, response.want >= 0
 	}
-	m.Record(response.text[:min(len(response.text), 14)])
+	w.Record(response.text[:min(len(response.text), 14)])
 }
 
-func (m *workerModel) closeAsWorker(p *peer, sent *sentAttempt) {
+func (w *workerModel) closeAsWorker(p *peer, sent *sentAttempt) {
 	p.Read(1 << 20)
 	if sent == nil && len(p.Received) > 0 { // what was received counts, though it was not read before
-		p.recordDelete(m.attempts)
+		p.recordDelete(w.attempts)
 		var request http1.Request
-		if _, err := request.Parse(p.Received); err == nil && m.attempts[string(request.Get("X-Call-Id"))] != nil {
-			m.attempts[string(request.Get("X-Call-Id"))].isWhole = true
+		if _, err := request.Parse(p.Received); err == nil && w.attempts[string(request.Get("X-Call-Id"))] != nil {
+			w.attempts[string(request.Get("X-Call-Id"))].isWhole = true
 		}
 	}
 	if sent != nil && !sent.settled {
 		sent.want, sent.settled = dispatch.ConnectionReset, true
 	}
 	p.Close()
-	m.Record("close")
+	w.Record("close")
 }
 
 // recordDelete records the attempt of which a DELETE was received.
@@ -204,37 +204,37 @@
 }
 
 // checkOutcomes checks what the policy received against what the worker saw.
-func (m *workerModel) checkOutcomes() {
+func (w *workerModel) checkOutcomes() {
 	results := map[uint64][]dispatch.Result{}
-	for _, e := range m.policy.Received {
+	for _, e := range w.policy.Received {
 		switch e := e.(type) {
 		case dispatch.Outcome:
 			results[e.Job] = append(results[e.Job], e.Result)
 		case dispatch.HealthChecked:
-			m.healthChecks--
+			w.healthChecks--
 		}
 	}
-	m.Check(m.healthChecks == 0, "%d health checks without a result", m.healthChecks)
-	for n, job := range m.jobs {
-		m.Check(len(results[job]) == 1, "outcomes %v for one attempt", results[job])
-		m.checkOutcome(m.attempts[fmt.Sprint("q", n)], results[job][0])
+	w.Check(w.healthChecks == 0, "%d health checks without a result", w.healthChecks)
+	for n, job := range w.jobs {
+		w.Check(len(results[job]) == 1, "outcomes %v for one attempt", results[job])
+		w.checkOutcome(w.attempts[fmt.Sprint("q", n)], results[job][0])
 	}
-	m.Check(len(m.pool.byAttempt) == 0, "an attempt still has a connection")
-	for _, endpoint := range m.pool.endpoints {
-		m.Check(m.pool.openCount == len(endpoint.idle), "%d connections open, %d idle", m.pool.openCount, len(endpoint.idle))
+	w.Check(len(w.pool.byAttempt) == 0, "an attempt still has a connection")
+	for _, endpoint := range w.pool.endpoints {
+		w.Check(w.pool.openCount == len(endpoint.idle), "%d connections open, %d idle", w.pool.openCount, len(endpoint.idle))
 	}
 }
 
 // checkOutcome checks the result that the policy received for an attempt.
-func (m *workerModel) checkOutcome(sent *sentAttempt, got dispatch.Result) {
-	m.Check(got != dispatch.Cancelled || !sent.isKnown || sent.isCancelled, "cancelled, and its worker is not notified")
+func (w *workerModel) checkOutcome(sent *sentAttempt, got dispatch.Result) {
+	w.Check(got != dispatch.Cancelled || !sent.isKnown || sent.isCancelled, "cancelled, and its worker is not notified")
 	switch {
 	case got == dispatch.TimedOut || got == dispatch.Cancelled: // at any time
 	case got == dispatch.ConnectFailed:
-		m.Check(!sent.isWhole, "failed to connect, though its last byte was received")
+		w.Check(!sent.isWhole, "failed to connect, though its last byte was received")
 	case sent.settled:
-		m.Check(got == sent.want, "ended as %v, expected %v", got, sent.want)
+		w.Check(got == sent.want, "ended as %v, expected %v", got, sent.want)
 	default:
-		m.Check(got == dispatch.ConnectionReset && sent.isWhole && !sent.accepted, "ended as %v, complete %v, without a cause", got, sent.isWhole)
+		w.Check(got == dispatch.ConnectionReset && sent.isWhole && !sent.accepted, "ended as %v, complete %v, without a cause", got, sent.isWhole)
 	}
 }
--- a/internal/worker/response.go
+++ b/internal/worker/response.go
@@ -99,7 +99,7 @@
 // statusError is the status code of a response that is none of success.
 type statusError int
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (s statusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
 // responseFailure returns the failure that a response reports, or nil.
 func (c *connection) responseFailure(response *http1.Response) *requests.AttemptError {
