--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -46,14 +46,14 @@
 
 // step steps the forwarder. Planners accept sessions and reply to heartbeats at once. It returns how many requests are
 // offered, and the epoch of the last offer.
-func (m *benchmark) step(events ...dispatch.Event) (offers int, epoch message.Epoch) {
-	m.actions = m.forwarder.Step(m.now, events, m.actions[:0])
-	for _, outgoing := range m.forwarder.Outbox() {
+func (b *benchmark) step(events ...dispatch.Event) (offers int, epoch message.Epoch) {
+	b.actions = b.forwarder.Step(b.now, events, b.actions[:0])
+	for _, outgoing := range b.forwarder.Outbox() {
 		switch body := outgoing.Message.(type) {
 		case *message.Handshake:
-			m.receive(outgoing.Planner, outgoing.Epoch, &message.HandshakeAccept{Credit: benchCredit})
+			b.receive(outgoing.Planner, outgoing.Epoch, &message.HandshakeAccept{Credit: benchCredit})
 		case *message.Heartbeat:
-			m.receive(outgoing.Planner, outgoing.Epoch, &message.HeartbeatReply{Sequence: body.Sequence})
+			b.receive(outgoing.Planner, outgoing.Epoch, &message.HeartbeatReply{Sequence: body.Sequence})
 		case *message.RequestOffer:
 			offers++
 			epoch = outgoing.Epoch
@@ -62,19 +62,19 @@
 	return offers, epoch
 }
 
-func (m *benchmark) receive(planner string, epoch message.Epoch, body message.Message) {
-	m.forwarder.Receive(m.now, planner, message.Envelope{Epoch: epoch, Message: body})
+func (b *benchmark) receive(planner string, epoch message.Epoch, body message.Message) {
+	b.forwarder.Receive(b.now, planner, message.Envelope{Epoch: epoch, Message: body})
 }
 
 // nextJob returns a new request.
-func (m *benchmark) nextJob(remaining time.Duration) dispatch.Job {
-	m.lastID++
-	return dispatch.Job{ID: m.lastID, Remaining: remaining, Slots: 1}
+func (b *benchmark) nextJob(remaining time.Duration) dispatch.Job {
+	b.lastID++
+	return dispatch.Job{ID: b.lastID, Remaining: remaining, Slots: 1}
 }
 
 func benchWorker(request uint64) uint64 { return 1 + request%benchWorkers }
 
-// One request, offered, sent and served: three steps with one thing each, which is the most that it takes.
+// One request is offered, sent and served in three steps with one event each, which is the most expensive way.
 func BenchmarkRequest(b *testing.B) {
 	bench := newBenchmark(b, "p1", "p2")
 	events := make([]dispatch.Event, 1)
@@ -122,7 +122,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*batch), "ns/request")
 }
 
-// A planner is lost with many requests: how long until all are offered to the next one.
+// A planner with many requests is lost: the time until all are offered to the next one.
 func BenchmarkFailover(b *testing.B) {
 	for _, open := range []int{300, 3000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) { benchmarkFailover(b, open) })
--- a/internal/control/forwarder/connection_test.go
+++ b/internal/control/forwarder/connection_test.go
@@ -95,24 +95,24 @@
 }
 
 // connectionTo returns the connection to a planner.
-func (env *environment) connectionTo(planner string) *connection {
-	i := slices.IndexFunc(env.connections, func(conn *connection) bool { return conn.name == planner })
-	return env.connections[i]
+func (e *environment) connectionTo(planner string) *connection {
+	i := slices.IndexFunc(e.connections, func(conn *connection) bool { return conn.name == planner })
+	return e.connections[i]
 }
 
 // messageSent checks a message of the forwarder, and delivers it.
-func (env *environment) messageSent(outgoing Outgoing) {
-	conn := env.connectionTo(outgoing.Planner)
+func (e *environment) messageSent(outgoing Outgoing) {
+	conn := e.connectionTo(outgoing.Planner)
 	switch body := outgoing.Message.(type) {
 	case *message.RequestOffer:
-		env.checkOffer(conn, outgoing.Epoch, body)
-		env.offers = append(env.offers, outgoing)
+		e.checkOffer(conn, outgoing.Epoch, body)
+		e.offers = append(e.offers, outgoing)
 	case *message.RequestClosed:
-		if request := env.requestsByID[body.RequestID]; request.assignedEpoch == outgoing.Epoch {
+		if request := e.requestsByID[body.RequestID]; request.assignedEpoch == outgoing.Epoch {
 			request.assignedEpoch = 0
 		}
 	case *message.AttemptEnded:
-		env.checkAttemptEnded(conn, outgoing.Epoch, body)
+		e.checkAttemptEnded(conn, outgoing.Epoch, body)
 	case *message.Handshake:
 		conn.endAssignments() // of the session before, if there is one
 	}
@@ -120,7 +120,7 @@
 }
 
 // messageReceived has a message of a planner reach the forwarder.
-func (env *environment) messageReceived(conn *connection, envelope message.Envelope) {
+func (e *environment) messageReceived(conn *connection, envelope message.Envelope) {
 	inSession := envelope.Epoch == conn.openEpoch
 	switch body := envelope.Message.(type) {
 	case *message.HandshakeAccept:
@@ -134,7 +134,7 @@
 		}
 	case *message.WorkerStatus:
 		if envelope.Epoch == conn.newestEpoch && conn.accepted {
-			env.recordStatus(*body)
+			e.recordStatus(*body)
 		}
 	case *message.TransferCommand:
 		conn.release(envelope.Epoch, body.RequestID)
@@ -147,16 +147,16 @@
 			conn.endAssignments()
 		}
 	}
-	env.forwarder.Receive(env.now, conn.name, envelope)
+	e.forwarder.Receive(e.now, conn.name, envelope)
 }
 
 // recordStatus keeps the status of a worker, if it can be true and is the newest.
-func (env *environment) recordStatus(status message.WorkerStatus) {
-	if status.StartedMs > (env.now+time.Minute).Milliseconds() || status.StartedMs < 0 {
+func (e *environment) recordStatus(status message.WorkerStatus) {
+	if status.StartedMs > (e.now+time.Minute).Milliseconds() || status.StartedMs < 0 {
 		return
 	}
-	if known, ok := env.statuses[status.WorkerID]; !ok || status.Supersedes(known) {
-		env.statuses[status.WorkerID] = status
-		env.statusAt[status.WorkerID] = env.now
+	if known, ok := e.statuses[status.WorkerID]; !ok || status.Supersedes(known) {
+		e.statuses[status.WorkerID] = status
+		e.statusAt[status.WorkerID] = e.now
 	}
 }
--- a/internal/control/forwarder/endpoints.go
+++ b/internal/control/forwarder/endpoints.go
@@ -17,22 +17,22 @@
 }
 
 // apply applies an update of the list, and reports the status of each worker that has changed.
-func (l *endpointList) apply(update dispatch.WorkerList, report func(message.WorkerStatus)) {
-	l.revision = update.Revision
-	before := l.workers
+func (e *endpointList) apply(update dispatch.WorkerList, report func(message.WorkerStatus)) {
+	e.revision = update.Revision
+	before := e.workers
 	isDelta := update.Kind == dispatch.ListDelta
 	if !isDelta {
-		l.workers = make(map[uint64]dispatch.Worker, len(update.Workers))
+		e.workers = make(map[uint64]dispatch.Worker, len(update.Workers))
 	}
 	for _, worker := range update.Workers {
 		previous, known := before[worker.ID]
 		if worker.Removed {
-			delete(l.workers, worker.ID)
+			delete(e.workers, worker.ID)
 			worker.BootAt = max(worker.BootAt, previous.BootAt)
 		} else {
-			l.workers[worker.ID] = worker
+			e.workers[worker.ID] = worker
 		}
-		changed := l.isNoteworthy(worker, isDelta)
+		changed := e.isNoteworthy(worker, isDelta)
 		if known {
 			changed = worker.Removed || worker.Ready != previous.Ready || worker.BootAt != previous.BootAt
 		}
@@ -41,31 +41,31 @@
 		}
 	}
 	if !isDelta {
-		l.reportMissing(before, report)
+		e.reportMissing(before, report)
 	}
-	l.synced = l.synced || update.Kind != dispatch.ListCached
+	e.synced = e.synced || update.Kind != dispatch.ListCached
 }
 
 // isNoteworthy reports whether the status of a worker that was not listed before is to be reported. A full list names all
 // workers: those that are ready are not reported there, and none is of the first list.
-func (l *endpointList) isNoteworthy(worker dispatch.Worker, isDelta bool) bool {
-	return !worker.Removed && (isDelta || !worker.Ready && l.synced)
+func (e *endpointList) isNoteworthy(worker dispatch.Worker, isDelta bool) bool {
+	return !worker.Removed && (isDelta || !worker.Ready && e.synced)
 }
 
 // reportMissing reports the workers of a former list that are not listed any more as removed.
-func (l *endpointList) reportMissing(before map[uint64]dispatch.Worker, report func(message.WorkerStatus)) {
+func (e *endpointList) reportMissing(before map[uint64]dispatch.Worker, report func(message.WorkerStatus)) {
 	for _, id := range slices.Sorted(maps.Keys(before)) {
-		if _, listed := l.workers[id]; !listed {
+		if _, listed := e.workers[id]; !listed {
 			worker := before[id]
 			worker.Removed = true
-			report(statusOf(worker, l.revision))
+			report(statusOf(worker, e.revision))
 		}
 	}
 }
 
 // list returns all workers in the order of their IDs.
-func (l *endpointList) list() []dispatch.Worker {
-	return slices.SortedFunc(maps.Values(l.workers), func(a, b dispatch.Worker) int { return cmp.Compare(a.ID, b.ID) })
+func (e *endpointList) list() []dispatch.Worker {
+	return slices.SortedFunc(maps.Values(e.workers), func(a, b dispatch.Worker) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // statusOf returns the status of a worker as a list of that revision gives it.
--- a/internal/control/forwarder/environment_test.go
+++ b/internal/control/forwarder/environment_test.go
@@ -91,31 +91,31 @@
 }
 
 // randomSettings draws the settings of the platform.
-func (env *environment) randomSettings() dispatch.Settings {
+func (e *environment) randomSettings() dispatch.Settings {
 	settings := dispatch.Settings{
 		Replicas:           1,
-		AttemptLimit:       1 + env.rng.IntN(4),
-		Hedging:            env.rng.IntN(2) == 0,
-		Cancellation:       env.rng.IntN(2) == 0,
-		HealthChecks:       env.rng.IntN(2) == 0,
+		AttemptLimit:       1 + e.rng.IntN(4),
+		Hedging:            e.rng.IntN(2) == 0,
+		Cancellation:       e.rng.IntN(2) == 0,
+		HealthChecks:       e.rng.IntN(2) == 0,
 		StartNotifications: true,
 		MaxRetryAfter:      time.Second,
 		ConnectTimeout:     50 * millisecond,
 		PollInterval:       4 * time.Second,
-		MustSubscribe:      env.rng.IntN(2) == 0,
+		MustSubscribe:      e.rng.IntN(2) == 0,
 	}
-	for range 1 + env.rng.IntN(4) {
+	for range 1 + e.rng.IntN(4) {
 		class := dispatch.Class{
-			LatencyObjective:    env.randomDuration(50, 500),
+			LatencyObjective:    e.randomDuration(50, 500),
 			ObjectiveStretch:    1,
 			ClientTimeout:       2 * time.Second,
 			PriorityWeight:      1,
-			Idempotency:         dispatch.Idempotency(env.rng.IntN(3)),
-			DeduplicationScope:  dispatch.DeduplicationScope(env.rng.IntN(3)),
-			DeduplicationWindow: env.randomDuration(100, 1000),
+			Idempotency:         dispatch.Idempotency(e.rng.IntN(3)),
+			DeduplicationScope:  dispatch.DeduplicationScope(e.rng.IntN(3)),
+			DeduplicationWindow: e.randomDuration(100, 1000),
 		}
-		if env.rng.IntN(4) == 0 {
-			class.Kinds = []int{env.rng.IntN(3)}
+		if e.rng.IntN(4) == 0 {
+			class.Kinds = []int{e.rng.IntN(3)}
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
@@ -123,121 +123,121 @@
 }
 
 // randomDuration draws a duration, in ms.
-func (env *environment) randomDuration(from, to int) time.Duration {
-	return time.Duration(from)*millisecond + time.Duration(env.rng.Int64N(int64(to-from)*int64(millisecond)))
+func (e *environment) randomDuration(from, to int) time.Duration {
+	return time.Duration(from)*millisecond + time.Duration(e.rng.Int64N(int64(to-from)*int64(millisecond)))
 }
 
 // begin starts the forwarder, with all planners known.
-func (env *environment) begin() {
-	env.start(requests.EndpointList{})
-	env.sendFullList()
+func (e *environment) begin() {
+	e.start(requests.EndpointList{})
+	e.sendFullList()
 	names := []string{}
-	for _, conn := range env.connections {
+	for _, conn := range e.connections {
 		names = append(names, conn.name)
 	}
-	env.forwarder.SetPlanners(names)
-	env.scheduleArrival()
-	if !env.faultless {
-		env.scheduleListChange()
+	e.forwarder.SetPlanners(names)
+	e.scheduleArrival()
+	if !e.faultless {
+		e.scheduleListChange()
 	}
 }
 
 // run advances the time in small steps, then has all requests end, and checks that nothing is left of them.
-func (env *environment) run(duration time.Duration) {
-	end := env.now + duration
-	for env.now < end && len(env.violations) == 0 {
-		env.runUntil(env.now + millisecond)
+func (e *environment) run(duration time.Duration) {
+	end := e.now + duration
+	for e.now < end && len(e.violations) == 0 {
+		e.runUntil(e.now + millisecond)
 	}
-	env.stopped = true
+	e.stopped = true
 	const interval = 100 * millisecond
 	for range settlingTime / interval {
-		env.runUntil(env.now + interval)
+		e.runUntil(e.now + interval)
 	}
-	for _, id := range slices.Sorted(maps.Keys(env.requestsByID)) {
-		request := env.requestsByID[id]
+	for _, id := range slices.Sorted(maps.Keys(e.requestsByID)) {
+		request := e.requestsByID[id]
 		if len(request.responses) == 0 && !request.disconnected {
-			env.violation("%s has no response", request.name)
+			e.violation("%s has no response", request.name)
 		}
 	}
-	env.checkNothingLeft()
-	env.addStats()
+	e.checkNothingLeft()
+	e.addStats()
 }
 
 // checkNothingLeft checks that the forwarder remembers no request any more.
-func (env *environment) checkNothingLeft() {
-	forwarder := env.forwarder
+func (e *environment) checkNothingLeft() {
+	forwarder := e.forwarder
 	stats := forwarder.Stats()
-	open := env.table.OpenCount()
+	open := e.table.OpenCount()
 	validated := forwarder.validator.RequestCount()
 	if open != 0 || stats.Open+stats.Waiting+stats.Local != 0 || validated != 0 ||
 		forwarder.checks.queue.Len()+forwarder.queues.returning.Len() != 0 {
-		env.violation("something is left: %+v, %d in the request table, %d in the validator", stats, open, validated)
+		e.violation("something is left: %+v, %d in the request table, %d in the validator", stats, open, validated)
 	}
 	for _, session := range forwarder.planners.all() {
 		if len(session.requests) > 0 || session.poisonCandidate != nil {
-			env.violation("%s still has %d requests", session.planner, len(session.requests))
+			e.violation("%s still has %d requests", session.planner, len(session.requests))
 		}
 	}
 	if forwarder.local.policy != nil && forwarder.mode.mode != modeStandalone {
-		env.violation("the local policy is kept without a request")
+		e.violation("the local policy is kept without a request")
 	}
 }
 
 // addStats adds the counts of the run.
-func (env *environment) addStats() {
-	stats := env.forwarder.Stats()
+func (e *environment) addStats() {
+	stats := e.forwarder.Stats()
 	for reason := range message.ReasonCount {
-		env.stats["commands rejected as "+reason.String()] += env.forwarder.validator.RejectedCount(reason)
-	}
-	env.stats["standalone"] += stats.Standalone
-	env.stats["poison"] += stats.Poison
-	env.stats["revoked"] += stats.Revoked
-	env.stats["unresponsive"] += stats.Unresponsive
-	env.stats["reoffered"] += stats.Reoffered
-	env.stats["transfers"] += stats.Transfers
-	env.stats["expired"] += stats.Expired
-	env.stats["unplaced"] += stats.Unplaced
-	env.stats["queue full"] += stats.QueueFull
-	env.stats["sent"] += env.sent
+		e.stats["commands rejected as "+reason.String()] += e.forwarder.validator.RejectedCount(reason)
+	}
+	e.stats["standalone"] += stats.Standalone
+	e.stats["poison"] += stats.Poison
+	e.stats["revoked"] += stats.Revoked
+	e.stats["unresponsive"] += stats.Unresponsive
+	e.stats["reoffered"] += stats.Reoffered
+	e.stats["transfers"] += stats.Transfers
+	e.stats["expired"] += stats.Expired
+	e.stats["unplaced"] += stats.Unplaced
+	e.stats["queue full"] += stats.QueueFull
+	e.stats["sent"] += e.sent
 }
 
 // violation records that a rule is broken.
-func (env *environment) violation(format string, args ...any) {
-	env.violations = append(env.violations, fmt.Sprintf("%v: ", env.now-startTime)+fmt.Sprintf(format, args...))
+func (e *environment) violation(format string, args ...any) {
+	e.violations = append(e.violations, fmt.Sprintf("%v: ", e.now-startTime)+fmt.Sprintf(format, args...))
 }
 
 // scheduleArrival has a request arrive later, and then the next one.
-func (env *environment) scheduleArrival() {
-	env.after(env.randomDuration(1, int(env.arrivalInterval/millisecond)), func() {
-		if env.stopped {
+func (e *environment) scheduleArrival() {
+	e.after(e.randomDuration(1, int(e.arrivalInterval/millisecond)), func() {
+		if e.stopped {
 			return
 		}
-		env.arrive()
-		env.scheduleArrival()
+		e.arrive()
+		e.scheduleArrival()
 	})
 }
 
 // arrive has a request arrive. Some clients disconnect before they have a response.
-func (env *environment) arrive() {
-	env.lastID++
-	class := env.rng.IntN(len(env.settings.Classes))
+func (e *environment) arrive() {
+	e.lastID++
+	class := e.rng.IntN(len(e.settings.Classes))
 	job := dispatch.Job{
 		Class:     class,
-		Remaining: env.minRemaining + env.randomDuration(30, 1800),
+		Remaining: e.minRemaining + e.randomDuration(30, 1800),
 		Slots:     1,
-		Hint:      env.randomDuration(0, 100),
-		Key:       env.lastID % 5,
-	}
-	request := &checkedRequest{class: &env.settings.Classes[class], deadline: env.now + job.Remaining}
-	request.client = env.admit("q"+strconv.FormatUint(env.lastID, 10), job)
-	env.requestsByCall[request.name] = request
-	env.requestsByID[request.request.ID] = request
-	if env.rng.IntN(15) == 0 && !env.faultless {
-		env.after(env.randomDuration(0, 500), func() {
+		Hint:      e.randomDuration(0, 100),
+		Key:       e.lastID % 5,
+	}
+	request := &checkedRequest{class: &e.settings.Classes[class], deadline: e.now + job.Remaining}
+	request.client = e.admit("q"+strconv.FormatUint(e.lastID, 10), job)
+	e.requestsByCall[request.name] = request
+	e.requestsByID[request.request.ID] = request
+	if e.rng.IntN(15) == 0 && !e.faultless {
+		e.after(e.randomDuration(0, 500), func() {
 			if len(request.responses) == 0 {
 				request.disconnected = true
 			}
-			env.table.ClientDisconnected(request.request)
+			e.table.ClientDisconnected(request.request)
 		})
 	}
 }
--- a/internal/control/forwarder/fakes_test.go
+++ b/internal/control/forwarder/fakes_test.go
@@ -26,14 +26,14 @@
 
 func (*fixedOrder) ReplyReceived(time.Duration, string, time.Duration, time.Duration) {}
 
-func (s *fixedOrder) AppendOrder(_ time.Duration, dst []string) []string {
-	return append(dst, s.planners...)
+func (f *fixedOrder) AppendOrder(_ time.Duration, dst []string) []string {
+	return append(dst, f.planners...)
 }
 
 func (*fixedOrder) Next() time.Duration { return 0 }
 
-// simplePolicy is a policy that is easy to foresee: it sends each job to the first worker that is ready and has not had it,
-// one at a time, and rejects it if there is none. While no worker is ready at all it queues the jobs.
+// simplePolicy is a predictable policy: it sends each job to the first worker that is ready and has had no attempt of it, one
+// attempt at a time, and rejects the job if there is none. While no worker is ready at all it queues the jobs.
 type simplePolicy struct {
 	ready    []uint64
 	jobs     map[uint64]*simpleJob
@@ -46,27 +46,27 @@
 	inFlight int
 }
 
-func (p *simplePolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (s *simplePolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, event := range events {
-		p.onEvent(event)
-		if p.panicsOn != nil && p.panicsOn(event) {
+		s.onEvent(event)
+		if s.panicsOn != nil && s.panicsOn(event) {
 			panic("scripted")
 		}
-		dst = p.process(event, dst)
+		dst = s.process(event, dst)
 	}
 	return dst
 }
 
-func (p *simplePolicy) process(event dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (s *simplePolicy) process(event dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	switch event := event.(type) {
 	case dispatch.WorkerList:
-		p.updateWorkers(event)
-		for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
-			dst = p.place(id, dst)
+		s.updateWorkers(event)
+		for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
+			dst = s.place(id, dst)
 		}
 	case dispatch.Job:
-		p.jobs[event.ID] = &simpleJob{}
-		return p.place(event.ID, dst)
+		s.jobs[event.ID] = &simpleJob{}
+		return s.place(event.ID, dst)
 	case dispatch.JobResumed:
 		job := &simpleJob{}
 		for _, attempt := range event.Attempts {
@@ -75,59 +75,59 @@
 				job.inFlight++
 			}
 		}
-		p.jobs[event.Job.ID] = job
-		return p.place(event.Job.ID, dst)
+		s.jobs[event.Job.ID] = job
+		return s.place(event.Job.ID, dst)
 	case dispatch.Outcome:
-		return p.attemptEnded(event, dst)
+		return s.attemptEnded(event, dst)
 	case dispatch.ClientDisconnected:
-		delete(p.jobs, event.Job)
+		delete(s.jobs, event.Job)
 	}
 	return dst
 }
 
-func (p *simplePolicy) updateWorkers(update dispatch.WorkerList) {
+func (s *simplePolicy) updateWorkers(update dispatch.WorkerList) {
 	switch update.Kind {
 	case dispatch.ListUnavailable:
 	case dispatch.ListDelta:
 		for _, worker := range update.Workers {
-			p.ready = slices.DeleteFunc(p.ready, func(id uint64) bool { return id == worker.ID })
+			s.ready = slices.DeleteFunc(s.ready, func(id uint64) bool { return id == worker.ID })
 		}
 	default:
-		p.ready = p.ready[:0]
+		s.ready = s.ready[:0]
 	}
 	for _, worker := range update.Workers {
 		if worker.Ready && !worker.Removed {
-			p.ready = append(p.ready, worker.ID)
+			s.ready = append(s.ready, worker.ID)
 		}
 	}
 }
 
-func (p *simplePolicy) attemptEnded(event dispatch.Outcome, dst []dispatch.Action) []dispatch.Action {
-	job := p.jobs[event.Job]
+func (s *simplePolicy) attemptEnded(event dispatch.Outcome, dst []dispatch.Action) []dispatch.Action {
+	job := s.jobs[event.Job]
 	if job == nil || event.Attempt >= len(job.workers) {
 		return dst
 	}
 	job.inFlight--
 	if event.Closed {
-		delete(p.jobs, event.Job)
+		delete(s.jobs, event.Job)
 		return dst
 	}
-	return p.place(event.Job, dst)
+	return s.place(event.Job, dst)
 }
 
 // place sends a job to a worker, unless an attempt is in flight.
-func (p *simplePolicy) place(id uint64, dst []dispatch.Action) []dispatch.Action {
-	job := p.jobs[id]
-	if job.inFlight > 0 || len(p.ready) == 0 {
+func (s *simplePolicy) place(id uint64, dst []dispatch.Action) []dispatch.Action {
+	job := s.jobs[id]
+	if job.inFlight > 0 || len(s.ready) == 0 {
 		return dst
 	}
-	for _, worker := range p.ready {
+	for _, worker := range s.ready {
 		if !slices.Contains(job.workers, worker) {
 			job.workers = append(job.workers, worker)
 			job.inFlight++
 			return append(dst, dispatch.Send{Job: id, Worker: worker})
 		}
 	}
-	delete(p.jobs, id)
+	delete(s.jobs, id)
 	return append(dst, dispatch.Reject{Job: id})
 }
--- a/internal/control/forwarder/harness_test.go
+++ b/internal/control/forwarder/harness_test.go
@@ -58,17 +58,17 @@
 // recordingPolicy is the forwarder as the request table's policy. It passes on its actions and messages.
 type recordingPolicy struct{ harness *harness }
 
-func (p recordingPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (r recordingPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	from := len(dst)
-	dst = p.harness.forwarder.Step(now, events, dst)
-	if p.harness.onAction != nil {
+	dst = r.harness.forwarder.Step(now, events, dst)
+	if r.harness.onAction != nil {
 		for _, action := range dst[from:] {
-			p.harness.onAction(action)
+			r.harness.onAction(action)
 		}
 	}
-	for _, outgoing := range p.harness.forwarder.Outbox() {
+	for _, outgoing := range r.harness.forwarder.Outbox() {
 		outgoing.Envelope = outgoing.Clone()
-		p.harness.onMessage(outgoing)
+		r.harness.onMessage(outgoing)
 	}
 	return dst
 }
@@ -143,20 +143,20 @@
 // eventQueue is a heap of events by time.
 type eventQueue []scheduledEvent
 
-func (q eventQueue) Len() int { return len(q) }
+func (e eventQueue) Len() int { return len(e) }
 
-func (q eventQueue) Less(i, k int) bool {
-	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].sequence < q[k].sequence
+func (e eventQueue) Less(i, k int) bool {
+	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].sequence < e[k].sequence
 }
 
-func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+func (e eventQueue) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
 
-func (q *eventQueue) Push(event any) { *q = append(*q, event.(scheduledEvent)) }
+func (e *eventQueue) Push(event any) { *e = append(*e, event.(scheduledEvent)) }
 
-func (q *eventQueue) Pop() any {
-	last := len(*q) - 1
-	event := (*q)[last]
-	*q = (*q)[:last]
+func (e *eventQueue) Pop() any {
+	last := len(*e) - 1
+	event := (*e)[last]
+	*e = (*e)[:last]
 	return event
 }
 
--- a/internal/control/forwarder/heartbeat.go
+++ b/internal/control/forwarder/heartbeat.go
@@ -32,8 +32,8 @@
 )
 
 // String returns the state's name.
-func (s heartbeatState) String() string {
-	switch s {
+func (h heartbeatState) String() string {
+	switch h {
 	case heartbeatIdle:
 		return "idle"
 	case heartbeatAwaiting:
@@ -41,7 +41,7 @@
 	case heartbeatOverdue:
 		return "overdue"
 	default:
-		return fmt.Sprintf("heartbeatState(%d)", uint8(s))
+		return fmt.Sprintf("heartbeatState(%d)", uint8(h))
 	}
 }
 
@@ -54,17 +54,17 @@
 	eventReplyReceived
 )
 
-// after returns the state that follows s on an event, or false where the event has no meaning.
-func (s heartbeatState) after(event heartbeatEvent) (next heartbeatState, valid bool) {
+// after returns the state after an event, or false if the event has no meaning in this state.
+func (h heartbeatState) after(event heartbeatEvent) (next heartbeatState, valid bool) {
 	switch event {
 	case eventHeartbeatSent:
-		return heartbeatAwaiting, s == heartbeatIdle
+		return heartbeatAwaiting, h == heartbeatIdle
 	case eventReplyOverdue:
-		return heartbeatOverdue, s == heartbeatAwaiting
+		return heartbeatOverdue, h == heartbeatAwaiting
 	case eventReplyReceived:
-		return heartbeatIdle, s != heartbeatIdle
+		return heartbeatIdle, h != heartbeatIdle
 	default:
-		return s, false
+		return h, false
 	}
 }
 
--- a/internal/control/forwarder/mode.go
+++ b/internal/control/forwarder/mode.go
@@ -34,7 +34,7 @@
 	eventLocalFinished                    // the local policy has no requests any more
 )
 
-// after returns the mode that follows m on an event, or false where the event has no meaning.
+// after returns the mode after an event, or false if the event has no meaning in this mode.
 func (m mode) after(event modeEvent) (next mode, valid bool) {
 	switch event {
 	case eventPlannersLost:
--- a/internal/control/forwarder/offerpool.go
+++ b/internal/control/forwarder/offerpool.go
@@ -12,16 +12,16 @@
 }
 
 // reset makes the memory of all offers available again.
-func (p *offerPool) reset() { p.used = 0 }
+func (o *offerPool) reset() { o.used = 0 }
 
 // next returns an offer that is zero but for the capacity of its list of attempts.
-func (p *offerPool) next() *message.RequestOffer {
-	batch := p.used / offerBatch
-	if batch == len(p.batches) {
-		p.batches = append(p.batches, make([]message.RequestOffer, offerBatch))
+func (o *offerPool) next() *message.RequestOffer {
+	batch := o.used / offerBatch
+	if batch == len(o.batches) {
+		o.batches = append(o.batches, make([]message.RequestOffer, offerBatch))
 	}
-	offer := &p.batches[batch][p.used%offerBatch]
-	p.used++
+	offer := &o.batches[batch][o.used%offerBatch]
+	o.used++
 	*offer = message.RequestOffer{Summary: message.RequestSummary{Attempts: offer.Summary.Attempts[:0]}}
 	return offer
 }
--- a/internal/control/forwarder/queue.go
+++ b/internal/control/forwarder/queue.go
@@ -19,14 +19,14 @@
 }
 
 // first returns the request that arrived first. The queue must not be empty.
-func (q *requestQueue) first() *openRequest { return q.First().request }
+func (r *requestQueue) first() *openRequest { return r.First().request }
 
 // add puts a request into the queue, and removes it from the queue in which it is.
-func (q *requestQueue) add(request *openRequest) {
+func (r *requestQueue) add(request *openRequest) {
 	dequeue(request)
 	request.queued.At = time.Duration(request.job.ID)
-	request.queued.queue = q
-	q.Add(&request.queued)
+	request.queued.queue = r
+	r.Add(&request.queued)
 }
 
 // dequeue removes a request from the queue in which it is, if it is in one.
@@ -45,15 +45,15 @@
 }
 
 // enqueue puts a request that is assigned to nobody among those that wait for a planner.
-func (q *requestQueues) enqueue(request *openRequest) { q.waitingQueue(request).add(request) }
+func (r *requestQueues) enqueue(request *openRequest) { r.waitingQueue(request).add(request) }
 
 // waitingQueue returns the queue in which a request waits for a planner.
-func (q *requestQueues) waitingQueue(request *openRequest) *requestQueue {
+func (r *requestQueues) waitingQueue(request *openRequest) *requestQueue {
 	if request.failures > 0 {
-		return &q.poisonCandidates
+		return &r.poisonCandidates
 	}
-	return &q.waiting
+	return &r.waiting
 }
 
 // countWaiting counts the requests that wait for a planner.
-func (q *requestQueues) countWaiting() int { return q.waiting.Len() + q.poisonCandidates.Len() }
+func (r *requestQueues) countWaiting() int { return r.waiting.Len() + r.poisonCandidates.Len() }
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// workerOf returns an endpoint as a planner's policy has it. Names of zones and machine types end in their index.
+// workerOf returns an endpoint in the form of a planner's policy. Names of zones and machine types end in their index.
 func workerOf(endpoint requests.Endpoint) dispatch.Worker {
 	index := func(name string) int { return int(name[len(name)-1] - '0') }
 	return dispatch.Worker{
@@ -104,7 +104,7 @@
 	}
 }
 
-// begin starts all.
+// begin starts the forwarder and all planners.
 func (c *cluster) begin() {
 	for _, process := range c.planners {
 		process.start()
@@ -179,7 +179,7 @@
 	p.step(planner.PeersChanged{Names: peers}, planner.PartitionChanged{Owner: owner})
 }
 
-// start begins a process.
+// start starts a process.
 func (p *plannerProcess) start() {
 	if p.planner != nil || p.env.stopped {
 		return
@@ -221,7 +221,7 @@
 	p.step(planner.SessionOpened{Session: p.sessionID})
 }
 
-// reconnect ends the connection; another one follows.
+// reconnect closes the connection and opens another one later.
 func (p *plannerProcess) reconnect() {
 	if !p.established {
 		return
@@ -231,7 +231,7 @@
 	p.env.after(p.env.randomDuration(5, 100), p.connect)
 }
 
-// kill ends the process; another one starts.
+// kill ends the process and starts another one later.
 func (p *plannerProcess) kill() {
 	if p.planner == nil {
 		return
@@ -285,7 +285,7 @@
 	}
 }
 
-// inProcess returns a function that acts if the present process is still alive then.
+// inProcess returns a function that acts only if the present process is still alive when it is called.
 func (p *plannerProcess) inProcess(act func()) func() {
 	changes := p.changes
 	return func() {
@@ -308,7 +308,7 @@
 	}
 }
 
-// closeSession closes the connection, once what was sent before has arrived.
+// closeSession closes the connection once the messages sent before have arrived.
 func (p *plannerProcess) closeSession() {
 	generation := p.generation
 	p.env.after(transitTime, func() {
@@ -355,7 +355,7 @@
 	}
 }
 
-// thaw ends a freeze. What the planner had sent before has arrived meanwhile.
+// thaw ends a freeze. Messages that the planner sent before it have arrived.
 func (p *plannerProcess) thaw() {
 	if !p.frozen {
 		return
--- a/internal/control/forwarder/request.go
+++ b/internal/control/forwarder/request.go
@@ -63,8 +63,8 @@
 )
 
 // String returns the state's name.
-func (s requestState) String() string {
-	switch s {
+func (r requestState) String() string {
+	switch r {
 	case requestWaiting:
 		return "waiting"
 	case requestOffered:
@@ -74,7 +74,7 @@
 	case requestClosed:
 		return "closed"
 	default:
-		return fmt.Sprintf("requestState(%d)", uint8(s))
+		return fmt.Sprintf("requestState(%d)", uint8(r))
 	}
 }
 
@@ -88,39 +88,39 @@
 	eventClosed
 )
 
-// after returns the state that follows s on an event, or false where the event has no meaning.
-func (s requestState) after(event requestEvent) (next requestState, valid bool) {
+// after returns the state after an event, or false if the event has no meaning in this state.
+func (r requestState) after(event requestEvent) (next requestState, valid bool) {
 	switch event {
 	case eventOffered:
-		return requestOffered, s == requestWaiting
+		return requestOffered, r == requestWaiting
 	case eventAssignedLocal:
-		return requestLocal, s == requestWaiting
+		return requestLocal, r == requestWaiting
 	case eventUnassigned:
-		return requestWaiting, s == requestOffered || s == requestLocal
+		return requestWaiting, r == requestOffered || r == requestLocal
 	case eventClosed:
-		return requestClosed, s != requestClosed
+		return requestClosed, r != requestClosed
 	default:
-		return s, false
+		return r, false
 	}
 }
 
 // transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning.
-func (r *openRequest) transition(event requestEvent) bool {
-	next, valid := r.state.after(event)
+func (o *openRequest) transition(event requestEvent) bool {
+	next, valid := o.state.after(event)
 	if valid {
-		r.state = next
+		o.state = next
 	}
 	return valid
 }
 
 // isOfferedTo reports whether the request is assigned to a planner. A nil request is assigned to nobody.
-func (r *openRequest) isOfferedTo(session *plannerSession) bool {
-	return r != nil && r.state == requestOffered && r.session == session
+func (o *openRequest) isOfferedTo(session *plannerSession) bool {
+	return o != nil && o.state == requestOffered && o.session == session
 }
 
 // isRevokedFrom reports whether the request may not be offered in a planner's session.
-func (r *openRequest) isRevokedFrom(session *plannerSession) bool {
-	for _, epoch := range r.revokedEpochs {
+func (o *openRequest) isRevokedFrom(session *plannerSession) bool {
+	for _, epoch := range o.revokedEpochs {
 		if epoch == session.epoch {
 			return true
 		}
@@ -129,31 +129,31 @@
 }
 
 // recordCommand records that the request's planner has given a command for it.
-func (r *openRequest) recordCommand() {
-	r.command.given = true
-	r.command.dueAt = 0
+func (o *openRequest) recordCommand() {
+	o.command.given = true
+	o.command.dueAt = 0
 }
 
 // recordTransfer records that a planner has transferred the request to another one.
-func (r *openRequest) recordTransfer(now time.Duration, sender *plannerSession, target string) {
-	r.transfers++
-	r.transferredBy = sender
-	r.transferTarget = target
-	if doublings := r.transfers - maxImmediateTransfers - 1; doublings >= 0 {
-		r.notBefore = now + transferBackoff<<min(doublings, maxTransferDoublings)
+func (o *openRequest) recordTransfer(now time.Duration, sender *plannerSession, target string) {
+	o.transfers++
+	o.transferredBy = sender
+	o.transferTarget = target
+	if doublings := o.transfers - maxImmediateTransfers - 1; doublings >= 0 {
+		o.notBefore = now + transferBackoff<<min(doublings, maxTransferDoublings)
 	}
 }
 
 // objectiveAtRisk returns when the request, if it is not sent, starts to risk its objective: halfway to it.
-func (r *openRequest) objectiveAtRisk(now time.Duration) time.Duration {
-	return max(now, r.objective-(r.objective-r.arrivedAt)/2)
+func (o *openRequest) objectiveAtRisk(now time.Duration) time.Duration {
+	return max(now, o.objective-(o.objective-o.arrivedAt)/2)
 }
 
 // mayHaveEndedSession reports whether the request may be the cause of the end of its planner's session: the planner has not
 // confirmed that it read the offer, and has had half its shortest reply time to read it, which is the earliest that an end
 // caused by the offer can be seen.
-func (r *openRequest) mayHaveEndedSession(now time.Duration) bool {
-	heartbeat := &r.session.heartbeat
-	return r.offeredSequence > heartbeat.acknowledged && !r.command.given &&
-		now-r.command.awaitedSince >= heartbeat.minLatency/2
+func (o *openRequest) mayHaveEndedSession(now time.Duration) bool {
+	heartbeat := &o.session.heartbeat
+	return o.offeredSequence > heartbeat.acknowledged && !o.command.given &&
+		now-o.command.awaitedSince >= heartbeat.minLatency/2
 }
--- a/internal/control/forwarder/session.go
+++ b/internal/control/forwarder/session.go
@@ -57,7 +57,7 @@
 	eventSessionEnded
 )
 
-// after returns the state that follows s on an event, or false where the event has no meaning.
+// after returns the state after an event, or false if the event has no meaning in this state.
 func (s sessionState) after(event sessionEvent) (next sessionState, valid bool) {
 	switch event {
 	case eventHandshakeSent:
@@ -74,96 +74,96 @@
 }
 
 // transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning.
-func (s *plannerSession) transition(event sessionEvent) bool {
-	next, valid := s.state.after(event)
+func (p *plannerSession) transition(event sessionEvent) bool {
+	next, valid := p.state.after(event)
 	if valid {
-		s.state = next
+		p.state = next
 	}
 	return valid
 }
 
 // isAccepted reports whether the planner has accepted the session, so that messages are exchanged in it.
-func (s *plannerSession) isAccepted() bool {
-	return s.state == sessionActive || s.state == sessionDraining
+func (p *plannerSession) isAccepted() bool {
+	return p.state == sessionActive || p.state == sessionDraining
 }
 
 // expects reports whether a message of an epoch is valid in the state of the session.
-func (s *plannerSession) expects(epoch message.Epoch, received message.Message) bool {
-	if s.state == sessionNone || epoch != s.epoch {
+func (p *plannerSession) expects(epoch message.Epoch, received message.Message) bool {
+	if p.state == sessionNone || epoch != p.epoch {
 		return false
 	}
 	_, isAccept := received.(*message.HandshakeAccept)
-	return isAccept || s.isAccepted()
+	return isAccept || p.isAccepted()
 }
 
 // isSuspected reports whether the planner's reply to a heartbeat is overdue.
-func (s *plannerSession) isSuspected() bool { return s.heartbeat.state == heartbeatOverdue }
+func (p *plannerSession) isSuspected() bool { return p.heartbeat.state == heartbeatOverdue }
 
 // acceptsRequests reports whether the planner accepts requests when it has credit.
-func (s *plannerSession) acceptsRequests() bool { return s.state == sessionActive }
+func (p *plannerSession) acceptsRequests() bool { return p.state == sessionActive }
 
 // hasCredit reports whether the planner accepts a request now.
-func (s *plannerSession) hasCredit() bool { return s.acceptsRequests() && len(s.requests) < s.credit }
+func (p *plannerSession) hasCredit() bool { return p.acceptsRequests() && len(p.requests) < p.credit }
 
 // markOverrun records that a message of the planner was dropped: the session is to be reset.
-func (s *plannerSession) markOverrun() { s.overrun = true }
+func (p *plannerSession) markOverrun() { p.overrun = true }
 
 // setCredit sets how many requests may be assigned to the planner. Requests beyond a smaller credit stay assigned.
-func (s *plannerSession) setCredit(credit int) { s.credit = max(0, credit) }
+func (p *plannerSession) setCredit(credit int) { p.credit = max(0, credit) }
 
 // canBeOffered reports whether a request can be offered in the session. A request that may have ended a session is offered
 // only while no other such request is unconfirmed here, so that the cause of a further failure is known.
-func (s *plannerSession) canBeOffered(request *openRequest) bool {
-	return s.hasCredit() && (request.failures == 0 || s.poisonCandidate == nil) && !request.isRevokedFrom(s)
+func (p *plannerSession) canBeOffered(request *openRequest) bool {
+	return p.hasCredit() && (request.failures == 0 || p.poisonCandidate == nil) && !request.isRevokedFrom(p)
 }
 
 // addRequest enters a request that is offered in the session.
-func (s *plannerSession) addRequest(request *openRequest) {
-	request.session = s
-	request.epoch = s.epoch
-	request.sessionIndex = len(s.requests)
-	request.offeredSequence = s.heartbeat.sequence + 1
+func (p *plannerSession) addRequest(request *openRequest) {
+	request.session = p
+	request.epoch = p.epoch
+	request.sessionIndex = len(p.requests)
+	request.offeredSequence = p.heartbeat.sequence + 1
 	request.transferredBy = nil
 	request.transferTarget = ""
-	s.requests = append(s.requests, request)
-	s.heartbeat.offersSent = true
+	p.requests = append(p.requests, request)
+	p.heartbeat.offersSent = true
 	if request.failures > 0 {
-		s.poisonCandidate = request
+		p.poisonCandidate = request
 	}
 }
 
 // removeRequest removes a request of the session, which releases its credit.
-func (s *plannerSession) removeRequest(request *openRequest) {
-	last := len(s.requests) - 1
-	moved := s.requests[last]
-	s.requests[request.sessionIndex] = moved
+func (p *plannerSession) removeRequest(request *openRequest) {
+	last := len(p.requests) - 1
+	moved := p.requests[last]
+	p.requests[request.sessionIndex] = moved
 	moved.sessionIndex = request.sessionIndex
-	s.requests[last] = nil
-	s.requests = s.requests[:last]
-	if s.poisonCandidate == request {
-		s.poisonCandidate = nil
+	p.requests[last] = nil
+	p.requests = p.requests[:last]
+	if p.poisonCandidate == request {
+		p.poisonCandidate = nil
 	}
 	request.command.dueAt = 0
 }
 
 // confirmOffers processes that the planner has read the offers before the last heartbeat that it has replied to.
-func (s *plannerSession) confirmOffers() {
-	if s.poisonCandidate != nil && s.poisonCandidate.offeredSequence <= s.heartbeat.acknowledged {
-		s.poisonCandidate = nil
+func (p *plannerSession) confirmOffers() {
+	if p.poisonCandidate != nil && p.poisonCandidate.offeredSequence <= p.heartbeat.acknowledged {
+		p.poisonCandidate = nil
 	}
 }
 
 // start starts a session of an epoch at an instant.
-func (s *plannerSession) start(now time.Duration, epoch message.Epoch) {
-	s.transition(eventHandshakeSent)
-	s.epoch = epoch
-	s.overrun = false
-	s.heartbeat.reset(now)
+func (p *plannerSession) start(now time.Duration, epoch message.Epoch) {
+	p.transition(eventHandshakeSent)
+	p.epoch = epoch
+	p.overrun = false
+	p.heartbeat.reset(now)
 }
 
 // end ends the session. All its requests must have been removed.
-func (s *plannerSession) end() {
-	s.transition(eventSessionEnded)
-	s.epoch = 0
-	s.poisonCandidate = nil
+func (p *plannerSession) end() {
+	p.transition(eventSessionEnded)
+	p.epoch = 0
+	p.poisonCandidate = nil
 }
--- a/internal/control/forwarder/steptimer.go
+++ b/internal/control/forwarder/steptimer.go
@@ -16,27 +16,27 @@
 
 // begin processes the start of a step, and reports whether the step is late for the timer: messages that planners have sent
 // in the meantime are not read yet.
-func (t *stepTimer) begin(now time.Duration) (late bool) {
-	if t.firesAt == 0 || now < t.firesAt {
+func (s *stepTimer) begin(now time.Duration) (late bool) {
+	if s.firesAt == 0 || now < s.firesAt {
 		return false
 	}
-	late = now-t.firesAt > maxOwnTimerLag
+	late = now-s.firesAt > maxOwnTimerLag
 	if late {
-		t.lastLateAt = now
+		s.lastLateAt = now
 	}
-	t.firesAt = 0
+	s.firesAt = 0
 	return late
 }
 
 // isLate reports whether the step at an instant was late for the timer.
-func (t *stepTimer) isLate(now time.Duration) bool { return t.lastLateAt == now }
+func (s *stepTimer) isLate(now time.Duration) bool { return s.lastLateAt == now }
 
 // set sets the timer, and reports whether that changes it: a timer that fires earlier is kept.
-func (t *stepTimer) set(at time.Duration) (changed bool) {
-	if t.firesAt != 0 && at >= t.firesAt {
+func (s *stepTimer) set(at time.Duration) (changed bool) {
+	if s.firesAt != 0 && at >= s.firesAt {
 		return false
 	}
-	t.firesAt = at
+	s.firesAt = at
 	return true
 }
 
--- a/internal/control/forwarder/subscription.go
+++ b/internal/control/forwarder/subscription.go
@@ -58,7 +58,7 @@
 	eventListLost
 )
 
-// after returns the state that follows s on an event, or false where the event has no meaning.
+// after returns the state after an event, or false if the event has no meaning in this state.
 func (s subscriptionState) after(event subscriptionEvent) (next subscriptionState, valid bool) {
 	switch event {
 	case eventSubscribeSent:
