--- a/internal/address/accesslists.go
+++ b/internal/address/accesslists.go
@@ -28,20 +28,15 @@
 	return ""
 }
 
-// Admits reports whether an address may connect. A rejection is logged.
-func (l *AccessLists) Admits(from netip.AddrPort, log *slog.Logger) bool {
-	reason := l.RejectionReason(from.Addr())
-	if reason == "" {
-		return true
-	}
+// LogRejection logs that a connection was rejected for a reason that RejectionReason returned.
+func LogRejection(log *slog.Logger, from netip.AddrPort, reason string) {
 	if log.Enabled(context.Background(), slog.LevelWarn) {
-		log.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
+		log.LogAttrs(context.Background(), slog.LevelWarn, "connection rejected", slog.String("reason", reason),
 			slog.String("client", from.String()))
 	}
-	return false
 }
 
-// TrustsProxy tells whether an address may send a PROXY header.
+// TrustsProxy reports whether an address may send a PROXY header.
 func (l *AccessLists) TrustsProxy(address netip.Addr) bool {
 	return contains(l.lists.TrustedProxies, address)
 }
--- a/internal/client/arrivaltime.go
+++ b/internal/client/arrivaltime.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// arrivalResolution is how far apart arrivals are told apart: a client may send a byte at a time.
-const arrivalResolution = 100 * time.Millisecond
+// inputArrivalResolution is the shortest time between two recorded arrivals: a client may send its input byte by byte.
+const inputArrivalResolution = 100 * time.Millisecond
 
-// arrival is when some bytes of a connection's input came.
-type arrival struct {
+// inputArrival is the arrival of some bytes of a connection's input.
+type inputArrival struct {
 	bytes int
 	at    time.Duration
 }
 
-// recordArrival remembers when the end of the input came; what came shortly after other bytes counts as come with them.
-func (c *connection) recordArrival() {
+// recordInputArrival records the arrival of the end of the input. Bytes that arrive within inputArrivalResolution of earlier ones
+// count as arrived with them.
+func (c *connection) recordInputArrival() {
 	added := len(c.Input())
-	for _, known := range c.arrivals {
-		added -= known.bytes
+	for _, arrival := range c.inputArrivals {
+		added -= arrival.bytes
 	}
 	if added <= 0 {
 		return
 	}
-	last := len(c.arrivals) - 1
-	if last >= 0 && c.loop().Now()-c.arrivals[last].at < arrivalResolution {
-		c.arrivals[last].bytes += added
+	last := len(c.inputArrivals) - 1
+	if last >= 0 && c.loop().Now()-c.inputArrivals[last].at < inputArrivalResolution {
+		c.inputArrivals[last].bytes += added
 		return
 	}
-	c.arrivals = append(c.arrivals, arrival{bytes: added, at: c.lastInputTime()})
+	c.inputArrivals = append(c.inputArrivals, inputArrival{bytes: added, at: c.lastInputTime()})
 }
 
-// arrivalTime returns when the last of the input's first n bytes came.
-func (c *connection) arrivalTime(n int) time.Duration {
-	for _, known := range c.arrivals {
-		n -= known.bytes
+// inputArrivalTime returns when the last of the input's first n bytes arrived.
+func (c *connection) inputArrivalTime(n int) time.Duration {
+	for _, arrival := range c.inputArrivals {
+		n -= arrival.bytes
 		if n <= 0 {
-			return known.at
+			return arrival.at
 		}
 	}
 	return c.lastInputTime()
 }
 
-// lastInputTime returns when the end of the input came.
+// lastInputTime returns when the end of the input arrived.
 func (c *connection) lastInputTime() time.Duration {
-	if cameAt := c.InputCameAt(); cameAt > 0 {
-		return cameAt
+	if arrivedAt := c.InputCameAt(); arrivedAt > 0 {
+		return arrivedAt
 	}
-	return c.loop().Now() // by another process, or one that was restored
+	return c.loop().Now() // the input was read by a predecessor
 }
 
 // Consume drops the first n bytes of the input, and their arrivals.
 func (c *connection) Consume(n int) {
 	c.Stream.Consume(n)
-	for len(c.arrivals) > 0 && c.arrivals[0].bytes <= n {
-		n -= c.arrivals[0].bytes
-		c.arrivals = c.arrivals[1:]
+	for len(c.inputArrivals) > 0 && c.inputArrivals[0].bytes <= n {
+		n -= c.inputArrivals[0].bytes
+		c.inputArrivals = c.inputArrivals[1:]
 	}
-	if len(c.arrivals) == 0 {
-		c.arrivals = nil
+	if len(c.inputArrivals) == 0 {
+		c.inputArrivals = nil
 		return
 	}
-	c.arrivals[0].bytes -= n
+	c.inputArrivals[0].bytes -= n
 }
--- a/internal/client/closing_test.go
+++ b/internal/client/closing_test.go
@@ -436,11 +436,11 @@
 			p.Write([]byte(requestOfSize(n+1, 0)))
 		}
 		f.RunIterations()
-		settings := f.listener.settings
-		f.listener.settings = nil // handling a request reads it
+		settings := f.listener.parser.settings
+		f.listener.parser.settings = nil // handling a request reads it
 		p.Write([]byte(requestOfSize(9, 0)))
 		f.RunIterations()
-		f.listener.settings = settings
+		f.listener.parser.settings = settings
 		f.RunIterations()
 		got := statuses(t, p)
 		for _, status := range got {
--- /dev/null
+++ b/internal/client/config.go
@@ -0,0 +1,63 @@
+package client
+
+import (
+	"log/slog"
+	"net/netip"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/requests"
+)
+
+// RequestTable is what a Listener needs of the request table. *requests.Table implements it.
+type RequestTable interface {
+	Admitter
+	CallbackHandler
+	// Ready reports whether a new request could be sent to a worker.
+	Ready() bool
+	// ClientDisconnected ends a request whose client no longer waits for the response.
+	ClientDisconnected(request *requests.Request)
+}
+
+// Admitter admits requests, and is notified of those that are rejected before that.
+type Admitter interface {
+	Admit(now time.Duration, arrival requests.Arrival) (*requests.Request, error)
+	ReportRejection(arrival *requests.Arrival, statusCode int)
+	// OpenCount returns the number of admitted requests without a response.
+	OpenCount() int
+	// PayloadBytes returns the size of the payloads of open requests.
+	PayloadBytes() int
+}
+
+// CallbackHandler applies the callbacks of workers. known reports whether the callback is about an attempt in the table.
+type CallbackHandler interface {
+	HandleCallback(callback requests.Callback) (known bool, err error)
+}
+
+// AccessLists say which addresses may connect, and which are proxies. *address.AccessLists implements it.
+type AccessLists interface {
+	// RejectionReason returns why an address may not connect, or an empty string if it may.
+	RejectionReason(address netip.Addr) string
+	// TrustsProxy reports whether an address may send a PROXY header.
+	TrustsProxy(address netip.Addr) bool
+}
+
+// Config is what a Listener is made of.
+type Config struct {
+	Loop          *eventloop.Loop
+	Table         RequestTable
+	AccessLists   AccessLists // nil: every address may connect, and there are no proxies
+	Log           *slog.Logger
+	ConnectionLog *slog.Logger // events of single connections and requests; used only with access lists
+	Settings      *dispatch.Settings
+	Names         requests.NameTable
+	Limits        Limits
+}
+
+// Limits bound the resources that clients use.
+type Limits struct {
+	Connections int // open at once
+	Requests    int // open at once
+	BufferBytes int // of connections; payloads of open requests may take up as much again
+}
--- a/internal/client/connection.go
+++ b/internal/client/connection.go
@@ -13,13 +13,13 @@
 	"valvecove/internal/http1"
 )
 
-// phase says what is still to come of a client connection that is open. It only ever advances.
+// phase is the phase of an open connection. It only advances.
 type phase int
 
 const (
 	phaseReading   phase = iota // requests are read
 	phaseFinishing              // no further request is read; the connection ends with its last response
-	phaseLingering              // all responses are sent, and what the peer still sends is discarded
+	phaseLingering              // all responses are sent; what the peer still sends is discarded
 )
 
 func (p phase) String() string {
@@ -31,16 +31,16 @@
 	case phaseLingering:
 		return "lingering"
 	}
-	return fmt.Sprintf("clientPhase(%d)", int(p))
+	return fmt.Sprintf("phase(%d)", int(p))
 }
 
-// requestHistory says what requests a client connection has had so far. It only ever advances.
+// requestHistory is the best request that a connection has had. It only advances.
 type requestHistory int
 
 const (
 	historyNoRequest     requestHistory = iota
-	historyRequest                      // whole ones, of no use: anybody can ask whether the scheduler is up
-	historyUsefulRequest                // one was admitted, or was a callback of one
+	historyRequest                      // complete requests that anybody may send: readiness checks, rejected ones
+	historyUsefulRequest                // an admitted request, or a callback about a known attempt
 )
 
 func (h requestHistory) String() string {
@@ -55,36 +55,36 @@
 	return fmt.Sprintf("requestHistory(%d)", int(h))
 }
 
-// connection is one accepted connection. Its requests are answered in the order in which they came.
+// connection is an accepted connection. Its requests are answered in the order in which they arrived.
 type connection struct {
 	eventloop.Stream
 	listener       *Listener
 	phase          phase
 	history        requestHistory
-	slots          []*responseSlot // of requests without a response, the first one first
+	slots          []*responseSlot // of requests whose response is not sent, in order of arrival
 	sendsCallbacks bool            // the last useful request was a callback: the peer is a worker
 	continueSent   bool            // for the request that is being read
 
-	halfClosed      bool          // the peer has ended its side
-	halfCloseProbed bool          // and has been sent something to find out whether it still reads
-	probedAt        time.Duration // when it last was
-	inputEnded      bool          // and all that it sent was read
-	panicked        bool          // what it is in the midst of can't be gone on with
-	inputOverrun    bool          // it has sent too much ahead of its responses: what still comes is discarded
+	halfClosed      bool          // the peer has closed its sending side
+	halfCloseProbed bool          // the peer was probed since
+	probedAt        time.Duration // of the last probe
+	inputEnded      bool          // all that the peer sent before its end was read
+	panicked        bool          // a handler panicked
+	inputOverrun    bool          // more was sent ahead of responses than is kept: further input is discarded
 
-	arrivals           []arrival     // of the input
-	currentRequestSize int           // bytes at the start of the input that are the request being handled; 0: none is
-	currentArrival     time.Duration // of that request
+	inputArrivals      []inputArrival // of the input that is not consumed
+	currentRequestSize int            // bytes at the start of the input that are the request being handled; 0: none is
+	currentArrival     time.Duration  // of the request being handled
 
-	lastActivity   time.Duration // when something last began or went on, see closeIfExpired
-	lingerStart    time.Duration
-	countedBytes   int           // that the listener has counted for the buffers
-	waitingList    *list.List    // of the listener, if the connection is on one
-	waitingElement *list.Element // there
+	lastActivity time.Duration // when a request last began or a transfer last progressed; see closeIfExpired
+	lingerStart  time.Duration
+	countedBytes int           // of the buffers, in the listener's count
+	currentList  *list.List    // one of the listener's lists, or nil
+	listElement  *list.Element // in currentList
 
 	clientAddress   netip.AddrPort
-	proxyAddress    netip.AddrPort // of the proxy that the client came by; not valid: none
-	proxyHeaderDone bool           // it is known whether a PROXY header comes first
+	proxyAddress    netip.AddrPort // of the proxy that the client is connected to; not valid: none
+	proxyHeaderDone bool           // a PROXY header was read, or there is none
 }
 
 func (c *connection) loop() *eventloop.Loop { return c.listener.loop }
@@ -92,16 +92,14 @@
 // isReading reports whether further requests are read.
 func (c *connection) isReading() bool { return c.phase == phaseReading }
 
-// advancePhase goes on to a phase, unless the connection is past it.
-func (c *connection) advancePhase(phase phase) { c.phase = max(c.phase, phase) }
+// advancePhase enters a phase, unless the connection is past it.
+func (c *connection) advancePhase(next phase) { c.phase = max(c.phase, next) }
 
-// advanceHistory takes in that a request has come.
-func (c *connection) advanceHistory(history requestHistory) {
-	c.history = max(c.history, history)
-}
+// advanceHistory records a request.
+func (c *connection) advanceHistory(history requestHistory) { c.history = max(c.history, history) }
 
-// Priority puts the events of clients before those of workers. A client that has left is known before a connection that has
-// just come up is written to, and what a worker says of an attempt before the end of the connection that carried it.
+// Priority puts the events of clients before those of workers: a disconnected client is known before its request is written to
+// a worker, and a worker's callback before the end of the connection that carried its attempt.
 func (c *connection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
 // HandlePanic ends the connection, with a response to each request that was read. A second panic ends it at once.
@@ -114,7 +112,7 @@
 	c.loop().Protect(c, c.failAll)
 }
 
-// HandleEvents sends and reads what can be, and handles requests.
+// HandleEvents sends what waits, reads input, and handles requests.
 func (c *connection) HandleEvents(events uint32) {
 	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && c.phase != phaseLingering {
 		c.handleReset()
@@ -126,7 +124,7 @@
 			return
 		}
 	}
-	// The event for the peer's end comes however much it has sent before that.
+	// EPOLLRDHUP is reported while input that was sent before the end is still unread.
 	c.halfClosed = c.halfClosed || events&unix.EPOLLRDHUP != 0
 	if events&^unix.EPOLLOUT != 0 && !c.inputEnded {
 		if err := c.readInput(); err != nil {
@@ -152,7 +150,7 @@
 	read := c.Fill
 	if !c.isReading() || c.inputOverrun {
 		read = c.discardInput
-	} else if c.history != historyNoRequest && len(c.Input()) == 0 { // a request begins, however long the connection was idle
+	} else if c.history != historyNoRequest && len(c.Input()) == 0 { // a request begins after an idle time
 		c.lastActivity = c.loop().Now()
 	}
 	ended, err := read()
@@ -163,7 +161,8 @@
 	return nil
 }
 
-// discardInput reads what nobody needs: closed over unread bytes, the connection would be reset, and the response lost.
+// discardInput reads input that is not handled. A connection that is closed over unread input is reset, and its last response
+// may be lost.
 func (c *connection) discardInput() (ended bool, err error) {
 	n, ended, err := c.Discard()
 	if n > 0 {
@@ -172,8 +171,8 @@
 	return ended, err
 }
 
-// handleReset ends a connection that is gone both ways. Nobody waits for a response, so no request is admitted of what came
-// before that; callbacks are applied all the same.
+// handleReset ends a connection that the peer has closed in both directions. No request in the remaining input is admitted, as
+// nobody waits for its response; callbacks are applied.
 func (c *connection) handleReset() {
 	for c.isReading() && len(c.slots) == 0 && len(c.Input()) <= maxReadAhead {
 		before := len(c.Input())
@@ -196,10 +195,9 @@
 	c.terminate()
 }
 
-// probeHalfClosed finds out whether a client that has ended its side still reads. One that has closed its connection is gone,
-// one that has only finished writing still waits, and both look alike until something is written: a closed connection answers
-// an interim response with a reset, and any client must skip one. Where the reset is there at once, the connection ends
-// before its request is sent to a worker.
+// probeHalfClosed probes, once, a client that has closed its sending side. A client that has closed the whole connection looks
+// the same until something is written: then it responds with a reset, while one that still waits skips the interim response, as
+// each client must. If the reset arrives in time, the connection ends before its request is sent to a worker.
 func (c *connection) probeHalfClosed() {
 	if c.halfCloseProbed {
 		return
@@ -215,8 +213,8 @@
 	}
 }
 
-// updateInputEvents asks epoll for what matters now. A client is read from up to its end, as that lies behind all that it has
-// sent; there are events for that end for as long as they are asked for, and for a reset always.
+// updateInputEvents sets the events that the connection waits for. Input is read up to the peer's end, which follows all that
+// the peer has sent. The event for that end is level-triggered, so it is not waited for again; one for a reset always is.
 func (c *connection) updateInputEvents() {
 	events := c.Events() &^ eventloop.StreamEvents
 	if !c.halfClosed {
@@ -228,16 +226,17 @@
 	c.SetEvents(events)
 }
 
-// updateBufferedBytes keeps the listener's count right.
+// updateBufferedBytes updates the listener's count of buffered bytes.
 func (c *connection) updateBufferedBytes() {
 	size := c.BufferSize()
 	c.listener.bufferedBytes += size - c.countedBytes
 	c.countedBytes = size
 }
 
-// linger ends this side of the connection, and puts it on a list. What the peer still sends is discarded up to its own end,
-// for a while: closed over unread bytes, a connection is reset, and the peer loses what it has not read of the responses.
-func (c *connection) linger(waiting *list.List) {
+// linger closes the sending side of the connection, and puts it on a list. Input is discarded until the peer closes its side or
+// the connection expires: closed over unread input, the connection would be reset, and the peer lose responses that it has not
+// read.
+func (c *connection) linger(target *list.List) {
 	if c.phase != phaseLingering {
 		c.advancePhase(phaseLingering)
 		c.DropInput()
@@ -245,17 +244,17 @@
 		c.lastActivity = c.loop().Now()
 		c.CloseWrite()
 	}
-	c.enterWaitingList(waiting)
+	c.enterList(target)
 	c.updateInputEvents()
 	c.updateBufferedBytes()
 }
 
-// terminate closes the connection; the requests on it have lost their client.
+// terminate closes the connection. Its open requests are abandoned.
 func (c *connection) terminate() {
 	if !c.IsOpen() {
 		return
 	}
-	c.leaveWaitingList()
+	c.leaveList()
 	c.Close()
 	c.updateBufferedBytes()
 	delete(c.listener.connections, c)
--- /dev/null
+++ b/internal/client/eviction.go
@@ -0,0 +1,124 @@
+package client
+
+import (
+	"container/list"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// evictionGrace is how long a connection without a request, or after its last response, is not evicted.
+const evictionGrace = 250 * time.Millisecond
+
+// evict shuts down an idle connection for another one, and reports whether there was one. Input that has arrived is handled
+// first; a client sends later requests again on another connection. New connections, and those that had their last response,
+// are spared for evictionGrace: a request may be on its way. A partial request is rejected.
+func (l *Listener) evict() bool {
+	for _, candidates := range []*list.List{&l.rejectedOnly, &l.finished, &l.silent, &l.idle} {
+		hasGrace := candidates == &l.finished || candidates == &l.silent
+		for first := candidates.Front(); first != nil; first = candidates.Front() {
+			c := first.Value.(*connection)
+			if hasGrace && l.loop.Now()-c.lastActivity < evictionGrace {
+				break
+			}
+			c.finishIdle(&l.evicted)
+			if c.hasPartialRequest() {
+				c.rejectPartialRequest()
+			}
+			if !c.IsOpen() || c.currentList == &l.evicted {
+				l.closeExcessEvicted()
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// closeExcessEvicted closes evicted connections over their limit, the earliest evicted first.
+func (l *Listener) closeExcessEvicted() {
+	for l.evicted.Len() > l.maxEvicted {
+		l.evicted.Front().Value.(*connection).terminate()
+	}
+}
+
+// Close ends connections without a request in flight, now and from here on; further requests are rejected. Connections of
+// workers stay open, and new ones are accepted: each callback may complete a request that a client waits for.
+func (l *Listener) Close() {
+	l.closing = true
+	var idle []*connection // collected first, as the end of one may change the lists
+	for _, candidates := range []*list.List{&l.rejectedOnly, &l.silent, &l.idle} {
+		for element := candidates.Front(); element != nil; element = element.Next() {
+			idle = append(idle, element.Value.(*connection))
+		}
+	}
+	for _, c := range idle {
+		if c.listElement != nil && !c.sendsCallbacks {
+			c.finishIdle(&l.finished)
+		}
+	}
+}
+
+// closesAfterResponse reports whether the connection ends with the responses to the requests that were read.
+func (c *connection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
+
+// enterIdleList puts a connection without a request in flight on the list for its history.
+func (c *connection) enterIdleList() {
+	switch c.history {
+	case historyUsefulRequest:
+		c.enterList(&c.listener.idle)
+	case historyRequest:
+		c.enterList(&c.listener.rejectedOnly)
+	case historyNoRequest:
+		c.enterList(&c.listener.silent)
+	}
+}
+
+// enterList puts the connection last on a list, in place of the list that it is on.
+func (c *connection) enterList(target *list.List) {
+	if !c.IsOpen() || c.currentList == target {
+		return
+	}
+	c.leaveList()
+	c.currentList = target
+	c.listElement = target.PushBack(c)
+}
+
+// leaveList removes the connection from its list, if it is on one.
+func (c *connection) leaveList() {
+	if c.listElement == nil {
+		return
+	}
+	c.currentList.Remove(c.listElement)
+	c.currentList = nil
+	c.listElement = nil
+}
+
+// finishIdle handles the input that has arrived, and shuts the connection down unless that has begun a request.
+func (c *connection) finishIdle(target *list.List) {
+	element := c.listElement
+	c.loop().Protect(c, c.readAvailable)
+	if c.IsOpen() && element != nil && c.listElement == element && !c.hasPartialRequest() {
+		c.linger(target)
+	}
+}
+
+// hasPartialRequest reports whether part of a request was read, and no request is in flight.
+func (c *connection) hasPartialRequest() bool {
+	return c.IsOpen() && c.isReading() && c.proxyHeaderDone && len(c.slots) == 0 && len(c.Input()) > 0
+}
+
+// rejectPartialRequest rejects a request that was read in part, and evicts the connection if the response is sent at once.
+func (c *connection) rejectPartialRequest() {
+	c.rejectInput(503, "no room for the connection\n")
+	if c.IsOpen() && len(c.slots) == 0 && len(c.Output()) == 0 {
+		c.linger(&c.listener.evicted)
+	}
+}
+
+// readAvailable handles all input that has arrived, which may take several reads.
+func (c *connection) readAvailable() {
+	for before := -1; c.IsOpen() && c.listElement != nil && len(c.Input()) > before; {
+		before = len(c.Input())
+		c.HandleEvents(unix.EPOLLIN)
+	}
+}
--- a/internal/client/input.go
+++ b/internal/client/input.go
@@ -8,15 +8,15 @@
 	"valvecove/internal/http1"
 )
 
-// What is read ahead of responses: a whole request and the start of another; more where there is memory. What comes beyond
-// that is discarded, so that the client's end is noticed all the same: the requests that are kept are answered, one more is
-// rejected, and the connection ends.
+// Bytes that are read ahead of responses: a complete request and part of another one; more while buffers are within half of
+// their limit. Further input is discarded, so that the end of the client is noticed: requests that were kept have responses, one
+// more is rejected, and the connection ends.
 const (
 	maxReadAhead           = http1.MaxHeaderSize + http1.MaxBodySize
 	maxReadAheadWithMemory = 8 * maxReadAhead
 )
 
-// readRequests handles what there is of whole requests, and then sees to what is to become of the connection.
+// readRequests handles the complete requests in the input, and then updates the state of the connection.
 func (c *connection) readRequests() {
 	for c.canReadRequest() && c.readProxyHeader() {
 		if more := c.readRequest(); !more {
@@ -31,9 +31,9 @@
 	}
 	if !c.isReading() {
 		c.DropInput()
-		c.arrivals = nil
+		c.inputArrivals = nil
 	}
-	c.recordArrival()
+	c.recordInputArrival()
 	c.inputOverrun = c.inputOverrun || c.exceedsReadAhead()
 	if c.halfClosed && len(c.slots) > 0 {
 		c.probeHalfClosed()
@@ -42,14 +42,14 @@
 		}
 	}
 	c.updateInputEvents()
-	c.finishOrBecomeIdle()
+	c.finishOrEnterIdleList()
 }
 
 func (c *connection) canReadRequest() bool {
 	return c.isReading() && c.IsOpen() && len(c.slots) < maxResponseSlots && len(c.Output()) <= maxUnreadOutput && len(c.Input()) > 0
 }
 
-// readRequest handles the first request of the input. more is false if there is none that is whole.
+// readRequest handles the first request of the input. more is false if it is not complete, or ends the connection.
 func (c *connection) readRequest() (more bool) {
 	request := &c.listener.request
 	size, err := request.Parse(c.Input())
@@ -59,10 +59,10 @@
 		return false
 	}
 	if err != nil {
-		c.awaitRest(request)
+		c.handlePartialRequest(request)
 		return false
 	}
-	c.leaveWaitingList()
+	c.leaveList()
 	if c.history == historyNoRequest && c.isLogEnabled(slog.LevelInfo) {
 		c.logEvent(slog.LevelInfo, "client connection open")
 	}
@@ -70,7 +70,7 @@
 	c.continueSent = false
 	c.lastActivity = c.loop().Now()
 	c.currentRequestSize = size
-	c.currentArrival = c.arrivalTime(size)
+	c.currentArrival = c.inputArrivalTime(size)
 	c.handleRequest(request, c.reserveSlot(request.KeepAlive))
 	c.currentRequestSize = 0
 	if c.IsOpen() {
@@ -79,10 +79,10 @@
 	return true
 }
 
-// awaitRest sees to a request of which the rest is to come.
-func (c *connection) awaitRest(request *http1.Request) {
+// handlePartialRequest rejects a partial request that is not read further, or invites the client to send its body.
+func (c *connection) handlePartialRequest(request *http1.Request) {
 	if c.history == historyUsefulRequest {
-		c.leaveWaitingList()
+		c.leaveList()
 	}
 	switch {
 	case c.inputOverrun:
@@ -95,8 +95,8 @@
 	}
 }
 
-// finishOrBecomeIdle ends a connection on which nothing is to come any more, or puts it among those between requests.
-func (c *connection) finishOrBecomeIdle() {
+// finishOrEnterIdleList ends a connection without further requests, or puts one between requests on a list.
+func (c *connection) finishOrEnterIdleList() {
 	switch {
 	case len(c.slots) > 0 || len(c.Output()) > 0:
 	case c.inputEnded:
@@ -105,7 +105,7 @@
 	case c.phase == phaseFinishing:
 		c.linger(&c.listener.finished)
 	case c.isReading() && len(c.Input()) == 0:
-		c.becomeIdle()
+		c.enterIdleList()
 		if c.closesAfterResponse() && c.history != historyNoRequest {
 			c.linger(&c.listener.finished)
 		}
@@ -113,16 +113,16 @@
 	c.updateBufferedBytes()
 }
 
-// rejectInput responds to what can't be read any further; the connection ends with that.
+// rejectInput responds to input that is not read further. The connection ends with the response.
 func (c *connection) rejectInput(statusCode int, reason string) {
-	c.leaveWaitingList()
+	c.leaveList()
 	c.listener.table.ReportRejection(nil, statusCode)
 	c.reserveSlot(false).respond(statusCode, reason)
 }
 
 func (c *connection) rejectOverrun() { c.rejectInput(503, "too much sent ahead of answers\n") }
 
-// exceedsReadAhead reports whether more was read ahead of responses than is kept.
+// exceedsReadAhead reports whether more input was read ahead of responses than is kept.
 func (c *connection) exceedsReadAhead() bool {
 	size := len(c.Input())
 	buffered, limit := c.listener.bufferedBytes, c.listener.maxBufferedBytes
--- a/internal/client/listener.go
+++ b/internal/client/listener.go
@@ -12,101 +12,48 @@
 	"net/netip"
 	"time"
 
-	"valvecove/dispatch"
+	"valvecove/internal/address"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
-	"valvecove/internal/requests"
 )
 
 const (
-	acceptRetryDelay   = 50 * time.Millisecond // while no connection can be evicted
-	maxAcceptsPerEvent = 128                   // in a flood of new connections, the present ones are served too
-
-	evictedFraction = 32 // one of so many descriptors is for connections that are evicted and not closed yet
+	acceptRetryDelay         = 50 * time.Millisecond // while no connection can be evicted
+	maxAcceptsPerEvent       = 128                   // so that present connections are served during a flood of new ones
+	evictedConnectionDivisor = 32                    // 1/32 of the connections may be evicted ones that are not closed yet
 )
 
-// RequestTable is what a client listener needs of the request table. *requests.Table implements it.
-type RequestTable interface {
-	Admitter
-	CallbackHandler
-	// Ready reports whether a new request could be sent to a worker.
-	Ready() bool
-	// ClientDisconnected ends a request whose client no longer waits for the response.
-	ClientDisconnected(request *requests.Request)
-}
-
-// Admitter admits requests, and is notified of those that are rejected before that.
-type Admitter interface {
-	Admit(now time.Duration, arrival requests.Arrival) (*requests.Request, error)
-	ReportRejection(arrival *requests.Arrival, statusCode int)
-	OpenCount() int
-	PayloadBytes() int
-}
-
-// CallbackHandler applies what workers report about their attempts.
-type CallbackHandler interface {
-	HandleCallback(callback requests.Callback) (known bool, err error)
-}
-
-// AccessLists say which addresses may connect, and which are proxies. *address.AccessLists implements it.
-type AccessLists interface {
-	// Admits reports whether an address may connect; a rejection is logged.
-	Admits(from netip.AddrPort, log *slog.Logger) bool
-	TrustsProxy(address netip.Addr) bool
-}
-
-// Config is what a client listener is made of.
-type Config struct {
-	Loop          *eventloop.Loop
-	Table         RequestTable
-	AccessLists   AccessLists // nil: every address may connect, and there are no proxies
-	Log           *slog.Logger
-	ConnectionLog *slog.Logger // lines about single connections and requests, while there are access lists
-	Settings      *dispatch.Settings
-	Names         requests.NameTable
-	Limits        Limits
-}
-
-// Limits are the limits on what clients use.
-type Limits struct {
-	Connections int // open at once
-	Requests    int // open at once
-	BufferBytes int // of connections; payloads of open requests may take up as much again
-}
-
-// Listener accepts the connections of clients, and of workers that send callbacks, and keeps account of them.
+// Listener accepts connections, owns them, and keeps their number and buffers within limits.
 type Listener struct {
-	loop             *eventloop.Loop
-	table            RequestTable
-	accessLists      AccessLists // nil: off
-	log              *slog.Logger
-	connectionLog    *slog.Logger
-	acceptor         *eventloop.Acceptor // without a socket while another process has it
-	request          http1.Request       // that was parsed last
-	writeBuffer      []byte              // for the response that is being written
+	loop          *eventloop.Loop
+	table         RequestTable
+	accessLists   AccessLists // nil: off
+	log           *slog.Logger
+	connectionLog *slog.Logger
+	acceptor      *eventloop.Acceptor // without a socket while another process serves
+	parser        requestParser
+	request       http1.Request // the last one that was parsed
+	writeBuffer   []byte        // for the response that is being written
+
 	connections      map[*connection]struct{}
 	limits           Limits
 	maxConnections   int // without those that are evicted
-	maxRequests      int // open at once; fewer than connections, as the callbacks that end requests need connections too
-	bufferedBytes    int // in the connections' buffers
-	maxBufferedBytes int // and for the payloads of open requests as much again
-
-	// Connections without a request in flight, the one that has waited longest first. They are evicted in the order of these
-	// lists.
-	rejectedOnly list.List // had nothing but error responses
+	maxEvicted       int
+	maxRequests      int // open at once
+	bufferedBytes    int // in the buffers of connections
+	maxBufferedBytes int // also of payloads of open requests
+
+	// Connections without a request in flight are on one of these lists, in the order in which they joined it. They are evicted
+	// list by list, in this order, the longest on its list first.
+	rejectedOnly list.List // had only error responses
 	finished     list.List // had their last response
 	silent       list.List // have sent no request
-	idle         list.List // had a request of use
+	idle         list.List // had a request admitted, or a callback applied
 
-	evicted    list.List // shut down to make room, and not closed yet
-	maxEvicted int
+	evicted list.List // shut down for others, and not closed yet
 
-	draining bool // not ready, though requests are still admitted
+	draining bool // not ready, but requests are admitted
 	closing  bool // no request is admitted
-
-	settings *dispatch.Settings
-	classes  map[string]int // indexes by name
-	tenants  map[string]int
 }
 
 // NewListener returns a listener that has no socket yet.
@@ -118,49 +65,42 @@
 		log:           config.Log,
 		connectionLog: config.ConnectionLog,
 		acceptor:      eventloop.NewAcceptor(config.Loop, config.Log),
+		parser:        newRequestParser(config.Settings, config.Names),
 		connections:   map[*connection]struct{}{},
-		settings:      config.Settings,
-		classes:       indexByName(config.Names.Classes),
-		tenants:       indexByName(config.Names.Tenants),
 	}
 	listener.SetLimits(config.Limits)
 	listener.closeExpired()
 	return listener
 }
 
-// Listen opens a socket for clients to connect to, at an address, with options such as SO_REUSEPORT.
-func (l *Listener) Listen(address netip.AddrPort, options ...int) error {
-	return l.acceptor.Listen(address, l, options...)
+// Listen opens a socket for clients to connect to, at an address, with socket options such as SO_REUSEPORT.
+func (l *Listener) Listen(at netip.AddrPort, options ...int) error {
+	return l.acceptor.Listen(at, l, options...)
 }
 
-// AddSocket has clients accepted at a socket that listens already. On an error the caller owns the socket.
+// AddSocket accepts clients at a socket that listens already. On an error the caller owns the socket.
 func (l *Listener) AddSocket(fd int) error { return l.acceptor.Add(fd, l) }
 
 // Socket returns the listening socket, which stays the listener's, or eventloop.NoDescriptor.
 func (l *Listener) Socket() int { return l.acceptor.FD() }
 
+// CloseSocket closes the listening socket. Connections stay open.
+func (l *Listener) CloseSocket() { l.acceptor.Close() }
+
 // Addr returns the address that clients connect to; without a socket it is not valid.
 func (l *Listener) Addr() netip.AddrPort { return l.acceptor.Addr() }
 
-// Drain has /up respond that the scheduler is not ready. Requests are admitted as before: clients keep the connections that
-// they have, and may have no other scheduler to connect to.
+// Drain makes the readiness check respond that the scheduler is not ready. Requests are admitted as before: clients keep the
+// connections that they have, and may have no other scheduler to connect to.
 func (l *Listener) Drain() { l.draining = true }
 
 // IsDraining reports whether Drain was called.
 func (l *Listener) IsDraining() bool { return l.draining }
 
-func indexByName(names []string) map[string]int {
-	indexes := map[string]int{}
-	for i, name := range names {
-		indexes[name] = i
-	}
-	return indexes
-}
-
-// SetLimits replaces the limits. Where there are more connections, idle ones are evicted.
+// SetLimits replaces the limits. Where there are more connections than these allow, idle ones are evicted.
 func (l *Listener) SetLimits(limits Limits) {
 	l.limits = limits
-	l.maxEvicted = limits.Connections / evictedFraction
+	l.maxEvicted = limits.Connections / evictedConnectionDivisor
 	l.maxConnections = limits.Connections - l.maxEvicted
 	l.maxRequests = limits.Requests
 	l.maxBufferedBytes = limits.BufferBytes
@@ -173,11 +113,24 @@
 // Limits returns the present limits.
 func (l *Listener) Limits() Limits { return l.limits }
 
-// activeCount counts the connections that are not evicted.
+// ConnectionCount returns how many connections are open, including those that are ending.
+func (l *Listener) ConnectionCount() int { return len(l.connections) }
+
+// activeCount returns how many connections are open and not evicted.
 func (l *Listener) activeCount() int { return len(l.connections) - l.evicted.Len() }
 
-// HandleEvents accepts connections. Where descriptors run out, the connection that has been idle longest is evicted; where
-// none is idle, new connections wait in the backlog: rejected there, their requests would be lost.
+// HasSentAll reports whether no response waits to be sent.
+func (l *Listener) HasSentAll() bool {
+	for c := range l.connections {
+		if len(c.Output()) > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// HandleEvents accepts connections. At the limit an idle connection is evicted for each; where none is idle, new connections
+// wait in the backlog of the kernel: a request that was sent on a connection rejected here would be lost.
 func (l *Listener) HandleEvents(uint32) {
 	for range maxAcceptsPerEvent {
 		if l.activeCount() >= l.maxConnections && !l.evict() {
@@ -185,7 +138,7 @@
 			return
 		}
 		if len(l.connections)+l.loop.ClosingCount() >= l.maxConnections+l.maxEvicted {
-			return // there is another event, once the descriptors removed in this iteration are closed
+			return // the descriptors removed in this iteration are closed before the next event
 		}
 		if more := l.acceptOne(); !more {
 			return
@@ -193,8 +146,8 @@
 	}
 }
 
-// acceptOne accepts a connection. more is false if there is none, or it can't be accepted now: of what may be lacking, only
-// descriptors of this process are there again for an eviction.
+// acceptOne accepts a connection. more is false if none waits, or none can be accepted now. Only a lack of descriptors of this
+// process is mended by an eviction.
 func (l *Listener) acceptOne() (more bool) {
 	socket, from, result := l.acceptor.Accept()
 	if result == eventloop.AcceptNoDescriptor {
@@ -203,15 +156,27 @@
 	if result != eventloop.Accepted {
 		return false
 	}
-	if l.accessLists != nil && !l.accessLists.Admits(from, l.connectionLog) {
-		_ = l.loop.Syscalls().Close(socket)
-		return true
+	if l.admitsAddress(socket, from) {
+		l.AddConnection(socket, from)
 	}
-	l.AddConnection(socket, from)
 	return true
 }
 
-// AddConnection serves an accepted socket, which it owns, from here on.
+// admitsAddress reports whether an address may connect. The socket of a rejected address is closed, unread.
+func (l *Listener) admitsAddress(socket int, from netip.AddrPort) bool {
+	if l.accessLists == nil {
+		return true
+	}
+	reason := l.accessLists.RejectionReason(from.Addr())
+	if reason == "" {
+		return true
+	}
+	_ = l.loop.Syscalls().Close(socket)
+	address.LogRejection(l.connectionLog, from, reason)
+	return false
+}
+
+// AddConnection serves an accepted socket, which it owns from here on.
 func (l *Listener) AddConnection(socket int, from netip.AddrPort) {
 	conn := &connection{
 		listener:        l,
@@ -221,33 +186,21 @@
 	}
 	var err error
 	if conn.Stream, err = l.loop.OpenStream(socket, eventloop.StreamEvents, conn); err != nil {
-		l.log.Error("accepting failed", "error", err)
+		l.log.Error("client connection not opened", "error", err)
 		_ = l.loop.Syscalls().Close(socket)
 		return
 	}
 	l.connections[conn] = struct{}{}
-	conn.becomeIdle()
+	conn.enterIdleList()
 }
 
-// HandlePanic has nothing to end: the listener goes on.
+// HandlePanic does nothing: the listener continues.
 func (l *Listener) HandlePanic() {}
 
-// HandleDescriptorsClosed accepts again, if there is room for a connection. It is called whenever descriptors were closed.
+// HandleDescriptorsClosed resumes accepting if a connection is below the limit. The caller calls it whenever descriptors were
+// closed.
 func (l *Listener) HandleDescriptorsClosed() {
 	if l.activeCount() < l.maxConnections {
 		l.acceptor.Resume()
 	}
 }
-
-// HasSentAll reports whether no response waits to be sent.
-func (l *Listener) HasSentAll() bool {
-	for c := range l.connections {
-		if len(c.Output()) > 0 {
-			return false
-		}
-	}
-	return true
-}
-
-// ConnectionCount returns how many connections are open, with those that are ending.
-func (l *Listener) ConnectionCount() int { return len(l.connections) }
--- a/internal/client/log.go
+++ b/internal/client/log.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// LogAttributes says which client a line of the log is about.
+// LogAttributes returns the addresses of the connection's client and proxy, for log lines about the connection. Without access
+// lists there are none.
 func (c *connection) LogAttributes() []slog.Attr {
 	if c.listener.accessLists == nil {
 		return nil
@@ -17,13 +18,13 @@
 	return attrs
 }
 
-// isLogEnabled reports whether a line about the connection or its requests is to be written: where addresses are of interest,
-// unless the level is off or too many have been written lately. What the line is made of is worth making only then.
+// isLogEnabled reports whether events of the connection and its requests are logged: with access lists, unless the level is off
+// or the logger's budget is used up. Callers check it before they build attributes.
 func (c *connection) isLogEnabled(level slog.Level) bool {
 	return c.listener.accessLists != nil && c.listener.connectionLog.Enabled(context.Background(), level)
 }
 
-// logEvent writes such a line.
+// logEvent logs an event of the connection, with LogAttributes last.
 func (c *connection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
 	c.listener.connectionLog.LogAttrs(context.Background(), level, event, append(attrs, c.LogAttributes()...)...)
 }
--- a/internal/client/parse.go
+++ b/internal/client/parse.go
@@ -14,21 +14,45 @@
 const (
 	maxCallIDSize         = 128 // bytes
 	maxIdempotencyKeySize = 256 // bytes
-	maxRequestNumber      = 1e9 // of costs, slots and memory that a request names; a larger one makes no sense
+	maxRequestNumber      = 1e9 // of costs, slots and memory that a request names
 )
 
-// uniqueFields are the fields that are read of a request. Where one comes twice, what is checked here and what a worker goes
-// by could be two things.
+// uniqueFields may occur once in a request. If one occurred twice, this parser and the worker might use different values.
 var uniqueFields = []string{
 	"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "Idempotency-Key", "X-Call-Cost",
 	"X-Call-Info", "X-Again", "Host",
 }
 
-// findClass returns the class of a request, which its path and a field name.
-func (l *Listener) findClass(request *http1.Request, pathClass []byte) (int, *rejection) {
+// rejection is the response to a request that is not admitted.
+type rejection struct {
+	statusCode int
+	reason     string
+}
+
+// requestParser makes arrivals of HTTP requests.
+type requestParser struct {
+	settings *dispatch.Settings
+	classes  map[string]int // indexes by name
+	tenants  map[string]int
+}
+
+func newRequestParser(settings *dispatch.Settings, names requests.NameTable) requestParser {
+	return requestParser{settings: settings, classes: indexByName(names.Classes), tenants: indexByName(names.Tenants)}
+}
+
+func indexByName(names []string) map[string]int {
+	indexes := map[string]int{}
+	for i, name := range names {
+		indexes[name] = i
+	}
+	return indexes
+}
+
+// findClass returns the class of a request, which both its path and a field name.
+func (p *requestParser) findClass(request *http1.Request, pathClass []byte) (int, *rejection) {
 	name := request.Get("X-Call-Class")
-	class, known := l.classes[string(name)]
-	_, pathKnown := l.classes[string(pathClass)]
+	class, known := p.classes[string(name)]
+	_, pathKnown := p.classes[string(pathClass)]
 	switch {
 	case name == nil && !pathKnown:
 		return 0, &rejection{404, "no such path"}
@@ -42,9 +66,9 @@
 	return class, nil
 }
 
-// parseArrival makes an arrival of a request of a class. It has no responder yet. pathRest is what follows the class in the
+// parseArrival returns the arrival of a request of a class, without a responder. pathRest is what follows the class in the
 // path.
-func (l *Listener) parseArrival(request *http1.Request, class int, pathRest []byte) (requests.Arrival, *rejection) {
+func (p *requestParser) parseArrival(request *http1.Request, class int, pathRest []byte) (requests.Arrival, *rejection) {
 	for _, name := range uniqueFields {
 		if request.Count(name) > 1 {
 			return requests.Arrival{}, &rejection{400, name + ": given more than once"}
@@ -54,10 +78,10 @@
 	if !http1.IsToken(callID) || len(callID) > maxCallIDSize {
 		return requests.Arrival{}, &rejection{400, "X-Call-Id: missing or malformed"}
 	}
-	if !l.isIdempotencyKeyValid(idempotencyKey, class) {
+	if !p.isIdempotencyKeyValid(idempotencyKey, class) {
 		return requests.Arrival{}, &rejection{400, "Idempotency-Key: missing or malformed"}
 	}
-	job, rejected := l.parseJob(request, class)
+	job, rejected := p.parseJob(request, class)
 	if rejected != nil {
 		return requests.Arrival{}, rejected
 	}
@@ -74,21 +98,21 @@
 	}, nil
 }
 
-// isIdempotencyKeyValid accepts no key only where the class needs none: without one, repeats would not be dropped.
-func (l *Listener) isIdempotencyKeyValid(key []byte, class int) bool {
+// isIdempotencyKeyValid reports whether a key is well-formed, or absent in a class that needs none.
+func (p *requestParser) isIdempotencyKeyValid(key []byte, class int) bool {
 	if key == nil {
-		return l.settings.Classes[class].Idempotency != dispatch.IdempotentWithKey
+		return p.settings.Classes[class].Idempotency != dispatch.IdempotentWithKey
 	}
 	return len(key) <= maxIdempotencyKeySize && http1.IsVisible(key)
 }
 
-// parseJob reads what the dispatcher goes by.
-func (l *Listener) parseJob(request *http1.Request, class int) (dispatch.Job, *rejection) {
-	tenant, known := l.tenants[string(request.Get("X-Caller"))]
-	if !known && len(l.tenants) > 0 {
+// parseJob returns what the dispatcher needs of a request, without the key.
+func (p *requestParser) parseJob(request *http1.Request, class int) (dispatch.Job, *rejection) {
+	tenant, known := p.tenants[string(request.Get("X-Caller"))]
+	if !known && len(p.tenants) > 0 {
 		return dispatch.Job{}, &rejection{400, "X-Caller: not a tenant"}
 	}
-	remaining := l.settings.Classes[class].ClientTimeout
+	remaining := p.settings.Classes[class].ClientTimeout
 	if budget := request.Get("X-Budget-Ms"); budget != nil {
 		millis, ok := http1.ParseDecimal(budget)
 		if !ok {
@@ -108,7 +132,7 @@
 	return job, nil
 }
 
-// parseDemand reads the slots and the memory that a job takes up, of pairs of names and values.
+// parseDemand sets the slots and the memory of a job from a list of name=value pairs. Other names are ignored.
 func parseDemand(job *dispatch.Job, info []byte) {
 	for len(info) > 0 {
 		var pair []byte
@@ -123,7 +147,7 @@
 	}
 }
 
-// jobKey returns the hash of the last part of a path, by which jobs with the same data are known; 0: it has none.
+// jobKey returns the hash of the last element of a path, which is the same for jobs on the same data, or 0 without a path.
 func jobKey(pathRest []byte) uint64 {
 	if len(pathRest) == 0 {
 		return 0
@@ -133,7 +157,7 @@
 	return hash.Sum64() | 1
 }
 
-// parsePositive reads a number of a request; one that makes no sense is as good as absent, and 0.
+// parsePositive returns the value of a positive number below maxRequestNumber, or 0 for any other text.
 func parsePositive(text []byte) float64 {
 	number, err := strconv.ParseFloat(string(bytes.TrimSpace(text)), 64)
 	if err != nil || !(number > 0 && number < maxRequestNumber) {
--- a/internal/client/presence.go
+++ b/internal/client/presence.go
@@ -8,17 +8,18 @@
 	"valvecove/internal/requests"
 )
 
-// A client that has closed its connection must not have an attempt begin later than 0.1 s after that. Its close is known from
-// the iteration's events, unless these are old, as the process was held up since, or the client had ended its side before.
+// No attempt may begin later than 0.1 s after its client has closed the connection. Events of the present iteration show the
+// close, unless the process was delayed since, or the client had closed its sending side before.
 const (
-	maxEventAge       = 20 * time.Millisecond // older events say nothing of who has left since
-	probeInterval     = 50 * time.Millisecond // an earlier answer to a probe says nothing of who has left since
-	probeResponseTime = 10 * time.Millisecond // a closed connection answers a probe with a reset within it
+	maxEventAge       = 20 * time.Millisecond // older events are not relied upon
+	probeInterval     = 50 * time.Millisecond // after this a client is probed again
+	probeResponseTime = 10 * time.Millisecond // within which a closed connection responds to a probe with a reset
 )
 
 const endEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 
-// AttemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
+// AttemptHold returns for how long an attempt that is about to be written is held, until it is known whether its client still
+// waits. It may find that the client has disconnected, which ends the attempt.
 func AttemptHold(attempt *requests.Attempt) time.Duration {
 	slot, ok := attempt.Request.Responder().(*responseSlot)
 	if !ok || !slot.connection.IsOpen() {
@@ -35,7 +36,7 @@
 		c.probe()
 		return probeResponseTime
 	case !c.halfClosed && now-loop.Now() > maxEventAge && loop.PendingEvents(c.FD(), maxEventAge)&endEvents != 0:
-		return probeResponseTime // the next iteration takes the end in
+		return probeResponseTime // the next iteration handles the end
 	}
 	return 0
 }
--- a/internal/client/proxy.go
+++ b/internal/client/proxy.go
@@ -8,14 +8,14 @@
 	"valvecove/internal/address"
 )
 
-// Why a connection is closed for its PROXY header.
+// Reasons to close a connection for its PROXY header.
 var (
-	errUntrustedProxy  = errors.New("PROXY header from an address that is not trusted")
-	errSecondProxyLine = errors.New("more than one PROXY header")
+	errUntrustedProxy    = errors.New("PROXY header from an address that is not trusted")
+	errSecondProxyHeader = errors.New("more than one PROXY header")
 )
 
-// readProxyHeader takes a PROXY header that comes first, if one does, and reports whether requests may be read. A header that
-// may not be sent, or makes no sense, ends the connection, and nothing is written.
+// readProxyHeader consumes a PROXY header at the start of the connection, if there is one, and reports whether requests may be
+// read. A malformed header, or one from an untrusted address, ends the connection; nothing is written.
 func (c *connection) readProxyHeader() bool {
 	for !c.proxyHeaderDone {
 		client, size, err := address.ParseHeader(c.Input())
@@ -39,7 +39,8 @@
 	return true
 }
 
-// setProxiedClient takes in that the peer is a proxy, and whom it speaks for; of a proxy's own connection that is nobody.
+// setProxiedClient records that the peer is a proxy, and the client that its header names. The header of a connection of the
+// proxy's own names none.
 func (c *connection) setProxiedClient(client netip.AddrPort) {
 	c.proxyAddress = c.clientAddress
 	if client.IsValid() {
@@ -47,17 +48,17 @@
 	}
 }
 
-// closeForProxyHeader ends the connection for a header that may not be sent, or, by the parser's error, makes no sense.
+// closeForProxyHeader ends the connection for a header that is not allowed or, by the parser's error, malformed.
 func (c *connection) closeForProxyHeader(parseError error) {
 	reason := parseError
 	if parseError == nil || errors.Is(parseError, address.ErrIncomplete) {
 		reason = errUntrustedProxy
 	}
 	if c.proxyAddress.IsValid() {
-		reason = errSecondProxyLine
+		reason = errSecondProxyHeader
 	}
 	if c.isLogEnabled(slog.LevelWarn) {
-		c.logEvent(slog.LevelWarn, "client connection closed", slog.String("why", reason.Error()))
+		c.logEvent(slog.LevelWarn, "client connection closed", slog.String("reason", reason.Error()))
 	}
 	c.terminate()
 }
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -12,25 +12,19 @@
 
 // Paths that are no class's.
 const (
-	pathUp        = "/up"
+	pathReadiness = "/up"
 	pathCallbacks = "/v1/job-events"
 )
 
-// overloadRetryAfter is when to come back to a scheduler that has as many requests as it can.
+// overloadRetryAfter is the Retry-After of requests that are rejected because too many are open.
 const overloadRetryAfter = time.Second
 
-// rejection says how a request is rejected that may not be admitted.
-type rejection struct {
-	statusCode int
-	reason     string
-}
-
-// handleRequest answers a request, or admits it.
+// handleRequest responds to a request, or admits it.
 func (c *connection) handleRequest(request *http1.Request, slot *responseSlot) {
 	path, _, _ := bytes.Cut(request.Target, []byte("?"))
 	switch string(path) {
-	case pathUp:
-		c.handleUp(request, slot)
+	case pathReadiness:
+		c.handleReadiness(request, slot)
 	case pathCallbacks:
 		c.handleCallback(request, slot)
 	default:
@@ -38,8 +32,8 @@
 	}
 }
 
-// handleUp tells a load balancer whether this process is to be sent requests.
-func (c *connection) handleUp(request *http1.Request, slot *responseSlot) {
+// handleReadiness responds to a load balancer's check of whether this process is ready for requests.
+func (c *connection) handleReadiness(request *http1.Request, slot *responseSlot) {
 	switch {
 	case string(request.Method) != "GET":
 		slot.respond(405, "GET only\n")
@@ -50,7 +44,7 @@
 	}
 }
 
-// handleCallback takes in what a worker says of an attempt.
+// handleCallback applies a worker's callback about an attempt.
 func (c *connection) handleCallback(request *http1.Request, slot *responseSlot) {
 	if string(request.Method) != "POST" {
 		slot.respond(405, "POST only\n")
@@ -79,12 +73,12 @@
 // admitRequest admits a request of a class, or rejects it.
 func (c *connection) admitRequest(request *http1.Request, path []byte, slot *responseSlot) {
 	pathClass, pathRest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
-	class, rejected := c.listener.findClass(request, pathClass)
+	class, rejected := c.listener.parser.findClass(request, pathClass)
 	if rejected != nil {
 		c.reject(slot, nil, rejected)
 		return
 	}
-	arrival, rejected := c.listener.parseArrival(request, class, pathRest)
+	arrival, rejected := c.listener.parser.parseArrival(request, class, pathRest)
 	if rejected != nil {
 		c.reject(slot, nil, rejected)
 		return
@@ -92,7 +86,7 @@
 	if c.rejectOverload(slot, &arrival) {
 		return
 	}
-	if waited := c.loop().Now() - c.currentArrival; waited > 0 { // its client counts from when it sent it
+	if waited := c.loop().Now() - c.currentArrival; waited > 0 { // the client's time began when it sent the request
 		arrival.Job.Remaining = max(arrival.Job.Remaining-waited, time.Millisecond)
 	}
 	arrival.Responder = slot
@@ -106,8 +100,8 @@
 	c.sendsCallbacks = false
 }
 
-// rejectOverload rejects a request if the process takes no more, and reports whether it does. Nothing was sent to a worker,
-// so a retry is harmless: after an overload has passed, or elsewhere if this process stops.
+// rejectOverload rejects a request if the process is closing or at a limit, and reports whether it did. The client may retry:
+// nothing was sent to a worker.
 func (c *connection) rejectOverload(slot *responseSlot, arrival *requests.Arrival) bool {
 	listener, table := c.listener, c.listener.table
 	switch {
@@ -118,13 +112,13 @@
 	case table.OpenCount() >= listener.maxRequests,
 		table.PayloadBytes()+len(arrival.Payload.Body) > listener.maxBufferedBytes:
 		table.ReportRejection(arrival, 503)
-		slot.RespondRejected(min(overloadRetryAfter, listener.settings.MaxRetryAfter))
+		slot.RespondRejected(min(overloadRetryAfter, listener.parser.settings.MaxRetryAfter))
 		return true
 	}
 	return false
 }
 
-// reject responds to a request that was not admitted; the arrival is nil if it could not be parsed.
+// reject responds to a request that is not admitted; arrival is nil if it could not be parsed.
 func (c *connection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
 	c.listener.table.ReportRejection(arrival, rejected.statusCode)
 	slot.respond(rejected.statusCode, rejected.reason+"\n")
--- a/internal/client/response.go
+++ b/internal/client/response.go
@@ -10,27 +10,24 @@
 )
 
 const (
-	// maxResponseSlots is how many requests of a connection are read ahead of responses. A client sends one at a time; one
-	// that does not wait for its responses is served in order, and the time of each request counts from when it came.
-	maxResponseSlots = 16
-	// maxUnreadOutput is how much of a connection's responses may wait to be sent before no request is read any more.
-	maxUnreadOutput = http1.MaxBodySize
-	// maxWriteBuffer is how large a buffer is kept to write responses in.
-	maxWriteBuffer = 4 * http1.MaxBodySize
+	maxResponseSlots = 16                    // requests of a connection that are read ahead of responses
+	maxUnreadOutput  = http1.MaxBodySize     // bytes of responses that wait to be sent, above which no request is read
+	maxWriteBuffer   = 4 * http1.MaxBodySize // bytes; a larger write buffer is not kept
 )
 
-// responseSlot is a request's place in the order of a connection's responses. It is the responder of an admitted request.
+// responseSlot is the place of a request in the order of a connection's responses (HTTP pipelining). It is the responder of an
+// admitted request.
 type responseSlot struct {
 	connection *connection
-	request    *requests.Request // while it is served; nil: it was not admitted, or is over
-	keepAlive  bool              // by the request, the connection may go on
-	isComplete bool              // what follows is set
+	request    *requests.Request // while it is open; nil: it was not admitted, or has its response
+	keepAlive  bool              // the request allows the connection to stay open
+	isComplete bool              // the response, in the fields below, is set
 	statusCode int
 	body       []byte
-	retryAfter time.Duration // 0: no advice
+	retryAfter time.Duration // 0: none
 }
 
-// reserveSlot gives a request the next slot; one that does not keep the connection alive is the last.
+// reserveSlot appends a slot for a request. Without keep-alive it is the last slot of the connection.
 func (c *connection) reserveSlot(keepAlive bool) *responseSlot {
 	slot := &responseSlot{connection: c, keepAlive: keepAlive}
 	c.slots = append(c.slots, slot)
@@ -40,19 +37,19 @@
 	return slot
 }
 
-// RespondResult responds with what a worker has made.
+// RespondResult responds with the result of a worker.
 func (s *responseSlot) RespondResult(result []byte) { s.complete(200, result, 0) }
 
-// RespondRejected tells the client that it may come back.
+// RespondRejected responds that the request was not executed and may be retried, after retryAfter unless that is 0.
 func (s *responseSlot) RespondRejected(retryAfter time.Duration) { s.complete(503, nil, retryAfter) }
 
-// RespondFailed promises nothing.
+// RespondFailed responds that the request failed; it may have been executed.
 func (s *responseSlot) RespondFailed() { s.complete(500, nil, 0) }
 
-// respond responds to a request that was not admitted.
+// respond responds to a request that is not admitted.
 func (s *responseSlot) respond(statusCode int, body string) { s.complete(statusCode, []byte(body), 0) }
 
-// complete sets the response, and sends what is next in order.
+// complete sets the response, and sends the responses that are next in order.
 func (s *responseSlot) complete(statusCode int, body []byte, retryAfter time.Duration) {
 	conn := s.connection
 	if s.request != nil && conn.isLogEnabled(slog.LevelInfo) {
@@ -69,7 +66,7 @@
 	conn.loop().Protect(conn, conn.sendResponses)
 }
 
-// abandon takes in that the client is gone.
+// abandon reports that the client of an open request has disconnected.
 func (s *responseSlot) abandon() {
 	request := s.request
 	if request == nil {
@@ -83,22 +80,25 @@
 	c.listener.table.ClientDisconnected(request)
 }
 
-// failAll responds to all requests that were read, also to one in the midst of which a panic came, and ends the connection.
+// failAll responds to all requests that were read, also to the one whose handling panicked, and ends the connection.
 func (c *connection) failAll() {
 	if !c.IsOpen() || c.phase == phaseLingering {
 		c.terminate()
 		return
 	}
-	if len(c.Input()) > 0 && c.currentRequestSize == 0 && c.isReading() { // it has no slot yet
+	if len(c.Input()) > 0 && c.currentRequestSize == 0 && c.isReading() { // the request that panicked has no slot yet
 		c.reserveSlot(false)
 	}
 	unsent := c.slots
 	c.slots = nil
 	c.advancePhase(phaseFinishing)
 	for i, slot := range unsent {
-		c.slots = unsent[i+1:] // the last response says that the connection ends
+		c.slots = unsent[i+1:] // so that only the last response has Connection: close
 		if !slot.isComplete {
-			slot.isComplete, slot.statusCode, slot.body, slot.retryAfter = true, 500, nil, 0
+			slot.isComplete = true
+			slot.statusCode = 500
+			slot.body = nil
+			slot.retryAfter = 0
 		}
 		if err := c.sendResponse(slot); err != nil {
 			c.terminate()
@@ -112,7 +112,7 @@
 	c.readRequests()
 }
 
-// sendResponses sends the responses that are next in order and complete.
+// sendResponses sends the complete responses at the head of the order.
 func (c *connection) sendResponses() {
 	for c.IsOpen() && len(c.slots) > 0 && c.slots[0].isComplete {
 		slot := c.slots[0]
@@ -121,7 +121,7 @@
 			c.slots = nil
 		}
 		c.lastActivity = c.loop().Now()
-		// A connection that ends says so with its last response.
+		// The last response of a connection that ends has Connection: close.
 		if c.closesAfterResponse() && len(c.slots) == 0 && len(c.Input()) == c.currentRequestSize {
 			c.advancePhase(phaseFinishing)
 		}
@@ -132,7 +132,7 @@
 	}
 	c.updateBufferedBytes()
 	if c.IsOpen() && (len(c.slots) == 0 || len(c.Input()) > 0) {
-		c.loop().StartTimer(0, c, c.readRequests) // what came meanwhile is handled next, though not amid a step
+		c.loop().StartTimer(0, c, c.readRequests) // input that has arrived meanwhile is not handled within a step
 	}
 }
 
--- a/internal/client/transfer.go
+++ b/internal/client/transfer.go
@@ -10,13 +10,13 @@
 	"valvecove/internal/requests"
 )
 
-// ConnectionSnapshot is a client connection as it is handed over to a successor.
+// ConnectionSnapshot is the state of a connection that is transferred to a successor, and its socket.
 type ConnectionSnapshot struct {
 	hotrestart.ClientConnection
-	Descriptor int // stays the connection's until Relinquish
+	Descriptor int // owned by the connection until Relinquish
 }
 
-// Snapshot returns the connections that a successor goes on with: all but those that linger.
+// Snapshot returns the connections that are transferred to a successor: all but lingering ones. Buffers are not copied.
 func (l *Listener) Snapshot() []ConnectionSnapshot {
 	var snapshots []ConnectionSnapshot
 	for c := range l.connections {
@@ -27,7 +27,8 @@
 	return snapshots
 }
 
-// Relinquish closes the connections that Snapshot returns, which a successor owns now. Their requests are not abandoned.
+// Relinquish closes this process's descriptors of the connections that Snapshot returns. The successor owns the connections and
+// their requests, which are not reported as abandoned.
 func (l *Listener) Relinquish() {
 	for c := range l.connections {
 		if c.phase != phaseLingering {
@@ -36,11 +37,8 @@
 	}
 }
 
-// CloseSocket closes the listening socket; connections stay.
-func (l *Listener) CloseSocket() { l.acceptor.Close() }
-
 func (c *connection) relinquish() {
-	c.leaveWaitingList()
+	c.leaveList()
 	c.slots = nil
 	c.Close()
 	c.updateBufferedBytes()
@@ -84,33 +82,33 @@
 	return record
 }
 
-// RestoredConnections are connections that Restore has made. The caller calls Responders, AttachRequests and HandleInput, in this
-// order.
+// RestoredConnections are the connections that a successor has restored. The caller restores the request table with Responders,
+// and then calls AttachRequests and HandleInput.
 type RestoredConnections struct {
 	loop        *eventloop.Loop
 	connections []*connection
 	waiting     []waitingSlot
 }
 
-// waitingSlot is a restored response slot that awaits the outcome of an open request.
+// waitingSlot is a restored slot that awaits the response to an open request.
 type waitingSlot struct {
 	slot      *responseSlot
 	requestID uint64
 }
 
-// Restore makes connections of those that a predecessor has handed over, and owns their descriptors. One that can't be made is
-// closed.
+// Restore opens the connections that a predecessor has transferred, and owns their descriptors. A connection that can't be opened
+// is closed, and its open requests have no responder.
 func (l *Listener) Restore(received []hotrestart.ReceivedClientConnection) *RestoredConnections {
 	restored := &RestoredConnections{loop: l.loop}
 	for _, record := range received {
-		client, waiting := l.restore(record)
-		restored.connections = append(restored.connections, client)
+		conn, waiting := l.restore(record)
+		restored.connections = append(restored.connections, conn)
 		restored.waiting = append(restored.waiting, waiting...)
 	}
 	return restored
 }
 
-// Responders returns the responders of requests that are open, by request ID.
+// Responders returns the responders of open requests, by request ID.
 func (r *RestoredConnections) Responders() map[uint64]requests.Responder {
 	responders := map[uint64]requests.Responder{}
 	for _, waiting := range r.waiting {
@@ -119,14 +117,14 @@
 	return responders
 }
 
-// AttachRequests gives the responders their requests, which find returns by ID.
+// AttachRequests sets the request of each responder. find returns the request with an ID.
 func (r *RestoredConnections) AttachRequests(find func(requestID uint64) *requests.Request) {
 	for _, waiting := range r.waiting {
 		waiting.slot.request = find(waiting.requestID)
 	}
 }
 
-// HandleInput handles what the predecessor had read.
+// HandleInput handles the input that the predecessor had read.
 func (r *RestoredConnections) HandleInput() {
 	for _, c := range r.connections {
 		if c.IsOpen() {
@@ -135,9 +133,9 @@
 	}
 }
 
-// restore goes on with a connection of a client. Where that fails, the connection that it returns is closed.
+// restore opens a connection, and returns its slots that await a response. On an error it is closed, and has none.
 func (l *Listener) restore(received hotrestart.ReceivedClientConnection) (*connection, []waitingSlot) {
-	client := &connection{
+	conn := &connection{
 		listener:        l,
 		history:         restoredHistory(received.ClientConnection),
 		inputEnded:      received.InputConsumed,
@@ -148,30 +146,30 @@
 		lastActivity:    received.LastActivity,
 	}
 	if received.LastRequestRead {
-		client.advancePhase(phaseFinishing)
+		conn.advancePhase(phaseFinishing)
 	}
-	client.clientAddress, _ = netip.ParseAddrPort(received.ClientAddress)
-	client.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
+	conn.clientAddress, _ = netip.ParseAddrPort(received.ClientAddress)
+	conn.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
 	events := uint32(eventloop.StreamEvents)
-	if client.halfClosed {
-		events = 0 // its end is known; what is left to read is asked for when the connection is first looked at
+	if conn.halfClosed {
+		events = 0 // its end is known; HandleInput waits for what is left to be read
 	}
 	var err error
-	if client.Stream, err = l.loop.OpenStream(received.Descriptor, events, client); err != nil {
-		l.log.Error("a client connection is lost", "error", err)
-		client.Stream = eventloop.Stream{}
+	if conn.Stream, err = l.loop.OpenStream(received.Descriptor, events, conn); err != nil {
+		l.log.Error("client connection not restored", "error", err)
+		conn.Stream = eventloop.Stream{}
 		_ = l.loop.Syscalls().Close(received.Descriptor)
-		return client, nil
+		return conn, nil
 	}
-	client.SetBuffers(received.Input, received.Output)
-	client.UpdateEvents()
-	l.connections[client] = struct{}{}
-	waiting := client.restoreSlots(received.ResponseSlots)
-	client.updateBufferedBytes()
-	if len(client.slots) == 0 && len(client.Input()) == 0 {
-		client.becomeIdle()
+	conn.SetBuffers(received.Input, received.Output)
+	conn.UpdateEvents()
+	l.connections[conn] = struct{}{}
+	waiting := conn.restoreSlots(received.ResponseSlots)
+	conn.updateBufferedBytes()
+	if len(conn.slots) == 0 && len(conn.Input()) == 0 {
+		conn.enterIdleList()
 	}
-	return client, waiting
+	return conn, waiting
 }
 
 func restoredHistory(record hotrestart.ClientConnection) requestHistory {
@@ -185,7 +183,7 @@
 	}
 }
 
-// restoreSlots returns the slots that await the outcome of an open request.
+// restoreSlots restores the response slots, and returns those that await a response.
 func (c *connection) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
 	var waiting []waitingSlot
 	for _, record := range records {
--- a/internal/link/management.go
+++ b/internal/link/management.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/address"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 )
@@ -24,10 +25,15 @@
 
 // admitAddress reports whether a new connection may go on. It closes the socket, unread, of an address that may not connect.
 func (l *Loop) admitAddress(socket int, from netip.AddrPort) bool {
-	if l.addressLists == nil || l.addressLists.Admits(from, l.connectionLog) {
+	if l.addressLists == nil {
+		return true
+	}
+	reason := l.addressLists.RejectionReason(from.Addr())
+	if reason == "" {
 		return true
 	}
 	_ = l.Syscalls().Close(socket)
+	address.LogRejection(l.connectionLog, from, reason)
 	return false
 }
 
--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		s.expectClosed(c, "")
-		s.log(`level=WARN msg="connection refused" scheduler=n0 why="in addresses.deny" client=` + c.LocalAddr().String())
+		s.log(`level=WARN msg="connection rejected" scheduler=n0 reason="in addresses.deny" client=` + c.LocalAddr().String())
 		_ = c.Close()
 	}
 	const v2 = "\r\n\r\n\x00\r\nQUIT\n\x21\x11\x00\x0c\xcb\x00\x71\x07\x0a\x14\x00\x01\xc9\x3a\x23\x28"
@@ -56,11 +56,11 @@
 		s.log(`msg="request answered" scheduler=n0 request=1 status=503` + whose)
 		untrusted := s.from("127.0.0.10")
 		s.expectClosed(untrusted, header+request)
-		s.log(`why="PROXY header from an address that is not trusted" client=` + untrusted.LocalAddr().String())
+		s.log(`reason="PROXY header from an address that is not trusted" client=` + untrusted.LocalAddr().String())
 	}
 	c := s.from("127.0.0.9")
 	s.expectClosed(c, "PROXY TCP4 nowhere\r\n"+request)
-	s.log(`msg="client connection closed" scheduler=n0 why="malformed PROXY header" client=` + c.LocalAddr().String())
+	s.log(`msg="client connection closed" scheduler=n0 reason="malformed PROXY header" client=` + c.LocalAddr().String())
 	c = s.from("127.0.0.9")
 	_, _ = io.WriteString(c, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00GET /up HTTP/1.1\r\n\r\n") // the load balancer's own
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
