--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -24,9 +24,9 @@
 		return nil
 	}
 	job := d.newJob(arrival, age)
-	d.arrivals.observe(job.class.PriorityWeight, d.warmUpCost(job))
+	d.arrivals.observe(job.class.PriorityWeight, d.workload.warmUpCost(job))
 	d.jobs[arrival.ID] = job
-	d.earnCheckTokens()
+	d.checks.earn(len(d.fleet.workers))
 	job.bindTimers()
 	d.setTimer(&job.deadlineTimer, job.deadline)
 	d.setTimer(&job.objectiveTimer, job.objectiveAt-d.workload.fastestRun(job, 0))
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -10,13 +10,13 @@
 	s.workers(1)
 	expectLimit := func(want float64) {
 		t.Helper()
-		if got := s.d.workers[1].limit; got != want {
+		if got := s.d.fleet.byID[1].slots.limit; got != want {
 			t.Fatalf("limit %v, expected %v", got, want)
 		}
 	}
 	expectLimit(1)
 	s.busy(1)
-	expectLimit(2) // a prompt start, and the limit was what bound us
+	expectLimit(2) // a prompt start of an attempt that the limit had bound
 	s.busy(2)
 	expectLimit(3)
 	s.busy(3)
@@ -33,12 +33,12 @@
 	s.step(s.job(2, 1, 300*ms))
 	s.wait(400 * ms)
 	s.step(Started{Job: 2, Worker: 1})
-	if got := s.d.workers[1].limit; got != 1 {
+	if got := s.d.fleet.byID[1].slots.limit; got != 1 {
 		t.Fatalf("limit %v after a late start, expected 1", got)
 	}
 }
 
-// Incident: a mean of start delays rose with the queues it was to show, so that no start ever counted as late.
+// Incident: the prompt start followed a mean of start delays. The mean rose with the queues, so that no start counted as late.
 func TestPromptStartBoundDoesNotRiseWithDelays(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -50,7 +50,7 @@
 		s.step(Started{Job: id, Worker: 1}, s.done(id, 0, 1, OK))
 		delay += delay / 5
 	}
-	if got := s.d.promptStart(&s.d.settings.Classes[1]); got > 120*ms {
+	if got := s.d.starts.promptStart(&s.d.settings.Classes[1]); got > 120*ms {
 		t.Fatalf("a start within %v counts as prompt", got)
 	}
 }
@@ -72,11 +72,11 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// A worker that leaves an attempt of ours unstarted has a queue.
+// A worker that does not start an attempt in time has a queue.
 func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.d.workers[1].limit = 8
+	s.d.fleet.byID[1].slots.limit = 8
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(300 * ms)
 	s.take()
@@ -84,7 +84,8 @@
 	expectJobs(t, taken[Send](s))
 }
 
-// Incident: a report that rides on an outcome predates it, and the freed slot read as taken blocked the worker.
+// Incident: the load report of an outcome is older than the outcome. The slot that was released counted as used, and the worker
+// was sent nothing.
 func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -103,22 +104,22 @@
 	s.workers(1)
 	s.step(HealthChecked{Worker: 1, Result: OK, Report: []float64{0}}, s.job(1, 0, 100*ms))
 	expectJobs(t, taken[Send](s))
-	s.wait(2 * time.Second) // the report has grown old
+	s.wait(2 * time.Second) // the report is not fresh any more
 	expectJobs(t, taken[Send](s), 1)
 }
 
-// Where one job ends as the next comes, the next starts promptly though no slot was free when it was sent: the
-// limit drifted past what a worker can run, and jobs waited behind long ones.
+// An attempt that is sent just as another one ends starts promptly, though no slot was free when it was sent: the limit
+// grew past what the worker can run, and jobs waited behind long ones.
 func TestLimitIsBoundedByObservedSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	w := s.d.workers[1]
-	w.limit = 9
+	w := s.d.fleet.byID[1]
+	w.slots.limit = 9
 	for id := uint64(1); id <= 4; id++ {
 		s.busy(id)
 	}
 	for late := range uint64(minLateOverflows) {
-		if w.backoffUntil, w.limit = 0, 9; s.d.maxSlots(w) < 9 {
+		if w.backoff.until, w.slots.limit = 0, 9; s.d.maxSlots(w) < 9 {
 			t.Fatalf("the limit ends at %v before anything was late", s.d.maxSlots(w))
 		}
 		s.step(s.job(10+late, 1, 20*ms))
@@ -131,7 +132,8 @@
 	}
 }
 
-// While many of our jobs wait at workers no more are sent; those out of reach are rejected where late answers are worthless.
+// While many jobs of the dispatcher wait at workers no more are sent. Those whose objective is unreachable are rejected where
+// late answers have no utility.
 func TestJobsDoNotQueueAtWorkers(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(30)
@@ -158,9 +160,9 @@
 	}
 }
 
-// Found by a search: of 351 workers five hung. The jobs in flight there were more than half of all that ran, which looked like a
-// fleet whose queues are full, and for a second nothing was sent to the others. One goes all the same, and the next once that
-// has started.
+// Found by randomised search: five of 351 workers hung. The jobs in flight there were more than half of all that ran, which looked like a
+// fleet whose queues are full, and for a second nothing was sent to the other workers. Now one job is sent all the same, and
+// the next once that has started.
 func TestFewFaultyWorkersDoNotStopTheFleet(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(20)
@@ -178,8 +180,8 @@
 	expectJobs(t, taken[Send](s), 6)
 }
 
-// Found by a search: where starts are not notified, an answer later than the objective by its hint counted as late, so that with
-// hints that were too low all were, and each worker was backed off from for longer each time.
+// Found by randomised search: without notifications of starts, an answer later than the objective by the hint counted as late. With hints that
+// were too low all did, and the backoff of each worker grew each time.
 func TestLowHintsCauseNoBackoff(t *testing.T) {
 	set := scaleSettings()
 	set.StartNotifications = false
@@ -187,8 +189,8 @@
 	f.run, f.hint = 400*ms, 1.0/20
 	served, _ := f.serve(15, 6*time.Second)
 	backedOff := 0
-	for _, w := range f.d.workerList {
-		if w.backoffUntil > f.now {
+	for _, w := range f.d.fleet.workers {
+		if w.backoff.until > f.now {
 			backedOff++
 		}
 	}
@@ -197,7 +199,7 @@
 	}
 }
 
-// Found by a search: a first job of two slots left a worker with a limit of two, and nothing more was sent there until it ended.
+// Found by randomised search: a first job of two slots left a worker with a limit of two, and nothing more was sent there until it ended.
 func TestLimitGrowsBeyondRunningSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -208,7 +210,7 @@
 	expectJobs(t, taken[Send](s), 1, 2)
 }
 
-// Found by a search: one job of four slots that waited at a worker stopped all sends, as if most of what was in flight did.
+// Found by randomised search: one job of four slots that waited at a worker stopped all dispatch, as if most attempts in flight were waiting.
 func TestLateWideJobCountsOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(10)
@@ -221,14 +223,15 @@
 	expectJobs(t, taken[Send](s), 3, 4)
 }
 
-// Found by a search: hedges of jobs with a key were dropped as repeats by the cells that had the first attempts, and no start was
-// notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
+// Found by randomised search: hedges of jobs with a key were dropped as repetitions by the cells that had the first attempts, and no start was
+// notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all other
+// workers were idle.
 func TestDeduplicatedAttemptIsNoSignOfAQueue(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
 	s := newHarness(t, set)
 	s.workers(2)
-	s.d.workers[1].limit, s.d.workers[2].limit = 4, 4
+	s.d.fleet.byID[1].slots.limit, s.d.fleet.byID[2].slots.limit = 4, 4
 	s.step(s.job(1, 1, 100*ms))
 	hung := taken[Send](s)[0].Worker
 	s.wait(600 * ms)
@@ -243,8 +246,8 @@
 	}
 }
 
-// Found by a search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start, though nobody
-// else's jobs can have been in its way.
+// Found by randomised search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start, though no other
+// dispatcher's jobs can have delayed it.
 func TestSingleDispatcherNeverBacksOff(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -7,12 +7,9 @@
 
 // What a new dispatcher assumes before it has observed anything.
 const (
-	initialLogError        = 0.35             // mean absolute log error of runs
-	initialHintWeight      = 1.0              // of the logistic model: a longer hint is more likely a long run
-	minInitialSojourn      = 1e-3             // seconds
-	lateStartsPerObjective = 3                // the mean late start is the mean objective divided by this
-	startDelaysPerConnect  = 4                // the least start delay is the connect timeout divided by this
-	minInitialStartDelay   = time.Millisecond // or this
+	initialLogError   = 0.35 // mean absolute log error of runs
+	initialHintWeight = 1.0  // of the logistic model: a longer hint is more likely a long run
+	minInitialSojourn = 1e-3 // seconds
 )
 
 // New returns a dispatcher that knows nothing but its settings. The seed determines all its random draws.
@@ -23,9 +20,9 @@
 		rng:        rand.New(source),
 		source:     source,
 		jobs:       map[uint64]*jobInfo{},
-		workers:    map[uint64]*workerInfo{},
-		cordoned:   map[uint64]time.Duration{},
-		zoneBusy:   map[int]float64{},
+		fleet:      newWorkerFleet(),
+		cordons:    newCordons(),
+		starts:     newStartMonitor(&settings),
 		timers:     newTimerQueue(),
 		queue:      newJobQueue(settings.Classes),
 		quotas:     newTenantQuotas(settings.TenantQuota),
@@ -34,11 +31,17 @@
 		workload:   newWorkloadModel(settings.Classes),
 	}
 	dispatcher.leases = newLeaseExchange(&dispatcher.settings, dispatcher.rng, &dispatcher.timers, &leaseAdapter{dispatcher})
-	dispatcher.unstarted.pending = make([][]*attemptInfo, len(settings.Classes))
-	dispatcher.unstarted.first = make([]int, len(settings.Classes))
-	dispatcher.meanLateStart = seconds(meanObjective(settings.Classes) / lateStartsPerObjective)
-	dispatcher.minStartDelay = max(settings.ConnectTimeout/startDelaysPerConnect, minInitialStartDelay)
-	dispatcher.minCheckDelay = dispatcher.minStartDelay
+	dispatcher.slowStart = slowStart{
+		settings: &dispatcher.settings,
+		rng:      dispatcher.rng,
+		workload: &dispatcher.workload,
+		arrivals: &dispatcher.arrivals,
+	}
+	dispatcher.checks = healthChecker{
+		settings: &dispatcher.settings,
+		rng:      dispatcher.rng,
+		minDelay: dispatcher.starts.minDelay,
+	}
 	dispatcher.hedges.tokens = dispatcher.maxHedgeTokens()
 	dispatcher.maintenance.purpose = runMaintenance
 	dispatcher.setTimer(&dispatcher.maintenance, 0)
@@ -50,15 +53,13 @@
 func (d *Dispatcher) Step(now time.Duration, events []Event, dst []Action) []Action {
 	d.now = max(now, d.now)
 	d.actions = dst
-	if d.bornAt == 0 {
-		d.bornAt = d.now // what was sent before is unknown: no warming worker gets a job for one window
-	}
+	d.slowStart.begin(d.now)
 	for _, event := range events {
 		d.handleEvent(event)
 	}
 	d.timers.dropCallerTimer(d.now)
-	for due := d.timers.popDue(d.now); due != nil; due = d.timers.popDue(d.now) {
-		d.handleTimer(due)
+	for next := d.timers.popDue(d.now); next != nil; next = d.timers.popDue(d.now) {
+		d.handleTimer(next)
 	}
 	d.leases.exchange(d.now)
 	d.dispatchQueued()
@@ -81,17 +82,17 @@
 	case Outcome:
 		d.handleOutcome(event)
 	case Started:
-		d.onStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
+		d.handleStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case Progressed:
-		d.onProgressed(d.findInFlight(event.Job, event.Attempt, event.Worker))
+		d.handleProgressed(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case ResponseStarted:
 		d.handleResponseStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case ClientDisconnected:
 		d.closeJob(d.jobs[event.Job])
 	case HealthChecked:
-		d.onHealthChecked(event)
+		d.handleHealthChecked(event)
 	case TimerFired:
-		d.measureStall()
+		d.stalls.handleTimer(d.timers.callerAt, d.now)
 	default:
 		d.handlePeerEvent(event)
 	}
@@ -109,9 +110,9 @@
 	case PeerMessageReceived:
 		d.leases.handleMessage(d.now, event)
 	case Cordoned:
-		d.cordon(event.Worker)
+		d.handleCordoned(event.Worker)
 	case Uncordoned:
-		d.uncordon(event.Worker)
+		d.handleUncordoned(event.Worker)
 	}
 }
 
@@ -126,11 +127,11 @@
 	case jobObjective:
 		d.handleObjectivePassed(fired.job)
 	case attemptOverdue:
-		d.onOverdue(fired.attempt)
+		d.handleOverdue(fired.attempt)
 	case leaseOverdue:
 		d.leases.client.handleTimer(d.now, fired.lease)
 	case workerAvailable:
-		d.markDirty(fired.worker)
+		d.fleet.markDirty(fired.worker)
 	}
 }
 
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -29,18 +29,18 @@
 	closed       bool // it has had its final answer, or needs none
 	streaming    bool // its response has begun
 	recheckOnEnd bool // it was in flight when its objective passed, and is looked at again when an attempt ends
+	inPromotions bool // it has an entry in byPromotion of its demand class
 	attempts     []*attemptInfo
 	inFlight     int // attempts
 
-	demandClass  int           // index in the queue
-	heapIndex    int           // in byScore of its demand class; -1: it is not queued
-	inPromotions bool          // it has an entry in byPromotion of its demand class
-	promoteAt    time.Duration // when it has been queued for tau
-	skipCount    int           // dispatch cycles that ended because it and others fitted no worker
+	demandClass int           // index in the queue
+	heapIndex   int           // in byScore of its demand class; -1: it is not queued
+	promoteAt   time.Duration // when it has been queued for tau
+	skipCount   int           // dispatch cycles that ended because it and others fitted no worker
 
 	leases jobLeases
 
-	warmUpDraw     float64       // above 0 and up to 1, for the lottery of warming workers; 0: not drawn yet
+	lotteryDraw    float64       // above 0 and up to 1, for the lottery of warming workers; 0: not drawn yet
 	checksUntil    time.Duration // workers checked for it should have answered by then
 	deadlineTimer  timer
 	objectiveTimer timer
@@ -87,20 +87,18 @@
 
 // prepareDispatch updates what a dispatch cycle depends on.
 func (d *Dispatcher) prepareDispatch() {
-	for _, worker := range d.dirty {
+	for _, worker := range d.fleet.dirty {
 		d.reindex(worker)
 	}
-	d.dirty = d.dirty[:0]
-	if d.allCordoned {
+	d.fleet.dirty = d.fleet.dirty[:0]
+	if d.cordons.coverFleet {
 		d.finishQueued()
 	}
 	if d.queue.length == 0 {
 		return
 	}
-	d.countLateAttempts()
-	if d.reserved != nil && d.reservedFor.heapIndex < 0 {
-		d.reserved, d.reservedFor = nil, nil
-	}
+	d.starts.updateLateCount(d.settings.Classes, d.now)
+	d.reservation.expire()
 	d.queue.unblock()
 }
 
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -194,10 +194,10 @@
 			t.Fatal("leased for less than no work")
 		}
 	}
-	worker := s.d.workers[1]
-	share := s.d.warmUpShare(worker)
+	worker := s.d.fleet.byID[1]
+	share := worker.warmUpShare(&s.d.settings, s.d.now)
 	rule := s.d.settings.OverloadFactor * kindSlots * share * s.d.settings.OverloadWindow.Seconds()
-	unleased := s.d.warmUpBudget(worker)
+	unleased := s.d.slowStart.budget(worker, s.d.now)
 	t.Logf("leased %.3f, without leases up to %.3f, of %.3f", leased, unleased, rule)
 	if leased == 0 {
 		t.Error("nothing was leased: the test covers nothing")
@@ -265,7 +265,7 @@
 func BenchmarkGrantWaiting(b *testing.B) {
 	s := coordinatorHarness(b, 3200, func(settings *Settings) { settings.Replicas = 900 })
 	held, lastID := []LeaseID{}, LeaseID(0)
-	shard := s.d.leases.directory.shardOf(&s.d.workerList[0].Worker)
+	shard := s.d.leases.directory.shardOf(&s.d.fleet.workers[0].Worker)
 	for range 2000 {
 		lastID++
 		granted := s.receive(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
--- a/dispatch/leaseexchange.go
+++ b/dispatch/leaseexchange.go
@@ -25,7 +25,8 @@
 	client      leaseClient
 	coordinator leaseCoordinator
 	directory   peerDirectory
-	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
+	ownMessages []PeerMessage      // to this dispatcher itself, not handled yet
+	grants      []addressedMessage // buffer of grantWaiting
 }
 
 // actionEmitter appends an action to those of the present step.
@@ -66,8 +67,7 @@
 // handleWorkerList updates what depends on the list of workers.
 func (l *leaseExchange) handleWorkerList(workers []*workerInfo) {
 	l.client.updateReadyZones(workers)
-	l.coordinator.forgetMembers()
-	l.coordinator.nothingFreed = false
+	l.coordinator.handleWorkerList()
 }
 
 // handleMessage handles a message of another dispatcher. One that claims to be of this dispatcher or of none
@@ -120,7 +120,7 @@
 	for {
 		l.deliverOwnMessages(now)
 		l.grantWaiting(now)
-		if len(l.ownMessages) == 0 && len(l.client.granted) == 0 {
+		if len(l.ownMessages) == 0 && !l.client.hasGrants() {
 			return
 		}
 		l.deliverOwnMessages(now)
@@ -138,9 +138,11 @@
 }
 
 func (l *leaseExchange) grantWaiting(now time.Duration) {
-	for _, grant := range l.coordinator.grantWaiting(now) {
+	l.grants = l.coordinator.grantWaiting(now, l.grants[:0])
+	for _, grant := range l.grants {
 		l.send(grant.to, grant.message)
 	}
+	clear(l.grants)
 }
 
 // maintain sends reports that are due and frees expired leases. It is called every maintenanceInterval.
@@ -182,14 +184,7 @@
 }
 
 func (l *leaseExchange) counts() LeaseCounts {
-	counts := LeaseCounts{
-		Granted: len(l.coordinator.leases),
-		Waiting: len(l.coordinator.waiting),
-	}
-	for _, lease := range l.client.byID {
-		if lease.isUsed() {
-			counts.Held++
-		}
-	}
+	counts := LeaseCounts{Held: l.client.countUsed()}
+	counts.Granted, counts.Waiting = l.coordinator.counts()
 	return counts
 }
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// How the client handles a coordinator's answers, and the use of what was granted. This carries out DESIGN's
-// "among those able to start the job now": a grant is used only if this dispatcher's own rules allow the
-// worker too.
+// How the client handles a coordinator's answers, and the use of what was granted. This carries out the
+// design's "among those able to start the job now": a grant is used only if this dispatcher's own rules allow
+// the worker too.
 
 // handleGranted notes a granted lease for use. One that can't be used is released: its job is finished, or
 // has a lease of another coordinator.
@@ -62,6 +62,9 @@
 	}
 }
 
+// hasGrants reports whether leases were granted that are not used yet.
+func (l *leaseClient) hasGrants() bool { return len(l.granted) > 0 }
+
 // useGrants sends jobs on the leases that were granted.
 func (l *leaseClient) useGrants(now time.Duration) {
 	for _, lease := range l.granted {
@@ -106,8 +109,8 @@
 // usableWorker implements leasedJobs. A worker that this dispatcher does not know, or knows in another shard,
 // is never sent anything.
 func (l *leaseAdapter) usableWorker(job *jobInfo, id uint64, shard Shard) *workerInfo {
-	worker := l.dispatcher.workers[id]
-	if worker == nil || !worker.Ready || !job.isQueued() || l.isReservedForOther(job, worker) {
+	worker := l.dispatcher.fleet.byID[id]
+	if worker == nil || !worker.Ready || !job.isQueued() || l.dispatcher.reservation.excludes(job, worker) {
 		return nil
 	}
 	if l.dispatcher.leases.directory.shardOf(&worker.Worker) != shard || !l.canSend(job, worker) {
@@ -116,17 +119,15 @@
 	return worker
 }
 
-func (l *leaseAdapter) isReservedForOther(job *jobInfo, worker *workerInfo) bool {
-	return worker == l.dispatcher.reserved && job != l.dispatcher.reservedFor
-}
-
 // canSend reports whether the rules for the worker, the job and the class allow an attempt.
 func (l *leaseAdapter) canSend(job *jobInfo, worker *workerInfo) bool {
 	dispatcher := l.dispatcher
-	isFull := worker.rejects(job) || dispatcher.showsQueue(worker, dispatcher.promptStart(job.class))
+	promptStart := dispatcher.starts.promptStart(job.class)
+	isFull := worker.rejects(job.demand) || worker.showsQueue(promptStart, dispatcher.now)
 	if isFull || job.wasSentTo(worker) || !job.class.allows(worker.Kind, worker.Zone) {
 		return false
 	}
-	return dispatcher.mayAttempt(job, worker) && !dispatcher.isEjected(worker) &&
-		dispatcher.canMeetObjective(job, worker) && dispatcher.ownSpendsAllow(job, worker)
+	return dispatcher.mayAttempt(job, worker) && !dispatcher.outliers.isEjected(worker) &&
+		dispatcher.canMeetObjective(job, worker) &&
+		dispatcher.slowStart.allowsLease(job, worker, dispatcher.now)
 }
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -1,19 +1,15 @@
 package dispatch
 
-import (
-	"math"
-	"slices"
-	"time"
-)
+import "time"
 
 // The slots of a worker as its coordinator counts them, over all dispatchers. This carries out the
-// concurrency limit of DESIGN ("Each worker starts with room for one job. Room grows by one when a job starts
-// promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt start
-// that it bounded, and halves on a rejection or failure.
+// concurrency limit of the design ("Each worker starts with room for one job. Room grows by one when a job
+// starts promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt
+// start that it bounded, and halves on a rejection or failure.
 const (
-	// warmUpLeaseMargin is the share of a warming worker's budget that one coordinator leases. Two
-	// coordinators may do so at once, and jobs without a lease take warmUpMargin of the budget besides.
-	warmUpLeaseMargin = 0.25
+	// warmUpLeaseFraction is the fraction of the work that overloads a warming worker which one coordinator
+	// leases. Two may do so at the same time, and jobs without a lease take warmUpBudgetFraction besides.
+	warmUpLeaseFraction = 0.25
 
 	minSuspension     = 500 * time.Millisecond // doubles with each further failure
 	maxSuspension     = 8 * time.Second
@@ -22,40 +18,51 @@
 
 // workerSlots are the slots of one worker, with what its coordinator has observed of its starts and failures.
 type workerSlots struct {
-	limit          float64 // slots, at least 1
+	slotLimit      // of the slots that are leased
 	leases         int
-	used           float64 // slots of leases
-	running        float64 // slots of leases whose attempt has started
-	decreasedAt    time.Duration
 	failures       int // consecutive ones, each reported by another dispatcher than the one before
 	lastFailedPeer int // dispatcher that reported the last failure
 	suspension     time.Duration
 	suspendedUntil time.Duration
-	warmUpSpends   []spend
+	leasedWork     workWindow // while the worker is warming up
+}
+
+// isSuspended reports whether consecutive failures keep leases from the worker.
+func (w *workerSlots) isSuspended(now time.Duration) bool { return now < w.suspendedUntil }
+
+// hasRoom reports whether the worker can start a job of so many slots. maxSlots bounds it besides the limit.
+// An idle worker has room for a job of any size.
+func (w *workerSlots) hasRoom(demand, maxSlots float64) bool {
+	return w.used == 0 || w.fits(demand, maxSlots)
+}
+
+// isLimitBound reports whether the limit would allow less than one further slot after a lease of so many
+// slots.
+func (w *workerSlots) isLimitBound(demand float64) bool { return w.used+demand+1 > w.limit }
+
+// free returns the slots that can be leased; maxSlots bounds them besides the limit.
+func (w *workerSlots) free(maxSlots float64) float64 { return max(0, min(w.limit, maxSlots)-w.used) }
+
+// start counts a lease's attempt as running.
+func (w *workerSlots) start(lease *grantedLease) {
+	lease.isStarted = true
+	w.running += lease.demand
 }
 
 // observePromptStart counts a lease's attempt as running, and raises the limit if it was what bounded the
 // worker. It reports whether the limit may have grown.
 func (w *workerSlots) observePromptStart(lease *grantedLease) (raised bool) {
-	lease.isStarted = true
-	w.running += lease.demand
+	w.start(lease)
 	if !lease.isLimitBound {
 		return false
 	}
-	w.limit = max(w.limit, w.running+lease.demand) + 1
+	w.increase(lease.demand)
 	return true
 }
 
-// predatesDecrease reports whether a lease is older than the last decrease of the limit: what happens to it
-// says nothing about the present limit.
-func (w *workerSlots) predatesDecrease(lease *grantedLease) bool {
-	return lease.grantedAt < w.decreasedAt
-}
-
 // observeLateStart lowers the limit by one: an attempt that has not started promptly is queued at the worker.
 func (w *workerSlots) observeLateStart(now time.Duration) {
-	w.decreasedAt = now
-	w.limit = max(1, w.limit-1)
+	w.decrease(now)
 }
 
 // observeEnd adjusts the limit by the result of a lease's attempt. Consecutive failures that several
@@ -66,9 +73,8 @@
 		w.failures = 0
 		w.suspension = 0
 	case WorkerFull, Failed, TimedOut, ConnectFailed, ConnectionReset:
-		if !w.predatesDecrease(lease) {
-			w.decreasedAt = now
-			w.limit = max(1, math.Floor(w.limit/2))
+		if !w.predatesDecrease(lease.grantedAt) {
+			w.halve(now)
 		}
 		w.recordFailure(now, lease.key.peer)
 	case Cancelled, NotSent:
@@ -111,10 +117,6 @@
 // warmUpWork returns work plus what was leased of a warming worker within the window that ends now, in
 // seconds on a standard core, times slots.
 func (w *workerSlots) warmUpWork(now, window time.Duration, work float64) float64 {
-	isPast := func(spent spend) bool { return now-spent.at > window }
-	w.warmUpSpends = slices.DeleteFunc(w.warmUpSpends, isPast)
-	for _, spent := range w.warmUpSpends {
-		work += spent.work
-	}
-	return work
+	w.leasedWork.expire(window, now)
+	return w.leasedWork.plus(work, window, now)
 }
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -98,7 +98,7 @@
 // explores reports whether a job is attempted although its objective is thought unreachable. One whose
 // priority is lowered already is not, and none is while no worker is idle.
 func (d *Dispatcher) explores(job *jobInfo) bool {
-	return d.objectives.explore(job.priority != levelUnreachable && d.available.idle > 0)
+	return d.objectives.explore(job.priority != levelUnreachable && d.fleet.available.idleCount > 0)
 }
 
 // lateHasNoUtility reports whether a late answer has less utility than its miss costs under the miss
@@ -115,5 +115,5 @@
 // canMeetObjective reports whether a job would meet its objective on a worker. A job whose priority is
 // lowered need not.
 func (d *Dispatcher) canMeetObjective(j *jobInfo, w *workerInfo) bool {
-	return j.isDeprioritized() || d.mayTryUncordoned(j, w) || d.now+d.expectedRun(j, w) <= j.objectiveAt
+	return j.isDeprioritized() || w.acceptsLate(j, d.now) || d.now+d.expectedRun(j, w) <= j.objectiveAt
 }
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -1,154 +1,123 @@
 package dispatch
 
-// Outlier ejection: silence, failure and slowness of workers, told apart by symptom. The design is silent
-// on it: it is for what is not the ordinary path.
+// Outlier ejection: silent, failing and unreachable workers are sent nothing but recovery probes. The
+// design covers the ordinary path alone, and counts every ready worker as able to start a job; this
+// file defines which are not.
 
 import (
-	"fmt"
-	"math"
+	"math/rand/v2"
 	"time"
 )
 
 const (
-	minEjection   = 500 * time.Millisecond // doubles with each failed trial
-	maxEjection   = 8 * time.Second
-	trialInterval = 500 * time.Millisecond // between trials of ejected workers, over the fleet
-	maxFailures   = 1                      // in a row, of jobs or connections, that eject no worker
+	minEjectionTime        = 500 * time.Millisecond // doubles with each failed recovery probe
+	maxEjectionTime        = 8 * time.Second
+	recoveryProbeInterval  = 500 * time.Millisecond // between recovery probes, over the fleet
+	maxConsecutiveFailures = 1                      // of attempts or connections, that eject no worker
 )
 
-// isEjected tells whether a worker is to be avoided. Where most are suspect, the load or this process is at
-// fault, and silence proves nothing; a broken connection still does, unless it is so everywhere.
-func (d *Dispatcher) isEjected(w *workerInfo) bool {
-	return w.ejectionTime > 0 && (w.broken && !d.allBroken || !w.broken && !d.mostEjected)
+// outlierDetector holds what outlier ejection needs besides the state of each worker.
+type outlierDetector struct {
+	nextProbeAt  time.Duration // no ejected worker gets a recovery probe before
+	silencePanic bool          // most ready workers are ejected: ejections for silence alone are disregarded
+	failurePanic bool          // all ready workers are failing: ejections of failing workers are disregarded
 }
 
-// healthAllows lets an ejected worker have one short idempotent job once its time is over, one such trial
-// at once: where a whole zone is gone, its empty workers would draw all that is sent.
-func (d *Dispatcher) healthAllows(j *jobInfo, w *workerInfo) bool {
-	if !d.isEjected(w) {
-		return true
-	}
-	return j.class.Idempotency == Idempotent && d.workload.isShort(j) &&
-		d.now >= max(w.ejectedUntil, d.nextTrialAt) &&
-		len(w.inFlight) == 0
+// outlierState is what outlier ejection keeps of a worker.
+type outlierState struct {
+	ejectionTime       time.Duration // mean time until the first recovery probe; 0: not ejected
+	ejectedUntil       time.Duration
+	failing            bool // ejected for failures, not for silence alone
+	failures           int  // of attempts, in a row
+	connectionFailures int  // in a row
+	connectionLost     bool // its connections were reset, and it has not answered since
 }
 
-// eject avoids a worker for about twice as long as last time. broken: it is suspected on more than silence.
-func (d *Dispatcher) eject(w *workerInfo, broken bool, reason string) {
-	w.broken = w.broken || broken
-	if d.now < w.ejectedUntil {
-		return
+// isEjected reports whether a worker is to be avoided. Beyond the panic thresholds the load or this
+// process is at fault: where most workers are ejected silence shows nothing of one worker, and failures
+// show nothing where all are failing.
+func (o *outlierDetector) isEjected(worker *workerInfo) bool {
+	switch {
+	case worker.outlier.ejectionTime <= 0:
+		return false
+	case worker.outlier.failing:
+		return !o.failurePanic
+	default:
+		return !o.silencePanic
 	}
-	w.ejectionTime = min(max(minEjection, 2*w.ejectionTime), maxEjection)
-	w.ejectedUntil = d.now + w.ejectionTime/2 + time.Duration(d.rng.Int64N(int64(w.ejectionTime)))
-	d.setTimer(&w.timer, w.ejectedUntil)
-	d.markDirty(w)
-	d.emit(Log{fmt.Sprintf("worker %d %s: set aside for about %v", w.ID, reason, w.ejectionTime)})
 }
 
-// onResult judges a worker by the end of an attempt there.
-func (d *Dispatcher) onResult(attempt *attemptInfo) {
-	job, worker := attempt.job, attempt.worker
-	switch attempt.result {
-	case OK:
-		worker.failures, worker.progressAt = 0, d.now
-		d.markAlive(worker)
-		d.learnFromRun(attempt, d.now-attempt.startedAt)
-		if !d.settings.StartNotifications { // by sizes as known now: with low hints all would look late
-			stretch := seconds(job.class.ObjectiveStretch * d.workload.expectedWork(job) / worker.speed)
-			d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
-		}
-	case WorkerFull:
-		worker.aliveAt = d.now
-		d.observeBusy(worker, true)
-		d.halveLimit(attempt)
-		d.backOff(worker, minBackoff)
-		if worker.usedSlots == 0 && job.demand > 1 {
-			worker.rejectedDemand = job.demand // it may never be able to run this
-		}
-	case Failed:
-		worker.aliveAt = d.now
-		d.halveLimit(attempt)
-		// A worker that fails fast looks empty and would attract all jobs.
-		worker.failures++
-		if worker.failures > maxFailures {
-			d.eject(worker, true, "fails")
-		}
-	case ConnectFailed, ConnectionReset:
-		d.onConnectionFailure(attempt)
-	case TimedOut:
-		hadTime := job.deadline-attempt.sentAt >= d.promptStart(job.class)
-		if hadTime { // else it tells nothing of a queue
-			d.halveLimit(attempt)
-		}
-	}
+// updatePanic recomputes the panic thresholds from the counts of ready, ejected and failing workers.
+func (o *outlierDetector) updatePanic(ready, ejected, failing int) {
+	o.silencePanic = 2*ejected > ready
+	o.failurePanic = failing == ready
 }
 
-// onConnectionFailure first blames the connection, if it was idle, and then the network, for one failure.
-func (d *Dispatcher) onConnectionFailure(attempt *attemptInfo) {
-	worker := attempt.worker
-	worker.connections = len(worker.inFlight)
-	if attempt.connIdle > 0 && !attempt.started {
-		d.observeIdleConnection(attempt, false)
-		return
+// handleSent counts an attempt as a recovery probe if its worker is ejected. Probes are limited over
+// the fleet, as otherwise the empty workers of a zone that has failed would attract all jobs.
+func (o *outlierDetector) handleSent(worker *workerInfo, now time.Duration) {
+	if o.isEjected(worker) {
+		o.nextProbeAt = now + recoveryProbeInterval
 	}
-	worker.connFailures++
-	if worker.connFailures <= maxFailures && !attempt.started {
-		return
-	}
-	worker.connLost = worker.connLost || attempt.result == ConnectionReset
-	d.halveLimit(attempt)
-	d.eject(worker, true, "is unreachable")
 }
 
-// onOverdue looks at an attempt that has not started or ended when it should, also where its job has ended.
-func (d *Dispatcher) onOverdue(attempt *attemptInfo) {
-	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDropped() {
-		return
-	}
-	if d.stalledAt == d.now { // its notification may have come meanwhile, and be read in a moment
-		d.setTimer(&attempt.timer, d.now+min(d.stallLength, maintenanceInterval))
-		return
-	}
-	switch run := d.now - attempt.startedAt; {
-	case !attempt.started:
-		d.onLateStart(attempt)
-	case run < d.workload.maxPlausibleRun(attempt): // it started, or the spread grew, since the timer was set
-		return
-	default:
-		d.workload.observeOverrun(attempt.job.Class, run.Seconds(), attempt.expectedRun.Seconds())
-		shown := math.Log(d.workload.expectedWork(attempt.job) / run.Seconds())
-		d.learnSpeed(attempt.worker, min(attempt.worker.logSpeed, shown))
+// mayProbe reports whether an ejected worker may be sent a recovery probe: one at a time, once its
+// ejection is over.
+func (o *outlierDetector) mayProbe(worker *workerInfo, now time.Duration) bool {
+	return now >= max(worker.outlier.ejectedUntil, o.nextProbeAt) && len(worker.inFlight) == 0
+}
+
+// eject begins an ejection of about twice the latest ejection time, drawn at random. It returns false
+// if the worker is still ejected: nothing is drawn then.
+func (o *outlierState) eject(now time.Duration, rng *rand.Rand) bool {
+	if now < o.ejectedUntil {
+		return false
 	}
-	if d.isStuck(attempt) || d.isHedgedEarly(attempt) {
-		d.retryElsewhere(attempt.job)
-	} else if attempt.started {
-		d.setTimer(&attempt.timer, attempt.silentAt(&d.settings))
+	o.ejectionTime = min(max(minEjectionTime, 2*o.ejectionTime), maxEjectionTime)
+	o.ejectedUntil = now + o.ejectionTime/2 + time.Duration(rng.Int64N(int64(o.ejectionTime)))
+	return true
+}
+
+// endEjection ends the ejection of a worker that has shown that it works.
+func (o *outlierState) endEjection() {
+	o.ejectionTime = 0
+	o.ejectedUntil = 0
+	o.failing = false
+}
+
+// allowsOutlier reports whether outlier ejection allows sending a job to a worker: an ejected one gets
+// only recovery probes, which are short and idempotent.
+func (d *Dispatcher) allowsOutlier(job *jobInfo, worker *workerInfo) bool {
+	if !d.outliers.isEjected(worker) {
+		return true
 	}
+	isProbe := job.class.Idempotency == Idempotent && d.workload.isShort(job)
+	return isProbe && d.outliers.mayProbe(worker, d.now)
 }
 
-func (d *Dispatcher) onLateStart(a *attemptInfo) {
-	if silentAt := a.sentAt + silenceFactor*d.meanLateStart; d.now < silentAt {
-		d.setTimer(&a.timer, silentAt)
-	} else {
-		d.observeIdleConnection(a, false)
-		if a.worker.aliveAt < a.sentAt {
-			d.eject(a.worker, false, "silent")
-		}
+// eject ejects a worker, and has the operators notified.
+func (d *Dispatcher) eject(worker *workerInfo, reason EjectionReason) {
+	worker.outlier.failing = worker.outlier.failing || reason != EjectedForSilence
+	if !worker.outlier.eject(d.now, d.rng) {
+		return
 	}
-	d.leases.client.reportStart(a, false)
-	d.adjustLimit(a, false)
+	d.setTimer(&worker.timer, worker.outlier.ejectedUntil)
+	d.fleet.markDirty(worker)
+	d.emit(WorkerEjected{Worker: worker.ID, Reason: reason, EjectionTime: worker.outlier.ejectionTime})
 }
 
-// markAlive takes in a sign of life.
-func (d *Dispatcher) markAlive(w *workerInfo) {
-	w.aliveAt, w.connFailures = d.now, 0
-	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
-	if w.connLost {
-		w.connLost, w.returnedAt = false, d.now
+// markAlive updates a worker that has given a sign of life.
+func (d *Dispatcher) markAlive(worker *workerInfo) {
+	worker.activity.aliveAt = d.now
+	worker.outlier.connectionFailures = 0
+	// A worker that was lost and answers again has most likely restarted, though no list has notified
+	// of it yet.
+	if worker.outlier.connectionLost {
+		worker.outlier.connectionLost = false
+		worker.slowStart.restartedAt = d.now
 	}
-	if w.failures == 0 && w.ejectionTime > 0 {
-		w.ejectionTime, w.ejectedUntil, w.broken = 0, 0, false
+	if worker.outlier.failures == 0 && worker.outlier.ejectionTime > 0 {
+		worker.outlier.endEjection()
 	}
-	d.markDirty(w)
+	d.fleet.markDirty(worker)
 }
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Where connections break now and then, a worker is not ejected for one of them, nor for a health check that a stale connection
-// lost; two in a row, or one under a job that had started, are its own.
+// A worker is not ejected for one broken connection, nor for a health check that was lost on a stale connection. It is for two
+// in a row, or for one that breaks after a job has started on it.
 func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
 	for _, c := range []struct {
 		outcomes func(s *harness)
@@ -49,21 +49,21 @@
 		s := newHarness(t, testSettings())
 		s.workers(1)
 		s.step(s.job(1, 0, 10*ms))
-		if c.outcomes(s); s.d.workers[1].ejectionTime > 0 != c.ejected {
+		if c.outcomes(s); s.d.fleet.byID[1].outlier.ejectionTime > 0 != c.ejected {
 			t.Errorf("ejected %v, expected %v", !c.ejected, c.ejected)
 		}
 	}
 }
 
-// Workers may drop a job with very little time left without a word. That is no sign of a queue: such jobs among others leave
-// a worker's limit as it is, and those that have time are sent as before. One that had time and is silent is such a sign.
+// Workers may drop a job with very little remaining time without a notification. That shows no queue: such jobs leave a
+// worker's limit unchanged, and jobs that have time are sent as before. A job that had time and stays silent does show one.
 func TestDroppedJobWithLittleTimeTellsNothing(t *testing.T) {
 	const limit = 8
 	for _, remaining := range []time.Duration{ms, 2 * ms, 5 * ms} {
 		for class := range testSettings().Classes {
 			s := newHarness(t, testSettings())
 			s.workers(1)
-			s.d.workers[1].limit = limit
+			s.d.fleet.byID[1].slots.limit = limit
 			sent := 0
 			for id := uint64(1); id <= 20; id++ {
 				job := s.job(id, class, 0)
@@ -73,34 +73,39 @@
 				s.wait(remaining)
 				s.step(Outcome{Job: id, Worker: 1, Result: TimedOut, Closed: true})
 			}
-			if w := s.d.workers[1]; sent == 0 || w.limit != limit || w.ejectionTime > 0 || w.backoffUntil > s.now {
+			if w := s.d.fleet.byID[1]; sent == 0 || w.slots.limit != limit || w.outlier.ejectionTime > 0 || w.backoff.until > s.now {
 				t.Errorf("%v left, class %d: %d sent, limit %v, ejected for %v, backed off %v",
-					remaining, class, sent, w.limit, w.ejectionTime, w.backoffUntil > s.now)
+					remaining, class, sent, w.slots.limit, w.outlier.ejectionTime, w.backoff.until > s.now)
 			}
 			s.step(s.job(100, class, 0))
 			s.wait(5 * time.Second)
 			s.step(Outcome{Job: 100, Worker: 1, Result: TimedOut, Closed: true})
-			if s.d.workers[1].limit >= limit {
-				t.Errorf("class %d: a job that was silent for all its time left the limit at %v", class, s.d.workers[1].limit)
+			if s.d.fleet.byID[1].slots.limit >= limit {
+				t.Errorf("class %d: a job that was silent for all its time left the limit at %v", class, s.d.fleet.byID[1].slots.limit)
 			}
 		}
 	}
 }
 
-// Incident: late starts had most workers ejected, so that the dead ones counted as healthy too and drew all work.
+// Incident: most workers were ejected for late starts, so that the dead ones counted as healthy too and attracted all jobs.
 func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
-		s.d.eject(s.d.workers[id], id == 1, "test")
+		reason := EjectedForSilence
+		if id == 1 {
+			reason = EjectedForFailures
+		}
+		s.d.eject(s.d.fleet.byID[id], reason)
 	}
 	s.wait(300 * ms)
-	if !s.d.isEjected(s.d.workers[1]) || s.d.isEjected(s.d.workers[2]) {
+	if !s.d.outliers.isEjected(s.d.fleet.byID[1]) || s.d.outliers.isEjected(s.d.fleet.byID[2]) {
 		t.Fatal("expected only the broken worker to stay ejected")
 	}
 }
 
-// Connections dropped unseen while idle: two jobs that got no answer on idle ones are enough, and others are closed first.
+// Connections were dropped unnoticed while idle: after two jobs without an answer on idle connections the other idle ones are
+// closed before use.
 func TestIdleConnectionsThatLoseRequestsAreClosed(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(3)
@@ -137,25 +142,25 @@
 	}
 }
 
-// A part of the fleet that falls silent at once says nothing of idle connections, as those to the others do well.
+// If a part of the fleet becomes silent at once, idle connections are not at fault, as those to the other workers succeed.
 func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
 	for range 30 {
-		a := &attemptInfo{connIdle: 8 * ms}
-		f.d.observeIdleConnection(a, false)
+		a := &attemptInfo{connectionIdle: 8 * ms}
+		f.d.idleConnections.observe(a.connectionIdle, false, f.d.now)
 	}
-	if f.d.maxIdle != 0 {
-		t.Fatalf("connections are trusted for %v", f.d.maxIdle)
+	if f.d.idleConnections.maxIdle != 0 {
+		t.Fatalf("connections are trusted for %v", f.d.idleConnections.maxIdle)
 	}
 }
 
-// A process that was stalled learns nothing about workers from that time, and ejects none for it.
+// A process that was stalled updates no estimates of workers from that time, and ejects none.
 func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
-	before := f.d.workerList[3].logSpeed
-	f.now += 2 * time.Second // stalled: what came meanwhile is read late, with our own timer
+	before := f.d.fleet.workers[3].speed.log
+	f.now += 2 * time.Second // stalled: the events of this time are read late, together with the caller's timer
 	events := []Event{TimerFired{}}
 	for i := range f.events[:2] {
 		for q := &f.events[i]; q.first < len(q.events); q.first++ {
@@ -163,9 +168,9 @@
 		}
 	}
 	f.step(events...)
-	for _, w := range f.d.workerList {
-		if math.Abs(w.logSpeed-before) > 0.5 || w.ejectionTime > 0 || w.limit < 2 {
-			t.Fatalf("worker %d: speed %.2f (%.2f before), ejected for %v, limit %.0f", w.ID, w.logSpeed, before, w.ejectionTime, w.limit)
+	for _, w := range f.d.fleet.workers {
+		if math.Abs(w.speed.log-before) > 0.5 || w.outlier.ejectionTime > 0 || w.slots.limit < 2 {
+			t.Fatalf("worker %d: speed %.2f (%.2f before), ejected for %v, limit %.0f", w.ID, w.speed.log, before, w.outlier.ejectionTime, w.slots.limit)
 		}
 	}
 }
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// A slow worker is avoided while its runs would miss their objectives, and tried again once what is known of it is old.
+// A slow worker is avoided while runs there would miss their objectives, and tried again once its estimated speed has decayed.
 func TestSlowWorkerIsAvoided(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
@@ -31,9 +31,9 @@
 	s.now += ms
 	s.step(Started{Job: 1, Worker: slow})
 	s.wait(5 * time.Second)
-	before := s.d.workers[slow].logSpeed
+	before := s.d.fleet.byID[slow].speed.log
 	for range 4 {
-		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.workers[slow], expectedRun: 500 * ms}, 2500*ms)
+		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.fleet.byID[slow], expectedRun: 500 * ms}, 2500*ms)
 	}
 	if before >= 0 {
 		t.Fatal("a run far too long did not show before it ended")
@@ -52,16 +52,16 @@
 		t.Fatalf("the slow worker got %d of 30 jobs that would miss their objective on it", tried[slow])
 	}
 	s.wait(time.Minute)
-	if math.Abs(s.d.workers[slow].logSpeed-s.d.workload.machineKind(0).logSpeed) > 0.1 {
+	if math.Abs(s.d.fleet.byID[slow].speed.log-s.d.workload.machineKind(0).logSpeed) > 0.1 {
 		t.Fatal("a minute without observations has not brought the slow worker back")
 	}
 }
 
-// A job of many slots over tau must not wait for ever while small ones backfill.
+// A job of many slots that has been queued for over tau is sent at some time, though small jobs would take each free slot.
 func TestLargeJobIsNotBackfilledForEver(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.d.workers[1].limit = 4
+	s.d.fleet.byID[1].slots.limit = 4
 	big := s.job(1, 1, 2*time.Second)
 	big.Slots = 4
 	next := uint64(100)
@@ -86,12 +86,12 @@
 }
 
 // Incident: a job of four slots, over tau, was sent to a worker with capacity for one. It waited at the head of
-// that worker's queue and blocked all behind it. Now a worker is reserved for it, and others go elsewhere meanwhile.
+// that worker's queue and blocked all behind it. Now a worker is reserved for it, and other jobs are sent elsewhere meanwhile.
 func TestLargeJobWaitsForCapacity(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	for id := uint64(1); id <= 2; id++ {
-		s.d.workers[id].limit = 4
+		s.d.fleet.byID[id].slots.limit = 4
 		s.step(s.job(id, 1, 300*ms))
 		at := taken[Send](s)[0].Worker
 		s.step(Started{Job: id, Worker: at})
@@ -99,17 +99,17 @@
 	big := s.job(3, 1, 2*time.Second)
 	big.Slots = 4
 	s.step(big)
-	s.wait(4 * time.Second) // far over tau
+	s.wait(4 * time.Second) // much longer than tau
 	expectJobs(t, taken[Send](s))
 	for id := uint64(10); id < 14; id++ {
 		s.step(s.job(id, 0, 20*ms))
 	}
 	for _, a := range taken[Send](s) {
-		if s.d.workers[a.Worker] == s.d.reserved {
+		if s.d.fleet.byID[a.Worker] == s.d.reservation.worker {
 			t.Fatalf("job %d went to the worker reserved for the large one", a.Job)
 		}
 	}
-	for _, a := range slices.Clone(s.d.reserved.inFlight) {
+	for _, a := range slices.Clone(s.d.reservation.worker.inFlight) {
 		s.step(s.done(a.job.ID, a.number, a.worker.ID, OK))
 	}
 	if sends := taken[Send](s); len(sends) == 0 || sends[0].Job != 3 {
@@ -117,7 +117,7 @@
 	}
 }
 
-// A zone with more traffic than its workers can start is left for another, though crossing has a cost.
+// A dispatcher whose zone has more traffic than its workers can start sends jobs to another zone, though crossing has a cost.
 func TestBusyZoneIsAvoided(t *testing.T) {
 	set := testSettings()
 	set.CrossZoneCost = 0.05
@@ -150,14 +150,14 @@
 	}
 }
 
-// Found by a search: a worker was reserved for a large job that waited for a faster one, and idled for seconds while small ones
-// were queued.
+// Found by randomised search: a worker was reserved for a large job that waited for a faster one, and was idle for seconds while small
+// jobs were queued.
 func TestNoTooSlowWorkerIsReserved(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 1, 300*ms)) // non-idempotent: never hedged
-	slow := s.d.workers[3-taken[Send](s)[0].Worker]
-	slow.logSpeed, slow.speed, slow.learnedAt = -2, 0.13, s.now+time.Minute
+	slow := s.d.fleet.byID[3-taken[Send](s)[0].Worker]
+	slow.speed.log, slow.speed.factor, slow.speed.observedAt = -2, 0.13, s.now+time.Minute
 	big := s.job(2, 1, 1500*ms)
 	big.Slots = 4
 	s.step(big)
@@ -166,7 +166,7 @@
 	expectJobs(t, taken[Send](s), 3)
 }
 
-// A class bound to kinds or zones goes nowhere else, and is closed in time where nothing is open to it.
+// A class restricted to kinds or zones is sent to no other workers, and its jobs are closed in time if there are none.
 func TestPlacement(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -192,7 +192,7 @@
 				{ID: 4, Ready: true, Kind: 1, Zone: 1},
 			}})
 			for id := uint64(1); id <= 8; id++ {
-				s.step(s.job(id, 0, 200*ms)) // nothing starts: retries and hedges follow
+				s.step(s.job(id, 0, 200*ms)) // no attempt starts: retries and hedges follow
 				s.wait(100 * ms)
 			}
 			s.wait(6 * time.Second)
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -1,147 +1,152 @@
 package dispatch
 
-import (
-	"math"
-)
-
-// applyList takes in the entries of a list. A worker that is removed is forgotten once nothing of ours is in flight there.
-func (d *Dispatcher) applyList(e WorkerList) {
-	isDelta := e.Kind == ListDelta
+// applyList applies the entries of a list. A worker that is removed from the list is forgotten once nothing of this
+// dispatcher is in flight there.
+func (d *Dispatcher) applyList(list WorkerList) {
+	isDelta := list.Kind == ListDelta
 	if !isDelta {
-		for _, w := range d.workerList {
+		for _, w := range d.fleet.workers {
 			w.listed = false
 		}
 	}
-	for _, entry := range e.Workers {
-		w := d.applyEntry(entry)
-		if w != nil && isDelta {
-			d.forgetWorker(w)
+	for _, entry := range list.Workers {
+		worker := d.applyEntry(entry)
+		if worker != nil && isDelta {
+			d.forgetWorker(worker)
 		}
 	}
-	for i := len(d.workerList) - 1; i >= 0 && !isDelta; i-- { // each that goes leaves its place to the last
-		if w := d.workerList[i]; !w.listed {
-			w.Ready, w.listedReady = false, false
-			d.rings.update(w)
-			d.markDirty(w)
-			d.forgetWorker(w)
-		}
+	if !isDelta {
+		d.removeUnlisted()
 	}
-	d.updateAllCordoned()
+	d.cordons.updateCoverage(d.fleet.workers)
 	d.updatePreferences()
-	d.leases.handleWorkerList(d.workerList)
+	d.leases.handleWorkerList(d.fleet.workers)
 }
 
-// applyEntry takes in one entry of a list, and returns its worker; nil: it is removed and was not known.
+// removeUnlisted removes the workers that are not on a full list.
+func (d *Dispatcher) removeUnlisted() {
+	for i := len(d.fleet.workers) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of a removed one
+		worker := d.fleet.workers[i]
+		if worker.listed {
+			continue
+		}
+		worker.Ready = false
+		worker.listedReady = false
+		d.fleet.rings.update(worker)
+		d.fleet.markDirty(worker)
+		d.forgetWorker(worker)
+	}
+}
+
+// applyEntry applies one entry of a list, and returns its worker. It returns nil if the entry removes a worker that is
+// not known.
 func (d *Dispatcher) applyEntry(entry Worker) *workerInfo {
-	worker := d.workers[entry.ID]
+	worker := d.fleet.byID[entry.ID]
 	switch {
 	case worker == nil && entry.Removed:
 		return nil
 	case worker == nil:
-		logSpeed := d.workload.machineKind(entry.Kind).logSpeed
-		worker = &workerInfo{limit: 1, logSpeed: logSpeed, speed: math.Exp(logSpeed)}
+		worker = newWorkerInfo(d.workload.machineKind(entry.Kind))
 		d.addWorker(entry.ID, worker)
-	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: what was known of the old one is void
+	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: the state of the old one is void
 		worker.resetProcess()
-		worker.returnedAt = 0
+		worker.slowStart.restartedAt = 0
 	}
-	hasMoved := worker.onRing && (worker.Zone != entry.Zone || worker.Kind != entry.Kind)
-	worker.Worker, worker.listed, worker.listedReady = entry, !entry.Removed, entry.Ready && !entry.Removed
-	worker.Ready = worker.listedReady && !d.isCordoned(worker)
+	hasMoved := worker.index.onRing && (worker.Zone != entry.Zone || worker.Kind != entry.Kind)
+	worker.Worker = entry
+	worker.listed = !entry.Removed
+	worker.listedReady = entry.Ready && !entry.Removed
+	worker.Ready = worker.listedReady && !d.cordons.contains(worker.ID)
 	worker.machine = d.workload.machineKind(entry.Kind)
 	if hasMoved {
-		d.rings.reset()
+		d.fleet.rings.reset()
 	}
-	d.rings.update(worker)
-	d.markDirty(worker)
+	d.fleet.rings.update(worker)
+	d.fleet.markDirty(worker)
 	if worker.Ready {
-		d.workload.maxLogSpeed = max(d.workload.maxLogSpeed, worker.logSpeed) // known at once: a job thought out of reach is rejected
+		// At once: a job whose objective seems unreachable is rejected.
+		d.workload.maxLogSpeed = max(d.workload.maxLogSpeed, worker.speed.log)
 	}
 	return worker
 }
 
-// addWorker has a worker known by an id.
-func (d *Dispatcher) addWorker(id uint64, w *workerInfo) {
-	w.position = len(d.workerList)
-	w.timer = timer{purpose: workerAvailable, worker: w}
-	d.workers[id] = w
-	d.workerList = append(d.workerList, w)
+// addWorker adds a worker under an id that is not in use.
+func (d *Dispatcher) addWorker(id uint64, worker *workerInfo) {
+	d.fleet.add(id, worker)
 	d.leases.coordinator.forgetMembers()
 }
 
-// forgetWorker drops a worker that is not listed any more, once nothing of ours is in flight there.
-func (d *Dispatcher) forgetWorker(w *workerInfo) {
-	if w.listed || len(w.inFlight)+w.orphans > 0 || d.workers[w.ID] != w {
+// forgetWorker removes a worker that is not listed any more, once nothing of this dispatcher is in flight there.
+func (d *Dispatcher) forgetWorker(worker *workerInfo) {
+	if worker.listed || len(worker.inFlight)+worker.orphans > 0 || !d.fleet.contains(worker) {
 		return
 	}
-	delete(d.workers, w.ID)
+	d.fleet.remove(worker)
 	d.leases.coordinator.forgetMembers()
-	d.available.drop(w)
-	d.cancelTimer(&w.timer)
-	last := d.workerList[len(d.workerList)-1]
-	d.workerList[w.position], last.position = last, w.position
-	d.workerList[len(d.workerList)-1] = nil
-	d.workerList = d.workerList[:len(d.workerList)-1]
-}
-
-// resetProcess forgets what was known of a worker's process.
-func (w *workerInfo) resetProcess() {
-	w.limit, w.rejectedDemand = 1, 0
-	w.ejectionTime, w.ejectedUntil = 0, 0
-	w.failures, w.connLost = 0, false
-	w.reportedAt, w.learnedAt = 0, 0
+	d.cancelTimer(&worker.timer)
 }
 
-// forgetFaults forgets what was known of a worker's process, and whatever kept jobs from it.
-func (w *workerInfo) forgetFaults() {
-	w.resetProcess()
-	w.broken = false
-	w.backoff, w.backoffUntil = 0, 0
-	w.returnedAt = 0
-}
-
-// orphanAttempts frees the slots of what is in flight at a worker whose process is gone, and returns it. The attempts are
-// still in flight: their outcomes are yet to come.
-func (d *Dispatcher) orphanAttempts(w *workerInfo) []*attemptInfo {
-	orphans := w.inFlight
-	for _, a := range orphans {
-		a.orphaned = true
-		d.leases.client.endAttempt(a, Cancelled)
-		d.usedSlots = max(0, d.usedSlots-a.job.demand)
+// reindex updates the place of a worker in the index of available workers, and sets its timer if it becomes available
+// without any event.
+func (d *Dispatcher) reindex(worker *workerInfo) {
+	worker.index.dirty = false
+	warmingUp := worker.warmUpShare(&d.settings, d.now) < 1
+	if d.fleet.contains(worker) && worker.mayHaveCapacity(d.now) {
+		key := bucketKey{
+			zone:      worker.Zone,
+			kind:      worker.Kind,
+			warmingUp: warmingUp,
+			ejected:   worker.outlier.ejectionTime > 0,
+		}
+		d.fleet.available.insert(worker, key)
+	} else {
+		d.fleet.available.remove(worker)
+	}
+	wakeAt := worker.backoff.until
+	warmAt := worker.warmUpStart() + d.settings.WarmUp
+	if warmingUp && (wakeAt <= d.now || warmAt < wakeAt) {
+		wakeAt = warmAt
+	}
+	if wakeAt > d.now && worker.Ready {
+		d.setTimer(&worker.timer, wakeAt)
 	}
-	w.inFlight, w.usedSlots, w.runningSlots, w.connections = nil, 0, 0, 0
-	w.orphans += len(orphans)
-	return orphans
 }
 
-// countReady counts the workers that may be sent jobs.
-func (d *Dispatcher) countReady() int {
-	ready := 0
-	for _, w := range d.workerList {
-		if w.Ready {
-			ready++
-		}
+// orphanAttempts releases the slots of the attempts at a worker whose process has ended, and returns the attempts. They
+// stay in flight until their outcomes arrive.
+func (d *Dispatcher) orphanAttempts(worker *workerInfo) []*attemptInfo {
+	orphans := worker.inFlight
+	for _, attempt := range orphans {
+		attempt.orphaned = true
+		d.leases.client.endAttempt(attempt, Cancelled)
+		d.starts.releaseSlots(attempt.job.demand)
 	}
-	return ready
+	worker.inFlight = nil
+	worker.slots.used = 0
+	worker.slots.running = 0
+	worker.connections.open = 0
+	worker.orphans += len(orphans)
+	return orphans
 }
 
-// AvoidedWorkers counts the listed workers that this dispatcher avoids now, as cordoned or as ejected.
+// AvoidedWorkers returns the number of listed workers that this dispatcher avoids now, as cordoned or as ejected.
 func (d *Dispatcher) AvoidedWorkers() int {
 	avoided := 0
-	for _, w := range d.workerList {
-		if w.listed && (d.isCordoned(w) || w.Ready && d.isEjected(w)) {
+	for _, w := range d.fleet.workers {
+		isAvoided := d.cordons.contains(w.ID) || w.Ready && d.outliers.isEjected(w)
+		if w.listed && isAvoided {
 			avoided++
 		}
 	}
 	return avoided
 }
 
-// AvailableSlots is how many slots of ours workers could start now, as far as is known.
+// AvailableSlots returns how many slots of this dispatcher the workers could start now, as far as is known.
 func (d *Dispatcher) AvailableSlots() float64 {
 	slots := 0.0
-	for _, w := range d.workerList {
-		if w.Ready && d.now >= w.backoffUntil && !d.isEjected(w) {
-			slots += max(0, min(w.limit, d.maxSlots(w))*d.warmUpShare(w)-w.usedSlots)
+	for _, w := range d.fleet.workers {
+		if w.Ready && d.now >= w.backoff.until && !d.outliers.isEjected(w) {
+			slots += max(0, min(w.slots.limit, d.maxSlots(w))*w.warmUpShare(&d.settings, d.now)-w.slots.used)
 		}
 	}
 	return slots
--- a/internal/address/accesslists.go
+++ b/internal/address/accesslists.go
@@ -28,6 +28,16 @@
 	return ""
 }
 
+// Admits reports whether an address may connect. A rejection is logged.
+func (l *AccessLists) Admits(from netip.AddrPort, log *slog.Logger) bool {
+	reason := l.RejectionReason(from.Addr())
+	if reason == "" {
+		return true
+	}
+	LogRejection(log, from, reason)
+	return false
+}
+
 // LogRejection logs that a connection was rejected for a reason that RejectionReason returned.
 func LogRejection(log *slog.Logger, from netip.AddrPort, reason string) {
 	if log.Enabled(context.Background(), slog.LevelWarn) {
--- a/internal/link/generated_settings_test.go
+++ b/internal/scheduler/generated_settings_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"bytes"
@@ -21,6 +21,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -35,8 +36,8 @@
 	nodes         []*workerNode
 	callers       []*caller
 	requests      map[string]*issuedRequest
-	running       []*attempt // of which workers have something to tell
-	callbackPeers []*peer    // connections by which workers tell of their jobs
+	running       []*attempt // for which workers have callbacks to send
+	callbackPeers []*peer    // connections by which workers send callbacks
 	discovery     []*peer    // watches
 	revision      int        // of discovery's list: its generation
 	dials         int        // of discovery
@@ -56,11 +57,11 @@
 	requests.Endpoint
 	at            netip.AddrPort
 	zone, kind    int
-	drainingSince time.Duration // told so; 0: it does not drain
+	drainingSince time.Duration // as the list says; 0: it does not drain
 	down          time.Duration // its process has died, and comes back then
 }
 
-// farEnd is what a test knows of the other end of a connection of the loop's.
+// farEnd is the test's state of the remote end of a connection.
 type farEnd struct {
 	node   *workerNode // nil: discovery
 	filler int         // bytes that hold the connection up, not taken out yet
@@ -97,15 +98,15 @@
 	node     *workerNode
 	at       time.Duration
 	accepted bool
-	ended    bool // the scheduler has been told so
+	ended    bool // the scheduler was notified of it
 	never    bool // and that it never ran
 	givenUp  bool
-	ends     time.Duration // when the worker tells how it ended; 0: never
-	state    string        // and with which word
-	start    time.Duration // when it tells of the start; 0: never
+	ends     time.Duration // when the worker notifies of its end; 0: never
+	state    string        // that it notifies of then
+	start    time.Duration // when the worker notifies of its start; 0: never
 }
 
-// loud fails a test on a line of the log that tells of a fault within.
+// loud fails a test on a log line about an internal fault.
 type loud struct{ *testing.T }
 
 func (l loud) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelError }
@@ -141,7 +142,7 @@
 // never is an instant that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// generated draws a whole configuration as the platform tells it; set may then set some of the settings.
+// generated draws a whole configuration in the form of the platform. set may then change some of the settings.
 func generated(rng *rand.Rand, nodes []*workerNode, zones, kinds []string, set func(settings object)) []byte {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	us := func(least, most time.Duration) int64 {
@@ -224,8 +225,8 @@
 func drawDeployment(t *testing.T, seed uint64, late bool, set func(settings object)) *deployment {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 21))
-	w := &harness{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
-	d := &deployment{harness: w, rng: rng, requests: map[string]*issuedRequest{}, known: map[*peer]*farEnd{}, revision: 1, late: late}
+	h := &harness{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
+	d := &deployment{harness: h, rng: rng, requests: map[string]*issuedRequest{}, known: map[*peer]*farEnd{}, revision: 1, late: late}
 	zones, kinds := names(rng, 1+rng.IntN(5)), names(rng, 1+rng.IntN(3))
 	for i := range 2 + rng.IntN(7) {
 		n := &workerNode{zone: rng.IntN(len(zones)), kind: rng.IntN(len(kinds))}
@@ -235,7 +236,7 @@
 			Cell: rng.IntN(3), Lifecycle: "up", Weight: float64(rng.IntN(3)),
 		}
 		if rng.IntN(3) == 0 {
-			n.StartedAtMs = (w.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
+			n.StartedAtMs = (h.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
 		}
 		d.nodes = append(d.nodes, n)
 	}
@@ -251,12 +252,12 @@
 // open is Open, but that the loop is on the test's clock and its connections lead to the test.
 func (d *deployment) open() {
 	log := slog.New(loud{d.T})
-	l, err := newLoop(log, log, func() time.Duration { return d.now }, 0, eventloop.Syscalls{})
+	l, err := newScheduler(log, log, func() time.Duration { return d.now }, 0, eventloop.Syscalls{})
 	if err != nil {
 		d.T.Fatal(err)
 	}
 	l.dial = d.dial
-	d.loop = l
+	d.scheduler = l
 	if d.faults != nil {
 		*l.Syscalls() = d.faults.syscalls()
 	}
@@ -265,10 +266,11 @@
 	l.onWake = func() {}
 	l.openWorkerPool(l.budget.Shares().WorkerConnections, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
-		c.KnownEndpoints, transport{l.workers, l}, log)
+		c.KnownEndpoints, workerTransport{l.workers, l}, log)
 	l.workers.SetTable(l.Requests)
 	l.prepareWatch(c, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.openClientListener(clientLimitsOf(l.budget.Shares()), &c.Settings.Settings, c.Settings.Names)
+	l.prepareHotRestart(transferState{l})
 	if d.faults != nil {
 		d.faults.listenForClients(l)
 	}
@@ -289,7 +291,7 @@
 		return d.faults.connectClient()
 	}
 	p, fd := d.socketPair()
-	d.loop.clients.AddConnection(fd, netip.AddrPort{})
+	d.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 	return p
 }
 
@@ -319,7 +321,7 @@
 		d.discovery = append(d.discovery, p)
 		d.dials++
 		if d.neverUp {
-			f.filler, f.up = fillSocket(fd), never
+			f.filler, f.up = eventlooptest.FillSocket(fd), never
 		}
 	} else if d.late && d.rng.IntN(3) == 0 { // what fills it up is no byte of the loop's
 		for zeros := make([]byte, 64<<10); ; {
@@ -345,8 +347,8 @@
 	return p, fd, nil
 }
 
-// runUntilSettled lets the loop do all that it can do now, and everybody else take in what has come. Of what came in one go, what was
-// given up counts before what began.
+// runUntilSettled runs the loop until nothing is left to do now, and has clients and workers read what they have received. Of
+// messages that arrive together, cancellations are handled before new attempts.
 func (d *deployment) runUntilSettled() {
 	for more := true; more; {
 		d.runIterations()
@@ -364,11 +366,11 @@
 		}
 		d.readCallbackResponses()
 		d.dialed = slices.DeleteFunc(d.dialed, func(p *peer) bool {
-			if p.ended || p.closed {
-				p.close()
+			if p.Ended || p.Closed {
+				p.Close()
 				delete(d.known, p)
 			}
-			return p.closed
+			return p.Closed
 		})
 	}
 }
@@ -376,10 +378,10 @@
 // readCallbackResponses drops what workers are answered. A connection that was silent for long is followed by another.
 func (d *deployment) readCallbackResponses() {
 	for i, p := range d.callbackPeers {
-		p.read(16 << 10)
-		p.received = p.received[:0]
-		if p.ended {
-			p.close()
+		p.Read(16 << 10)
+		p.Received = p.Received[:0]
+		if p.Ended {
+			p.Close()
 			d.callbackPeers[i] = d.connect()
 		}
 	}
@@ -387,15 +389,15 @@
 
 // readFarEnd reads what has come on a connection, and reports whether anything has.
 func (d *deployment) readFarEnd(p *peer) (more bool) {
-	before, f := len(p.received), d.known[p]
-	if f.filler == 0 || f.up <= d.now || p.ended {
-		p.read(16 << 10)
-		take := min(f.filler, len(p.received))
-		p.received, f.filler = p.received[take:], f.filler-take
+	before, f := len(p.Received), d.known[p]
+	if f.filler == 0 || f.up <= d.now || p.Ended {
+		p.Read(16 << 10)
+		take := min(f.filler, len(p.Received))
+		p.Received, f.filler = p.Received[take:], f.filler-take
 		more = take > 0
 	}
-	more = more || len(p.received) > before
-	if t := f.try; p.ended && t != nil {
+	more = more || len(p.Received) > before
+	if t := f.try; p.Ended && t != nil {
 		f.try = nil
 		t.givenUp = t.givenUp || !t.accepted
 	}
@@ -406,19 +408,19 @@
 func (d *deployment) handleRequest(p *peer, begins bool) bool {
 	f := d.known[p]
 	var m http1.Request
-	n, err := m.Parse(p.received)
+	n, err := m.Parse(p.Received)
 	if err != nil || f.filler > 0 || (string(m.Method) == "POST") != begins {
 		if err != nil && !errors.Is(err, http1.ErrIncomplete) {
-			d.T.Fatalf("%v in %.100q", err, p.received)
+			d.T.Fatalf("%v in %.100q", err, p.Received)
 		}
 		return false
 	}
 	target := string(m.Target)
-	p.received = bytes.Clone(p.received[n:])
+	p.Received = bytes.Clone(p.Received[n:])
 	switch {
 	case f.node == nil:
 		d.Check(strings.HasPrefix(target, "/discovery/hosts?stream=1"), "discovery was asked for %s", target)
-		p.write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		p.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		f.served = true
 		d.sendSnapshot(p)
 		d.faults.listSent()
@@ -431,14 +433,14 @@
 				}
 			}
 		}
-		p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		p.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	case string(m.Method) == "GET":
 		d.Check(d.conf.Settings.HealthChecks, "a probe, and the settings allow none")
 		if d.rng.IntN(4) > 0 {
-			p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+			p.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
 	default:
-		d.Check(len(p.received) == 0 && f.try == nil, "a second request on a connection before the first was answered")
+		d.Check(len(p.Received) == 0 && f.try == nil, "a second request on a connection before the first was answered")
 		d.beginAttempt(p, f, &m)
 	}
 	return true
@@ -465,7 +467,7 @@
 	t := &attempt{of: q, node: n, at: d.now}
 	q.tries, d.running = append(q.tries, t), append(d.running, t)
 	d.Check(len(q.tries) <= set.AttemptLimit, "%s has %d attempts", q.id, len(q.tries))
-	if p.ended { // given up as soon as it was written
+	if p.Ended { // given up as soon as it was written
 		t.givenUp = true
 		return
 	}
@@ -508,7 +510,7 @@
 		t.ended = true
 	case 2:
 		f.try, t.ended = nil, true
-		p.close()
+		p.Close()
 	case 3: // silent
 	case 5: // of no use to any worker
 		d.respond(p, f, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
@@ -532,11 +534,11 @@
 func (d *deployment) respond(p *peer, f *farEnd, text string) {
 	f.try, f.answer = nil, f.try
 	if d.late && d.rng.IntN(2) == 0 {
-		p.write([]byte(strings.Replace(text, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)))
-		p.close()
+		p.Write([]byte(strings.Replace(text, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)))
+		p.Close()
 		return
 	}
-	p.write([]byte(text))
+	p.Write([]byte(text))
 }
 
 // crash has a worker's process die: its connections are reset, and what it had is over. Of some of that its machine
@@ -550,7 +552,7 @@
 	for _, p := range d.dialed {
 		if f := d.known[p]; f.node == n {
 			f.try, f.filler = nil, 0
-			p.close()
+			p.Close()
 		}
 	}
 	for _, q := range d.requests {
@@ -565,7 +567,7 @@
 	}
 }
 
-// sendCallbacks has workers tell what is due.
+// sendCallbacks has workers send the callbacks that are due.
 func (d *deployment) sendCallbacks() {
 	for _, t := range d.running {
 		if t.start > 0 && t.start <= d.now && t.start < t.ends {
@@ -582,7 +584,7 @@
 			result = fmt.Sprintf("%s by %s, %d", t.of.id, t.node.ID, len(t.of.results))
 			t.of.results = append(t.of.results, result)
 		}
-		for range 1 + d.rng.IntN(8)/7 { // some are told twice
+		for range 1 + d.rng.IntN(8)/7 { // some are sent twice
 			d.sendCallback(t, t.state, result)
 		}
 	}
@@ -594,10 +596,10 @@
 	if err != nil {
 		d.T.Fatal(err)
 	}
-	d.callbackPeers[d.rng.IntN(len(d.callbackPeers))].write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	d.callbackPeers[d.rng.IntN(len(d.callbackPeers))].Write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-// sendSnapshot tells the whole list on a watch.
+// sendSnapshot sends the whole list on a watch.
 func (d *deployment) sendSnapshot(p *peer) {
 	g := requests.EndpointList{Revision: int64(d.revision), Reset: true}
 	for _, n := range d.nodes {
@@ -607,7 +609,7 @@
 	if err != nil {
 		d.T.Fatal(err)
 	}
-	p.write(fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(text)+1, text))
+	p.Write(fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(text)+1, text))
 }
 
 // sendRequest has a client ask for something, with all the headers that the protocol has.
@@ -636,17 +638,17 @@
 		header += "X-Again: 1\r\n"
 	}
 	body := bytes.Repeat([]byte{'b'}, d.rng.IntN(200))
-	c.peer.write(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", header, len(body), body))
+	c.peer.Write(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", header, len(body), body))
 	c.request, d.requests[q.id] = q, q
 }
 
-// readResponses takes in what a client has been answered.
+// readResponses reads the responses to a client.
 func (d *deployment) readResponses(c *caller) {
 	p := c.peer
-	p.read(16 << 10)
-	for len(p.received) > 0 {
+	p.Read(16 << 10)
+	for len(p.Received) > 0 {
 		var m http1.Response
-		n, err := m.Parse(p.received, p.ended)
+		n, err := m.Parse(p.Received, p.Ended)
 		if err != nil {
 			break
 		}
@@ -660,11 +662,11 @@
 			d.Check(m.StatusCode == 200 || m.StatusCode == 500 || m.StatusCode == 503, "%s was answered %d", q.id, m.StatusCode)
 			d.Check(m.StatusCode != 200 || slices.Contains(q.results, string(m.Body)), "%s was served with %q, of %q", q.id, m.Body, q.results)
 		}
-		p.received = bytes.Clone(p.received[n:])
+		p.Received = bytes.Clone(p.Received[n:])
 	}
-	if p.ended || p.closed { // idle for long, or after an answer that said so
-		d.Check(c.request == nil || p.closed, "%s lost its connection", "a request")
-		p.close()
+	if p.Ended || p.Closed { // idle for long, or after an answer that said so
+		d.Check(c.request == nil || p.Closed, "%s lost its connection", "a request")
+		p.Close()
 		c.peer, c.request = d.connect(), nil
 	}
 }
@@ -679,7 +681,7 @@
 				d.sendRequest(c)
 			case c.request != nil && d.rng.IntN(150) == 0:
 				c.request.clientLeft, c.request.leftAt = true, d.now
-				c.peer.close()
+				c.peer.Close()
 			}
 		}
 		if d.rng.IntN(50) == 0 {
@@ -703,13 +705,13 @@
 			again++
 		}
 	}
-	d.Check(d.loop.Requests.OpenCount() == 0 && d.loop.Requests.PayloadBytes() == 0, "%d requests open, with %d bytes", d.loop.Requests.OpenCount(), d.loop.Requests.PayloadBytes())
+	d.Check(d.scheduler.Requests.OpenCount() == 0 && d.scheduler.Requests.PayloadBytes() == 0, "%d requests open, with %d bytes", d.scheduler.Requests.OpenCount(), d.scheduler.Requests.PayloadBytes())
 	d.T.Logf("%d requests, %d with a result, %d with further attempts", len(d.requests), served, again)
 }
 
 // runToTheEnd lets all requests end, and all attempts.
 func (d *deployment) runToTheEnd() {
-	for d.loop.Requests.OpenCount() > 0 {
+	for d.scheduler.Requests.OpenCount() > 0 {
 		d.now += 25 * time.Millisecond
 		d.sendCallbacks()
 		d.runUntilSettled()
@@ -731,16 +733,16 @@
 			n.Lifecycle, n.StartedAtMs = "up", d.now.Milliseconds()
 		}
 	}
-	d.discovery = slices.DeleteFunc(d.discovery, func(p *peer) bool { return p.closed || p.ended })
+	d.discovery = slices.DeleteFunc(d.discovery, func(p *peer) bool { return p.Closed || p.Ended })
 	for _, p := range d.discovery {
 		switch {
 		case d.known[p] == nil || !d.known[p].served:
 		case d.rng.IntN(300) == 0:
-			p.close()
+			p.Close()
 		case changed:
 			d.sendSnapshot(p)
 		case d.rng.IntN(20) == 0:
-			p.write([]byte("1\r\n\n\r\n"))
+			p.Write([]byte("1\r\n\n\r\n"))
 		}
 	}
 	for _, n := range d.nodes { // told only where a watch is open
@@ -755,7 +757,7 @@
 
 // hasOneWatch reports whether the list is being sent on one connection, which is up.
 func (d *deployment) hasOneWatch() bool {
-	return len(d.discovery) == 1 && !d.discovery[0].closed && d.known[d.discovery[0]].served
+	return len(d.discovery) == 1 && !d.discovery[0].Closed && d.known[d.discovery[0]].served
 }
 
 func asDrawn(object) {}
@@ -768,9 +770,9 @@
 	}
 }
 
-// The same where connections to workers come up late, also those by which attempts are withdrawn: until an attempt has
-// ended, or its worker has been told that it is given up, there is no other where copies are not allowed, and none at
-// that worker anywhere; and a keyed request is repeated within its window, however late the connection is.
+// The same where connections to workers are established late, also those for cancellations: until an attempt has ended, or its worker
+// was notified of its cancellation, there is no other one if hedging is not allowed, and never another one at that worker; and a
+// request with an idempotency key is retried within its window only, however late the connection is.
 func TestGeneratedSettingsWithLateConnections(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -788,8 +790,8 @@
 	}
 }
 
-// However discovery is said to tell of changes, a process hears of them only by a watch: it opens one within a second of its
-// start, and again when one has ended.
+// Whatever the settings say about discovery, a process receives changes only by a watch: it opens one within a second of its start,
+// and another one when that has ended.
 func TestListIsWatched(t *testing.T) {
 	for _, how := range []string{"subscribe", "automatic"} {
 		t.Run(how, func(t *testing.T) {
@@ -802,7 +804,7 @@
 					d.runUntilSettled()
 				}
 				d.Check(d.dials == dials+1 && len(d.discovery) > 0, "discovery was called %d times, expected %d", d.dials, dials+1)
-				d.discovery[len(d.discovery)-1].close()
+				d.discovery[len(d.discovery)-1].Close()
 			}
 		})
 	}
--- /dev/null
+++ b/internal/scheduler/hotrestart_test.go
@@ -0,0 +1,399 @@
+package scheduler
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
+	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/hotrestart/transport"
+	"valvecove/internal/limits"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/requests"
+)
+
+// enableHotRestart lets the scheduler be replaced, or replace another one. Its policy is scripted, before and after.
+func (h *harness) enableHotRestart() {
+	h.scheduler.dispatcher = dispatch.New(*h.scheduler.settings, 1)
+	h.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return h.policy }
+	h.scheduler.onFail = func(err error) { h.T.Errorf("a process fails: %v", err) }
+}
+
+// newPredecessorHarness returns a scheduler that serves and awaits a successor, and the address that clients connect to.
+func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
+	h := newHarness(choices)
+	h.enableHotRestart()
+	if err := h.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+		choices.T.Fatal(err)
+	}
+	h.scheduler.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, h.scheduler.Addr()))
+	return h, h.scheduler.Addr()
+}
+
+// startSuccessor returns a successor in standby.
+func (h *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
+	return h.startSuccessorAfterStep(dir, address, 0)
+}
+
+// startSuccessorAfterStep is startSuccessor where the wall clock was stepped between the starts of the two processes.
+func (h *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
+	successor := newHarness(h.Steps)
+	successor.enableHotRestart()
+	successor.now, successor.ahead, successor.scheduler.settings = h.now+step, h.ahead+step, h.scheduler.settings
+	successor.scheduler.prepareCordons(dir, nil)
+	h.Check(successor.scheduler.restart.Join(dir, address), "no predecessor")
+	for successor.successorState() == hotrestart.SuccessorJoining {
+		h.runIterations()
+		successor.runIterations()
+	}
+	return successor
+}
+
+func (h *harness) successorState() hotrestart.SuccessorState {
+	state, isSuccessor := h.scheduler.restart.SuccessorState()
+	if !isSuccessor {
+		return hotrestart.SuccessorServing
+	}
+	return state
+}
+
+// handOverTo transfers the state to a successor in standby. The predecessor does nothing else meanwhile, so the successor's loop runs
+// on another goroutine.
+func (h *harness) handOverTo(successor *harness) error {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for successor.successorState() == hotrestart.SuccessorStandby || successor.successorState() == hotrestart.SuccessorReceiving {
+			_ = successor.scheduler.RunOnce(1000)
+		}
+	}()
+	err := h.scheduler.Relinquish()
+	if err != nil { // the connection is closed with the end of the iteration
+		_ = h.scheduler.RunOnce(0)
+	}
+	<-ended
+	h.runIterations()
+	successor.runIterations()
+	return err
+}
+
+// sendRequest has a client send request "q", on a connection of its own.
+func (h *harness) sendRequest(at netip.AddrPort) *peer {
+	client, fd := h.socketPair()
+	h.scheduler.clients.AddConnection(fd, at)
+	client.Write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
+	h.runIterations()
+	return client
+}
+
+// addBrokenConnection adds a connection without a socket, by which the transfer fails.
+func addBrokenConnection(snapshot *transport.Snapshot) {
+	broken := transport.WorkerConnection{Descriptor: hotrestart.NoDescriptor}
+	snapshot.WorkerConnections = append(snapshot.WorkerConnections, broken)
+}
+
+// A transfer that fails changes nothing: the predecessor still owns the state, and serves; the successor discards what it has
+// received, and connects again, so that the next transfer succeeds.
+func TestFailedTransferChangesNothing(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	client := predecessor.sendRequest(address)
+	successor := predecessor.startSuccessor(dir, address)
+	if both := predecessor.scheduler.clients.Limits().Connections + successor.scheduler.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
+		t.Errorf("two processes hold %d client connections", both)
+	}
+	peer, socket := predecessor.socketPair()
+	predecessor.state.alter = func(snapshot *transport.Snapshot) {
+		snapshot.ClientConnections = append(snapshot.ClientConnections, transport.ClientConnection{Descriptor: socket})
+		addBrokenConnection(snapshot)
+	}
+	if err := predecessor.handOverTo(successor); err == nil || predecessor.scheduler.hasRelinquished() || predecessor.scheduler.Requests.OpenCount() != 1 {
+		t.Fatalf("handed over to one that did not take it: %v", err)
+	}
+	_ = unix.Close(socket)
+	predecessor.state.alter = nil
+	for successor.successorState() == hotrestart.SuccessorJoining || !predecessor.scheduler.restart.HasSuccessor() {
+		predecessor.runIterations()
+		successor.runIterations()
+	}
+	if peer.Read(1); !peer.Ended {
+		t.Error("a socket of the failed transfer is still open")
+	}
+	if successor.scheduler.Requests.OpenCount() != 0 || successor.scheduler.clients.ConnectionCount() != 0 || successor.scheduler.clients.Socket() >= 0 {
+		t.Error("the successor has something of a transfer that failed")
+	}
+	if err := predecessor.handOverTo(successor); err != nil || successor.scheduler.budget.IsHalved() {
+		t.Fatalf("the second time: %v", err)
+	}
+	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
+	successor.scheduler.Requests.Wake()
+	successor.runIterations()
+	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 503 ") {
+		t.Errorf("the client got %q", client.Received)
+	}
+}
+
+// Without a successor, Relinquish fails. A second successor is rejected, and does not serve then.
+func TestSecondSuccessorIsRejected(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
+		t.Errorf("without a successor: %v", err)
+	}
+	first := predecessor.startSuccessor(dir, address)
+	second := newHarness(predecessor.Steps)
+	second.enableHotRestart()
+	rejected := false
+	second.scheduler.onFail = func(error) { rejected = true }
+	if !second.scheduler.restart.Join(dir, address) {
+		t.Error("the second successor finds no predecessor")
+	}
+	for !rejected {
+		predecessor.runIterations()
+		second.runIterations()
+	}
+	if second.scheduler.restart.AwaitsSuccessor() || second.scheduler.clients.Socket() >= 0 {
+		t.Error("the second successor serves, or has the predecessor's place")
+	}
+	if err := predecessor.handOverTo(first); err != nil {
+		t.Errorf("handing over to the first: %v", err)
+	}
+}
+
+// A predecessor that dies leaves its cordoned workers in the file. The file of its socket does not hinder the next process.
+func TestPredecessorDies(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
+		t.Fatal(err)
+	}
+	predecessor.scheduler.restart.Close()
+	predecessor.runIterations()
+	successor.runIterations()
+	cordoned := successor.scheduler.Requests.Cordoned()
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.scheduler.clients.Socket() < 0 || successor.scheduler.notReadyReason() == "" {
+		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
+	}
+	third := successor.startSuccessor(dir, address)
+	if err := successor.handOverTo(third); err != nil || len(third.scheduler.Requests.Cordoned()) != 1 {
+		t.Errorf("the next one: %v", err)
+	}
+}
+
+// A snapshot that the next build can't restore costs the estimates in it, and no request: the new policy is notified of each request
+// and of the state of its attempts.
+func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	client := predecessor.sendRequest(address)
+	predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
+	predecessor.scheduler.Requests.Wake()
+	predecessor.runIterations()
+	successor := predecessor.startSuccessor(dir, address)
+	otherSettings := *predecessor.scheduler.settings
+	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
+	successor.scheduler.settings = &otherSettings
+	if err := predecessor.handOverTo(successor); err != nil {
+		t.Fatal(err)
+	}
+	successor.runIterations()
+	var resumed []dispatch.JobResumed
+	for _, event := range successor.policy.Received {
+		if r, ok := event.(dispatch.JobResumed); ok {
+			resumed = append(resumed, r)
+		}
+	}
+	if len(resumed) != 1 || resumed[0].Job.ID != 1 || len(resumed[0].Attempts) != 1 || resumed[0].Attempts[0].Ended {
+		t.Fatalf("resumed %+v", resumed)
+	}
+	result := "made"
+	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
+	_, _ = successor.scheduler.Requests.HandleCallback(callback)
+	successor.runIterations()
+	if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
+		t.Errorf("the client got %q", client.Received)
+	}
+}
+
+// A cordon call that was forwarded, and that the predecessor had not read at the take-over, is carried out by the new owner.
+func TestCordonCallCrossesTransfer(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	statusCode := 0
+	successor.scheduler.cordons.Set("s-0", true, func(got int, _ string) { statusCode = got })
+	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.scheduler.Requests.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.scheduler.Requests.Cordoned())
+	}
+}
+
+// A forwarded cordon call that is rejected is answered while an earlier one waits for the file. Both are answered with their own
+// result, and so is a later one: none is left for the hot restart.
+func TestForwardedCordonResultsInAnyOrder(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	written := make(chan func(), 1) // what the loop is to run once the file is written
+	predecessor.scheduler.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+		Files: filesystem.Disk, StateDir: dir, MaxCallbacks: 1,
+		Now:  predecessor.scheduler.Now,
+		Post: func(finish func()) { written <- finish },
+	}))
+	successor := predecessor.startSuccessor(dir, address)
+	var answers []string
+	call := func(workerID string, cordoned bool) {
+		successor.scheduler.cordons.Set(workerID, cordoned, func(statusCode int, message string) {
+			answers = append(answers, fmt.Sprint(workerID, " ", statusCode, " ", message))
+		})
+	}
+	expect := func(want ...string) {
+		t.Helper()
+		predecessor.runIterations()
+		successor.runIterations()
+		if !slices.Equal(answers, want) {
+			t.Errorf("answers %q, expected %q", answers, want)
+		}
+	}
+	call("s-0", true)
+	call("s-9", true)
+	expect("s-9 404 no such worker node")
+	(<-written)()
+	expect("s-9 404 no such worker node", "s-0 200 out")
+	call("s-0", false)
+	predecessor.runIterations()
+	(<-written)()
+	expect("s-9 404 no such worker node", "s-0 200 out", "s-0 200 serving")
+}
+
+// A process that leaves standby takes nothing over, and another one can enter standby.
+func TestLeaveStandby(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	if predecessor.scheduler.LeaveStandby() || !successor.scheduler.LeaveStandby() || successor.scheduler.LeaveStandby() {
+		t.Error("a process that serves leaves standby, or one in standby does not, or does twice")
+	}
+	successor.runIterations()
+	predecessor.runIterations()
+	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.scheduler.budget.IsHalved() {
+		t.Errorf("relinquished to nobody: %v", err)
+	}
+}
+
+// A successor watches the endpoint list itself, from before it reports that it is ready, and still does after the take-over if its
+// watch had just ended.
+func TestSuccessorWatchesEndpoints(t *testing.T) {
+	for _, lost := range []bool{false, true} {
+		dir := t.TempDir()
+		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+		predecessor.scheduler.settings.MustSubscribe = true // a successor has its predecessor's settings
+		successor := predecessor.startSuccessor(dir, address)
+		if !successor.scheduler.watch.IsOpen() {
+			t.Error("in standby without a watch")
+		}
+		if lost {
+			successor.scheduler.watch.Stop()
+		}
+		// Both reload their configuration, with another discovery address and other limits.
+		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
+		predecessor.scheduler.Reload(conf)
+		successor.scheduler.Reload(conf)
+		half := successor.scheduler.clients.Limits().Connections
+		err := predecessor.handOverTo(successor)
+		watch := successor.scheduler.watch
+		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.scheduler.clients.Limits().Connections < 2*half {
+			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.IsOpen(), watch.Server(),
+				successor.scheduler.clients.Limits().Connections, half)
+		}
+	}
+}
+
+// clockSteps are steps of the wall clock between the starts of two processes.
+var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
+
+// The wall clock may be stepped between the starts of two processes: deadlines and idle times of the transferred state are the same
+// spans as before. An attempt that ends in its last millisecond is still answered.
+func TestHotRestartAfterClockStep(t *testing.T) {
+	for _, step := range clockSteps {
+		dir := t.TempDir()
+		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+		_, silentClient := predecessor.socketPair()
+		predecessor.scheduler.clients.AddConnection(silentClient, address)
+		client := predecessor.sendRequest(address)
+		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
+		predecessor.scheduler.Requests.Wake()
+		predecessor.runIterations()
+		predecessor.dialed[0].Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
+		predecessor.runIterations()
+		predecessor.now += time.Second
+		predecessor.runIterations()
+		successor := predecessor.startSuccessorAfterStep(dir, address, step)
+		predecessor.scheduler.dispatcher.Step(predecessor.now, nil, nil) // its next maintenance is due in 250 ms
+		before := predecessor.agesOfState()
+		want := stateAges{4 * time.Second, 4 * time.Second, time.Second, time.Second, time.Second, time.Second}
+		if before != want {
+			t.Fatalf("before the step: %+v, expected %+v", before, want)
+		}
+		if err := predecessor.handOverTo(successor); err != nil {
+			t.Fatal(err)
+		}
+		if after := successor.agesOfState(); after != before {
+			t.Errorf("stepped by %v: %+v, before %+v", step, after, before)
+		}
+		early := successor.scheduler.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
+		onTime := successor.scheduler.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
+		if len(early) != 0 || len(onTime) != 1 || onTime[0] != (dispatch.SetTimer{After: 250 * time.Millisecond}) {
+			t.Errorf("stepped by %v: the dispatcher acts too early or late: %v, then %v", step, early, onTime)
+		}
+		successor.now += before.untilDeadline - time.Millisecond
+		successor.runIterations()
+		if client.Read(1 << 16); len(client.Received) > 0 || client.Ended {
+			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.Received)
+		}
+		result := "made"
+		_, _ = successor.scheduler.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
+		successor.runIterations()
+		if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
+			t.Errorf("stepped by %v: the client got %q", step, client.Received)
+		}
+	}
+}
+
+// stateAges are the spans of the transferred state, by the clock of the process that owns it.
+type stateAges struct {
+	untilDeadline, untilAttemptExpires, sinceArrival, sinceSent, clientSilent, workerIdle time.Duration
+}
+
+// agesOfState returns the spans of request 1, of its attempt, of the client that has sent nothing, and of the idle connection
+// to the worker.
+func (h *harness) agesOfState() stateAges {
+	request := h.scheduler.Requests.Request(1)
+	attempt := h.scheduler.Requests.InFlightAttempt(1, 0)
+	if request == nil || attempt == nil {
+		return stateAges{}
+	}
+	ages := stateAges{
+		untilDeadline: request.Deadline - h.now, untilAttemptExpires: attempt.At - h.now,
+		sinceArrival: h.now - request.ArrivedAt, sinceSent: h.now - request.FirstSentAt,
+	}
+	for _, client := range h.scheduler.clients.Snapshot() {
+		if !client.RequestSeen {
+			ages.clientSilent = h.now - client.LastActivity
+		}
+	}
+	for _, connection := range h.scheduler.workers.Snapshot() {
+		if connection.State == hotrestart.WorkerIdle {
+			ages.workerIdle = h.now - connection.IdleSince
+		}
+	}
+	return ages
+}
