--- a/internal/client/config.go
+++ b/internal/client/config.go
@@ -23,6 +23,7 @@
 // Admitter admits requests, and is notified of those that are rejected before that.
 type Admitter interface {
 	Admit(now time.Duration, arrival requests.Arrival) (*requests.Request, error)
+	// ReportRejection does not retain the arrival, which is nil if the request could not be parsed.
 	ReportRejection(arrival *requests.Arrival, statusCode int)
 	// OpenCount returns the number of admitted requests without a response.
 	OpenCount() int
--- a/internal/client/listener.go
+++ b/internal/client/listener.go
@@ -15,6 +15,7 @@
 	"valvecove/internal/address"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
+	"valvecove/internal/requests"
 )
 
 const (
@@ -25,15 +26,16 @@
 
 // Listener accepts connections, owns them, and keeps their number and buffers within limits.
 type Listener struct {
-	loop          *eventloop.Loop
-	table         RequestTable
-	accessLists   AccessLists // nil: off
-	log           *slog.Logger
-	connectionLog *slog.Logger
-	acceptor      *eventloop.Acceptor // without a socket while another process serves
-	parser        requestParser
-	request       http1.Request // the last one that was parsed
-	writeBuffer   []byte        // for the response that is being written
+	loop            *eventloop.Loop
+	table           RequestTable
+	accessLists     AccessLists // nil: off
+	log             *slog.Logger
+	connectionLog   *slog.Logger
+	acceptor        *eventloop.Acceptor // without a socket while another process serves
+	parser          requestParser
+	request         http1.Request    // the last one that was parsed
+	writeBuffer     []byte           // for the response that is being written
+	rejectedArrival requests.Arrival // while it is reported
 
 	connections      map[*connection]struct{}
 	limits           Limits
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -106,12 +106,12 @@
 	listener, table := c.listener, c.listener.table
 	switch {
 	case listener.closing:
-		table.ReportRejection(arrival, 503)
+		listener.reportRejection(arrival, 503)
 		slot.RespondRejected(0)
 		return true
 	case table.OpenCount() >= listener.maxRequests,
 		table.PayloadBytes()+len(arrival.Payload.Body) > listener.maxBufferedBytes:
-		table.ReportRejection(arrival, 503)
+		listener.reportRejection(arrival, 503)
 		slot.RespondRejected(min(overloadRetryAfter, listener.parser.settings.MaxRetryAfter))
 		return true
 	}
@@ -120,6 +120,18 @@
 
 // reject responds to a request that is not admitted; arrival is nil if it could not be parsed.
 func (c *connection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
-	c.listener.table.ReportRejection(arrival, rejected.statusCode)
+	c.listener.reportRejection(arrival, rejected.statusCode)
 	slot.respond(rejected.statusCode, rejected.reason+"\n")
 }
+
+// reportRejection reports a rejected request; arrival is nil if it could not be parsed. The arrival is copied: a pointer to a
+// local variable that is passed through the interface of the table would allocate memory for each request.
+func (l *Listener) reportRejection(arrival *requests.Arrival, statusCode int) {
+	if arrival == nil {
+		l.table.ReportRejection(nil, statusCode)
+		return
+	}
+	l.rejectedArrival = *arrival
+	l.table.ReportRejection(&l.rejectedArrival, statusCode)
+	l.rejectedArrival = requests.Arrival{}
+}
