--- a/internal/client/accept_test.go
+++ b/internal/client/accept_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// awaitConnections runs the loop until so many clients are connected, for so long at most.
+// awaitConnections runs the loop until a number of clients are connected, or fails the test after a timeout.
 func (f *fixture) awaitConnections(want int, timeout time.Duration) {
 	f.T.Helper()
 	for end := f.Time + timeout; len(f.listener.connections) < want && f.Time < end; f.Time += time.Millisecond {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Where 3 of 10 accepts fail for a moment, connections are taken in as fast as without: nearly all in the iteration in which
-// they come, all within a few milliseconds, and none that was idle goes for them.
+// Where 3 of 10 accepts fail momentarily, connections are accepted as fast as without: nearly all in the iteration in which they
+// arrive, all within a few milliseconds, and no idle connection is evicted for them.
 func TestMomentaryAcceptFailuresCostNothing(t *testing.T) {
 	const clients = 400
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.ENETUNREACH, unix.EPROTO, unix.EINTR} {
@@ -52,8 +52,8 @@
 	}
 }
 
-// While accepting fails, a connection that waits does not keep the loop busy, and only a want of descriptors costs an idle
-// connection. Once it works again, what waits is served soon.
+// While accepting fails, a waiting connection does not keep the loop busy, and only a lack of descriptors evicts an idle
+// connection. Once accepting works again, the waiting connection is accepted soon.
 func TestLastingAcceptFailure(t *testing.T) {
 	const idle = 3
 	evicting := []unix.Errno{unix.EMFILE}
--- a/internal/client/closing_test.go
+++ b/internal/client/closing_test.go
@@ -19,13 +19,13 @@
 	"valvecove/internal/requests"
 )
 
-// connectSlowReader gives a client that takes that is not connected yet take in little at a time, so that answers wait in the loop's kernel.
+// connectSlowReader returns a client with a small receive buffer, so that responses wait in the kernel of the listener's side.
 func (f *fixture) connectSlowReader() *eventlooptest.Peer {
-	_, sa := eventloop.Sockaddr(f.listener.Addr())
+	_, sockaddr := eventloop.Sockaddr(f.listener.Addr())
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 2<<10)
-		err = unix.Connect(fd, sa)
+		err = unix.Connect(fd, sockaddr)
 	}
 	if err == nil {
 		err = unix.SetNonblock(fd, true)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// readToEnd takes in all up to the end of the connection, a little at a time; a reset is an error.
+// readToEnd reads up to the end of the connection, in small parts. A reset is an error.
 func (f *fixture) readToEnd(p *eventlooptest.Peer) error {
 	b := make([]byte, 1<<10)
 	for range 100_000 {
@@ -55,10 +55,10 @@
 			p.Received = append(p.Received, b[:n]...)
 		}
 	}
-	return errors.New("no end comes")
+	return errors.New("the connection does not end")
 }
 
-// completeRequest answers request 1 with so many bytes.
+// completeRequest completes request 1 with a result of a size in bytes.
 func (f *fixture) completeRequest(id string, size int) {
 	f.T.Helper()
 	f.act(dispatch.Send{Job: 1, Worker: f.workerNumber()})
@@ -69,19 +69,19 @@
 	}
 }
 
-// A connection is closed in such a way that its last answer gets there whole, though it waits with the kernel yet and a request
-// crosses the close; and that request is not taken, as its client asks again. So it is whatever closes the connection.
+// Whatever closes a connection, its last response arrives complete, even if it still waits in the kernel and a request crosses the
+// close. That request is not admitted: its client sends it again.
 func TestResponsesOutliveTheClose(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
 		close   func(f *fixture, p *eventlooptest.Peer) // p has its answer, though unread
 	}{
-		"to make room":           {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.evict() }},
-		"told to close":          {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.Close() }},
-		"by Connection: close":   {strings.Replace(requestOfSize(1, 0), "\r\n", "\r\nConnection: close\r\n", 1), func(*fixture, *eventlooptest.Peer) {}},
-		"with another behind":    {strings.Replace(requestOfSize(1, 0), "\r\n", "\r\nConnection: close\r\n", 1) + requestOfSize(2, 0), func(*fixture, *eventlooptest.Peer) {}},
-		"for what is no request": {requestOfSize(1, 0), func(f *fixture, p *eventlooptest.Peer) { p.Write([]byte("no request\r\n\r\n")); f.RunIterations() }},
-		"for one that stalls": {requestOfSize(1, 0), func(f *fixture, p *eventlooptest.Peer) {
+		"eviction":                     {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.evict() }},
+		"listener closes":              {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.Close() }},
+		"Connection: close":            {strings.Replace(requestOfSize(1, 0), "\r\n", "\r\nConnection: close\r\n", 1), func(*fixture, *eventlooptest.Peer) {}},
+		"Connection: close, pipelined": {strings.Replace(requestOfSize(1, 0), "\r\n", "\r\nConnection: close\r\n", 1) + requestOfSize(2, 0), func(*fixture, *eventlooptest.Peer) {}},
+		"malformed request":            {requestOfSize(1, 0), func(f *fixture, p *eventlooptest.Peer) { p.Write([]byte("no request\r\n\r\n")); f.RunIterations() }},
+		"stalled request": {requestOfSize(1, 0), func(f *fixture, p *eventlooptest.Peer) {
 			p.Write([]byte("POST /a HTT"))
 			f.RunIterations()
 			f.Time += requestReadTimeout + expiryInterval
@@ -110,7 +110,7 @@
 		f.T.Fatal("no connection")
 	}
 	if !f.listener.HasSentAll() {
-		f.T.Fatal("a response has not left")
+		f.T.Fatal("a response waits to be sent")
 	}
 	f.RunIterations()
 	closeConnection(f, p)
@@ -121,11 +121,11 @@
 	}
 	var m http1.Response
 	if _, err := m.Parse(p.Received, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
-		f.T.Errorf("of the answer %d bytes came (%v)", len(p.Received), err)
+		f.T.Errorf("of the response %d bytes arrived (%v)", len(p.Received), err)
 	}
 	for _, e := range f.policy.Received {
 		if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
-			f.T.Error("a request that crossed the close was taken")
+			f.T.Error("a request that crossed the close was admitted")
 		}
 	}
 	p.Close()
@@ -135,8 +135,8 @@
 	}
 }
 
-// A request that was there before its connection is shut is taken, and answered; one that comes on a connection that is shut finds its
-// end, and no reset.
+// A request that arrived before its connection is shut down is handled and has its response. One that arrives later finds the end of
+// the connection, and no reset.
 func TestRequestsThatCrossAClose(t *testing.T) {
 	for name, shut := range shutters() {
 		t.Run(name, func(t *testing.T) {
@@ -151,17 +151,17 @@
 			after.Write([]byte(requestOfSize(2, 0)))
 			f.RunIterations()
 			if got := statuses(t, before); len(got) != 1 || got[0] != 200 {
-				t.Errorf("answered %v", got)
+				t.Errorf("got %v", got)
 			}
 			if err := f.readToEnd(after); err != nil || len(after.Received) > 0 || f.table.OpenCount() != 0 {
-				t.Errorf("got %q, %v, %d requests taken", after.Received, err, f.table.OpenCount())
+				t.Errorf("got %q, %v, %d requests admitted", after.Received, err, f.table.OpenCount())
 			}
 		})
 	}
 }
 
-// A request of which a part has been read when its connection would be closed gets its response: where the scheduler is told to
-// close, or the connection was silent until then, the rest may still come; where room is made, it is rejected.
+// A request of which a part was read when its connection is closed gets a response. When the listener closes, or the connection was
+// silent before, the remainder may still arrive; when connections are evicted, the request is rejected.
 func TestHalfARequestAtTheClose(t *testing.T) {
 	admitted, up := clientRequests[0].text, clientRequests[6].text
 	for name, c := range map[string]struct {
@@ -169,8 +169,8 @@
 		shut    func(f *fixture)
 		want    int
 	}{
-		"told to close": {admitted, func(f *fixture) { f.listener.Close() }, 503},
-		"to make room": {admitted, func(f *fixture) {
+		"listener closes": {admitted, func(f *fixture) { f.listener.Close() }, 503},
+		"eviction": {admitted, func(f *fixture) {
 			for f.listener.evict() {
 			}
 		}, 503},
@@ -213,12 +213,12 @@
 	p.Write([]byte(request[len(request)/2:]))
 	f.RunIterations()
 	if got := statuses(f.T, p); !slices.Equal(got, []int{want}) {
-		f.T.Errorf("answered %v, expected %d; ended %v", got, want, p.Ended)
+		f.T.Errorf("got %v, expected %d; ended %v", got, want, p.Ended)
 	}
 }
 
-// Told to close, a scheduler answers all that it has read, each request once and the last with the word that the connection
-// ends, however many had been sent ahead.
+// A listener that closes responds to each request that it has read, once, however many were pipelined. The last response has
+// Connection: close.
 func TestCloseRespondsToWhatWasRead(t *testing.T) {
 	const requests = maxResponseSlots + 5
 	f := newFixture(&modeltest.Steps{T: t})
@@ -239,25 +239,25 @@
 	got := statuses(t, p)
 	for n, status := range got {
 		if want := map[bool]int{true: 500, false: 503}[n < maxResponseSlots]; status != want {
-			t.Errorf("answer %d is %d, expected %d", n, status, want)
+			t.Errorf("response %d is %d, expected %d", n, status, want)
 		}
 	}
 	if p.Read(1); len(got) != requests || !p.Ended || bytes.Count(p.Received, []byte("Connection: close")) != 1 {
-		t.Errorf("%d answers to %d requests, ended %v: %q", len(got), requests, p.Ended, p.Received)
+		t.Errorf("%d responses to %d requests, ended %v: %q", len(got), requests, p.Ended, p.Received)
 	}
 	if !f.isQuiet() {
-		t.Error("not quiet once all is answered")
+		t.Error("not quiet once every response is sent")
 	}
 }
 
-// Whatever connects and stays silent, the connections never hold more descriptors than they may, not even within an iteration; each that
-// comes is let in within a few iterations, so that a request, a callback and a question after readiness get through.
+// During a flood of idle connections, connections never use more descriptors than their limit, not even within an iteration. Each new
+// connection is accepted within a few iterations, so that a request, a callback and a readiness check are served.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
 	c := f.listener
-	const links = 64
-	f.listener.SetLimits(testLimits(links))
+	const connections = 64
+	f.listener.SetLimits(testLimits(connections))
 	request := f.connect()
 	request.Write([]byte(requestOfSize(1, 0)))
 	f.RunIterations()
@@ -267,15 +267,15 @@
 	iterations := func(n int) {
 		t.Helper()
 		for range n {
-			if held := f.descriptorsHeldInIteration(); held > links {
-				t.Fatalf("%d descriptors held, %d allowed", held, links)
+			if held := f.descriptorsHeldInIteration(); held > connections {
+				t.Fatalf("%d descriptors used, %d allowed", held, connections)
 			}
 			full = full || c.activeCount() >= c.maxConnections
 		}
 	}
 	var idle []*eventlooptest.Peer
 	flood := func() {
-		for range 3 * links {
+		for range 3 * connections {
 			idle = append(idle, f.connect())
 		}
 		for n := 0; n < len(idle); n += 2 {
@@ -296,20 +296,20 @@
 	callback.Write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	flood()
 	for range 8 {
-		iterations(links)
+		iterations(connections)
 		f.Time += evictionGrace
 	}
-	for name, p := range map[string]*eventlooptest.Peer{"readiness": up, "query": request} {
+	for name, p := range map[string]*eventlooptest.Peer{"readiness": up, "request": request} {
 		if got := statuses(t, p); len(got) != 1 || got[0] != 200 {
-			t.Errorf("%s: answered %v", name, got)
+			t.Errorf("%s: got %v", name, got)
 		}
 	}
 	if got := statuses(t, callback); len(got) != 1 || got[0] != 204 {
-		t.Errorf("callback: answered %v", got)
+		t.Errorf("callback: got %v", got)
 	}
 }
 
-// descriptorsHeldInIteration runs an iteration and counts the client connections that were open in it.
+// descriptorsHeldInIteration runs an iteration and returns how many connections were open at any time in it.
 func (f *fixture) descriptorsHeldInIteration() int {
 	connections := f.listener.connections
 	before := map[*connection]bool{}
@@ -326,7 +326,7 @@
 	return held
 }
 
-// An answer of which a client takes nothing for a while ends its connection; one that it takes slowly does not.
+// A connection ends when its client reads nothing of a response for responseUnreadTimeout, but not when it reads slowly.
 func TestUnreadResponsesEndTheConnection(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	var peers []*eventlooptest.Peer
@@ -337,30 +337,30 @@
 			f.RunIterations()
 		}
 		if k := f.connection(fd); len(k.Output()) == 0 || len(k.Input()) > 0 {
-			t.Fatalf("%d bytes wait to be read, %d to be looked at", len(k.Output()), len(k.Input()))
+			t.Fatalf("%d bytes wait to be read, %d to be parsed", len(k.Output()), len(k.Input()))
 		}
 		peers = append(peers, p)
 	}
-	slow, deaf := peers[0], peers[1]
+	slowReader, nonReader := peers[0], peers[1]
 	for f.listener.bufferedBytes > 0 && len(f.listener.connections) == 2 {
 		f.Time += responseUnreadTimeout / 2
-		slow.Read(6 << 10)
+		slowReader.Read(6 << 10)
 		f.RunIterations()
 	}
 	for range 4 {
-		slow.Read(1 << 20)
+		slowReader.Read(1 << 20)
 		f.RunIterations()
 	}
-	if deaf.Read(1 << 20); !deaf.Ended || slow.Ended || len(f.listener.connections) != 1 {
-		t.Errorf("ended: the deaf one %v, the slow one %v", deaf.Ended, slow.Ended)
+	if nonReader.Read(1 << 20); !nonReader.Ended || slowReader.Ended || len(f.listener.connections) != 1 {
+		t.Errorf("ended: without reads %v, with slow reads %v", nonReader.Ended, slowReader.Ended)
 	}
 }
 
-// shutters are the ways in which a connection without a request in flight is shut.
+// shutters are the ways in which a connection without a request in flight is shut down.
 func shutters() map[string]func(f *fixture) {
 	return map[string]func(f *fixture){
-		"told to close": func(f *fixture) { f.listener.Close() },
-		"to make room": func(f *fixture) {
+		"listener closes": func(f *fixture) { f.listener.Close() },
+		"eviction": func(f *fixture) {
 			for f.listener.evict() {
 			}
 		},
@@ -372,7 +372,7 @@
 	}
 }
 
-// The largest request that was there whole before its connection is shut is answered, though one read does not take all of it.
+// The largest request that arrived complete before its connection is shut down is handled, though it takes several reads.
 func TestLargeRequestBeforeAClose(t *testing.T) {
 	for name, shut := range shutters() {
 		t.Run(name, func(t *testing.T) {
@@ -391,14 +391,13 @@
 			f.act(dispatch.Fail{Job: 1})
 			f.RunIterations()
 			if got := statuses(t, p); len(got) != 1 {
-				t.Errorf("answered %v, connection ended %v", got, p.Ended)
+				t.Errorf("got %v, connection ended %v", got, p.Ended)
 			}
 		})
 	}
 }
 
-// Of a request that was read in part when its connection is shut, its client is told that nothing was done, also if the rest comes
-// later; where it may be the start of a PROXY header, nothing is written.
+// A request that was read in part when its connection is shut down is rejected, also if the remainder arrives later.
 func TestPartOfARequestBeforeAClose(t *testing.T) {
 	for name, shut := range shutters() {
 		t.Run(name, func(t *testing.T) {
@@ -419,14 +418,14 @@
 			}
 			got := statuses(t, p)
 			if len(got) != 1 || got[0] != 503 && got[0] != 408 || f.table.OpenCount() != 0 {
-				t.Errorf("answered %v, %d requests taken", got, f.table.OpenCount())
+				t.Errorf("got %v, %d requests admitted", got, f.table.OpenCount())
 			}
 		})
 	}
 }
 
-// A panic while a request is handled costs no client the response to a request that was read, on a connection that is new or has
-// others in flight; the attempts of these end, and the loop goes on.
+// After a panic in the handling of a request, each request that was read has a response, on a new connection and on one with
+// requests in flight. The requests in flight end, and the loop continues.
 func TestPanicLeavesNoRequestUnanswered(t *testing.T) {
 	for _, inFlight := range []int{0, 1, 3} {
 		f := newFixture(&modeltest.Steps{T: t})
@@ -445,16 +444,16 @@
 		got := statuses(t, p)
 		for _, status := range got {
 			if status != 500 {
-				t.Errorf("%d in flight: answered %v", inFlight, got)
+				t.Errorf("%d in flight: got %v", inFlight, got)
 			}
 		}
 		if len(got) != inFlight+1 || !p.Ended || f.table.OpenCount() != 0 {
-			t.Errorf("%d in flight: answered %v, ended %v, %d requests open", inFlight, got, p.Ended, f.table.OpenCount())
+			t.Errorf("%d in flight: got %v, ended %v, %d requests open", inFlight, got, p.Ended, f.table.OpenCount())
 		}
 		other := f.connect()
 		other.Write([]byte("GET /up HTTP/1.1\r\n\r\n"))
 		if f.RunIterations(); len(statuses(t, other)) != 1 {
-			t.Error("the loop does not go on")
+			t.Error("the loop does not continue")
 		}
 	}
 }
--- a/internal/client/connection_test.go
+++ b/internal/client/connection_test.go
@@ -17,7 +17,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// clientRequest is what a client may write.
+// clientRequest is a request, and what a client may expect of it.
 type clientRequest struct {
 	text   string
 	status int // 0: it is admitted, and waits
@@ -46,8 +46,8 @@
 
 func numberedRequest(text string, n int) string { return strings.ReplaceAll(text, "#", fmt.Sprint(n)) }
 
-// A client connection answers each request exactly once and in order, whatever the pieces it comes in and whichever is
-// done first, closes when framing is lost, and tells when the client has gone.
+// A connection responds to each request exactly once and in order, whatever parts it arrives in and whichever is completed first.
+// It closes on malformed framing, and reports the disconnect of the client.
 func FuzzClientConnection(f *testing.F) { modeltest.Fuzz(f, runClientConnection) }
 
 // clientModel is a client with one connection, and the responses that it expects.
@@ -78,11 +78,11 @@
 	if m.last && len(m.expected) == 0 && !p.Closed {
 		f.RunIterations()
 		p.Read(1)
-		s.Check(p.Ended && len(f.listener.connections) == 0, "not closed after the last answer")
+		s.Check(p.Ended && len(f.listener.connections) == 0, "not closed after the last response")
 	}
 }
 
-// act does something as the client, or as the policy.
+// act takes one step of the client or of the policy.
 func (m *clientModel) act(n, what int) {
 	switch {
 	case what < 3 && m.unsent == "" && !m.last && len(m.expected) < maxResponseSlots:
@@ -114,7 +114,7 @@
 	m.Record(fmt.Sprint("write ", size))
 }
 
-// respond has the policy answer any open request, whichever came first.
+// respond has the policy reject or fail any open request.
 func (m *clientModel) respond() {
 	if d := &m.expected[m.Pick(len(m.expected))]; d.status == 0 && m.Pick(2) == 0 {
 		m.policy.Next = append(m.policy.Next, dispatch.Reject{Job: d.job, RetryAfter: time.Second})
@@ -127,18 +127,18 @@
 	m.Record("answer")
 }
 
-// matchJobs expects the jobs among events to be of the request that was written last.
+// matchJobs expects that the jobs among events belong to the request that was written last.
 func (m *clientModel) matchJobs(events []dispatch.Event) {
 	for _, e := range events {
 		if j, ok := e.(dispatch.Job); ok {
 			last := len(m.expected) - 1
-			m.Check(last >= 0 && m.expected[last] == expectedResponse{}, "request %d came of nothing", j.ID)
+			m.Check(last >= 0 && m.expected[last] == expectedResponse{}, "job %d belongs to no request", j.ID)
 			m.expected[last].job = j.ID
 		}
 	}
 }
 
-// checkDisconnected checks that the policy has received an event for a client that has gone, once for each open request.
+// checkDisconnected checks that the policy has received one event for each open request of a client that has disconnected.
 func (m *clientModel) checkDisconnected() {
 	disconnected, open := 0, 0
 	for _, e := range m.policy.Received {
@@ -152,16 +152,16 @@
 		}
 	}
 	closed := m.peer.Closed
-	m.Check(!closed && disconnected == 0 || closed && disconnected == open, "told gone %d times, %d requests open, closed %v", disconnected, open, closed)
+	m.Check(!closed && disconnected == 0 || closed && disconnected == open, "%d disconnects reported, %d requests open, closed %v", disconnected, open, closed)
 }
 
-// expectedResponse is a response that is due; status 0: once the policy has decided.
+// expectedResponse is a response that the client expects; status 0: the policy has not decided yet.
 type expectedResponse struct {
 	status int
 	job    uint64
 }
 
-// checkResponses expects exactly the answers that are due by now, in order, and returns what is owed still.
+// checkResponses expects the responses that are complete by now, in order, and returns the others.
 func (f *fixture) checkResponses(p *eventlooptest.Peer, expected []expectedResponse) []expectedResponse {
 	for !p.Closed && len(p.Received) > 0 {
 		if strings.HasPrefix(string(p.Received), http1.ContinueResponse) {
@@ -170,22 +170,22 @@
 		}
 		var m http1.Response
 		n, err := m.Parse(p.Received, p.Ended)
-		f.Check(err == nil && len(expected) > 0, "answer %q (%v), expected %v", p.Received, err, expected)
+		f.Check(err == nil && len(expected) > 0, "response %q (%v), expected %v", p.Received, err, expected)
 		f.Check(m.StatusCode == expected[0].status, "status %d, expected %d", m.StatusCode, expected[0].status)
 		f.Check(m.StatusCode != 503 || string(m.Get("Retry-After")) == "1.000", "no Retry-After")
 		expected, p.Received = expected[1:], p.Received[n:]
 	}
-	f.Check(p.Closed || len(expected) == 0 || expected[0].status == 0, "no answer yet, expected %v", expected)
+	f.Check(p.Closed || len(expected) == 0 || expected[0].status == 0, "no response yet, expected %v", expected)
 	return expected
 }
 
-// What is half sent, or never begun, or not read holds a descriptor: it does not for long. Who awaits an answer, or
-// has had one and rests, is let be for as long as it takes.
+// A connection on which a request is not begun, not completed, or malformed is closed in time. One that awaits a response, or is idle
+// after a useful request, stays open.
 func TestStalledConnectionsEnd(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	texts := map[string]string{
-		"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
-		"waiting": numberedRequest(clientRequests[0].text, 1), "resting": numberedRequest(clientRequests[6].text, 1), "again": numberedRequest(clientRequests[6].text, 1) + "GET /up",
+		"silent": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
+		"waiting": numberedRequest(clientRequests[0].text, 1), "idle": numberedRequest(clientRequests[6].text, 1), "again": numberedRequest(clientRequests[6].text, 1) + "GET /up",
 	}
 	peers := map[string]*eventlooptest.Peer{}
 	for name, text := range texts {
@@ -197,32 +197,32 @@
 	f.Time += requestReadTimeout + expiryInterval
 	f.RunIterations()
 	for name, want := range map[string]string{
-		"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
-		"waiting": "", "resting": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 ",
+		"silent": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
+		"waiting": "", "idle": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 ",
 	} {
 		p := peers[name]
 		p.Read(1 << 10)
-		lives := name == "waiting" || name == "resting"
+		lives := name == "waiting" || name == "idle"
 		if !strings.HasPrefix(string(p.Received), want) || p.Ended == lives || name == "again" && !strings.Contains(string(p.Received), " 408 ") {
 			t.Errorf("%s: got %q, ended %v", name, p.Received, p.Ended)
 		}
 	}
 	f.Time += maxLingerTime
 	f.RunIterations()
-	peers["resting"].Write([]byte("GET /up")) // another request begins
+	peers["idle"].Write([]byte("GET /up")) // another request begins
 	f.RunIterations()
 	f.Time += expiryInterval
 	f.RunIterations()
-	if peers["resting"].Read(1 << 10); strings.Contains(string(peers["resting"].Received), " 408 ") {
-		t.Error("a request that has just begun was given up")
+	if peers["idle"].Read(1 << 10); strings.Contains(string(peers["idle"].Received), " 408 ") {
+		t.Error("a request that has just begun was rejected")
 	}
 	if remaining := len(f.listener.connections); remaining != 2 {
-		t.Errorf("%d connections left, expected those of who waits and who rests", remaining)
+		t.Errorf("%d connections left, expected the waiting and the idle one", remaining)
 	}
 }
 
-// A refused peer that sends on must not have its answer swallowed by a reset: what it sends is taken in, unread, for
-// a while, and costs no memory.
+// A peer whose request was rejected while it still sends gets the response, and no reset: its input is discarded, for a limited time
+// and without buffering it.
 func TestInputAfterRejectionIsDiscarded(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	p := f.openConnection()
@@ -232,7 +232,7 @@
 		f.RunIterations()
 		for range 20 {
 			if _, err := unix.Write(p.FD, chunk); err != nil {
-				t.Fatalf("cut after %v while sending: %v", f.Time-began, err)
+				t.Fatalf("closed after %v while the client sends: %v", f.Time-began, err)
 			}
 			f.RunIterations()
 		}
@@ -242,12 +242,11 @@
 	}
 	f.Time += lingerIdleTimeout + expiryInterval
 	if f.RunIterations(); len(f.listener.connections) != 0 {
-		t.Error("lingers on")
+		t.Error("the connection still lingers")
 	}
 }
 
-// However many half requests come, and however much is answered that nobody reads, buffers stay within their
-// budget, and a usual request is served.
+// Partial requests and unread responses keep buffers within their limit, and an ordinary request is admitted.
 func TestBuffersStayWithinBudget(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	c := f.listener
@@ -260,18 +259,18 @@
 			f.RunIterations()
 		}
 	}
-	deaf := f.openConnection()
+	nonReader := f.openConnection()
 	for range 400 {
-		deaf.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
+		nonReader.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
 		f.RunIterations()
 	}
 	if most := c.maxBufferedBytes + 6*http1.MaxBodySize; c.bufferedBytes > most {
 		t.Errorf("%d bytes held, %d allowed", c.bufferedBytes, most)
 	}
-	usual := f.openConnection()
-	usual.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
+	ordinary := f.openConnection()
+	ordinary.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
 	if f.RunIterations(); f.table.OpenCount() != 1 {
-		t.Error("a usual request is not taken")
+		t.Error("an ordinary request is not admitted")
 	}
 	sum := 0
 	for k := range c.connections {
@@ -299,14 +298,14 @@
 		t.Errorf("after a panic: its connection ended %v, another got %q", bad.Ended, good.Received)
 	}
 	if got := statuses(t, bad); len(got) != 1 || got[0] != 500 {
-		t.Errorf("after a panic its client was answered %v", got)
+		t.Errorf("after a panic its client got %v", got)
 	}
 	if last := f.policy.Received[len(f.policy.Received)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
-		t.Errorf("after a panic the policy heard %v last", last)
+		t.Errorf("after a panic the policy received %v last", last)
 	}
 }
 
-// Where descriptors run out, those make room first that never brought anything of use.
+// Connections without a useful request are evicted first.
 func TestUselessConnectionsAreEvictedFirst(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	var peers []*eventlooptest.Peer
@@ -323,12 +322,12 @@
 	f.table.DiscoveryFailed()
 	f.RunIterations()
 	for n := range peers {
-		if n == 1 { // a connection that has just begun may be a usual client's
+		if n == 1 { // new connections are spared for a time
 			f.Time += evictionGrace
 			f.RunIterations()
 		}
 		if !f.listener.evict() {
-			t.Fatal("nothing made room")
+			t.Fatal("nothing was evicted")
 		}
 		f.RunIterations()
 		for i, p := range peers {
@@ -340,25 +339,26 @@
 	}
 }
 
-// Where descriptors run out, an idle connection makes room, and one on which a request has just come is served first.
+// Idle connections are evicted, but not one on which a request has just arrived.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
-	asking := f.openConnection()
-	resting := f.openConnection()
+	requesting := f.openConnection()
+	idle := f.openConnection()
 	f.Time += evictionGrace
 	f.RunIterations()
-	asking.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
+	requesting.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
 	if !f.listener.evict() || f.listener.evict() {
-		t.Error("expected one connection to make room, and one only")
+		t.Error("expected one connection to be evicted, and one only")
 	}
 	f.RunIterations()
-	asking.Read(1)
-	if resting.Read(1); asking.Ended || !resting.Ended {
-		t.Errorf("closed: asking %v, resting %v", asking.Ended, resting.Ended)
+	requesting.Read(1)
+	if idle.Read(1); requesting.Ended || !idle.Ended {
+		t.Errorf("closed: requesting %v, idle %v", requesting.Ended, idle.Ended)
 	}
 }
 
-// Callbacks end requests, so requests may not take up every connection: one too many is refused, and a callback still comes in.
+// Requests may not use every connection, since callbacks end them: a request over the limit is rejected, and
+// connections are left for callbacks.
 func TestCallbacksComeInWhenFull(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	var peers []*eventlooptest.Peer
@@ -373,11 +373,11 @@
 		t.Errorf("one request too many got %q", last.Received)
 	}
 	if first.Read(1); len(first.Received) > 0 || f.listener.maxRequests >= f.listener.maxConnections {
-		t.Errorf("a request in hand got %q", first.Received)
+		t.Errorf("a request in flight got %q", first.Received)
 	}
 }
 
-// Out of descriptors, the loop waits a moment and then accepts again: what came meanwhile is served, not lost.
+// Without descriptors the listener pauses and then accepts again: a connection that waits meanwhile is not lost.
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	if err := f.listener.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
@@ -396,8 +396,8 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 3, Max: old.Max}); err != nil {
 		t.Fatal(err)
 	}
-	_, sa := eventloop.Sockaddr(f.listener.Addr())
-	connecting := unix.Connect(fd, sa)
+	_, sockaddr := eventloop.Sockaddr(f.listener.Addr())
+	connecting := unix.Connect(fd, sockaddr)
 	f.RunIterations()
 	held := len(f.listener.connections)
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
--- a/internal/client/disconnect_test.go
+++ b/internal/client/disconnect_test.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// A client that leaves is gone for the policy before that iteration's sends, wherever its requests are by then: nothing of
-// them is sent on, and its connection is closed. What it leaves by is all the same, an end or a reset.
+// The policy has the disconnect of a client before the attempts of the same iteration begin, whatever the state of its requests and
+// whether the connection ends or is reset: no attempt of them begins, and the connection is closed.
 func TestClientGoneBeforeTheSends(t *testing.T) {
 	many := func(n, size int) (text string) {
 		for i := range n {
@@ -22,20 +22,20 @@
 		return text
 	}
 	cases := map[string]struct {
-		before string // read, and taken if whole, before the client leaves
+		before string // read, and admitted if complete, before the client disconnects
 		last   string // written in the moment in which it leaves
 		taken  int    // of before
 	}{
 		"with its request, unread":           {"", requestOfSize(0, 0), 0},
 		"in its request":                     {requestOfSize(0, 50)[:100], "", 0},
 		"in its request, unread":             {"", requestOfSize(0, 50)[:100], 0},
-		"held":                               {requestOfSize(0, 0), "", 1},
-		"held, with another begun":           {requestOfSize(0, 0), requestOfSize(1, 50)[:100], 1},
-		"held, with another unread":          {requestOfSize(0, 0), requestOfSize(1, 0), 1},
-		"all turns in use":                   {many(maxResponseSlots, 0), "", maxResponseSlots},
-		"all turns in use, and more unread":  {many(maxResponseSlots, 0), many(2*maxResponseSlots, 0)[len(many(maxResponseSlots, 0)):], maxResponseSlots},
-		"all turns in use, and much more":    {many(maxResponseSlots+12, 8<<10), "", maxResponseSlots},
-		"all turns in use, and far too much": {many(maxResponseSlots+12, 60<<10), "", maxResponseSlots},
+		"queued":                             {requestOfSize(0, 0), "", 1},
+		"queued, with another begun":         {requestOfSize(0, 0), requestOfSize(1, 50)[:100], 1},
+		"queued, with another unread":        {requestOfSize(0, 0), requestOfSize(1, 0), 1},
+		"all slots in use":                   {many(maxResponseSlots, 0), "", maxResponseSlots},
+		"all slots in use, and more unread":  {many(maxResponseSlots, 0), many(2*maxResponseSlots, 0)[len(many(maxResponseSlots, 0)):], maxResponseSlots},
+		"all slots in use, and much more":    {many(maxResponseSlots+12, 8<<10), "", maxResponseSlots},
+		"all slots in use, and far too much": {many(maxResponseSlots+12, 60<<10), "", maxResponseSlots},
 		"behind Connection: close":           {strings.Replace(requestOfSize(0, 0), "\r\n", "\r\nConnection: close\r\n", 1), requestOfSize(1, 0), 1},
 	}
 	for name, c := range cases {
@@ -49,15 +49,15 @@
 	}
 }
 
-// leaveBeforeTheSends has a client leave in the iteration in which the policy sends its requests. It writes one text before,
-// of which so many requests are admitted, and another with leaving.
+// leaveBeforeTheSends has a client disconnect in the iteration in which the policy sends its requests. The client writes one text
+// before, of which a number of requests are admitted, and another one right before it disconnects.
 func (f *fixture) leaveBeforeTheSends(before, last string, admitted int, leave func(*eventlooptest.Peer)) {
 	p := f.connect()
 	f.RunIterations()
 	f.writeAll(p, []byte(before))
 	f.runUntilQuiet()
 	if open := f.table.OpenCount(); open != admitted {
-		f.T.Fatalf("%d requests taken, expected %d", open, admitted)
+		f.T.Fatalf("%d requests admitted, expected %d", open, admitted)
 	}
 	p.Write([]byte(last))
 	leave(p)
@@ -80,12 +80,12 @@
 	}
 	f.RunIterations()
 	if jobs != disconnected || len(f.listener.connections) != 0 || f.listener.bufferedBytes != 0 {
-		f.T.Errorf("%d requests, %d told as gone, %d connections left with %d bytes", jobs, disconnected,
+		f.T.Errorf("%d requests, %d disconnects, %d connections left with %d bytes", jobs, disconnected,
 			len(f.listener.connections), f.listener.bufferedBytes)
 	}
 }
 
-// A worker's callback that came before its connection broke is applied; a request that did is not admitted.
+// A callback that arrived before its connection was reset is applied; a request that did is not admitted.
 func TestCallbackBeforeAReset(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
@@ -99,12 +99,12 @@
 	worker.Reset()
 	f.RunIterations()
 	if got := statuses(t, client); len(got) != 1 || got[0] != 200 || f.table.OpenCount() != 0 {
-		t.Errorf("answered %v, %d requests open", got, f.table.OpenCount())
+		t.Errorf("got %v, %d requests open", got, f.table.OpenCount())
 	}
 }
 
-// A client that has only finished writing gets the answer to each request that it wrote, in order, and with their bytes
-// unharmed, also to those that were not looked at yet, or not even read, when it did; and then the end.
+// A client that has closed its sending side gets the response to each request that it wrote, in order, also to those that were not
+// parsed or not read before, and then the end.
 func TestHalfClosedClientsAreAnswered(t *testing.T) {
 	for _, size := range []int{0, 2 << 10, 8 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// closeWriteAfterRequests has a client write more requests than are read at once, with bodies of a size, and end its side. It
+// closeWriteAfterRequests has a client write more requests than are read ahead, with bodies of a size, and close its sending side. It
 // expects a response to each.
 func (f *fixture) closeWriteAfterRequests(size int) {
 	const requests = 3 * maxResponseSlots
@@ -128,7 +128,7 @@
 	f.runUntilQuiet()
 	for n := range requests {
 		if open := f.table.OpenCount(); open != min(maxResponseSlots, requests-n) {
-			f.T.Fatalf("%d requests open after %d answers", open, n)
+			f.T.Fatalf("%d requests open after %d responses", open, n)
 		}
 		f.act(dispatch.Reject{Job: uint64(n + 1)})
 		f.runUntilQuiet()
@@ -136,17 +136,17 @@
 	got := statuses(f.T, p)
 	for _, status := range got {
 		if status != 503 {
-			f.T.Errorf("answered %v", got)
+			f.T.Errorf("got %v", got)
 		}
 	}
 	p.Read(1)
 	if len(got) != requests || !p.Ended || len(f.listener.connections) != 0 {
-		f.T.Errorf("%d answers to %d requests, connection closed %v", len(got), requests, p.Ended)
+		f.T.Errorf("%d responses to %d requests, connection closed %v", len(got), requests, p.Ended)
 	}
 }
 
-// A client that sends more ahead of its answers than is kept is read from all the same: what is kept whole is answered,
-// one more is refused, and the connection ends. Buffers stay bounded.
+// Of a client that sends more ahead of responses than is kept, input is still read: requests that were kept have responses, one more
+// is rejected, and the connection ends. Buffers stay bounded.
 func TestExcessReadAheadIsRejected(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
@@ -157,7 +157,7 @@
 		f.writeAll(p, []byte(requestOfSize(n, size)))
 		if f.runUntilQuiet(); f.listener.bufferedBytes > 2*maxReadAheadWithMemory {
 			held := f.listener.bufferedBytes
-			t.Fatalf("%d bytes held", held)
+			t.Fatalf("%d bytes buffered", held)
 		}
 	}
 	answered := 0
@@ -167,14 +167,14 @@
 	}
 	got := statuses(t, p)
 	if answered <= maxResponseSlots || len(got) != answered+1 || got[answered] != 503 || got[answered-1] != 500 {
-		t.Errorf("%d requests answered, the client has %v", answered, got)
+		t.Errorf("%d requests failed, the client got %v", answered, got)
 	}
 	if p.Read(1); !p.Ended {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open")
 	}
 }
 
-// What has ended and still has answers to take leaves the loop in peace: there are no further events for the end.
+// A connection whose client has closed its sending side, but has responses to read, has no further events for that.
 func TestEndOfInputWakesTheLoopOnce(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	p, fd := f.openDescriptor(netip.AddrPort{})
@@ -189,11 +189,11 @@
 		t.Fatal("nothing waits to be read")
 	}
 	if n := f.ReadyDescriptors(); n != 0 {
-		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
+		t.Errorf("%d descriptors are ready, with nothing to be done", n)
 	}
 }
 
-// The time of a request counts from when its last byte came, also if it had to wait for the requests before it on its connection.
+// The time of a request counts from the arrival of its last byte, also if it waited for earlier requests on its connection.
 func TestTimeCountsFromArrival(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
@@ -232,7 +232,7 @@
 	}
 }
 
-// A burst of clients that leave is taken in whole before the iteration's sends, however many they are.
+// The disconnects of many clients are all handled before the attempts of the same iteration begin.
 func TestBurstOfClientsGone(t *testing.T) {
 	const clients = 400
 	f := newFixture(&modeltest.Steps{T: t})
@@ -245,7 +245,7 @@
 	}
 	f.RunIterations()
 	if open := f.table.OpenCount(); open != clients {
-		t.Fatalf("%d requests taken", open)
+		t.Fatalf("%d requests admitted", open)
 	}
 	for n, p := range peers {
 		p.Close()
--- a/internal/client/stalled_test.go
+++ b/internal/client/stalled_test.go
@@ -13,14 +13,14 @@
 	"valvecove/internal/modeltest"
 )
 
-// What a client that stops in the middle of a request and stays is owed, by the protocol's page: an error or the end of its
-// connection within 3 s. Behind a request in flight, that counts from its response.
+// A client that stops in the middle of a request gets an error or the end of its connection within this time, by the protocol. Behind
+// a request in flight the time counts from its response.
 const (
 	stalledClientLimit = 3 * time.Second
 	stalledClientStep  = 50 * time.Millisecond
 )
 
-// stalledRequests are requests that stop, by where they do.
+// stalledRequests are partial requests, by where they stop.
 var stalledRequests = map[string]string{
 	"method":        "PO",
 	"target":        "POST /a",
@@ -39,9 +39,8 @@
 	"PROXY, method": "PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\nPO",
 }
 
-// A client that stops in the middle of a request and stays gets an error or the end of its connection in time: on a new
-// connection, on one that has had a response and was idle, and behind a request that is in flight, whose response it gets
-// first.
+// A client that stops in the middle of a request gets an error or the end of its connection in time: on a new connection, on one that
+// was idle after a response, and behind a request in flight, whose response it gets first.
 func TestStalledRequestsEndInTime(t *testing.T) {
 	for where, text := range stalledRequests {
 		for name, stall := range map[string]func(f *fixture, p *eventlooptest.Peer, text string){
@@ -67,7 +66,7 @@
 			t.Run(where+", "+name, func(t *testing.T) {
 				var log bytes.Buffer
 				f := newProxyFixture(&modeltest.Steps{T: t}, &log)
-				p := f.openConnectionFrom(netip.MustParseAddrPort(frontAddr))
+				p := f.openConnectionFrom(netip.MustParseAddrPort(proxyAddr))
 				stall(f, p, text)
 				f.expectEndInTime(p)
 			})
@@ -75,14 +74,14 @@
 	}
 }
 
-// stallAfterIdle stalls on a connection that has been silent for nearly as long as one may be.
+// stallAfterIdle stalls on a connection that was silent for nearly requestReadTimeout.
 func stallAfterIdle(f *fixture, p *eventlooptest.Peer, text string) {
 	f.Time += requestReadTimeout - time.Millisecond
 	f.runUntilQuiet()
 	f.writeAll(p, []byte(text))
 }
 
-// stallAfterResponse stalls on a connection that is idle after a request of use.
+// stallAfterResponse stalls on a connection that was idle after a useful request.
 func stallAfterResponse(f *fixture, p *eventlooptest.Peer, text string) {
 	stallBehindRequest(f, p, "")
 	f.Time += time.Hour
@@ -90,7 +89,7 @@
 	f.writeAll(p, []byte(text))
 }
 
-// stallBehindRequest stalls while a request is in flight, which is then served.
+// stallBehindRequest stalls while a request is in flight, which then fails.
 func stallBehindRequest(f *fixture, p *eventlooptest.Peer, text string) {
 	f.writeAll(p, []byte(requestOfSize(1, 0)))
 	f.runUntilQuiet()
@@ -107,7 +106,7 @@
 	p.Received = nil
 }
 
-// expectEndInTime expects an error, or the end of a connection, and that no descriptor is left a while later.
+// expectEndInTime expects an error or the end of a connection in time, and no open connection some time later.
 func (f *fixture) expectEndInTime(p *eventlooptest.Peer) {
 	f.T.Helper()
 	stalledAt := f.Time
@@ -119,7 +118,7 @@
 	}
 	for !answered() {
 		if f.Time += stalledClientStep; f.Time-stalledAt > stalledClientLimit {
-			f.T.Fatalf("%v after it stopped it has %q, ended %v", f.Time-stalledAt, p.Received, p.Ended)
+			f.T.Fatalf("%v after it stopped the client has %q, ended %v", f.Time-stalledAt, p.Received, p.Ended)
 		}
 	}
 	f.Time += maxLingerTime + expiryInterval
