--- a/internal/discovery/watch/exchange.go
+++ b/internal/discovery/watch/exchange.go
@@ -13,11 +13,9 @@
 	"valvecove/internal/requests"
 )
 
-// watchPath is followed by the revision after which changes are sent.
+// watchPath is the start of the request target. The revision after which changes are requested is appended.
 const watchPath = "/discovery/hosts?stream=1&index="
 
-const statusOK = 200
-
 // completeConnect sends the request once the connection is established.
 func (c *Connection) completeConnect(events uint32) error {
 	if err := c.ConnectError(); err != nil {
@@ -57,13 +55,14 @@
 	if c.response.IsInterim() {
 		return true, nil
 	}
-	if c.response.StatusCode != statusOK || !c.response.IsChunked() {
+	if c.response.StatusCode != http1.StatusOK || !c.response.IsChunked() {
 		return false, fmt.Errorf("%w: status %d, chunked %v", errRejected, c.response.StatusCode, c.response.IsChunked())
 	}
 	c.isStreaming = true
 	return true, nil
 }
 
+// readBody decodes the received chunks of the response body.
 func (c *Connection) readBody() error {
 	consumed := 0
 	for {
