--- a/internal/eventloop/acceptor.go
+++ b/internal/eventloop/acceptor.go
@@ -117,7 +117,7 @@
 	a.backoff = min(max(minAcceptBackoff, 2*a.backoff), MaxAcceptBackoff)
 	a.Pause(a.backoff)
 	if now := a.loop.Now(); now >= a.nextLogLine {
-		a.log.Warn("accepting failed", "error", err, "times", a.failures)
+		a.log.Warn("accepting failed", "error", err, "failures", a.failures)
 		a.failures = 0
 		a.nextLogLine = now + acceptLogInterval
 	}
