--- a/internal/control/forwarder/random_test.go
+++ b/internal/control/forwarder/random_test.go
@@ -28,17 +28,28 @@
 func TestRandomPlanners(t *testing.T) {
 	stats := map[string]int{}
 	for seed := *firstSeed; seed < *firstSeed+*runs; seed++ {
-		var planners []behavior
-		for i := range seed % 4 {
-			planners = append(planners, behaviors[(seed/4+i*seed/24)%uint64(len(behaviors))])
-		}
-		runRandom(t, seed, planners, stats)
+		runRandom(t, seed, behaviorsOf(seed), stats)
 	}
 	for _, name := range slices.Sorted(maps.Keys(stats)) {
 		t.Logf("%s %d", name, stats[name])
 	}
 }
 
+// TestRandomPlannersAtSeed5323 runs a seed at which a planner sends a request and transfers it in one step.
+func TestRandomPlannersAtSeed5323(t *testing.T) {
+	const seed = 5323
+	runRandom(t, seed, behaviorsOf(seed), map[string]int{})
+}
+
+// behaviorsOf returns the behaviors of the planners of a random run.
+func behaviorsOf(seed uint64) []behavior {
+	var planners []behavior
+	for i := range seed % 4 {
+		planners = append(planners, behaviors[(seed/4+i*seed/24)%uint64(len(behaviors))])
+	}
+	return planners
+}
+
 // runRandom runs a forwarder with planners of some behaviors, and fails on the first broken rule.
 func runRandom(t *testing.T, seed uint64, planners []behavior, stats map[string]int) {
 	t.Helper()
