--- a/internal/control/planner/attempt.go
+++ b/internal/control/planner/attempt.go
@@ -15,8 +15,8 @@
 	attemptEnded
 )
 
-func (s attemptState) String() string {
-	switch s {
+func (a attemptState) String() string {
+	switch a {
 	case attemptCommanded:
 		return "commanded"
 	case attemptConfirmed:
@@ -49,33 +49,43 @@
 	}
 }
 
+// requestLifecycle ends requests and their attempts: for the policy, in the table, and by time.
+type requestLifecycle struct {
+	config     *Config
+	stats      *Stats
+	step       *step
+	policy     *policyRunner
+	policySync *policySync
+	requests   *requestTable
+}
+
 // addAttempt adds an attempt to a request.
-func (p *Planner) addAttempt(req *request, added attempt) {
-	p.addReferences(added.worker, 1)
+func (r *requestLifecycle) addAttempt(req *request, added attempt) {
+	r.policySync.addReferences(added.worker, 1)
 	if added.inFlight() {
 		req.inFlight++
-		p.requests.slotsInUse += req.slots
+		r.requests.slotsInUse += req.slots
 	}
 	req.attempts = append(req.attempts, added)
 }
 
 // endAttempt ends an attempt that is in flight.
-func (t *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
+func (r *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
 	a.advanceTo(attemptEnded)
 	a.result = result
 	req.inFlight--
-	t.slotsInUse -= req.slots
+	r.slotsInUse -= req.slots
 }
 
 // cancelAttempts has the policy take all attempts in flight for ended, without a result that says anything of the worker.
-func (p *Planner) cancelAttempts(req *request) {
+func (r *requestLifecycle) cancelAttempts(req *request) {
 	for i := range req.attempts {
 		attempt := &req.attempts[i]
 		if !attempt.inFlight() {
 			continue
 		}
-		p.requests.endAttempt(req, attempt, dispatch.Cancelled)
-		p.notifyPolicy(dispatch.Outcome{
+		r.requests.endAttempt(req, attempt, dispatch.Cancelled)
+		r.policy.notify(dispatch.Outcome{
 			Job: req.id, Attempt: i, Worker: attempt.worker.ID, Result: dispatch.Cancelled, Closed: true,
 		})
 	}
--- a/internal/control/planner/command.go
+++ b/internal/control/planner/command.go
@@ -5,102 +5,114 @@
 	"valvecove/internal/control/message"
 )
 
+// commandExecutor sends the commands that result from the policy's actions.
+type commandExecutor struct {
+	stats            *Stats
+	step             *step
+	forwarders       *forwarderTable
+	healthChecks     *healthChecker
+	requestLifecycle *requestLifecycle
+	policy           *policyRunner
+	requests         *requestTable
+	workers          *workerTable
+}
+
 // execute sends the commands that the policy's actions ask for. The actions' array becomes the buffer for its next ones.
-func (p *Planner) execute(actions []dispatch.Action) {
+func (c *commandExecutor) execute(actions []dispatch.Action) {
 	for i, action := range actions {
 		switch action := action.(type) {
 		case dispatch.Send:
-			p.sendAttempt(action)
+			c.sendAttempt(action)
 		case dispatch.Reject:
-			p.reject(action)
+			c.reject(action)
 		case dispatch.Fail:
-			p.fail(action)
+			c.fail(action)
 		case dispatch.Cancel:
-			p.cancel(action)
+			c.cancel(action)
 		case dispatch.HealthCheck:
-			p.startHealthCheck(action.Worker)
+			c.healthChecks.start(action.Worker)
 		case dispatch.CloseIdleConnections:
-			p.closeIdleConnections(action.Worker, actions[i+1:])
+			c.closeIdleConnections(action.Worker, actions[i+1:])
 		case dispatch.SetTimer:
-			p.policy.setTimer(p.now + max(action.After, 1))
+			c.policy.setTimer(c.step.now() + max(action.After, 1))
 		case dispatch.Subscribe:
-			p.policy.subscribing = true
-			p.emit(WatchEndpoints{Revision: p.workers.revision})
+			c.policy.subscribing = true
+			c.step.emit(WatchEndpoints{Revision: c.workers.revision})
 		case dispatch.Log:
-			p.log(action.Text)
+			c.step.log(action.Text)
 		case dispatch.WorkerEjected:
-			p.log("worker ejected", "worker", action.Worker, "reason", action.Reason.String(), "ejection_time", action.EjectionTime)
+			c.step.log("worker ejected", "worker", action.Worker, "reason", action.Reason.String(), "ejection_time", action.EjectionTime)
 		}
 	}
 	clear(actions)
-	p.policy.actions = actions[:0]
+	c.policy.actions = actions[:0]
 }
 
 // sendAttempt commands an attempt. Each Send of the policy has its outcome: that of one that can't be commanded is at once
 // that it was not sent.
-func (p *Planner) sendAttempt(send dispatch.Send) {
-	req := p.requests.byID[send.Job]
+func (c *commandExecutor) sendAttempt(send dispatch.Send) {
+	req := c.requests.byID[send.Job]
 	if req == nil {
-		p.notifyPolicy(dispatch.Outcome{Job: send.Job, Worker: send.Worker, Result: dispatch.NotSent, Closed: true})
+		c.policy.notify(dispatch.Outcome{Job: send.Job, Worker: send.Worker, Result: dispatch.NotSent, Closed: true})
 		return
 	}
 	number := len(req.attempts)
-	added := attempt{state: attemptCommanded, worker: p.ensureWorker(send.Worker), sentAt: p.now}
+	added := attempt{state: attemptCommanded, worker: c.workers.ensure(send.Worker), sentAt: c.step.now()}
 	if !req.state.isOpen() || number >= 2*maxAttempts {
 		added.advanceTo(attemptEnded)
 		added.result = dispatch.NotSent
-		p.addAttempt(req, added)
-		p.notifyPolicy(dispatch.Outcome{
+		c.requestLifecycle.addAttempt(req, added)
+		c.policy.notify(dispatch.Outcome{
 			Job: send.Job, Attempt: number, Worker: send.Worker, Result: dispatch.NotSent, Closed: !req.state.isOpen(),
 		})
 		return
 	}
-	p.addAttempt(req, added)
-	p.requests.settle(req, p.now)
-	p.stats.Commands++
-	p.send(req.forwarder, &message.SendCommand{
+	c.requestLifecycle.addAttempt(req, added)
+	c.requests.settle(req, c.step.now())
+	c.stats.Commands++
+	c.step.send(req.forwarder, &message.SendCommand{
 		RequestID: req.forwarderID, Attempt: number, WorkerID: send.Worker, Timeout: send.AttemptTimeout,
 	})
 }
 
-func (p *Planner) reject(action dispatch.Reject) {
-	if req := p.requests.open(action.Job); req != nil {
-		p.send(req.forwarder, &message.RejectCommand{RequestID: req.forwarderID, RetryAfter: action.RetryAfter})
-		p.stats.Rejected++
-		p.closeRequest(req)
+func (c *commandExecutor) reject(action dispatch.Reject) {
+	if req := c.requests.open(action.Job); req != nil {
+		c.step.send(req.forwarder, &message.RejectCommand{RequestID: req.forwarderID, RetryAfter: action.RetryAfter})
+		c.stats.Rejected++
+		c.requestLifecycle.close(req)
 	}
 }
 
-func (p *Planner) fail(action dispatch.Fail) {
-	if req := p.requests.open(action.Job); req != nil {
-		p.send(req.forwarder, &message.FailCommand{RequestID: req.forwarderID})
-		p.stats.Failed++
-		p.closeRequest(req)
+func (c *commandExecutor) fail(action dispatch.Fail) {
+	if req := c.requests.open(action.Job); req != nil {
+		c.step.send(req.forwarder, &message.FailCommand{RequestID: req.forwarderID})
+		c.stats.Failed++
+		c.requestLifecycle.close(req)
 	}
 }
 
-func (p *Planner) cancel(action dispatch.Cancel) {
-	req := p.requests.byID[action.Job]
+func (c *commandExecutor) cancel(action dispatch.Cancel) {
+	req := c.requests.byID[action.Job]
 	if req == nil || req.forwarder == nil || action.Attempt < 0 || action.Attempt >= len(req.attempts) {
 		return
 	}
 	if req.attempts[action.Attempt].inFlight() {
-		p.send(req.forwarder, &message.CancelCommand{RequestID: req.forwarderID, Attempt: action.Attempt})
+		c.step.send(req.forwarder, &message.CancelCommand{RequestID: req.forwarderID, Attempt: action.Attempt})
 	}
 }
 
 // closeIdleConnections has idle connections to a worker closed: those of the forwarder that is to send there by the action
 // after this one, if that is so, else those of all.
-func (p *Planner) closeIdleConnections(workerID uint64, next []dispatch.Action) {
+func (c *commandExecutor) closeIdleConnections(workerID uint64, next []dispatch.Action) {
 	if len(next) > 0 {
 		if send, ok := next[0].(dispatch.Send); ok && send.Worker == workerID {
-			if req := p.requests.open(send.Job); req != nil {
-				p.send(req.forwarder, &message.CloseIdleCommand{WorkerID: workerID})
+			if req := c.requests.open(send.Job); req != nil {
+				c.step.send(req.forwarder, &message.CloseIdleCommand{WorkerID: workerID})
 				return
 			}
 		}
 	}
-	for _, f := range p.forwarders.connected {
-		p.send(f, &message.CloseIdleCommand{WorkerID: workerID})
+	for _, f := range c.forwarders.connected {
+		c.step.send(f, &message.CloseIdleCommand{WorkerID: workerID})
 	}
 }
--- a/internal/control/planner/credit.go
+++ b/internal/control/planner/credit.go
@@ -29,11 +29,20 @@
 	return open < c.limit
 }
 
-func (p *Planner) withinCredit(f *forwarder) bool { return f.credit.covers(f.openCount, p.now) }
+// creditAllocator shares Config.MaxOpenRequests among the connected forwarders.
+type creditAllocator struct {
+	config     *Config
+	step       *step
+	forwarders *forwarderTable
+}
+
+func (c *creditAllocator) covers(f *forwarder) bool {
+	return f.credit.covers(f.openCount, c.step.now())
+}
 
 // decayPeaks brings the recent peaks up to date.
-func (p *Planner) decayPeaks() {
-	for _, f := range p.forwarders.connected {
+func (c *creditAllocator) decayPeaks() {
+	for _, f := range c.forwarders.connected {
 		f.credit.recentPeak = max(float64(f.openCount), f.credit.recentPeak*peakRetention)
 	}
 }
@@ -46,11 +55,11 @@
 	demand             int // of all forwarders
 }
 
-func (p *Planner) planCredit() creditPlan {
-	connected := p.forwarders.connected
-	plan := creditPlan{total: p.config.MaxOpenRequests, forwarders: len(connected), minCredit: p.config.MinCredit}
-	plan.minLimit = min(p.config.MinCredit, plan.total/plan.forwarders)
-	plan.maxLimit = max(p.config.MaxCredit, plan.minLimit)
+func (c *creditAllocator) plan() creditPlan {
+	connected := c.forwarders.connected
+	plan := creditPlan{total: c.config.MaxOpenRequests, forwarders: len(connected), minCredit: c.config.MinCredit}
+	plan.minLimit = min(c.config.MinCredit, plan.total/plan.forwarders)
+	plan.maxLimit = max(c.config.MaxCredit, plan.minLimit)
 	for _, f := range connected {
 		plan.demand += plan.demandOf(f)
 	}
@@ -58,69 +67,69 @@
 }
 
 // demandOf returns the credit that a forwarder should have by its recent peak.
-func (plan *creditPlan) demandOf(f *forwarder) int {
-	demand := int(creditPerPeak*f.credit.recentPeak) + plan.minCredit
-	return min(max(demand, plan.minLimit), plan.maxLimit)
+func (c *creditPlan) demandOf(f *forwarder) int {
+	demand := int(creditPerPeak*f.credit.recentPeak) + c.minCredit
+	return min(max(demand, c.minLimit), c.maxLimit)
 }
 
 // shareOf returns the credit that a forwarder is to have. What is left beyond all demands is shared evenly; if they come to
 // more than there is, each forwarder has the minimum and a part of the rest in proportion to its demand.
-func (plan *creditPlan) shareOf(f *forwarder) int {
-	demand := plan.demandOf(f)
-	if plan.demand <= plan.total {
-		return min(demand+(plan.total-plan.demand)/plan.forwarders, plan.maxLimit)
+func (c *creditPlan) shareOf(f *forwarder) int {
+	demand := c.demandOf(f)
+	if c.demand <= c.total {
+		return min(demand+(c.total-c.demand)/c.forwarders, c.maxLimit)
 	}
-	minima := plan.forwarders * plan.minLimit
-	return plan.minLimit + int(float64(demand-plan.minLimit)*float64(plan.total-minima)/float64(plan.demand-minima))
+	minima := c.forwarders * c.minLimit
+	return c.minLimit + int(float64(demand-c.minLimit)*float64(c.total-minima)/float64(c.demand-minima))
 }
 
-// assignCredit shares the credit by the recent peaks. Credits are reduced, and forwarders told so, before others are raised:
+// assign shares the credit by the recent peaks. Credits are reduced, and forwarders told so, before others are raised:
 // all together never exceed Config.MaxOpenRequests. A change that is small is left out, unless all are wanted.
-func (p *Planner) assignCredit(all bool) {
-	if len(p.forwarders.connected) == 0 {
+func (c *creditAllocator) assign(all bool) {
+	if len(c.forwarders.connected) == 0 {
 		return
 	}
-	plan := p.planCredit()
+	plan := c.plan()
 	unassigned := plan.total
-	for _, f := range p.forwarders.connected {
-		p.reduceCredit(f, plan.shareOf(f), all)
+	for _, f := range c.forwarders.connected {
+		c.reduce(f, plan.shareOf(f), all)
 		unassigned -= f.credit.limit
 	}
-	for _, f := range p.forwarders.connected {
-		unassigned -= p.raiseCredit(f, plan.shareOf(f), unassigned, all)
+	for _, f := range c.forwarders.connected {
+		unassigned -= c.raise(f, plan.shareOf(f), unassigned, all)
 	}
 }
 
-// reduceCredit reduces a credit to a share that is less; if it is small only where it is less than three quarters.
-func (p *Planner) reduceCredit(f *forwarder, share int, small bool) {
+// reduce reduces a credit to a share that is less; if it is small only where it is less than three quarters.
+func (c *creditAllocator) reduce(f *forwarder, share int, small bool) {
 	current := f.credit.limit
 	if share >= current || !small && share >= current*3/4 {
 		return
 	}
-	if p.now >= f.credit.previousUntil {
+	if c.step.now() >= f.credit.previousUntil {
 		f.credit.previousLimit = 0
 	}
 	f.credit.previousLimit = max(f.credit.previousLimit, current)
-	f.credit.previousUntil = p.now + creditGrace
-	p.setCredit(f, share)
+	f.credit.previousUntil = c.step.now() + creditGrace
+	c.set(f, share)
 }
 
-// raiseCredit raises a credit to a share that is greater, by what is unassigned at most, and returns by how much. A small
+// raise raises a credit to a share that is greater, by what is unassigned at most, and returns by how much. A small
 // raise, by less than a quarter, is made only if it is wanted, or the forwarder uses three quarters of its credit.
-func (p *Planner) raiseCredit(f *forwarder, share, unassigned int, small bool) int {
+func (c *creditAllocator) raise(f *forwarder, share, unassigned int, small bool) int {
 	current := f.credit.limit
 	raise := min(share-current, unassigned)
 	if raise <= 0 || !small && share*4 < current*5 && f.openCount*4 < current*3 {
 		return 0
 	}
-	p.setCredit(f, current+raise)
+	c.set(f, current+raise)
 	return raise
 }
 
-// setCredit sets a credit and tells the forwarder, unless the reply to its handshake will.
-func (p *Planner) setCredit(f *forwarder, limit int) {
+// set sets a credit and tells the forwarder, unless the reply to its handshake will.
+func (c *creditAllocator) set(f *forwarder, limit int) {
 	f.credit.limit = limit
 	if f.session.state == sessionEstablished {
-		p.send(f, &message.CreditUpdate{Credit: limit})
+		c.step.send(f, &message.CreditUpdate{Credit: limit})
 	}
 }
--- a/internal/control/planner/endpoints.go
+++ b/internal/control/planner/endpoints.go
@@ -5,86 +5,97 @@
 	"valvecove/internal/control/message"
 )
 
-// endpointsChanged takes in a watch event and tells the policy of it.
-func (p *Planner) endpointsChanged(list dispatch.WorkerList) {
+// endpointHandler processes changes of the endpoint list and of the assignment of workers to planners.
+type endpointHandler struct {
+	config     *Config
+	step       *step
+	locations  *locationIndex
+	policy     *policyRunner
+	policySync *policySync
+	statuses   *statusHandler
+	workers    *workerTable
+}
+
+// processList takes in a watch event and tells the policy of it.
+func (e *endpointHandler) processList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
-		p.policy.subscribing = false
-		p.notifyPolicy(list)
+		e.policy.subscribing = false
+		e.policy.notify(list)
 		return
 	}
-	p.flushWorkerUpdates() // the policy is told of earlier changes before
-	table := &p.workers
+	e.policySync.flush() // the policy is told of earlier changes before
+	table := e.workers
 	table.revision = list.Revision
-	p.policy.subscribing = p.policy.subscribing && list.Kind == dispatch.ListCached
+	e.policy.subscribing = e.policy.subscribing && list.Kind == dispatch.ListCached
 	isFull := list.Kind != dispatch.ListDelta
 	if isFull {
 		table.listSequence++
 	}
 	for i := range list.Workers {
-		p.endpointChanged(&list.Workers[i], list.Revision)
+		e.update(&list.Workers[i], list.Revision)
 	}
 	if isFull {
-		p.removeUnlisted(list.Revision)
-		list.Workers = p.policyWorkers()
+		e.removeUnlisted(list.Revision)
+		list.Workers = e.policySync.workersOfPolicy()
 	} else {
 		list.Workers = table.updates
 	}
 	table.synced = true
 	table.updates = nil // the list has them
-	p.notifyPolicy(list)
+	e.policy.notify(list)
 }
 
-// endpointSourceChanged takes in that revisions begin anew.
-func (p *Planner) endpointSourceChanged() {
-	for _, worker := range p.workers.list {
+// processSourceChange takes in that revisions begin anew.
+func (e *endpointHandler) processSourceChange() {
+	for _, worker := range e.workers.list {
 		worker.status.Revision = 0
 	}
-	p.workers.revision = 0
+	e.workers.revision = 0
 }
 
-// endpointChanged takes in an entry of the list.
-func (p *Planner) endpointChanged(entry *dispatch.Worker, revision int64) {
+// update takes in an entry of the list.
+func (e *endpointHandler) update(entry *dispatch.Worker, revision int64) {
 	if entry.Removed {
-		if known := p.workers.byID[entry.ID]; known != nil && known.listed {
+		if known := e.workers.byID[entry.ID]; known != nil && known.listed {
 			known.BootAt = max(known.BootAt, entry.BootAt)
-			p.endpointRemoved(known, revision)
+			e.remove(known, revision)
 		}
 		return
 	}
-	worker := p.ensureWorker(entry.ID)
+	worker := e.workers.ensure(entry.ID)
 	isNew := !worker.listed
 	worker.Worker = *entry
 	worker.listed = true
-	worker.listSequence = p.workers.listSequence
-	if isNew || p.workers.partition.ownerOf != nil {
-		p.updateOwner(worker, isNew)
+	worker.listSequence = e.workers.listSequence
+	if isNew || e.workers.partition.ownerOf != nil {
+		e.updateOwner(worker, isNew)
 	}
-	p.updateStatus(worker, entryStatus(entry, revision), statusSource{})
-	p.syncWorker(worker)
+	e.statuses.update(worker, entryStatus(entry, revision), statusSource{})
+	e.policySync.sync(worker)
 }
 
 // removeUnlisted takes in that workers are not on the newest full list.
-func (p *Planner) removeUnlisted(revision int64) {
-	table := &p.workers
+func (e *endpointHandler) removeUnlisted(revision int64) {
+	table := e.workers
 	for i := len(table.list) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of one that is removed
 		worker := table.list[i]
 		if worker.listed && worker.listSequence != table.listSequence {
-			p.endpointRemoved(worker, revision)
+			e.remove(worker, revision)
 		}
 	}
 }
 
-// endpointRemoved takes in that a worker is not on the list any more, unless a newer status says that it is there.
-func (p *Planner) endpointRemoved(w *worker, revision int64) {
+// remove takes in that a worker is not on the list any more, unless a newer status says that it is there.
+func (e *endpointHandler) remove(w *worker, revision int64) {
 	status := entryStatus(&w.Worker, revision)
 	status.State = message.WorkerGone
 	if w.hasStatus && w.status.Supersedes(status) && w.status.State != message.WorkerGone {
 		return
 	}
 	w.listed = false
-	p.workers.addTombstone(w, p.now)
-	p.updateStatus(w, status, statusSource{})
-	p.syncWorker(w)
+	e.workers.addTombstone(w, e.step.now())
+	e.statuses.update(w, status, statusSource{})
+	e.policySync.sync(w)
 }
 
 // entryStatus returns a worker's status by its entry in the list.
--- a/internal/control/planner/expiry.go
+++ b/internal/control/planner/expiry.go
@@ -10,18 +10,18 @@
 
 // expireUnreported has a closing request expire whose attempts may not be reported on any more. They have ended by the
 // deadline, and before that once they take longer than can be explained.
-func (p *Planner) expireUnreported(req *request) {
-	remaining := max(req.deadline-p.now, 0)
-	if overdue := p.timeUntilOverdue(req); overdue > 0 {
+func (r *requestLifecycle) expireUnreported(req *request) {
+	remaining := max(req.deadline-r.step.now(), 0)
+	if overdue := r.timeUntilOverdue(req); overdue > 0 {
 		remaining = min(remaining, overdue)
 	}
-	p.requests.expireBy(req, p.now+max(remaining, minExpiryGrace))
+	r.requests.expireBy(req, r.step.now()+max(remaining, minExpiryGrace))
 }
 
 // timeUntilOverdue returns when all attempts in flight of a request take longer than the policy can explain; 0: it can't
 // tell.
-func (p *Planner) timeUntilOverdue(req *request) (longest time.Duration) {
-	estimator, ok := p.policy.policy.(runtimeEstimator)
+func (r *requestLifecycle) timeUntilOverdue(req *request) (longest time.Duration) {
+	estimator, ok := r.policy.policy.(runtimeEstimator)
 	if !ok {
 		return 0
 	}
@@ -36,13 +36,13 @@
 
 // expireAttempts takes the attempts of closing requests for ended whose time has come. If there are too many requests, it
 // does so before.
-func (p *Planner) expireAttempts() {
-	expiries := &p.requests.expiries
-	maxRequests := tableSizeFactor * p.config.MaxOpenRequests
-	for expiries.Len() > 0 && (expiries.First().At <= p.now || len(p.requests.byID) > maxRequests) {
+func (r *requestLifecycle) expireAttempts() {
+	expiries := &r.requests.expiries
+	maxRequests := tableSizeFactor * r.config.MaxOpenRequests
+	for expiries.Len() > 0 && (expiries.First().At <= r.step.now() || len(r.requests.byID) > maxRequests) {
 		req := expiries.First()
-		p.stats.Expired += req.inFlight
-		p.cancelAttempts(req)
-		p.removeRequest(req)
+		r.stats.Expired += req.inFlight
+		r.cancelAttempts(req)
+		r.remove(req)
 	}
 }
--- a/internal/control/planner/forwarder.go
+++ b/internal/control/planner/forwarder.go
@@ -36,52 +36,67 @@
 }
 
 // sessionIDs returns the sessions in order: the order of maps must decide nothing.
-func (t *forwarderTable) sessionIDs() []SessionID { return slices.Sorted(maps.Keys(t.sessions)) }
+func (f *forwarderTable) sessionIDs() []SessionID { return slices.Sorted(maps.Keys(f.sessions)) }
 
-func (t *forwarderTable) connect(f *forwarder) {
-	at, _ := slices.BinarySearchFunc(t.connected, f.name, compareForwarder)
-	t.connected = slices.Insert(t.connected, at, f)
+func (f *forwarderTable) connect(entry *forwarder) {
+	at, _ := slices.BinarySearchFunc(f.connected, entry.name, compareForwarder)
+	f.connected = slices.Insert(f.connected, at, entry)
 }
 
-func (t *forwarderTable) disconnect(f *forwarder) {
-	if at, ok := slices.BinarySearchFunc(t.connected, f.name, compareForwarder); ok {
-		t.connected = slices.Delete(t.connected, at, at+1)
+func (f *forwarderTable) disconnect(entry *forwarder) {
+	if at, ok := slices.BinarySearchFunc(f.connected, entry.name, compareForwarder); ok {
+		f.connected = slices.Delete(f.connected, at, at+1)
 	}
-	t.disconnected = append(t.disconnected, f)
+	f.disconnected = append(f.disconnected, entry)
 }
 
 func compareForwarder(f *forwarder, name string) int { return cmp.Compare(f.name, name) }
 
+// sessionLifecycle opens and ends the sessions of the forwarders.
+type sessionLifecycle struct {
+	config           *Config
+	stats            *Stats
+	step             *step
+	credits          *creditAllocator
+	forwarders       *forwarderTable
+	healthChecks     *healthChecker
+	requestLifecycle *requestLifecycle
+	phase            *lifecycle
+	policy           *policyRunner
+	snapshots        *snapshotSender
+	statuses         *statusHandler
+}
+
 // disconnect takes in that a forwarder's session has ended. The connection may go on, for another session.
-func (p *Planner) disconnect(f *forwarder) {
-	p.closeRequestsOf(f)
+func (s *sessionLifecycle) disconnect(f *forwarder) {
+	s.requestLifecycle.closeAllOf(f)
 	f.session.transition(sessionAwaitingHandshake, nil)
 	f.credit = credit{previousUntil: f.credit.previousUntil}
-	f.disconnectedAt = p.now
-	p.forwarders.disconnect(f)
-	p.cancelHealthChecks(func(check healthCheck) bool { return check.forwarder == f })
+	f.disconnectedAt = s.step.now()
+	s.forwarders.disconnect(f)
+	s.healthChecks.cancel(func(check healthCheck) bool { return check.forwarder == f })
 }
 
-// closeRequestsOf closes a forwarder's open requests. Which planner has them next is not known; what is in flight of them
+// closeAllOf closes a forwarder's open requests. Which planner has them next is not known; what is in flight of them
 // may go on.
-func (p *Planner) closeRequestsOf(f *forwarder) {
+func (r *requestLifecycle) closeAllOf(f *forwarder) {
 	for req := range f.offered.all() {
 		if req.state.isOpen() {
-			p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
-			p.closeRequest(req)
+			r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
+			r.close(req)
 		}
 		if req.state == requestClosing {
-			p.expireUnreported(req)
+			r.expireUnreported(req)
 		}
 	}
 }
 
 // forgetDisconnected forgets the forwarders that have been without a session for long, and the earliest of too many.
-func (p *Planner) forgetDisconnected() {
-	table := &p.forwarders
+func (s *sessionLifecycle) forgetDisconnected() {
+	table := s.forwarders
 	for len(table.disconnected) > 0 {
 		f := table.disconnected[0]
-		isDue := len(table.disconnected) > p.config.MaxSessions || p.now-f.disconnectedAt >= forwarderRetention
+		isDue := len(table.disconnected) > s.config.MaxSessions || s.step.now()-f.disconnectedAt >= forwarderRetention
 		if !isDue && f.session == nil {
 			return
 		}
@@ -112,6 +127,6 @@
 	return count
 }
 
-func (p *Planner) logForwarder(text string, f *forwarder) {
-	p.log(text, "forwarder", f.name, "epoch", f.epoch, "open_requests", f.openCount, "attempts_in_flight", f.inFlight())
+func (s *sessionLifecycle) logForwarder(text string, f *forwarder) {
+	s.step.log(text, "forwarder", f.name, "epoch", f.epoch, "open_requests", f.openCount, "attempts_in_flight", f.inFlight())
 }
--- a/internal/control/planner/healthcheck.go
+++ b/internal/control/planner/healthcheck.go
@@ -19,44 +19,48 @@
 
 // healthChecker has forwarders make the policy's health checks in turn.
 type healthChecker struct {
+	step       *step
+	forwarders *forwarderTable
+	policy     notifier
+
 	pending map[uint64]healthCheck // by worker, one each
 	started int                    // so far
 }
 
-// startHealthCheck has the next forwarder check a worker.
-func (p *Planner) startHealthCheck(workerID uint64) {
-	connected := p.forwarders.connected
-	_, isPending := p.healthChecks.pending[workerID]
+// start has the next forwarder check a worker.
+func (h *healthChecker) start(workerID uint64) {
+	connected := h.forwarders.connected
+	_, isPending := h.pending[workerID]
 	if len(connected) == 0 || isPending {
-		p.notifyPolicy(dispatch.HealthChecked{Worker: workerID, Result: dispatch.NotSent})
+		h.policy.notify(dispatch.HealthChecked{Worker: workerID, Result: dispatch.NotSent})
 		return
 	}
-	p.healthChecks.started++
-	f := connected[p.healthChecks.started%len(connected)]
-	p.healthChecks.pending[workerID] = healthCheck{f, p.now}
-	p.send(f, &message.HealthCheckCommand{WorkerID: workerID})
+	h.started++
+	f := connected[h.started%len(connected)]
+	h.pending[workerID] = healthCheck{f, h.step.now()}
+	h.step.send(f, &message.HealthCheckCommand{WorkerID: workerID})
 }
 
-// healthChecked takes in the result of a health check, if it is the one that the forwarder was to make.
-func (p *Planner) healthChecked(f *forwarder, report *message.HealthCheckResult) {
-	if p.healthChecks.pending[report.WorkerID].forwarder != f {
+// finish takes in the result of a health check, if it is the one that the forwarder was to make.
+func (h *healthChecker) finish(f *forwarder, report *message.HealthCheckResult) {
+	if h.pending[report.WorkerID].forwarder != f {
 		return
 	}
-	delete(p.healthChecks.pending, report.WorkerID)
-	p.notifyPolicy(dispatch.HealthChecked{Worker: report.WorkerID, Result: knownResult(report.Result)})
+	delete(h.pending, report.WorkerID)
+	h.policy.notify(dispatch.HealthChecked{Worker: report.WorkerID, Result: knownResult(report.Result)})
 }
 
-// expireHealthChecks ends the health checks without a result in time.
-func (p *Planner) expireHealthChecks() {
-	p.cancelHealthChecks(func(check healthCheck) bool { return p.now-check.startedAt >= healthCheckTimeout })
+// expire ends the health checks without a result in time.
+func (h *healthChecker) expire() {
+	h.cancel(func(check healthCheck) bool { return h.step.now()-check.startedAt >= healthCheckTimeout })
 }
 
-// cancelHealthChecks ends the health checks that match, for the policy as ones that were not sent.
-func (p *Planner) cancelHealthChecks(matches func(check healthCheck) bool) {
-	for _, workerID := range slices.Sorted(maps.Keys(p.healthChecks.pending)) {
-		if matches(p.healthChecks.pending[workerID]) {
-			delete(p.healthChecks.pending, workerID)
-			p.notifyPolicy(dispatch.HealthChecked{Worker: workerID, Result: dispatch.NotSent})
+// cancel ends the health checks that match, for the policy as ones that were not sent.
+func (h *healthChecker) cancel(matches func(check healthCheck) bool) {
+	for _, workerID := range slices.Sorted(maps.Keys(h.pending)) {
+		if matches(h.pending[workerID]) {
+			delete(h.pending, workerID)
+			h.policy.notify(dispatch.HealthChecked{Worker: workerID, Result: dispatch.NotSent})
 		}
 	}
 }
--- a/internal/control/planner/load_report.go
+++ b/internal/control/planner/load_report.go
@@ -15,24 +15,37 @@
 	maxLoadReportedSlots = 1e9 // less than that
 )
 
-// loadReport returns this planner's load.
-func (p *Planner) loadReport() *message.LoadReport {
+// loadReporter exchanges load reports with the peers and computes this planner's share of the quotas.
+type loadReporter struct {
+	config     *Config
+	stats      *Stats
+	step       *step
+	forwarders *forwarderTable
+	peers      *peerTable
+	policy     *policyRunner
+	requests   *requestTable
+	timer      *stepTimer
+	workers    *workerTable
+}
+
+// report returns this planner's load.
+func (l *loadReporter) report() *message.LoadReport {
 	return &message.LoadReport{
-		OpenRequests:   p.requests.openCount,
-		QueuedRequests: p.requests.queued.length,
-		Forwarders:     len(p.forwarders.connected),
-		TimerLag:       p.timerLag,
-		UsedSlots:      max(0, p.requests.slotsInUse),
-		FreeSlots:      p.freeSlots(),
+		OpenRequests:   l.requests.openCount,
+		QueuedRequests: l.requests.queued.length,
+		Forwarders:     len(l.forwarders.connected),
+		TimerLag:       l.timer.lag,
+		UsedSlots:      max(0, l.requests.slotsInUse),
+		FreeSlots:      l.freeSlots(),
 	}
 }
 
 // freeSlots returns how many slots are free as the policy knows it, or else the workers that have no attempt.
-func (p *Planner) freeSlots() (slots float64) {
-	if reporter, ok := p.policy.policy.(capacityReporter); ok {
+func (l *loadReporter) freeSlots() (slots float64) {
+	if reporter, ok := l.policy.policy.(capacityReporter); ok {
 		return reporter.AvailableSlots()
 	}
-	for _, worker := range p.workers.list {
+	for _, worker := range l.workers.list {
 		if worker.announced && worker.announcedAs.Ready && worker.references == 0 {
 			slots++
 		}
@@ -40,14 +53,14 @@
 	return slots
 }
 
-// loadReported takes in a peer's load.
-func (p *Planner) loadReported(from *peer, report *message.LoadReport) {
+// receive takes in a peer's load.
+func (l *loadReporter) receive(from *peer, report *message.LoadReport) {
 	if !isValidLoadReport(report) {
-		p.stats.InvalidMessages++
+		l.stats.InvalidMessages++
 		return
 	}
 	from.load = *report
-	from.loadAt = p.now
+	from.loadAt = l.step.now()
 	from.claimedSlots = 0
 }
 
@@ -57,38 +70,38 @@
 		report.FreeSlots >= 0 && report.FreeSlots < maxLoadReportedSlots
 }
 
-// sendLoadReports tells the peers this planner's load, and the policy its share of the quotas.
-func (p *Planner) sendLoadReports() {
-	if p.now < p.peers.nextLoadReportAt {
+// send tells the peers this planner's load, and the policy its share of the quotas.
+func (l *loadReporter) send() {
+	if l.step.now() < l.peers.nextLoadReportAt {
 		return
 	}
-	p.peers.nextLoadReportAt = p.now + p.config.LoadReportInterval
-	p.peers.averageOpen += (float64(p.requests.openCount) - p.peers.averageOpen) / openAverageWeight
-	if p.peers.anyAlive || p.peers.quotaShare > 0 {
-		p.updateQuotaShare()
+	l.peers.nextLoadReportAt = l.step.now() + l.config.LoadReportInterval
+	l.peers.averageOpen += (float64(l.requests.openCount) - l.peers.averageOpen) / openAverageWeight
+	if l.peers.anyAlive || l.peers.quotaShare > 0 {
+		l.updateQuotaShare()
 	}
-	if len(p.peers.list) > 0 {
-		p.sendToPeers(p.loadReport())
+	if len(l.peers.list) > 0 {
+		l.step.sendToPeers(l.peers.list, l.report())
 	}
 }
 
 // updateQuotaShare finds out this planner's share of the quotas: that of the open requests of all planners. A peer without
 // a valid load report counts as having as many as this one.
-func (p *Planner) updateQuotaShare() {
-	own := p.peers.averageOpen + 1
+func (l *loadReporter) updateQuotaShare() {
+	own := l.peers.averageOpen + 1
 	sum := own
-	for _, peer := range p.peers.list {
+	for _, peer := range l.peers.list {
 		switch {
 		case !peer.alive:
-		case peer.hasRecentLoad(p.now):
+		case peer.hasRecentLoad(l.step.now()):
 			sum += float64(peer.load.OpenRequests) + 1
 		default:
 			sum += own
 		}
 	}
 	share := own / sum
-	if math.Abs(share-p.peers.quotaShare) > p.peers.quotaShare/quotaShareTolerance {
-		p.peers.quotaShare = share
-		p.notifyPolicy(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: share})
+	if math.Abs(share-l.peers.quotaShare) > l.peers.quotaShare/quotaShareTolerance {
+		l.peers.quotaShare = share
+		l.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: share})
 	}
 }
--- a/internal/control/planner/location.go
+++ b/internal/control/planner/location.go
@@ -55,46 +55,46 @@
 }
 
 // at returns the location of a key, and enters it if it is not known.
-func (x *locationIndex) at(key locationKey) *location {
-	known := x.byKey[key]
+func (l *locationIndex) at(key locationKey) *location {
+	known := l.byKey[key]
 	if known == nil {
 		known = &location{locationKey: key}
-		x.byKey[key] = known
-		x.locations = append(x.locations, known)
+		l.byKey[key] = known
+		l.locations = append(l.locations, known)
 	}
 	return known
 }
 
 // move counts a worker at another location than before. Either may be nil, where it is not up.
-func (x *locationIndex) move(from, to *location) {
+func (l *locationIndex) move(from, to *location) {
 	if from != nil {
-		x.count(from, -1)
+		l.count(from, -1)
 	}
 	if to != nil {
-		x.count(to, 1)
+		l.count(to, 1)
 	}
 }
 
 // count adds to a location's workers. The first one and the last one change where classes may be placed.
-func (x *locationIndex) count(at *location, change int) {
+func (l *locationIndex) count(at *location, change int) {
 	at.available += change
 	if at.available <= 1 {
-		x.resetPlacements()
+		l.resetPlacements()
 	}
 }
 
-func (x *locationIndex) resetPlacements() {
-	for class := range x.placements {
-		x.placements[class] = placementUnknown
+func (l *locationIndex) resetPlacements() {
+	for class := range l.placements {
+		l.placements[class] = placementUnknown
 	}
 }
 
 // canPlaceLocally reports whether a class may be placed at a worker of this planner that is up.
-func (x *locationIndex) canPlaceLocally(class int) bool {
-	placed := &x.placements[class]
+func (l *locationIndex) canPlaceLocally(class int) bool {
+	placed := &l.placements[class]
 	if *placed == placementUnknown {
 		*placed = placementRemote
-		if x.availableFor(class, x.local, anywhere) > 0 {
+		if l.availableFor(class, l.local, anywhere) > 0 {
 			*placed = placementLocal
 		}
 	}
@@ -102,9 +102,9 @@
 }
 
 // availableFor returns how many of a planner's workers are up at which a class may be placed, at locations that match.
-func (x *locationIndex) availableFor(class int, owner string, matches func(at *location) bool) (available int) {
-	for _, at := range x.locations {
-		if at.owner == owner && x.allows(class, at) && matches(at) {
+func (l *locationIndex) availableFor(class int, owner string, matches func(at *location) bool) (available int) {
+	for _, at := range l.locations {
+		if at.owner == owner && l.allows(class, at) && matches(at) {
 			available += at.available
 		}
 	}
@@ -112,8 +112,8 @@
 }
 
 // allows reports whether a class may be placed at a location by its kind and zone.
-func (x *locationIndex) allows(class int, at *location) bool {
-	c := &x.classes[class]
+func (l *locationIndex) allows(class int, at *location) bool {
+	c := &l.classes[class]
 	return isListed(c.Kinds, at.kind) && isListed(c.Zones, at.zone)
 }
 
@@ -126,8 +126,17 @@
 	return func(at *location) bool { return at.zone == zone }
 }
 
+// policySync keeps what the policy has of the workers up to date.
+type policySync struct {
+	config    *Config
+	step      *step
+	locations *locationIndex
+	policy    *policyRunner
+	workers   *workerTable
+}
+
 // updateLocation counts a worker at the location at which it is up.
-func (p *Planner) updateLocation(worker *worker) {
+func (p *policySync) updateLocation(worker *worker) {
 	if !worker.isUp() {
 		p.locations.move(worker.location, nil)
 		worker.location = nil
@@ -135,7 +144,7 @@
 	}
 	key := locationKey{p.config.Name, worker.Zone, worker.Kind}
 	if !worker.owned {
-		key.owner = p.ownerName(worker)
+		key.owner = p.workers.partition.owner(worker)
 	}
 	if worker.location != nil && worker.location.locationKey == key {
 		return
--- /dev/null
+++ b/internal/control/planner/new.go
@@ -0,0 +1,196 @@
+package planner
+
+import "valvecove/internal/control/message"
+
+// New returns a planner without forwarders, workers or peers.
+func New(config Config) *Planner {
+	config = config.withDefaults()
+	planner := &Planner{
+		config:     config,
+		requests:   newRequestTable(config.MaxOpenRequests),
+		workers:    workerTable{byID: map[uint64]*worker{}, partition: partition{local: config.Name}},
+		locations:  newLocationIndex(config.Name, config.Settings.Classes),
+		forwarders: forwarderTable{sessions: map[SessionID]*session{}, byName: map[string]*forwarder{}},
+		peers:      peerTable{epoch: message.Epoch(config.Incarnation)},
+	}
+	planner.joinPolicy()
+	planner.joinForwarders()
+	planner.joinRequests()
+	planner.joinWorkers()
+	planner.joinPeers()
+	return planner
+}
+
+// joinPolicy makes the parts that run the policy, stop the planner and write its summary.
+func (p *Planner) joinPolicy() {
+	p.policy = policyRunner{policy: p.config.NewPolicy(), phase: &p.lifecycle}
+	p.lifecycle = lifecycle{
+		step:        &p.step,
+		stopTimeout: p.config.StopTimeout,
+		forwarders:  &p.forwarders,
+		requests:    &p.requests,
+		closer:      &p.requestLifecycle,
+		policy:      &p.policy,
+	}
+	p.recovery = recovery{
+		config:           &p.config,
+		stats:            &p.stats,
+		step:             &p.step,
+		commands:         &p.commands,
+		forwarders:       &p.forwarders,
+		healthChecks:     &p.healthChecks,
+		requestLifecycle: &p.requestLifecycle,
+		peers:            &p.peers,
+		policy:           &p.policy,
+		policySync:       &p.policySync,
+		requests:         &p.requests,
+		sessions:         &p.sessions,
+		workers:          &p.workers,
+	}
+	p.summary = summaryLog{
+		step:  &p.step,
+		stats: &p.stats,
+	}
+}
+
+// joinForwarders makes the parts that exchange messages with forwarders, apart from those about requests.
+func (p *Planner) joinForwarders() {
+	p.heartbeats = heartbeats{step: &p.step, timer: &p.timer, forwarders: &p.forwarders}
+	p.sessions = sessionLifecycle{
+		config:           &p.config,
+		stats:            &p.stats,
+		step:             &p.step,
+		credits:          &p.credits,
+		forwarders:       &p.forwarders,
+		healthChecks:     &p.healthChecks,
+		requestLifecycle: &p.requestLifecycle,
+		phase:            &p.lifecycle,
+		policy:           &p.policy,
+		snapshots:        &p.snapshots,
+		statuses:         &p.statuses,
+	}
+	p.credits = creditAllocator{
+		config:     &p.config,
+		step:       &p.step,
+		forwarders: &p.forwarders,
+	}
+	p.snapshots = snapshotSender{
+		config:     &p.config,
+		step:       &p.step,
+		forwarders: &p.forwarders,
+		policy:     &p.policy,
+	}
+	p.healthChecks = healthChecker{
+		step:       &p.step,
+		forwarders: &p.forwarders,
+		policy:     &p.policy,
+		pending:    map[uint64]healthCheck{},
+	}
+}
+
+// joinRequests makes the parts that process requests and their attempts.
+func (p *Planner) joinRequests() {
+	p.requestLifecycle = requestLifecycle{
+		config:     &p.config,
+		stats:      &p.stats,
+		step:       &p.step,
+		policy:     &p.policy,
+		policySync: &p.policySync,
+		requests:   &p.requests,
+	}
+	p.offers = offerHandler{
+		config:           &p.config,
+		stats:            &p.stats,
+		step:             &p.step,
+		credits:          &p.credits,
+		requestLifecycle: &p.requestLifecycle,
+		peers:            &p.peers,
+		phase:            &p.lifecycle,
+		placer:           &p.placer,
+		policy:           &p.policy,
+		policySync:       &p.policySync,
+		requests:         &p.requests,
+		workers:          &p.workers,
+	}
+	p.reports = reportHandler{
+		stats:            &p.stats,
+		step:             &p.step,
+		requestLifecycle: &p.requestLifecycle,
+		policy:           &p.policy,
+		requests:         &p.requests,
+		summary:          &p.summary,
+	}
+	p.commands = commandExecutor{
+		stats:            &p.stats,
+		step:             &p.step,
+		forwarders:       &p.forwarders,
+		healthChecks:     &p.healthChecks,
+		requestLifecycle: &p.requestLifecycle,
+		policy:           &p.policy,
+		requests:         &p.requests,
+		workers:          &p.workers,
+	}
+	p.placer = placer{
+		config:           &p.config,
+		stats:            &p.stats,
+		step:             &p.step,
+		requestLifecycle: &p.requestLifecycle,
+		locations:        &p.locations,
+		peers:            &p.peers,
+		policy:           &p.policy,
+		requests:         &p.requests,
+		workers:          &p.workers,
+	}
+}
+
+// joinWorkers makes the parts that track the workers.
+func (p *Planner) joinWorkers() {
+	p.policySync = policySync{
+		config:    &p.config,
+		step:      &p.step,
+		locations: &p.locations,
+		policy:    &p.policy,
+		workers:   &p.workers,
+	}
+	p.endpoints = endpointHandler{
+		config:     &p.config,
+		step:       &p.step,
+		locations:  &p.locations,
+		policy:     &p.policy,
+		policySync: &p.policySync,
+		statuses:   &p.statuses,
+		workers:    &p.workers,
+	}
+	p.statuses = statusHandler{
+		stats:      &p.stats,
+		step:       &p.step,
+		forwarders: &p.forwarders,
+		peers:      &p.peers,
+		policySync: &p.policySync,
+		workers:    &p.workers,
+	}
+}
+
+// joinPeers makes the parts that exchange messages with other planners.
+func (p *Planner) joinPeers() {
+	p.peerSessions = peerSessions{
+		config:   &p.config,
+		stats:    &p.stats,
+		step:     &p.step,
+		loads:    &p.loads,
+		peers:    &p.peers,
+		statuses: &p.statuses,
+		workers:  &p.workers,
+	}
+	p.loads = loadReporter{
+		config:     &p.config,
+		stats:      &p.stats,
+		step:       &p.step,
+		forwarders: &p.forwarders,
+		peers:      &p.peers,
+		policy:     &p.policy,
+		requests:   &p.requests,
+		timer:      &p.timer,
+		workers:    &p.workers,
+	}
+}
--- a/internal/control/planner/offer.go
+++ b/internal/control/planner/offer.go
@@ -15,53 +15,69 @@
 	defaultSlotDemand = 1
 )
 
-// requestOffered takes in an offer. One of a request that is known replaces it: the forwarder has reason to think that
+// offerHandler decides on the forwarders' offers of requests.
+type offerHandler struct {
+	config           *Config
+	stats            *Stats
+	step             *step
+	credits          *creditAllocator
+	requestLifecycle *requestLifecycle
+	peers            *peerTable
+	phase            *lifecycle
+	placer           *placer
+	policy           *policyRunner
+	policySync       *policySync
+	requests         *requestTable
+	workers          *workerTable
+}
+
+// handle takes in an offer. One of a request that is known replaces it: the forwarder has reason to think that
 // the two know different things, and its records decide.
-func (p *Planner) requestOffered(f *forwarder, offer *message.RequestOffer) {
-	if !p.decides() {
+func (o *offerHandler) handle(f *forwarder, offer *message.RequestOffer) {
+	if !o.phase.decides() {
 		return // the forwarder offers all of them to others once it reads the goodbye
 	}
-	p.stats.Offers++
+	o.stats.Offers++
 	known := f.requests[offer.RequestID]
 	if known == nil {
-		p.decideOnOffer(f, offer, nil)
+		o.decide(f, offer, nil)
 		return
 	}
 	unread := unreadCommands(known, f.epoch, len(offer.Summary.Attempts))
-	p.referToWorkers(unread, 1) // else they could be forgotten with the request
-	p.abandonRequest(known)
-	p.decideOnOffer(f, offer, unread)
-	p.referToWorkers(unread, -1)
+	o.referToWorkers(unread, 1) // else they could be forgotten with the request
+	o.requestLifecycle.abandon(known)
+	o.decide(f, offer, unread)
+	o.referToWorkers(unread, -1)
 }
 
 // referToWorkers counts attempts that are in no request, each so many times.
-func (p *Planner) referToWorkers(attempts []attempt, count int) {
+func (o *offerHandler) referToWorkers(attempts []attempt, count int) {
 	for i := range attempts {
-		p.addReferences(attempts[i].worker, count)
+		o.policySync.addReferences(attempts[i].worker, count)
 	}
 }
 
-// decideOnOffer accepts an offer of a request that is not known, or doesn't. unread are attempts to add to those that the
+// decide accepts an offer of a request that is not known, or doesn't. unread are attempts to add to those that the
 // offer has.
-func (p *Planner) decideOnOffer(f *forwarder, offer *message.RequestOffer, unread []attempt) {
-	if !p.acceptsOffer(f, &offer.Summary) {
-		p.rejectOffer(f, offer)
+func (o *offerHandler) decide(f *forwarder, offer *message.RequestOffer, unread []attempt) {
+	if !o.accepts(f, &offer.Summary) {
+		o.reject(f, offer)
 		return
 	}
-	req := p.addRequest(f, offer)
+	req := o.addRequest(f, offer)
 	for _, attempt := range unread {
-		p.addAttempt(req, attempt)
+		o.requestLifecycle.addAttempt(req, attempt)
 	}
-	if to := p.preferredPeer(req); to != "" {
-		p.transfer(req, to)
+	if to := o.placer.preferredPeer(req); to != "" {
+		o.placer.transfer(req, to)
 		return
 	}
-	p.requests.settle(req, p.now)
+	o.requests.settle(req, o.step.now())
 	if len(req.attempts) == 0 && offer.Summary.Transfers == 0 && offer.Summary.Waited < resumeThreshold {
-		p.notifyPolicy(req.job)
+		o.policy.notify(req.job)
 	} else {
-		p.flushWorkerUpdates() // the attempts may name workers that the policy was not told of
-		p.notifyPolicy(p.resumedJob(req))
+		o.policySync.flush() // the attempts may name workers that the policy was not told of
+		o.policy.notify(req.resumedJob(o.step.now()))
 	}
 	req.knownToPolicy = true
 }
@@ -80,41 +96,41 @@
 	return unread
 }
 
-// acceptsOffer reports whether the forwarder's credit covers one more request, and this planner can plan for it.
-func (p *Planner) acceptsOffer(f *forwarder, summary *message.RequestSummary) bool {
-	return p.withinCredit(f) &&
-		summary.Class >= 0 && summary.Class < len(p.config.Settings.Classes) &&
+// accepts reports whether the forwarder's credit covers one more request, and this planner can plan for it.
+func (o *offerHandler) accepts(f *forwarder, summary *message.RequestSummary) bool {
+	return o.credits.covers(f) &&
+		summary.Class >= 0 && summary.Class < len(o.config.Settings.Classes) &&
 		len(summary.Attempts) <= maxAttempts
 }
 
-// rejectOffer answers an offer that is not accepted.
-func (p *Planner) rejectOffer(f *forwarder, offer *message.RequestOffer) {
-	p.stats.OffersRejected++
+// reject answers an offer that is not accepted.
+func (o *offerHandler) reject(f *forwarder, offer *message.RequestOffer) {
+	o.stats.OffersRejected++
 	if offer.Summary.Transfers < maxTransfers {
-		if to := p.peerWithMostFreeSlots(defaultSlotDemand); to != "" {
-			p.stats.Transferred++
-			p.send(f, &message.TransferCommand{RequestID: offer.RequestID, Planner: to})
+		if to := o.peers.withMostFreeSlots(o.step.now(), defaultSlotDemand); to != "" {
+			o.stats.Transferred++
+			o.step.send(f, &message.TransferCommand{RequestID: offer.RequestID, Planner: to})
 			return
 		}
 	}
 	for i := range offer.Summary.Attempts {
 		if offer.Summary.Attempts[i].PossiblyExecuted {
-			p.send(f, &message.FailCommand{RequestID: offer.RequestID})
+			o.step.send(f, &message.FailCommand{RequestID: offer.RequestID})
 			return
 		}
 	}
-	p.send(f, &message.RejectCommand{RequestID: offer.RequestID})
+	o.step.send(f, &message.RejectCommand{RequestID: offer.RequestID})
 }
 
 // addRequest enters a request with the attempts that its summary has.
-func (p *Planner) addRequest(f *forwarder, offer *message.RequestOffer) *request {
+func (o *offerHandler) addRequest(f *forwarder, offer *message.RequestOffer) *request {
 	summary := &offer.Summary
-	req := p.requests.allocate()
+	req := o.requests.allocate()
 	req.forwarderID = offer.RequestID
 	req.forwarder = f
 	req.epoch = f.epoch
-	req.arrivedAt = p.now - clampSpan(summary.Waited)
-	req.deadline = p.now + clampSpan(summary.Remaining)
+	req.arrivedAt = o.step.now() - clampSpan(summary.Waited)
+	req.deadline = o.step.now() + clampSpan(summary.Remaining)
 	req.transfers = max(0, summary.Transfers)
 	req.slots = slotDemand(summary)
 	req.job = dispatch.Job{
@@ -128,12 +144,12 @@
 		Memory:    summary.Memory,
 		Retry:     summary.Retry,
 	}
-	p.requests.byID[req.id] = req
+	o.requests.byID[req.id] = req
 	f.requests[req.forwarderID] = req
 	f.offered.push(req)
-	p.requests.transition(req, requestOffered, p.now)
+	o.requests.transition(req, requestOffered, o.step.now())
 	for i := range summary.Attempts {
-		p.addAttempt(req, p.reportedAttempt(&summary.Attempts[i]))
+		o.requestLifecycle.addAttempt(req, o.reportedAttempt(&summary.Attempts[i]))
 	}
 	return req
 }
@@ -151,15 +167,15 @@
 
 // reportedAttempt returns an attempt as the forwarder reports it. Where the result and the forwarder's records differ on
 // whether it was possibly executed, the records decide.
-func (p *Planner) reportedAttempt(past *message.PastAttempt) attempt {
+func (o *offerHandler) reportedAttempt(past *message.PastAttempt) attempt {
 	reported := attempt{
 		state:  attemptConfirmed,
-		worker: p.ensureWorker(past.WorkerID),
-		sentAt: p.now - clampSpan(past.SentAgo),
+		worker: o.workers.ensure(past.WorkerID),
+		sentAt: o.step.now() - clampSpan(past.SentAgo),
 		result: knownResult(past.Result),
 	}
 	if past.StartedAgo > 0 {
-		reported.startedAt = max(p.now-clampSpan(past.StartedAgo), reported.sentAt)
+		reported.startedAt = max(o.step.now()-clampSpan(past.StartedAgo), reported.sentAt)
 	}
 	if !past.Ended {
 		return reported
@@ -174,24 +190,24 @@
 	return reported
 }
 
-// resumedJob returns a request with its attempts as the policy is told of it.
-func (p *Planner) resumedJob(req *request) dispatch.JobResumed {
+// resumedJob returns the event that gives a policy the request with its attempts.
+func (r *request) resumedJob(now time.Duration) dispatch.JobResumed {
 	resumed := dispatch.JobResumed{
-		Job:          req.job,
-		Age:          p.now - req.arrivedAt,
-		QuotaCharged: req.knownToPolicy || req.transfers > 0,
+		Job:          r.job,
+		Age:          now - r.arrivedAt,
+		QuotaCharged: r.knownToPolicy || r.transfers > 0,
 	}
-	resumed.Job.Remaining = max(0, req.deadline-p.now)
-	for i := range req.attempts {
-		attempt := &req.attempts[i]
+	resumed.Job.Remaining = max(0, r.deadline-now)
+	for i := range r.attempts {
+		attempt := &r.attempts[i]
 		past := dispatch.PastAttempt{
 			Worker:  attempt.worker.ID,
-			SentAgo: p.now - attempt.sentAt,
+			SentAgo: now - attempt.sentAt,
 			Ended:   !attempt.inFlight(),
 			Result:  attempt.result,
 		}
 		if attempt.startedAt != 0 {
-			past.StartedAgo = max(1, p.now-attempt.startedAt)
+			past.StartedAgo = max(1, now-attempt.startedAt)
 		}
 		resumed.Attempts = append(resumed.Attempts, past)
 	}
--- a/internal/control/planner/peer.go
+++ b/internal/control/planner/peer.go
@@ -19,8 +19,8 @@
 	peerEstablished
 )
 
-func (s peerState) String() string {
-	switch s {
+func (p peerState) String() string {
+	switch p {
 	case peerDisconnected:
 		return "disconnected"
 	case peerConnected:
@@ -70,42 +70,58 @@
 func comparePeer(peer *peer, name string) int { return cmp.Compare(peer.name, name) }
 
 // find returns the peer of a name, or nil.
-func (t *peerTable) find(name string) *peer {
-	if i, ok := slices.BinarySearchFunc(t.list, name, comparePeer); ok {
-		return t.list[i]
+func (p *peerTable) find(name string) *peer {
+	if i, ok := slices.BinarySearchFunc(p.list, name, comparePeer); ok {
+		return p.list[i]
 	}
 	return nil
 }
 
 // ensure returns the peer of a name, and enters it if it is not known; nil: there are too many.
-func (t *peerTable) ensure(name string) *peer {
-	i, ok := slices.BinarySearchFunc(t.list, name, comparePeer)
+func (p *peerTable) ensure(name string) *peer {
+	i, ok := slices.BinarySearchFunc(p.list, name, comparePeer)
 	if !ok {
-		if len(t.list) >= maxPeers {
+		if len(p.list) >= maxPeers {
 			return nil
 		}
-		t.list = slices.Insert(t.list, i, &peer{name: name})
+		p.list = slices.Insert(p.list, i, &peer{name: name})
 	}
-	return t.list[i]
+	return p.list[i]
 }
 
 // ifAlive returns the name if it is that of a peer that is alive, else an empty one.
-func (t *peerTable) ifAlive(name string) string {
-	if peer := t.find(name); peer != nil && peer.alive {
+func (p *peerTable) ifAlive(name string) string {
+	if peer := p.find(name); peer != nil && peer.alive {
 		return name
 	}
 	return ""
 }
 
 // removeStale forgets the peers that are neither alive nor connected.
-func (t *peerTable) removeStale() {
-	t.list = slices.DeleteFunc(t.list, func(peer *peer) bool { return !peer.alive && peer.state == peerDisconnected })
-	t.anyAlive = slices.ContainsFunc(t.list, func(peer *peer) bool { return peer.alive })
+func (p *peerTable) removeStale() {
+	p.list = slices.DeleteFunc(p.list, func(peer *peer) bool { return !peer.alive && peer.state == peerDisconnected })
+	p.anyAlive = slices.ContainsFunc(p.list, func(peer *peer) bool { return peer.alive })
+}
+
+// withMostFreeSlots returns the peer with the most free slots, if these are enough for a request that takes so many;
+// empty: there is none.
+func (p *peerTable) withMostFreeSlots(now time.Duration, slots float64) string {
+	best, bestFree := "", slots+transferSlotMargin
+	for _, peer := range p.list {
+		if !peer.alive || !peer.hasRecentLoad(now) {
+			continue
+		}
+		free := peer.load.FreeSlots - float64(peer.load.QueuedRequests) - peer.claimedSlots
+		if free > bestFree {
+			best, bestFree = peer.name, free
+		}
+	}
+	return best
 }
 
 // countAlive returns how many peers are alive.
-func (t *peerTable) countAlive() (count int) {
-	for _, peer := range t.list {
+func (p *peerTable) countAlive() (count int) {
+	for _, peer := range p.list {
 		if peer.alive {
 			count++
 		}
@@ -113,71 +129,69 @@
 	return count
 }
 
-// ensurePeer returns the peer of a name, and enters it if it is not known; nil: the name is not that of a peer, or there are
+// peerSessions handles the connections to the other planners.
+type peerSessions struct {
+	config   *Config
+	stats    *Stats
+	step     *step
+	loads    *loadReporter
+	peers    *peerTable
+	statuses *statusHandler
+	workers  *workerTable
+}
+
+// ensure returns the peer of a name, and enters it if it is not known; nil: the name is not that of a peer, or there are
 // too many.
-func (p *Planner) ensurePeer(name string) *peer {
+func (p *peerSessions) ensure(name string) *peer {
 	if name == "" || len(name) > maxNameLength || name == p.config.Name {
 		return nil
 	}
 	return p.peers.ensure(name)
 }
 
-// peersChanged takes in which planners are alive.
-func (p *Planner) peersChanged(names []string) {
+// processMembers takes in which planners are alive.
+func (p *peerSessions) processMembers(names []string) {
 	for _, peer := range p.peers.list {
 		peer.alive = false
 	}
 	for _, name := range names {
-		if peer := p.ensurePeer(name); peer != nil {
+		if peer := p.ensure(name); peer != nil {
 			peer.alive = true
 		}
 	}
 	p.peers.removeStale()
 }
 
-// peerConnected greets a peer, and tells it this planner's load and which workers are not available.
-func (p *Planner) peerConnected(name string) {
-	peer := p.ensurePeer(name)
+// connect greets a peer, and tells it this planner's load and which workers are not available.
+func (p *peerSessions) connect(name string) {
+	peer := p.ensure(name)
 	if peer == nil {
 		return
 	}
 	p.peers.epoch++
 	peer.epoch = p.peers.epoch
 	peer.transition(peerConnected, 0)
-	p.sendToPeer(peer, &message.PeerHandshake{
+	p.step.sendToPeer(peer, &message.PeerHandshake{
 		Name: p.config.Name, Incarnation: p.config.Incarnation, Version: p.config.Version,
 	})
-	p.sendToPeer(peer, p.loadReport())
+	p.step.sendToPeer(peer, p.loads.report())
 	for _, worker := range p.workers.list {
 		if worker.isUnavailable() {
 			status := worker.status
-			p.sendToPeer(peer, &status)
+			p.step.sendToPeer(peer, &status)
 		}
 	}
 }
 
-func (p *Planner) peerDisconnected(name string) {
+func (p *peerSessions) disconnect(name string) {
 	if peer := p.peers.find(name); peer != nil {
 		peer.transition(peerDisconnected, 0)
 		p.peers.removeStale()
 	}
 }
 
-// sendToPeer sends a message to a peer, if there is a connection.
-func (p *Planner) sendToPeer(to *peer, m message.Message) {
-	if to.state != peerDisconnected {
-		p.emit(SendToPeer{Peer: to.name, Envelope: message.Envelope{Epoch: to.epoch, Message: m}})
-	}
-}
-
-func (p *Planner) sendToPeers(m message.Message) {
-	for _, peer := range p.peers.list {
-		p.sendToPeer(peer, m)
-	}
-}
-
-// receiveFromPeer takes in a message of a peer.
-func (p *Planner) receiveFromPeer(name string, envelope message.Envelope) {
+// receive takes in a message of a peer.
+func (p *peerSessions) receive(name string, envelope message.Envelope) {
 	if envelope.Message == nil {
 		return
 	}
@@ -186,7 +200,7 @@
 		p.stats.StrayMessages++
 		return
 	}
-	if handshake, ok := envelope.Message.(*message.PeerHandshake); ok && p.peerHandshake(peer, envelope.Epoch, handshake) {
+	if handshake, ok := envelope.Message.(*message.PeerHandshake); ok && p.receiveHandshake(peer, envelope.Epoch, handshake) {
 		return
 	}
 	if peer.state != peerEstablished || envelope.Epoch != peer.remoteEpoch {
@@ -195,21 +209,21 @@
 	}
 	switch m := envelope.Message.(type) {
 	case *message.WorkerStatus:
-		p.statusReceived(*m, statusSource{peer: peer})
+		p.statuses.receive(*m, statusSource{peer: peer})
 	case *message.LoadReport:
-		p.loadReported(peer, m)
+		p.loads.receive(peer, m)
 	default:
 		p.stats.InvalidMessages++
 	}
 }
 
-// peerHandshake takes in a peer's handshake, and reports whether it opens the session, or ends it for its version. Any other
+// receiveHandshake takes in a peer's handshake, and reports whether it opens the session, or ends it for its version. Any other
 // one is treated like a message that is not a handshake.
-func (p *Planner) peerHandshake(from *peer, epoch message.Epoch, m *message.PeerHandshake) bool {
+func (p *peerSessions) receiveHandshake(from *peer, epoch message.Epoch, m *message.PeerHandshake) bool {
 	switch {
 	case !p.config.compatible(m.Version):
 		from.transition(peerConnected, 0)
-		p.log("planner ignored: another major version of the protocol", "planner", from.name,
+		p.step.log("planner ignored: another major version of the protocol", "planner", from.name,
 			"version", versionText(m.Version), "own_version", versionText(p.config.Version))
 		return true
 	case epoch > from.remoteEpoch && m.Name == from.name:
--- a/internal/control/planner/phase.go
+++ b/internal/control/planner/phase.go
@@ -1,6 +1,10 @@
 package planner
 
-import "valvecove/internal/control/message"
+import (
+	"time"
+
+	"valvecove/internal/control/message"
+)
 
 // phase is how far a planner's life has come. Phases follow each other in this order.
 type phase uint8
@@ -12,8 +16,8 @@
 	phaseStopped
 )
 
-func (s phase) String() string {
-	switch s {
+func (p phase) String() string {
+	switch p {
 	case phaseNew:
 		return "new"
 	case phaseRunning:
@@ -26,50 +30,67 @@
 	return "unknown"
 }
 
+// lifecycle is the phase of a planner, and its orderly stop.
+type lifecycle struct {
+	step        *step
+	stopTimeout time.Duration
+	forwarders  *forwarderTable
+	requests    *requestTable
+	closer      requestCloser
+	policy      pendingDiscarder
+
+	phase        phase
+	stopDeadline time.Duration // of the wait for forwarders to disconnect, while stopping
+}
+
+// requestCloser closes the requests of a forwarder.
+type requestCloser interface{ closeAllOf(f *forwarder) }
+
+// pendingDiscarder discards the events that are pending for the policy.
+type pendingDiscarder interface{ discardPending() }
+
 // enter moves the planner to a phase, if that is later than its present one.
-func (p *Planner) enter(to phase) {
-	if to <= p.phase {
+func (l *lifecycle) enter(to phase) {
+	if to <= l.phase {
 		return
 	}
-	p.phase = to
+	l.phase = to
 	switch to {
-	case phaseRunning:
-		p.nextTickAt = p.now
 	case phaseStopping:
-		p.stopDeadline = p.now + p.config.StopTimeout
+		l.stopDeadline = l.step.now() + l.stopTimeout
 	case phaseStopped:
-		p.log("stopped", "sessions", len(p.forwarders.sessions))
-		p.emit(Stopped{})
+		l.step.log("stopped", "sessions", len(l.forwarders.sessions))
+		l.step.emit(Stopped{})
 	}
 }
 
 // decides reports whether the policy is still asked.
-func (p *Planner) decides() bool { return p.phase < phaseStopping }
+func (l *lifecycle) decides() bool { return l.phase < phaseStopping }
 
 // stop tells every forwarder to leave. Commands that were sent stay valid; what forwarders offer from now on is ignored.
-func (p *Planner) stop() {
-	if !p.decides() {
+func (l *lifecycle) stop() {
+	if !l.decides() {
 		return
 	}
-	p.enter(phaseStopping)
-	p.log("stopping", "forwarders", len(p.forwarders.connected), "open_requests", p.requests.openCount)
-	for _, f := range p.forwarders.connected {
-		p.send(f, &message.Goodbye{})
+	l.enter(phaseStopping)
+	l.step.log("stopping", "forwarders", len(l.forwarders.connected), "open_requests", l.requests.openCount)
+	for _, f := range l.forwarders.connected {
+		l.step.send(f, &message.Goodbye{})
 	}
-	for _, f := range p.forwarders.connected {
-		p.closeRequestsOf(f)
+	for _, f := range l.forwarders.connected {
+		l.closer.closeAllOf(f)
 	}
-	p.policy.discardPending()
-	p.finishStop()
+	l.policy.discardPending()
+	l.finishStop()
 }
 
 // finishStop stops the planner once no session is left, or the time for that is over.
-func (p *Planner) finishStop() {
-	if len(p.forwarders.sessions) > 0 && p.now < p.stopDeadline {
+func (l *lifecycle) finishStop() {
+	if len(l.forwarders.sessions) > 0 && l.step.now() < l.stopDeadline {
 		return
 	}
-	for _, id := range p.forwarders.sessionIDs() {
-		p.emit(CloseSession{Session: id})
+	for _, id := range l.forwarders.sessionIDs() {
+		l.step.emit(CloseSession{Session: id})
 	}
-	p.enter(phaseStopped)
+	l.enter(phaseStopped)
 }
--- a/internal/control/planner/placement.go
+++ b/internal/control/planner/placement.go
@@ -5,9 +5,22 @@
 // maxTransfers bounds how often a request is transferred in its life.
 const maxTransfers = 2
 
+// placer decides which planner is to have a request, and transfers requests to other planners.
+type placer struct {
+	config           *Config
+	stats            *Stats
+	step             *step
+	requestLifecycle *requestLifecycle
+	locations        *locationIndex
+	peers            *peerTable
+	policy           *policyRunner
+	requests         *requestTable
+	workers          *workerTable
+}
+
 // preferredPeer returns the planner that should have a request, because no worker of this one may; empty: there is none, or
 // it can be placed here. A request that was possibly executed stays with the workers that know of it.
-func (p *Planner) preferredPeer(req *request) string {
+func (p *placer) preferredPeer(req *request) string {
 	if !p.peers.anyAlive || req.inFlight > 0 || req.transfers >= maxTransfers {
 		return ""
 	}
@@ -22,7 +35,7 @@
 }
 
 // preferredPeerAfter returns the planner that should have a request of a class after an attempt that was possibly executed.
-func (p *Planner) preferredPeerAfter(a *attempt, class int) string {
+func (p *placer) preferredPeerAfter(a *attempt, class int) string {
 	settings := &p.config.Settings.Classes[class]
 	switch {
 	case settings.Idempotency == dispatch.NonIdempotent:
@@ -30,7 +43,7 @@
 	case !a.worker.listed:
 		return "" // it is not known here who may
 	case settings.DeduplicationScope == dispatch.ScopeCell:
-		return p.peers.ifAlive(p.ownerName(a.worker))
+		return p.peers.ifAlive(p.workers.partition.owner(a.worker))
 	}
 	sameZone := inZone(a.worker.Zone)
 	if p.locations.availableFor(class, p.config.Name, sameZone) > 0 {
@@ -41,7 +54,7 @@
 
 // bindingAttempt returns the first attempt because of which a request may not go to any worker: it was possibly executed,
 // and the request may not be executed twice, or only where that is noticed. Else nil.
-func (p *Planner) bindingAttempt(req *request) *attempt {
+func (p *placer) bindingAttempt(req *request) *attempt {
 	class := &p.config.Settings.Classes[req.job.Class]
 	if class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.IdempotentWithKey && class.DeduplicationScope == dispatch.ScopeAll {
@@ -57,7 +70,7 @@
 
 // bestPeerFor returns the peer with the most workers that are up at which a class may be placed, at locations that match;
 // empty: there is none.
-func (p *Planner) bestPeerFor(class int, matches func(at *location) bool) string {
+func (p *placer) bestPeerFor(class int, matches func(at *location) bool) string {
 	best, bestAvailable := "", 0
 	for _, peer := range p.peers.list {
 		if !peer.alive {
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -2,155 +2,132 @@
 
 import (
 	"time"
-
-	"valvecove/internal/control/message"
 )
 
 const (
 	tickInterval     = 50 * time.Millisecond // of everything that is due by time
 	creditTicks      = 2                     // ticks between two assignments of credit
 	maintenanceTicks = 20                    // ticks between two searches for sessions and health checks that have timed out
-	timerLagDecay    = 8                     // a tick takes this part of the lag away: half of it in a quarter of a second
 )
 
 // Planner makes the decisions for the forwarders that are connected to it. It is not safe for concurrent use.
 type Planner struct {
-	config  Config
-	now     time.Duration
-	actions []Action // of the step under way
-
-	phase        phase
-	stopDeadline time.Duration // when a planner that is stopping does so whoever is connected
-
-	timerAt    time.Duration // 0: no timer is set
-	timerLag   time.Duration // by how much timers have fired late of late
+	config     Config
+	step       step
+	timer      stepTimer
 	nextTickAt time.Duration
 	ticks      int
+	lifecycle  lifecycle
+	stats      Stats
+	summary    summaryLog
+
+	policy   policyRunner
+	recovery recovery
+
+	forwarders forwarderTable
+	sessions   sessionLifecycle
+	credits    creditAllocator
+	heartbeats heartbeats
+	snapshots  snapshotSender
+
+	requests         requestTable
+	requestLifecycle requestLifecycle
+	offers           offerHandler
+	reports          reportHandler
+	commands         commandExecutor
+	placer           placer
+	healthChecks     healthChecker
+
+	workers    workerTable
+	locations  locationIndex
+	policySync policySync
+	endpoints  endpointHandler
+	statuses   statusHandler
 
-	policy       policyRunner
-	requests     requestTable
-	workers      workerTable
-	locations    locationIndex
-	forwarders   forwarderTable
-	healthChecks healthChecker
-	snapshots    snapshotSchedule
 	peers        peerTable
-	heartbeats   []receivedHeartbeat // to be answered once the policy has taken in what came before them
-	stats        Stats
-	summary      summaryLog
-}
-
-// receivedHeartbeat is a heartbeat of a forwarder.
-type receivedHeartbeat struct {
-	session  SessionID
-	epoch    message.Epoch
-	sequence uint64
-}
-
-// New returns a planner that knows no forwarder, worker or peer.
-func New(config Config) *Planner {
-	config = config.withDefaults()
-	return &Planner{
-		config:       config,
-		policy:       policyRunner{policy: config.NewPolicy()},
-		requests:     newRequestTable(config.MaxOpenRequests),
-		workers:      workerTable{byID: map[uint64]*worker{}},
-		locations:    newLocationIndex(config.Name, config.Settings.Classes),
-		forwarders:   forwarderTable{sessions: map[SessionID]*session{}, byName: map[string]*forwarder{}},
-		healthChecks: healthChecker{pending: map[uint64]healthCheck{}},
-		peers:        peerTable{epoch: message.Epoch(config.Incarnation)},
-	}
+	peerSessions peerSessions
+	loads        loadReporter
 }
 
 // Step takes in what has happened by now, in order, and appends what is to be done to dst. Time never runs backwards: a now
 // before that of an earlier step counts as that one.
 func (p *Planner) Step(now time.Duration, events []Event, dst []Action) []Action {
-	p.now = max(now, p.now)
-	p.actions = dst
-	p.enter(phaseRunning)
-	p.measureTimerLag()
+	p.step.begin(now, dst)
+	p.lifecycle.enter(phaseRunning)
+	p.timer.begin(p.step.now())
 	for _, event := range events {
 		p.handle(event)
 	}
 	p.tick()
 	p.runPolicy()
-	p.answerHeartbeats()
+	p.heartbeats.answer()
 	p.setTimer()
-	dst, p.actions = p.actions, nil
-	return dst
+	return p.step.finish()
 }
 
 func (p *Planner) handle(event Event) {
-	if p.phase == phaseStopped {
+	if p.lifecycle.phase == phaseStopped {
 		return
 	}
 	switch event := event.(type) {
 	case SessionOpened:
-		p.sessionOpened(event.Session)
+		p.sessions.open(event.Session)
 	case SessionClosed:
-		p.sessionClosed(event.Session)
+		p.sessions.processClosed(event.Session)
 	case ForwarderMessage:
 		p.receive(event.Session, event.Envelope)
 	case PeerConnected:
-		p.peerConnected(event.Peer)
+		p.peerSessions.connect(event.Peer)
 	case PeerDisconnected:
-		p.peerDisconnected(event.Peer)
+		p.peerSessions.disconnect(event.Peer)
 	case PeerMessage:
-		p.receiveFromPeer(event.Peer, event.Envelope)
+		p.peerSessions.receive(event.Peer, event.Envelope)
 	case PeersChanged:
-		p.peersChanged(event.Names)
+		p.peerSessions.processMembers(event.Names)
 	case EndpointsChanged:
-		p.endpointsChanged(event.Endpoints)
+		p.endpoints.processList(event.Endpoints)
 	case EndpointSourceChanged:
-		p.endpointSourceChanged()
+		p.endpoints.processSourceChange()
 	case PartitionChanged:
-		p.partitionChanged(event.Owner)
+		p.endpoints.processPartition(event.Owner)
 	case StopRequested:
-		p.stop()
+		p.lifecycle.stop()
 	}
 }
 
 // tick does what is due by time.
 func (p *Planner) tick() {
-	if p.now < p.nextTickAt || p.phase == phaseStopped {
+	if p.step.now() < p.nextTickAt || p.lifecycle.phase == phaseStopped {
 		return
 	}
-	p.nextTickAt = p.now + tickInterval
+	p.nextTickAt = p.step.now() + tickInterval
 	p.ticks++
-	if p.phase == phaseStopping {
-		p.finishStop()
+	if p.lifecycle.phase == phaseStopping {
+		p.lifecycle.finishStop()
 		return
 	}
 	if p.ticks%maintenanceTicks == 0 {
-		p.expireHandshakes()
-		p.expireHealthChecks()
+		p.sessions.expireHandshakes()
+		p.healthChecks.expire()
 	}
-	p.forgetDisconnected()
-	p.expireTakeovers()
-	p.expireTombstones()
-	p.expireAttempts()
+	p.sessions.forgetDisconnected()
+	p.endpoints.expireTakeovers()
+	p.workers.expireTombstones(p.step.now())
+	p.requestLifecycle.expireAttempts()
 	if p.ticks%creditTicks == 0 {
-		p.decayPeaks()
-		p.assignCredit(false)
-	}
-	p.sendSnapshots()
-	p.sendLoadReports()
-	p.transferQueued()
-	p.logSummary()
-	p.timerLag -= p.timerLag / timerLagDecay
-}
-
-// measureTimerLag takes in by how much this step comes later than the timer that was set.
-func (p *Planner) measureTimerLag() {
-	if p.timerAt > 0 && p.now >= p.timerAt {
-		p.timerLag = max(p.timerLag, p.now-p.timerAt)
-		p.timerAt = 0
+		p.credits.decayPeaks()
+		p.credits.assign(false)
 	}
+	p.snapshots.send()
+	p.loads.send()
+	p.placer.transferQueued()
+	p.summary.write()
+	p.timer.decayLag()
 }
 
 // setTimer asks for a timer at the next time at which something is due.
 func (p *Planner) setTimer() {
-	if p.phase == phaseStopped {
+	if p.lifecycle.phase == phaseStopped {
 		return
 	}
 	next := p.nextTickAt
@@ -160,38 +137,8 @@
 	if len(p.policy.pending) > 0 {
 		next = p.policy.backoffUntil
 	}
-	next = max(next, p.now+1)
-	if p.timerAt == 0 || next < p.timerAt {
-		p.timerAt = next
-		p.emit(SetTimer{After: next - p.now})
+	next = max(next, p.step.now()+1)
+	if p.timer.set(next) {
+		p.step.emit(SetTimer{After: next - p.step.now()})
 	}
 }
-
-// answerHeartbeats replies to the heartbeats of this step, in the sessions that are still there.
-func (p *Planner) answerHeartbeats() {
-	for _, heartbeat := range p.heartbeats {
-		session := p.forwarders.sessions[heartbeat.session]
-		if session == nil || session.forwarder == nil || session.forwarder.epoch != heartbeat.epoch {
-			continue
-		}
-		p.send(session.forwarder, &message.HeartbeatReply{Sequence: heartbeat.sequence, TimerLag: p.timerLag})
-	}
-	p.heartbeats = p.heartbeats[:0]
-}
-
-func (p *Planner) emit(action Action) { p.actions = append(p.actions, action) }
-
-func (p *Planner) log(text string, attributes ...any) {
-	p.emit(LogLine{Message: text, Attributes: attributes})
-}
-
-// send sends a message to a forwarder, if it has a session.
-func (p *Planner) send(f *forwarder, m message.Message) {
-	if f.session != nil {
-		p.sendInSession(f.session.id, f.epoch, m)
-	}
-}
-
-func (p *Planner) sendInSession(id SessionID, epoch message.Epoch, m message.Message) {
-	p.emit(SendToForwarder{Session: id, Envelope: message.Envelope{Epoch: epoch, Message: m}})
-}
--- a/internal/control/planner/policy.go
+++ b/internal/control/planner/policy.go
@@ -31,6 +31,7 @@
 // policyRunner is the policy with what is exchanged with it.
 type policyRunner struct {
 	policy      Policy
+	phase       decider
 	pending     []dispatch.Event  // that the policy has not been told yet
 	delivered   []dispatch.Event  // of its step under way; else an empty buffer
 	actions     []dispatch.Action // buffer
@@ -42,56 +43,62 @@
 }
 
 // setTimer sets the policy's timer, unless an earlier one is set.
-func (r *policyRunner) setTimer(at time.Duration) {
-	if r.timerAt == 0 || at < r.timerAt {
-		r.timerAt = at
+func (p *policyRunner) setTimer(at time.Duration) {
+	if p.timerAt == 0 || at < p.timerAt {
+		p.timerAt = at
 	}
 }
 
 // discardPending drops what a policy that is not asked any more was to be told.
-func (r *policyRunner) discardPending() {
-	r.pending = r.pending[:0]
-	r.timerAt = 0
+func (p *policyRunner) discardPending() {
+	p.pending = p.pending[:0]
+	p.timerAt = 0
 }
 
 // takePending returns the pending events, which are then the delivered ones.
-func (r *policyRunner) takePending() []dispatch.Event {
-	r.pending, r.delivered = r.delivered[:0], r.pending
-	return r.delivered
+func (p *policyRunner) takePending() []dispatch.Event {
+	p.pending, p.delivered = p.delivered[:0], p.pending
+	return p.delivered
 }
 
 // releaseDelivered empties the buffer of delivered events, which refer to requests.
-func (r *policyRunner) releaseDelivered() {
-	clear(r.delivered)
-	r.delivered = r.delivered[:0]
+func (p *policyRunner) releaseDelivered() {
+	clear(p.delivered)
+	p.delivered = p.delivered[:0]
 }
 
-// notifyPolicy has the policy hear of an event in its next iteration, unless it decides nothing any more.
-func (p *Planner) notifyPolicy(event dispatch.Event) {
-	if p.decides() {
-		p.policy.pending = append(p.policy.pending, event)
+// notifier passes an event to the policy in its next iteration.
+type notifier interface{ notify(event dispatch.Event) }
+
+// decider reports whether the planner still makes decisions.
+type decider interface{ decides() bool }
+
+// notify adds an event for the policy's next iteration, unless the planner makes no decisions any more.
+func (p *policyRunner) notify(event dispatch.Event) {
+	if p.phase.decides() {
+		p.pending = append(p.pending, event)
 	}
 }
 
 // runPolicy has the policy decide, and executes its actions.
 func (p *Planner) runPolicy() {
 	for range maxPolicyIterations {
-		if !p.decides() || p.now < p.policy.backoffUntil {
+		if !p.lifecycle.decides() || p.step.now() < p.policy.backoffUntil {
 			return
 		}
-		p.flushWorkerUpdates()
-		if p.policy.timerAt > 0 && p.policy.timerAt <= p.now {
+		p.policySync.flush()
+		if p.policy.timerAt > 0 && p.policy.timerAt <= p.step.now() {
 			p.policy.timerAt = 0
-			p.notifyPolicy(dispatch.TimerFired{})
+			p.policy.notify(dispatch.TimerFired{})
 		}
 		if len(p.policy.pending) == 0 {
 			return
 		}
-		actions, err := p.policy.step(p.now, p.policy.takePending())
+		actions, err := p.policy.step(p.step.now(), p.policy.takePending())
 		if err == nil {
-			p.execute(actions)
+			p.commands.execute(actions)
 		} else {
-			p.recoverPolicy(err)
+			p.recovery.replacePolicy(err)
 		}
 		p.policy.releaseDelivered()
 	}
--- a/internal/control/planner/recovery.go
+++ b/internal/control/planner/recovery.go
@@ -36,19 +36,19 @@
 	location string // functions, files and lines, the innermost first
 }
 
-func (e *policyPanicError) Error() string {
-	return fmt.Sprintf("policy panicked: %v, at %s", e.cause, e.location)
+func (p *policyPanicError) Error() string {
+	return fmt.Sprintf("policy panicked: %v, at %s", p.cause, p.location)
 }
 
 // step has the policy take in events, and returns its actions in a buffer of the runner. The error of a panic is a
 // *policyPanicError.
-func (r *policyRunner) step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, err error) {
+func (p *policyRunner) step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			actions, err = nil, &policyPanicError{cause: cause, location: panicLocation()}
 		}
 	}()
-	return r.policy.Step(now, events, r.actions), nil
+	return p.policy.Step(now, events, p.actions), nil
 }
 
 // panicLocation returns the call stack of a panic down to the policy's step. It leaves addresses out: those differ from
@@ -70,53 +70,70 @@
 }
 
 // recordPanic records a panic, and reports whether there were too many of late.
-func (r *policyRunner) recordPanic(now time.Duration) (tooMany bool) {
-	r.recentPanics = slices.DeleteFunc(r.recentPanics, func(at time.Duration) bool { return now-at >= panicWindow })
-	r.recentPanics = append(r.recentPanics, now)
-	return len(r.recentPanics) > maxPanics
-}
-
-// recoverPolicy replaces the policy after a panic by one that knows all there is.
-func (p *Planner) recoverPolicy(err error) {
-	p.stats.Panics++
-	tooMany := p.policy.recordPanic(p.now)
-	p.logPanic(err)
-	p.policy.actions = nil
+func (p *policyRunner) recordPanic(now time.Duration) (tooMany bool) {
+	p.recentPanics = slices.DeleteFunc(p.recentPanics, func(at time.Duration) bool { return now-at >= panicWindow })
+	p.recentPanics = append(p.recentPanics, now)
+	return len(p.recentPanics) > maxPanics
+}
+
+// recovery replaces a policy that has panicked.
+type recovery struct {
+	config           *Config
+	stats            *Stats
+	step             *step
+	commands         *commandExecutor
+	forwarders       *forwarderTable
+	healthChecks     *healthChecker
+	requestLifecycle *requestLifecycle
+	peers            *peerTable
+	policy           *policyRunner
+	policySync       *policySync
+	requests         *requestTable
+	sessions         *sessionLifecycle
+	workers          *workerTable
+}
+
+// replacePolicy replaces the policy after a panic by one that knows all there is.
+func (r *recovery) replacePolicy(err error) {
+	r.stats.Panics++
+	tooMany := r.policy.recordPanic(r.step.now())
+	r.logPanic(err)
+	r.policy.actions = nil
 	if tooMany {
-		p.closeAllSessions()
+		r.closeAllSessions()
 		return
 	}
-	p.countFailures()
+	r.countFailures()
 	for range maxPoisonRequests {
-		poison, err := p.rebuildPolicy()
+		poison, err := r.rebuildPolicy()
 		if err == nil {
-			actions := p.policy.actions
-			p.policy.actions = nil
-			p.execute(actions)
+			actions := r.policy.actions
+			r.policy.actions = nil
+			r.commands.execute(actions)
 			return
 		}
 		if poison == nil {
 			break
 		}
-		p.returnPoisonRequest(poison)
+		r.returnPoisonRequest(poison)
 	}
-	p.closeAllSessions()
+	r.closeAllSessions()
 }
 
-func (p *Planner) logPanic(err error) {
-	attributes := []any{"open_requests", p.requests.openCount}
+func (r *recovery) logPanic(err error) {
+	attributes := []any{"open_requests", r.requests.openCount}
 	var panicked *policyPanicError
 	if errors.As(err, &panicked) {
 		attributes = append(attributes, "cause", fmt.Sprint(panicked.cause), "location", panicked.location)
 	}
-	p.log("policy panicked and is restarted", attributes...)
+	r.step.log("policy panicked and is restarted", attributes...)
 }
 
 // countFailures counts a failure of each request that the step with the panic was about. Where they are few, one that has
 // been among them before is returned, though nothing proves that it is the cause.
-func (p *Planner) countFailures() {
+func (r *recovery) countFailures() {
 	candidates := map[uint64]bool{}
-	for _, event := range p.policy.delivered {
+	for _, event := range r.policy.delivered {
 		if id, ok := jobOf(event); ok {
 			candidates[id] = true
 		}
@@ -125,13 +142,13 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(candidates)) {
-		req := p.requests.open(id)
+		req := r.requests.open(id)
 		if req == nil {
 			continue
 		}
 		req.failureCount++
 		if req.failureCount >= maxFailureCount {
-			p.returnPoisonRequest(req)
+			r.returnPoisonRequest(req)
 		}
 	}
 }
@@ -156,18 +173,18 @@
 // rebuildPolicy makes a new policy and tells it first the endpoint list and then every request. Its actions are in
 // p.policy.actions. The error of a panic is a *policyPanicError, and poison the request at which it occurred; nil: it
 // occurred at the list.
-func (p *Planner) rebuildPolicy() (poison *request, err error) {
-	p.resetPolicy()
-	p.policy.actions = nil
-	if err := p.deliverPending(); err != nil {
+func (r *recovery) rebuildPolicy() (poison *request, err error) {
+	r.resetPolicy()
+	r.policy.actions = nil
+	if err := r.deliverPending(); err != nil {
 		return nil, err
 	}
-	for _, req := range p.requests.byAge() {
-		p.notifyPolicy(p.resumedJob(req))
+	for _, req := range r.requests.byAge() {
+		r.policy.notify(req.resumedJob(r.step.now()))
 		if !req.state.isOpen() {
-			p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
+			r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 		}
-		if err := p.deliverPending(); err != nil {
+		if err := r.deliverPending(); err != nil {
 			return req, err
 		}
 	}
@@ -175,68 +192,68 @@
 }
 
 // deliverPending has the policy take in the pending events, and keeps its actions with those before.
-func (p *Planner) deliverPending() error {
-	events := p.policy.pending
-	p.policy.pending = nil
-	actions, err := p.policy.step(p.now, events)
+func (r *recovery) deliverPending() error {
+	events := r.policy.pending
+	r.policy.pending = nil
+	actions, err := r.policy.step(r.step.now(), events)
 	if err != nil {
 		return err
 	}
-	p.policy.actions = actions
+	r.policy.actions = actions
 	return nil
 }
 
 // resetPolicy replaces the policy by a new one that knows nothing yet. The endpoint list is pending for it.
-func (p *Planner) resetPolicy() {
-	p.policy.policy = p.config.NewPolicy()
-	p.policy.timerAt = 0
-	p.policy.subscribing = false
-	p.policy.pending = nil
-	p.workers.updates = nil
-	p.notifyPolicy(dispatch.WorkerList{Kind: dispatch.ListCached, Workers: p.policyWorkers(), Revision: p.workers.revision})
-	if p.peers.quotaShare > 0 {
-		p.notifyPolicy(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: p.peers.quotaShare})
+func (r *recovery) resetPolicy() {
+	r.policy.policy = r.config.NewPolicy()
+	r.policy.timerAt = 0
+	r.policy.subscribing = false
+	r.policy.pending = nil
+	r.workers.updates = nil
+	r.policy.notify(dispatch.WorkerList{Kind: dispatch.ListCached, Workers: r.policySync.workersOfPolicy(), Revision: r.workers.revision})
+	if r.peers.quotaShare > 0 {
+		r.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: r.peers.quotaShare})
 	}
-	p.cancelHealthChecks(func(healthCheck) bool { return true })
+	r.healthChecks.cancel(func(healthCheck) bool { return true })
 }
 
 // returnPoisonRequest has the forwarder offer a request to another planner, or fail it if that was done before. The request
 // is forgotten here, with its attempts in flight.
-func (p *Planner) returnPoisonRequest(req *request) {
+func (r *recovery) returnPoisonRequest(req *request) {
 	if req.state.isOpen() {
-		p.stats.Poison++
-		p.log("poison request returned", "request_id", req.forwarderID, "forwarder", req.forwarder.name)
-		p.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID})
+		r.stats.Poison++
+		r.step.log("poison request returned", "request_id", req.forwarderID, "forwarder", req.forwarder.name)
+		r.step.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID})
 	}
-	p.endAttempts(req)
-	p.removeRequest(req)
+	r.requestLifecycle.endAttempts(req)
+	r.requestLifecycle.remove(req)
 }
 
 // closeAllSessions closes all sessions: forwarders offer their requests to other planners, and in time here again.
-func (p *Planner) closeAllSessions() {
-	p.log("policy panics repeatedly, all sessions are closed", "sessions", len(p.forwarders.sessions))
-	for _, id := range p.forwarders.sessionIDs() {
-		p.closeSession(p.forwarders.sessions[id])
+func (r *recovery) closeAllSessions() {
+	r.step.log("policy panics repeatedly, all sessions are closed", "sessions", len(r.forwarders.sessions))
+	for _, id := range r.forwarders.sessionIDs() {
+		r.sessions.close(r.forwarders.sessions[id])
 	}
-	for _, req := range p.requests.byAge() {
-		p.endAttempts(req)
-		p.removeRequest(req)
+	for _, req := range r.requests.byAge() {
+		r.requestLifecycle.endAttempts(req)
+		r.requestLifecycle.remove(req)
 	}
-	p.policy.recentPanics = p.policy.recentPanics[:0]
-	p.policy.backoffUntil = p.now + panicBackoff
-	p.resetPolicy()
+	r.policy.recentPanics = r.policy.recentPanics[:0]
+	r.policy.backoffUntil = r.step.now() + panicBackoff
+	r.resetPolicy()
 }
 
 // endAttempts ends a request's attempts in flight without telling the policy, which knows nothing of them.
-func (p *Planner) endAttempts(req *request) {
+func (r *requestLifecycle) endAttempts(req *request) {
 	for i := range req.attempts {
 		if attempt := &req.attempts[i]; attempt.inFlight() {
-			p.requests.endAttempt(req, attempt, dispatch.Cancelled)
+			r.requests.endAttempt(req, attempt, dispatch.Cancelled)
 		}
 	}
 }
 
 // byAge returns all requests, the oldest first.
-func (t *requestTable) byAge() []*request {
-	return slices.SortedFunc(maps.Values(t.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+func (r *requestTable) byAge() []*request {
+	return slices.SortedFunc(maps.Values(r.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/control/planner/report.go
+++ b/internal/control/planner/report.go
@@ -5,84 +5,94 @@
 	"valvecove/internal/control/message"
 )
 
+// reportHandler processes what forwarders report about requests and attempts.
+type reportHandler struct {
+	stats            *Stats
+	step             *step
+	requestLifecycle *requestLifecycle
+	policy           *policyRunner
+	requests         *requestTable
+	summary          *summaryLog
+}
+
 // attemptEnded takes in how an attempt has ended, or why the forwarder's validator has rejected its send command.
-func (p *Planner) attemptEnded(f *forwarder, report *message.AttemptEnded) {
+func (r *reportHandler) attemptEnded(f *forwarder, report *message.AttemptEnded) {
 	rejected := report.Reason != message.ReasonNone
 	if rejected {
-		p.recordRejection(f, report.Reason)
+		r.summary.recordRejection(f, report.Reason)
 	}
 	req, attempt := f.attemptInFlight(report.RequestID, report.Attempt)
 	if attempt == nil || rejected && attempt.state != attemptCommanded {
-		p.stats.StrayMessages++
+		r.stats.StrayMessages++
 		return
 	}
 	result := knownResult(report.Result)
 	if rejected {
 		result = dispatch.NotSent
 	}
-	p.requests.endAttempt(req, attempt, result)
-	p.notifyPolicy(dispatch.Outcome{
+	r.requests.endAttempt(req, attempt, result)
+	r.policy.notify(dispatch.Outcome{
 		Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID, Result: result,
 		Closed: !req.state.isOpen() || result == dispatch.OK,
 	})
-	p.settleAfterEnd(req, result, report.Reason)
+	r.settleAfterEnd(req, result, report.Reason)
 }
 
 // settleAfterEnd takes in what the end of an attempt means for its request.
-func (p *Planner) settleAfterEnd(req *request, result dispatch.Result, reason message.RejectReason) {
+func (r *reportHandler) settleAfterEnd(req *request, result dispatch.Result, reason message.RejectReason) {
 	lost := reason == message.ReasonUnknownRequest || reason == message.ReasonNotOwner
 	switch {
 	case !req.state.isOpen():
 		if req.inFlight == 0 {
-			p.removeRequest(req)
+			r.requestLifecycle.remove(req)
 		}
 	case lost:
-		p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
-		p.closeRequest(req)
+		r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
+		r.requestLifecycle.close(req)
 	case result == dispatch.OK:
-		p.stats.Served++
-		p.closeRequest(req)
+		r.stats.Served++
+		r.requestLifecycle.close(req)
 	default:
-		p.requests.settle(req, p.now)
+		r.requests.settle(req, r.step.now())
 	}
 }
 
 // attemptStarted takes in that a worker has started to execute an attempt.
-func (p *Planner) attemptStarted(f *forwarder, report *message.AttemptStarted) {
+func (r *reportHandler) attemptStarted(f *forwarder, report *message.AttemptStarted) {
 	req, attempt := f.attemptInFlight(report.RequestID, report.Attempt)
 	if attempt == nil {
-		p.stats.StrayMessages++
+		r.stats.StrayMessages++
 		return
 	}
-	attempt.confirmStart(p.now)
-	p.notifyPolicy(dispatch.Started{Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID})
+	attempt.confirmStart(r.step.now())
+	r.policy.notify(dispatch.Started{Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID})
 }
 
 // attemptProgressed takes in how much of an attempt is done. A figure that is no fraction tells no more than its start.
-func (p *Planner) attemptProgressed(f *forwarder, report *message.AttemptProgress) {
+func (r *reportHandler) attemptProgressed(f *forwarder, report *message.AttemptProgress) {
 	req, attempt := f.attemptInFlight(report.RequestID, report.Attempt)
 	if attempt == nil {
-		p.stats.StrayMessages++
+		r.stats.StrayMessages++
 		return
 	}
-	attempt.confirmStart(p.now)
+	attempt.confirmStart(r.step.now())
 	if fraction := report.Fraction; fraction >= 0 && fraction <= 1 {
-		p.notifyPolicy(dispatch.Progressed{
+		r.policy.notify(dispatch.Progressed{
 			Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID, Share: fraction,
 		})
 	}
 }
 
 // requestClosed takes in that a request needs no decision any more, or not from this planner.
-func (p *Planner) requestClosed(f *forwarder, report *message.RequestClosed) {
+func (r *reportHandler) requestClosed(f *forwarder, report *message.RequestClosed) {
 	req := f.requests[report.RequestID]
 	if req == nil || !req.state.isOpen() {
 		return
 	}
-	p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
-	p.closeRequest(req)
+	r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
+	r.requestLifecycle.close(req)
 	if req.state == requestClosing { // if another planner has it now, nothing more is reported here
-		p.expireUnreported(req)
+		r.requestLifecycle.expireUnreported(req)
 	}
 }
 
--- a/internal/control/planner/request.go
+++ b/internal/control/planner/request.go
@@ -20,8 +20,8 @@
 	requestRemoved                      // not in the table any more
 )
 
-func (s requestState) String() string {
-	switch s {
+func (r requestState) String() string {
+	switch r {
 	case requestNew:
 		return "new"
 	case requestOffered:
@@ -39,7 +39,7 @@
 }
 
 // isOpen reports whether the forwarder awaits a decision on the request.
-func (s requestState) isOpen() bool { return s >= requestOffered && s <= requestInFlight }
+func (r requestState) isOpen() bool { return r >= requestOffered && r <= requestInFlight }
 
 // request is a request that a forwarder has offered.
 type request struct {
@@ -79,27 +79,27 @@
 }
 
 // allocate returns a request that is new but for its number. Its attempts' array may be that of an earlier request.
-func (t *requestTable) allocate() *request {
+func (r *requestTable) allocate() *request {
 	req := &request{}
-	if last := len(t.free) - 1; last >= 0 {
-		req = t.free[last]
-		t.free = t.free[:last]
+	if last := len(r.free) - 1; last >= 0 {
+		req = r.free[last]
+		r.free = r.free[:last]
 	}
-	t.lastID++
-	*req = request{id: t.lastID, attempts: req.attempts[:0]}
+	r.lastID++
+	*req = request{id: r.lastID, attempts: req.attempts[:0]}
 	return req
 }
 
 // release keeps a removed request for reuse.
-func (t *requestTable) release(req *request) {
-	if len(t.free) < t.maxFree {
-		t.free = append(t.free, req)
+func (r *requestTable) release(req *request) {
+	if len(r.free) < r.maxFree {
+		r.free = append(r.free, req)
 	}
 }
 
 // open returns the request of a number if it is open, else nil.
-func (t *requestTable) open(id uint64) *request {
-	if req := t.byID[id]; req != nil && req.state.isOpen() {
+func (r *requestTable) open(id uint64) *request {
+	if req := r.byID[id]; req != nil && req.state.isOpen() {
 		return req
 	}
 	return nil
@@ -107,82 +107,82 @@
 
 // transition moves a request to a state. It keeps the counts of open requests, the queue, and the expiries of closing
 // requests, whose At is to be set before.
-func (t *requestTable) transition(req *request, state requestState, now time.Duration) {
+func (r *requestTable) transition(req *request, state requestState, now time.Duration) {
 	from := req.state
 	if from == state {
 		return
 	}
 	req.state = state
 	if from.isOpen() != state.isOpen() {
-		t.countOpen(req, state.isOpen())
+		r.countOpen(req, state.isOpen())
 	}
 	switch from {
 	case requestQueued:
-		t.queued.remove(req)
+		r.queued.remove(req)
 	case requestClosing:
-		t.expiries.Remove(req)
+		r.expiries.Remove(req)
 	}
 	switch state {
 	case requestQueued:
 		req.queuedSince = now
-		t.queued.push(req)
+		r.queued.push(req)
 	case requestClosing:
-		t.expiries.Add(req)
+		r.expiries.Add(req)
 	}
 }
 
-func (t *requestTable) countOpen(req *request, opened bool) {
+func (r *requestTable) countOpen(req *request, opened bool) {
 	change := -1
 	if opened {
 		change = 1
 	}
-	t.openCount += change
+	r.openCount += change
 	req.forwarder.openCount += change
 }
 
 // settle gives an open request the state that follows from its attempts.
-func (t *requestTable) settle(req *request, now time.Duration) {
+func (r *requestTable) settle(req *request, now time.Duration) {
 	switch {
 	case !req.state.isOpen():
 	case req.inFlight > 0:
-		t.transition(req, requestInFlight, now)
+		r.transition(req, requestInFlight, now)
 	default:
-		t.transition(req, requestQueued, now)
+		r.transition(req, requestQueued, now)
 	}
 }
 
 // expireBy has a closing request expire at a time, unless it does so earlier.
-func (t *requestTable) expireBy(req *request, at time.Duration) {
+func (r *requestTable) expireBy(req *request, at time.Duration) {
 	if req.At <= at {
 		return
 	}
-	t.expiries.Remove(req)
+	r.expiries.Remove(req)
 	req.At = at
-	t.expiries.Add(req)
+	r.expiries.Add(req)
 }
 
-// closeRequest takes in that a request is not open any more. What is in flight of it still counts as load.
-func (p *Planner) closeRequest(req *request) {
+// close takes in that a request is not open any more. What is in flight of it still counts as load.
+func (r *requestLifecycle) close(req *request) {
 	switch {
 	case !req.state.isOpen():
 	case req.inFlight == 0:
-		p.removeRequest(req)
+		r.remove(req)
 	default:
-		req.At = max(req.deadline, p.now) + reportGrace
-		p.requests.transition(req, requestClosing, p.now)
+		req.At = max(req.deadline, r.step.now()) + reportGrace
+		r.requests.transition(req, requestClosing, r.step.now())
 	}
 }
 
-// removeRequest forgets a request.
-func (p *Planner) removeRequest(req *request) {
-	table := &p.requests
-	table.transition(req, requestRemoved, p.now)
+// remove forgets a request.
+func (r *requestLifecycle) remove(req *request) {
+	table := r.requests
+	table.transition(req, requestRemoved, r.step.now())
 	for i := range req.attempts {
 		attempt := &req.attempts[i]
 		if attempt.inFlight() {
 			table.slotsInUse -= req.slots
 		}
-		p.addReferences(attempt.worker, -1)
+		r.policySync.addReferences(attempt.worker, -1)
 		attempt.worker = nil
 	}
 	if f := req.forwarder; f != nil {
@@ -199,11 +199,11 @@
 	table.release(req)
 }
 
-// abandonRequest ends a request and its attempts for the policy.
-func (p *Planner) abandonRequest(req *request) {
+// abandon ends a request and its attempts for the policy.
+func (r *requestLifecycle) abandon(req *request) {
 	if req.state.isOpen() {
-		p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
+		r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 	}
-	p.cancelAttempts(req)
-	p.removeRequest(req)
+	r.cancelAttempts(req)
+	r.remove(req)
 }
--- a/internal/control/planner/request_list.go
+++ b/internal/control/planner/request_list.go
@@ -22,39 +22,39 @@
 }
 
 // push appends a request, which must not be in the list.
-func (l *requestList) push(req *request) {
-	req.links[l.id] = listLinks{previous: l.last}
-	if l.last == nil {
-		l.first = req
+func (r *requestList) push(req *request) {
+	req.links[r.id] = listLinks{previous: r.last}
+	if r.last == nil {
+		r.first = req
 	} else {
-		l.last.links[l.id].next = req
+		r.last.links[r.id].next = req
 	}
-	l.last = req
-	l.length++
+	r.last = req
+	r.length++
 }
 
 // remove takes out a request, which must be in the list.
-func (l *requestList) remove(req *request) {
-	links := req.links[l.id]
+func (r *requestList) remove(req *request) {
+	links := req.links[r.id]
 	if links.previous == nil {
-		l.first = links.next
+		r.first = links.next
 	} else {
-		links.previous.links[l.id].next = links.next
+		links.previous.links[r.id].next = links.next
 	}
 	if links.next == nil {
-		l.last = links.previous
+		r.last = links.previous
 	} else {
-		links.next.links[l.id].previous = links.previous
+		links.next.links[r.id].previous = links.previous
 	}
-	req.links[l.id] = listLinks{}
-	l.length--
+	req.links[r.id] = listLinks{}
+	r.length--
 }
 
 // all iterates over the list. The loop may take out the request that it is at.
-func (l *requestList) all() iter.Seq[*request] {
+func (r *requestList) all() iter.Seq[*request] {
 	return func(yield func(*request) bool) {
-		for req := l.first; req != nil; {
-			next := req.links[l.id].next
+		for req := r.first; req != nil; {
+			next := req.links[r.id].next
 			if !yield(req) {
 				return
 			}
--- a/internal/control/planner/session.go
+++ b/internal/control/planner/session.go
@@ -52,40 +52,40 @@
 	}
 }
 
-// sessionOpened enters a session, or closes it where there is no place for it.
-func (p *Planner) sessionOpened(id SessionID) {
-	if len(p.forwarders.sessions) >= p.config.MaxSessions || !p.decides() || p.now < p.policy.backoffUntil {
-		p.stats.ConnectionsRejected++
-		p.emit(CloseSession{Session: id})
+// open enters a session, or closes it where there is no place for it.
+func (s *sessionLifecycle) open(id SessionID) {
+	if len(s.forwarders.sessions) >= s.config.MaxSessions || !s.phase.decides() || s.step.now() < s.policy.backoffUntil {
+		s.stats.ConnectionsRejected++
+		s.step.emit(CloseSession{Session: id})
 		return
 	}
-	if p.forwarders.sessions[id] == nil {
-		p.forwarders.sessions[id] = &session{id: id, openedAt: p.now}
+	if s.forwarders.sessions[id] == nil {
+		s.forwarders.sessions[id] = &session{id: id, openedAt: s.step.now()}
 	}
 }
 
-// sessionClosed takes in that a session has ended.
-func (p *Planner) sessionClosed(id SessionID) {
-	session := p.forwarders.sessions[id]
+// processClosed takes in that a session has ended.
+func (s *sessionLifecycle) processClosed(id SessionID) {
+	session := s.forwarders.sessions[id]
 	if session == nil {
 		return
 	}
-	delete(p.forwarders.sessions, id)
+	delete(s.forwarders.sessions, id)
 	if f := session.forwarder; f != nil {
-		p.logForwarder("forwarder disconnected", f)
-		p.disconnect(f)
+		s.logForwarder("forwarder disconnected", f)
+		s.disconnect(f)
 	}
 	session.transition(sessionClosed, nil)
 }
 
-// closeSession ends a session.
-func (p *Planner) closeSession(s *session) {
-	delete(p.forwarders.sessions, s.id)
-	p.emit(CloseSession{Session: s.id})
-	if s.forwarder != nil {
-		p.disconnect(s.forwarder)
+// close ends a session.
+func (s *sessionLifecycle) close(session *session) {
+	delete(s.forwarders.sessions, session.id)
+	s.step.emit(CloseSession{Session: session.id})
+	if session.forwarder != nil {
+		s.disconnect(session.forwarder)
 	}
-	s.transition(sessionClosed, nil)
+	session.transition(sessionClosed, nil)
 }
 
 // receive takes in a message of a forwarder. Other messages than a handshake are to bear the epoch of its newest session.
@@ -99,7 +99,7 @@
 		return
 	}
 	if handshake, ok := envelope.Message.(*message.Handshake); ok {
-		p.handshakeReceived(session, envelope.Epoch, handshake)
+		p.sessions.receiveHandshake(session, envelope.Epoch, handshake)
 		return
 	}
 	if session.forwarder == nil || envelope.Epoch != session.forwarder.epoch {
@@ -113,33 +113,33 @@
 	f := session.forwarder
 	switch received := received.(type) {
 	case *message.RequestOffer:
-		p.requestOffered(f, received)
+		p.offers.handle(f, received)
 	case *message.AttemptEnded:
-		p.attemptEnded(f, received)
+		p.reports.attemptEnded(f, received)
 	case *message.AttemptStarted:
-		p.attemptStarted(f, received)
+		p.reports.attemptStarted(f, received)
 	case *message.AttemptProgress:
-		p.attemptProgressed(f, received)
+		p.reports.attemptProgressed(f, received)
 	case *message.RequestClosed:
-		p.requestClosed(f, received)
+		p.reports.requestClosed(f, received)
 	case *message.HealthCheckResult:
-		p.healthChecked(f, received)
+		p.healthChecks.finish(f, received)
 	case *message.Heartbeat:
-		p.heartbeats = append(p.heartbeats, receivedHeartbeat{session.id, f.epoch, received.Sequence})
+		p.heartbeats.add(session.id, f.epoch, received.Sequence)
 	case *message.WorkerStatus:
-		p.statusReceived(*received, statusSource{forwarder: f})
+		p.statuses.receive(*received, statusSource{forwarder: f})
 	default:
 		p.stats.InvalidMessages++
 	}
 }
 
 // expireHandshakes closes the sessions in which no valid handshake has come in time.
-func (p *Planner) expireHandshakes() {
-	for _, id := range p.forwarders.sessionIDs() {
-		session := p.forwarders.sessions[id]
-		if session.state == sessionAwaitingHandshake && p.now-session.openedAt >= handshakeTimeout {
-			p.stats.InvalidMessages++
-			p.closeSession(session)
+func (s *sessionLifecycle) expireHandshakes() {
+	for _, id := range s.forwarders.sessionIDs() {
+		session := s.forwarders.sessions[id]
+		if session.state == sessionAwaitingHandshake && s.step.now()-session.openedAt >= handshakeTimeout {
+			s.stats.InvalidMessages++
+			s.close(session)
 		}
 	}
 }
--- a/internal/control/planner/state_test.go
+++ b/internal/control/planner/state_test.go
@@ -94,14 +94,14 @@
 	p := newTestPlanner(Config{})
 	p.Step(time.Hour, nil, nil)
 	for _, to := range []phase{phaseRunning, phaseStopping, phaseRunning, phaseStopped, phaseStopping} {
-		before := p.phase
-		p.enter(to)
-		if p.phase != max(before, to) {
-			t.Errorf("%v after %v and %v", p.phase, before, to)
+		before := p.lifecycle.phase
+		p.lifecycle.enter(to)
+		if p.lifecycle.phase != max(before, to) {
+			t.Errorf("%v after %v and %v", p.lifecycle.phase, before, to)
 		}
-		p.notifyPolicy(dispatch.TimerFired{})
-		if (len(p.policy.pending) > 0) != (p.phase == phaseRunning) {
-			t.Errorf("%d events for the policy while %v", len(p.policy.pending), p.phase)
+		p.policy.notify(dispatch.TimerFired{})
+		if (len(p.policy.pending) > 0) != (p.lifecycle.phase == phaseRunning) {
+			t.Errorf("%d events for the policy while %v", len(p.policy.pending), p.lifecycle.phase)
 		}
 		p.policy.discardPending()
 	}
--- a/internal/control/planner/stats.go
+++ b/internal/control/planner/stats.go
@@ -53,7 +53,7 @@
 		Closing:    len(p.requests.byID) - p.requests.openCount,
 		Slots:      p.requests.slotsInUse,
 		Workers:    len(p.workers.byID),
-		TimerLag:   p.timerLag,
+		TimerLag:   p.timer.lag,
 	}
 	for _, f := range p.forwarders.connected {
 		status.Credit += f.credit.limit
--- a/internal/control/planner/summary_log.go
+++ b/internal/control/planner/summary_log.go
@@ -13,41 +13,50 @@
 	maxRejectingForwarders = 8 // that are named in a line
 )
 
+// lineLogger writes lines of the operators' log at the instant of the present step.
+type lineLogger interface {
+	now() time.Duration
+	log(text string, attributes ...any)
+}
+
 // summaryLog is the log line that sums up what went wrong.
 type summaryLog struct {
+	step  lineLogger
+	stats *Stats
+
 	nextAt              time.Duration
 	logged              Stats // at the last line
 	rejectingForwarders []string
 }
 
 // recordRejection counts a send command that a forwarder's validator has rejected.
-func (p *Planner) recordRejection(f *forwarder, reason message.RejectReason) {
+func (s *summaryLog) recordRejection(f *forwarder, reason message.RejectReason) {
 	if reason >= message.ReasonCount {
 		reason = message.ReasonNotPermitted
 	}
-	p.stats.ByReason[reason]++
-	names := &p.summary.rejectingForwarders
+	s.stats.ByReason[reason]++
+	names := &s.rejectingForwarders
 	if !slices.Contains(*names, f.name) && len(*names) < maxRejectingForwarders {
 		*names = append(*names, f.name)
 	}
 }
 
-// logSummary logs the counts that have increased since the last such line, if any.
-func (p *Planner) logSummary() {
-	if p.now < p.summary.nextAt {
+// write writes the counts that have increased since the last such line, if any.
+func (s *summaryLog) write() {
+	if s.step.now() < s.nextAt {
 		return
 	}
-	attributes := increases(&p.stats, &p.summary.logged)
+	attributes := increases(s.stats, &s.logged)
 	if len(attributes) == 0 {
 		return
 	}
-	if names := p.summary.rejectingForwarders; len(names) > 0 {
-		attributes = append(attributes, "rejecting_forwarders", strings.Join(names, " "))
-	}
-	p.log("faults since the last summary", attributes...)
-	p.summary = summaryLog{
-		nextAt: p.now + summaryInterval, logged: p.stats, rejectingForwarders: p.summary.rejectingForwarders[:0],
+	if len(s.rejectingForwarders) > 0 {
+		attributes = append(attributes, "rejecting_forwarders", strings.Join(s.rejectingForwarders, " "))
 	}
+	s.step.log("faults since the last summary", attributes...)
+	s.nextAt = s.step.now() + summaryInterval
+	s.logged = *s.stats
+	s.rejectingForwarders = s.rejectingForwarders[:0]
 }
 
 // increases returns the counts of faults that have increased, as attributes of a log line.
--- a/internal/control/planner/transfer.go
+++ b/internal/control/planner/transfer.go
@@ -16,7 +16,7 @@
 
 // transferQueued transfers queued requests that no worker of this planner may have, or that have been queued for a part of
 // their latency objective while a peer has capacity.
-func (p *Planner) transferQueued() {
+func (p *placer) transferQueued() {
 	if !p.peers.anyAlive {
 		return
 	}
@@ -33,7 +33,7 @@
 		if !p.hasWaitedForTransfer(req) {
 			continue
 		}
-		if to := p.peerWithMostFreeSlots(req.slots); to != "" {
+		if to := p.peers.withMostFreeSlots(p.step.now(), req.slots); to != "" {
 			p.peers.find(to).claimedSlots += req.slots * planners // all planners may count on the same free slots
 			p.transfer(req, to)
 		}
@@ -42,34 +42,18 @@
 
 // hasWaitedForTransfer reports whether a queued request may be transferred for lack of capacity. One that was transferred
 // before may not: it is not sent to and fro.
-func (p *Planner) hasWaitedForTransfer(req *request) bool {
+func (p *placer) hasWaitedForTransfer(req *request) bool {
 	objective := p.config.Settings.Classes[req.job.Class].LatencyObjective
 	wait := max(minTransferWait, objective/transferObjectiveDivisor)
-	return req.transfers == 0 && p.now-req.queuedSince >= wait && p.bindingAttempt(req) == nil
-}
-
-// peerWithMostFreeSlots returns the peer with the most free slots, if these are enough for a request that takes so many;
-// empty: there is none.
-func (p *Planner) peerWithMostFreeSlots(slots float64) string {
-	best, bestFree := "", slots+transferSlotMargin
-	for _, peer := range p.peers.list {
-		if !peer.alive || !peer.hasRecentLoad(p.now) {
-			continue
-		}
-		free := peer.load.FreeSlots - float64(peer.load.QueuedRequests) - peer.claimedSlots
-		if free > bestFree {
-			best, bestFree = peer.name, free
-		}
-	}
-	return best
+	return req.transfers == 0 && p.step.now()-req.queuedSince >= wait && p.bindingAttempt(req) == nil
 }
 
 // transfer has the forwarder offer a request to another planner.
-func (p *Planner) transfer(req *request, to string) {
+func (p *placer) transfer(req *request, to string) {
 	p.stats.Transferred++
-	p.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID, Planner: to})
+	p.step.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID, Planner: to})
 	if req.knownToPolicy {
-		p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
+		p.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 	}
-	p.closeRequest(req)
+	p.requestLifecycle.close(req)
 }
--- a/internal/control/planner/worker.go
+++ b/internal/control/planner/worker.go
@@ -60,69 +60,69 @@
 	worker *worker
 }
 
-// ensureWorker returns the worker of a number, and enters it if it is not known.
-func (p *Planner) ensureWorker(id uint64) *worker {
-	table := &p.workers
-	if known := table.byID[id]; known != nil {
+// ensure returns the worker of a number, and adds it if it is not known.
+func (w *workerTable) ensure(id uint64) *worker {
+	if known := w.byID[id]; known != nil {
 		return known
 	}
-	added := &worker{index: len(table.list)}
+	added := &worker{index: len(w.list)}
 	added.ID = id
-	added.Kind, added.Cell, added.Zone = -1, math.MinInt, math.MinInt // it is in none that another worker is in
-	table.byID[id] = added
-	table.list = append(table.list, added)
+	added.Kind = -1
+	added.Cell = math.MinInt // no other worker is in it
+	added.Zone = math.MinInt // no other worker is in it
+	w.byID[id] = added
+	w.list = append(w.list, added)
 	return added
 }
 
 // removeWorker forgets a worker that is not listed, and of which there is neither a status nor an attempt.
-func (t *workerTable) removeWorker(w *worker) {
-	if w.listed || w.references > 0 || w.hasStatus || t.byID[w.ID] != w {
+func (w *workerTable) removeWorker(known *worker) {
+	if known.listed || known.references > 0 || known.hasStatus || w.byID[known.ID] != known {
 		return
 	}
-	delete(t.byID, w.ID)
-	end := len(t.list) - 1
-	last := t.list[end]
-	t.list[w.index] = last
-	last.index = w.index
-	t.list[end] = nil
-	t.list = t.list[:end]
+	delete(w.byID, known.ID)
+	end := len(w.list) - 1
+	last := w.list[end]
+	w.list[known.index] = last
+	last.index = known.index
+	w.list[end] = nil
+	w.list = w.list[:end]
 }
 
 // addReferences counts attempts at a worker that requests in the table have.
-func (p *Planner) addReferences(w *worker, count int) {
+func (p *policySync) addReferences(w *worker, count int) {
 	w.references += count
 	if w.owned && w.listed && w.status.State != message.WorkerGone {
 		return // the policy has it in any case
 	}
-	p.syncWorker(w)
+	p.sync(w)
 	p.workers.removeWorker(w)
 }
 
 // addTombstone has the status of a worker that is not listed forgotten later.
-func (t *workerTable) addTombstone(w *worker, now time.Duration) {
-	t.tombstones = append(t.tombstones, tombstone{now, w})
-	if len(t.tombstones) > maxTombstones {
-		t.expireTombstone()
+func (w *workerTable) addTombstone(known *worker, now time.Duration) {
+	w.tombstones = append(w.tombstones, tombstone{now, known})
+	if len(w.tombstones) > maxTombstones {
+		w.expireTombstone()
 	}
 }
 
 // expireTombstone forgets the status of the worker whose tombstone is the oldest, unless it is listed again.
-func (t *workerTable) expireTombstone() {
-	w := t.tombstones[0].worker
-	t.tombstones[0] = tombstone{}
-	t.tombstones = t.tombstones[1:]
-	if w.listed || t.byID[w.ID] != w {
+func (w *workerTable) expireTombstone() {
+	known := w.tombstones[0].worker
+	w.tombstones[0] = tombstone{}
+	w.tombstones = w.tombstones[1:]
+	if known.listed || w.byID[known.ID] != known {
 		return
 	}
-	w.hasStatus = false
-	w.status = message.WorkerStatus{}
-	t.removeWorker(w)
+	known.hasStatus = false
+	known.status = message.WorkerStatus{}
+	w.removeWorker(known)
 }
 
-// expireTombstones forgets the statuses of workers that have not been listed for long.
-func (p *Planner) expireTombstones() {
-	table := &p.workers
-	for len(table.tombstones) > 0 && p.now-table.tombstones[0].at >= tombstoneRetention {
-		table.expireTombstone()
+// expireTombstones removes the statuses of workers that have not been listed for tombstoneRetention.
+func (w *workerTable) expireTombstones(now time.Duration) {
+	for len(w.tombstones) > 0 && now-w.tombstones[0].at >= tombstoneRetention {
+		w.expireTombstone()
 	}
 }
