--- a/internal/control/planner/attempt.go
+++ b/internal/control/planner/attempt.go
@@ -9,12 +9,6 @@
 // attemptState is how far an attempt has come. States follow each other in this order.
 type attemptState uint8
 
-const (
-	attemptCommanded attemptState = iota // its send command is sent, and nothing was heard of it
-	attemptConfirmed                     // the forwarder has reported it
-	attemptEnded
-)
-
 func (a attemptState) String() string {
 	switch a {
 	case attemptCommanded:
@@ -27,6 +21,12 @@
 	return "unknown"
 }
 
+const (
+	attemptCommanded attemptState = iota // its send command is sent, and nothing was heard of it
+	attemptConfirmed                     // the forwarder has reported it
+	attemptEnded
+)
+
 // attempt is one sending of a request to a worker.
 type attempt struct {
 	state     attemptState
@@ -49,48 +49,6 @@
 	}
 }
 
-// requestLifecycle ends requests and their attempts: for the policy, in the table, and by time.
-type requestLifecycle struct {
-	config     *Config
-	stats      *Stats
-	step       *step
-	policy     *policyRunner
-	policySync *policySync
-	requests   *requestTable
-}
-
-// addAttempt adds an attempt to a request.
-func (r *requestLifecycle) addAttempt(req *request, added attempt) {
-	r.policySync.addReferences(added.worker, 1)
-	if added.inFlight() {
-		req.inFlight++
-		r.requests.slotsInUse += req.slots
-	}
-	req.attempts = append(req.attempts, added)
-}
-
-// endAttempt ends an attempt that is in flight.
-func (r *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
-	a.advanceTo(attemptEnded)
-	a.result = result
-	req.inFlight--
-	r.slotsInUse -= req.slots
-}
-
-// cancelAttempts has the policy take all attempts in flight for ended, without a result that says anything of the worker.
-func (r *requestLifecycle) cancelAttempts(req *request) {
-	for i := range req.attempts {
-		attempt := &req.attempts[i]
-		if !attempt.inFlight() {
-			continue
-		}
-		r.requests.endAttempt(req, attempt, dispatch.Cancelled)
-		r.policy.notify(dispatch.Outcome{
-			Job: req.id, Attempt: i, Worker: attempt.worker.ID, Result: dispatch.Cancelled, Closed: true,
-		})
-	}
-}
-
 // knownResult returns a result, or for one that this build doesn't know one that leaves open whether the attempt was
 // executed.
 func knownResult(result dispatch.Result) dispatch.Result {
--- a/internal/control/planner/endpoints.go
+++ b/internal/control/planner/endpoints.go
@@ -98,6 +98,46 @@
 	e.policySync.sync(w)
 }
 
+// processPartition takes in how workers are assigned.
+func (e *endpointHandler) processPartition(ownerOf func(w *dispatch.Worker) string) {
+	partition := &e.workers.partition
+	partition.ownerOf = ownerOf
+	for _, worker := range e.workers.list {
+		if worker.listed {
+			e.updateOwner(worker, !partition.known)
+			e.policySync.sync(worker)
+		}
+	}
+	partition.known = true
+	e.locations.resetPlacements()
+}
+
+// updateOwner finds out which planner a worker is assigned to. One that comes from another planner gets no work for one
+// overload window while it is warming up: what that planner has sent it lately is not known. isNew: it was nobody's before.
+func (e *endpointHandler) updateOwner(w *worker, isNew bool) {
+	settings := &e.config.Settings
+	isOurs := e.workers.partition.owner(w) == e.config.Name
+	isTakenOver := isOurs && !w.owned && !isNew
+	if isTakenOver && settings.OverloadWindow > 0 && e.step.now()-w.startedAt() < settings.WarmUp {
+		w.warmUntil = e.step.now() + settings.OverloadWindow
+		e.workers.takeovers = append(e.workers.takeovers, takeover{w.warmUntil, w})
+	}
+	w.owned = isOurs
+}
+
+// expireTakeovers lets workers have work whose time has come.
+func (e *endpointHandler) expireTakeovers() {
+	table := e.workers
+	for len(table.takeovers) > 0 && table.takeovers[0].until <= e.step.now() {
+		worker := table.takeovers[0].worker
+		table.takeovers[0] = takeover{}
+		table.takeovers = table.takeovers[1:]
+		if table.byID[worker.ID] == worker {
+			e.policySync.sync(worker)
+		}
+	}
+}
+
 // entryStatus returns a worker's status by its entry in the list.
 func entryStatus(entry *dispatch.Worker, revision int64) message.WorkerStatus {
 	status := message.WorkerStatus{
--- a/internal/control/planner/handshake.go
+++ b/internal/control/planner/handshake.go
@@ -6,8 +6,6 @@
 	"valvecove/internal/control/message"
 )
 
-const maxNameLength = 255 // bytes, of a forwarder or planner
-
 // receiveHandshake opens a forwarder's session, which ends the one before. One whose epoch is not newer is of a connection
 // that was overtaken on its way, or of another forwarder by the same name, and is closed.
 func (s *sessionLifecycle) receiveHandshake(session *session, epoch message.Epoch, handshake *message.Handshake) {
--- a/internal/control/planner/phase.go
+++ b/internal/control/planner/lifecycle.go
@@ -9,13 +9,6 @@
 // phase is how far a planner's life has come. Phases follow each other in this order.
 type phase uint8
 
-const (
-	phaseNew      phase = iota // before the first step
-	phaseRunning               // it decides
-	phaseStopping              // it decides nothing more; its forwarders were told to leave
-	phaseStopped
-)
-
 func (p phase) String() string {
 	switch p {
 	case phaseNew:
@@ -30,6 +23,13 @@
 	return "unknown"
 }
 
+const (
+	phaseNew      phase = iota // before the first step
+	phaseRunning               // it decides
+	phaseStopping              // it decides nothing more; its forwarders were told to leave
+	phaseStopped
+)
+
 // lifecycle is the phase of a planner, and its orderly stop.
 type lifecycle struct {
 	step        *step
@@ -43,12 +43,6 @@
 	stopDeadline time.Duration // of the wait for forwarders to disconnect, while stopping
 }
 
-// requestCloser closes the requests of a forwarder.
-type requestCloser interface{ closeAllOf(f *forwarder) }
-
-// pendingDiscarder discards the events that are pending for the policy.
-type pendingDiscarder interface{ discardPending() }
-
 // enter moves the planner to a phase, if that is later than its present one.
 func (l *lifecycle) enter(to phase) {
 	if to <= l.phase {
@@ -94,3 +88,9 @@
 	}
 	l.enter(phaseStopped)
 }
+
+// requestCloser closes the requests of a forwarder.
+type requestCloser interface{ closeAllOf(f *forwarder) }
+
+// pendingDiscarder discards the events that are pending for the policy.
+type pendingDiscarder interface{ discardPending() }
--- a/internal/control/planner/load_report.go
+++ b/internal/control/planner/loadreport.go
@@ -64,12 +64,6 @@
 	from.claimedSlots = 0
 }
 
-func isValidLoadReport(report *message.LoadReport) bool {
-	return report.OpenRequests >= 0 && report.QueuedRequests >= 0 && report.TimerLag >= 0 &&
-		report.UsedSlots >= 0 && report.UsedSlots < maxLoadReportedSlots &&
-		report.FreeSlots >= 0 && report.FreeSlots < maxLoadReportedSlots
-}
-
 // send tells the peers this planner's load, and the policy its share of the quotas.
 func (l *loadReporter) send() {
 	if l.step.now() < l.peers.nextLoadReportAt {
@@ -105,3 +99,9 @@
 		l.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: share})
 	}
 }
+
+func isValidLoadReport(report *message.LoadReport) bool {
+	return report.OpenRequests >= 0 && report.QueuedRequests >= 0 && report.TimerLag >= 0 &&
+		report.UsedSlots >= 0 && report.UsedSlots < maxLoadReportedSlots &&
+		report.FreeSlots >= 0 && report.FreeSlots < maxLoadReportedSlots
+}
--- a/internal/control/planner/location.go
+++ b/internal/control/planner/location.go
@@ -21,12 +21,6 @@
 // placement tells whether a class may be placed at a worker of this planner that is up.
 type placement uint8
 
-const (
-	placementUnknown placement = iota // not found out since workers have changed
-	placementLocal
-	placementRemote // at workers of other planners at best
-)
-
 func (p placement) String() string {
 	switch p {
 	case placementUnknown:
@@ -39,6 +33,12 @@
 	return "invalid"
 }
 
+const (
+	placementUnknown placement = iota // not found out since workers have changed
+	placementLocal
+	placementRemote // at workers of other planners at best
+)
+
 // locationIndex counts the workers that are up by location.
 type locationIndex struct {
 	local      string // the name of this planner
@@ -48,12 +48,6 @@
 	placements []placement // by class
 }
 
-func newLocationIndex(local string, classes []dispatch.Class) locationIndex {
-	return locationIndex{
-		local: local, classes: classes, byKey: map[locationKey]*location{}, placements: make([]placement, len(classes)),
-	}
-}
-
 // at returns the location of a key, and enters it if it is not known.
 func (l *locationIndex) at(key locationKey) *location {
 	known := l.byKey[key]
@@ -117,6 +111,12 @@
 	return isListed(c.Kinds, at.kind) && isListed(c.Zones, at.zone)
 }
 
+func newLocationIndex(local string, classes []dispatch.Class) locationIndex {
+	return locationIndex{
+		local: local, classes: classes, byKey: map[locationKey]*location{}, placements: make([]placement, len(classes)),
+	}
+}
+
 // isListed reports whether a list of the settings names something. A list that is nil names everything.
 func isListed(names []int, name int) bool { return names == nil || slices.Contains(names, name) }
 
@@ -125,31 +125,3 @@
 func inZone(zone int) func(at *location) bool {
 	return func(at *location) bool { return at.zone == zone }
 }
-
-// policySync keeps what the policy has of the workers up to date.
-type policySync struct {
-	config    *Config
-	step      *step
-	locations *locationIndex
-	policy    *policyRunner
-	workers   *workerTable
-}
-
-// updateLocation counts a worker at the location at which it is up.
-func (p *policySync) updateLocation(worker *worker) {
-	if !worker.isUp() {
-		p.locations.move(worker.location, nil)
-		worker.location = nil
-		return
-	}
-	key := locationKey{p.config.Name, worker.Zone, worker.Kind}
-	if !worker.owned {
-		key.owner = p.workers.partition.owner(worker)
-	}
-	if worker.location != nil && worker.location.locationKey == key {
-		return
-	}
-	to := p.locations.at(key)
-	p.locations.move(worker.location, to)
-	worker.location = to
-}
--- a/internal/control/planner/offer.go
+++ b/internal/control/planner/offers.go
@@ -82,20 +82,6 @@
 	req.knownToPolicy = true
 }
 
-// unreadCommands returns the attempts that were commanded in the session of an epoch and that the forwarder had not read of
-// when it reported so many attempts. It will.
-func unreadCommands(req *request, epoch message.Epoch, reported int) (unread []attempt) {
-	if req.epoch != epoch {
-		return nil
-	}
-	for i := reported; i < len(req.attempts); i++ {
-		if req.attempts[i].state == attemptCommanded {
-			unread = append(unread, req.attempts[i])
-		}
-	}
-	return unread
-}
-
 // accepts reports whether the forwarder's credit covers one more request, and this planner can plan for it.
 func (o *offerHandler) accepts(f *forwarder, summary *message.RequestSummary) bool {
 	return o.credits.covers(f) &&
@@ -154,17 +140,6 @@
 	return req
 }
 
-// slotDemand returns the slots that an attempt takes: the greater one of slots and memory, and one at least.
-func slotDemand(summary *message.RequestSummary) float64 {
-	demand := float64(defaultSlotDemand)
-	for _, figure := range []float64{summary.Slots, summary.Memory} {
-		if figure > demand && figure < maxReportedSlots {
-			demand = figure
-		}
-	}
-	return demand
-}
-
 // reportedAttempt returns an attempt as the forwarder reports it. Where the result and the forwarder's records differ on
 // whether it was possibly executed, the records decide.
 func (o *offerHandler) reportedAttempt(past *message.PastAttempt) attempt {
@@ -190,29 +165,27 @@
 	return reported
 }
 
-// resumedJob returns the event that gives a policy the request with its attempts.
-func (r *request) resumedJob(now time.Duration) dispatch.JobResumed {
-	resumed := dispatch.JobResumed{
-		Job:          r.job,
-		Age:          now - r.arrivedAt,
-		QuotaCharged: r.knownToPolicy || r.transfers > 0,
-	}
-	resumed.Job.Remaining = max(0, r.deadline-now)
-	for i := range r.attempts {
-		attempt := &r.attempts[i]
-		past := dispatch.PastAttempt{
-			Worker:  attempt.worker.ID,
-			SentAgo: now - attempt.sentAt,
-			Ended:   !attempt.inFlight(),
-			Result:  attempt.result,
-		}
-		if attempt.startedAt != 0 {
-			past.StartedAgo = max(1, now-attempt.startedAt)
+// unreadCommands returns the attempts that were commanded in the session of an epoch and that the forwarder had not read of
+// when it reported so many attempts. It will.
+func unreadCommands(req *request, epoch message.Epoch, reported int) (unread []attempt) {
+	if req.epoch != epoch {
+		return nil
+	}
+	for i := reported; i < len(req.attempts); i++ {
+		if req.attempts[i].state == attemptCommanded {
+			unread = append(unread, req.attempts[i])
 		}
-		resumed.Attempts = append(resumed.Attempts, past)
 	}
-	return resumed
+	return unread
 }
 
-// clampSpan returns a reported duration within its bounds.
-func clampSpan(d time.Duration) time.Duration { return min(max(d, 0), maxReportedSpan) }
+// slotDemand returns the slots that an attempt takes: the greater one of slots and memory, and one at least.
+func slotDemand(summary *message.RequestSummary) float64 {
+	demand := float64(defaultSlotDemand)
+	for _, figure := range []float64{summary.Slots, summary.Memory} {
+		if figure > demand && figure < maxReportedSlots {
+			demand = figure
+		}
+	}
+	return demand
+}
--- /dev/null
+++ b/internal/control/planner/peersessions.go
@@ -0,0 +1,107 @@
+package planner
+
+import "valvecove/internal/control/message"
+
+// peerSessions handles the connections to the other planners.
+type peerSessions struct {
+	config   *Config
+	stats    *Stats
+	step     *step
+	loads    *loadReporter
+	peers    *peerTable
+	statuses *statusHandler
+	workers  *workerTable
+}
+
+// ensure returns the peer of a name, and enters it if it is not known; nil: the name is not that of a peer, or there are
+// too many.
+func (p *peerSessions) ensure(name string) *peer {
+	if name == "" || len(name) > maxNameLength || name == p.config.Name {
+		return nil
+	}
+	return p.peers.ensure(name)
+}
+
+// processMembers takes in which planners are alive.
+func (p *peerSessions) processMembers(names []string) {
+	for _, peer := range p.peers.list {
+		peer.alive = false
+	}
+	for _, name := range names {
+		if peer := p.ensure(name); peer != nil {
+			peer.alive = true
+		}
+	}
+	p.peers.removeStale()
+}
+
+// connect greets a peer, and tells it this planner's load and which workers are not available.
+func (p *peerSessions) connect(name string) {
+	peer := p.ensure(name)
+	if peer == nil {
+		return
+	}
+	p.peers.epoch++
+	peer.epoch = p.peers.epoch
+	peer.transition(peerConnected, 0)
+	p.step.sendToPeer(peer, &message.PeerHandshake{
+		Name: p.config.Name, Incarnation: p.config.Incarnation, Version: p.config.Version,
+	})
+	p.step.sendToPeer(peer, p.loads.report())
+	for _, worker := range p.workers.list {
+		if worker.isUnavailable() {
+			status := worker.status
+			p.step.sendToPeer(peer, &status)
+		}
+	}
+}
+
+func (p *peerSessions) disconnect(name string) {
+	if peer := p.peers.find(name); peer != nil {
+		peer.transition(peerDisconnected, 0)
+		p.peers.removeStale()
+	}
+}
+
+// receive takes in a message of a peer.
+func (p *peerSessions) receive(name string, envelope message.Envelope) {
+	if envelope.Message == nil {
+		return
+	}
+	peer := p.peers.find(name)
+	if peer == nil || peer.state == peerDisconnected {
+		p.stats.StrayMessages++
+		return
+	}
+	if handshake, ok := envelope.Message.(*message.PeerHandshake); ok && p.receiveHandshake(peer, envelope.Epoch, handshake) {
+		return
+	}
+	if peer.state != peerEstablished || envelope.Epoch != peer.remoteEpoch {
+		p.stats.StrayMessages++
+		return
+	}
+	switch m := envelope.Message.(type) {
+	case *message.WorkerStatus:
+		p.statuses.receive(*m, statusSource{peer: peer})
+	case *message.LoadReport:
+		p.loads.receive(peer, m)
+	default:
+		p.stats.InvalidMessages++
+	}
+}
+
+// receiveHandshake takes in a peer's handshake, and reports whether it opens the session, or ends it for its version. Any other
+// one is treated like a message that is not a handshake.
+func (p *peerSessions) receiveHandshake(from *peer, epoch message.Epoch, m *message.PeerHandshake) bool {
+	switch {
+	case !p.config.compatible(m.Version):
+		from.transition(peerConnected, 0)
+		p.step.log("planner ignored: another major version of the protocol", "planner", from.name,
+			"version", versionText(m.Version), "own_version", versionText(p.config.Version))
+		return true
+	case epoch > from.remoteEpoch && m.Name == from.name:
+		from.transition(peerEstablished, epoch)
+		return true
+	}
+	return false
+}
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -2,12 +2,9 @@
 
 import (
 	"time"
-)
 
-const (
-	tickInterval     = 50 * time.Millisecond // of everything that is due by time
-	creditTicks      = 2                     // ticks between two assignments of credit
-	maintenanceTicks = 20                    // ticks between two searches for sessions and health checks that have timed out
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
 )
 
 // Planner makes the decisions for the forwarders that are connected to it. It is not safe for concurrent use.
@@ -142,3 +139,78 @@
 		p.step.emit(SetTimer{After: next - p.step.now()})
 	}
 }
+
+// runPolicy has the policy decide, and executes its actions.
+func (p *Planner) runPolicy() {
+	for range maxPolicyIterations {
+		if !p.lifecycle.decides() || p.step.now() < p.policy.backoffUntil {
+			return
+		}
+		p.policySync.flush()
+		if p.policy.timerAt > 0 && p.policy.timerAt <= p.step.now() {
+			p.policy.timerAt = 0
+			p.policy.notify(dispatch.TimerFired{})
+		}
+		if len(p.policy.pending) == 0 {
+			return
+		}
+		actions, err := p.policy.step(p.step.now(), p.policy.takePending())
+		if err == nil {
+			p.commands.execute(actions)
+		} else {
+			p.recovery.replacePolicy(err)
+		}
+		p.policy.releaseDelivered()
+	}
+}
+
+// receive takes in a message of a forwarder. Other messages than a handshake are to bear the epoch of its newest session.
+func (p *Planner) receive(id SessionID, envelope message.Envelope) {
+	if envelope.Message == nil {
+		return
+	}
+	session := p.forwarders.sessions[id]
+	if session == nil {
+		p.stats.StrayMessages++ // the forwarder had not read yet that the session is closed
+		return
+	}
+	if handshake, ok := envelope.Message.(*message.Handshake); ok {
+		p.sessions.receiveHandshake(session, envelope.Epoch, handshake)
+		return
+	}
+	if session.forwarder == nil || envelope.Epoch != session.forwarder.epoch {
+		p.stats.StrayMessages++
+		return
+	}
+	p.receiveInSession(session, envelope.Message)
+}
+
+func (p *Planner) receiveInSession(session *session, received message.Message) {
+	f := session.forwarder
+	switch received := received.(type) {
+	case *message.RequestOffer:
+		p.offers.handle(f, received)
+	case *message.AttemptEnded:
+		p.reports.attemptEnded(f, received)
+	case *message.AttemptStarted:
+		p.reports.attemptStarted(f, received)
+	case *message.AttemptProgress:
+		p.reports.attemptProgressed(f, received)
+	case *message.RequestClosed:
+		p.reports.requestClosed(f, received)
+	case *message.HealthCheckResult:
+		p.healthChecks.finish(f, received)
+	case *message.Heartbeat:
+		p.heartbeats.add(session.id, f.epoch, received.Sequence)
+	case *message.WorkerStatus:
+		p.statuses.receive(*received, statusSource{forwarder: f})
+	default:
+		p.stats.InvalidMessages++
+	}
+}
+
+const (
+	tickInterval     = 50 * time.Millisecond // of everything that is due by time
+	creditTicks      = 2                     // ticks between two assignments of credit
+	maintenanceTicks = 20                    // ticks between two searches for sessions and health checks that have timed out
+)
--- a/internal/control/planner/policy_view.go
+++ b/internal/control/planner/policysync.go
@@ -5,6 +5,34 @@
 	"valvecove/internal/control/message"
 )
 
+// policySync keeps what the policy has of the workers up to date.
+type policySync struct {
+	config    *Config
+	step      *step
+	locations *locationIndex
+	policy    *policyRunner
+	workers   *workerTable
+}
+
+// updateLocation counts a worker at the location at which it is up.
+func (p *policySync) updateLocation(worker *worker) {
+	if !worker.isUp() {
+		p.locations.move(worker.location, nil)
+		worker.location = nil
+		return
+	}
+	key := locationKey{p.config.Name, worker.Zone, worker.Kind}
+	if !worker.owned {
+		key.owner = p.workers.partition.owner(worker)
+	}
+	if worker.location != nil && worker.location.locationKey == key {
+		return
+	}
+	to := p.locations.at(key)
+	p.locations.move(worker.location, to)
+	worker.location = to
+}
+
 // view returns a worker as the policy is to have it; ok: it is to have it at all.
 func (p *policySync) view(w *worker) (view dispatch.Worker, ok bool) {
 	view = w.Worker
@@ -61,3 +89,13 @@
 	}
 	return views
 }
+
+// addReferences counts attempts at a worker that requests in the table have.
+func (p *policySync) addReferences(w *worker, count int) {
+	w.references += count
+	if w.owned && w.listed && w.status.State != message.WorkerGone {
+		return // the policy has it in any case
+	}
+	p.sync(w)
+	p.workers.removeWorker(w)
+}
--- a/internal/control/planner/recovery.go
+++ b/internal/control/planner/recovery.go
@@ -1,14 +1,10 @@
 package planner
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
 	"maps"
-	"path"
-	"runtime"
 	"slices"
-	"strings"
 	"time"
 
 	"valvecove/dispatch"
@@ -30,52 +26,6 @@
 	maxPanicFrames       = 8           // of the call stack that are logged
 )
 
-// policyPanicError tells that the policy has panicked.
-type policyPanicError struct {
-	cause    any
-	location string // functions, files and lines, the innermost first
-}
-
-func (p *policyPanicError) Error() string {
-	return fmt.Sprintf("policy panicked: %v, at %s", p.cause, p.location)
-}
-
-// step has the policy take in events, and returns its actions in a buffer of the runner. The error of a panic is a
-// *policyPanicError.
-func (p *policyRunner) step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, err error) {
-	defer func() {
-		if cause := recover(); cause != nil {
-			actions, err = nil, &policyPanicError{cause: cause, location: panicLocation()}
-		}
-	}()
-	return p.policy.Step(now, events, p.actions), nil
-}
-
-// panicLocation returns the call stack of a panic down to the policy's step. It leaves addresses out: those differ from
-// run to run.
-func panicLocation() string {
-	const skip = 3 // runtime.Callers, panicLocation, and the deferred function that calls it
-	var counters [32]uintptr
-	frames := runtime.CallersFrames(counters[:runtime.Callers(skip, counters[:])])
-	var stack []string
-	for {
-		frame, more := frames.Next()
-		if strings.HasSuffix(frame.Function, "(*policyRunner).step") || !more || len(stack) == maxPanicFrames {
-			return strings.Join(stack, ", ")
-		}
-		if !strings.HasPrefix(frame.Function, "runtime.") {
-			stack = append(stack, fmt.Sprintf("%s %s:%d", path.Base(frame.Function), path.Base(frame.File), frame.Line))
-		}
-	}
-}
-
-// recordPanic records a panic, and reports whether there were too many of late.
-func (p *policyRunner) recordPanic(now time.Duration) (tooMany bool) {
-	p.recentPanics = slices.DeleteFunc(p.recentPanics, func(at time.Duration) bool { return now-at >= panicWindow })
-	p.recentPanics = append(p.recentPanics, now)
-	return len(p.recentPanics) > maxPanics
-}
-
 // recovery replaces a policy that has panicked.
 type recovery struct {
 	config           *Config
@@ -153,23 +103,6 @@
 	}
 }
 
-// jobOf returns the job that an event is about, if that may be why the policy panics.
-func jobOf(event dispatch.Event) (id uint64, ok bool) {
-	switch e := event.(type) {
-	case dispatch.Job:
-		return e.ID, true
-	case dispatch.JobResumed:
-		return e.Job.ID, true
-	case dispatch.Outcome:
-		return e.Job, true
-	case dispatch.Started:
-		return e.Job, true
-	case dispatch.Progressed:
-		return e.Job, true
-	}
-	return 0, false
-}
-
 // rebuildPolicy makes a new policy and tells it first the endpoint list and then every request. Its actions are in
 // p.policy.actions. The error of a panic is a *policyPanicError, and poison the request at which it occurred; nil: it
 // occurred at the list.
@@ -244,16 +177,19 @@
 	r.resetPolicy()
 }
 
-// endAttempts ends a request's attempts in flight without telling the policy, which knows nothing of them.
-func (r *requestLifecycle) endAttempts(req *request) {
-	for i := range req.attempts {
-		if attempt := &req.attempts[i]; attempt.inFlight() {
-			r.requests.endAttempt(req, attempt, dispatch.Cancelled)
-		}
+// jobOf returns the job that an event is about, if that may be why the policy panics.
+func jobOf(event dispatch.Event) (id uint64, ok bool) {
+	switch e := event.(type) {
+	case dispatch.Job:
+		return e.ID, true
+	case dispatch.JobResumed:
+		return e.Job.ID, true
+	case dispatch.Outcome:
+		return e.Job, true
+	case dispatch.Started:
+		return e.Job, true
+	case dispatch.Progressed:
+		return e.Job, true
 	}
-}
-
-// byAge returns all requests, the oldest first.
-func (r *requestTable) byAge() []*request {
-	return slices.SortedFunc(maps.Values(r.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+	return 0, false
 }
--- a/internal/control/planner/report.go
+++ b/internal/control/planner/reports.go
@@ -95,13 +95,3 @@
 		r.requestLifecycle.expireUnreported(req)
 	}
 }
-
-// attemptInFlight returns a request of the forwarder and one of its attempts; nil: there is none by this number, or it is
-// not in flight.
-func (f *forwarder) attemptInFlight(requestID uint64, number int) (*request, *attempt) {
-	req := f.requests[requestID]
-	if req == nil || number < 0 || number >= len(req.attempts) || !req.attempts[number].inFlight() {
-		return req, nil
-	}
-	return req, &req.attempts[number]
-}
--- /dev/null
+++ b/internal/control/planner/requesttable.go
@@ -0,0 +1,123 @@
+package planner
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/deadline"
+)
+
+// requestTable is the requests that are open, or closing.
+type requestTable struct {
+	byID       map[uint64]*request
+	lastID     uint64
+	openCount  int
+	slotsInUse float64     // of attempts in flight
+	queued     requestList // the one that has been queued longest first
+	expiries   deadline.Queue[*request]
+	free       []*request // for reuse
+	maxFree    int
+}
+
+// endAttempt ends an attempt that is in flight.
+func (r *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
+	a.advanceTo(attemptEnded)
+	a.result = result
+	req.inFlight--
+	r.slotsInUse -= req.slots
+}
+
+// byAge returns all requests, the oldest first.
+func (r *requestTable) byAge() []*request {
+	return slices.SortedFunc(maps.Values(r.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+}
+
+// allocate returns a request that is new but for its number. Its attempts' array may be that of an earlier request.
+func (r *requestTable) allocate() *request {
+	req := &request{}
+	if last := len(r.free) - 1; last >= 0 {
+		req = r.free[last]
+		r.free = r.free[:last]
+	}
+	r.lastID++
+	*req = request{id: r.lastID, attempts: req.attempts[:0]}
+	return req
+}
+
+// release keeps a removed request for reuse.
+func (r *requestTable) release(req *request) {
+	if len(r.free) < r.maxFree {
+		r.free = append(r.free, req)
+	}
+}
+
+// open returns the request of a number if it is open, else nil.
+func (r *requestTable) open(id uint64) *request {
+	if req := r.byID[id]; req != nil && req.state.isOpen() {
+		return req
+	}
+	return nil
+}
+
+// transition moves a request to a state. It keeps the counts of open requests, the queue, and the expiries of closing
+// requests, whose At is to be set before.
+func (r *requestTable) transition(req *request, state requestState, now time.Duration) {
+	from := req.state
+	if from == state {
+		return
+	}
+	req.state = state
+	if from.isOpen() != state.isOpen() {
+		r.countOpen(req, state.isOpen())
+	}
+	switch from {
+	case requestQueued:
+		r.queued.remove(req)
+	case requestClosing:
+		r.expiries.Remove(req)
+	}
+	switch state {
+	case requestQueued:
+		req.queuedSince = now
+		r.queued.push(req)
+	case requestClosing:
+		r.expiries.Add(req)
+	}
+}
+
+func (r *requestTable) countOpen(req *request, opened bool) {
+	change := -1
+	if opened {
+		change = 1
+	}
+	r.openCount += change
+	req.forwarder.openCount += change
+}
+
+// settle gives an open request the state that follows from its attempts.
+func (r *requestTable) settle(req *request, now time.Duration) {
+	switch {
+	case !req.state.isOpen():
+	case req.inFlight > 0:
+		r.transition(req, requestInFlight, now)
+	default:
+		r.transition(req, requestQueued, now)
+	}
+}
+
+// expireBy has a closing request expire at a time, unless it does so earlier.
+func (r *requestTable) expireBy(req *request, at time.Duration) {
+	if req.At <= at {
+		return
+	}
+	r.expiries.Remove(req)
+	req.At = at
+	r.expiries.Add(req)
+}
+
+func newRequestTable(maxFree int) requestTable {
+	return requestTable{byID: map[uint64]*request{}, queued: requestList{id: queuedList}, maxFree: maxFree}
+}
--- a/internal/control/planner/worker.go
+++ b/internal/control/planner/worker.go
@@ -1,18 +1,12 @@
 package planner
 
 import (
-	"math"
 	"time"
 
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 )
 
-const (
-	tombstoneRetention = time.Minute // of the status of a worker that is not on the endpoint list
-	maxTombstones      = 4096
-)
-
 // worker is a worker on the endpoint list, or one that is not (any more) and of which there is a status or an attempt.
 type worker struct {
 	dispatch.Worker        // as the list has it
@@ -39,90 +33,3 @@
 
 // isUnavailable reports whether the newest status says that the worker is draining or gone.
 func (w *worker) isUnavailable() bool { return w.hasStatus && w.status.State != message.WorkerUp }
-
-// workerTable is all workers. The policy has those that are assigned to this planner. While requests in the table have
-// attempts at other ones, it has these too, as not ready.
-type workerTable struct {
-	byID         map[uint64]*worker
-	list         []*worker // the order of maps must decide nothing
-	revision     int64     // of the endpoint list
-	listSequence uint64    // counts full lists
-	synced       bool      // there was a list
-	partition    partition
-	takeovers    []takeover        // by time
-	tombstones   []tombstone       // by time
-	updates      []dispatch.Worker // that the policy was not told yet
-}
-
-// tombstone is a worker that was not on the endpoint list at a time. Its status is forgotten later.
-type tombstone struct {
-	at     time.Duration
-	worker *worker
-}
-
-// ensure returns the worker of a number, and adds it if it is not known.
-func (w *workerTable) ensure(id uint64) *worker {
-	if known := w.byID[id]; known != nil {
-		return known
-	}
-	added := &worker{index: len(w.list)}
-	added.ID = id
-	added.Kind = -1
-	added.Cell = math.MinInt // no other worker is in it
-	added.Zone = math.MinInt // no other worker is in it
-	w.byID[id] = added
-	w.list = append(w.list, added)
-	return added
-}
-
-// removeWorker forgets a worker that is not listed, and of which there is neither a status nor an attempt.
-func (w *workerTable) removeWorker(known *worker) {
-	if known.listed || known.references > 0 || known.hasStatus || w.byID[known.ID] != known {
-		return
-	}
-	delete(w.byID, known.ID)
-	end := len(w.list) - 1
-	last := w.list[end]
-	w.list[known.index] = last
-	last.index = known.index
-	w.list[end] = nil
-	w.list = w.list[:end]
-}
-
-// addReferences counts attempts at a worker that requests in the table have.
-func (p *policySync) addReferences(w *worker, count int) {
-	w.references += count
-	if w.owned && w.listed && w.status.State != message.WorkerGone {
-		return // the policy has it in any case
-	}
-	p.sync(w)
-	p.workers.removeWorker(w)
-}
-
-// addTombstone has the status of a worker that is not listed forgotten later.
-func (w *workerTable) addTombstone(known *worker, now time.Duration) {
-	w.tombstones = append(w.tombstones, tombstone{now, known})
-	if len(w.tombstones) > maxTombstones {
-		w.expireTombstone()
-	}
-}
-
-// expireTombstone forgets the status of the worker whose tombstone is the oldest, unless it is listed again.
-func (w *workerTable) expireTombstone() {
-	known := w.tombstones[0].worker
-	w.tombstones[0] = tombstone{}
-	w.tombstones = w.tombstones[1:]
-	if known.listed || w.byID[known.ID] != known {
-		return
-	}
-	known.hasStatus = false
-	known.status = message.WorkerStatus{}
-	w.removeWorker(known)
-}
-
-// expireTombstones removes the statuses of workers that have not been listed for tombstoneRetention.
-func (w *workerTable) expireTombstones(now time.Duration) {
-	for len(w.tombstones) > 0 && now-w.tombstones[0].at >= tombstoneRetention {
-		w.expireTombstone()
-	}
-}
