--- a/internal/control/planner/commands.go
+++ b/internal/control/planner/commands.go
@@ -5,13 +5,22 @@
 	"valvecove/internal/control/message"
 )
 
+// healthCheckStarter has a forwarder check a worker.
+type healthCheckStarter interface{ start(workerID uint64) }
+
+// attemptAdder adds attempts to requests, and closes requests.
+type attemptAdder interface {
+	addAttempt(req *request, added attempt)
+	close(req *request)
+}
+
 // commandExecutor sends the commands that result from the policy's actions.
 type commandExecutor struct {
 	stats            *Stats
 	step             *step
 	forwarders       *forwarderTable
-	healthChecks     *healthChecker
-	requestLifecycle *requestLifecycle
+	healthChecks     healthCheckStarter
+	requestLifecycle attemptAdder
 	policy           *policyRunner
 	requests         *requestTable
 	workers          *workerTable
@@ -36,7 +45,7 @@
 		case dispatch.SetTimer:
 			c.policy.setTimer(c.step.now() + max(action.After, 1))
 		case dispatch.Subscribe:
-			c.policy.subscribing = true
+			c.policy.subscribe()
 			c.step.emit(WatchEndpoints{Revision: c.workers.revision})
 		case dispatch.Log:
 			c.step.log(action.Text)
@@ -44,8 +53,7 @@
 			c.step.log("worker ejected", "worker", action.Worker, "reason", action.Reason.String(), "ejection_time", action.EjectionTime)
 		}
 	}
-	clear(actions)
-	c.policy.actions = actions[:0]
+	c.policy.reuseActions(actions)
 }
 
 // sendAttempt commands an attempt. Each Send of the policy has its outcome: that of one that can't be commanded is at once
--- a/internal/control/planner/endpoints.go
+++ b/internal/control/planner/endpoints.go
@@ -5,28 +5,41 @@
 	"valvecove/internal/control/message"
 )
 
+// statusUpdater keeps a worker's status if that is newer than the one before.
+type statusUpdater interface {
+	update(w *worker, status message.WorkerStatus, source statusSource)
+}
+
+// listReceiver is the policy: it is notified of events, and a list ends its subscription.
+type listReceiver interface {
+	notifier
+	endpointListReceived(kind dispatch.ListKind)
+}
+
 // endpointHandler processes changes of the endpoint list and of the assignment of workers to planners.
 type endpointHandler struct {
-	config     *Config
+	settings   *dispatch.Settings
 	step       *step
 	locations  *locationIndex
-	policy     *policyRunner
+	policy     listReceiver
 	policySync *policySync
-	statuses   *statusHandler
+	statuses   statusUpdater
 	workers    *workerTable
+
+	takeovers []takeover // by time
 }
 
 // processList takes in a watch event and tells the policy of it.
 func (e *endpointHandler) processList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
-		e.policy.subscribing = false
+		e.policy.endpointListReceived(list.Kind)
 		e.policy.notify(list)
 		return
 	}
 	e.policySync.flush() // the policy is told of earlier changes before
 	table := e.workers
 	table.revision = list.Revision
-	e.policy.subscribing = e.policy.subscribing && list.Kind == dispatch.ListCached
+	e.policy.endpointListReceived(list.Kind)
 	isFull := list.Kind != dispatch.ListDelta
 	if isFull {
 		table.listSequence++
@@ -36,12 +49,12 @@
 	}
 	if isFull {
 		e.removeUnlisted(list.Revision)
+		e.policySync.takeUpdates() // the full list has them
 		list.Workers = e.policySync.workersOfPolicy()
 	} else {
-		list.Workers = table.updates
+		list.Workers = e.policySync.takeUpdates()
 	}
 	table.synced = true
-	table.updates = nil // the list has them
 	e.policy.notify(list)
 }
 
@@ -115,24 +128,22 @@
 // updateOwner finds out which planner a worker is assigned to. One that comes from another planner gets no work for one
 // overload window while it is warming up: what that planner has sent it lately is not known. isNew: it was nobody's before.
 func (e *endpointHandler) updateOwner(w *worker, isNew bool) {
-	settings := &e.config.Settings
-	isOurs := e.workers.partition.owner(w) == e.config.Name
+	isOurs := e.workers.partition.owner(w) == e.workers.partition.local
 	isTakenOver := isOurs && !w.owned && !isNew
-	if isTakenOver && settings.OverloadWindow > 0 && e.step.now()-w.startedAt() < settings.WarmUp {
-		w.warmUntil = e.step.now() + settings.OverloadWindow
-		e.workers.takeovers = append(e.workers.takeovers, takeover{w.warmUntil, w})
+	if isTakenOver && e.settings.OverloadWindow > 0 && e.step.now()-w.startedAt() < e.settings.WarmUp {
+		w.warmUntil = e.step.now() + e.settings.OverloadWindow
+		e.takeovers = append(e.takeovers, takeover{w.warmUntil, w})
 	}
 	w.owned = isOurs
 }
 
 // expireTakeovers lets workers have work whose time has come.
 func (e *endpointHandler) expireTakeovers() {
-	table := e.workers
-	for len(table.takeovers) > 0 && table.takeovers[0].until <= e.step.now() {
-		worker := table.takeovers[0].worker
-		table.takeovers[0] = takeover{}
-		table.takeovers = table.takeovers[1:]
-		if table.byID[worker.ID] == worker {
+	for len(e.takeovers) > 0 && e.takeovers[0].until <= e.step.now() {
+		worker := e.takeovers[0].worker
+		e.takeovers[0] = takeover{}
+		e.takeovers = e.takeovers[1:]
+		if e.workers.byID[worker.ID] == worker {
 			e.policySync.sync(worker)
 		}
 	}
--- a/internal/control/planner/forwarder.go
+++ b/internal/control/planner/forwarder.go
@@ -33,6 +33,15 @@
 	clear(f.requests)
 }
 
+// removeRequest removes a request of the forwarder.
+func (f *forwarder) removeRequest(req *request) {
+	f.offered.remove(req)
+	if f.requests[req.forwarderID] == req {
+		delete(f.requests, req.forwarderID)
+	}
+	req.forwarder = nil
+}
+
 // inFlight returns how many attempts of the forwarder are in flight.
 func (f *forwarder) inFlight() (count int) {
 	for req := range f.offered.all() {
--- a/internal/control/planner/handshake.go
+++ b/internal/control/planner/handshake.go
@@ -27,7 +27,7 @@
 	session.transition(sessionAccepting, f)
 	s.forwarders.connect(f)
 	s.credits.assign(true)
-	f.snapshotDue = s.step.now() + s.snapshots.nextOffset(s.config.SnapshotInterval)
+	s.snapshots.schedule(f)
 	s.step.send(f, s.handshakeAccept(f.credit.limit))
 	session.transition(sessionEstablished, f)
 	s.statuses.sendUnavailable(f)
--- a/internal/control/planner/healthcheck.go
+++ b/internal/control/planner/healthcheck.go
@@ -17,6 +17,11 @@
 	startedAt time.Duration
 }
 
+// healthCheckCanceller ends health checks for the policy as ones that were not sent.
+type healthCheckCanceller interface {
+	cancel(matches func(check healthCheck) bool)
+}
+
 // healthChecker has forwarders make the policy's health checks in turn.
 type healthChecker struct {
 	step       *step
--- a/internal/control/planner/loadreport.go
+++ b/internal/control/planner/loadreport.go
@@ -15,17 +15,27 @@
 	maxLoadReportedSlots = 1e9 // less than that
 )
 
+// capacityEstimator is the policy: it is notified of events, and may have an estimate of the slots that are free.
+type capacityEstimator interface {
+	notifier
+	availableSlots() (slots float64, ok bool)
+}
+
 // loadReporter exchanges load reports with the peers and computes this planner's share of the quotas.
 type loadReporter struct {
-	config     *Config
+	interval   time.Duration
 	stats      *Stats
 	step       *step
 	forwarders *forwarderTable
 	peers      *peerTable
-	policy     *policyRunner
+	policy     capacityEstimator
 	requests   *requestTable
 	timer      *stepTimer
 	workers    *workerTable
+
+	nextReportAt time.Duration
+	averageOpen  float64 // moving average of this planner's open requests
+	quotaShare   float64 // this planner's, of which the policy was notified; 0: it was not
 }
 
 // report returns this planner's load.
@@ -42,8 +52,8 @@
 
 // freeSlots returns how many slots are free as the policy knows it, or else the workers that have no attempt.
 func (l *loadReporter) freeSlots() (slots float64) {
-	if reporter, ok := l.policy.policy.(capacityReporter); ok {
-		return reporter.AvailableSlots()
+	if available, ok := l.policy.availableSlots(); ok {
+		return available
 	}
 	for _, worker := range l.workers.list {
 		if worker.announced && worker.announcedAs.Ready && worker.references == 0 {
@@ -66,12 +76,12 @@
 
 // send tells the peers this planner's load, and the policy its share of the quotas.
 func (l *loadReporter) send() {
-	if l.step.now() < l.peers.nextLoadReportAt {
+	if l.step.now() < l.nextReportAt {
 		return
 	}
-	l.peers.nextLoadReportAt = l.step.now() + l.config.LoadReportInterval
-	l.peers.averageOpen += (float64(l.requests.openCount) - l.peers.averageOpen) / openAverageWeight
-	if l.peers.anyAlive || l.peers.quotaShare > 0 {
+	l.nextReportAt = l.step.now() + l.interval
+	l.averageOpen += (float64(l.requests.openCount) - l.averageOpen) / openAverageWeight
+	if l.peers.anyAlive || l.quotaShare > 0 {
 		l.updateQuotaShare()
 	}
 	if len(l.peers.list) > 0 {
@@ -82,7 +92,7 @@
 // updateQuotaShare finds out this planner's share of the quotas: that of the open requests of all planners. A peer without
 // a valid load report counts as having as many as this one.
 func (l *loadReporter) updateQuotaShare() {
-	own := l.peers.averageOpen + 1
+	own := l.averageOpen + 1
 	sum := own
 	for _, peer := range l.peers.list {
 		switch {
@@ -94,9 +104,16 @@
 		}
 	}
 	share := own / sum
-	if math.Abs(share-l.peers.quotaShare) > l.peers.quotaShare/quotaShareTolerance {
-		l.peers.quotaShare = share
-		l.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: share})
+	if math.Abs(share-l.quotaShare) > l.quotaShare/quotaShareTolerance {
+		l.quotaShare = share
+		l.notifyShare()
+	}
+}
+
+// notifyShare notifies the policy of this planner's share of the quotas, if that is known.
+func (l *loadReporter) notifyShare() {
+	if l.quotaShare > 0 {
+		l.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: l.quotaShare})
 	}
 }
 
--- a/internal/control/planner/location.go
+++ b/internal/control/planner/location.go
@@ -77,6 +77,26 @@
 	}
 }
 
+// update counts a worker at the location at which it is up.
+func (l *locationIndex) update(worker *worker, partition *partition) {
+	if !worker.isUp() {
+		l.move(worker.location, nil)
+		worker.location = nil
+		return
+	}
+	key := locationKey{l.local, worker.Zone, worker.Kind}
+	if !worker.owned {
+		key.owner = partition.owner(worker)
+	}
+	if worker.location != nil && worker.location.locationKey == key {
+		return
+	}
+	to := l.at(key)
+	l.move(worker.location, to)
+	worker.location = to
+}
+
+// resetPlacements discards what is known of where classes may be placed.
 func (l *locationIndex) resetPlacements() {
 	for class := range l.placements {
 		l.placements[class] = placementUnknown
--- a/internal/control/planner/new.go
+++ b/internal/control/planner/new.go
@@ -33,19 +33,18 @@
 		policy:      &p.policy,
 	}
 	p.recovery = recovery{
-		config:           &p.config,
+		newPolicy:        p.config.NewPolicy,
+		loads:            &p.loads,
 		stats:            &p.stats,
 		step:             &p.step,
 		commands:         &p.commands,
 		forwarders:       &p.forwarders,
 		healthChecks:     &p.healthChecks,
 		requestLifecycle: &p.requestLifecycle,
-		peers:            &p.peers,
 		policy:           &p.policy,
 		policySync:       &p.policySync,
 		requests:         &p.requests,
 		sessions:         &p.sessions,
-		workers:          &p.workers,
 	}
 	p.summary = summaryLog{
 		step:  &p.step,
@@ -57,17 +56,17 @@
 func (p *Planner) joinForwarders() {
 	p.heartbeats = heartbeats{step: &p.step, timer: &p.timer, forwarders: &p.forwarders}
 	p.sessions = sessionLifecycle{
-		config:           &p.config,
-		stats:            &p.stats,
-		step:             &p.step,
-		credits:          &p.credits,
-		forwarders:       &p.forwarders,
-		healthChecks:     &p.healthChecks,
-		requestLifecycle: &p.requestLifecycle,
-		phase:            &p.lifecycle,
-		policy:           &p.policy,
-		snapshots:        &p.snapshots,
-		statuses:         &p.statuses,
+		config:       &p.config,
+		stats:        &p.stats,
+		step:         &p.step,
+		credits:      &p.credits,
+		forwarders:   &p.forwarders,
+		healthChecks: &p.healthChecks,
+		requests:     &p.requestLifecycle,
+		phase:        &p.lifecycle,
+		policy:       &p.policy,
+		snapshots:    &p.snapshots,
+		statuses:     &p.statuses,
 	}
 	p.credits = creditAllocator{
 		config:     &p.config,
@@ -91,15 +90,15 @@
 // joinRequests makes the parts that process requests and their attempts.
 func (p *Planner) joinRequests() {
 	p.requestLifecycle = requestLifecycle{
-		config:     &p.config,
-		stats:      &p.stats,
-		step:       &p.step,
-		policy:     &p.policy,
-		policySync: &p.policySync,
-		requests:   &p.requests,
+		maxRequests: tableSizeFactor * p.config.MaxOpenRequests,
+		stats:       &p.stats,
+		step:        &p.step,
+		policy:      &p.policy,
+		policySync:  &p.policySync,
+		requests:    &p.requests,
 	}
 	p.offers = offerHandler{
-		config:           &p.config,
+		classCount:       len(p.config.Settings.Classes),
 		stats:            &p.stats,
 		step:             &p.step,
 		credits:          &p.credits,
@@ -131,29 +130,28 @@
 		workers:          &p.workers,
 	}
 	p.placer = placer{
-		config:           &p.config,
-		stats:            &p.stats,
-		step:             &p.step,
-		requestLifecycle: &p.requestLifecycle,
-		locations:        &p.locations,
-		peers:            &p.peers,
-		policy:           &p.policy,
-		requests:         &p.requests,
-		workers:          &p.workers,
+		classes:   p.config.Settings.Classes,
+		stats:     &p.stats,
+		step:      &p.step,
+		closer:    &p.requestLifecycle,
+		locations: &p.locations,
+		peers:     &p.peers,
+		policy:    &p.policy,
+		requests:  &p.requests,
+		workers:   &p.workers,
 	}
 }
 
 // joinWorkers makes the parts that track the workers.
 func (p *Planner) joinWorkers() {
 	p.policySync = policySync{
-		config:    &p.config,
 		step:      &p.step,
 		locations: &p.locations,
 		policy:    &p.policy,
 		workers:   &p.workers,
 	}
 	p.endpoints = endpointHandler{
-		config:     &p.config,
+		settings:   &p.config.Settings,
 		step:       &p.step,
 		locations:  &p.locations,
 		policy:     &p.policy,
@@ -183,7 +181,7 @@
 		workers:  &p.workers,
 	}
 	p.loads = loadReporter{
-		config:     &p.config,
+		interval:   p.config.LoadReportInterval,
 		stats:      &p.stats,
 		step:       &p.step,
 		forwarders: &p.forwarders,
--- a/internal/control/planner/offers.go
+++ b/internal/control/planner/offers.go
@@ -15,17 +15,26 @@
 	defaultSlotDemand = 1
 )
 
+// creditChecker reports whether a forwarder's credit covers one more open request.
+type creditChecker interface{ covers(f *forwarder) bool }
+
+// requestPlacer finds the peer that should have a request, and transfers the request to it.
+type requestPlacer interface {
+	preferredPeer(req *request) string
+	transfer(req *request, to string)
+}
+
 // offerHandler decides on the forwarders' offers of requests.
 type offerHandler struct {
-	config           *Config
+	classCount       int
 	stats            *Stats
 	step             *step
-	credits          *creditAllocator
+	credits          creditChecker
 	requestLifecycle *requestLifecycle
 	peers            *peerTable
-	phase            *lifecycle
-	placer           *placer
-	policy           *policyRunner
+	phase            decider
+	placer           requestPlacer
+	policy           notifier
 	policySync       *policySync
 	requests         *requestTable
 	workers          *workerTable
@@ -85,7 +94,7 @@
 // accepts reports whether the forwarder's credit covers one more request, and this planner can plan for it.
 func (o *offerHandler) accepts(f *forwarder, summary *message.RequestSummary) bool {
 	return o.credits.covers(f) &&
-		summary.Class >= 0 && summary.Class < len(o.config.Settings.Classes) &&
+		summary.Class >= 0 && summary.Class < o.classCount &&
 		len(summary.Attempts) <= maxAttempts
 }
 
--- a/internal/control/planner/peersessions.go
+++ b/internal/control/planner/peersessions.go
@@ -2,14 +2,25 @@
 
 import "valvecove/internal/control/message"
 
+// loadExchanger has this planner's load, and keeps that of a peer.
+type loadExchanger interface {
+	report() *message.LoadReport
+	receive(from *peer, report *message.LoadReport)
+}
+
+// statusReceiver processes a worker's status that a peer has reported.
+type statusReceiver interface {
+	receive(status message.WorkerStatus, source statusSource)
+}
+
 // peerSessions handles the connections to the other planners.
 type peerSessions struct {
 	config   *Config
 	stats    *Stats
 	step     *step
-	loads    *loadReporter
+	loads    loadExchanger
 	peers    *peerTable
-	statuses *statusHandler
+	statuses statusReceiver
 	workers  *workerTable
 }
 
--- a/internal/control/planner/peertable.go
+++ b/internal/control/planner/peertable.go
@@ -11,12 +11,9 @@
 
 // peerTable is the other planners.
 type peerTable struct {
-	list             []*peer // by name
-	anyAlive         bool
-	epoch            message.Epoch // of the newest connection
-	nextLoadReportAt time.Duration
-	averageOpen      float64 // moving average of this planner's open requests
-	quotaShare       float64 // this planner's, as the policy was told; 0: it was not
+	list     []*peer // by name
+	anyAlive bool
+	epoch    message.Epoch // of the newest connection
 }
 
 // find returns the peer of a name, or nil.
--- a/internal/control/planner/placement.go
+++ b/internal/control/planner/placement.go
@@ -7,17 +7,20 @@
 	"valvecove/internal/control/message"
 )
 
+// singleRequestCloser closes a request, which may have attempts in flight.
+type singleRequestCloser interface{ close(req *request) }
+
 // placer decides which planner is to have a request, and transfers requests to other planners.
 type placer struct {
-	config           *Config
-	stats            *Stats
-	step             *step
-	requestLifecycle *requestLifecycle
-	locations        *locationIndex
-	peers            *peerTable
-	policy           *policyRunner
-	requests         *requestTable
-	workers          *workerTable
+	classes   []dispatch.Class
+	stats     *Stats
+	step      *step
+	closer    singleRequestCloser
+	locations *locationIndex
+	peers     *peerTable
+	policy    notifier
+	requests  *requestTable
+	workers   *workerTable
 }
 
 // maxTransfers bounds how often a request is transferred in its life.
@@ -41,7 +44,7 @@
 
 // preferredPeerAfter returns the planner that should have a request of a class after an attempt that was possibly executed.
 func (p *placer) preferredPeerAfter(a *attempt, class int) string {
-	settings := &p.config.Settings.Classes[class]
+	settings := &p.classes[class]
 	switch {
 	case settings.Idempotency == dispatch.NonIdempotent:
 		return "" // nobody may send it again
@@ -51,7 +54,7 @@
 		return p.peers.ifAlive(p.workers.partition.owner(a.worker))
 	}
 	sameZone := inZone(a.worker.Zone)
-	if p.locations.availableFor(class, p.config.Name, sameZone) > 0 {
+	if p.locations.availableFor(class, p.locations.local, sameZone) > 0 {
 		return ""
 	}
 	return p.bestPeerFor(class, sameZone)
@@ -60,7 +63,7 @@
 // bindingAttempt returns the first attempt because of which a request may not go to any worker: it was possibly executed,
 // and the request may not be executed twice, or only where that is noticed. Else nil.
 func (p *placer) bindingAttempt(req *request) *attempt {
-	class := &p.config.Settings.Classes[req.job.Class]
+	class := &p.classes[req.job.Class]
 	if class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.IdempotentWithKey && class.DeduplicationScope == dispatch.ScopeAll {
 		return nil
@@ -124,7 +127,7 @@
 // hasWaitedForTransfer reports whether a queued request may be transferred for lack of capacity. One that was transferred
 // before may not: it is not sent to and fro.
 func (p *placer) hasWaitedForTransfer(req *request) bool {
-	objective := p.config.Settings.Classes[req.job.Class].LatencyObjective
+	objective := p.classes[req.job.Class].LatencyObjective
 	wait := max(minTransferWait, objective/transferObjectiveDivisor)
 	return req.transfers == 0 && p.step.now()-req.queuedSince >= wait && p.bindingAttempt(req) == nil
 }
@@ -136,5 +139,5 @@
 	if req.knownToPolicy {
 		p.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 	}
-	p.requestLifecycle.close(req)
+	p.closer.close(req)
 }
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 )
 
@@ -127,14 +126,7 @@
 	if p.lifecycle.phase == phaseStopped {
 		return
 	}
-	next := p.nextTickAt
-	if p.policy.timerAt > 0 {
-		next = min(next, p.policy.timerAt)
-	}
-	if len(p.policy.pending) > 0 {
-		next = p.policy.backoffUntil
-	}
-	next = max(next, p.step.now()+1)
+	next := max(p.policy.nextStepAt(p.nextTickAt), p.step.now()+1)
 	if p.timer.set(next) {
 		p.step.emit(SetTimer{After: next - p.step.now()})
 	}
@@ -143,14 +135,11 @@
 // runPolicy has the policy decide, and executes its actions.
 func (p *Planner) runPolicy() {
 	for range maxPolicyIterations {
-		if !p.lifecycle.decides() || p.step.now() < p.policy.backoffUntil {
+		if !p.lifecycle.decides() || p.policy.isBackingOff(p.step.now()) {
 			return
 		}
 		p.policySync.flush()
-		if p.policy.timerAt > 0 && p.policy.timerAt <= p.step.now() {
-			p.policy.timerAt = 0
-			p.policy.notify(dispatch.TimerFired{})
-		}
+		p.policy.notifyTimer(p.step.now())
 		if len(p.policy.pending) == 0 {
 			return
 		}
--- a/internal/control/planner/policyrunner.go
+++ b/internal/control/planner/policyrunner.go
@@ -17,18 +17,19 @@
 // decider reports whether the planner still makes decisions.
 type decider interface{ decides() bool }
 
-// policyRunner is the policy with what is exchanged with it.
+// policyRunner runs the policy: it collects the events of its next iteration, and owns its timer, its subscription and the
+// record of its panics.
 type policyRunner struct {
 	policy      Policy
 	phase       decider
-	pending     []dispatch.Event  // that the policy has not been told yet
-	delivered   []dispatch.Event  // of its step under way; else an empty buffer
+	pending     []dispatch.Event  // of the next iteration
+	delivered   []dispatch.Event  // of the present iteration; else an empty buffer
 	actions     []dispatch.Action // buffer
 	timerAt     time.Duration     // 0: none is set
-	subscribing bool              // it has asked for the endpoint list and was not answered
+	subscribing bool              // the policy has requested the endpoint list, which is not delivered yet
 
 	recentPanics []time.Duration // within panicWindow, ascending
-	backoffUntil time.Duration   // until then the policy is not asked, and no session is opened
+	backoffUntil time.Duration   // until then the policy is not run, and no session is opened
 }
 
 // setTimer sets the policy's timer, unless an earlier one is set.
@@ -38,7 +39,111 @@
 	}
 }
 
-// discardPending drops what a policy that is not asked any more was to be told.
+// notifyTimer adds the event of the policy's timer if that is due.
+func (p *policyRunner) notifyTimer(now time.Duration) {
+	if p.timerAt > 0 && p.timerAt <= now {
+		p.timerAt = 0
+		p.notify(dispatch.TimerFired{})
+	}
+}
+
+// nextStepAt returns the next instant at which a step is needed, where the planner needs one at nextTickAt.
+func (p *policyRunner) nextStepAt(nextTickAt time.Duration) time.Duration {
+	switch {
+	case len(p.pending) > 0:
+		return p.backoffUntil
+	case p.timerAt > 0:
+		return min(nextTickAt, p.timerAt)
+	}
+	return nextTickAt
+}
+
+// isBackingOff reports whether the policy is not run for now, because it has panicked repeatedly.
+func (p *policyRunner) isBackingOff(now time.Duration) bool { return now < p.backoffUntil }
+
+// startBackoff stops the policy for panicBackoff, and discards the record of its panics.
+func (p *policyRunner) startBackoff(now time.Duration) {
+	p.recentPanics = p.recentPanics[:0]
+	p.backoffUntil = now + panicBackoff
+}
+
+// subscribe records that the policy has requested the endpoint list.
+func (p *policyRunner) subscribe() { p.subscribing = true }
+
+// isSubscribing reports whether the policy waits for an endpoint list that it has requested.
+func (p *policyRunner) isSubscribing() bool { return p.subscribing }
+
+// endpointListReceived records a watch event of the endpoint list. Any but a cached list answers the policy's request.
+func (p *policyRunner) endpointListReceived(kind dispatch.ListKind) {
+	p.subscribing = p.subscribing && kind == dispatch.ListCached
+}
+
+// reset replaces the policy by one without any state. No event is pending for it.
+func (p *policyRunner) reset(policy Policy) {
+	p.policy = policy
+	p.timerAt = 0
+	p.subscribing = false
+	p.pending = nil
+}
+
+// deliverPending runs the policy with the pending events, and keeps its actions behind those that were kept before.
+func (p *policyRunner) deliverPending(now time.Duration) error {
+	events := p.pending
+	p.pending = nil
+	actions, err := p.step(now, events)
+	if err != nil {
+		return err
+	}
+	p.actions = actions
+	return nil
+}
+
+// takeActions returns the actions that were kept, and keeps none.
+func (p *policyRunner) takeActions() []dispatch.Action {
+	actions := p.actions
+	p.actions = nil
+	return actions
+}
+
+// reuseActions makes the array of executed actions the buffer of the next ones.
+func (p *policyRunner) reuseActions(actions []dispatch.Action) {
+	clear(actions)
+	p.actions = actions[:0]
+}
+
+// availableSlots returns how many slots are free by the policy's estimate; ok: it has one.
+func (p *policyRunner) availableSlots() (slots float64, ok bool) {
+	reporter, ok := p.policy.(capacityReporter)
+	if !ok {
+		return 0, false
+	}
+	return reporter.AvailableSlots(), true
+}
+
+// timeUntilOverdue returns after which time an attempt takes longer than the policy can explain; ok: it has an estimate.
+func (p *policyRunner) timeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool) {
+	estimator, ok := p.policy.(runtimeEstimator)
+	if !ok {
+		return 0, false
+	}
+	return estimator.TimeUntilOverdue(job, attempt)
+}
+
+// hasModel reports whether the policy has a model of which it makes snapshots.
+func (p *policyRunner) hasModel() bool {
+	_, ok := p.policy.(snapshotter)
+	return ok
+}
+
+// modelSnapshot returns a snapshot of the policy's model; nil: it has no model.
+func (p *policyRunner) modelSnapshot(maxBytes int) []byte {
+	if source, ok := p.policy.(snapshotter); ok {
+		return source.ModelSnapshot(maxBytes, nil)
+	}
+	return nil
+}
+
+// discardPending discards the events of a policy that is not run any more, and its timer.
 func (p *policyRunner) discardPending() {
 	p.pending = p.pending[:0]
 	p.timerAt = 0
--- a/internal/control/planner/policysync.go
+++ b/internal/control/planner/policysync.go
@@ -5,32 +5,20 @@
 	"valvecove/internal/control/message"
 )
 
+// subscriber is the policy: it is notified of events, and may wait for an endpoint list that it has requested.
+type subscriber interface {
+	notifier
+	isSubscribing() bool
+}
+
 // policySync keeps what the policy has of the workers up to date.
 type policySync struct {
-	config    *Config
 	step      *step
 	locations *locationIndex
-	policy    *policyRunner
+	policy    subscriber
 	workers   *workerTable
-}
 
-// updateLocation counts a worker at the location at which it is up.
-func (p *policySync) updateLocation(worker *worker) {
-	if !worker.isUp() {
-		p.locations.move(worker.location, nil)
-		worker.location = nil
-		return
-	}
-	key := locationKey{p.config.Name, worker.Zone, worker.Kind}
-	if !worker.owned {
-		key.owner = p.workers.partition.owner(worker)
-	}
-	if worker.location != nil && worker.location.locationKey == key {
-		return
-	}
-	to := p.locations.at(key)
-	p.locations.move(worker.location, to)
-	worker.location = to
+	updates []dispatch.Worker // of which the policy is not notified yet
 }
 
 // view returns a worker as the policy is to have it; ok: it is to have it at all.
@@ -49,34 +37,46 @@
 
 // sync brings what the policy has of a worker up to date, and the count of the workers that are up at its location.
 func (p *policySync) sync(w *worker) {
-	p.updateLocation(w)
+	p.locations.update(w, &p.workers.partition)
 	view, ok := p.view(w)
 	switch {
 	case ok && (!w.announced || view != w.announcedAs):
 		w.announced, w.announcedAs = true, view
-		p.workers.updates = append(p.workers.updates, view)
+		p.updates = append(p.updates, view)
 	case !ok && w.announced:
 		w.announced = false
 		view.Ready, view.Removed = false, true
-		p.workers.updates = append(p.workers.updates, view)
+		p.updates = append(p.updates, view)
 	}
 }
 
 // flush tells the policy of the workers that have changed. While it awaits the list that it has asked for,
 // changes would look like the answer: it gets the whole list as it was known then.
 func (p *policySync) flush() {
-	if len(p.workers.updates) == 0 {
+	if len(p.updates) == 0 {
 		return
 	}
-	list := dispatch.WorkerList{Kind: dispatch.ListDelta, Workers: p.workers.updates, Revision: p.workers.revision}
-	p.workers.updates = nil
-	if p.policy.subscribing {
+	list := dispatch.WorkerList{Kind: dispatch.ListDelta, Workers: p.takeUpdates(), Revision: p.workers.revision}
+	if p.policy.isSubscribing() {
 		list.Kind = dispatch.ListCached
 		list.Workers = p.workersOfPolicy()
 	}
 	p.policy.notify(list)
 }
 
+// takeUpdates returns the workers that have changed, for an event that notifies the policy of them.
+func (p *policySync) takeUpdates() []dispatch.Worker {
+	updates := p.updates
+	p.updates = nil
+	return updates
+}
+
+// notifyAll notifies a new policy of all workers.
+func (p *policySync) notifyAll() {
+	p.updates = nil
+	p.policy.notify(dispatch.WorkerList{Kind: dispatch.ListCached, Workers: p.workersOfPolicy(), Revision: p.workers.revision})
+}
+
 // workersOfPolicy returns all workers that the policy is to have.
 func (p *policySync) workersOfPolicy() (views []dispatch.Worker) {
 	for _, worker := range p.workers.list {
--- a/internal/control/planner/random_run_test.go
+++ b/internal/control/planner/random_run_test.go
@@ -166,7 +166,7 @@
 	}
 	p := r.planner
 	status := p.Status()
-	remaining := len(p.forwarders.byName) + len(p.healthChecks.pending) + len(p.workers.takeovers) + len(p.workers.tombstones)
+	remaining := len(p.forwarders.byName) + len(p.healthChecks.pending) + len(p.endpoints.takeovers) + len(p.workers.tombstones)
 	if status.Open+status.Closing+status.Sessions+status.Credit > 0 || status.Slots != 0 || remaining > 0 {
 		r.t.Fatalf("left in the end: %+v, %d forwarders, %d health checks", status, len(p.forwarders.byName),
 			len(p.healthChecks.pending))
--- a/internal/control/planner/recovery.go
+++ b/internal/control/planner/recovery.go
@@ -26,21 +26,30 @@
 	maxPanicFrames       = 8           // of the call stack that are logged
 )
 
+// What recovery needs of the planner's other parts.
+type (
+	actionExecutor interface {
+		execute(actions []dispatch.Action)
+	}
+	sessionCloser      interface{ close(session *session) }
+	workerListNotifier interface{ notifyAll() }
+	shareNotifier      interface{ notifyShare() }
+)
+
 // recovery replaces a policy that has panicked.
 type recovery struct {
-	config           *Config
+	newPolicy        func() Policy
 	stats            *Stats
 	step             *step
-	commands         *commandExecutor
+	commands         actionExecutor
 	forwarders       *forwarderTable
-	healthChecks     *healthChecker
+	healthChecks     healthCheckCanceller
 	requestLifecycle *requestLifecycle
-	peers            *peerTable
+	loads            shareNotifier
 	policy           *policyRunner
-	policySync       *policySync
+	policySync       workerListNotifier
 	requests         *requestTable
-	sessions         *sessionLifecycle
-	workers          *workerTable
+	sessions         sessionCloser
 }
 
 // replacePolicy replaces the policy after a panic by one that knows all there is.
@@ -48,7 +57,7 @@
 	r.stats.Panics++
 	tooMany := r.policy.recordPanic(r.step.now())
 	r.logPanic(err)
-	r.policy.actions = nil
+	r.policy.takeActions() // a panic leaves them incomplete
 	if tooMany {
 		r.closeAllSessions()
 		return
@@ -57,9 +66,7 @@
 	for range maxPoisonRequests {
 		poison, err := r.rebuildPolicy()
 		if err == nil {
-			actions := r.policy.actions
-			r.policy.actions = nil
-			r.commands.execute(actions)
+			r.commands.execute(r.policy.takeActions())
 			return
 		}
 		if poison == nil {
@@ -108,8 +115,8 @@
 // occurred at the list.
 func (r *recovery) rebuildPolicy() (poison *request, err error) {
 	r.resetPolicy()
-	r.policy.actions = nil
-	if err := r.deliverPending(); err != nil {
+	r.policy.takeActions() // of an earlier attempt at this
+	if err := r.policy.deliverPending(r.step.now()); err != nil {
 		return nil, err
 	}
 	for _, req := range r.requests.byAge() {
@@ -117,36 +124,18 @@
 		if !req.state.isOpen() {
 			r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 		}
-		if err := r.deliverPending(); err != nil {
+		if err := r.policy.deliverPending(r.step.now()); err != nil {
 			return req, err
 		}
 	}
 	return nil, nil
 }
 
-// deliverPending has the policy take in the pending events, and keeps its actions with those before.
-func (r *recovery) deliverPending() error {
-	events := r.policy.pending
-	r.policy.pending = nil
-	actions, err := r.policy.step(r.step.now(), events)
-	if err != nil {
-		return err
-	}
-	r.policy.actions = actions
-	return nil
-}
-
-// resetPolicy replaces the policy by a new one that knows nothing yet. The endpoint list is pending for it.
+// resetPolicy replaces the policy by a new one. The events of the endpoint list and of the quota share are pending for it.
 func (r *recovery) resetPolicy() {
-	r.policy.policy = r.config.NewPolicy()
-	r.policy.timerAt = 0
-	r.policy.subscribing = false
-	r.policy.pending = nil
-	r.workers.updates = nil
-	r.policy.notify(dispatch.WorkerList{Kind: dispatch.ListCached, Workers: r.policySync.workersOfPolicy(), Revision: r.workers.revision})
-	if r.peers.quotaShare > 0 {
-		r.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: r.peers.quotaShare})
-	}
+	r.policy.reset(r.newPolicy())
+	r.policySync.notifyAll()
+	r.loads.notifyShare()
 	r.healthChecks.cancel(func(healthCheck) bool { return true })
 }
 
@@ -172,8 +161,7 @@
 		r.requestLifecycle.endAttempts(req)
 		r.requestLifecycle.remove(req)
 	}
-	r.policy.recentPanics = r.policy.recentPanics[:0]
-	r.policy.backoffUntil = r.step.now() + panicBackoff
+	r.policy.startBackoff(r.step.now())
 	r.resetPolicy()
 }
 
--- a/internal/control/planner/reports.go
+++ b/internal/control/planner/reports.go
@@ -5,14 +5,19 @@
 	"valvecove/internal/control/message"
 )
 
+// rejectionRecorder counts a send command that a forwarder's validator has rejected.
+type rejectionRecorder interface {
+	recordRejection(f *forwarder, reason message.RejectReason)
+}
+
 // reportHandler processes what forwarders report about requests and attempts.
 type reportHandler struct {
 	stats            *Stats
 	step             *step
 	requestLifecycle *requestLifecycle
-	policy           *policyRunner
+	policy           notifier
 	requests         *requestTable
-	summary          *summaryLog
+	summary          rejectionRecorder
 }
 
 // attemptEnded takes in how an attempt has ended, or why the forwarder's validator has rejected its send command.
--- a/internal/control/planner/requestlifecycle.go
+++ b/internal/control/planner/requestlifecycle.go
@@ -12,24 +12,31 @@
 	tableSizeFactor = 4               // most requests in the table, as a multiple of Config.MaxOpenRequests
 )
 
+// overdueEstimator is the policy: it is notified of events, and may have an estimate of when an attempt is overdue.
+type overdueEstimator interface {
+	notifier
+	timeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool)
+}
+
+// referenceCounter counts the attempts at a worker that requests in the table have.
+type referenceCounter interface {
+	addReferences(w *worker, count int)
+}
+
 // requestLifecycle ends requests and their attempts: for the policy, in the table, and by time.
 type requestLifecycle struct {
-	config     *Config
-	stats      *Stats
-	step       *step
-	policy     *policyRunner
-	policySync *policySync
-	requests   *requestTable
+	maxRequests int // in the table, closing ones included
+	stats       *Stats
+	step        *step
+	policy      overdueEstimator
+	policySync  referenceCounter
+	requests    *requestTable
 }
 
 // addAttempt adds an attempt to a request.
 func (r *requestLifecycle) addAttempt(req *request, added attempt) {
 	r.policySync.addReferences(added.worker, 1)
-	if added.inFlight() {
-		req.inFlight++
-		r.requests.slotsInUse += req.slots
-	}
-	req.attempts = append(req.attempts, added)
+	r.requests.addAttempt(req, added)
 }
 
 // close takes in that a request is not open any more. What is in flight of it still counts as load.
@@ -60,28 +67,16 @@
 
 // remove forgets a request.
 func (r *requestLifecycle) remove(req *request) {
-	table := r.requests
-	table.transition(req, requestRemoved, r.step.now())
+	r.requests.transition(req, requestRemoved, r.step.now())
 	for i := range req.attempts {
 		attempt := &req.attempts[i]
-		if attempt.inFlight() {
-			table.slotsInUse -= req.slots
-		}
 		r.policySync.addReferences(attempt.worker, -1)
 		attempt.worker = nil
 	}
-	if f := req.forwarder; f != nil {
-		f.offered.remove(req)
-		if f.requests[req.forwarderID] == req {
-			delete(f.requests, req.forwarderID)
-		}
-		req.forwarder = nil
-	}
-	delete(table.byID, req.id)
-	if len(table.byID) == 0 {
-		table.slotsInUse = 0 // without the rounding errors of its sums
+	if req.forwarder != nil {
+		req.forwarder.removeRequest(req)
 	}
-	table.release(req)
+	r.requests.remove(req)
 }
 
 // abandon ends a request and its attempts for the policy.
@@ -120,12 +115,8 @@
 // timeUntilOverdue returns when all attempts in flight of a request take longer than the policy can explain; 0: it can't
 // tell.
 func (r *requestLifecycle) timeUntilOverdue(req *request) (longest time.Duration) {
-	estimator, ok := r.policy.policy.(runtimeEstimator)
-	if !ok {
-		return 0
-	}
 	for i := range req.attempts {
-		overdue, ok := estimator.TimeUntilOverdue(req.id, i)
+		overdue, ok := r.policy.timeUntilOverdue(req.id, i)
 		if ok && req.attempts[i].inFlight() {
 			longest = max(longest, overdue)
 		}
@@ -137,8 +128,7 @@
 // does so before.
 func (r *requestLifecycle) expireAttempts() {
 	expiries := &r.requests.expiries
-	maxRequests := tableSizeFactor * r.config.MaxOpenRequests
-	for expiries.Len() > 0 && (expiries.First().At <= r.step.now() || len(r.requests.byID) > maxRequests) {
+	for expiries.Len() > 0 && (expiries.First().At <= r.step.now() || len(r.requests.byID) > r.maxRequests) {
 		req := expiries.First()
 		r.stats.Expired += req.inFlight
 		r.cancelAttempts(req)
--- a/internal/control/planner/requesttable.go
+++ b/internal/control/planner/requesttable.go
@@ -47,6 +47,27 @@
 	return req
 }
 
+// addAttempt adds an attempt to a request.
+func (r *requestTable) addAttempt(req *request, added attempt) {
+	if added.inFlight() {
+		req.inFlight++
+		r.slotsInUse += req.slots
+	}
+	req.attempts = append(req.attempts, added)
+}
+
+// remove removes a request that is in state requestRemoved.
+func (r *requestTable) remove(req *request) {
+	for range req.inFlight {
+		r.slotsInUse -= req.slots
+	}
+	delete(r.byID, req.id)
+	if len(r.byID) == 0 {
+		r.slotsInUse = 0 // without the rounding errors of its sums
+	}
+	r.release(req)
+}
+
 // release keeps a removed request for reuse.
 func (r *requestTable) release(req *request) {
 	if len(r.free) < r.maxFree {
--- a/internal/control/planner/sessionlifecycle.go
+++ b/internal/control/planner/sessionlifecycle.go
@@ -9,24 +9,34 @@
 
 const maxNameLength = 255 // bytes, of a forwarder or planner
 
+// What sessionLifecycle needs of the planner's other parts, besides requestCloser and healthCheckCanceller.
+type (
+	creditAssigner    interface{ assign(all bool) }
+	snapshotScheduler interface{ schedule(f *forwarder) }
+	statusSender      interface{ sendUnavailable(f *forwarder) }
+)
+
+// backoffReporter reports whether the policy is not run for now.
+type backoffReporter interface{ isBackingOff(now time.Duration) bool }
+
 // sessionLifecycle opens and ends the sessions of the forwarders.
 type sessionLifecycle struct {
-	config           *Config
-	stats            *Stats
-	step             *step
-	credits          *creditAllocator
-	forwarders       *forwarderTable
-	healthChecks     *healthChecker
-	requestLifecycle *requestLifecycle
-	phase            *lifecycle
-	policy           *policyRunner
-	snapshots        *snapshotSender
-	statuses         *statusHandler
+	config       *Config
+	stats        *Stats
+	step         *step
+	credits      creditAssigner
+	forwarders   *forwarderTable
+	healthChecks healthCheckCanceller
+	requests     requestCloser
+	phase        decider
+	policy       backoffReporter
+	snapshots    snapshotScheduler
+	statuses     statusSender
 }
 
 // open enters a session, or closes it where there is no place for it.
 func (s *sessionLifecycle) open(id SessionID) {
-	if len(s.forwarders.sessions) >= s.config.MaxSessions || !s.phase.decides() || s.step.now() < s.policy.backoffUntil {
+	if len(s.forwarders.sessions) >= s.config.MaxSessions || !s.phase.decides() || s.policy.isBackingOff(s.step.now()) {
 		s.stats.ConnectionsRejected++
 		s.step.emit(CloseSession{Session: id})
 		return
@@ -62,7 +72,7 @@
 
 // disconnect takes in that a forwarder's session has ended. The connection may go on, for another session.
 func (s *sessionLifecycle) disconnect(f *forwarder) {
-	s.requestLifecycle.closeAllOf(f)
+	s.requests.closeAllOf(f)
 	f.session.transition(sessionAwaitingHandshake, nil)
 	f.credit = credit{previousUntil: f.credit.previousUntil}
 	f.disconnectedAt = s.step.now()
--- a/internal/control/planner/workertable.go
+++ b/internal/control/planner/workertable.go
@@ -4,7 +4,6 @@
 	"math"
 	"time"
 
-	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 )
 
@@ -22,9 +21,7 @@
 	listSequence uint64    // counts full lists
 	synced       bool      // there was a list
 	partition    partition
-	takeovers    []takeover        // by time
-	tombstones   []tombstone       // by time
-	updates      []dispatch.Worker // that the policy was not told yet
+	tombstones   []tombstone // by time
 }
 
 // ensure returns the worker of a number, and adds it if it is not known.
