--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -124,32 +124,32 @@
 	return s
 }
 
-func (s *arrivalStream) scheduleNext() {
-	gap := s.rng.ExpFloat64() / s.rate
-	if remaining := (s.arrivals.length - s.at).Seconds(); gap >= remaining {
+func (a *arrivalStream) scheduleNext() {
+	gap := a.rng.ExpFloat64() / a.rate
+	if remaining := (a.arrivals.length - a.at).Seconds(); gap >= remaining {
 		return
 	}
-	s.at += time.Duration(gap * float64(time.Second))
-	s.arrivals.clients.env.schedule(s.at, s.fire)
+	a.at += time.Duration(gap * float64(time.Second))
+	a.arrivals.clients.env.schedule(a.at, a.fire)
 }
 
-func (s *arrivalStream) arrive() {
-	if s.stopped {
+func (a *arrivalStream) arrive() {
+	if a.stopped {
 		return
 	}
-	if level, peak := s.arrivals.shape.level(s.at), s.arrivals.shape.peak(); level >= peak || s.rng.Float64()*peak < level {
-		j := s.arrivals.drawJob(s.rng, s.source)
-		if s.source.keepsJob() {
-			s.arrivals.clients.jobDue(j, s.at)
+	if level, peak := a.arrivals.shape.level(a.at), a.arrivals.shape.peak(); level >= peak || a.rng.Float64()*peak < level {
+		j := a.arrivals.drawJob(a.rng, a.source)
+		if a.source.keepsJob() {
+			a.arrivals.clients.jobDue(j, a.at)
 		}
 	}
-	s.scheduleNext()
+	a.scheduleNext()
 }
 
 // keepsJob tells whether a job that would fall due does, as some don't while the cell is quiet.
-func (k *jobSource) keepsJob() bool {
-	for _, share := range k.quietFactors {
-		if k.thinning.Float64() >= *share {
+func (j *jobSource) keepsJob() bool {
+	for _, share := range j.quietFactors {
+		if j.thinning.Float64() >= *share {
 			return false
 		}
 	}
@@ -246,20 +246,20 @@
 }
 
 // sendNext has the client ask for its next job at once.
-func (s *closedClient) sendNext() {
-	start := max(s.arrivals.clients.env.now, s.last+thinkTime)
-	if start >= s.arrivals.length {
+func (c *closedClient) sendNext() {
+	start := max(c.arrivals.clients.env.now, c.last+thinkTime)
+	if start >= c.arrivals.length {
 		return
 	}
-	s.last = start
-	s.arrivals.clients.env.schedule(start, func() {
-		if s.stopped {
+	c.last = start
+	c.arrivals.clients.env.schedule(start, func() {
+		if c.stopped {
 			return
 		}
-		i := sort.SearchFloat64s(s.cumulative, s.rng.Float64())
-		j := s.arrivals.drawJob(s.rng, s.sources[min(i, len(s.sources)-1)])
-		j.client = s
-		s.arrivals.clients.jobDue(j, start)
+		i := sort.SearchFloat64s(c.cumulative, c.rng.Float64())
+		j := c.arrivals.drawJob(c.rng, c.sources[min(i, len(c.sources)-1)])
+		j.client = c
+		c.arrivals.clients.jobDue(j, start)
 	})
 }
 
@@ -371,37 +371,37 @@
 	return s
 }
 
-func (s *loadShape) peak() float64 { return 1 + s.swing }
+func (l *loadShape) peak() float64 { return 1 + l.swing }
 
 // level is the level at an instant.
-func (s *loadShape) level(instant time.Duration) float64 {
-	progress := instant.Seconds() / s.length
-	switch s.kind {
+func (l *loadShape) level(instant time.Duration) float64 {
+	progress := instant.Seconds() / l.length
+	switch l.kind {
 	case "bursty":
-		n := len(s.jumps)
-		for n == 0 || s.jumps[n-1] <= instant {
+		n := len(l.jumps)
+		for n == 0 || l.jumps[n-1] <= instant {
 			last := time.Duration(0)
 			if n > 0 {
-				last = s.jumps[n-1]
+				last = l.jumps[n-1]
 			}
-			s.jumps = append(s.jumps, last+1+time.Duration(s.rng.ExpFloat64()*float64(burstyHold)))
+			l.jumps = append(l.jumps, last+1+time.Duration(l.rng.ExpFloat64()*float64(burstyHold)))
 			n++
 		}
-		for n > 1 && s.jumps[n-2] > instant { // a step of the run that was late asks of the past
+		for n > 1 && l.jumps[n-2] > instant { // a step of the run that was late asks of the past
 			n--
 		}
-		if s.startsLow == (n%2 == 1) {
-			return 1 - s.swing
+		if l.startsLow == (n%2 == 1) {
+			return 1 - l.swing
 		}
-		return 1 + s.swing
+		return 1 + l.swing
 	case "swell":
 		const peak = 2.0 / 3
 		if progress < peak {
-			return 1 - s.swing*math.Cos(math.Pi*progress/peak)
+			return 1 - l.swing*math.Cos(math.Pi*progress/peak)
 		}
-		return 1 + s.swing*math.Cos(math.Pi*(progress-peak)/(1-peak))
+		return 1 + l.swing*math.Cos(math.Pi*(progress-peak)/(1-peak))
 	case "month_start":
-		return 1 + s.swing*(1-2*progress)
+		return 1 + l.swing*(1-2*progress)
 	}
 	return 1
 }
--- a/internal/testbed/environment/client_jobs.go
+++ b/internal/testbed/environment/client_jobs.go
@@ -161,8 +161,8 @@
 }
 
 // outsideWindow tells whether an instant is outside the window in which a keyed job may be repeated.
-func (k *class) outsideWindow(j *job, at time.Duration) bool {
-	return k.hasRetries && j.firstRiskAt >= 0 && at >= j.firstRiskAt+k.DeduplicationWindow.Std()
+func (c *class) outsideWindow(j *job, at time.Duration) bool {
+	return c.hasRetries && j.firstRiskAt >= 0 && at >= j.firstRiskAt+c.DeduplicationWindow.Std()
 }
 
 // retryDelay is how long a client waits before its job's next request. Of after, the scheduler's advice, only storms and the
@@ -276,8 +276,8 @@
 	retryAfter      time.Duration
 }
 
-func (a *response) outcome() requestOutcome {
-	switch a.status {
+func (r *response) outcome() requestOutcome {
+	switch r.status {
 	case 200:
 		return outcomeServed
 	case 429, 503:
@@ -288,11 +288,11 @@
 
 // responseReceived is the arrival of an answer. Whatever it is, it is seen; one that is not for the request that the
 // connection carries ends nothing.
-func (l *clientConn) responseReceived(response response) {
-	clients, t := l.pool.clients, l.request
+func (c *clientConn) responseReceived(response response) {
+	clients, t := c.pool.clients, c.request
 	event := trace.Event{
-		Kind: trace.ResponseReceived, Status: response.status, RetryAfter: response.retryAfter, Text: response.body, Scheduler: l.conn.scheduler,
-		Conn: uint64(l.conn.id),
+		Kind: trace.ResponseReceived, Status: response.status, RetryAfter: response.retryAfter, Text: response.body, Scheduler: c.conn.scheduler,
+		Conn: uint64(c.conn.id),
 	}
 	own := t != nil && t.id == response.requestID
 	if own {
@@ -304,11 +304,11 @@
 	clients.env.record(event)
 	if !own {
 		if t == nil {
-			l.close() // it can't be trusted any more
+			c.close() // it can't be trusted any more
 		}
 		return
 	}
-	t.job.status, l.request = response.status, nil
-	l.release()
+	t.job.status, c.request = response.status, nil
+	c.release()
 	clients.endRequest(t, response.outcome(), response.retryAfter)
 }
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -96,13 +96,13 @@
 func (c *clients) finished() bool { return c.unsettled == 0 && c.env.now >= c.arrivals.length }
 
 // RequestsInFlight is how many requests clients wait for an answer to.
-func (w *Environment) RequestsInFlight() int { return w.clients.awaiting }
+func (e *Environment) RequestsInFlight() int { return e.clients.awaiting }
 
 // QuotaPerS is how many jobs a second are within a tenant's share.
-func (w *Environment) QuotaPerS(tenant int) float64 { return w.Spec.QuotaRate(tenant) }
+func (e *Environment) QuotaPerS(tenant int) float64 { return e.Spec.QuotaRate(tenant) }
 
 // Capacity is how many seconds of work a second the warm fleet can do, on standard cores.
-func (w *Environment) Capacity() float64 { return w.Spec.Capacity() }
+func (e *Environment) Capacity() float64 { return e.Spec.Capacity() }
 
 // openConn is a client's connection to a scheduler; nil: its client has closed it, or there never was one. What is for
 // that goes nowhere.
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -61,81 +61,81 @@
 }
 
 // act takes what reaches a scheduler.
-func (m *clientsModel) act(in *simapi.Input) {
-	environment := m.stage.w
+func (c *clientsModel) act(in *simapi.Input) {
+	environment := c.stage.w
 	load := environment.balancer.connCounts
-	m.Check(environment.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
-	m.Check(max(load[0], load[1]) <= environment.balancer.maxConns, "%v connections of %d", load, environment.balancer.maxConns)
+	c.Check(environment.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
+	c.Check(max(load[0], load[1]) <= environment.balancer.maxConns, "%v connections of %d", load, environment.balancer.maxConns)
 	if closed, ok := in.Message.(simapi.ClientClosed); ok {
-		m.open[closed.Conn] = false
+		c.open[closed.Conn] = false
 	}
 	read := requestOf(in)
 	if read == nil {
 		return
 	}
-	m.open[read.Conn] = true
+	c.open[read.Conn] = true
 	request := read.Request
-	m.Check(len(request.RequestID) == 16 && len(request.IdempotencyKey)%32 == 0, "id %q, key %q", request.RequestID, request.IdempotencyKey)
+	c.Check(len(request.RequestID) == 16 && len(request.IdempotencyKey)%32 == 0, "id %q, key %q", request.RequestID, request.IdempotencyKey)
 	q := environment.clients.findRequest(request.RequestID)
-	m.Check(q != nil && q.id == request.RequestID && q.jobID == m.witness.calls[q.id], "a request that was sent is not found")
-	m.Check(!m.received[q.id], "a request that was read comes again")
-	m.received[q.id] = true
-	m.sent = append(m.sent, read)
+	c.Check(q != nil && q.id == request.RequestID && q.jobID == c.witness.calls[q.id], "a request that was sent is not found")
+	c.Check(!c.received[q.id], "a request that was read comes again")
+	c.received[q.id] = true
+	c.sent = append(c.sent, read)
 }
 
 // step draws what happens next.
-func (m *clientsModel) step() {
+func (c *clientsModel) step() {
 	var q *readRequest
-	if len(m.sent) > 0 {
-		q = m.sent[m.Pick(len(m.sent))]
+	if len(c.sent) > 0 {
+		q = c.sent[c.Pick(len(c.sent))]
 	}
-	t := m.stage
-	switch what := m.Pick(24); {
+	t := c.stage
+	switch what := c.Pick(24); {
 	case what < 8 || q == nil:
-		t.run(t.w.now+time.Duration(m.Pick(200))*time.Millisecond, m.act)
+		t.run(t.w.now+time.Duration(c.Pick(200))*time.Millisecond, c.act)
 	case what < 16: // perhaps twice, or long after
-		t.reply(q, []int{200, 200, 503, 429, 500}[m.Pick(5)], time.Duration(m.Pick(3))*400*time.Millisecond)
-		if m.Pick(8) == 0 {
+		t.reply(q, []int{200, 200, 503, 429, 500}[c.Pick(5)], time.Duration(c.Pick(3))*400*time.Millisecond)
+		if c.Pick(8) == 0 {
 			t.closeConn(q.scheduler, q.Conn)
 		}
 	case what < 18:
-		t.closeConn(q.scheduler, simapi.Conn(1+m.Pick(20)))
+		t.closeConn(q.scheduler, simapi.Conn(1+c.Pick(20)))
 	case what == 18:
 		t.outputs = append(t.outputs, simapi.Output{Scheduler: q.scheduler, Message: simapi.ResponseWritten{Conn: q.Conn, RequestID: "nobody's"}})
 	case what == 19:
-		t.kill(m.Pick(2))
+		t.kill(c.Pick(2))
 	case what == 20:
-		t.up(m.Pick(2))
+		t.up(c.Pick(2))
 	default:
-		m.heal()
-		m.heal = m.disturb(what)
+		c.heal()
+		c.heal = c.disturb(what)
 	}
 }
 
 // disturb begins a fault of the network or of the load.
-func (m *clientsModel) disturb(what int) (undo func()) {
+func (c *clientsModel) disturb(what int) (undo func()) {
 	switch what {
 	case 21:
-		return m.stage.w.network.partition(endpointGroup{kind: clientEndpoint}, endpointGroup{kind: schedulerEndpoint}, m.Pick(2) == 0)
+		return c.stage.w.network.partition(endpointGroup{kind: clientEndpoint}, endpointGroup{kind: schedulerEndpoint}, c.Pick(2) == 0)
 	case 22:
-		return m.stage.w.clients.startRetryStorm(4)
+		return c.stage.w.clients.startRetryStorm(4)
 	default:
-		return m.stage.w.clients.startBurst(m.Pick(3), -1, []float64{0.5, 3}[m.Pick(2)])
+		return c.stage.w.clients.startBurst(c.Pick(3), -1, []float64{0.5, 3}[c.Pick(2)])
 	}
 }
 
 // checkEnd plays to the end, where every job is settled and nothing is left over.
-func (m *clientsModel) checkEnd() {
-	t := m.stage
-	t.end(m.act)
-	for n, j := range m.witness.jobs {
-		m.Check(j.settled && t.w.clients.jobs.openJob(n) == nil, "job %d is not settled", n)
+func (c *clientsModel) checkEnd() {
+	t := c.stage
+	t.end(c.act)
+	for n, j := range c.witness.jobs {
+		c.Check(j.settled && t.w.clients.jobs.openJob(n) == nil, "job %d is not settled", n)
 	}
-	m.Check(t.w.RequestsInFlight() == 0, "%d open tries at the end", t.w.RequestsInFlight())
-	m.heal()
-	t.run(t.w.now+2*time.Second, m.act)
+	c.Check(t.w.RequestsInFlight() == 0, "%d open tries at the end", t.w.RequestsInFlight())
+	c.heal()
+	t.run(t.w.now+2*time.Second, c.act)
 	idle, load := len(t.w.clients.connPools[0].idle), t.w.balancer.connCounts[0]+t.w.balancer.connCounts[1]
-	m.Check(idle == load, "%d connections counted, %d idle ones at the end", load, idle)
+	c.Check(idle == load, "%d connections counted, %d idle ones at the end", load, idle)
 }
 
 // What falls due is the same whatever schedulers answer, and so are the ids of tries.
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -35,72 +35,72 @@
 	connClosed(c *conn) // the scheduler has closed it, or its process is gone
 }
 
-func (w *Environment) openConn(c *conn) *conn {
-	c.incarnation, c.lastUsed = w.schedulers[c.scheduler].incarnation, w.now
-	w.conns[c.id] = c
+func (e *Environment) openConn(c *conn) *conn {
+	c.incarnation, c.lastUsed = e.schedulers[c.scheduler].incarnation, e.now
+	e.conns[c.id] = c
 	return c
 }
 
 // toSched brings something over a connection to its scheduler: do runs when it arrives there, in order, unless that
 // side is closed by then. What a cut holds up arrives after that. What the network swallows never arrives: whoever
 // waits for it has a timeout of its own.
-func (w *Environment) toSched(c *conn, do func()) { w.transmit(c, schedulerSide, do) }
+func (e *Environment) toSched(c *conn, do func()) { e.transmit(c, schedulerSide, do) }
 
 // toFarEnd is the same the other way.
-func (w *Environment) toFarEnd(c *conn, do func()) { w.transmit(c, farSide, do) }
+func (e *Environment) toFarEnd(c *conn, do func()) { e.transmit(c, farSide, do) }
 
-func (w *Environment) transmit(conn *conn, side int, onArrival func()) {
+func (e *Environment) transmit(conn *conn, side int, onArrival func()) {
 	from, target := endpoint{schedulerEndpoint, conn.scheduler}, conn.far.endpoint()
 	if side == schedulerSide {
 		from, target = target, from
 	}
-	if cut := w.network.partitionBetween(from, target); cut != nil {
-		cut.held = append(cut.held, func() { w.transmit(conn, side, onArrival) })
+	if cut := e.network.partitionBetween(from, target); cut != nil {
+		cut.held = append(cut.held, func() { e.transmit(conn, side, onArrival) })
 		return
 	}
-	if d := w.network.idleDropAfter(from, target); d > 0 && w.now-conn.lastUsed > d {
+	if d := e.network.idleDropAfter(from, target); d > 0 && e.now-conn.lastUsed > d {
 		conn.resetSilently[1-side] = conn.closed[1-side] // its close has come to nobody's knowledge
-		w.tear(conn, 1-side)
+		e.tear(conn, 1-side)
 		return
 	}
-	conn.lastUsed = w.now
-	conn.arrivesBy[side] = max(conn.arrivesBy[side], w.now+w.network.delay(from, target))
-	w.schedule(conn.arrivesBy[side], func() {
+	conn.lastUsed = e.now
+	conn.arrivesBy[side] = max(conn.arrivesBy[side], e.now+e.network.delay(from, target))
+	e.schedule(conn.arrivesBy[side], func() {
 		switch {
 		case !conn.closed[side]:
 			onArrival()
 		case conn.resetSilently[side]:
-			w.tear(conn, 1-side)
+			e.tear(conn, 1-side)
 		}
 	})
 }
 
 // tear has a side that has sent something learn that its connection is known no more where that went. The other side,
 // if that did not close it itself, learns nothing.
-func (w *Environment) tear(conn *conn, side int) {
+func (e *Environment) tear(conn *conn, side int) {
 	from, to := conn.far.endpoint(), endpoint{schedulerEndpoint, conn.scheduler}
 	if side == farSide {
 		from, to = to, from
 	}
-	arrive, ok := w.network.arrival(from, to)
+	arrive, ok := e.network.arrival(from, to)
 	if !ok {
 		return
 	}
 	conn.arrivesBy[side] = max(conn.arrivesBy[side], arrive)
-	w.schedule(conn.arrivesBy[side], func() {
+	e.schedule(conn.arrivesBy[side], func() {
 		if conn.closed[side] {
 			return
 		}
 		conn.resetSilently[side] = !conn.closed[1-side]
-		w.connLost(conn, side)
+		e.connLost(conn, side)
 	})
 }
 
 // connLost tells a side that its connection is over.
-func (w *Environment) connLost(conn *conn, side int) {
+func (e *Environment) connLost(conn *conn, side int) {
 	conn.closed[side] = true
 	if conn.closed[1-side] {
-		delete(w.conns, conn.id)
+		delete(e.conns, conn.id)
 	}
 	if side == farSide {
 		conn.far.connClosed(conn)
@@ -111,33 +111,33 @@
 		message = simapi.WorkerDisconnected{Worker: conn.worker, Conn: conn.id, Reset: conn.up}
 		l.schedulerClosed()
 	}
-	w.deliver(simapi.Input{Scheduler: conn.scheduler, Message: message})
+	e.deliver(simapi.Input{Scheduler: conn.scheduler, Message: message})
 }
 
 // closeSide closes a connection at one side. The other side is notified, unless it has closed too: a scheduler by a
 // simapi.ClientClosed or simapi.WorkerDisconnected, the far end by connClosed.
-func (w *Environment) closeSide(c *conn, side int) {
+func (e *Environment) closeSide(c *conn, side int) {
 	if c.closed[side] {
 		return
 	}
 	c.closed[side] = true
 	if c.closed[1-side] {
-		delete(w.conns, c.id)
+		delete(e.conns, c.id)
 		return
 	}
-	w.transmit(c, 1-side, func() { w.connLost(c, 1-side) })
+	e.transmit(c, 1-side, func() { e.connLost(c, 1-side) })
 }
 
 // dropConns ends all connections of a scheduler's process that is gone. Its kernel resets them.
-func (w *Environment) dropConns(sched int) {
+func (e *Environment) dropConns(sched int) {
 	var own []*conn
-	for _, c := range w.conns {
-		if c.scheduler == sched && c.incarnation == w.schedulers[sched].incarnation && !c.closed[schedulerSide] {
+	for _, c := range e.conns {
+		if c.scheduler == sched && c.incarnation == e.schedulers[sched].incarnation && !c.closed[schedulerSide] {
 			own = append(own, c)
 		}
 	}
 	sortConns(own) // map order decides nothing
 	for _, c := range own {
-		w.closeSide(c, schedulerSide)
+		e.closeSide(c, schedulerSide)
 	}
 }
--- a/internal/testbed/environment/discovery.go
+++ b/internal/testbed/environment/discovery.go
@@ -163,8 +163,8 @@
 }
 
 // endpointAt is an entry as it is told.
-func (e *listEntry) endpointAt(v version) requests.Endpoint {
-	h := e.endpoint
+func (l *listEntry) endpointAt(v version) requests.Endpoint {
+	h := l.endpoint
 	h.Lifecycle, h.StartedAtMs = endpointStateNames[v.state], v.startedMs
 	return h
 }
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -47,34 +47,34 @@
 }
 
 // step draws a fault, the end of one, or a while in which nothing else happens.
-func (m *discoveryModel) step() {
-	n, sched := m.w.workers[m.steps.Pick(len(m.w.workers))], m.w.schedulers[m.steps.Pick(len(m.w.schedulers))]
-	back := time.Duration(m.steps.Pick(8)) * 700 * time.Millisecond
+func (d *discoveryModel) step() {
+	n, sched := d.w.workers[d.steps.Pick(len(d.w.workers))], d.w.schedulers[d.steps.Pick(len(d.w.schedulers))]
+	back := time.Duration(d.steps.Pick(8)) * 700 * time.Millisecond
 	undo := func() {}
-	what := m.steps.Pick(20)
+	what := d.steps.Pick(20)
 	switch {
 	case what > 16:
-		m.run(time.Duration(1+m.steps.Pick(40)) * 150 * time.Millisecond)
+		d.run(time.Duration(1+d.steps.Pick(40)) * 150 * time.Millisecond)
 		return
 	case what == 16:
-		m.do(m.endFault)
+		d.do(d.endFault)
 	case what >= 12:
-		m.do(func() { undo = m.disturbOthers(what, n, sched, back) })
+		d.do(func() { undo = d.disturbOthers(what, n, sched, back) })
 	case what >= 6:
-		m.do(func() { undo = m.disturbDiscovery(what, m.twoWorkers(n)) })
+		d.do(func() { undo = d.disturbDiscovery(what, d.twoWorkers(n)) })
 	default:
-		m.do(func() { m.endWorker(what, n, back) })
+		d.do(func() { d.endWorker(what, n, back) })
 	}
-	m.undos = append(m.undos, undo)
+	d.undos = append(d.undos, undo)
 }
 
 // twoWorkers is a worker and the next one.
-func (m *discoveryModel) twoWorkers(n *worker) []int {
-	return []int{n.number, (n.number + 1) % len(m.w.workers)}
+func (d *discoveryModel) twoWorkers(n *worker) []int {
+	return []int{n.number, (n.number + 1) % len(d.w.workers)}
 }
 
 // endWorker ends a worker's process, or has it drain.
-func (m *discoveryModel) endWorker(what int, n *worker, back time.Duration) {
+func (d *discoveryModel) endWorker(what int, n *worker, back time.Duration) {
 	switch what {
 	case 0:
 		n.crash(back)
@@ -94,24 +94,24 @@
 }
 
 // disturbDiscovery begins a fault of discovery.
-func (m *discoveryModel) disturbDiscovery(what int, some []int) (undo func()) {
-	d := m.w.discovery
+func (d *discoveryModel) disturbDiscovery(what int, some []int) (undo func()) {
+	discovery := d.w.discovery
 	switch what {
 	case 6:
-		return d.startOutage()
+		return discovery.startOutage()
 	case 7:
-		if d.noticeDelay < 10*time.Second { // else nothing would be known in the end
-			return d.delayNotices(2 * time.Second)
+		if discovery.noticeDelay < 10*time.Second { // else nothing would be known in the end
+			return discovery.delayNotices(2 * time.Second)
 		}
 	case 8:
-		return d.listWrongly(some)
+		return discovery.listWrongly(some)
 	case 9:
-		return d.freezeList()
+		return discovery.freezeList()
 	case 10:
-		return d.slowDown(3)
+		return discovery.slowDown(3)
 	case 11:
-		d.changeAddress()
-		for _, x := range m.w.schedulers {
+		discovery.changeAddress()
+		for _, x := range d.w.schedulers {
 			x.reload()
 		}
 	}
@@ -119,15 +119,15 @@
 }
 
 // disturbOthers cuts discovery off, or ends or freezes a scheduler.
-func (m *discoveryModel) disturbOthers(what int, n *worker, sched *scheduler, back time.Duration) (undo func()) {
+func (d *discoveryModel) disturbOthers(what int, n *worker, sched *scheduler, back time.Duration) (undo func()) {
 	disco := endpointGroup{kind: discoveryEndpoint}
 	switch what {
 	case 12:
-		return m.w.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, disco, m.steps.Pick(2) == 0)
+		return d.w.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, disco, d.steps.Pick(2) == 0)
 	case 13:
-		some := m.twoWorkers(n)
-		pass, reach := m.w.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{some[0]: true, some[1]: true}}, disco, false),
-			m.w.discovery.isolate(some)
+		some := d.twoWorkers(n)
+		pass, reach := d.w.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{some[0]: true, some[1]: true}}, disco, false),
+			d.w.discovery.isolate(some)
 		return func() { pass(); reach() }
 	case 14:
 		sched.kill(back + time.Millisecond)
@@ -138,24 +138,24 @@
 }
 
 // endFault ends one of the faults that hold.
-func (m *discoveryModel) endFault() {
-	if len(m.undos) > 0 {
-		i := m.steps.Pick(len(m.undos))
-		m.undos[i]()
-		m.undos = append(m.undos[:i], m.undos[i+1:]...)
+func (d *discoveryModel) endFault() {
+	if len(d.undos) > 0 {
+		i := d.steps.Pick(len(d.undos))
+		d.undos[i]()
+		d.undos = append(d.undos[:i], d.undos[i+1:]...)
 	}
 }
 
 // endpoints is what discovery's list should say in the end.
-func (m *discoveryModel) endpoints() map[string]requests.Endpoint {
+func (d *discoveryModel) endpoints() map[string]requests.Endpoint {
 	list := map[string]requests.Endpoint{}
-	for _, n := range m.w.workers {
+	for _, n := range d.w.workers {
 		if n.state != workerUp || n.removed {
 			continue
 		}
-		entry := &m.w.discovery.entries[m.w.discovery.entryOf[n.number]]
+		entry := &d.w.discovery.entries[d.w.discovery.entryOf[n.number]]
 		list[n.id] = requests.Endpoint{
-			ID: n.id, Addr: m.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
+			ID: n.id, Addr: d.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
 			Lifecycle: map[bool]string{false: "up", true: "draining"}[n.draining], Weight: entry.endpoint.Weight, StartedAtMs: n.startedMs(),
 		}
 	}
@@ -163,10 +163,10 @@
 }
 
 // checkNotified checks of what a scheduler counts as told that it is so, and that of each worker.
-func (m *discoveryModel) checkNotified(i int, want map[string]requests.Endpoint) {
-	s := m.steps
+func (d *discoveryModel) checkNotified(i int, want map[string]requests.Endpoint) {
+	s := d.steps
 	notified := map[int]trace.Kind{}
-	for _, e := range m.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
+	for _, e := range d.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
 		if e.Scheduler != i {
 			continue
 		}
@@ -174,13 +174,13 @@
 			notified = map[int]trace.Kind{}
 			continue
 		}
-		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || m.w.workers[e.Worker].incarnation > 1,
+		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || d.w.workers[e.Worker].incarnation > 1,
 			"told twice of the drain of a worker that never started again")
 		notified[e.Worker] = e.Kind
 	}
-	for _, n := range m.w.workers {
+	for _, n := range d.w.workers {
 		h, listed := want[n.id]
-		s.Check(!listed || m.w.discovery.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
+		s.Check(!listed || d.w.discovery.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
 		s.Check((notified[n.number] == trace.DrainNotified) == (!listed && notified[n.number] != 0 || h.Lifecycle == "draining"),
 			"scheduler %d: %s is %q, and was last told of by trace event %d", i, n.id, h.Lifecycle, notified[n.number])
 	}
--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -73,38 +73,38 @@
 }
 
 // Next tells when the environment wants to run at the latest; not ok: nothing will happen any more by itself.
-func (w *Environment) Next() (at time.Duration, ok bool) { return w.events.nextAt() }
+func (e *Environment) Next() (at time.Duration, ok bool) { return e.events.nextAt() }
 
 // Step takes what schedulers did, lets all happen that is due by now, and appends what reaches schedulers.
-func (w *Environment) Step(now time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
-	w.now, w.inputs = max(now, w.now), dst
+func (e *Environment) Step(now time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
+	e.now, e.inputs = max(now, e.now), dst
 	for i := range outs {
-		w.apply(&outs[i])
+		e.apply(&outs[i])
 	}
 	for {
-		at, ok := w.events.nextAt()
-		if !ok || at > w.now {
+		at, ok := e.events.nextAt()
+		if !ok || at > e.now {
 			break
 		}
-		w.events.pop()()
+		e.events.pop()()
 	}
-	dst, w.inputs = w.inputs, nil
+	dst, e.inputs = e.inputs, nil
 	return dst
 }
 
 // Finished tells whether every job is settled and no further one comes.
-func (w *Environment) Finished() bool { return w.clients.finished() }
+func (e *Environment) Finished() bool { return e.clients.finished() }
 
 // schedule puts something on the event queue. What falls on one instant happens in the order in which it was put there.
-func (w *Environment) schedule(t time.Duration, do func()) { w.events.schedule(max(t, w.now), do) }
+func (e *Environment) schedule(t time.Duration, do func()) { e.events.schedule(max(t, e.now), do) }
 
-func (w *Environment) after(d time.Duration, do func()) { w.schedule(w.now+max(d, 0), do) }
+func (e *Environment) after(d time.Duration, do func()) { e.schedule(e.now+max(d, 0), do) }
 
 // deliver hands something to a scheduler. What reaches one that does not run is lost; what reaches a frozen one waits at
 // its sockets, which is the driver's to model.
-func (w *Environment) deliver(input simapi.Input) {
-	if w.schedulers[input.Scheduler].alive || actsOnNoProcess(input.Message) {
-		w.inputs = append(w.inputs, input)
+func (e *Environment) deliver(input simapi.Input) {
+	if e.schedulers[input.Scheduler].alive || actsOnNoProcess(input.Message) {
+		e.inputs = append(e.inputs, input)
 	}
 }
 
@@ -118,45 +118,45 @@
 }
 
 // apply takes something that a scheduler did. What a process did that is gone by now is not known to its successor.
-func (w *Environment) apply(output *simapi.Output) {
+func (e *Environment) apply(output *simapi.Output) {
 	switch message := output.Message.(type) {
 	case simapi.Ready, simapi.Unready, simapi.Exited:
-		w.schedulers[output.Scheduler].apply(message)
+		e.schedulers[output.Scheduler].apply(message)
 	case simapi.ResponseWritten:
-		w.clients.responseWritten(output.Scheduler, &message)
+		e.clients.responseWritten(output.Scheduler, &message)
 	case simapi.ClientConnClosed:
-		w.clients.schedulerClosed(output.Scheduler, message.Conn)
+		e.clients.schedulerClosed(output.Scheduler, message.Conn)
 	case simapi.ClientConnFailed:
-		w.clients.connFailed(output.Scheduler, message.Conn)
+		e.clients.connFailed(output.Scheduler, message.Conn)
 	case simapi.WatchRequested:
-		w.discovery.watchRequested(output.Scheduler, message.Revision)
+		e.discovery.watchRequested(output.Scheduler, message.Revision)
 	case simapi.WorkerDialed:
-		w.workers[message.Worker].dialed(output.Scheduler, &message)
+		e.workers[message.Worker].dialed(output.Scheduler, &message)
 	case simapi.AttemptWritten:
-		w.workers[message.Worker].attemptWritten(output.Scheduler, &message)
+		e.workers[message.Worker].attemptWritten(output.Scheduler, &message)
 	case simapi.HealthCheckWritten:
-		w.workers[message.Worker].healthCheckWritten(output.Scheduler, message.Conn)
+		e.workers[message.Worker].healthCheckWritten(output.Scheduler, message.Conn)
 	case simapi.CancellationWritten:
-		w.workers[message.Worker].cancellationWritten(output.Scheduler, &message)
+		e.workers[message.Worker].cancellationWritten(output.Scheduler, &message)
 	case simapi.WorkerConnClosed:
-		w.workers[message.Worker].schedulerClosed(output.Scheduler, message.Conn)
+		e.workers[message.Worker].schedulerClosed(output.Scheduler, message.Conn)
 	case simapi.DatagramWritten:
-		w.peers.send(output.Scheduler, &message)
+		e.peers.send(output.Scheduler, &message)
 	case simapi.CallbackAnswered:
-		w.workers[message.Worker].applyAck(output.Scheduler, &message)
+		e.workers[message.Worker].applyAck(output.Scheduler, &message)
 	}
 }
 
 // rng is a stream of random numbers of a party's own.
-func (w *Environment) rng(name string, n int) *rand.Rand {
-	return rand.New(rand.NewPCG(w.seed^xxhash.Sum64String(name), uint64(n)))
+func (e *Environment) rng(name string, n int) *rand.Rand {
+	return rand.New(rand.NewPCG(e.seed^xxhash.Sum64String(name), uint64(n)))
 }
 
 // record reports a trace event, as of now.
-func (w *Environment) record(s trace.Event) {
-	w.event = s
-	w.event.At = w.now
-	w.observer(&w.event)
+func (e *Environment) record(s trace.Event) {
+	e.event = s
+	e.event.At = e.now
+	e.observer(&e.event)
 }
 
 func sortConns(c []*conn) {
--- a/internal/testbed/environment/event_queue.go
+++ b/internal/testbed/environment/event_queue.go
@@ -22,54 +22,54 @@
 	slotMask = 1<<slotBits - 1
 )
 
-func (e *queuedEvent) before(o *queuedEvent) bool { return e.at < o.at || e.at == o.at && e.id < o.id }
+func (q *queuedEvent) before(o *queuedEvent) bool { return q.at < o.at || q.at == o.at && q.id < o.id }
 
-func (a *eventQueue) nextAt() (time.Duration, bool) {
-	if len(a.items) == 0 {
+func (e *eventQueue) nextAt() (time.Duration, bool) {
+	if len(e.items) == 0 {
 		return 0, false
 	}
-	return a.items[0].at, true
+	return e.items[0].at, true
 }
 
-func (a *eventQueue) schedule(instant time.Duration, do func()) {
-	place := uint64(len(a.actions))
-	if n := len(a.free); n > 0 {
-		place = uint64(a.free[n-1])
-		a.free = a.free[:n-1]
-		a.actions[place] = do
+func (e *eventQueue) schedule(instant time.Duration, do func()) {
+	place := uint64(len(e.actions))
+	if n := len(e.free); n > 0 {
+		place = uint64(e.free[n-1])
+		e.free = e.free[:n-1]
+		e.actions[place] = do
 	} else {
-		a.actions = append(a.actions, do)
+		e.actions = append(e.actions, do)
 	}
 	if place > slotMask {
 		panic("environment: the event queue is full")
 	}
-	a.lastID++
-	queuedEvent := queuedEvent{instant, a.lastID<<slotBits | place}
-	a.items = append(a.items, queuedEvent)
-	i := len(a.items) - 1
+	e.lastID++
+	queuedEvent := queuedEvent{instant, e.lastID<<slotBits | place}
+	e.items = append(e.items, queuedEvent)
+	i := len(e.items) - 1
 	for i > 0 {
 		up := (i - 1) / 4
-		if !queuedEvent.before(&a.items[up]) {
+		if !queuedEvent.before(&e.items[up]) {
 			break
 		}
-		a.items[i] = a.items[up]
+		e.items[i] = e.items[up]
 		i = up
 	}
-	a.items[i] = queuedEvent
+	e.items[i] = queuedEvent
 }
 
-func (a *eventQueue) pop() func() {
-	place := a.items[0].id & slotMask
-	action := a.actions[place]
-	a.actions[place] = nil
-	a.free = append(a.free, uint32(place))
-	last := len(a.items) - 1
-	queuedEvent := a.items[last]
-	a.items = a.items[:last]
+func (e *eventQueue) pop() func() {
+	place := e.items[0].id & slotMask
+	action := e.actions[place]
+	e.actions[place] = nil
+	e.free = append(e.free, uint32(place))
+	last := len(e.items) - 1
+	queuedEvent := e.items[last]
+	e.items = e.items[:last]
 	if last == 0 {
 		return action
 	}
-	items, i := a.items, 0
+	items, i := e.items, 0
 	for {
 		least := 4*i + 1
 		if least >= last {
--- a/internal/testbed/environment/fault_description.go
+++ b/internal/testbed/environment/fault_description.go
@@ -13,40 +13,40 @@
 const maxNamedTargets = 4
 
 // describe says what a fault does to whom, as in "slow 3: w-1, w-7, for 8s".
-func (x *activeFault) describe() string {
-	text := x.Kind
-	if x.Size != 0 {
-		text += " " + strconv.FormatFloat(x.Size, 'g', -1, 64)
+func (a *activeFault) describe() string {
+	text := a.Kind
+	if a.Size != 0 {
+		text += " " + strconv.FormatFloat(a.Size, 'g', -1, 64)
 	}
-	if targets := x.describeTargets(); len(targets) > 0 {
+	if targets := a.describeTargets(); len(targets) > 0 {
 		text += ": " + strings.Join(targets, ", ")
 	}
-	if x.Duration > 0 {
-		text += ", for " + x.Duration.String()
+	if a.Duration > 0 {
+		text += ", for " + a.Duration.String()
 	}
 	return text
 }
 
 // describeTargets names whom the fault strikes. All workers or schedulers at a side of the network go without saying.
-func (x *activeFault) describeTargets() (targets []string) {
-	spec := x.timeline.env.Spec
-	scope := scenario.FaultKinds[x.Kind]
+func (a *activeFault) describeTargets() (targets []string) {
+	spec := a.timeline.env.Spec
+	scope := scenario.FaultKinds[a.Kind]
 	if scope == scenario.FaultScopeNetwork || scope == scenario.FaultScopePlannerNetwork {
-		targets = append(targets, x.Between+" and "+x.And)
+		targets = append(targets, a.Between+" and "+a.And)
 	}
-	if x.onWorkers && (len(x.workers) < len(x.timeline.env.workers) || len(targets) == 0) {
-		targets = append(targets, nameTargets(x.workers, "w-", 0, "workers"))
+	if a.onWorkers && (len(a.workers) < len(a.timeline.env.workers) || len(targets) == 0) {
+		targets = append(targets, nameTargets(a.workers, "w-", 0, "workers"))
 	}
-	if x.onSchedulers && (len(x.schedulers) < spec.Schedulers.Count || len(targets) == 0) {
-		targets = append(targets, nameTargets(x.schedulers, "s", 1, "schedulers"))
+	if a.onSchedulers && (len(a.schedulers) < spec.Schedulers.Count || len(targets) == 0) {
+		targets = append(targets, nameTargets(a.schedulers, "s", 1, "schedulers"))
 	}
 	switch {
 	case scope == scenario.FaultScopePlannerNetwork:
-		targets = append(targets, x.describePlannerNetwork()...)
-	case x.onPlanners:
-		targets = append(targets, nameTargets(x.planners, "p", 1-spec.Schedulers.Count, "planners"))
+		targets = append(targets, a.describePlannerNetwork()...)
+	case a.onPlanners:
+		targets = append(targets, nameTargets(a.planners, "p", 1-spec.Schedulers.Count, "planners"))
 	}
-	for _, name := range []string{x.Target.Tenant, x.Target.Class} {
+	for _, name := range []string{a.Target.Tenant, a.Target.Class} {
 		if name != "" {
 			targets = append(targets, name)
 		}
@@ -55,12 +55,12 @@
 }
 
 // describePlannerNetwork names the planners and schedulers that a fault between them is limited to.
-func (x *activeFault) describePlannerNetwork() (targets []string) {
-	if len(x.Target.Planners) > 0 {
-		targets = append(targets, nameTargets(x.Target.Planners, "p", 1, "planners"))
+func (a *activeFault) describePlannerNetwork() (targets []string) {
+	if len(a.Target.Planners) > 0 {
+		targets = append(targets, nameTargets(a.Target.Planners, "p", 1, "planners"))
 	}
-	if len(x.Target.Schedulers) > 0 {
-		targets = append(targets, nameTargets(x.Target.Schedulers, "s", 1, "schedulers"))
+	if len(a.Target.Schedulers) > 0 {
+		targets = append(targets, nameTargets(a.Target.Schedulers, "s", 1, "schedulers"))
 	}
 	return targets
 }
--- a/internal/testbed/environment/fault_schedulers.go
+++ b/internal/testbed/environment/fault_schedulers.go
@@ -8,39 +8,39 @@
 
 // This file applies faults to single schedulers and planners.
 
-func (x *activeFault) applyToScheduler(i int) {
-	scheduler := x.timeline.env.schedulers[i]
+func (a *activeFault) applyToScheduler(i int) {
+	scheduler := a.timeline.env.schedulers[i]
 	whenBack := func() {
-		if x.Duration > 0 {
-			scheduler.startWaiters = append(scheduler.startWaiters, x.end)
+		if a.Duration > 0 {
+			scheduler.startWaiters = append(scheduler.startWaiters, a.end)
 		}
 	}
-	switch x.Kind {
+	switch a.Kind {
 	case "sched_kill", "planner_kill":
-		scheduler.kill(x.Duration.Std())
+		scheduler.kill(a.Duration.Std())
 		whenBack()
 	case "sched_term", "planner_term":
-		scheduler.terminate(x.Duration.Std())
+		scheduler.terminate(a.Duration.Std())
 		whenBack()
 	case "sched_freeze", "planner_freeze":
-		scheduler.freeze(x.Duration.Std())
-		x.endLater(func() {})
+		scheduler.freeze(a.Duration.Std())
+		a.endLater(func() {})
 	case "sched_reload":
 		scheduler.reload()
-		x.end()
+		a.end()
 	case "sched_replace":
 		scheduler.replace()
-		x.end()
+		a.end()
 	case "planner_start":
 		scheduler.start()
-		x.end()
+		a.end()
 	case "planner_drop":
 		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.BreakConnections{}})
-		x.end()
+		a.end()
 	case "planner_slow": // of two that hold at once the later one counts, until either ends
-		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{Delay: time.Duration(x.Size * float64(time.Millisecond))}})
-		x.endLater(func() { scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{}}) })
+		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{Delay: time.Duration(a.Size * float64(time.Millisecond))}})
+		a.endLater(func() { scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{}}) })
 	default:
-		panic("environment: no such fault of a scheduler: " + x.Kind)
+		panic("environment: no such fault of a scheduler: " + a.Kind)
 	}
 }
--- a/internal/testbed/environment/fault_targets.go
+++ b/internal/testbed/environment/fault_targets.go
@@ -11,33 +11,33 @@
 // This file chooses whom a fault strikes.
 
 // chooseTargets settles whom the fault strikes. number is its place in the timeline.
-func (x *activeFault) chooseTargets(number int) {
-	scope := scenario.FaultKinds[x.Kind]
-	x.onWorkers = scope == scenario.FaultScopeWorker || x.Kind == "disco_wrong" || scope == scenario.FaultScopeNetwork && x.isBetween("nodes")
-	x.onSchedulers = scope == scenario.FaultScopeScheduler || scope == scenario.FaultScopeNetwork && x.isBetween("schedulers")
-	x.onPlanners = scope == scenario.FaultScopePlanner || scope == scenario.FaultScopePlannerNetwork && x.isBetween("discovery")
-	if x.onWorkers {
-		x.workers = x.timeline.drawShare(x.timeline.matching(x.Fault), x.Target.Share, number)
+func (a *activeFault) chooseTargets(number int) {
+	scope := scenario.FaultKinds[a.Kind]
+	a.onWorkers = scope == scenario.FaultScopeWorker || a.Kind == "disco_wrong" || scope == scenario.FaultScopeNetwork && a.isBetween("nodes")
+	a.onSchedulers = scope == scenario.FaultScopeScheduler || scope == scenario.FaultScopeNetwork && a.isBetween("schedulers")
+	a.onPlanners = scope == scenario.FaultScopePlanner || scope == scenario.FaultScopePlannerNetwork && a.isBetween("discovery")
+	if a.onWorkers {
+		a.workers = a.timeline.drawShare(a.timeline.matching(a.Fault), a.Target.Share, number)
 	}
-	if x.onPlanners {
-		x.planners = x.timeline.drawShare(x.matchingPlanners(), x.Target.Share, number)
+	if a.onPlanners {
+		a.planners = a.timeline.drawShare(a.matchingPlanners(), a.Target.Share, number)
 	}
-	if x.onSchedulers {
-		x.schedulers = x.matchingSchedulers()
-		if !x.onWorkers {
-			x.schedulers = x.timeline.drawShare(x.schedulers, x.Target.Share, number)
+	if a.onSchedulers {
+		a.schedulers = a.matchingSchedulers()
+		if !a.onWorkers {
+			a.schedulers = a.timeline.drawShare(a.schedulers, a.Target.Share, number)
 		}
 	}
 }
 
 // isBetween reports whether a group of endpoints stands at one side of a fault of the network.
-func (x *activeFault) isBetween(name string) bool { return x.Between == name || x.And == name }
+func (a *activeFault) isBetween(name string) bool { return a.Between == name || a.And == name }
 
 // matchingPlanners is the planners that match the target, by their numbers, which count on after the schedulers.
-func (x *activeFault) matchingPlanners() (list []int) {
-	spec := x.timeline.env.Spec
+func (a *activeFault) matchingPlanners() (list []int) {
+	spec := a.timeline.env.Spec
 	for i := range spec.Planners.Count {
-		if len(x.Target.Planners) == 0 || slices.Contains(x.Target.Planners, i) {
+		if len(a.Target.Planners) == 0 || slices.Contains(a.Target.Planners, i) {
 			list = append(list, spec.Schedulers.Count+i)
 		}
 	}
@@ -45,13 +45,13 @@
 }
 
 // matchingSchedulers is the schedulers that match the target.
-func (x *activeFault) matchingSchedulers() (list []int) {
-	count := x.timeline.env.Spec.Schedulers.Count
-	if x.Kind == "sched_reload" && len(x.Target.Schedulers) == 0 { // planners have the same address
-		count = len(x.timeline.env.schedulers)
+func (a *activeFault) matchingSchedulers() (list []int) {
+	count := a.timeline.env.Spec.Schedulers.Count
+	if a.Kind == "sched_reload" && len(a.Target.Schedulers) == 0 { // planners have the same address
+		count = len(a.timeline.env.schedulers)
 	}
 	for i := range count {
-		if len(x.Target.Schedulers) == 0 || slices.Contains(x.Target.Schedulers, i) {
+		if len(a.Target.Schedulers) == 0 || slices.Contains(a.Target.Schedulers, i) {
 			list = append(list, i)
 		}
 	}
@@ -72,12 +72,12 @@
 }
 
 // otherSchedulers is the schedulers that the fault does not strike; all, if it strikes them all.
-func (x *activeFault) otherSchedulers() endpointGroup {
+func (a *activeFault) otherSchedulers() endpointGroup {
 	group := endpointGroup{kind: schedulerEndpoint}
-	if count := x.timeline.env.Spec.Schedulers.Count; len(x.schedulers) < count {
+	if count := a.timeline.env.Spec.Schedulers.Count; len(a.schedulers) < count {
 		group.members = make(map[int]bool, count)
 		for i := range count {
-			group.members[i] = !slices.Contains(x.schedulers, i)
+			group.members[i] = !slices.Contains(a.schedulers, i)
 		}
 	}
 	return group
@@ -96,7 +96,7 @@
 }
 
 // partyGroup is who stands at one side of a fault of the network.
-func (x *activeFault) partyGroup(name string) endpointGroup {
+func (a *activeFault) partyGroup(name string) endpointGroup {
 	some := func(kind endpointKind, list []int, all int) endpointGroup {
 		c := endpointGroup{kind: kind}
 		if len(list) < all {
@@ -109,11 +109,11 @@
 	}
 	switch name {
 	case "schedulers":
-		return some(schedulerEndpoint, x.schedulers, len(x.timeline.env.schedulers))
+		return some(schedulerEndpoint, a.schedulers, len(a.timeline.env.schedulers))
 	case "nodes":
-		return some(workerEndpoint, x.workers, len(x.timeline.env.workers))
+		return some(workerEndpoint, a.workers, len(a.timeline.env.workers))
 	case "planners":
-		return some(schedulerEndpoint, x.planners, len(x.timeline.env.schedulers))
+		return some(schedulerEndpoint, a.planners, len(a.timeline.env.schedulers))
 	case "discovery":
 		return endpointGroup{kind: discoveryEndpoint}
 	}
--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -15,10 +15,10 @@
 }
 
 // applyToWorker strikes one worker.
-func (x *activeFault) applyToWorker(i int) {
-	target := &faultyWorker{activeFault: x, worker: x.timeline.env.workers[i], faults: &x.timeline.workers[i]}
-	x.recordWorkers(trace.WorkerFaultStarted, []int{i})
-	switch x.Kind {
+func (a *activeFault) applyToWorker(i int) {
+	target := &faultyWorker{activeFault: a, worker: a.timeline.env.workers[i], faults: &a.timeline.workers[i]}
+	a.recordWorkers(trace.WorkerFaultStarted, []int{i})
+	switch a.Kind {
 	case "crash", "vanish", "restart", "replace", "early_202_crash":
 		target.endProcess()
 		target.endAtNextStart()
@@ -29,16 +29,16 @@
 	case "handback":
 		target.worker.returnQueued()
 		target.recordEnd()
-		x.end()
+		a.end()
 	case "pause":
-		target.worker.pause(x.Duration.Std())
+		target.worker.pause(a.Duration.Std())
 		target.endLater(func() {})
 	case "hang", "full", "no_notes", "refuse", "never_up", "slow_read":
 		target.setCondition(target.condition())
 	case "slow", "errors", "reset_at":
 		target.addSize(target.sizes())
 	default:
-		panic("environment: no such fault of a worker: " + x.Kind)
+		panic("environment: no such fault of a worker: " + a.Kind)
 	}
 }
 
--- a/internal/testbed/environment/faults.go
+++ b/internal/testbed/environment/faults.go
@@ -48,58 +48,58 @@
 }
 
 // start strikes its targets, in turn where it is to spread. It ends with the last strike's end.
-func (x *activeFault) start() {
-	w := x.timeline.env
-	w.record(trace.Event{Kind: trace.FaultStarted, Text: x.describe()})
-	switch kind := scenario.FaultKinds[x.Kind]; {
+func (a *activeFault) start() {
+	w := a.timeline.env
+	w.record(trace.Event{Kind: trace.FaultStarted, Text: a.describe()})
+	switch kind := scenario.FaultKinds[a.Kind]; {
 	case kind == "sched":
-		x.spread(x.schedulers, x.applyToScheduler)
+		a.spread(a.schedulers, a.applyToScheduler)
 	case kind == "planner":
-		x.spread(x.planners, x.applyToScheduler)
-	case kind == "node" && x.Kind != "half_open":
-		x.spread(x.workers, x.applyToWorker)
+		a.spread(a.planners, a.applyToScheduler)
+	case kind == "node" && a.Kind != "half_open":
+		a.spread(a.workers, a.applyToWorker)
 	default:
-		x.remaining = 1
-		struck := x.applyToAll()
-		x.recordWorkers(trace.WorkerFaultStarted, x.workers)
-		x.endLater(func() {
+		a.remaining = 1
+		struck := a.applyToAll()
+		a.recordWorkers(trace.WorkerFaultStarted, a.workers)
+		a.endLater(func() {
 			struck()
-			x.recordWorkers(trace.WorkerFaultEnded, x.workers)
+			a.recordWorkers(trace.WorkerFaultEnded, a.workers)
 		})
 	}
 }
 
 // recordWorkers says of workers that it strikes them, or no longer does.
-func (x *activeFault) recordWorkers(what trace.Kind, nodes []int) {
+func (a *activeFault) recordWorkers(what trace.Kind, nodes []int) {
 	for _, n := range nodes {
-		x.timeline.env.record(trace.Event{Kind: what, Worker: n, Text: x.Kind})
+		a.timeline.env.record(trace.Event{Kind: what, Worker: n, Text: a.Kind})
 	}
 }
 
-func (x *activeFault) spread(targets []int, apply func(n int)) {
-	if x.remaining = len(targets); x.remaining == 0 {
-		x.remaining = 1
-		x.end()
+func (a *activeFault) spread(targets []int, apply func(n int)) {
+	if a.remaining = len(targets); a.remaining == 0 {
+		a.remaining = 1
+		a.end()
 	}
 	for i, n := range targets {
-		x.timeline.env.after(x.Spread.Std()*time.Duration(i)/time.Duration(len(targets)), func() { apply(n) })
+		a.timeline.env.after(a.Spread.Std()*time.Duration(i)/time.Duration(len(targets)), func() { apply(n) })
 	}
 }
 
 // endLater ends a strike after For, if it ever ends.
-func (x *activeFault) endLater(undo func()) {
-	if x.Duration > 0 {
-		x.timeline.env.after(x.Duration.Std(), func() {
+func (a *activeFault) endLater(undo func()) {
+	if a.Duration > 0 {
+		a.timeline.env.after(a.Duration.Std(), func() {
 			undo()
-			x.end()
+			a.end()
 		})
 	}
 }
 
 // end is the end of a strike.
-func (x *activeFault) end() {
-	if x.remaining--; x.remaining == 0 {
-		x.timeline.env.record(trace.Event{Kind: trace.FaultEnded, Text: x.describe()})
+func (a *activeFault) end() {
+	if a.remaining--; a.remaining == 0 {
+		a.timeline.env.record(trace.Event{Kind: trace.FaultEnded, Text: a.describe()})
 	}
 }
 
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -44,64 +44,64 @@
 }
 
 // begin has all schedulers run, and the clients begin.
-func (t *stage) begin() *stage {
-	for i := range t.w.schedulers {
-		t.up(i)
+func (s *stage) begin() *stage {
+	for i := range s.w.schedulers {
+		s.up(i)
 	}
-	t.w.clients.start()
-	return t
+	s.w.clients.start()
+	return s
 }
 
-func (t *stage) up(i int) {
-	if s := t.w.schedulers[i]; !s.alive {
-		s.alive, s.ready, s.incarnation = true, true, s.incarnation+1
-		t.w.balancer.schedulerChanged(s)
+func (s *stage) up(i int) {
+	if scheduler := s.w.schedulers[i]; !scheduler.alive {
+		scheduler.alive, scheduler.ready, scheduler.incarnation = true, true, scheduler.incarnation+1
+		s.w.balancer.schedulerChanged(scheduler)
 	}
 }
 
-func (t *stage) kill(i int) {
-	if s := t.w.schedulers[i]; s.alive {
-		s.alive, s.ready = false, false
-		t.w.dropConns(i)
-		t.w.balancer.schedulerChanged(s)
+func (s *stage) kill(i int) {
+	if scheduler := s.w.schedulers[i]; scheduler.alive {
+		scheduler.alive, scheduler.ready = false, false
+		s.w.dropConns(i)
+		s.w.balancer.schedulerChanged(scheduler)
 	}
 }
 
 // run plays to an instant; act is told what reaches schedulers, and what it appends to outs happens at once.
-func (t *stage) run(to time.Duration, act func(in *simapi.Input)) {
+func (s *stage) run(to time.Duration, act func(in *simapi.Input)) {
 	for {
-		at, ok := t.w.Next()
-		if len(t.outputs) > 0 {
-			at = t.w.now
+		at, ok := s.w.Next()
+		if len(s.outputs) > 0 {
+			at = s.w.now
 		} else if !ok || at > to {
-			t.w.now = to
+			s.w.now = to
 			return
 		}
-		outs := t.outputs
-		t.outputs = nil
-		for _, in := range t.w.Step(at, outs, nil) {
+		outs := s.outputs
+		s.outputs = nil
+		for _, in := range s.w.Step(at, outs, nil) {
 			act(&in)
 		}
 	}
 }
 
 // end plays until all jobs are settled.
-func (t *stage) end(act func(in *simapi.Input)) {
-	for !t.w.Finished() {
-		t.run(t.w.now+time.Second, act)
+func (s *stage) end(act func(in *simapi.Input)) {
+	for !s.w.Finished() {
+		s.run(s.w.now+time.Second, act)
 	}
 }
 
 // reply has a request answered.
-func (t *stage) reply(in *readRequest, status int, after time.Duration) {
-	t.outputs = append(t.outputs, simapi.Output{Scheduler: in.scheduler, Message: simapi.ResponseWritten{
+func (s *stage) reply(in *readRequest, status int, after time.Duration) {
+	s.outputs = append(s.outputs, simapi.Output{Scheduler: in.scheduler, Message: simapi.ResponseWritten{
 		Conn: in.Conn, RequestID: in.Request.RequestID, Status: status, RetryAfter: after, Result: "r",
 	}})
 }
 
 // closeConn has a scheduler close a client's connection.
-func (t *stage) closeConn(scheduler int, conn simapi.Conn) {
-	t.outputs = append(t.outputs, simapi.Output{Scheduler: scheduler, Message: simapi.ClientConnClosed{Conn: conn}})
+func (s *stage) closeConn(scheduler int, conn simapi.Conn) {
+	s.outputs = append(s.outputs, simapi.Output{Scheduler: scheduler, Message: simapi.ClientConnClosed{Conn: conn}})
 }
 
 // readRequest is a request that a scheduler has read.
@@ -120,17 +120,17 @@
 }
 
 // serve answers everything at once.
-func (t *stage) serve(in *simapi.Input) {
+func (s *stage) serve(in *simapi.Input) {
 	if q := requestOf(in); q != nil {
-		t.reply(q, 200, 0)
+		s.reply(q, 200, 0)
 	}
 }
 
 // of is what was seen of a kind.
-func (t *stage) of(what trace.Kind) (list []trace.Event) {
-	for _, s := range t.events {
-		if s.Kind == what {
-			list = append(list, s)
+func (s *stage) of(what trace.Kind) (list []trace.Event) {
+	for _, event := range s.events {
+		if event.Kind == what {
+			list = append(list, event)
 		}
 	}
 	return list
@@ -157,60 +157,60 @@
 	return &witness{spec: spec, check: s.Check, jobs: map[uint64]*witnessed{}, calls: map[string]uint64{}}
 }
 
-func (m *witness) see(s *trace.Event) {
-	j := m.jobs[s.JobID]
+func (w *witness) see(s *trace.Event) {
+	j := w.jobs[s.JobID]
 	if s.Kind == trace.ResponseReceived && (j == nil || !j.awaits(s)) {
 		return // nobody waited for it
 	}
-	m.check(s.Kind == trace.JobDue == (j == nil), "trace event %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
+	w.check(s.Kind == trace.JobDue == (j == nil), "trace event %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
 	if s.Kind == trace.JobDue {
-		m.jobs[s.JobID] = &witnessed{dueEvent: *s, risked: -1}
-		m.check(s.LatencyObjective <= s.Deadline && s.Work > 0 && s.Slots >= 1, "a job of no sense: %+v", *s)
+		w.jobs[s.JobID] = &witnessed{dueEvent: *s, risked: -1}
+		w.check(s.LatencyObjective <= s.Deadline && s.Work > 0 && s.Slots >= 1, "a job of no sense: %+v", *s)
 		return
 	}
-	m.check(!j.settled, "trace event %d of a settled job", s.Kind)
+	w.check(!j.settled, "trace event %d of a settled job", s.Kind)
 	switch s.Kind {
 	case trace.RequestSent:
-		m.requestSent(j, s)
+		w.requestSent(j, s)
 	case trace.JobSettled:
-		m.check(j.open == nil, "settled with an open try")
-		m.check(s.Status == j.status && s.At <= m.deadline(j)+m.spec.Rules.Slack.Std(), "settled with %d at %v", s.Status, s.At-m.deadline(j))
+		w.check(j.open == nil, "settled with an open try")
+		w.check(s.Status == j.status && s.At <= w.deadline(j)+w.spec.Rules.Slack.Std(), "settled with %d at %v", s.Status, s.At-w.deadline(j))
 		j.settled = true
 	case trace.SchedulerUnreachable: // perhaps of one that nobody had read
-		m.check(s.Number+1 >= j.tries, "an old try ends again")
+		w.check(s.Number+1 >= j.tries, "an old try ends again")
 		j.tries, j.status = s.Number+1, 0
 		j.open = nil
 	case trace.ResponseReceived, trace.ConnectionLost, trace.ClientTimedOut, trace.ClientLeft:
-		m.check(j.awaits(s), "trace event %d of no open try", s.Kind)
-		m.requestEnded(j, s)
+		w.check(j.awaits(s), "trace event %d of no open try", s.Kind)
+		w.requestEnded(j, s)
 	default:
-		m.check(false, "trace event %d", s.Kind)
+		w.check(false, "trace event %d", s.Kind)
 	}
 }
 
 // awaits reports whether an event is of the job's open try, on its connection.
-func (j *witnessed) awaits(s *trace.Event) bool {
-	return j.open != nil && j.open.RequestID == s.RequestID && j.open.Conn == s.Conn
+func (w *witnessed) awaits(s *trace.Event) bool {
+	return w.open != nil && w.open.RequestID == s.RequestID && w.open.Conn == s.Conn
 }
 
-func (m *witness) deadline(j *witnessed) time.Duration { return j.dueEvent.At + j.dueEvent.Deadline }
+func (w *witness) deadline(j *witnessed) time.Duration { return j.dueEvent.At + j.dueEvent.Deadline }
 
 // requestSent checks a try that is sent, for the first time or once more.
-func (m *witness) requestSent(j *witnessed, s *trace.Event) {
-	class, deadline := &m.spec.Classes[j.dueEvent.Class], m.deadline(j)
-	m.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
+func (w *witness) requestSent(j *witnessed, s *trace.Event) {
+	class, deadline := &w.spec.Classes[j.dueEvent.Class], w.deadline(j)
+	w.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
 	if j.open == nil {
-		m.check(m.calls[s.RequestID] == 0, "id %s comes twice", s.RequestID)
-		m.check(s.Number >= j.tries && s.Number <= m.spec.Clients.Retries, "try %d after %d", s.Number, j.tries)
+		w.check(w.calls[s.RequestID] == 0, "id %s comes twice", s.RequestID)
+		w.check(s.Number >= j.tries && s.Number <= w.spec.Clients.Retries, "try %d after %d", s.Number, j.tries)
 		j.tries = s.Number + 1
 	}
-	m.calls[s.RequestID] = s.JobID
-	m.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
+	w.calls[s.RequestID] = s.JobID
+	w.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
 		"a budget of %v with %v left", s.Budget, deadline-s.At)
-	m.check(s.IdempotencyKey == j.dueEvent.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
+	w.check(s.IdempotencyKey == j.dueEvent.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
 	if j.risked >= 0 {
 		within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && s.At < j.risked+class.DeduplicationWindow.Std()
-		m.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
+		w.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
 			s.At-j.risked)
 	}
 	open := *s
@@ -218,12 +218,12 @@
 }
 
 // requestEnded checks the end of the open try.
-func (m *witness) requestEnded(j *witnessed, s *trace.Event) {
+func (w *witness) requestEnded(j *witnessed, s *trace.Event) {
 	if j.status = s.Status; s.Status != 200 && s.Status != 429 && s.Status != 503 && j.risked < 0 {
 		j.risked = j.open.At
 	}
-	waited, slack := s.At-j.open.At, m.spec.Rules.Slack.Std()
-	m.check(waited <= j.open.Budget+slack+time.Millisecond, "waited %v of %v", waited, j.open.Budget)
-	m.check(s.Kind != trace.ClientTimedOut || waited >= j.open.Budget+slack, "gave up after %v", waited)
+	waited, slack := s.At-j.open.At, w.spec.Rules.Slack.Std()
+	w.check(waited <= j.open.Budget+slack+time.Millisecond, "waited %v of %v", waited, j.open.Budget)
+	w.check(s.Kind != trace.ClientTimedOut || waited >= j.open.Budget+slack, "gave up after %v", waited)
 	j.open = nil
 }
--- a/internal/testbed/environment/harness_workers_test.go
+++ b/internal/testbed/environment/harness_workers_test.go
@@ -72,29 +72,29 @@
 }
 
 // run plays until an instant. Schedulers answer notes as they come.
-func (r *workerHarness) run(to time.Duration) {
-	for at, ok := r.w.Next(); len(r.outputs) > 0 || ok && at <= to; at, ok = r.w.Next() {
-		if len(r.outputs) > 0 {
-			at = r.w.now
+func (w *workerHarness) run(to time.Duration) {
+	for at, ok := w.w.Next(); len(w.outputs) > 0 || ok && at <= to; at, ok = w.w.Next() {
+		if len(w.outputs) > 0 {
+			at = w.w.now
 		}
-		r.step(at)
+		w.step(at)
 	}
-	r.step(to)
+	w.step(to)
 }
 
-func (r *workerHarness) pass(d time.Duration) { r.run(r.w.now + d) }
+func (w *workerHarness) pass(d time.Duration) { w.run(w.w.now + d) }
 
-func (r *workerHarness) step(at time.Duration) {
-	outs, from := r.outputs, len(r.inputs)
-	r.outputs = nil
-	r.inputs = r.w.Step(at, outs, r.inputs)
-	for _, in := range r.inputs[from:] {
+func (w *workerHarness) step(at time.Duration) {
+	outs, from := w.outputs, len(w.inputs)
+	w.outputs = nil
+	w.inputs = w.w.Step(at, outs, w.inputs)
+	for _, in := range w.inputs[from:] {
 		callback, ok := in.Message.(simapi.CallbackReceived)
 		if !ok {
 			continue
 		}
-		if status, ok := r.ack(&callback); ok {
-			r.outputs = append(r.outputs, simapi.Output{Scheduler: in.Scheduler, Message: simapi.CallbackAnswered{
+		if status, ok := w.ack(&callback); ok {
+			w.outputs = append(w.outputs, simapi.Output{Scheduler: in.Scheduler, Message: simapi.CallbackAnswered{
 				Worker: callback.Worker, CallbackID: callback.CallbackID, Status: status,
 			}})
 		}
@@ -102,99 +102,99 @@
 }
 
 // do does something within a step.
-func (r *workerHarness) do(what func()) {
-	r.w.schedule(0, what)
-	r.step(r.w.now)
+func (w *workerHarness) do(what func()) {
+	w.w.schedule(0, what)
+	w.step(w.w.now)
 }
 
-func (r *workerHarness) dial(sched, node int) simapi.Conn { return r.dialMachine(sched, node, 0) }
+func (w *workerHarness) dial(sched, node int) simapi.Conn { return w.dialMachine(sched, node, 0) }
 
 // dialMachine has a scheduler open a connection to one of a worker's machines.
-func (r *workerHarness) dialMachine(sched, node, machine int) simapi.Conn {
-	r.conns++
-	c := simapi.WorkerConn(sched, r.conns)
-	r.outputs = append(r.outputs, simapi.Output{Scheduler: sched, Message: simapi.WorkerDialed{Worker: node, Machine: machine, Conn: c}})
+func (w *workerHarness) dialMachine(sched, node, machine int) simapi.Conn {
+	w.conns++
+	c := simapi.WorkerConn(sched, w.conns)
+	w.outputs = append(w.outputs, simapi.Output{Scheduler: sched, Message: simapi.WorkerDialed{Worker: node, Machine: machine, Conn: c}})
 	return c
 }
 
 // addRequest makes up a client's request of so much work.
-func (r *workerHarness) addRequest(call string, class int, work, slots float64) {
-	r.tries[call] = &request{id: call, class: class, work: work, slots: slots, key: "key-" + call}
+func (w *workerHarness) addRequest(call string, class int, work, slots float64) {
+	w.tries[call] = &request{id: call, class: class, work: work, slots: slots, key: "key-" + call}
 }
 
 // act has a scheduler do something over a connection to a worker, if that is there.
-func (r *workerHarness) act(c simapi.Conn, message func(worker int) simapi.OutputMessage) {
-	if n := r.w.conns[c]; n != nil {
-		r.outputs = append(r.outputs, simapi.Output{Scheduler: n.scheduler, Message: message(n.worker)})
+func (w *workerHarness) act(c simapi.Conn, message func(worker int) simapi.OutputMessage) {
+	if n := w.w.conns[c]; n != nil {
+		w.outputs = append(w.outputs, simapi.Output{Scheduler: n.scheduler, Message: message(n.worker)})
 	}
 }
 
-func (r *workerHarness) writeAttempt(c simapi.Conn, call string) {
+func (w *workerHarness) writeAttempt(c simapi.Conn, call string) {
 	key := ""
-	if t := r.tries[call]; t != nil {
+	if t := w.tries[call]; t != nil {
 		key = t.key
 	}
-	r.act(c, func(worker int) simapi.OutputMessage {
+	w.act(c, func(worker int) simapi.OutputMessage {
 		return simapi.AttemptWritten{Worker: worker, Conn: c, RequestID: call, IdempotencyKey: key, Budget: 5 * time.Second}
 	})
 }
 
-func (r *workerHarness) writeHealthCheck(c simapi.Conn) {
-	r.act(c, func(worker int) simapi.OutputMessage { return simapi.HealthCheckWritten{Worker: worker, Conn: c} })
+func (w *workerHarness) writeHealthCheck(c simapi.Conn) {
+	w.act(c, func(worker int) simapi.OutputMessage { return simapi.HealthCheckWritten{Worker: worker, Conn: c} })
 }
 
-func (r *workerHarness) writeCancellation(c simapi.Conn, call string) {
-	r.act(c, func(worker int) simapi.OutputMessage {
+func (w *workerHarness) writeCancellation(c simapi.Conn, call string) {
+	w.act(c, func(worker int) simapi.OutputMessage {
 		return simapi.CancellationWritten{Worker: worker, Conn: c, RequestID: call}
 	})
 }
 
-func (r *workerHarness) closeConn(c simapi.Conn) {
-	r.act(c, func(worker int) simapi.OutputMessage { return simapi.WorkerConnClosed{Worker: worker, Conn: c} })
+func (w *workerHarness) closeConn(c simapi.Conn) {
+	w.act(c, func(worker int) simapi.OutputMessage { return simapi.WorkerConnClosed{Worker: worker, Conn: c} })
 }
 
 // sendRequest sends a request over a connection of its own, which stays.
-func (r *workerHarness) sendRequest(node int, call string, class int, work, slots float64) simapi.Conn {
-	if r.tries[call] == nil {
-		r.addRequest(call, class, work, slots)
-	}
-	c := r.dial(0, node)
-	r.step(r.w.now)
-	r.writeAttempt(c, call)
-	r.step(r.w.now)
+func (w *workerHarness) sendRequest(node int, call string, class int, work, slots float64) simapi.Conn {
+	if w.tries[call] == nil {
+		w.addRequest(call, class, work, slots)
+	}
+	c := w.dial(0, node)
+	w.step(w.w.now)
+	w.writeAttempt(c, call)
+	w.step(w.w.now)
 	return c
 }
 
 // first finds what was first seen of a call.
-func (r *workerHarness) first(what trace.Kind, call string) (s trace.Event, ok bool) {
-	i := slices.IndexFunc(r.events, func(s trace.Event) bool { return s.Kind == what && s.RequestID == call })
+func (w *workerHarness) first(what trace.Kind, call string) (s trace.Event, ok bool) {
+	i := slices.IndexFunc(w.events, func(s trace.Event) bool { return s.Kind == what && s.RequestID == call })
 	if i < 0 {
 		return s, false
 	}
-	return r.events[i], true
+	return w.events[i], true
 }
 
 // must is the same, and it was seen at that time.
-func (r *workerHarness) must(what trace.Kind, call string, at time.Duration) trace.Event {
-	r.t.Helper()
-	s, ok := r.first(what, call)
+func (w *workerHarness) must(what trace.Kind, call string, at time.Duration) trace.Event {
+	w.t.Helper()
+	s, ok := w.first(what, call)
 	if d := s.At - at; !ok || d < 0 || d > 10*time.Microsecond {
-		r.t.Fatalf("trace event %d of %q: found %v, at %v, want %v", what, call, ok, s.At, at)
+		w.t.Fatalf("trace event %d of %q: found %v, at %v, want %v", what, call, ok, s.At, at)
 	}
 	return s
 }
 
 // expectCallbacks are the callbacks of a call that schedulers must have been told, in that order.
-func (r *workerHarness) expectCallbacks(call string, want ...string) {
-	r.t.Helper()
+func (w *workerHarness) expectCallbacks(call string, want ...string) {
+	w.t.Helper()
 	var got []string
-	for _, in := range r.inputs {
+	for _, in := range w.inputs {
 		if m, ok := in.Message.(simapi.CallbackReceived); ok && m.Callback.CallID == call {
 			got = append(got, m.Callback.State)
 		}
 	}
 	if !slices.Equal(got, want) {
-		r.t.Fatalf("callbacks of %q are %v, want %v", call, got, want)
+		w.t.Fatalf("callbacks of %q are %v, want %v", call, got, want)
 	}
 }
 
@@ -228,11 +228,11 @@
 }
 
 // nothing checks that nothing came over a connection.
-func (r *workerHarness) nothing(c simapi.Conn) {
-	r.t.Helper()
-	for _, in := range r.inputs {
+func (w *workerHarness) nothing(c simapi.Conn) {
+	w.t.Helper()
+	for _, in := range w.inputs {
 		if connOf(in.Message) == c {
-			r.t.Fatalf("connection %x brought %T %+v", c, in.Message, in.Message)
+			w.t.Fatalf("connection %x brought %T %+v", c, in.Message, in.Message)
 		}
 	}
 }
--- a/internal/testbed/environment/job_table.go
+++ b/internal/testbed/environment/job_table.go
@@ -14,54 +14,54 @@
 	request *request // nil: forgotten
 }
 
-func (b *jobTable) record(n uint64) *jobRecord { return &b.records[n&uint64(len(b.records)-1)] }
+func (j *jobTable) record(n uint64) *jobRecord { return &j.records[n&uint64(len(j.records)-1)] }
 
-func (b *jobTable) add(job *job) uint64 {
-	if b.next == 0 {
-		b.first, b.next, b.records = 1, 1, make([]jobRecord, 1024)
+func (j *jobTable) add(job *job) uint64 {
+	if j.next == 0 {
+		j.first, j.next, j.records = 1, 1, make([]jobRecord, 1024)
 	}
-	if size := uint64(len(b.records)); b.next-b.first == size {
-		old := *b
-		b.records = make([]jobRecord, 2*size)
-		for n := b.first; n < b.next; n++ {
-			*b.record(n) = *old.record(n)
+	if size := uint64(len(j.records)); j.next-j.first == size {
+		old := *j
+		j.records = make([]jobRecord, 2*size)
+		for n := j.first; n < j.next; n++ {
+			*j.record(n) = *old.record(n)
 		}
 	}
-	*b.record(b.next) = jobRecord{job: job}
-	b.next++
-	return b.next - 1
+	*j.record(j.next) = jobRecord{job: job}
+	j.next++
+	return j.next - 1
 }
 
 // openJob is a job that is not settled; nil: it is, or there is none.
-func (b *jobTable) openJob(n uint64) *job {
-	if n < b.first || n >= b.next {
+func (j *jobTable) openJob(n uint64) *job {
+	if n < j.first || n >= j.next {
 		return nil
 	}
-	return b.record(n).job
+	return j.record(n).job
 }
 
 // setRequest enters a job's latest request, and returns the one before.
-func (b *jobTable) setRequest(t *request) *request {
-	p := b.record(t.jobID)
+func (j *jobTable) setRequest(t *request) *request {
+	p := j.record(t.jobID)
 	before := p.request
 	p.request = t
 	return before
 }
 
-func (b *jobTable) settle(n uint64) { b.record(n).job = nil }
+func (j *jobTable) settle(n uint64) { j.record(n).job = nil }
 
-func (b *jobTable) forget(n uint64) {
-	b.record(n).request = nil
-	for b.first < b.next && b.record(b.first).job == nil && b.record(b.first).request == nil {
-		b.first++
+func (j *jobTable) forget(n uint64) {
+	j.record(n).request = nil
+	for j.first < j.next && j.record(j.first).job == nil && j.record(j.first).request == nil {
+		j.first++
 	}
 }
 
-func (b *jobTable) find(job uint64, n int) *request {
-	if job < b.first || job >= b.next {
+func (j *jobTable) find(job uint64, n int) *request {
+	if job < j.first || job >= j.next {
 		return nil
 	}
-	t := b.record(job).request
+	t := j.record(job).request
 	for t != nil && t.number > n {
 		t = t.previous
 	}
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -43,64 +43,64 @@
 }
 
 // schedulerChanged is told that a scheduler became ready, unready, died, ended, froze or woke.
-func (f *loadBalancer) schedulerChanged(scheduler *scheduler) {
-	if f.tryAdmit(scheduler) || !f.admitted[scheduler.number] {
+func (l *loadBalancer) schedulerChanged(scheduler *scheduler) {
+	if l.tryAdmit(scheduler) || !l.admitted[scheduler.number] {
 		return
 	}
-	wait := f.env.Spec.LoadBalancer.NoticeDelay.Std()
+	wait := l.env.Spec.LoadBalancer.NoticeDelay.Std()
 	if scheduler.alive && !scheduler.frozen {
 		wait /= 2
 	}
-	at := f.env.now + wait
-	if f.dropAt[scheduler.number] >= 0 && f.dropAt[scheduler.number] <= at {
+	at := l.env.now + wait
+	if l.dropAt[scheduler.number] >= 0 && l.dropAt[scheduler.number] <= at {
 		return
 	}
-	f.dropAt[scheduler.number] = at
-	f.env.schedule(at, func() {
-		if f.dropAt[scheduler.number] == at {
-			f.drop(scheduler)
+	l.dropAt[scheduler.number] = at
+	l.env.schedule(at, func() {
+		if l.dropAt[scheduler.number] == at {
+			l.drop(scheduler)
 		}
 	})
 }
 
 // tryAdmit admits a scheduler if it is well.
-func (f *loadBalancer) tryAdmit(s *scheduler) bool {
+func (l *loadBalancer) tryAdmit(s *scheduler) bool {
 	if !s.alive || !s.ready || s.draining || s.frozen {
 		return false
 	}
-	f.admitted[s.number], f.dropAt[s.number] = true, -1
-	f.roomChanged()
+	l.admitted[s.number], l.dropAt[s.number] = true, -1
+	l.roomChanged()
 	return true
 }
 
-func (f *loadBalancer) drop(s *scheduler) {
-	f.admitted[s.number], f.dropAt[s.number] = false, -1
-	f.roomChanged()
-	f.watchFrozen(s)
+func (l *loadBalancer) drop(s *scheduler) {
+	l.admitted[s.number], l.dropAt[s.number] = false, -1
+	l.roomChanged()
+	l.watchFrozen(s)
 }
 
 // watchFrozen looks again at one that was dropped while frozen: nobody else may tell when it wakes.
-func (f *loadBalancer) watchFrozen(s *scheduler) {
+func (l *loadBalancer) watchFrozen(s *scheduler) {
 	if s.alive && s.frozen {
-		f.env.after(max(f.env.Spec.LoadBalancer.NoticeDelay.Std()/2, 100*time.Millisecond), func() {
-			if !f.admitted[s.number] && !f.tryAdmit(s) {
-				f.watchFrozen(s)
+		l.env.after(max(l.env.Spec.LoadBalancer.NoticeDelay.Std()/2, 100*time.Millisecond), func() {
+			if !l.admitted[s.number] && !l.tryAdmit(s) {
+				l.watchFrozen(s)
 			}
 		})
 	}
 }
 
 // pick is the next scheduler in turn with fewer connections than most, or -1; exists tells whether there is one at all.
-func (f *loadBalancer) pick(zone, most int) (sched int, exists bool) {
+func (l *loadBalancer) pick(zone, most int) (sched int, exists bool) {
 	for _, own := range [...]bool{true, false} {
-		for i := range f.admitted {
-			s := (f.next[zone] + i) % len(f.admitted)
-			if !f.admitted[s] || own && f.env.Spec.ZoneOf(s) != zone {
+		for i := range l.admitted {
+			s := (l.next[zone] + i) % len(l.admitted)
+			if !l.admitted[s] || own && l.env.Spec.ZoneOf(s) != zone {
 				continue
 			}
 			exists = true
-			if f.connCounts[s] < most {
-				f.next[zone] = s + 1
+			if l.connCounts[s] < most {
+				l.next[zone] = s + 1
 				return s, true
 			}
 		}
@@ -112,18 +112,18 @@
 }
 
 // roomChanged is told that there may be room for connections that wait for it, or none any more.
-func (f *loadBalancer) roomChanged() {
-	if f.env.clients == nil {
+func (l *loadBalancer) roomChanged() {
+	if l.env.clients == nil {
 		return
 	}
-	for _, connPool := range f.env.clients.connPools {
+	for _, connPool := range l.env.clients.connPools {
 		for connPool.unassigned.len() > 0 {
 			t := *connPool.unassigned.first()
 			if t.stage != requestSeeking {
 				connPool.unassigned.pop()
 				continue
 			}
-			sched, exists := f.pick(connPool.zone, f.maxConns)
+			sched, exists := l.pick(connPool.zone, l.maxConns)
 			if exists && sched < 0 {
 				break
 			}
@@ -160,52 +160,52 @@
 }
 
 // acquire finds a connection for a request.
-func (p *connPool) acquire(t *request) {
+func (c *connPool) acquire(t *request) {
 	t.stage = requestSeeking
-	if n := len(p.idle); n > 0 {
-		l := p.idle[p.clients.drawBits(t.jobID, t.number, drawConn)%uint64(n)]
+	if n := len(c.idle); n > 0 {
+		l := c.idle[c.clients.drawBits(t.jobID, t.number, drawConn)%uint64(n)]
 		l.removeIdle()
-		if !p.clients.writeRequest(t, l) {
+		if !c.clients.writeRequest(t, l) {
 			l.addIdle()
-			p.clients.requestUnreached(t, -1)
+			c.clients.requestUnreached(t, -1)
 		}
 		return
 	}
-	p.waiting.push(t)
-	sched, exists := p.clients.env.balancer.pick(p.zone, p.clients.env.balancer.maxConns)
+	c.waiting.push(t)
+	sched, exists := c.clients.env.balancer.pick(c.zone, c.clients.env.balancer.maxConns)
 	if exists && sched < 0 {
-		p.unassigned.push(t)
+		c.unassigned.push(t)
 		return
 	}
-	p.dial(t, sched)
+	c.dial(t, sched)
 }
 
 // dial opens a connection to a scheduler, for a request; -1: the load balancer has none, and refuses it.
-func (p *connPool) dial(t *request, sched int) {
-	environment, f := p.clients.env, p.clients.env.balancer
+func (c *connPool) dial(t *request, sched int) {
+	environment, f := c.clients.env, c.clients.env.balancer
 	if sched < 0 {
-		environment.after(2*environment.Spec.Network.ClientDelay.Std(), func() { p.requestFailed(t, sched) })
+		environment.after(2*environment.Spec.Network.ClientDelay.Std(), func() { c.requestFailed(t, sched) })
 		return
 	}
 	f.connCounts[sched]++
-	way, back, ok := environment.network.connectDelays(endpoint{clientEndpoint, p.zone}, endpoint{schedulerEndpoint, sched})
+	way, back, ok := environment.network.connectDelays(endpoint{clientEndpoint, c.zone}, endpoint{schedulerEndpoint, sched})
 	if !ok || way+back+environment.Spec.Network.Handshake.Std() > connectTimeout {
-		environment.after(connectTimeout, func() { p.dialFailed(t, sched) })
+		environment.after(connectTimeout, func() { c.dialFailed(t, sched) })
 		return
 	}
 	environment.after(way, func() {
 		if !environment.schedulers[sched].alive {
-			environment.after(back, func() { p.dialFailed(t, sched) })
+			environment.after(back, func() { c.dialFailed(t, sched) })
 			return
 		}
-		clientConn := &clientConn{pool: p, openedFor: t, idleIndex: -1}
+		clientConn := &clientConn{pool: c, openedFor: t, idleIndex: -1}
 		clientConn.deliverRequest = func() { a := clientConn.pendingRequest; clientConn.pendingRequest = nil; clientConn.requestArrived(a) }
 		clientConn.deliverResponse = func() {
 			a := clientConn.pendingResponse
 			clientConn.pendingResponse, clientConn.responsePending = response{}, false
 			clientConn.responseReceived(a)
 		}
-		clientConn.conn = environment.openConn(&conn{id: p.clients.nextConn(), scheduler: sched, up: true, far: clientConn})
+		clientConn.conn = environment.openConn(&conn{id: c.clients.nextConn(), scheduler: sched, up: true, far: clientConn})
 		environment.after(back+environment.Spec.Network.Handshake.Std(), func() {
 			if clientConn.openedFor != nil {
 				clientConn.openedFor = nil
@@ -216,115 +216,115 @@
 }
 
 // dialFailed ends the opening of a connection.
-func (p *connPool) dialFailed(t *request, sched int) {
-	p.clients.env.balancer.connCounts[sched]--
-	p.requestFailed(t, sched)
-	p.clients.env.balancer.roomChanged()
+func (c *connPool) dialFailed(t *request, sched int) {
+	c.clients.env.balancer.connCounts[sched]--
+	c.requestFailed(t, sched)
+	c.clients.env.balancer.roomChanged()
 }
 
 // requestFailed ends a request for which no connection came up, unless it has one by now.
-func (p *connPool) requestFailed(t *request, sched int) {
+func (c *connPool) requestFailed(t *request, sched int) {
 	if t.stage == requestSeeking {
-		p.clients.requestUnreached(t, sched)
+		c.clients.requestUnreached(t, sched)
 	}
 }
 
-func (l *clientConn) endpoint() endpoint { return endpoint{clientEndpoint, l.pool.zone} }
+func (c *clientConn) endpoint() endpoint { return endpoint{clientEndpoint, c.pool.zone} }
 
 // sendRequest brings a request to the scheduler, and read is its arrival.
-func (l *clientConn) sendRequest(a *simapi.ClientRequest) {
-	if l.pendingRequest != nil {
-		l.pool.clients.env.toSched(l.conn, func() { l.requestArrived(a) })
+func (c *clientConn) sendRequest(a *simapi.ClientRequest) {
+	if c.pendingRequest != nil {
+		c.pool.clients.env.toSched(c.conn, func() { c.requestArrived(a) })
 		return
 	}
-	l.pendingRequest = a
-	l.pool.clients.env.toSched(l.conn, l.deliverRequest)
+	c.pendingRequest = a
+	c.pool.clients.env.toSched(c.conn, c.deliverRequest)
 }
 
-func (l *clientConn) requestArrived(a *simapi.ClientRequest) {
-	if l.request != nil && l.request.id == a.RequestID {
-		l.request.read = true
+func (c *clientConn) requestArrived(a *simapi.ClientRequest) {
+	if c.request != nil && c.request.id == a.RequestID {
+		c.request.read = true
 	}
-	l.pool.clients.env.deliver(simapi.Input{Scheduler: l.conn.scheduler, Message: simapi.RequestReceived{Conn: l.conn.id, Request: a}})
+	c.pool.clients.env.deliver(simapi.Input{Scheduler: c.conn.scheduler, Message: simapi.RequestReceived{Conn: c.conn.id, Request: a}})
 }
 
 // sendResponse brings an answer to the client.
-func (l *clientConn) sendResponse(a response) {
-	if l.responsePending {
-		l.pool.clients.env.toFarEnd(l.conn, func() { l.responseReceived(a) })
+func (c *clientConn) sendResponse(a response) {
+	if c.responsePending {
+		c.pool.clients.env.toFarEnd(c.conn, func() { c.responseReceived(a) })
 		return
 	}
-	l.pendingResponse, l.responsePending = a, true
-	l.pool.clients.env.toFarEnd(l.conn, l.deliverResponse)
+	c.pendingResponse, c.responsePending = a, true
+	c.pool.clients.env.toFarEnd(c.conn, c.deliverResponse)
 }
 
 // release gives a connection to whoever has waited longest for one, or keeps it. One that the scheduler has closed
 // behind its last answer is not used again, as that answer said so.
-func (l *clientConn) release() {
-	if l.conn.closed[schedulerSide] {
-		l.close()
+func (c *clientConn) release() {
+	if c.conn.closed[schedulerSide] {
+		c.close()
 		return
 	}
-	p := l.pool
+	p := c.pool
 	for p.waiting.len() > 0 {
 		t := *p.waiting.first()
 		p.waiting.pop()
 		if t.stage != requestSeeking {
 			continue
 		}
-		if p.clients.writeRequest(t, l) {
+		if p.clients.writeRequest(t, c) {
 			return
 		}
 		p.clients.requestUnreached(t, -1)
 	}
-	l.addIdle()
+	c.addIdle()
 }
 
-func (l *clientConn) addIdle() {
-	l.idleIndex = len(l.pool.idle)
-	l.pool.idle = append(l.pool.idle, l)
+func (c *clientConn) addIdle() {
+	c.idleIndex = len(c.pool.idle)
+	c.pool.idle = append(c.pool.idle, c)
 }
 
-func (l *clientConn) removeIdle() {
-	if l.idleIndex < 0 {
+func (c *clientConn) removeIdle() {
+	if c.idleIndex < 0 {
 		return
 	}
-	p := l.pool
+	p := c.pool
 	last := p.idle[len(p.idle)-1]
-	p.idle[l.idleIndex], last.idleIndex = last, l.idleIndex
+	p.idle[c.idleIndex], last.idleIndex = last, c.idleIndex
 	p.idle[len(p.idle)-1] = nil
 	p.idle = p.idle[:len(p.idle)-1]
-	l.idleIndex = -1
+	c.idleIndex = -1
 }
 
 // close is the client's closing of it.
-func (l *clientConn) close() {
-	l.pool.clients.env.closeSide(l.conn, farSide)
-	l.lost()
+func (c *clientConn) close() {
+	c.pool.clients.env.closeSide(c.conn, farSide)
+	c.lost()
 }
 
-func (l *clientConn) lost() {
-	l.removeIdle()
-	f := l.pool.clients.env.balancer
-	f.connCounts[l.conn.scheduler]--
+func (c *clientConn) lost() {
+	c.removeIdle()
+	f := c.pool.clients.env.balancer
+	f.connCounts[c.conn.scheduler]--
 	f.roomChanged()
 }
 
 // connClosed is the scheduler's closing of it. A request that crossed the close, so that nobody has read it, is sent once
 // more over a new connection, as it is.
-func (l *clientConn) connClosed(*conn) {
-	clients, p, t, maker := l.pool.clients, l.pool, l.request, l.openedFor
-	l.request, l.openedFor = nil, nil
-	l.lost()
+func (c *clientConn) connClosed(*conn) {
+	clients, p, t, maker := c.pool.clients, c.pool, c.request, c.openedFor
+	c.request, c.openedFor = nil, nil
+	c.lost()
 	switch {
 	case maker != nil:
-		p.requestFailed(maker, l.conn.scheduler)
+		p.requestFailed(maker, c.conn.scheduler)
 	case t != nil && !t.read && !t.resent:
 		clients.awaiting--
 		t.resent, t.conn = true, nil
 		p.acquire(t)
 	case t != nil:
-		clients.env.record(clients.describe(t, trace.Event{Kind: trace.ConnectionLost, Scheduler: l.conn.scheduler, Conn: uint64(l.conn.id)}))
+		clients.env.record(clients.describe(t, trace.Event{Kind: trace.ConnectionLost, Scheduler: c.conn.scheduler, Conn: uint64(c.conn.id)}))
 		clients.endRequest(t, outcomeFailed, 0)
 	}
 }
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -87,18 +87,18 @@
 	return ""
 }
 
-func (o *misbehavingClient) endpoint() endpoint { return endpoint{clientEndpoint, 0} }
+func (m *misbehavingClient) endpoint() endpoint { return endpoint{clientEndpoint, 0} }
 
-func (o *misbehavingClient) responseReceived(conn *conn, a response) {
-	if !o.answered || a.status == 200 {
-		o.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Status: a.status, Text: o.kind})
+func (m *misbehavingClient) responseReceived(conn *conn, a response) {
+	if !m.answered || a.status == 200 {
+		m.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Status: a.status, Text: m.kind})
 	}
-	o.answered = true
+	m.answered = true
 }
 
-func (o *misbehavingClient) connClosed(conn *conn) {
-	if !o.answered {
-		o.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Text: o.kind})
+func (m *misbehavingClient) connClosed(conn *conn) {
+	if !m.answered {
+		m.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Text: m.kind})
 	}
-	o.answered = true
+	m.answered = true
 }
--- a/internal/testbed/environment/network.go
+++ b/internal/testbed/environment/network.go
@@ -43,8 +43,8 @@
 	held     []func() // by a cut, in the order in which it was sent
 }
 
-func (r *networkRule) applies(from, to endpoint) bool {
-	return r.a.contains(from) && r.b.contains(to) || !r.oneWay && r.a.contains(to) && r.b.contains(from)
+func (n *networkRule) applies(from, to endpoint) bool {
+	return n.a.contains(from) && n.b.contains(to) || !n.oneWay && n.a.contains(to) && n.b.contains(from)
 }
 
 func newNetwork(w *Environment) *network {
@@ -125,7 +125,7 @@
 	return mean
 }
 
-func (p endpoint) hash() uint64 { return uint64(p.kind)<<28 | uint64(p.number)&(1<<28-1) }
+func (e endpoint) hash() uint64 { return uint64(e.kind)<<28 | uint64(e.number)&(1<<28-1) }
 
 // meanDelay is the one-way delay between two parties on the mean. Clients are near their scheduler whatever its zone, and
 // discovery is near everybody.
@@ -149,8 +149,8 @@
 	members map[int]bool
 }
 
-func (c *endpointGroup) contains(p endpoint) bool {
-	return c.kind == p.kind && (c.members == nil || c.members[p.number])
+func (e *endpointGroup) contains(p endpoint) bool {
+	return e.kind == p.kind && (e.members == nil || e.members[p.number])
 }
 
 // partition holds up all that goes between two crowds (oneWay: from a to b only) until undo. What a connection's peer sent
@@ -211,9 +211,9 @@
 // splitMix is SplitMix64, which, unlike a larger generator, costs nothing to seed.
 type splitMix struct{ state uint64 }
 
-func (m *splitMix) Uint64() uint64 {
-	m.state += 0x9e3779b97f4a7c15
-	return mix64(m.state)
+func (s *splitMix) Uint64() uint64 {
+	s.state += 0x9e3779b97f4a7c15
+	return mix64(s.state)
 }
 
 func mix64(x uint64) uint64 {
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -52,8 +52,8 @@
 // testEndpoint is a far end that remembers.
 type testEndpoint struct{ closed bool }
 
-func (e *testEndpoint) endpoint() endpoint { return endpoint{workerEndpoint, 0} }
-func (e *testEndpoint) connClosed(_ *conn) { e.closed = true }
+func (t *testEndpoint) endpoint() endpoint { return endpoint{workerEndpoint, 0} }
+func (t *testEndpoint) connClosed(_ *conn) { t.closed = true }
 
 // FuzzConn puts a connection through random sendings and cuts: what arrives is what was sent, in order, and once all
 // cuts have healed nothing is missing.
@@ -84,51 +84,51 @@
 }
 
 // step draws what happens next.
-func (m *connModel) step(i int) {
-	pick := m.steps.Pick(16)
-	m.steps.Record(fmt.Sprint(pick))
+func (c *connModel) step(i int) {
+	pick := c.steps.Pick(16)
+	c.steps.Record(fmt.Sprint(pick))
 	switch side := pick % 2; {
-	case pick < 8 && m.closed != 1-side:
-		m.sent[side] = append(m.sent[side], i)
-		send := []func(*conn, func()){m.w.toSched, m.w.toFarEnd}[side]
-		send(m.conn, func() { m.got[side] = append(m.got[side], i) })
+	case pick < 8 && c.closed != 1-side:
+		c.sent[side] = append(c.sent[side], i)
+		send := []func(*conn, func()){c.w.toSched, c.w.toFarEnd}[side]
+		send(c.conn, func() { c.got[side] = append(c.got[side], i) })
 	case pick >= 8 && pick < 10:
-		m.undo = append(m.undo, m.w.network.partition(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, side == 1))
-		m.cuts = append(m.cuts, side == 1)
-	case pick < 12 && len(m.undo) > 0:
-		k := m.steps.Pick(len(m.undo))
-		m.undo[k]()
-		m.undo, m.cuts = slices.Delete(m.undo, k, k+1), slices.Delete(m.cuts, k, k+1)
-	case pick == 12 && m.closed < 0 && i > 20:
-		m.closed = m.steps.Pick(2)
-		m.w.closeSide(m.conn, m.closed)
+		c.undo = append(c.undo, c.w.network.partition(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, side == 1))
+		c.cuts = append(c.cuts, side == 1)
+	case pick < 12 && len(c.undo) > 0:
+		k := c.steps.Pick(len(c.undo))
+		c.undo[k]()
+		c.undo, c.cuts = slices.Delete(c.undo, k, k+1), slices.Delete(c.cuts, k, k+1)
+	case pick == 12 && c.closed < 0 && i > 20:
+		c.closed = c.steps.Pick(2)
+		c.w.closeSide(c.conn, c.closed)
 	default:
-		m.pass(time.Duration(m.steps.Pick(20)) * ms)
+		c.pass(time.Duration(c.steps.Pick(20)) * ms)
 	}
 }
 
 // check compares what has arrived with what was sent, and what the network says with the cuts in force.
-func (m *connModel) check() {
-	for side := range m.got {
-		sent, got := m.sent[side], m.got[side]
-		m.steps.Check(len(got) <= len(sent) && slices.Equal(got, sent[:len(got)]), "side %d: sent %v, got %v", side, sent, got)
+func (c *connModel) check() {
+	for side := range c.got {
+		sent, got := c.sent[side], c.got[side]
+		c.steps.Check(len(got) <= len(sent) && slices.Equal(got, sent[:len(got)]), "side %d: sent %v, got %v", side, sent, got)
 	}
-	_, back := m.w.network.arrival(endpoint{workerEndpoint, 0}, endpoint{schedulerEndpoint, 0})
-	_, _, up := m.w.network.connectDelays(endpoint{schedulerEndpoint, 0}, endpoint{workerEndpoint, 0})
-	m.steps.Check(back == !slices.Contains(m.cuts, false) && up == (len(m.cuts) == 0), "cuts %v: back %v, up %v", m.cuts, back, up)
+	_, back := c.w.network.arrival(endpoint{workerEndpoint, 0}, endpoint{schedulerEndpoint, 0})
+	_, _, up := c.w.network.connectDelays(endpoint{schedulerEndpoint, 0}, endpoint{workerEndpoint, 0})
+	c.steps.Check(back == !slices.Contains(c.cuts, false) && up == (len(c.cuts) == 0), "cuts %v: back %v, up %v", c.cuts, back, up)
 }
 
 // checkEnd heals all cuts: nothing is missing then.
-func (m *connModel) checkEnd() {
-	for _, heal := range m.undo {
+func (c *connModel) checkEnd() {
+	for _, heal := range c.undo {
 		heal()
 	}
-	m.pass(time.Minute)
-	for side := range m.got { // what comes after a close is for nobody
-		m.steps.Check(m.closed == side || len(m.got[side]) == len(m.sent[side]), "side %d: sent %v, got %v", side, m.sent[side], m.got[side])
+	c.pass(time.Minute)
+	for side := range c.got { // what comes after a close is for nobody
+		c.steps.Check(c.closed == side || len(c.got[side]) == len(c.sent[side]), "side %d: sent %v, got %v", side, c.sent[side], c.got[side])
 	}
-	m.steps.Check(len(m.w.conns) == 1 == (m.closed < 0) && m.far.closed == (m.closed == schedulerSide),
-		"closed by %d, %d connections are left, the far end knows of it %v", m.closed, len(m.w.conns), m.far.closed)
+	c.steps.Check(len(c.w.conns) == 1 == (c.closed < 0) && c.far.closed == (c.closed == schedulerSide),
+		"closed by %d, %d connections are left, the far end knows of it %v", c.closed, len(c.w.conns), c.far.closed)
 }
 
 func TestIdleConnectionsAreForgotten(t *testing.T) {
--- a/internal/testbed/environment/request_ids.go
+++ b/internal/testbed/environment/request_ids.go
@@ -26,22 +26,22 @@
 	return s
 }
 
-func (s permutation) apply(x uint64) uint64 {
-	x += s.add
+func (p permutation) apply(x uint64) uint64 {
+	x += p.add
 	for range 3 {
 		x ^= x >> 32
-		x *= s.mul
+		x *= p.mul
 	}
 	return x ^ x>>32
 }
 
-func (s permutation) invert(x uint64) uint64 {
+func (p permutation) invert(x uint64) uint64 {
 	x ^= x >> 32
 	for range 3 {
-		x *= s.inv
+		x *= p.inv
 		x ^= x >> 32
 	}
-	return x - s.add
+	return x - p.add
 }
 
 const hexDigits = "0123456789abcdef"
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -53,206 +53,206 @@
 }
 
 // endpointList is the list as the scheduler last had it.
-func (v *schedulerView) endpointList() requests.EndpointList {
-	g := requests.EndpointList{Revision: v.revision, Reset: true, Endpoints: make([]requests.Endpoint, 0, len(v.discovery.entryOf))}
-	for i, x := range v.versions {
+func (s *schedulerView) endpointList() requests.EndpointList {
+	g := requests.EndpointList{Revision: s.revision, Reset: true, Endpoints: make([]requests.Endpoint, 0, len(s.discovery.entryOf))}
+	for i, x := range s.versions {
 		if x.state != endpointAbsent {
-			g.Endpoints = append(g.Endpoints, v.discovery.entries[i].endpointAt(x))
+			g.Endpoints = append(g.Endpoints, s.discovery.entries[i].endpointAt(x))
 		}
 	}
 	return g
 }
 
 // processStarted is told that a process of the scheduler starts with the list as it last had it: it knows that, and no more.
-func (v *schedulerView) processStarted() {
-	v.discovery.abandonWatch(v)
-	v.lastCallFailed, v.pending = false, v.pending[:0]
-	for i := range v.knownStarts {
-		v.knownStarts[i], v.drainedStarts[i] = 1, 0 // first starts are of long ago
+func (s *schedulerView) processStarted() {
+	s.discovery.abandonWatch(s)
+	s.lastCallFailed, s.pending = false, s.pending[:0]
+	for i := range s.knownStarts {
+		s.knownStarts[i], s.drainedStarts[i] = 1, 0 // first starts are of long ago
 	}
-	for i := range v.discovery.entries {
-		e := &v.discovery.entries[i]
-		if i < len(v.versions) && v.versions[i].state != endpointAbsent {
-			v.learn(i, v.versions[i])
+	for i := range s.discovery.entries {
+		e := &s.discovery.entries[i]
+		if i < len(s.versions) && s.versions[i].state != endpointAbsent {
+			s.learn(i, s.versions[i])
 		}
-		if e.revision > v.revision {
-			v.pending = append(v.pending, pendingChange{i, e.listed, e.revision, v.discovery.env.now})
+		if e.revision > s.revision {
+			s.pending = append(s.pending, pendingChange{i, e.listed, e.revision, s.discovery.env.now})
 		}
 	}
-	v.touch()
+	s.touch()
 }
 
 // published is told that the list has a new generation.
-func (v *schedulerView) published(changed []int) {
-	if !v.discovery.env.schedulers[v.scheduler].alive {
+func (s *schedulerView) published(changed []int) {
+	if !s.discovery.env.schedulers[s.scheduler].alive {
 		return
 	}
-	m := &listUpdate{revision: v.discovery.revision, entries: changed}
+	m := &listUpdate{revision: s.discovery.revision, entries: changed}
 	for _, i := range changed {
-		as := v.discovery.entries[i].listed
+		as := s.discovery.entries[i].listed
 		m.versions = append(m.versions, as)
-		v.pending = append(v.pending, pendingChange{i, as, v.discovery.revision, v.discovery.env.now})
+		s.pending = append(s.pending, pendingChange{i, as, s.discovery.revision, s.discovery.env.now})
 	}
-	if c := v.call; c != nil && c.stage == watchOpen {
-		v.discovery.send(c, m)
+	if c := s.call; c != nil && c.stage == watchOpen {
+		s.discovery.send(c, m)
 	}
-	v.planCheck()
+	s.planCheck()
 }
 
 // messageArrived is told of what has come over a watch to the scheduler's socket.
-func (v *schedulerView) messageArrived(call *watchCall, message watchMessage) {
-	s := v.discovery.env.schedulers[v.scheduler]
-	if v.call != call || !s.alive || s.incarnation != call.incarnation {
+func (s *schedulerView) messageArrived(call *watchCall, message watchMessage) {
+	scheduler := s.discovery.env.schedulers[s.scheduler]
+	if s.call != call || !scheduler.alive || scheduler.incarnation != call.incarnation {
 		return
 	}
 	var input simapi.InputMessage
 	switch message := message.(type) {
 	case *listUpdate:
-		input = simapi.ListReceived{List: v.updateOf(message)}
-		v.lastCallFailed = false
-		v.applyList(message)
+		input = simapi.ListReceived{List: s.updateOf(message)}
+		s.lastCallFailed = false
+		s.applyList(message)
 	case watchHeartbeat:
 		input = simapi.WatchHeartbeat{}
 	case watchEnd:
 		input = simapi.WatchEnded{}
-		v.lastCallFailed, v.call = !call.wasOpen, nil
-		v.touch()
+		s.lastCallFailed, s.call = !call.wasOpen, nil
+		s.touch()
 	}
-	v.discovery.env.deliver(simapi.Input{Scheduler: v.scheduler, Message: input})
+	s.discovery.env.deliver(simapi.Input{Scheduler: s.scheduler, Message: input})
 }
 
 // updateOf is a line of changes as it stands on the wire.
-func (v *schedulerView) updateOf(update *listUpdate) *requests.EndpointList {
+func (s *schedulerView) updateOf(update *listUpdate) *requests.EndpointList {
 	list := &requests.EndpointList{Revision: update.revision, Reset: update.reset, Endpoints: make([]requests.Endpoint, len(update.entries))}
 	for i, e := range update.entries {
-		list.Endpoints[i] = v.discovery.entries[e].endpointAt(update.versions[i])
+		list.Endpoints[i] = s.discovery.entries[e].endpointAt(update.versions[i])
 	}
 	return list
 }
 
 // applyList records what a list says.
-func (v *schedulerView) applyList(update *listUpdate) {
-	for len(v.versions) < len(v.discovery.entries) {
-		v.versions = append(v.versions, version{})
+func (s *schedulerView) applyList(update *listUpdate) {
+	for len(s.versions) < len(s.discovery.entries) {
+		s.versions = append(s.versions, version{})
 	}
 	if update.reset {
 		next := 0
-		for i, previous := range v.versions {
+		for i, previous := range s.versions {
 			if next < len(update.entries) && update.entries[next] == i {
 				next++
 				continue
 			}
 			// A start may have counted as told and never have arrived.
 			closed := version{endpointAbsent, previous.incarnation, previous.startedMs}
-			if n := v.discovery.entries[i].worker; v.discovery.entryOf[n] == i {
-				closed.incarnation = max(closed.incarnation, v.knownStarts[n])
+			if n := s.discovery.entries[i].worker; s.discovery.entryOf[n] == i {
+				closed.incarnation = max(closed.incarnation, s.knownStarts[n])
 			} else if previous.state == endpointAbsent {
 				continue
 			}
-			v.versions[i] = closed
-			v.learn(i, closed)
+			s.versions[i] = closed
+			s.learn(i, closed)
 		}
 	}
 	for i, e := range update.entries {
-		v.versions[e] = update.versions[i]
-		v.learn(e, update.versions[i])
+		s.versions[e] = update.versions[i]
+		s.learn(e, update.versions[i])
 	}
-	v.revision = update.revision
-	remaining := v.pending[:0]
-	for _, c := range v.pending {
+	s.revision = update.revision
+	remaining := s.pending[:0]
+	for _, c := range s.pending {
 		if c.revision > update.revision {
 			remaining = append(remaining, c)
 		}
 	}
-	v.pending = remaining
+	s.pending = remaining
 }
 
 // learn has a version of an entry count as told. What was said of a process before the last one told says nothing.
-func (v *schedulerView) learn(entry int, state version) {
-	n := v.discovery.entries[entry].worker
-	if state.incarnation < v.knownStarts[n] {
+func (s *schedulerView) learn(entry int, state version) {
+	n := s.discovery.entries[entry].worker
+	if state.incarnation < s.knownStarts[n] {
 		return
 	}
-	up := state.state != endpointAbsent && state.incarnation > v.knownStarts[n]
-	if up || state.state == endpointUp && v.drainedStarts[n] == state.incarnation {
-		v.knownStarts[n], v.drainedStarts[n] = state.incarnation, 0
-		v.record(trace.Event{Kind: trace.StartNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
+	up := state.state != endpointAbsent && state.incarnation > s.knownStarts[n]
+	if up || state.state == endpointUp && s.drainedStarts[n] == state.incarnation {
+		s.knownStarts[n], s.drainedStarts[n] = state.incarnation, 0
+		s.record(trace.Event{Kind: trace.StartNotified, Scheduler: s.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
-	if state.state != endpointUp && v.drainedStarts[n] != state.incarnation {
-		v.drainedStarts[n] = state.incarnation
-		v.record(trace.Event{Kind: trace.DrainNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
+	if state.state != endpointUp && s.drainedStarts[n] != state.incarnation {
+		s.drainedStarts[n] = state.incarnation
+		s.record(trace.Event{Kind: trace.DrainNotified, Scheduler: s.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
 }
 
 // record reports a trace event, if it is a scheduler's.
-func (v *schedulerView) record(s trace.Event) {
-	if !v.discovery.env.schedulers[v.scheduler].planner {
-		v.discovery.env.record(s)
+func (s *schedulerView) record(event trace.Event) {
+	if !s.discovery.env.schedulers[s.scheduler].planner {
+		s.discovery.env.record(event)
 	}
 }
 
 // touch records that scheduler and discovery had to do with each other just now.
-func (v *schedulerView) touch() {
-	v.lastContact = v.discovery.env.now
-	v.planCheck()
+func (s *schedulerView) touch() {
+	s.lastContact = s.discovery.env.now
+	s.planCheck()
 }
 
 // dueAt is when a change counts as told, as things are.
-func (v *schedulerView) dueAt(c *pendingChange) time.Duration {
-	if w := v.call; w != nil && w.stage != watchEnded {
-		return max(c.listedAt, v.askingSince) + notifiedWithin
+func (s *schedulerView) dueAt(c *pendingChange) time.Duration {
+	if w := s.call; w != nil && w.stage != watchEnded {
+		return max(c.listedAt, s.askingSince) + notifiedWithin
 	}
-	wait := v.discovery.env.Spec.Rules.PollInterval.Std()
-	if v.lastCallFailed {
+	wait := s.discovery.env.Spec.Rules.PollInterval.Std()
+	if s.lastCallFailed {
 		wait *= failedCallFactor
 	}
-	return max(c.listedAt, v.lastContact) + wait
+	return max(c.listedAt, s.lastContact) + wait
 }
 
 // planCheck sees to it that what is pending is looked at when the first of it is due.
-func (v *schedulerView) planCheck() {
+func (s *schedulerView) planCheck() {
 	first := time.Duration(-1)
-	for i := range v.pending {
-		if at := v.dueAt(&v.pending[i]); first < 0 || at < first {
+	for i := range s.pending {
+		if at := s.dueAt(&s.pending[i]); first < 0 || at < first {
 			first = at
 		}
 	}
-	if first < 0 || v.nextCheck > 0 && v.nextCheck <= first {
+	if first < 0 || s.nextCheck > 0 && s.nextCheck <= first {
 		return
 	}
-	v.nextCheck = first
-	v.discovery.env.schedule(first, func() {
-		if v.nextCheck == first {
-			v.nextCheck = 0
-			v.learnOverdue(func(c *pendingChange) bool { return v.dueAt(c) <= v.discovery.env.now })
-			v.planCheck()
+	s.nextCheck = first
+	s.discovery.env.schedule(first, func() {
+		if s.nextCheck == first {
+			s.nextCheck = 0
+			s.learnOverdue(func(c *pendingChange) bool { return s.dueAt(c) <= s.discovery.env.now })
+			s.planCheck()
 		}
 	})
 }
 
 // learnOverdue has what is pending count as told if late says so.
-func (v *schedulerView) learnOverdue(late func(c *pendingChange) bool) {
-	if !v.discovery.env.schedulers[v.scheduler].alive {
-		v.pending = v.pending[:0]
+func (s *schedulerView) learnOverdue(late func(c *pendingChange) bool) {
+	if !s.discovery.env.schedulers[s.scheduler].alive {
+		s.pending = s.pending[:0]
 		return
 	}
-	remaining := v.pending[:0]
-	for i := range v.pending {
-		if c := v.pending[i]; late(&c) {
-			v.learn(c.entry, c.version)
+	remaining := s.pending[:0]
+	for i := range s.pending {
+		if c := s.pending[i]; late(&c) {
+			s.learn(c.entry, c.version)
 		} else {
 			remaining = append(remaining, c)
 		}
 	}
-	v.pending = remaining
+	s.pending = remaining
 }
 
 // reloaded is told that the scheduler was sent a SIGHUP.
-func (v *schedulerView) reloaded() {
-	at, sprout := v.discovery.env.now, v.discovery.env.schedulers[v.scheduler].incarnation
-	v.discovery.env.after(notifiedAfterReload, func() {
-		if v.discovery.env.schedulers[v.scheduler].incarnation == sprout {
-			v.learnOverdue(func(c *pendingChange) bool { return c.listedAt <= at })
+func (s *schedulerView) reloaded() {
+	at, sprout := s.discovery.env.now, s.discovery.env.schedulers[s.scheduler].incarnation
+	s.discovery.env.after(notifiedAfterReload, func() {
+		if s.discovery.env.schedulers[s.scheduler].incarnation == sprout {
+			s.learnOverdue(func(c *pendingChange) bool { return c.listedAt <= at })
 		}
 	})
 }
--- a/internal/testbed/environment/timeout_queue.go
+++ b/internal/testbed/environment/timeout_queue.go
@@ -31,31 +31,31 @@
 	return l
 }
 
-func (l *timeoutQueue) add(of uint64) {
-	l.items.push(timeoutItem{l.env.now + l.timeout, of})
-	l.scheduleNext()
+func (t *timeoutQueue) add(of uint64) {
+	t.items.push(timeoutItem{t.env.now + t.timeout, of})
+	t.scheduleNext()
 }
 
-func (l *timeoutQueue) scheduleNext() {
-	if !l.scheduled && l.items.len() > 0 {
-		l.scheduled = true
-		l.env.schedule(l.items.first().at+l.batch, l.fire)
+func (t *timeoutQueue) scheduleNext() {
+	if !t.scheduled && t.items.len() > 0 {
+		t.scheduled = true
+		t.env.schedule(t.items.first().at+t.batch, t.fire)
 	}
 }
 
-func (l *timeoutQueue) run() {
-	for l.items.len() > 0 {
-		i := *l.items.first()
-		live := l.isLive == nil || l.isLive(i.subject)
-		if live && i.at > l.env.now {
+func (t *timeoutQueue) run() {
+	for t.items.len() > 0 {
+		i := *t.items.first()
+		live := t.isLive == nil || t.isLive(i.subject)
+		if live && i.at > t.env.now {
 			break
 		}
-		l.items.pop()
+		t.items.pop()
 		if live {
-			l.expire(i.subject)
+			t.expire(i.subject)
 		}
 	}
-	l.scheduleNext()
+	t.scheduleNext()
 }
 
 // queue is a first-in first-out queue.
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -68,44 +68,44 @@
 const earlyErrorShare = 0.25
 
 // attemptReceived takes an attempt whose last byte has been read.
-func (n *worker) attemptReceived(conn *workerConn, attempt *attempt) {
+func (w *worker) attemptReceived(conn *workerConn, attempt *attempt) {
 	if conn.unreadAttempt == attempt {
 		conn.unreadAttempt = nil
 	}
-	n.env.record(trace.Event{
-		Kind: trace.AttemptReceived, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation,
+	w.env.record(trace.Event{
+		Kind: trace.AttemptReceived, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.incarnation,
 		Scheduler: attempt.scheduler, Conn: uint64(conn.conn.id), IdempotencyKey: attempt.key, Budget: attempt.budget,
 		FirstByteAt: attempt.firstByteAt,
 	})
-	request := n.shared.findRequest(attempt.requestID)
-	if status := n.checkRequest(attempt, request); status != 0 {
-		n.reject(conn, attempt, status)
+	request := w.shared.findRequest(attempt.requestID)
+	if status := w.checkRequest(attempt, request); status != 0 {
+		w.reject(conn, attempt, status)
 		return
 	}
-	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, n.incarnation
-	if n.coldWorkReceived(attempt, request.work*request.slots) {
+	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, w.incarnation
+	if w.coldWorkReceived(attempt, request.work*request.slots) {
 		return
 	}
-	keyRecord := n.shared.findKey(n, attempt)
-	if !n.canTake(attempt, keyRecord) {
-		n.reject(conn, attempt, 503)
+	keyRecord := w.shared.findKey(w, attempt)
+	if !w.canTake(attempt, keyRecord) {
+		w.reject(conn, attempt, 503)
 		return
 	}
-	n.drawOutcome(attempt, request.work, n.shared.classes[attempt.class].noise)
+	w.drawOutcome(attempt, request.work, w.shared.classes[attempt.class].noise)
 	if attempt.failsBeforeAccept && keyRecord == nil {
-		n.failBeforeAccept(conn, attempt)
+		w.failBeforeAccept(conn, attempt)
 		return
 	}
-	n.takeAttempt(conn, attempt, keyRecord)
-	n.acceptLater(attempt)
+	w.takeAttempt(conn, attempt, keyRecord)
+	w.acceptLater(attempt)
 }
 
 // checkRequest is the status that answers an attempt of no request, or of another one's than it says; 0: it is in order.
-func (n *worker) checkRequest(attempt *attempt, request *request) (status int) {
+func (w *worker) checkRequest(attempt *attempt, request *request) (status int) {
 	switch {
 	case attempt.requestID == "":
 		return 404
-	case request == nil || n.shared.classes[request.class].idempotentWithKey && attempt.key != request.key:
+	case request == nil || w.shared.classes[request.class].idempotentWithKey && attempt.key != request.key:
 		return 400
 	}
 	return 0
@@ -113,82 +113,82 @@
 
 // canTake reports whether the worker takes an attempt. keyRecord is what is known of its key; nil: nothing, so that it
 // needs room of its own.
-func (n *worker) canTake(attempt *attempt, keyRecord *keyRecord) bool {
-	class := &n.shared.classes[attempt.class]
+func (w *worker) canTake(attempt *attempt, keyRecord *keyRecord) bool {
+	class := &w.shared.classes[attempt.class]
 	switch {
-	case n.draining || n.rejectsAll:
+	case w.draining || w.rejectsAll:
 		return false
-	case n.attemptsByRequest[attempt.requestID] != nil:
+	case w.attemptsByRequest[attempt.requestID] != nil:
 		return false
-	case attempt.slots > float64(n.kind.Slots):
+	case attempt.slots > float64(w.kind.Slots):
 		return false
-	case class.kind >= 0 && class.kind != n.kindIndex:
+	case class.kind >= 0 && class.kind != w.kindIndex:
 		return false
 	}
-	return keyRecord != nil || n.hasRoom(attempt.slots) || n.dropExpired(attempt.slots)
+	return keyRecord != nil || w.hasRoom(attempt.slots) || w.dropExpired(attempt.slots)
 }
 
 // failBeforeAccept ends an attempt with an error in place of its 202.
-func (n *worker) failBeforeAccept(conn *workerConn, attempt *attempt) {
-	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation})
-	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: n.number, Status: 500})
-	n.respond(conn, 500, false)
+func (w *worker) failBeforeAccept(conn *workerConn, attempt *attempt) {
+	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.incarnation})
+	w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: w.number, Status: 500})
+	w.respond(conn, 500, false)
 }
 
 // takeAttempt enters an attempt in the worker's tables, and has it run, wait for a slot, or wait for the run of another
 // with its key.
-func (n *worker) takeAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
-	n.attemptCount++
-	attempt.number, attempt.conn, conn.awaitingAnswer = n.attemptCount, conn, attempt
+func (w *worker) takeAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
+	w.attemptCount++
+	attempt.number, attempt.conn, conn.awaitingAnswer = w.attemptCount, conn, attempt
 	if attempt.budget > 0 {
-		attempt.expiresAt = n.env.now + attempt.budget
+		attempt.expiresAt = w.env.now + attempt.budget
 	}
-	attempt.allIndex = len(n.attempts)
-	n.attempts = append(n.attempts, attempt)
-	n.attemptsByRequest[attempt.requestID] = attempt
+	attempt.allIndex = len(w.attempts)
+	w.attempts = append(w.attempts, attempt)
+	w.attemptsByRequest[attempt.requestID] = attempt
 	if keyRecord != nil {
 		keyRecord.addWaiter(attempt)
 		return
 	}
-	n.shared.rememberKey(n, attempt)
-	n.startOrQueue(attempt)
+	w.shared.rememberKey(w, attempt)
+	w.startOrQueue(attempt)
 }
 
 // acceptLater answers an attempt with 202 after the time that its kind of worker takes for that.
-func (n *worker) acceptLater(attempt *attempt) {
-	delay := n.kind.Accept.Std()
+func (w *worker) acceptLater(attempt *attempt) {
+	delay := w.kind.Accept.Std()
 	if delay <= 0 {
-		n.accept(attempt)
+		w.accept(attempt)
 		return
 	}
-	n.env.after(delay, func() {
+	w.env.after(delay, func() {
 		switch {
-		case n.incarnation != attempt.incarnation || n.state != workerUp:
-		case n.isPaused():
-			n.inbox = append(n.inbox, func() { n.accept(attempt) })
+		case w.incarnation != attempt.incarnation || w.state != workerUp:
+		case w.isPaused():
+			w.inbox = append(w.inbox, func() { w.accept(attempt) })
 		default:
-			n.accept(attempt)
+			w.accept(attempt)
 		}
 	})
 }
 
-func (n *worker) reject(l *workerConn, a *attempt, status int) {
-	n.env.record(trace.Event{Kind: trace.AttemptRejected, RequestID: a.requestID, Worker: n.number, Status: status})
-	n.respond(l, status, status == 503)
+func (w *worker) reject(l *workerConn, a *attempt, status int) {
+	w.env.record(trace.Event{Kind: trace.AttemptRejected, RequestID: a.requestID, Worker: w.number, Status: status})
+	w.respond(l, status, status == 503)
 }
 
 // drawOutcome draws what becomes of a run. It follows from the request and the worker alone.
-func (n *worker) drawOutcome(attempt *attempt, work, noise float64) {
-	r := n.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(n.number))
+func (w *worker) drawOutcome(attempt *attempt, work, noise float64) {
+	r := w.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(w.number))
 	z, fails, part, kind, early := r.NormFloat64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
 	if attempt.work = work; noise > 0 {
 		attempt.work *= math.Exp(noise * (z - noise/2))
 	}
-	rate := n.kind.ErrorRate
-	if n.errorRate >= 0 {
-		rate = n.errorRate
+	rate := w.kind.ErrorRate
+	if w.errorRate >= 0 {
+		rate = w.errorRate
 	}
-	attempt.notifiesEarly = early < n.kind.CallbackEarlyShare
+	attempt.notifiesEarly = early < w.kind.CallbackEarlyShare
 	attempt.fails, attempt.failsBeforeAccept = fails < rate, fails < rate && kind < earlyErrorShare
 	if attempt.fails {
 		attempt.work *= 0.1 + 0.9*part
@@ -196,18 +196,18 @@
 }
 
 // accept answers an attempt with 202, unless its connection is gone, and lets its callbacks go.
-func (n *worker) accept(attempt *attempt) {
+func (w *worker) accept(attempt *attempt) {
 	if l := attempt.conn; l != nil {
 		attempt.conn = nil
 		if l.awaitingAnswer == attempt {
 			l.awaitingAnswer = nil
 		}
 		l.pendingAccept = attempt
-		n.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: attempt.requestID, Worker: n.number})
-		n.respond(l, 202, false)
-		if n.diesAtAccept {
+		w.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: attempt.requestID, Worker: w.number})
+		w.respond(l, 202, false)
+		if w.diesAtAccept {
 			attempt.mayNotify = true
-			n.crash(n.diesRestartAfter)
+			w.crash(w.diesRestartAfter)
 			return
 		}
 	}
@@ -218,38 +218,38 @@
 	held := attempt.pendingCallbacks
 	attempt.pendingCallbacks = nil
 	for _, t := range held {
-		n.sendCallback(t)
+		w.sendCallback(t)
 	}
 }
 
 // cancelAttempt is the word that an attempt is given up. Most kinds run on regardless.
-func (n *worker) cancelAttempt(a *attempt, why string) {
-	n.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: a.requestID, Worker: n.number, Text: why})
-	if a.state == attemptEnded || !n.kind.CancellationStops {
+func (w *worker) cancelAttempt(a *attempt, why string) {
+	w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: a.requestID, Worker: w.number, Text: why})
+	if a.state == attemptEnded || !w.kind.CancellationStops {
 		return
 	}
-	n.advance()
-	n.removeAttempt(a)
-	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "cancelled"})
-	n.shared.releaseKey(a)
-	n.runDue()
+	w.advance()
+	w.removeAttempt(a)
+	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: "cancelled"})
+	w.shared.releaseKey(a)
+	w.runDue()
 }
 
 // removeAttempt takes an attempt out of all tables, whatever its state; the work done is settled by then.
-func (n *worker) removeAttempt(attempt *attempt) {
+func (w *worker) removeAttempt(attempt *attempt) {
 	switch attempt.state {
 	case attemptQueued:
-		if i := slices.Index(n.queue, attempt); i >= 0 {
-			n.queue = slices.Delete(n.queue, i, i+1)
+		if i := slices.Index(w.queue, attempt); i >= 0 {
+			w.queue = slices.Delete(w.queue, i, i+1)
 		}
-		if n.queuedWork -= attempt.work * attempt.slots; len(n.queue) == 0 {
-			n.queuedWork = 0
+		if w.queuedWork -= attempt.work * attempt.slots; len(w.queue) == 0 {
+			w.queuedWork = 0
 		}
 	case attemptRunning:
-		n.running.remove(attempt.heapIndex)
-		n.usedSlots -= attempt.slots
-		if n.runningEnds -= attempt.slots * attempt.endProgress; len(n.running) == 0 {
-			n.usedSlots, n.runningEnds = 0, 0
+		w.running.remove(attempt.heapIndex)
+		w.usedSlots -= attempt.slots
+		if w.runningEnds -= attempt.slots * attempt.endProgress; len(w.running) == 0 {
+			w.usedSlots, w.runningEnds = 0, 0
 		}
 	case attemptDuplicate:
 		attempt.keyRecord.removeWaiter(attempt)
@@ -257,10 +257,10 @@
 		return
 	}
 	attempt.state = attemptEnded
-	last := len(n.attempts) - 1
-	n.attempts[attempt.allIndex] = n.attempts[last]
-	n.attempts[attempt.allIndex].allIndex = attempt.allIndex
-	n.attempts[last] = nil
-	n.attempts = n.attempts[:last]
-	delete(n.attemptsByRequest, attempt.requestID)
+	last := len(w.attempts) - 1
+	w.attempts[attempt.allIndex] = w.attempts[last]
+	w.attempts[attempt.allIndex].allIndex = attempt.allIndex
+	w.attempts[last] = nil
+	w.attempts = w.attempts[:last]
+	delete(w.attemptsByRequest, attempt.requestID)
 }
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -48,32 +48,32 @@
 )
 
 // notify tells something of an attempt: at once, or with its 202 if that is still to come.
-func (n *worker) notify(a *attempt, state string, share float64) {
-	t := n.newCallback(a, state)
+func (w *worker) notify(a *attempt, state string, share float64) {
+	t := w.newCallback(a, state)
 	t.body.Progress = share
-	n.callbacks.outstanding++
+	w.callbacks.outstanding++
 	switch {
-	case n.silencesCallbacks:
-		n.loseCallback(t)
+	case w.silencesCallbacks:
+		w.loseCallback(t)
 	case a.mayNotify || a.notifiesEarly:
-		n.sendCallback(t)
+		w.sendCallback(t)
 	default:
 		a.pendingCallbacks = append(a.pendingCallbacks, t)
 	}
 }
 
 // notifyLost has the machine's agent tell that an attempt was lost.
-func (n *worker) notifyLost(a *attempt) {
-	t := n.newCallback(a, "lost")
+func (w *worker) notifyLost(a *attempt) {
+	t := w.newCallback(a, "lost")
 	t.byAgent = true
-	n.sendCallback(t)
+	w.sendCallback(t)
 }
 
-func (n *worker) newCallback(a *attempt, state string) *callback {
-	p := &n.callbacks
+func (w *worker) newCallback(a *attempt, state string) *callback {
+	p := &w.callbacks
 	t := &callback{
-		id: uint64(n.number)<<32 | (p.firstID + uint64(len(p.callbacks))), scheduler: a.scheduler,
-		body: requests.Callback{CallID: a.requestID, EndpointID: n.id, State: state},
+		id: uint64(w.number)<<32 | (p.firstID + uint64(len(p.callbacks))), scheduler: a.scheduler,
+		body: requests.Callback{CallID: a.requestID, EndpointID: w.id, State: state},
 	}
 	if state == "done" {
 		t.result = a.result
@@ -84,142 +84,142 @@
 }
 
 // find finds a callback that is neither answered nor given up.
-func (p *callbackQueue) find(id uint64) *callback {
-	if i := id&(1<<32-1) - p.firstID; i < uint64(len(p.callbacks)) {
-		return p.callbacks[i]
+func (c *callbackQueue) find(id uint64) *callback {
+	if i := id&(1<<32-1) - c.firstID; i < uint64(len(c.callbacks)) {
+		return c.callbacks[i]
 	}
 	return nil
 }
 
 // sendCallback sends a callback once.
-func (n *worker) sendCallback(t *callback) {
-	callbackQueue := &n.callbacks
+func (w *worker) sendCallback(t *callback) {
+	callbackQueue := &w.callbacks
 	if t.closed {
 		return
 	}
 	if !t.byAgent {
-		if n.silencesCallbacks {
-			n.loseCallback(t)
+		if w.silencesCallbacks {
+			w.loseCallback(t)
 			return
 		}
-		if n.hanging {
+		if w.hanging {
 			callbackQueue.held = append(callbackQueue.held, t)
 			return
 		}
 	}
 	t.sendings++
 	t.awaiting = true
-	n.deliverCallback(t)
-	callbackQueue.pendingCalls = append(callbackQueue.pendingCalls, callbackCall{t, t.sendings, n.env.now + callbackTimeout})
+	w.deliverCallback(t)
+	callbackQueue.pendingCalls = append(callbackQueue.pendingCalls, callbackCall{t, t.sendings, w.env.now + callbackTimeout})
 	if !callbackQueue.expiryPlanned {
 		callbackQueue.expiryPlanned = true
-		n.env.after(callbackTimeout, n.expireCalls)
+		w.env.after(callbackTimeout, w.expireCalls)
 	}
 }
 
 // deliverCallback brings one sending of a callback to its scheduler, unless it gets lost.
-func (n *worker) deliverCallback(t *callback) {
+func (w *worker) deliverCallback(t *callback) {
 	late := time.Duration(0)
-	if n.kind.CallbackLossShare > 0 || n.kind.CallbackDelay > 0 {
-		r := n.shared.dice.stream(t.id, uint64(t.sendings))
-		if r.Float64() < n.kind.CallbackLossShare {
+	if w.kind.CallbackLossShare > 0 || w.kind.CallbackDelay > 0 {
+		r := w.shared.dice.stream(t.id, uint64(t.sendings))
+		if r.Float64() < w.kind.CallbackLossShare {
 			return
 		}
-		late = time.Duration(r.ExpFloat64() * float64(n.kind.CallbackDelay))
+		late = time.Duration(r.ExpFloat64() * float64(w.kind.CallbackDelay))
 	}
-	if arrive, ok := n.env.network.arrival(n.endpoint(), endpoint{schedulerEndpoint, t.scheduler}); ok {
-		n.env.schedule(arrive+late, func() {
-			n.env.deliver(simapi.Input{Scheduler: t.scheduler, Message: simapi.CallbackReceived{Worker: n.number, CallbackID: t.id, Callback: &t.body}})
+	if arrive, ok := w.env.network.arrival(w.endpoint(), endpoint{schedulerEndpoint, t.scheduler}); ok {
+		w.env.schedule(arrive+late, func() {
+			w.env.deliver(simapi.Input{Scheduler: t.scheduler, Message: simapi.CallbackReceived{Worker: w.number, CallbackID: t.id, Callback: &t.body}})
 		})
 	}
 }
 
 // applyAck is a scheduler's answer to a callback; status 0: the call has failed.
-func (n *worker) applyAck(scheduler int, message *simapi.CallbackAnswered) {
+func (w *worker) applyAck(scheduler int, message *simapi.CallbackAnswered) {
 	id, status := message.CallbackID, message.Status
-	if arrive, ok := n.env.network.arrival(endpoint{schedulerEndpoint, scheduler}, n.endpoint()); ok {
-		n.env.schedule(arrive, func() { n.callbackAnswered(id, status) })
+	if arrive, ok := w.env.network.arrival(endpoint{schedulerEndpoint, scheduler}, w.endpoint()); ok {
+		w.env.schedule(arrive, func() { w.callbackAnswered(id, status) })
 	}
 }
 
-func (n *worker) callbackAnswered(id uint64, status int) {
-	t := n.callbacks.find(id)
+func (w *worker) callbackAnswered(id uint64, status int) {
+	t := w.callbacks.find(id)
 	switch {
 	case t == nil: // of a process that is gone, or answered before
-	case n.isPaused() && !t.byAgent:
-		n.inbox = append(n.inbox, func() { n.callbackAnswered(id, status) })
+	case w.isPaused() && !t.byAgent:
+		w.inbox = append(w.inbox, func() { w.callbackAnswered(id, status) })
 	case status == 200 || status == 204:
-		n.closeCallback(t)
-		n.env.record(trace.Event{
-			Kind: trace.CallbackAnswered, RequestID: t.body.CallID, Worker: n.number, Scheduler: t.scheduler, Text: t.body.State,
+		w.closeCallback(t)
+		w.env.record(trace.Event{
+			Kind: trace.CallbackAnswered, RequestID: t.body.CallID, Worker: w.number, Scheduler: t.scheduler, Text: t.body.State,
 			Status: status, Number: t.sendings,
 		})
-		if twice := n.kind.CallbackTwiceShare; twice > 0 && n.shared.dice.stream(id, 0).Float64() < twice {
-			n.env.after(callbackRepeatDelay, func() { n.deliverCallback(t) })
+		if twice := w.kind.CallbackTwiceShare; twice > 0 && w.shared.dice.stream(id, 0).Float64() < twice {
+			w.env.after(callbackRepeatDelay, func() { w.deliverCallback(t) })
 		}
-		n.maybeExit()
+		w.maybeExit()
 	case t.awaiting:
-		n.retryCallback(t)
+		w.retryCallback(t)
 	}
 }
 
 // expireCalls gives up calls that have waited for too long.
-func (n *worker) expireCalls() {
-	callbackQueue := &n.callbacks
+func (w *worker) expireCalls() {
+	callbackQueue := &w.callbacks
 	i := 0
 	for ; i < len(callbackQueue.pendingCalls); i++ {
 		c := &callbackQueue.pendingCalls[i]
 		if c.callback.closed || !c.callback.awaiting || c.callback.sendings != c.sending {
 			continue
 		}
-		if c.deadline > n.env.now {
+		if c.deadline > w.env.now {
 			break
 		}
-		n.retryCallback(c.callback)
+		w.retryCallback(c.callback)
 	}
 	callbackQueue.pendingCalls = slices.Delete(callbackQueue.pendingCalls, 0, i)
 	if callbackQueue.expiryPlanned = len(callbackQueue.pendingCalls) > 0; callbackQueue.expiryPlanned {
-		n.env.schedule(callbackQueue.pendingCalls[0].deadline, n.expireCalls)
+		w.env.schedule(callbackQueue.pendingCalls[0].deadline, w.expireCalls)
 	}
 }
 
 // retryCallback plans the next call of a callback, unless there were enough.
-func (n *worker) retryCallback(t *callback) {
+func (w *worker) retryCallback(t *callback) {
 	t.awaiting = false
 	if t.sendings >= callbackAttempts {
-		n.loseCallback(t)
+		w.loseCallback(t)
 		return
 	}
-	n.env.after(min(callbackBackoff<<(t.sendings-1), callbackMaxBackoff), func() {
+	w.env.after(min(callbackBackoff<<(t.sendings-1), callbackMaxBackoff), func() {
 		switch {
 		case t.closed:
 		case t.byAgent:
-			n.sendCallback(t)
+			w.sendCallback(t)
 		default: // it has not been forgotten, so its process is there
-			n.whenRunning(func() { n.sendCallback(t) })
+			w.whenRunning(func() { w.sendCallback(t) })
 		}
 	})
 }
 
 // sendHeld sends what was held up by a hang.
-func (n *worker) sendHeld() {
-	held := n.callbacks.held
-	n.callbacks.held = nil
+func (w *worker) sendHeld() {
+	held := w.callbacks.held
+	w.callbacks.held = nil
 	for _, t := range held {
-		n.whenRunning(func() { n.sendCallback(t) })
+		w.whenRunning(func() { w.sendCallback(t) })
 	}
 }
 
 // loseCallback gives up a callback.
-func (n *worker) loseCallback(t *callback) {
-	n.closeCallback(t)
-	n.env.record(trace.Event{Kind: trace.CallbackLost, RequestID: t.body.CallID, Worker: n.number, Text: t.body.State})
-	n.maybeExit()
+func (w *worker) loseCallback(t *callback) {
+	w.closeCallback(t)
+	w.env.record(trace.Event{Kind: trace.CallbackLost, RequestID: t.body.CallID, Worker: w.number, Text: t.body.State})
+	w.maybeExit()
 }
 
-func (n *worker) closeCallback(t *callback) {
+func (w *worker) closeCallback(t *callback) {
 	t.closed, t.awaiting = true, false
-	p := &n.callbacks
+	p := &w.callbacks
 	p.callbacks[t.id&(1<<32-1)-p.firstID] = nil
 	done := 0
 	for done < len(p.callbacks) && p.callbacks[done] == nil {
@@ -232,11 +232,11 @@
 }
 
 // loseCallbacks loses the callbacks of a process that has ended; those of the agent too when the machine has fallen silent.
-func (n *worker) loseCallbacks(agent bool) {
-	for _, t := range slices.Clone(n.callbacks.callbacks) {
+func (w *worker) loseCallbacks(agent bool) {
+	for _, t := range slices.Clone(w.callbacks.callbacks) {
 		if t != nil && (agent || !t.byAgent) {
-			n.loseCallback(t)
+			w.loseCallback(t)
 		}
 	}
-	n.callbacks.held = nil
+	w.callbacks.held = nil
 }
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -27,84 +27,84 @@
 const slowReadFor = time.Second
 
 // dialed is a scheduler's attempt to connect.
-func (n *worker) dialed(scheduler int, message *simapi.WorkerDialed) {
-	n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: scheduler, Conn: uint64(message.Conn)})
-	l := &workerConn{worker: n, machine: n.machine, index: -1, fresh: true}
-	l.conn = n.env.openConn(&conn{id: message.Conn, scheduler: scheduler, worker: n.number, workerIncarnation: n.incarnation, far: n, state: l})
-	way, back, ok := n.env.network.connectDelays(endpoint{schedulerEndpoint, scheduler}, n.endpoint())
-	if !ok || message.Machine != n.machine {
+func (w *worker) dialed(scheduler int, message *simapi.WorkerDialed) {
+	w.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: w.number, Scheduler: scheduler, Conn: uint64(message.Conn)})
+	l := &workerConn{worker: w, machine: w.machine, index: -1, fresh: true}
+	l.conn = w.env.openConn(&conn{id: message.Conn, scheduler: scheduler, worker: w.number, workerIncarnation: w.incarnation, far: w, state: l})
+	way, back, ok := w.env.network.connectDelays(endpoint{schedulerEndpoint, scheduler}, w.endpoint())
+	if !ok || message.Machine != w.machine {
 		l.machine = -1 // to nowhere
 		return
 	}
-	l.conn.arrivesBy[farSide] = n.env.now + way
-	n.env.after(way, func() {
+	l.conn.arrivesBy[farSide] = w.env.now + way
+	w.env.after(way, func() {
 		if !l.conn.closed[farSide] {
-			n.connectArrived(l, back)
+			w.connectArrived(l, back)
 		}
 	})
 }
 
 // connectArrived is the arrival of an attempt to connect. The kernel takes it, so a pause changes nothing.
-func (n *worker) connectArrived(workerConn *workerConn, back time.Duration) {
+func (w *worker) connectArrived(workerConn *workerConn, back time.Duration) {
 	conn := workerConn.conn
-	switch mode := n.acceptMode(); {
-	case mode == simapi.AcceptSilently || workerConn.machine != n.machine:
+	switch mode := w.acceptMode(); {
+	case mode == simapi.AcceptSilently || workerConn.machine != w.machine:
 		workerConn.machine = -1
 		return
-	case mode == simapi.AcceptNone || n.kind.ConnLimit > 0 && len(n.conns) >= n.kind.ConnLimit:
+	case mode == simapi.AcceptNone || w.kind.ConnLimit > 0 && len(w.conns) >= w.kind.ConnLimit:
 		workerConn.abandoned = true
-		n.env.closeSide(conn, farSide)
+		w.env.closeSide(conn, farSide)
 		return
 	}
-	conn.workerIncarnation = n.incarnation
-	workerConn.index, workerConn.resetBytes = len(n.conns), n.resetBytes
-	n.conns = append(n.conns, workerConn)
-	n.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: n.number, Scheduler: conn.scheduler, Conn: uint64(conn.id)})
-	n.addOverhead(n.kind.Handshake.Std())
-	conn.lastUsed = n.env.now
-	conn.arrivesBy[schedulerSide] = max(conn.arrivesBy[schedulerSide], n.env.now+back+n.env.Spec.Network.Handshake.Std())
-	n.env.schedule(conn.arrivesBy[schedulerSide], func() {
+	conn.workerIncarnation = w.incarnation
+	workerConn.index, workerConn.resetBytes = len(w.conns), w.resetBytes
+	w.conns = append(w.conns, workerConn)
+	w.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: w.number, Scheduler: conn.scheduler, Conn: uint64(conn.id)})
+	w.addOverhead(w.kind.Handshake.Std())
+	conn.lastUsed = w.env.now
+	conn.arrivesBy[schedulerSide] = max(conn.arrivesBy[schedulerSide], w.env.now+back+w.env.Spec.Network.Handshake.Std())
+	w.env.schedule(conn.arrivesBy[schedulerSide], func() {
 		if !conn.closed[schedulerSide] {
 			conn.up = true
-			n.env.deliver(simapi.Input{Scheduler: conn.scheduler, Message: simapi.WorkerConnected{
-				Worker: n.number, Conn: conn.id, ResetAfter: max(0, workerConn.resetBytes),
+			w.env.deliver(simapi.Input{Scheduler: conn.scheduler, Message: simapi.WorkerConnected{
+				Worker: w.number, Conn: conn.id, ResetAfter: max(0, workerConn.resetBytes),
 			}})
 		}
 	})
-	if n.kind.ConnIdleTimeout > 0 {
-		n.closeWhenIdle(workerConn, n.kind.ConnIdleTimeout.Std())
+	if w.kind.ConnIdleTimeout > 0 {
+		w.closeWhenIdle(workerConn, w.kind.ConnIdleTimeout.Std())
 	}
 }
 
 // closeWhenIdle closes a connection once it has been idle for too long.
-func (n *worker) closeWhenIdle(workerConn *workerConn, after time.Duration) {
-	n.env.after(after, func() {
+func (w *worker) closeWhenIdle(workerConn *workerConn, after time.Duration) {
+	w.env.after(after, func() {
 		if workerConn.abandoned {
 			return
 		}
-		remaining := workerConn.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
-		if workerConn.awaitingAnswer != nil || workerConn.reading > 0 || n.isPaused() {
-			remaining = max(remaining, n.kind.ConnIdleTimeout.Std()/2)
+		remaining := workerConn.conn.lastUsed + w.kind.ConnIdleTimeout.Std() - w.env.now
+		if workerConn.awaitingAnswer != nil || workerConn.reading > 0 || w.isPaused() {
+			remaining = max(remaining, w.kind.ConnIdleTimeout.Std()/2)
 		}
 		if remaining > 0 {
-			n.closeWhenIdle(workerConn, remaining)
+			w.closeWhenIdle(workerConn, remaining)
 			return
 		}
-		n.closeConn(workerConn)
+		w.closeConn(workerConn)
 	})
 }
 
 // closeConn closes a connection.
-func (n *worker) closeConn(l *workerConn) {
+func (w *worker) closeConn(l *workerConn) {
 	l.abandoned = true
-	n.removeConn(l)
-	n.env.closeSide(l.conn, farSide)
+	w.removeConn(l)
+	w.env.closeSide(l.conn, farSide)
 }
 
-func (n *worker) removeConn(workerConn *workerConn) {
-	in := &n.conns
+func (w *worker) removeConn(workerConn *workerConn) {
+	in := &w.conns
 	if workerConn.ghost {
-		in = &n.ghostConns
+		in = &w.ghostConns
 	}
 	if i := workerConn.index; i >= 0 {
 		last := len(*in) - 1
@@ -117,110 +117,110 @@
 }
 
 // openConn is a scheduler's connection to the worker; nil: it is over.
-func (n *worker) openConn(scheduler int, id simapi.Conn) *workerConn {
-	conn := n.env.conns[id]
-	if conn == nil || conn.far != farEnd(n) || conn.scheduler != scheduler {
+func (w *worker) openConn(scheduler int, id simapi.Conn) *workerConn {
+	conn := w.env.conns[id]
+	if conn == nil || conn.far != farEnd(w) || conn.scheduler != scheduler {
 		return nil
 	}
 	return conn.state.(*workerConn)
 }
 
 // attemptWritten takes an attempt that a scheduler has written. It arrives later.
-func (n *worker) attemptWritten(scheduler int, message *simapi.AttemptWritten) {
-	conn := n.openConn(scheduler, message.Conn)
+func (w *worker) attemptWritten(scheduler int, message *simapi.AttemptWritten) {
+	conn := w.openConn(scheduler, message.Conn)
 	if conn == nil {
 		return
 	}
 	a := &attempt{
-		worker: n, requestID: message.RequestID, key: message.IdempotencyKey, scheduler: scheduler, budget: message.Budget,
-		firstByteAt: message.FirstByteAt, knewStart: !n.warming.warm && n.shared.knowsStart(scheduler, n),
+		worker: w, requestID: message.RequestID, key: message.IdempotencyKey, scheduler: scheduler, budget: message.Budget,
+		firstByteAt: message.FirstByteAt, knewStart: !w.warming.warm && w.shared.knowsStart(scheduler, w),
 	}
-	n.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: n.number, Scheduler: scheduler})
+	w.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: w.number, Scheduler: scheduler})
 	conn.unreadAttempt = a
-	n.env.toFarEnd(conn.conn, func() { n.requestArrived(conn, func() { n.attemptReceived(conn, a) }) })
+	w.env.toFarEnd(conn.conn, func() { w.requestArrived(conn, func() { w.attemptReceived(conn, a) }) })
 }
 
 // healthCheckWritten takes a health check that a scheduler has written. It arrives later.
-func (n *worker) healthCheckWritten(scheduler int, id simapi.Conn) {
-	if conn := n.openConn(scheduler, id); conn != nil {
-		n.env.toFarEnd(conn.conn, func() { n.requestArrived(conn, func() { n.healthChecked(conn) }) })
+func (w *worker) healthCheckWritten(scheduler int, id simapi.Conn) {
+	if conn := w.openConn(scheduler, id); conn != nil {
+		w.env.toFarEnd(conn.conn, func() { w.requestArrived(conn, func() { w.healthChecked(conn) }) })
 	}
 }
 
 // cancellationWritten takes a cancellation that a scheduler has written. It arrives later.
-func (n *worker) cancellationWritten(scheduler int, message *simapi.CancellationWritten) {
-	if conn := n.openConn(scheduler, message.Conn); conn != nil {
+func (w *worker) cancellationWritten(scheduler int, message *simapi.CancellationWritten) {
+	if conn := w.openConn(scheduler, message.Conn); conn != nil {
 		requestID := message.RequestID
-		n.env.toFarEnd(conn.conn, func() { n.requestArrived(conn, func() { n.cancelReceived(conn, requestID) }) })
+		w.env.toFarEnd(conn.conn, func() { w.requestArrived(conn, func() { w.cancelReceived(conn, requestID) }) })
 	}
 }
 
 // schedulerClosed takes a scheduler's close of a connection.
-func (n *worker) schedulerClosed(scheduler int, id simapi.Conn) {
-	if conn := n.openConn(scheduler, id); conn != nil {
+func (w *worker) schedulerClosed(scheduler int, id simapi.Conn) {
+	if conn := w.openConn(scheduler, id); conn != nil {
 		conn.schedulerClosed()
-		n.env.closeSide(conn.conn, schedulerSide)
+		w.env.closeSide(conn.conn, schedulerSide)
 	}
 }
 
 // requestArrived is the arrival of a request. Its process handles it once its last byte has been read.
-func (n *worker) requestArrived(conn *workerConn, handle func()) {
+func (w *worker) requestArrived(conn *workerConn, handle func()) {
 	if conn.abandoned || conn.index < 0 {
-		n.ghostReceived(conn)
+		w.ghostReceived(conn)
 		return
 	}
 	wait := time.Duration(0)
 	if conn.fresh {
-		conn.fresh, wait = false, n.kind.Handshake.Std()
+		conn.fresh, wait = false, w.kind.Handshake.Std()
 	}
-	if n.slowReads {
+	if w.slowReads {
 		wait += slowReadFor
 	}
 	switch {
 	case wait > 0:
 		conn.reading++
-		n.afterInProcess(wait, func() {
+		w.afterInProcess(wait, func() {
 			if conn.reading--; !conn.abandoned {
 				handle()
 			}
 		})
-	case n.isPaused():
-		n.inbox = append(n.inbox, handle)
+	case w.isPaused():
+		w.inbox = append(w.inbox, handle)
 	default:
 		handle()
 	}
 }
 
 // ghostReceived is something sent to a process that ended without a word. A machine that is there answers it by a reset.
-func (n *worker) ghostReceived(l *workerConn) {
-	if !l.ghost || l.machine != n.machine {
+func (w *worker) ghostReceived(l *workerConn) {
+	if !l.ghost || l.machine != w.machine {
 		return
 	}
-	if l.usedSince = true; n.state != workerSilent {
-		n.removeConn(l)
-		n.env.closeSide(l.conn, farSide)
+	if l.usedSince = true; w.state != workerSilent {
+		w.removeConn(l)
+		w.env.closeSide(l.conn, farSide)
 	}
 }
 
 // schedulerClosed is the end of a connection for its scheduler.
-func (l *workerConn) schedulerClosed() {
-	if a := l.unreadAttempt; a != nil {
-		l.unreadAttempt = nil
-		l.worker.env.record(trace.Event{Kind: trace.AttemptUnread, RequestID: a.requestID, Worker: l.worker.number, Scheduler: a.scheduler, FirstByteAt: a.firstByteAt})
+func (w *workerConn) schedulerClosed() {
+	if a := w.unreadAttempt; a != nil {
+		w.unreadAttempt = nil
+		w.worker.env.record(trace.Event{Kind: trace.AttemptUnread, RequestID: a.requestID, Worker: w.worker.number, Scheduler: a.scheduler, FirstByteAt: a.firstByteAt})
 	}
 }
 
 // connClosed is the close of a connection by its scheduler, or the end of that.
-func (n *worker) connClosed(conn *conn) {
+func (w *worker) connClosed(conn *conn) {
 	workerConn := conn.state.(*workerConn)
 	if workerConn.abandoned || workerConn.index < 0 {
-		n.removeConn(workerConn)
+		w.removeConn(workerConn)
 		workerConn.abandoned = true
 		return
 	}
-	n.whenRunning(func() {
+	w.whenRunning(func() {
 		workerConn.abandoned = true
-		n.removeConn(workerConn)
+		w.removeConn(workerConn)
 		// What has not been answered yet is given up by that, and so is what was answered when the close came first.
 		why := ""
 		if conn.resetSilently[farSide] {
@@ -229,57 +229,57 @@
 		switch a := workerConn.awaitingAnswer; {
 		case a != nil:
 			workerConn.awaitingAnswer, a.conn = nil, nil
-			n.cancelAttempt(a, why)
+			w.cancelAttempt(a, why)
 		case workerConn.pendingAccept != nil:
-			n.cancelAttempt(workerConn.pendingAccept, why)
+			w.cancelAttempt(workerConn.pendingAccept, why)
 		}
 	})
 }
 
 // respond writes an answer to what came over a connection.
-func (n *worker) respond(workerConn *workerConn, status int, rejected bool) {
+func (w *worker) respond(workerConn *workerConn, status int, rejected bool) {
 	if workerConn.abandoned {
 		return
 	}
 	c, bytes := workerConn.conn, max(0, -workerConn.resetBytes)
-	n.env.toSched(c, func() {
+	w.env.toSched(c, func() {
 		workerConn.pendingAccept = nil
-		n.env.deliver(simapi.Input{Scheduler: c.scheduler, Message: simapi.ResponseReceived{
-			Worker: n.number, Conn: c.id, Status: status, Rejected: rejected, Bytes: bytes,
+		w.env.deliver(simapi.Input{Scheduler: c.scheduler, Message: simapi.ResponseReceived{
+			Worker: w.number, Conn: c.id, Status: status, Rejected: rejected, Bytes: bytes,
 		}})
 	})
 	if bytes > 0 {
-		n.closeConn(workerConn)
+		w.closeConn(workerConn)
 	}
 }
 
 // healthChecked is a sign of life that is asked for. Beside the queue, it costs a little work; the answer is 503 while even
 // the smallest job would be rejected.
-func (n *worker) healthChecked(workerConn *workerConn) {
-	n.env.record(trace.Event{Kind: trace.HealthChecked, Worker: n.number, Scheduler: workerConn.conn.scheduler})
-	if !n.env.Spec.Schedulers.HealthChecks {
-		n.respond(workerConn, 404, false)
+func (w *worker) healthChecked(workerConn *workerConn) {
+	w.env.record(trace.Event{Kind: trace.HealthChecked, Worker: w.number, Scheduler: workerConn.conn.scheduler})
+	if !w.env.Spec.Schedulers.HealthChecks {
+		w.respond(workerConn, 404, false)
 		return
 	}
-	n.addOverhead(n.kind.HealthCheckWork.Std())
-	took := time.Duration(float64(n.kind.HealthCheckWork.Std()) / max(1e-3, n.coreSpeed/n.slowFactor*n.capacityShare()))
-	n.afterInProcess(took, func() {
-		if n.draining || n.rejectsAll || !n.hasRoom(1) {
-			n.respond(workerConn, 503, false)
+	w.addOverhead(w.kind.HealthCheckWork.Std())
+	took := time.Duration(float64(w.kind.HealthCheckWork.Std()) / max(1e-3, w.coreSpeed/w.slowFactor*w.capacityShare()))
+	w.afterInProcess(took, func() {
+		if w.draining || w.rejectsAll || !w.hasRoom(1) {
+			w.respond(workerConn, 503, false)
 		} else {
-			n.respond(workerConn, 200, false)
+			w.respond(workerConn, 200, false)
 		}
 	})
 }
 
 // cancelReceived is the word that an attempt is given up.
-func (n *worker) cancelReceived(l *workerConn, call string) {
-	a := n.attemptsByRequest[call]
+func (w *worker) cancelReceived(l *workerConn, call string) {
+	a := w.attemptsByRequest[call]
 	if a == nil {
-		n.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: call, Worker: n.number})
-		n.respond(l, 404, false)
+		w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: call, Worker: w.number})
+		w.respond(l, 404, false)
 		return
 	}
-	n.cancelAttempt(a, "")
-	n.respond(l, 200, false)
+	w.cancelAttempt(a, "")
+	w.respond(l, 200, false)
 }
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -40,9 +40,9 @@
 	return keyStore{records: map[keyID]*keyRecord{}, expiring: make([]keyExpiryQueue, classes)}
 }
 
-func (f *workerShared) keyID(n *worker, a *attempt) keyID {
+func (w *workerShared) keyID(n *worker, a *attempt) keyID {
 	id := keyID{class: a.class, key: a.key}
-	switch f.classes[a.class].scope {
+	switch w.classes[a.class].scope {
 	case "cell":
 		id.scope = n.cell
 	case "zone":
@@ -52,14 +52,14 @@
 }
 
 // findKey finds what the worker's group knows of an attempt's key; nil: nothing, or it isn't of a keyed class.
-func (f *workerShared) findKey(n *worker, attempt *attempt) *keyRecord {
-	if attempt.key == "" || !f.classes[attempt.class].idempotentWithKey {
+func (w *workerShared) findKey(n *worker, attempt *attempt) *keyRecord {
+	if attempt.key == "" || !w.classes[attempt.class].idempotentWithKey {
 		return nil
 	}
-	q := &f.keys.expiring[attempt.class]
-	for q.start < len(q.list) && q.list[q.start].until <= f.env.now {
-		if k := q.list[q.start]; f.keys.records[k.id] == k {
-			delete(f.keys.records, k.id)
+	q := &w.keys.expiring[attempt.class]
+	for q.start < len(q.list) && q.list[q.start].until <= w.env.now {
+		if k := q.list[q.start]; w.keys.records[k.id] == k {
+			delete(w.keys.records, k.id)
 		}
 		q.list[q.start] = nil
 		q.start++
@@ -67,18 +67,18 @@
 	if q.start > len(q.list)/2 {
 		q.list, q.start = slices.Delete(q.list, 0, q.start), 0
 	}
-	return f.keys.records[f.keyID(n, attempt)]
+	return w.keys.records[w.keyID(n, attempt)]
 }
 
 // rememberKey notes the key of an attempt that is taken, and is the first with it.
-func (f *workerShared) rememberKey(n *worker, a *attempt) {
-	if a.key == "" || !f.classes[a.class].idempotentWithKey {
+func (w *workerShared) rememberKey(n *worker, a *attempt) {
+	if a.key == "" || !w.classes[a.class].idempotentWithKey {
 		return
 	}
-	k := &keyRecord{id: f.keyID(n, a), runner: a, until: f.env.now + f.classes[a.class].window + keyGrace}
+	k := &keyRecord{id: w.keyID(n, a), runner: a, until: w.env.now + w.classes[a.class].window + keyGrace}
 	a.keyRecord = k
-	f.keys.records[k.id] = k
-	q := &f.keys.expiring[a.class]
+	w.keys.records[k.id] = k
+	q := &w.keys.expiring[a.class]
 	q.list = append(q.list, k)
 }
 
@@ -99,21 +99,21 @@
 }
 
 // finishDuplicate ends an attempt with the result of another's run.
-func (n *worker) finishDuplicate(a *attempt, result string) {
-	n.whenRunning(func() {
+func (w *worker) finishDuplicate(a *attempt, result string) {
+	w.whenRunning(func() {
 		if a.state != attemptDuplicate {
 			return
 		}
-		n.removeAttempt(a)
+		w.removeAttempt(a)
 		a.result = result
-		n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Text: result, Status: 200})
-		n.notify(a, "done", 0)
-		n.maybeExit()
+		w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: w.number, Text: result, Status: 200})
+		w.notify(a, "done", 0)
+		w.maybeExit()
 	})
 }
 
 // attemptSucceeded is told of an attempt that has run to its end: repeats of it get its result.
-func (f *workerShared) attemptSucceeded(a *attempt) {
+func (w *workerShared) attemptSucceeded(a *attempt) {
 	k := a.keyRecord
 	if k == nil || k.runner != a {
 		return
@@ -128,7 +128,7 @@
 
 // releaseKey is told of an attempt that ended without having run to its end: its key is free again. A repeat that waited
 // for it runs in its place, or else is handed back.
-func (f *workerShared) releaseKey(a *attempt) {
+func (w *workerShared) releaseKey(a *attempt) {
 	keyRecord := a.keyRecord
 	if keyRecord == nil || keyRecord.runner != a {
 		return
@@ -144,19 +144,19 @@
 		return
 	}
 	keyRecord.runner = nil
-	if f.keys.records[keyRecord.id] == keyRecord {
-		delete(f.keys.records, keyRecord.id)
+	if w.keys.records[keyRecord.id] == keyRecord {
+		delete(w.keys.records, keyRecord.id)
 	}
 }
 
 // promote has an attempt run that waited for another's result.
-func (n *worker) promote(a *attempt) {
+func (w *worker) promote(a *attempt) {
 	switch {
 	case a.state != attemptDuplicate:
-	case n.hasRoom(a.slots):
-		n.startOrQueue(a)
+	case w.hasRoom(a.slots):
+		w.startOrQueue(a)
 	default:
-		n.removeAttempt(a)
-		n.returnAttempt(a)
+		w.removeAttempt(a)
+		w.returnAttempt(a)
 	}
 }
--- a/internal/testbed/environment/worker_lifecycle.go
+++ b/internal/testbed/environment/worker_lifecycle.go
@@ -12,188 +12,188 @@
 // ---- Its life ----
 
 // start begins a process, cold.
-func (n *worker) start() {
-	n.lifeTurn++
-	n.state, n.incarnation, n.startedAt, n.sincePast = workerUp, n.incarnation+1, n.env.now, false
-	n.draining, n.leaving, n.hanging, n.rejectsAll, n.silencesCallbacks, n.diesAtAccept, n.pausedUntil = false, false, false, false, false, false, 0
-	n.progressPlanned = false
-	n.progressPerSlot, n.progressAt = 0, n.env.now
-	n.startWarmUp()
+func (w *worker) start() {
+	w.lifeTurn++
+	w.state, w.incarnation, w.startedAt, w.sincePast = workerUp, w.incarnation+1, w.env.now, false
+	w.draining, w.leaving, w.hanging, w.rejectsAll, w.silencesCallbacks, w.diesAtAccept, w.pausedUntil = false, false, false, false, false, false, 0
+	w.progressPlanned = false
+	w.progressPerSlot, w.progressAt = 0, w.env.now
+	w.startWarmUp()
 	// The machine knows nothing of what was open before it fell silent, and says so to whoever has sent something.
-	for _, l := range slices.Clone(n.ghostConns) {
+	for _, l := range slices.Clone(w.ghostConns) {
 		if l.usedSince {
-			n.removeConn(l)
-			n.env.closeSide(l.conn, farSide)
+			w.removeConn(l)
+			w.env.closeSide(l.conn, farSide)
 		}
 	}
-	n.reportAcceptMode()
-	n.env.record(trace.Event{Kind: trace.WorkerStarted, Worker: n.number, Incarnation: n.incarnation, Slots: float64(n.kind.Slots), Text: n.kind.Name})
-	n.shared.onLifeEvent(n, lifeStarted)
+	w.reportAcceptMode()
+	w.env.record(trace.Event{Kind: trace.WorkerStarted, Worker: w.number, Incarnation: w.incarnation, Slots: float64(w.kind.Slots), Text: w.kind.Name})
+	w.shared.onLifeEvent(w, lifeStarted)
 }
 
 // end ends its process. Should there be none, that changes what state the machine is in, and when the next starts.
-func (n *worker) end(state workerState, why string, back time.Duration) {
-	if n.overloaded || n.removed && n.state != workerUp {
+func (w *worker) end(state workerState, why string, back time.Duration) {
+	if w.overloaded || w.removed && w.state != workerUp {
 		return
 	}
-	n.lifeTurn++
-	if n.state == workerUp {
-		n.loseState(state, why)
-		n.env.record(trace.Event{Kind: trace.WorkerStopped, Worker: n.number})
+	w.lifeTurn++
+	if w.state == workerUp {
+		w.loseState(state, why)
+		w.env.record(trace.Event{Kind: trace.WorkerStopped, Worker: w.number})
 	}
-	if was := n.state; was != workerSilent && was != state {
-		n.state = state
-		n.reportAcceptMode()
+	if was := w.state; was != workerSilent && was != state {
+		w.state = state
+		w.reportAcceptMode()
 		if state == workerSilent {
-			n.shared.onLifeEvent(n, lifeSilent)
+			w.shared.onLifeEvent(w, lifeSilent)
 		} else {
-			n.shared.onLifeEvent(n, lifeStopped)
+			w.shared.onLifeEvent(w, lifeStopped)
 		}
 	}
-	if n.leaving, n.draining = false, false; back > 0 && !n.removed {
-		n.afterUnlessChanged(back, n.start)
+	if w.leaving, w.draining = false, false; back > 0 && !w.removed {
+		w.afterUnlessChanged(back, w.start)
 	}
 }
 
 // afterUnlessChanged does something after a while, unless its life takes another turn before.
-func (n *worker) afterUnlessChanged(after time.Duration, do func()) {
-	iteration := n.lifeTurn
-	n.env.after(after, func() {
-		if n.lifeTurn == iteration {
+func (w *worker) afterUnlessChanged(after time.Duration, do func()) {
+	iteration := w.lifeTurn
+	w.env.after(after, func() {
+		if w.lifeTurn == iteration {
 			do()
 		}
 	})
 }
 
 // loseState is the end of all that its process knew.
-func (n *worker) loseState(state workerState, why string) {
-	n.advance()
-	n.inbox = nil
-	links := n.conns
-	n.conns = nil
+func (w *worker) loseState(state workerState, why string) {
+	w.advance()
+	w.inbox = nil
+	links := w.conns
+	w.conns = nil
 	for _, l := range links {
 		if l.abandoned = true; state == workerSilent {
-			l.ghost, l.index = true, len(n.ghostConns)
-			n.ghostConns = append(n.ghostConns, l)
+			l.ghost, l.index = true, len(w.ghostConns)
+			w.ghostConns = append(w.ghostConns, l)
 		} else {
 			l.index = -1
-			n.env.closeSide(l.conn, farSide)
+			w.env.closeSide(l.conn, farSide)
 		}
 	}
-	lost := n.attempts
+	lost := w.attempts
 	slices.SortFunc(lost, func(a, b *attempt) int { return int(a.number) - int(b.number) })
-	n.attempts, n.queue, n.running = nil, nil, nil
-	clear(n.attemptsByRequest)
-	n.usedSlots, n.queuedWork, n.runningEnds, n.progressRate = 0, 0, 0, 0
+	w.attempts, w.queue, w.running = nil, nil, nil
+	clear(w.attemptsByRequest)
+	w.usedSlots, w.queuedWork, w.runningEnds, w.progressRate = 0, 0, 0, 0
 	for _, a := range lost {
 		a.state = attemptEnded
 	}
 	// The machine's agent sees a process die, and tells, in half of all cases; in the others the end of connections is
 	// the only word.
-	agent := n.rng.Float64() < 0.5 && state == workerDead
-	n.loseCallbacks(state == workerSilent)
+	agent := w.rng.Float64() < 0.5 && state == workerDead
+	w.loseCallbacks(state == workerSilent)
 	for _, a := range lost {
-		n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: why})
+		w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: why})
 		if agent && a.mayNotify {
-			n.notifyLost(a)
+			w.notifyLost(a)
 		}
 	}
 	for _, a := range lost {
-		n.shared.releaseKey(a)
+		w.shared.releaseKey(a)
 	}
 }
 
 // afterInProcess does something in its process after a while.
-func (n *worker) afterInProcess(after time.Duration, do func()) {
-	boot := n.incarnation
-	n.env.after(after, func() {
-		if n.incarnation == boot && n.state == workerUp {
-			n.whenRunning(do)
+func (w *worker) afterInProcess(after time.Duration, do func()) {
+	boot := w.incarnation
+	w.env.after(after, func() {
+		if w.incarnation == boot && w.state == workerUp {
+			w.whenRunning(do)
 		}
 	})
 }
 
 // whenRunning does something in its process now, or once a pause is over.
-func (n *worker) whenRunning(do func()) {
-	if n.isPaused() {
-		n.inbox = append(n.inbox, do)
+func (w *worker) whenRunning(do func()) {
+	if w.isPaused() {
+		w.inbox = append(w.inbox, do)
 		return
 	}
 	do()
 }
 
 // isPaused tells whether it is paused.
-func (n *worker) isPaused() bool { return n.pausedUntil > n.env.now }
+func (w *worker) isPaused() bool { return w.pausedUntil > w.env.now }
 
 // pauseFor pauses it; pauses that overlap end with the last.
-func (n *worker) pauseFor(d time.Duration) {
+func (w *worker) pauseFor(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	n.advance()
-	n.pausedUntil = max(n.pausedUntil, n.env.now+d)
-	n.planTick()
-	boot := n.incarnation
-	n.env.after(d, func() {
-		if n.incarnation != boot || n.state != workerUp || n.isPaused() {
+	w.advance()
+	w.pausedUntil = max(w.pausedUntil, w.env.now+d)
+	w.planTick()
+	boot := w.incarnation
+	w.env.after(d, func() {
+		if w.incarnation != boot || w.state != workerUp || w.isPaused() {
 			return
 		}
-		n.advance()
-		n.planTick()
-		for len(n.inbox) > 0 {
-			do := n.inbox[0]
-			n.inbox = n.inbox[1:]
+		w.advance()
+		w.planTick()
+		for len(w.inbox) > 0 {
+			do := w.inbox[0]
+			w.inbox = w.inbox[1:]
 			do()
 		}
-		if n.inbox = nil; n.state == workerUp {
-			n.runDue()
+		if w.inbox = nil; w.state == workerUp {
+			w.runDue()
 		}
 	})
 }
 
 // maybeExit is called whenever it may have nothing left, which ends a process that waits for that.
-func (n *worker) maybeExit() {
-	if n.leaving && len(n.attempts) == 0 && n.callbacks.outstanding == 0 {
-		n.afterUnlessChanged(0, func() {
-			if n.leaving && len(n.attempts) == 0 && n.callbacks.outstanding == 0 && !n.isPaused() {
-				n.end(workerDead, "restart", n.restartAfter)
+func (w *worker) maybeExit() {
+	if w.leaving && len(w.attempts) == 0 && w.callbacks.outstanding == 0 {
+		w.afterUnlessChanged(0, func() {
+			if w.leaving && len(w.attempts) == 0 && w.callbacks.outstanding == 0 && !w.isPaused() {
+				w.end(workerDead, "restart", w.restartAfter)
 			}
 		})
 	}
 }
 
 // drainThenExit drains it, and ends its process once it has nothing left.
-func (n *worker) drainThenExit(back time.Duration) {
-	n.drain()
-	n.lifeTurn++
-	n.leaving, n.restartAfter = true, back
-	n.afterUnlessChanged(drainFor, func() { n.end(workerDead, "restart", back) })
-	n.maybeExit()
+func (w *worker) drainThenExit(back time.Duration) {
+	w.drain()
+	w.lifeTurn++
+	w.leaving, w.restartAfter = true, back
+	w.afterUnlessChanged(drainFor, func() { w.end(workerDead, "restart", back) })
+	w.maybeExit()
 }
 
 // drainFor is the longest that a process which is to end finishes what it has.
 const drainFor = 30 * time.Second
 
 // acceptMode is how the machine takes connections.
-func (n *worker) acceptMode() int {
+func (w *worker) acceptMode() int {
 	switch {
-	case n.state == workerSilent:
+	case w.state == workerSilent:
 		return simapi.AcceptSilently
-	case n.state == workerDead:
+	case w.state == workerDead:
 		return simapi.AcceptNone
-	case n.acceptsSilently:
+	case w.acceptsSilently:
 		return simapi.AcceptSilently
-	case n.refusing:
+	case w.refusing:
 		return simapi.AcceptNone
 	}
 	return simapi.AcceptAll
 }
 
 // reportAcceptMode lets a process driver know of a change in how connections are taken; it is for no scheduler in particular.
-func (n *worker) reportAcceptMode() {
-	if m := n.acceptMode(); m != n.reportedMode {
-		n.reportedMode = m
-		n.env.inputs = append(n.env.inputs, simapi.Input{Message: simapi.AcceptModeChanged{Worker: n.number, Machine: n.machine, Mode: m}})
+func (w *worker) reportAcceptMode() {
+	if m := w.acceptMode(); m != w.reportedMode {
+		w.reportedMode = m
+		w.env.inputs = append(w.env.inputs, simapi.Input{Message: simapi.AcceptModeChanged{Worker: w.number, Machine: w.machine, Mode: m}})
 	}
 }
 
@@ -206,154 +206,154 @@
 
 // crash: its process dies, connections are reset and new ones refused. Of what it had in hand, half the crashes are
 // told of by the machine's agent, as lost, for each job that was answered 202; the others are not told at all.
-func (n *worker) crash(back time.Duration) { n.end(workerDead, "crash", back) }
+func (w *worker) crash(back time.Duration) { w.end(workerDead, "crash", back) }
 
 // vanish: the machine says nothing more. What is open stays open and silent, no connection comes up. Once it is back,
 // a connection over which something was sent meanwhile is reset, any other when something is.
-func (n *worker) vanish(back time.Duration) { n.end(workerSilent, "vanish", back) }
+func (w *worker) vanish(back time.Duration) { w.end(workerSilent, "vanish", back) }
 
 // setHang: its process takes connections and work, answers that with 202 while there is room (free slots count as room),
 // answers probes, and takes note of what is withdrawn. It begins nothing, what runs stands still, and nothing is told.
-func (n *worker) setHang(on bool) {
-	if n.state != workerUp || n.hanging == on {
+func (w *worker) setHang(on bool) {
+	if w.state != workerUp || w.hanging == on {
 		return
 	}
-	n.advance()
-	if n.hanging = on; on {
-		n.env.record(trace.Event{Kind: trace.WorkerHung, Worker: n.number})
-		n.planTick()
+	w.advance()
+	if w.hanging = on; on {
+		w.env.record(trace.Event{Kind: trace.WorkerHung, Worker: w.number})
+		w.planTick()
 		return
 	}
-	n.recovered()
-	n.planTick()
-	n.sendHeld()
-	n.whenRunning(n.runDue)
+	w.recovered()
+	w.planTick()
+	w.sendHeld()
+	w.whenRunning(w.runDue)
 }
 
 // pause: nothing in it moves for so long. Its kernel still takes connections and what is written to them.
-func (n *worker) pause(d time.Duration) {
-	if n.state != workerUp || d <= 0 {
+func (w *worker) pause(d time.Duration) {
+	if w.state != workerUp || d <= 0 {
 		return
 	}
-	n.pauseFor(d)
-	boot := n.incarnation
-	n.env.after(d, func() {
-		if n.incarnation == boot && n.state == workerUp && !n.isPaused() {
-			n.recovered()
+	w.pauseFor(d)
+	boot := w.incarnation
+	w.env.after(d, func() {
+		if w.incarnation == boot && w.state == workerUp && !w.isPaused() {
+			w.recovered()
 		}
 	})
 }
 
 // setSlowFactor: its speed is divided by this; 1: as ever.
-func (n *worker) setSlowFactor(factor float64) {
-	n.advance()
-	was := n.slowFactor
-	if n.slowFactor = max(factor, 1e-3); n.slowFactor <= 1 && was > 1 {
-		n.recovered()
+func (w *worker) setSlowFactor(factor float64) {
+	w.advance()
+	was := w.slowFactor
+	if w.slowFactor = max(factor, 1e-3); w.slowFactor <= 1 && was > 1 {
+		w.recovered()
 	}
-	n.planTick()
+	w.planTick()
 }
 
-func (n *worker) recovered() {
-	n.env.record(trace.Event{Kind: trace.WorkerRecovered, Worker: n.number})
+func (w *worker) recovered() {
+	w.env.record(trace.Event{Kind: trace.WorkerRecovered, Worker: w.number})
 }
 
 // setErrorRate: a share of the attempts that it takes end with an error; < 0: its kind's own.
-func (n *worker) setErrorRate(rate float64) { n.errorRate = rate }
+func (w *worker) setErrorRate(rate float64) { w.errorRate = rate }
 
 // setFull: it rejects all work, with 503, and says so to probes.
-func (n *worker) setFull(on bool) { n.rejectsAll = on && n.state == workerUp }
+func (w *worker) setFull(on bool) { w.rejectsAll = on && w.state == workerUp }
 
 // drain: it finishes what it has, hands back what waits if it is of such a kind, and rejects anything new, until
 // its process ends.
-func (n *worker) drain() {
-	if n.state != workerUp || n.draining {
+func (w *worker) drain() {
+	if w.state != workerUp || w.draining {
 		return
 	}
-	n.draining = true
-	n.env.record(trace.Event{Kind: trace.WorkerDraining, Worker: n.number})
-	n.shared.onLifeEvent(n, lifeDraining)
-	if n.kind.ReturnsQueued {
-		n.returnQueued()
+	w.draining = true
+	w.env.record(trace.Event{Kind: trace.WorkerDraining, Worker: w.number})
+	w.shared.onLifeEvent(w, lifeDraining)
+	if w.kind.ReturnsQueued {
+		w.returnQueued()
 	}
 }
 
 // returnQueued: what waits is returned.
-func (n *worker) returnQueued() {
-	if n.state == workerUp {
-		n.whenRunning(n.returnQueue)
+func (w *worker) returnQueued() {
+	if w.state == workerUp {
+		w.whenRunning(w.returnQueue)
 	}
 }
 
 // restart: it drains; its process ends once it has nothing left, neither work nor callbacks that are not answered, and
 // after 30 s at the latest. back counts from that end.
-func (n *worker) restart(back time.Duration) {
-	if n.state == workerUp {
-		n.drainThenExit(back)
+func (w *worker) restart(back time.Duration) {
+	if w.state == workerUp {
+		w.drainThenExit(back)
 	} else {
-		n.end(n.state, "", back)
+		w.end(w.state, "", back)
 	}
 }
 
 // remove: it is off the list for good, at once. It drains, and its process ends as at a restart.
-func (n *worker) remove() {
-	if n.removed {
+func (w *worker) remove() {
+	if w.removed {
 		return
 	}
-	if n.removed = true; n.state == workerUp {
-		n.drainThenExit(0)
+	if w.removed = true; w.state == workerUp {
+		w.drainThenExit(0)
 	} else {
-		n.lifeTurn++ // nothing brings it back
+		w.lifeTurn++ // nothing brings it back
 	}
-	n.shared.onLifeEvent(n, lifeRemoved)
+	w.shared.onLifeEvent(w, lifeRemoved)
 }
 
 // replace: the machine vanishes for good. After back another, of the same kind, takes its place in the same cell, cold,
 // with an id and an address of its own, and the old id goes off the list. What is sent to the old one, over connections
 // that were open or by trying anew, meets with silence.
-func (n *worker) replace(back time.Duration) {
-	if n.removed {
+func (w *worker) replace(back time.Duration) {
+	if w.removed {
 		return
 	}
-	n.overloaded = false
-	n.end(workerSilent, "replace", 0)
+	w.overloaded = false
+	w.end(workerSilent, "replace", 0)
 	if back <= 0 {
 		return
 	}
-	n.afterUnlessChanged(back, func() {
-		n.shared.onLifeEvent(n, lifeRemoved)
-		n.machine++
-		n.id = "w-" + strconv.Itoa(n.number) + "." + strconv.Itoa(n.machine)
-		n.coreSpeed, n.slowFactor, n.errorRate = n.drawSpeed(), 1, -1
-		n.refusing, n.acceptsSilently, n.slowReads, n.resetBytes = false, false, false, 0
-		for _, l := range n.ghostConns {
+	w.afterUnlessChanged(back, func() {
+		w.shared.onLifeEvent(w, lifeRemoved)
+		w.machine++
+		w.id = "w-" + strconv.Itoa(w.number) + "." + strconv.Itoa(w.machine)
+		w.coreSpeed, w.slowFactor, w.errorRate = w.drawSpeed(), 1, -1
+		w.refusing, w.acceptsSilently, w.slowReads, w.resetBytes = false, false, false, 0
+		for _, l := range w.ghostConns {
 			l.index = -1
 		}
-		n.ghostConns = nil
-		n.start()
+		w.ghostConns = nil
+		w.start()
 	})
 }
 
 // setMute: no callbacks are sent; what was not sent by its end never is.
-func (n *worker) setMute(on bool) { n.silencesCallbacks = on && n.state == workerUp }
+func (w *worker) setMute(on bool) { w.silencesCallbacks = on && w.state == workerUp }
 
 // dieAtAccept: it answers 202 to the next job and dies at that instant.
-func (n *worker) dieAtAccept(back time.Duration) {
-	if n.state == workerUp {
-		n.diesAtAccept, n.diesRestartAfter = true, back
+func (w *worker) dieAtAccept(back time.Duration) {
+	if w.state == workerUp {
+		w.diesAtAccept, w.diesRestartAfter = true, back
 	}
 }
 
 // setRefusing: connections are refused, those there go on.
-func (n *worker) setRefusing(on bool) { n.refusing = on; n.reportAcceptMode() }
+func (w *worker) setRefusing(on bool) { w.refusing = on; w.reportAcceptMode() }
 
 // setSilent: connections never come up, those there go on.
-func (n *worker) setSilent(on bool) { n.acceptsSilently = on; n.reportAcceptMode() }
+func (w *worker) setSilent(on bool) { w.acceptsSilently = on; w.reportAcceptMode() }
 
 // setResetBytes: each new connection is reset after it has read so many bytes, which is the driver's to carry out, as it knows how
 // long requests are: only those that were read to their end come here, and the end comes as Hangup. < 0: after so many
 // bytes of its first answer are written. 0: as ever.
-func (n *worker) setResetBytes(bytes int) { n.resetBytes = bytes }
+func (w *worker) setResetBytes(bytes int) { w.resetBytes = bytes }
 
 // setSlowRead: requests are read so slowly that their last byte comes 1 s late.
-func (n *worker) setSlowRead(on bool) { n.slowReads = on }
+func (w *worker) setSlowRead(on bool) { w.slowReads = on }
--- a/internal/testbed/environment/worker_progress.go
+++ b/internal/testbed/environment/worker_progress.go
@@ -8,39 +8,39 @@
 // This file holds the progress callbacks of what runs.
 
 // planProgress has callbacks of progress told of what has begun. One entry on the event queue serves all that runs.
-func (n *worker) planProgress(a *attempt) {
-	if n.kind.ProgressInterval <= 0 {
+func (w *worker) planProgress(a *attempt) {
+	if w.kind.ProgressInterval <= 0 {
 		return
 	}
-	if a.nextProgressAt = n.env.now + n.kind.ProgressInterval.Std(); !n.progressPlanned {
-		n.progressPlanned = true
-		n.scheduleProgress(a.nextProgressAt)
+	if a.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std(); !w.progressPlanned {
+		w.progressPlanned = true
+		w.scheduleProgress(a.nextProgressAt)
 	}
 }
 
-func (n *worker) scheduleProgress(at time.Duration) {
-	boot := n.incarnation
-	n.env.schedule(at, func() {
-		if n.incarnation == boot && n.state == workerUp {
-			n.whenRunning(n.sendProgress)
+func (w *worker) scheduleProgress(at time.Duration) {
+	boot := w.incarnation
+	w.env.schedule(at, func() {
+		if w.incarnation == boot && w.state == workerUp {
+			w.whenRunning(w.sendProgress)
 		}
 	})
 }
 
 // sendProgress tells of all whose time it is. While it hangs there is no progress to tell.
-func (n *worker) sendProgress() {
-	n.runDue()
+func (w *worker) sendProgress() {
+	w.runDue()
 	next := time.Duration(math.MaxInt64)
-	for _, a := range n.running {
-		if a.nextProgressAt <= n.env.now {
-			if !n.hanging {
-				n.notify(a, "running", min(1, max(0, (n.progressPerSlot-a.startProgress)/a.work)))
+	for _, a := range w.running {
+		if a.nextProgressAt <= w.env.now {
+			if !w.hanging {
+				w.notify(a, "running", min(1, max(0, (w.progressPerSlot-a.startProgress)/a.work)))
 			}
-			a.nextProgressAt = n.env.now + n.kind.ProgressInterval.Std()
+			a.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std()
 		}
 		next = min(next, a.nextProgressAt)
 	}
-	if n.progressPlanned = len(n.running) > 0; n.progressPlanned {
-		n.scheduleProgress(next)
+	if w.progressPlanned = len(w.running) > 0; w.progressPlanned {
+		w.scheduleProgress(next)
 	}
 }
--- a/internal/testbed/environment/worker_queue.go
+++ b/internal/testbed/environment/worker_queue.go
@@ -9,82 +9,82 @@
 // This file holds the queue of attempts that wait for a slot of their worker.
 
 // hasRoom tells whether there is room for a job of so many slots, running or waiting.
-func (n *worker) hasRoom(slots float64) bool {
-	free := float64(n.kind.Slots) - n.usedSlots
-	if n.hanging { // what it would have begun waits as well
-		return float64(len(n.queue)) < float64(n.kind.Queue)+free
+func (w *worker) hasRoom(slots float64) bool {
+	free := float64(w.kind.Slots) - w.usedSlots
+	if w.hanging { // what it would have begun waits as well
+		return float64(len(w.queue)) < float64(w.kind.Queue)+free
 	}
-	return len(n.queue) < n.kind.Queue || slots <= free && (len(n.queue) == 0 || n.kind.QueueOrder == "backfill")
+	return len(w.queue) < w.kind.Queue || slots <= free && (len(w.queue) == 0 || w.kind.QueueOrder == "backfill")
 }
 
 // dropExpired makes room by dropping waiting attempts whose time is up, where the kind drops those.
-func (n *worker) dropExpired(slots float64) bool {
-	if n.kind.ExpiredJobs != "drop" || n.hanging {
+func (w *worker) dropExpired(slots float64) bool {
+	if w.kind.ExpiredJobs != "drop" || w.hanging {
 		return false
 	}
 	varied := false
-	for i := 0; i < len(n.queue); {
-		if a := n.queue[i]; a.expiresAt > 0 && a.expiresAt <= n.env.now {
-			n.expireAttempt(a)
+	for i := 0; i < len(w.queue); {
+		if a := w.queue[i]; a.expiresAt > 0 && a.expiresAt <= w.env.now {
+			w.expireAttempt(a)
 			varied = true
 		} else {
 			i++
 		}
 	}
-	return varied && n.hasRoom(slots)
+	return varied && w.hasRoom(slots)
 }
 
-func (n *worker) expireAttempt(a *attempt) {
-	n.removeAttempt(a)
-	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "expired"})
-	n.shared.releaseKey(a)
+func (w *worker) expireAttempt(a *attempt) {
+	w.removeAttempt(a)
+	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: "expired"})
+	w.shared.releaseKey(a)
 }
 
 // startOrQueue begins an attempt, or has it wait.
-func (n *worker) startOrQueue(a *attempt) {
+func (w *worker) startOrQueue(a *attempt) {
 	a.state = attemptQueued
-	n.queuedWork += a.work * a.slots
-	n.queue = append(n.queue, a)
-	if len(n.queue) == 1 || n.kind.QueueOrder == "backfill" {
-		n.runDue()
+	w.queuedWork += a.work * a.slots
+	w.queue = append(w.queue, a)
+	if len(w.queue) == 1 || w.kind.QueueOrder == "backfill" {
+		w.runDue()
 	}
 }
 
 // returnQueue hands back what waits.
-func (n *worker) returnQueue() {
-	for len(n.queue) > 0 {
-		a := n.queue[0]
-		n.removeAttempt(a)
-		n.returnAttempt(a)
+func (w *worker) returnQueue() {
+	for len(w.queue) > 0 {
+		a := w.queue[0]
+		w.removeAttempt(a)
+		w.returnAttempt(a)
 	}
-	n.maybeExit()
+	w.maybeExit()
 }
 
 // returnAttempt returns an attempt that has been dropped: by its answer, if that is owed yet.
-func (n *worker) returnAttempt(attempt *attempt) {
+func (w *worker) returnAttempt(attempt *attempt) {
 	if l := attempt.conn; l != nil {
 		attempt.conn, attempt.mayNotify = nil, true
 		if l.awaitingAnswer == attempt {
 			l.awaitingAnswer = nil
 		}
-		n.reject(l, attempt, 503)
+		w.reject(l, attempt, 503)
 	} else {
-		n.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: attempt.requestID, Worker: n.number})
-		n.notify(attempt, "returned", 0)
+		w.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: attempt.requestID, Worker: w.number})
+		w.notify(attempt, "returned", 0)
 	}
-	n.shared.releaseKey(attempt)
+	w.shared.releaseKey(attempt)
 }
 
 // startQueued begins what fits. In a fifo the head waits until it fits, and all others behind it.
-func (n *worker) startQueued() {
-	for i := 0; i < len(n.queue); {
-		a := n.queue[i]
+func (w *worker) startQueued() {
+	for i := 0; i < len(w.queue); {
+		a := w.queue[i]
 		switch {
-		case n.kind.ExpiredJobs == "drop" && a.expiresAt > 0 && a.expiresAt <= n.env.now:
-			n.expireAttempt(a)
-		case a.slots <= float64(n.kind.Slots)-n.usedSlots:
-			n.startAttempt(a, i)
-		case n.kind.QueueOrder == "backfill":
+		case w.kind.ExpiredJobs == "drop" && a.expiresAt > 0 && a.expiresAt <= w.env.now:
+			w.expireAttempt(a)
+		case a.slots <= float64(w.kind.Slots)-w.usedSlots:
+			w.startAttempt(a, i)
+		case w.kind.QueueOrder == "backfill":
 			i++
 		default:
 			return
@@ -93,18 +93,18 @@
 }
 
 // startAttempt begins the i-th of what waits.
-func (n *worker) startAttempt(attempt *attempt, i int) {
-	n.queue = slices.Delete(n.queue, i, i+1)
-	if n.queuedWork -= attempt.work * attempt.slots; len(n.queue) == 0 {
-		n.queuedWork = 0
+func (w *worker) startAttempt(attempt *attempt, i int) {
+	w.queue = slices.Delete(w.queue, i, i+1)
+	if w.queuedWork -= attempt.work * attempt.slots; len(w.queue) == 0 {
+		w.queuedWork = 0
 	}
-	attempt.state, attempt.startProgress, attempt.endProgress = attemptRunning, n.progressPerSlot, n.progressPerSlot+attempt.work
-	n.usedSlots += attempt.slots
-	n.runningEnds += attempt.slots * attempt.endProgress
-	n.running.add(attempt)
-	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation})
-	if !n.kind.OmitsStartNotifications {
-		n.notify(attempt, "started", 0)
-		n.planProgress(attempt)
+	attempt.state, attempt.startProgress, attempt.endProgress = attemptRunning, w.progressPerSlot, w.progressPerSlot+attempt.work
+	w.usedSlots += attempt.slots
+	w.runningEnds += attempt.slots * attempt.endProgress
+	w.running.add(attempt)
+	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.incarnation})
+	if !w.kind.OmitsStartNotifications {
+		w.notify(attempt, "started", 0)
+		w.planProgress(attempt)
 	}
 }
--- a/internal/testbed/environment/worker_view.go
+++ b/internal/testbed/environment/worker_view.go
@@ -16,13 +16,13 @@
 }
 
 // View shows the machine at a place (see NodeAddr) to a scheduler. One whose place another took is never met.
-func (w *Environment) View(sched, place int) View {
-	i := place % len(w.workers)
-	n := w.workers[i]
+func (e *Environment) View(sched, place int) View {
+	i := place % len(e.workers)
+	n := e.workers[i]
 	if n.placeIndex() != place {
 		return View{}
 	}
-	view := View{WorkerState: w.WorkerState(i), ErrorRate: n.kind.ErrorRate}
+	view := View{WorkerState: e.WorkerState(i), ErrorRate: n.kind.ErrorRate}
 	if n.errorRate >= 0 {
 		view.ErrorRate = n.errorRate
 	}
@@ -31,7 +31,7 @@
 	}
 	view.Up = n.state == workerUp && !n.hanging && !n.rejectsAll && !n.silencesCallbacks && !n.diesAtAccept
 	me := endpoint{schedulerEndpoint, sched}
-	view.Reachable = w.network.partitionBetween(me, n.endpoint()) == nil && w.network.partitionBetween(n.endpoint(), me) == nil
+	view.Reachable = e.network.partitionBetween(me, n.endpoint()) == nil && e.network.partitionBetween(n.endpoint(), me) == nil
 	view.Connectable = view.Reachable && n.acceptMode() == simapi.AcceptAll && (n.kind.ConnLimit <= 0 || len(n.conns) < n.kind.ConnLimit)
 	return view
 }
--- a/internal/testbed/environment/worker_warmup.go
+++ b/internal/testbed/environment/worker_warmup.go
@@ -33,52 +33,52 @@
 	overloadSlack = 1.25
 )
 
-func (n *worker) startWarmUp() {
-	n.warming = warmUpState{warm: n.kind.WarmUp <= 0 || n.kind.WarmUpCapacity >= 1}
+func (w *worker) startWarmUp() {
+	w.warming = warmUpState{warm: w.kind.WarmUp <= 0 || w.kind.WarmUpCapacity >= 1}
 }
 
 // capacityShare is the share of its capacity that it has now.
-func (n *worker) capacityShare() float64 {
-	c := &n.warming
+func (w *worker) capacityShare() float64 {
+	c := &w.warming
 	if c.warm {
 		return 1
 	}
-	part := float64(n.warmUpStep()+1) / warmUpSteps
-	if n.kind.WarmUpBy == "work" {
-		part = max(part, c.workDone/(n.capacity()*n.kind.WarmUp.Std().Seconds()*warmUpWorkShare))
+	part := float64(w.warmUpStep()+1) / warmUpSteps
+	if w.kind.WarmUpBy == "work" {
+		part = max(part, c.workDone/(w.capacity()*w.kind.WarmUp.Std().Seconds()*warmUpWorkShare))
 	}
 	if part >= 1 {
 		*c = warmUpState{warm: true, workDone: c.workDone}
 		return 1
 	}
-	from := n.kind.WarmUpCapacity
+	from := w.kind.WarmUpCapacity
 	return from + (1-from)*part
 }
 
-func (n *worker) warmUpStep() time.Duration {
-	return (n.env.now - n.startedAt) * warmUpSteps / n.kind.WarmUp.Std()
+func (w *worker) warmUpStep() time.Duration {
+	return (w.env.now - w.startedAt) * warmUpSteps / w.kind.WarmUp.Std()
 }
 
 // nextWarmUpStep is when a cold one gets faster by itself; not ok: it is warm.
-func (n *worker) nextWarmUpStep() (at time.Duration, ok bool) {
-	if n.warming.warm {
+func (w *worker) nextWarmUpStep() (at time.Duration, ok bool) {
+	if w.warming.warm {
 		return 0, false
 	}
-	return n.startedAt + ((n.warmUpStep()+1)*n.kind.WarmUp.Std()+warmUpSteps-1)/warmUpSteps, true
+	return w.startedAt + ((w.warmUpStep()+1)*w.kind.WarmUp.Std()+warmUpSteps-1)/warmUpSteps, true
 }
 
 // coldWorkReceived counts the work of an attempt that has arrived, taken or not, if it is cold. Where within one span of
 // Rules.Fall more than Rules.FallFactor times what it can do in that at its present capacity has come, and a little
 // more, it falls over: its process dies, and none starts again. A fault that slows it takes nothing off its capacity.
-func (n *worker) coldWorkReceived(attempt *attempt, work float64) (fell bool) {
-	warmUpState, rules := &n.warming, &n.env.Spec.Rules
-	share := n.capacityShare()
+func (w *worker) coldWorkReceived(attempt *attempt, work float64) (fell bool) {
+	warmUpState, rules := &w.warming, &w.env.Spec.Rules
+	share := w.capacityShare()
 	if warmUpState.warm {
 		return false
 	}
-	capacity, now := n.capacity()*share, n.env.now
-	n.env.record(trace.Event{
-		Kind: trace.ColdWorkReceived, RequestID: attempt.requestID, Worker: n.number, Scheduler: attempt.scheduler, Slots: attempt.slots,
+	capacity, now := w.capacity()*share, w.env.now
+	w.env.record(trace.Event{
+		Kind: trace.ColdWorkReceived, RequestID: attempt.requestID, Worker: w.number, Scheduler: attempt.scheduler, Slots: attempt.slots,
 		Work: work / attempt.slots, Share: capacity,
 	})
 	for warmUpState.first < len(warmUpState.arrived) && warmUpState.arrived[warmUpState.first].arrivedAt <= now-rules.OverloadWindow.Std() {
@@ -95,12 +95,12 @@
 	if warmUpState.arrivedWork += work; attempt.knewStart {
 		warmUpState.knownWork += work
 	}
-	if rules.OverloadFactor <= 0 || warmUpState.arrivedWork <= rules.OverloadFactor*capacity*rules.OverloadWindow.Std().Seconds()+n.shared.overloadSlack {
+	if rules.OverloadFactor <= 0 || warmUpState.arrivedWork <= rules.OverloadFactor*capacity*rules.OverloadWindow.Std().Seconds()+w.shared.overloadSlack {
 		return false
 	}
-	n.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: n.number, Share: max(0, warmUpState.knownWork) / warmUpState.arrivedWork})
-	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: attempt.requestID, Worker: n.number, Text: "fell"})
-	n.end(workerDead, "fell", 0)
-	n.overloaded = true
+	w.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: w.number, Share: max(0, warmUpState.knownWork) / warmUpState.arrivedWork})
+	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: attempt.requestID, Worker: w.number, Text: "fell"})
+	w.end(workerDead, "fell", 0)
+	w.overloaded = true
 	return true
 }
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -173,51 +173,51 @@
 }
 
 // drawSpeed draws the speed of its cores: evenly, so that there is a slowest and a fastest even in a large fleet.
-func (n *worker) drawSpeed() float64 {
-	return n.kind.Speed * max(0.1, 1+n.kind.Spread*math.Sqrt(3)*(2*n.rng.Float64()-1))
+func (w *worker) drawSpeed() float64 {
+	return w.kind.Speed * max(0.1, 1+w.kind.Spread*math.Sqrt(3)*(2*w.rng.Float64()-1))
 }
 
-func (n *worker) begin() {
-	n.env.record(trace.Event{Kind: trace.WorkerPresent, Worker: n.number, Incarnation: n.incarnation, Slots: float64(n.kind.Slots), Text: n.kind.Name})
-	if n.kind.PauseEvery > 0 && n.kind.Pause > 0 {
-		n.planPause(n.env.rng("pauses", n.number))
+func (w *worker) begin() {
+	w.env.record(trace.Event{Kind: trace.WorkerPresent, Worker: w.number, Incarnation: w.incarnation, Slots: float64(w.kind.Slots), Text: w.kind.Name})
+	if w.kind.PauseEvery > 0 && w.kind.Pause > 0 {
+		w.planPause(w.env.rng("pauses", w.number))
 	}
 }
 
 // planPause has it pause now and then. The pauses are drawn whatever else befalls it.
-func (n *worker) planPause(rng *rand.Rand) {
-	every, long := rng.ExpFloat64()*float64(n.kind.PauseEvery), rng.ExpFloat64()*float64(n.kind.Pause)
-	n.env.after(time.Duration(every), func() {
-		if n.state == workerUp {
-			n.env.record(trace.Event{Kind: trace.WorkerFaultStarted, Worker: n.number, Text: "pause"})
-			n.pauseFor(time.Duration(long))
-			n.env.after(time.Duration(long), func() { n.env.record(trace.Event{Kind: trace.WorkerFaultEnded, Worker: n.number, Text: "pause"}) })
+func (w *worker) planPause(rng *rand.Rand) {
+	every, long := rng.ExpFloat64()*float64(w.kind.PauseEvery), rng.ExpFloat64()*float64(w.kind.Pause)
+	w.env.after(time.Duration(every), func() {
+		if w.state == workerUp {
+			w.env.record(trace.Event{Kind: trace.WorkerFaultStarted, Worker: w.number, Text: "pause"})
+			w.pauseFor(time.Duration(long))
+			w.env.after(time.Duration(long), func() { w.env.record(trace.Event{Kind: trace.WorkerFaultEnded, Worker: w.number, Text: "pause"}) })
 		}
-		n.planPause(rng)
+		w.planPause(rng)
 	})
 }
 
-func (n *worker) endpoint() endpoint { return endpoint{workerEndpoint, n.number} }
+func (w *worker) endpoint() endpoint { return endpoint{workerEndpoint, w.number} }
 
 // startedMs is its last start as discovery tells it; 0: long ago.
-func (n *worker) startedMs() int64 {
-	if n.sincePast {
+func (w *worker) startedMs() int64 {
+	if w.sincePast {
 		return 0
 	}
-	return (n.env.Epoch + n.startedAt).Milliseconds()
+	return (w.env.Epoch + w.startedAt).Milliseconds()
 }
 
 // capacity is the work that it does a second once it is warm, on standard cores, were it not slowed.
-func (n *worker) capacity() float64 { return min(n.kind.Cores, float64(n.kind.Slots)) * n.coreSpeed }
+func (w *worker) capacity() float64 { return min(w.kind.Cores, float64(w.kind.Slots)) * w.coreSpeed }
 
 // placeIndex numbers machines: the first ones as their workers, those that took their places after all of these.
-func (n *worker) placeIndex() int { return n.number + n.machine*len(n.env.workers) }
+func (w *worker) placeIndex() int { return w.number + w.machine*len(w.env.workers) }
 
 // WorkerAddr is where a machine listens, by its place (see placeIndex; of the first ones: their worker's number): a
 // loopback address of its own.
-func (w *Environment) WorkerAddr(i int) string {
-	if w.WorkerAddrs != nil {
-		return w.WorkerAddrs(i)
+func (e *Environment) WorkerAddr(i int) string {
+	if e.WorkerAddrs != nil {
+		return e.WorkerAddrs(i)
 	}
 	return "127." + strconv.Itoa(64+i/(254*254)) + "." + strconv.Itoa(1+i/254%254) + "." + strconv.Itoa(1+i%254) + ":9000"
 }
@@ -237,8 +237,8 @@
 
 // WorkerState tells the true state of worker i. Speed is 0 while nothing moves in it. One that rejects all, tells
 // nothing, is about to die or can't be connected to is not up. What the network does to it is not in it.
-func (w *Environment) WorkerState(i int) WorkerState {
-	n := w.workers[i]
+func (e *Environment) WorkerState(i int) WorkerState {
+	n := e.workers[i]
 	t := WorkerState{Draining: n.draining, Cores: n.kind.Cores, Slots: float64(n.kind.Slots), QueueLimit: n.kind.Queue}
 	if n.state != workerUp {
 		return t
@@ -248,14 +248,14 @@
 		t.Speed = 0
 	}
 	t.Free, t.Queued = t.Slots-n.usedSlots, len(n.queue)
-	v := n.progressPerSlot + n.progressRate*(w.now-n.progressAt).Seconds()
+	v := n.progressPerSlot + n.progressRate*(e.now-n.progressAt).Seconds()
 	t.BacklogSeconds = max(0, n.queuedWork+n.runningEnds-v*n.usedSlots)
 	return t
 }
 
 // Work tells the true work of a client's request: seconds on a standard core, and slots.
-func (w *Environment) Work(call string) (work, slots float64, ok bool) {
-	t := w.clients.findRequest(call)
+func (e *Environment) Work(call string) (work, slots float64, ok bool) {
+	t := e.clients.findRequest(call)
 	if t == nil {
 		return 0, 0, false
 	}
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -27,73 +27,73 @@
 	hung  bool // since its start
 }
 
-func (m *nodeModel) saw(x *trace.Event) {
-	m.checkRun(x)
-	m.check(m.stops == "" || x.Kind == trace.AttemptDied && x.RequestID == m.stops && x.Text == "cancelled", x, "run of what is cancelled")
-	m.last, m.stops = "", ""
-	at := slices.Index(m.in, x.RequestID)
+func (n *nodeModel) saw(x *trace.Event) {
+	n.checkRun(x)
+	n.check(n.stops == "" || x.Kind == trace.AttemptDied && x.RequestID == n.stops && x.Text == "cancelled", x, "run of what is cancelled")
+	n.last, n.stops = "", ""
+	at := slices.Index(n.in, x.RequestID)
 	switch x.Kind {
 	case trace.AttemptCancelled:
-		if m.kind.CancellationStops && at >= 0 {
-			m.stops = x.RequestID
+		if n.kind.CancellationStops && at >= 0 {
+			n.stops = x.RequestID
 		}
 	case trace.AttemptReceived:
 		if at >= 0 {
-			m.again = x.RequestID
+			n.again = x.RequestID
 			return
 		}
-		m.in = append(m.in, x.RequestID)
+		n.in = append(n.in, x.RequestID)
 	case trace.AttemptStarted:
-		m.check(at >= 0 && !m.begun[x.RequestID], x, "second run")
-		m.begun[x.RequestID], m.last = true, x.RequestID
-		m.used += m.slots[x.RequestID]
+		n.check(at >= 0 && !n.begun[x.RequestID], x, "second run")
+		n.begun[x.RequestID], n.last = true, x.RequestID
+		n.used += n.slots[x.RequestID]
 	case trace.AttemptRejected, trace.AttemptReturned, trace.AttemptDied, trace.AttemptFinished:
-		if m.again == x.RequestID {
-			m.check(x.Kind == trace.AttemptRejected && x.Status == 503, x, "second attempt taken")
-			m.again = ""
+		if n.again == x.RequestID {
+			n.check(x.Kind == trace.AttemptRejected && x.Status == 503, x, "second attempt taken")
+			n.again = ""
 			return
 		}
-		m.ended(x, at)
+		n.ended(x, at)
 	case trace.WorkerHung, trace.WorkerStarted:
-		m.hung = x.Kind == trace.WorkerHung
+		n.hung = x.Kind == trace.WorkerHung
 	}
-	m.checkRoom(x)
+	n.checkRoom(x)
 }
 
-func (m *nodeModel) check(ok bool, x *trace.Event, what string) {
-	m.s.Check(ok, "%v: %s of %q", x.At, what, x.RequestID)
+func (n *nodeModel) check(ok bool, x *trace.Event, what string) {
+	n.s.Check(ok, "%v: %s of %q", x.At, what, x.RequestID)
 }
 
 // checkRun checks that what began just now has a slot, and its turn.
-func (m *nodeModel) checkRun(x *trace.Event) {
+func (n *nodeModel) checkRun(x *trace.Event) {
 	// An error at the door takes no slot: there it has ended by now.
-	if atDoor := x.Kind == trace.AttemptFinished && x.RequestID == m.last; m.last == "" || atDoor {
+	if atDoor := x.Kind == trace.AttemptFinished && x.RequestID == n.last; n.last == "" || atDoor {
 		return
 	}
-	m.check(m.used <= float64(m.kind.Slots), x, "run in a slot that there is not, by "+m.last)
-	for i := 0; m.kind.QueueOrder == "fifo" && m.in[i] != m.last; i++ {
-		m.check(m.begun[m.in[i]], x, "run out of turn, by "+m.last)
+	n.check(n.used <= float64(n.kind.Slots), x, "run in a slot that there is not, by "+n.last)
+	for i := 0; n.kind.QueueOrder == "fifo" && n.in[i] != n.last; i++ {
+		n.check(n.begun[n.in[i]], x, "run out of turn, by "+n.last)
 	}
 }
 
 // ended takes the end of an attempt, the at-th of those that have none.
-func (m *nodeModel) ended(x *trace.Event, at int) {
-	m.check(at >= 0 && (x.Text != "cancelled" || m.kind.CancellationStops), x, "second end, or one by a cancel that stops nothing")
-	m.check(x.Kind == trace.AttemptDied || m.begun[x.RequestID] == (x.Kind == trace.AttemptFinished), x, "wrong end")
-	if m.begun[x.RequestID] {
-		m.used -= m.slots[x.RequestID]
-	}
-	m.in = slices.Delete(m.in, at, at+1)
-	delete(m.begun, x.RequestID)
+func (n *nodeModel) ended(x *trace.Event, at int) {
+	n.check(at >= 0 && (x.Text != "cancelled" || n.kind.CancellationStops), x, "second end, or one by a cancel that stops nothing")
+	n.check(x.Kind == trace.AttemptDied || n.begun[x.RequestID] == (x.Kind == trace.AttemptFinished), x, "wrong end")
+	if n.begun[x.RequestID] {
+		n.used -= n.slots[x.RequestID]
+	}
+	n.in = slices.Delete(n.in, at, at+1)
+	delete(n.begun, x.RequestID)
 }
 
 // checkRoom checks that no more wait than there is room for.
-func (m *nodeModel) checkRoom(x *trace.Event) {
-	space := m.kind.Queue + 1 // that one is on its way from reached to its fate
-	if m.hung {
-		space += m.kind.Slots
+func (n *nodeModel) checkRoom(x *trace.Event) {
+	space := n.kind.Queue + 1 // that one is on its way from reached to its fate
+	if n.hung {
+		space += n.kind.Slots
 	}
-	m.check(len(m.in)-len(m.begun) <= space, x, "room that there is not")
+	n.check(len(n.in)-len(n.begun) <= space, x, "room that there is not")
 }
 
 // FuzzNode puts a worker and the model through random requests and faults.
@@ -137,72 +137,72 @@
 }
 
 // step draws what happens next.
-func (m *nodeSteps) step(i int) {
-	s := m.s
-	pick, c, call := s.Pick(32), m.conns[s.Pick(len(m.conns))], m.calls[s.Pick(len(m.calls))]
-	s.Record(fmt.Sprintf("%v:%d", m.w.now, pick))
+func (n *nodeSteps) step(i int) {
+	s := n.s
+	pick, c, call := s.Pick(32), n.conns[s.Pick(len(n.conns))], n.calls[s.Pick(len(n.calls))]
+	s.Record(fmt.Sprintf("%v:%d", n.w.now, pick))
 	switch {
 	case pick < 3:
-		m.conns = append(m.conns, m.dial(0, 0))
+		n.conns = append(n.conns, n.dial(0, 0))
 	case pick < 15:
 		call = fmt.Sprint("call-", i)
-		m.slots[call] = float64(int(1) << s.Pick(3))
-		m.addRequest(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
-		m.calls = append(m.calls, call)
-		m.writeAttempt(c, call)
+		n.slots[call] = float64(int(1) << s.Pick(3))
+		n.addRequest(call, unsafeClass, float64(1+s.Pick(100))/1000, n.slots[call])
+		n.calls = append(n.calls, call)
+		n.writeAttempt(c, call)
 	case pick < 19:
-		m.useConn(pick, c, call)
+		n.useConn(pick, c, call)
 	case pick < 25:
-		m.disturb(pick)
+		n.disturb(pick)
 	default:
-		m.pass(time.Duration(s.Pick(40)) * ms)
+		n.pass(time.Duration(s.Pick(40)) * ms)
 	}
 }
 
 // useConn has a scheduler do something over a connection.
-func (m *nodeSteps) useConn(pick int, c simapi.Conn, call string) {
+func (n *nodeSteps) useConn(pick int, c simapi.Conn, call string) {
 	switch pick {
 	case 15:
-		m.writeAttempt(c, call)
+		n.writeAttempt(c, call)
 	case 16:
-		m.closeConn(c)
+		n.closeConn(c)
 	case 17:
-		m.writeCancellation(c, call)
+		n.writeCancellation(c, call)
 	case 18:
-		m.writeHealthCheck(c)
+		n.writeHealthCheck(c)
 	}
 }
 
 // disturb begins or ends a fault of the worker.
-func (m *nodeSteps) disturb(pick int) {
-	n, s := m.worker, m.s
+func (n *nodeSteps) disturb(pick int) {
+	worker, s := n.worker, n.s
 	switch pick {
 	case 19:
-		n.setHang(s.Pick(2) == 0)
+		worker.setHang(s.Pick(2) == 0)
 	case 20:
-		n.pause(time.Duration(s.Pick(50)) * ms)
+		worker.pause(time.Duration(s.Pick(50)) * ms)
 	case 21:
-		n.setSlowFactor(float64(1 + s.Pick(3)))
+		worker.setSlowFactor(float64(1 + s.Pick(3)))
 	case 22:
-		ends := []func(time.Duration){n.crash, n.vanish, n.restart, n.replace, n.dieAtAccept}
+		ends := []func(time.Duration){worker.crash, worker.vanish, worker.restart, worker.replace, worker.dieAtAccept}
 		ends[s.Pick(len(ends))](time.Duration(1+s.Pick(50)) * ms)
 	case 23:
-		[]func(){n.drain, n.returnQueued}[s.Pick(2)]()
+		[]func(){worker.drain, worker.returnQueued}[s.Pick(2)]()
 	case 24:
-		[]func(bool){n.setFull, n.setMute, n.setSlowRead}[s.Pick(3)](s.Pick(2) == 0)
+		[]func(bool){worker.setFull, worker.setMute, worker.setSlowRead}[s.Pick(3)](s.Pick(2) == 0)
 	}
 }
 
 // checkEnd plays until all that was taken has ended: nothing is left over.
-func (m *nodeSteps) checkEnd() {
-	n, s := m.worker, m.s
-	n.setHang(false)
-	m.pass(5 * time.Minute)
-	s.Check(len(m.in) == 0 && m.used == 0, "%v has no end, %v slots are in use", m.in, m.used)
-	s.Check(len(n.attempts)+len(n.attemptsByRequest)+len(n.queue)+len(n.running)+n.callbacks.outstanding+len(n.callbacks.callbacks) == 0 && n.usedSlots == 0,
-		"left over: %+v", n)
-	t := m.w.WorkerState(0)
-	s.Check(n.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
+func (n *nodeSteps) checkEnd() {
+	worker, s := n.worker, n.s
+	worker.setHang(false)
+	n.pass(5 * time.Minute)
+	s.Check(len(n.in) == 0 && n.used == 0, "%v has no end, %v slots are in use", n.in, n.used)
+	s.Check(len(worker.attempts)+len(worker.attemptsByRequest)+len(worker.queue)+len(worker.running)+worker.callbacks.outstanding+len(worker.callbacks.callbacks) == 0 && worker.usedSlots == 0,
+		"left over: %+v", worker)
+	t := n.w.WorkerState(0)
+	s.Check(worker.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
 }
 
 func TestCoresAreShared(t *testing.T) {
@@ -591,25 +591,25 @@
 }
 
 // load sends so many requests to random workers, and has some of these crash.
-func (r *workerHarness) load(requests int, each, crashes time.Duration) {
-	rng, conns := r.w.rng("load", 0), make([]simapi.Conn, len(r.w.workers))
+func (w *workerHarness) load(requests int, each, crashes time.Duration) {
+	rng, conns := w.w.rng("load", 0), make([]simapi.Conn, len(w.w.workers))
 	calls := make([]string, 1<<16)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", i)
-		r.addRequest(calls[i], i%4, 0.1*rng.ExpFloat64(), float64(1+i%2))
+		w.addRequest(calls[i], i%4, 0.1*rng.ExpFloat64(), float64(1+i%2))
 	}
 	down := crashes
 	for i := range requests {
 		n := rng.IntN(len(conns))
-		if r.w.conns[conns[n]] == nil {
-			conns[n] = r.dial(n%len(r.w.schedulers), n)
+		if w.w.conns[conns[n]] == nil {
+			conns[n] = w.dial(n%len(w.w.schedulers), n)
 		}
-		if r.pass(each); crashes > 0 && r.w.now > down {
-			r.w.workers[n].crash(time.Second)
+		if w.pass(each); crashes > 0 && w.w.now > down {
+			w.w.workers[n].crash(time.Second)
 			down += crashes
 		}
-		if r.writeAttempt(conns[n], calls[i%len(calls)]); len(r.inputs) > 1<<16 {
-			r.inputs = r.inputs[:0]
+		if w.writeAttempt(conns[n], calls[i%len(calls)]); len(w.inputs) > 1<<16 {
+			w.inputs = w.inputs[:0]
 		}
 	}
 }
