--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -3,7 +3,7 @@
 //
 // A Dispatcher holds the queue, the state of workers and attempts, and estimates of run times and speeds. It does no I/O,
 // reads no clock, starts no goroutine and has no globals: the caller passes events to Dispatcher.Step and carries out the
-// returned actions in order. All instants and spans are time.Duration; instants count from an origin of the caller's choice.
+// returned actions in order. All points in time and durations are time.Duration; points in time count from an origin of the caller's choice.
 // A Dispatcher is for one goroutine. All its randomness comes from one seed: the same events give the same actions.
 //
 // Contradictory input is tolerated. An event about a job, attempt or worker that is unknown or finished is ignored, and so
@@ -22,8 +22,21 @@
 //   - retry.go and hedging.go decide when it is sent again. admission.go gives the final answer.
 //   - maintenance.go updates estimates at a fixed interval. subscription.go requests the list of workers.
 //
-// These files decide, and so do the files on leases named below. All others hold the interface, state, indexes and
-// estimates, and decide nothing. events.go, actions.go and settings.go are the interface; dispatcher.go is where to begin.
+// These files decide, and so do the files on leases named below; results.go, overdue.go and machine.go are parts of the above.
+// events.go, actions.go and settings.go are the interface; dispatcher.go is where to begin.
+//
+// # State and estimates
+//
+// These files hold state and decide nothing:
+//
+//   - state.go is the Dispatcher; dispatcher.go makes it and has Step. replicas.go counts the dispatchers.
+//   - jobs.go, attemptinfo.go and workerinfo.go have one job, attempt and worker. jobqueue.go has the queued jobs, fleet.go all
+//     workers, workers.go their changes by a list, index.go those that may have capacity.
+//   - ejection.go has the reasons of an ejection, which outlier.go decides on; stall.go detects stalls of this process.
+//   - starttracker.go has the attempts that have not started, which startmonitor.go watches.
+//   - workload.go and arrivals.go have estimates of jobs, machine.go of kinds of machines, loadreport.go what workers report.
+//     model.go passes estimates to other dispatchers. resume.go takes over jobs and attempts of others.
+//   - timers.go, heap.go, tokenbucket.go, hash.go and numbers.go are tools. codec.go and snapshot*.go write and read the state.
 //
 // # Leases
 //
@@ -38,7 +51,7 @@
 //   - peerDirectory says which dispatcher coordinates which shard (leasedirectory.go).
 //
 // leaseExchange joins them and routes their messages, and leaseAdapter is the only place where they use the queue, the rules
-// and the fleet of the Dispatcher. They are no package of their own, as they share three things with the Dispatcher in both
-// directions: jobs, attempts and timers refer to leases and leases to them; messages carry a Result; and all are written by
-// the one codec of snapshots, in which each refers to the others.
+// and the fleet of the Dispatcher. Leases are no package of their own, as each side would need the other: jobs, attempts and timers refer to
+// leases, and leases to them. Messages carry a Result. One codec writes all of them to snapshots, in which each refers to the
+// others.
 package dispatch
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -142,7 +142,7 @@
 	}
 )
 
-// PastAttempt is an earlier attempt of a resumed job. A worker that is in no list matches no cell and no zone.
+// PastAttempt is an earlier attempt of a resumed job. An unlisted worker belongs to no cell and no zone.
 type PastAttempt struct {
 	Worker     uint64
 	SentAgo    time.Duration
--- a/dispatch/leasemessages.go
+++ b/dispatch/leasemessages.go
@@ -27,9 +27,9 @@
 		Demand     float64 `json:"demand"` // slots
 		Work       float64 `json:"work"`   // seconds on a standard core, times slots
 		LongChance float64 `json:"score"`  // the job's score, from 0 to 1
-		// Demoted: the job can't earn in full any more. It is granted after those that can.
+		// Demoted: the job's answer can no longer have its full utility. It is granted after those that can.
 		Demoted bool `json:"demoted"`
-		// PromoteIn is the time until the job has been queued for longer than tau; negative if it has been.
+		// PromoteIn is the time until the job has been queued for longer than tau, the promotion threshold; negative if it has been.
 		PromoteIn time.Duration `json:"promote_ns"`
 		Excluded  []uint64      `json:"excluded,omitempty"` // workers not to be granted, MaxExcluded at most
 	}
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -37,7 +37,7 @@
 	// has its full utility.
 	LatencyObjective time.Duration
 	ObjectiveStretch float64
-	// ClientTimeout is the client's whole wait, over all its tries.
+	// ClientTimeout is how long a client waits in total, over all its retries.
 	ClientTimeout time.Duration
 	Idempotency   Idempotency
 	// DeduplicationScope and DeduplicationWindow: where, and for how long, a repeat with the same key is dropped.
@@ -62,7 +62,7 @@
 	Zone         int
 	// ZoneCount is how many zones workers may be in; 0: unknown.
 	ZoneCount int
-	// PeerMessages allows SendPeerMessage. PeerCost is the share of the result that is lost by 256 bytes of messages for each job, and
+	// PeerMessages allows SendPeerMessage. PeerCost is the fraction of the total utility that is lost by 256 bytes of messages for each job, and
 	// PeerBudget the share that messages may cost; 0: the default.
 	PeerMessages bool
 	PeerCost     float64
@@ -86,12 +86,12 @@
 	MaxRetryAfter time.Duration
 	// ReportFields are the meanings of the figures of a load report, in its order.
 	ReportFields []ReportField
-	// The costs are the shares of the result that are lost by one health check for each job, when each job crosses
+	// The costs are the fractions of the total utility that are lost by one health check for each job, when each job crosses
 	// zones once, and when each opens a connection.
 	HealthCheckCost float64
 	CrossZoneCost   float64
 	HandshakeCost   float64
-	// TailShare is the share of the result that counts in full only while the share of misses is up to MissBudget.
+	// TailShare is the fraction of the total utility that counts in full only while the share of misses is up to MissBudget.
 	TailShare  float64
 	MissBudget float64
 	// ConnectTimeout bounds the time that a connection takes to open.
@@ -103,8 +103,8 @@
 	// WarmUp is how long a worker warms up from its start, from WarmUpCapacity, a share of its capacity, to all of it.
 	WarmUp         time.Duration
 	WarmUpCapacity float64
-	// OverloadFactor is the multiple of its present capacity that pushes a warming worker over when it is sustained
-	// for OverloadWindow.
+	// OverloadFactor is the multiple of its present capacity that overloads a warming worker if it lasts for
+	// OverloadWindow.
 	OverloadFactor float64
 	OverloadWindow time.Duration
 }
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Dispatcher decides for one instance; see Step. It is for one goroutine.
+// Dispatcher is one dispatcher; see Step. It is used on one goroutine.
 type Dispatcher struct {
 	settings Settings
 	sharing  ReplicasChanged // in place of the settings' figures; Replicas 0: not notified
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -141,7 +141,7 @@
 	return avoided
 }
 
-// AvailableSlots returns how many slots of this dispatcher the workers could start now, as far as is known.
+// AvailableSlots returns how many slots the workers have free for jobs of this dispatcher, as far as is known.
 func (d *Dispatcher) AvailableSlots() float64 {
 	slots := 0.0
 	for _, w := range d.fleet.workers {
--- a/internal/client/config.go
+++ b/internal/client/config.go
@@ -20,7 +20,7 @@
 	ClientDisconnected(request *requests.Request)
 }
 
-// Admitter admits requests, and is notified of those that are rejected before that.
+// Admitter admits requests, and is notified of those that are rejected without being admitted.
 type Admitter interface {
 	Admit(now time.Duration, arrival requests.Arrival) (*requests.Request, error)
 	// ReportRejection does not retain the arrival, which is nil if the request could not be parsed.
--- a/internal/client/listener.go
+++ b/internal/client/listener.go
@@ -4,6 +4,20 @@
 //
 // It never decides which worker a request is sent to or whether it is retried: the request table and its policy do. All of it
 // runs on the goroutine of its event loop.
+//
+// # Files
+//
+//   - listener.go, config.go: the Listener with its limits, and the interfaces of what it needs
+//   - connection.go: a connection: its phases, its events, and its end
+//   - input.go: splits what was read into requests, and bounds what is read ahead
+//   - request.go, parse.go: handles one request; parses the fields of a job and rejects invalid ones
+//   - response.go: response slots, and responses in their order
+//   - presence.go: detects clients that have closed their connection, and delays attempts until that is known
+//   - arrivaltime.go: when the bytes of a request arrived
+//   - expiry.go, eviction.go: time limits of connections; evictions that make room, and the close of all connections
+//   - proxy.go: the PROXY header of a connection
+//   - transfer.go: snapshot and restoration of connections in a hot restart
+//   - log.go: log lines about connections
 package client
 
 import (
--- a/internal/discovery/watch/connection.go
+++ b/internal/discovery/watch/connection.go
@@ -3,6 +3,11 @@
 // It executes the actions of the state machine of package discovery (when to connect, when to abort a connection), parses
 // the response and passes each watch event to the request table. It keeps no endpoint list itself. A Connection is used on the
 // goroutine of its event loop only.
+//
+// # Files
+//
+//   - connection.go: the Connection: when it connects, its events, and its end
+//   - exchange.go: its request, and the parsing of the response into watch events
 package watch
 
 import (
--- a/internal/hotrestart/transport/roles.go
+++ b/internal/hotrestart/transport/roles.go
@@ -99,11 +99,17 @@
 
 // CordonFile is the file of cordoned workers, which one process at a time writes.
 type CordonFile interface {
+	// OwnFile makes this process the one that writes the file.
 	OwnFile()
+	// Store writes the cordoned workers of the request table to the file, in the background.
 	Store()
+	// Reload cordons the workers that the file has.
 	Reload()
+	// Fence stops writing, so that the other process can. It reports false while a write is in progress: call it again later.
 	Fence() bool
+	// Unfence resumes writing after a successor has failed to take over.
 	Unfence()
+	// UnstoredCount returns 1 if the last change is in memory only, else 0.
 	UnstoredCount() int
 }
 
@@ -122,7 +128,7 @@
 	Cordoned  CordonTable
 	Log       *slog.Logger
 	Monotonic func() time.Duration          // the clock that all processes of the machine share
-	Retry     func(open func() error) error // calls open until it succeeds or the time of a start is over
+	Retry     func(open func() error) error // calls open until it succeeds or the start-up timeout has passed
 	SetHalved func(halved bool)             // has this process use half of its limits, or all of them
 	OnStandby func()                        // called when a successor has entered standby
 	OnFail    func(err error)               // called when this process can't continue
@@ -188,7 +194,8 @@
 	r.predecessor.connection.forwardCordon(workerID, cordoned, respond)
 }
 
-// CordonsChanged notifies a successor in standby of the cordoned workers, so that its metrics are right.
+// CordonsChanged notifies a successor in standby of the cordoned workers. It shows them in its metrics, and goes on with them if
+// this process dies.
 func (r *Roles) CordonsChanged() {
 	if r.predecessor != nil && r.predecessor.protocol.State() == hotrestart.PredecessorPaired {
 		_ = r.predecessor.connection.sendMessage(hotrestart.CordonedWorkers{WorkerIDs: r.config.Cordoned.Cordoned()})
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -80,7 +80,7 @@
 	onChange           func(shares Shares)
 }
 
-// NewBudget returns a budget of whole limits, of which features use some descriptors.
+// NewBudget returns a budget with the full limits. featureDescriptors are reserved for features.
 func NewBudget(limits config.Limits, featureDescriptors int) *Budget {
 	return &Budget{limits: limits, featureDescriptors: featureDescriptors, onChange: func(Shares) {}}
 }
--- a/internal/management/cordons.go
+++ b/internal/management/cordons.go
@@ -56,7 +56,7 @@
 	config CordonsConfig
 }
 
-// NewCordons returns cordons without any that an earlier process has stored.
+// NewCordons returns Cordons that has none. Restore loads those that an earlier process has stored.
 func NewCordons(loop *eventloop.Loop, config CordonsConfig) *Cordons {
 	return &Cordons{loop: loop, config: config}
 }
--- a/internal/requests/attempterror.go
+++ b/internal/requests/attempterror.go
@@ -91,7 +91,7 @@
 	return a.Reason == ReasonConnectionLost && a.Stage < StageWritten
 }
 
-// Outcome returns the outcome of an attempt that ended with the error, or OutcomeServed if e is nil.
+// Outcome returns the outcome of an attempt that ended with the error, or OutcomeServed if a is nil.
 func (a *AttemptError) Outcome() Outcome {
 	switch {
 	case a == nil:
@@ -108,7 +108,7 @@
 	return OutcomeTimedOut
 }
 
-// result returns the policy's result of an attempt that ended with the error, or dispatch.OK if e is nil.
+// result returns the policy's result of an attempt that ended with the error, or dispatch.OK if a is nil.
 func (a *AttemptError) result() dispatch.Result {
 	switch {
 	case a == nil:
--- a/internal/requests/doc.go
+++ b/internal/requests/doc.go
@@ -16,4 +16,23 @@
 // Responder. The connections to workers implement Transport. The policy decides where and when a request is sent.
 //
 // A Table, its requests and their attempts are used on one goroutine. Instants are durations since the Unix epoch.
+//
+// # Files
+//
+//   - table.go, step.go: the Table, and its step: events to the policy, actions of the policy
+//   - request.go, requestindex.go: a request, and all of them
+//   - admission.go: admits requests
+//   - attempt.go, attemptindex.go: an attempt, and all that are in flight
+//   - lifecycle.go: starts, ends and cancels attempts
+//   - attempterror.go, outcome.go: why an attempt ended without a result, and what that means for client and policy
+//   - callback.go: callbacks of workers
+//   - completion.go: responds to requests, and closes them
+//   - endpoint.go: an endpoint of the list
+//   - endpointlist.go: lists and failures from discovery
+//   - endpointset.go, endpointtable.go, endpointlog.go: the endpoints as last listed; their numbers; log lines about changes
+//   - starttime.go: start times of workers, on this machine's clock
+//   - cordon.go: cordoned endpoints
+//   - policy.go, policylog.go: runs the policy; logs its messages
+//   - transport.go, observer.go: the interfaces to connections and to observers
+//   - snapshot.go, takeover.go, clockdifference.go: the state in a hot restart: its form, its restoration, and its instants on another clock
 package requests
--- a/internal/requests/observer.go
+++ b/internal/requests/observer.go
@@ -17,7 +17,7 @@
 	ResponseReceived                         // the worker has responded to the attempt, with Status
 	CallbackReceived                         // a callback was received; Attempt is nil if it is about none in flight
 	AttemptEnded                             // an attempt that was started has ended; Err is nil if it was served
-	RequestEnded                             // a request was responded to, or has neither a client nor an attempt in flight
+	RequestEnded                             // a request was responded to, or its client has disconnected and its last attempt has ended
 	AttemptWritten                           // the last byte of an attempt was written
 	RequestForgotten                         // a request was removed from the table: its ID is not used again
 )
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -2,9 +2,20 @@
 // clients and to workers, the watch on the endpoint list, the socket to other schedulers, the operators' calls, metrics and hot
 // restarts.
 //
-// It makes the parts (open.go), and hands to each what it needs of the others. It decides nothing itself, and serves no connection.
+// It makes the parts, and passes to each what it needs of the others. It decides nothing itself, and handles no connection's bytes.
 // What is received is passed to the request table, which steps at the end of an iteration of the loop; the actions of that step are
 // carried out on the connections.
+//
+// # Files
+//
+//   - scheduler.go: the Scheduler, and the step of each iteration
+//   - open.go: Open: makes all parts, in the order in which they need each other
+//   - connections.go: makes the budget of descriptors, the client listener, the worker pool, the watch and the peer socket
+//   - policy.go: makes the request table with its dispatch policy, anew after the policy has failed
+//   - features.go: makes cordons, the operators' calls and the status call, and metrics; says why the scheduler is not ready
+//   - hotrestart.go: what a hot restart transfers
+//   - startup.go: retries what fails momentarily at the start
+//   - lifecycle.go: reload, drain, and the end
 package scheduler
 
 import (
--- a/internal/worker/doc.go
+++ b/internal/worker/doc.go
@@ -9,4 +9,13 @@
 // successor's pool is given it by Restore, and Relinquish then closes the predecessor's descriptors.
 //
 // Everything runs on the goroutine of the event loop. Instants are those of the loop's clock.
+//
+// # Files
+//
+//   - pool.go, table.go: the Pool, and the interfaces of what it needs of the request table
+//   - idle.go: idle connections by endpoint: which may be reused, and which are closed
+//   - connection.go: a connection: dialing, its states, its events, and its end
+//   - exchange.go, request.go, response.go: one exchange; the bytes of its request; the reading of its response
+//   - cancel.go: cancellation of accepted attempts
+//   - transfer.go: snapshot and restoration of connections in a hot restart
 package worker
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -91,8 +91,8 @@
 	p.startExchange(attempt.Worker, exchange{kind: exchangeAttempt, attempt: attempt})
 }
 
-// Abandon notifies the worker that an attempt has ended here: until the worker has accepted it by closing the connection, after
-// that by a DELETE.
+// Abandon notifies the worker that an attempt has ended here. Before the worker has accepted it, the connection is closed; after
+// that a DELETE is sent.
 func (p *Pool) Abandon(attempt *requests.Attempt) {
 	if conn := p.byAttempt[attempt]; conn != nil {
 		conn.terminate(nil)
--- a/internal/worker/table.go
+++ b/internal/worker/table.go
@@ -12,16 +12,23 @@
 
 // EndpointLookup returns what discovery has listed about workers.
 type EndpointLookup interface {
+	// Endpoint returns the endpoint of a worker as last listed; its zero value if the worker is unknown.
 	Endpoint(worker uint64) requests.Endpoint
+	// WorkerNumber returns the number of a worker by the ID of its endpoint.
 	WorkerNumber(endpointID string) (worker uint64, known bool)
+	// MayReceive reports whether an attempt may still be written to a worker: it is listed, and does not drain.
 	MayReceive(worker uint64) bool
 }
 
 // AttemptReporter finds attempts in flight and is notified of their progress and end.
 type AttemptReporter interface {
+	// InFlightAttempt returns an attempt in flight, nil if there is none.
 	InFlightAttempt(requestID uint64, number int) *requests.Attempt
+	// ReportWritten notes that the last byte of an attempt is written: it is possibly executed from now on.
 	ReportWritten(attempt *requests.Attempt)
+	// ReportResponse notes the status of the response to an attempt.
 	ReportResponse(attempt *requests.Attempt, statusCode int)
+	// EndAttempt ends an attempt, with its result or with the failure.
 	EndAttempt(attempt *requests.Attempt, result []byte, failure *requests.AttemptError)
 }
 
@@ -32,6 +39,8 @@
 
 // CancelReporter is notified of the results of cancellations.
 type CancelReporter interface {
+	// CancelUnaccepted ends an attempt whose cancellation was not sent, as the worker has not accepted the attempt in time.
 	CancelUnaccepted(attempt *requests.Attempt)
+	// CancelCompleted ends the cancellation of an attempt; confirmed reports whether the worker has confirmed it.
 	CancelCompleted(attempt *requests.Attempt, confirmed bool)
 }
