--- a/internal/testbed/environment/discovery.go
+++ b/internal/testbed/environment/discovery.go
@@ -115,7 +115,7 @@
 	rng := d.env.rng("newcomers", 0)
 	for i, n := range d.env.workers {
 		e := d.add(n)
-		e.revision, e.known = firstRevision, version{endpointUp, n.incarnation, n.startedMs()}
+		e.revision, e.known = firstRevision, version{endpointUp, n.process.incarnation, n.startedMs()}
 		if e.listed = e.known; i > 0 && rng.Float64() < newcomerShare {
 			e.revision = firstRevision + 1
 			d.revision = firstRevision + 1
@@ -177,7 +177,7 @@
 	if what == lifeStarted {
 		d.env.faults.workerStarted(n.number)
 	}
-	x := lifeEventNotice{d.entryOf[n.number], what, n.incarnation, n.startedMs()}
+	x := lifeEventNotice{d.entryOf[n.number], what, n.process.incarnation, n.startedMs()}
 	d.env.after(d.drawNoticeDelay(n.number, what), func() { d.applyNotice(x) })
 }
 
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -150,13 +150,13 @@
 func (d *discoveryModel) endpoints() map[string]requests.Endpoint {
 	list := map[string]requests.Endpoint{}
 	for _, n := range d.w.workers {
-		if n.state != workerUp || n.removed {
+		if n.process.state != workerUp || n.removed {
 			continue
 		}
 		entry := &d.w.discovery.entries[d.w.discovery.entryOf[n.number]]
 		list[n.id] = requests.Endpoint{
 			ID: n.id, Addr: d.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
-			Lifecycle: map[bool]string{false: "up", true: "draining"}[n.draining], Weight: entry.endpoint.Weight, StartedAtMs: n.startedMs(),
+			Lifecycle: map[bool]string{false: "up", true: "draining"}[n.process.draining], Weight: entry.endpoint.Weight, StartedAtMs: n.startedMs(),
 		}
 	}
 	return list
@@ -174,7 +174,7 @@
 			notified = map[int]trace.Kind{}
 			continue
 		}
-		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || d.w.workers[e.Worker].incarnation > 1,
+		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || d.w.workers[e.Worker].process.incarnation > 1,
 			"told twice of the drain of a worker that never started again")
 		notified[e.Worker] = e.Kind
 	}
--- a/internal/testbed/environment/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -106,8 +106,8 @@
 func (f *faultHarness) state() (all []any) {
 	for i, n := range f.w.workers {
 		t := f.w.WorkerState(i)
-		t.Speed = math.Round(1000 * t.Speed / n.coreSpeed)
-		all = append(all, t, n.slowFactor, n.errorRate, n.refusing, n.acceptsSilently, n.slowReads, n.resetBytes, n.hanging, n.rejectsAll, n.silencesCallbacks, n.state)
+		t.Speed = math.Round(1000 * t.Speed / n.machine.coreSpeed)
+		all = append(all, t, n.machine.slowFactor, n.machine.errorRate, n.machine.refusesConns, n.machine.acceptsSilently, n.machine.slowReads, n.machine.resetBytes, n.process.hanging, n.process.rejectsAll, n.process.silencesCallbacks, n.process.state)
 	}
 	for _, s := range f.w.schedulers {
 		all = append(all, s.alive, s.ready, s.frozen, s.terminated, f.w.balancer.admitted[s.number])
@@ -185,7 +185,7 @@
 		{1.0, -1.0, 0, false},
 	} {
 		f.run(time.Second)
-		if got := []any{n.slowFactor, n.errorRate, n.resetBytes, n.refusing}; !slices.Equal(got, want) {
+		if got := []any{n.machine.slowFactor, n.machine.errorRate, n.machine.resetBytes, n.machine.refusesConns}; !slices.Equal(got, want) {
 			t.Errorf("at %v it is %v, and should be %v", f.w.now, got, want)
 		}
 		f.run(time.Second)
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -142,8 +142,8 @@
 	last[simapi.ResponseReceived](r, a)
 	r.writeAttempt(b, "a")
 	r.pass(ms)
-	if in := last[simapi.WorkerDisconnected](r, b); !in.Reset || n.attemptCount != 2 || len(n.conns) != 2 {
-		t.Fatalf("too late it was answered by %+v, and %d came", in, n.attemptCount)
+	if in := last[simapi.WorkerDisconnected](r, b); !in.Reset || n.jobs.admittedCount != 2 || len(n.conns.open) != 2 {
+		t.Fatalf("too late it was answered by %+v, and %d came", in, n.jobs.admittedCount)
 	}
 	// The worker still has it; what it says there finds nobody.
 	n.closeConn(r.w.conns[b].state.(*workerConn))
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -47,7 +47,7 @@
 func newSchedulerView(d *discovery, sched int) *schedulerView {
 	v := &schedulerView{discovery: d, scheduler: sched, knownStarts: make([]int, len(d.env.workers)), drainedStarts: make([]int, len(d.env.workers))}
 	for i, n := range d.env.workers {
-		v.knownStarts[i] = n.incarnation // long ago
+		v.knownStarts[i] = n.process.incarnation // long ago
 	}
 	return v
 }
@@ -259,5 +259,5 @@
 
 // knowsStart tells whether a scheduler was told of a worker's last start.
 func (d *discovery) knowsStart(sched int, n *worker) bool {
-	return d.views[sched].knownStarts[n.number] >= n.incarnation
+	return d.views[sched].knownStarts[n.number] >= n.process.incarnation
 }
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -73,7 +72,7 @@
 		conn.unreadAttempt = nil
 	}
 	w.env.record(trace.Event{
-		Kind: trace.AttemptReceived, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.incarnation,
+		Kind: trace.AttemptReceived, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.process.incarnation,
 		Scheduler: attempt.scheduler, Conn: uint64(conn.conn.id), IdempotencyKey: attempt.key, Budget: attempt.budget,
 		FirstByteAt: attempt.firstByteAt,
 	})
@@ -82,7 +81,7 @@
 		w.reject(conn, attempt, status)
 		return
 	}
-	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, w.incarnation
+	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, w.process.incarnation
 	if w.coldWorkReceived(attempt, request.work*request.slots) {
 		return
 	}
@@ -116,9 +115,9 @@
 func (w *worker) canTake(attempt *attempt, keyRecord *keyRecord) bool {
 	class := &w.shared.classes[attempt.class]
 	switch {
-	case w.draining || w.rejectsAll:
+	case w.process.draining || w.process.rejectsAll:
 		return false
-	case w.attemptsByRequest[attempt.requestID] != nil:
+	case w.jobs.byRequest[attempt.requestID] != nil:
 		return false
 	case attempt.slots > float64(w.kind.Slots):
 		return false
@@ -130,7 +129,7 @@
 
 // failBeforeAccept ends an attempt with an error in place of its 202.
 func (w *worker) failBeforeAccept(conn *workerConn, attempt *attempt) {
-	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.incarnation})
+	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.process.incarnation})
 	w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: w.number, Status: 500})
 	w.respond(conn, 500, false)
 }
@@ -138,14 +137,12 @@
 // takeAttempt enters an attempt in the worker's tables, and has it run, wait for a slot, or wait for the run of another
 // with its key.
 func (w *worker) takeAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
-	w.attemptCount++
-	attempt.number, attempt.conn, conn.awaitingAnswer = w.attemptCount, conn, attempt
+	attempt.conn = conn
+	conn.awaitingAnswer = attempt
 	if attempt.budget > 0 {
 		attempt.expiresAt = w.env.now + attempt.budget
 	}
-	attempt.allIndex = len(w.attempts)
-	w.attempts = append(w.attempts, attempt)
-	w.attemptsByRequest[attempt.requestID] = attempt
+	w.jobs.admit(attempt)
 	if keyRecord != nil {
 		keyRecord.addWaiter(attempt)
 		return
@@ -163,9 +160,9 @@
 	}
 	w.env.after(delay, func() {
 		switch {
-		case w.incarnation != attempt.incarnation || w.state != workerUp:
+		case w.process.incarnation != attempt.incarnation || w.process.state != workerUp:
 		case w.isPaused():
-			w.inbox = append(w.inbox, func() { w.accept(attempt) })
+			w.process.inbox = append(w.process.inbox, func() { w.accept(attempt) })
 		default:
 			w.accept(attempt)
 		}
@@ -184,10 +181,7 @@
 	if attempt.work = work; noise > 0 {
 		attempt.work *= math.Exp(noise * (z - noise/2))
 	}
-	rate := w.kind.ErrorRate
-	if w.errorRate >= 0 {
-		rate = w.errorRate
-	}
+	rate := w.machine.effectiveErrorRate(w.kind.ErrorRate)
 	attempt.notifiesEarly = early < w.kind.CallbackEarlyShare
 	attempt.fails, attempt.failsBeforeAccept = fails < rate, fails < rate && kind < earlyErrorShare
 	if attempt.fails {
@@ -205,9 +199,9 @@
 		l.pendingAccept = attempt
 		w.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: attempt.requestID, Worker: w.number})
 		w.respond(l, 202, false)
-		if w.diesAtAccept {
+		if w.process.diesAtAccept {
 			attempt.mayNotify = true
-			w.crash(w.diesRestartAfter)
+			w.crash(w.process.diesRestartDelay)
 			return
 		}
 	}
@@ -223,44 +217,14 @@
 }
 
 // cancelAttempt is the word that an attempt is given up. Most kinds run on regardless.
-func (w *worker) cancelAttempt(a *attempt, why string) {
-	w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: a.requestID, Worker: w.number, Text: why})
+func (w *worker) cancelAttempt(a *attempt, reason string) {
+	w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: a.requestID, Worker: w.number, Text: reason})
 	if a.state == attemptEnded || !w.kind.CancellationStops {
 		return
 	}
 	w.advance()
-	w.removeAttempt(a)
+	w.jobs.remove(a)
 	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: "cancelled"})
 	w.shared.releaseKey(a)
 	w.runDue()
 }
-
-// removeAttempt takes an attempt out of all tables, whatever its state; the work done is settled by then.
-func (w *worker) removeAttempt(attempt *attempt) {
-	switch attempt.state {
-	case attemptQueued:
-		if i := slices.Index(w.queue, attempt); i >= 0 {
-			w.queue = slices.Delete(w.queue, i, i+1)
-		}
-		if w.queuedWork -= attempt.work * attempt.slots; len(w.queue) == 0 {
-			w.queuedWork = 0
-		}
-	case attemptRunning:
-		w.running.remove(attempt.heapIndex)
-		w.usedSlots -= attempt.slots
-		if w.runningEnds -= attempt.slots * attempt.endProgress; len(w.running) == 0 {
-			w.usedSlots, w.runningEnds = 0, 0
-		}
-	case attemptDuplicate:
-		attempt.keyRecord.removeWaiter(attempt)
-	case attemptEnded:
-		return
-	}
-	attempt.state = attemptEnded
-	last := len(w.attempts) - 1
-	w.attempts[attempt.allIndex] = w.attempts[last]
-	w.attempts[attempt.allIndex].allIndex = attempt.allIndex
-	w.attempts[last] = nil
-	w.attempts = w.attempts[:last]
-	delete(w.attemptsByRequest, attempt.requestID)
-}
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -53,7 +53,7 @@
 	t.body.Progress = share
 	w.callbacks.outstanding++
 	switch {
-	case w.silencesCallbacks:
+	case w.process.silencesCallbacks:
 		w.loseCallback(t)
 	case a.mayNotify || a.notifiesEarly:
 		w.sendCallback(t)
@@ -98,11 +98,11 @@
 		return
 	}
 	if !t.byAgent {
-		if w.silencesCallbacks {
+		if w.process.silencesCallbacks {
 			w.loseCallback(t)
 			return
 		}
-		if w.hanging {
+		if w.process.hanging {
 			callbackQueue.held = append(callbackQueue.held, t)
 			return
 		}
@@ -147,7 +147,7 @@
 	switch {
 	case t == nil: // of a process that is gone, or answered before
 	case w.isPaused() && !t.byAgent:
-		w.inbox = append(w.inbox, func() { w.callbackAnswered(id, status) })
+		w.process.inbox = append(w.process.inbox, func() { w.callbackAnswered(id, status) })
 	case status == 200 || status == 204:
 		w.closeCallback(t)
 		w.env.record(trace.Event{
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -16,7 +16,7 @@
 	fresh          bool
 	reading        int      // requests that are being read
 	abandoned      bool     // the process deals with it no more
-	ghost          bool     // its process ended without a word
+	halfOpen       bool     // its process ended without a word
 	usedSince      bool     // and something was sent over it since
 	resetBytes     int      // see resetAt
 	unreadAttempt  *attempt // was wholly written to it, and has not been read
@@ -24,15 +24,13 @@
 	pendingAccept  *attempt // its 202 is on the way
 }
 
-const slowReadFor = time.Second
-
 // dialed is a scheduler's attempt to connect.
 func (w *worker) dialed(scheduler int, message *simapi.WorkerDialed) {
 	w.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: w.number, Scheduler: scheduler, Conn: uint64(message.Conn)})
-	l := &workerConn{worker: w, machine: w.machine, index: -1, fresh: true}
-	l.conn = w.env.openConn(&conn{id: message.Conn, scheduler: scheduler, worker: w.number, workerIncarnation: w.incarnation, far: w, state: l})
+	l := &workerConn{worker: w, machine: w.machine.number, index: -1, fresh: true}
+	l.conn = w.env.openConn(&conn{id: message.Conn, scheduler: scheduler, worker: w.number, workerIncarnation: w.process.incarnation, far: w, state: l})
 	way, back, ok := w.env.network.connectDelays(endpoint{schedulerEndpoint, scheduler}, w.endpoint())
-	if !ok || message.Machine != w.machine {
+	if !ok || message.Machine != w.machine.number {
 		l.machine = -1 // to nowhere
 		return
 	}
@@ -48,17 +46,17 @@
 func (w *worker) connectArrived(workerConn *workerConn, back time.Duration) {
 	conn := workerConn.conn
 	switch mode := w.acceptMode(); {
-	case mode == simapi.AcceptSilently || workerConn.machine != w.machine:
+	case mode == simapi.AcceptSilently || workerConn.machine != w.machine.number:
 		workerConn.machine = -1
 		return
-	case mode == simapi.AcceptNone || w.kind.ConnLimit > 0 && len(w.conns) >= w.kind.ConnLimit:
+	case mode == simapi.AcceptNone || w.isAtConnLimit():
 		workerConn.abandoned = true
 		w.env.closeSide(conn, farSide)
 		return
 	}
-	conn.workerIncarnation = w.incarnation
-	workerConn.index, workerConn.resetBytes = len(w.conns), w.resetBytes
-	w.conns = append(w.conns, workerConn)
+	conn.workerIncarnation = w.process.incarnation
+	workerConn.resetBytes = w.machine.resetBytes
+	w.conns.add(workerConn)
 	w.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: w.number, Scheduler: conn.scheduler, Conn: uint64(conn.id)})
 	w.addOverhead(w.kind.Handshake.Std())
 	conn.lastUsed = w.env.now
@@ -97,23 +95,13 @@
 // closeConn closes a connection.
 func (w *worker) closeConn(l *workerConn) {
 	l.abandoned = true
-	w.removeConn(l)
+	w.conns.remove(l)
 	w.env.closeSide(l.conn, farSide)
 }
 
-func (w *worker) removeConn(workerConn *workerConn) {
-	in := &w.conns
-	if workerConn.ghost {
-		in = &w.ghostConns
-	}
-	if i := workerConn.index; i >= 0 {
-		last := len(*in) - 1
-		(*in)[i] = (*in)[last]
-		(*in)[i].index = i
-		(*in)[last] = nil
-		*in = (*in)[:last]
-		workerConn.index = -1
-	}
+// isAtConnLimit reports whether the process accepts no more connections.
+func (w *worker) isAtConnLimit() bool {
+	return w.kind.ConnLimit > 0 && len(w.conns.open) >= w.kind.ConnLimit
 }
 
 // openConn is a scheduler's connection to the worker; nil: it is over.
@@ -166,38 +154,39 @@
 // requestArrived is the arrival of a request. Its process handles it once its last byte has been read.
 func (w *worker) requestArrived(conn *workerConn, handle func()) {
 	if conn.abandoned || conn.index < 0 {
-		w.ghostReceived(conn)
+		w.halfOpenReceived(conn)
 		return
 	}
 	wait := time.Duration(0)
 	if conn.fresh {
-		conn.fresh, wait = false, w.kind.Handshake.Std()
-	}
-	if w.slowReads {
-		wait += slowReadFor
+		conn.fresh = false
+		wait = w.kind.Handshake.Std()
 	}
+	wait += w.machine.readDelay()
 	switch {
 	case wait > 0:
 		conn.reading++
 		w.afterInProcess(wait, func() {
-			if conn.reading--; !conn.abandoned {
+			conn.reading--
+			if !conn.abandoned {
 				handle()
 			}
 		})
 	case w.isPaused():
-		w.inbox = append(w.inbox, handle)
+		w.process.inbox = append(w.process.inbox, handle)
 	default:
 		handle()
 	}
 }
 
-// ghostReceived is something sent to a process that ended without a word. A machine that is there answers it by a reset.
-func (w *worker) ghostReceived(l *workerConn) {
-	if !l.ghost || l.machine != w.machine {
+// halfOpenReceived is something sent to a process that ended without a word. A machine that is there answers it by a reset.
+func (w *worker) halfOpenReceived(l *workerConn) {
+	if !l.halfOpen || l.machine != w.machine.number {
 		return
 	}
-	if l.usedSince = true; w.state != workerSilent {
-		w.removeConn(l)
+	l.usedSince = true
+	if w.process.state != workerSilent {
+		w.conns.remove(l)
 		w.env.closeSide(l.conn, farSide)
 	}
 }
@@ -214,24 +203,24 @@
 func (w *worker) connClosed(conn *conn) {
 	workerConn := conn.state.(*workerConn)
 	if workerConn.abandoned || workerConn.index < 0 {
-		w.removeConn(workerConn)
+		w.conns.remove(workerConn)
 		workerConn.abandoned = true
 		return
 	}
 	w.whenRunning(func() {
 		workerConn.abandoned = true
-		w.removeConn(workerConn)
+		w.conns.remove(workerConn)
 		// What has not been answered yet is given up by that, and so is what was answered when the close came first.
-		why := ""
+		reason := ""
 		if conn.resetSilently[farSide] {
-			why = "forgotten"
+			reason = "forgotten"
 		}
 		switch a := workerConn.awaitingAnswer; {
 		case a != nil:
 			workerConn.awaitingAnswer, a.conn = nil, nil
-			w.cancelAttempt(a, why)
+			w.cancelAttempt(a, reason)
 		case workerConn.pendingAccept != nil:
-			w.cancelAttempt(workerConn.pendingAccept, why)
+			w.cancelAttempt(workerConn.pendingAccept, reason)
 		}
 	})
 }
@@ -262,9 +251,9 @@
 		return
 	}
 	w.addOverhead(w.kind.HealthCheckWork.Std())
-	took := time.Duration(float64(w.kind.HealthCheckWork.Std()) / max(1e-3, w.coreSpeed/w.slowFactor*w.capacityShare()))
+	took := time.Duration(float64(w.kind.HealthCheckWork.Std()) / max(1e-3, w.machine.speed()*w.capacityShare()))
 	w.afterInProcess(took, func() {
-		if w.draining || w.rejectsAll || !w.hasRoom(1) {
+		if w.process.draining || w.process.rejectsAll || !w.hasRoom(1) {
 			w.respond(workerConn, 503, false)
 		} else {
 			w.respond(workerConn, 200, false)
@@ -274,7 +263,7 @@
 
 // cancelReceived is the word that an attempt is given up.
 func (w *worker) cancelReceived(l *workerConn, call string) {
-	a := w.attemptsByRequest[call]
+	a := w.jobs.byRequest[call]
 	if a == nil {
 		w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: call, Worker: w.number})
 		w.respond(l, 404, false)
--- a/internal/testbed/environment/worker_cores.go
+++ b/internal/testbed/environment/worker_cores.go
@@ -12,36 +12,30 @@
 
 // advance brings the work done up to now.
 func (w *worker) advance() {
-	if d := w.env.now - w.progressAt; d > 0 {
-		done := w.progressRate * d.Seconds()
-		w.progressPerSlot += done
-		w.warming.workDone += done * w.usedSlots
-		w.progressAt = w.env.now
-	}
+	w.warming.workDone += w.jobs.advance(w.env.now)
 }
 
 // addOverhead is work beside all slots, of a handshake or probe. A free core does it at no cost to anybody; else what runs
 // loses so much.
 func (w *worker) addOverhead(work time.Duration) {
-	if w.usedSlots+1 <= w.kind.Cores || len(w.running) == 0 || work <= 0 {
+	if w.jobs.usedSlots+1 <= w.kind.Cores || len(w.jobs.running) == 0 || work <= 0 {
 		return
 	}
 	w.advance()
-	w.progressPerSlot -= work.Seconds() / w.usedSlots // its pending entry comes too early by that, and sees so
+	w.jobs.progressPerSlot -= work.Seconds() / w.jobs.usedSlots // its pending entry comes too early by that, and sees so
 }
 
 // runDue ends what is done, begins what fits, and plans what is next.
 func (w *worker) runDue() {
-	if w.state != workerUp || w.isPaused() {
+	if w.process.state != workerUp || w.isPaused() {
 		return
 	}
 	w.advance()
-	for len(w.running) > 0 && w.running[0].endProgress <= w.progressPerSlot+workTolerance {
-		a := w.running[0]
-		w.removeAttempt(a)
-		w.finishAttempt(a)
+	for attempt := w.jobs.firstDone(); attempt != nil; attempt = w.jobs.firstDone() {
+		w.jobs.remove(attempt)
+		w.finishAttempt(attempt)
 	}
-	if !w.hanging {
+	if !w.process.hanging {
 		w.startQueued()
 	}
 	w.planTick()
@@ -54,15 +48,15 @@
 // planTick has run called when the next is done, by what runs now. There is one entry on the event queue that counts: one that
 // turns out to come too early plans anew, and later ones of the past mean nothing.
 func (w *worker) planTick() {
-	w.progressRate = 0
-	if w.state != workerUp || w.hanging || w.isPaused() {
+	w.jobs.progressRate = 0
+	if w.process.state != workerUp || w.process.hanging || w.isPaused() {
 		return
 	}
-	w.progressRate = w.coreSpeed / w.slowFactor * w.capacityShare() * min(1, w.kind.Cores/max(w.usedSlots, 1e-9))
-	if len(w.running) == 0 {
+	w.jobs.progressRate = w.machine.speed() * w.capacityShare() * min(1, w.kind.Cores/max(w.jobs.usedSlots, 1e-9))
+	if len(w.jobs.running) == 0 {
 		return
 	}
-	at := w.env.now + max(1, durationOf((w.running[0].endProgress-w.progressPerSlot)/w.progressRate))
+	at := w.env.now + max(1, durationOf((w.jobs.running[0].endProgress-w.jobs.progressPerSlot)/w.jobs.progressRate))
 	if step, ok := w.nextWarmUpStep(); ok {
 		at = min(at, step)
 	}
@@ -104,6 +98,6 @@
 func (w *worker) makeResult(a *attempt) string {
 	b := make([]byte, 0, 64)
 	b = append(append(append(append(b, a.requestID...), ' '), w.id...), '/')
-	b = append(strconv.AppendInt(b, int64(w.incarnation), 10), '#')
+	b = append(strconv.AppendInt(b, int64(w.process.incarnation), 10), '#')
 	return string(strconv.AppendUint(b, w.resultCount, 10))
 }
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -85,7 +85,7 @@
 // addWaiter takes an attempt whose key is known: it does not run, and is done once the first is.
 func (k *keyRecord) addWaiter(a *attempt) {
 	a.keyRecord, a.state = k, attemptDuplicate
-	a.worker.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: a.worker.number, Incarnation: a.worker.incarnation, Text: "repeat"})
+	a.worker.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: a.worker.number, Incarnation: a.worker.process.incarnation, Text: "repeat"})
 	if k.runner == nil {
 		a.worker.finishDuplicate(a, k.result)
 	} else {
@@ -104,7 +104,7 @@
 		if a.state != attemptDuplicate {
 			return
 		}
-		w.removeAttempt(a)
+		w.jobs.remove(a)
 		a.result = result
 		w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: w.number, Text: result, Status: 200})
 		w.notify(a, "done", 0)
@@ -156,7 +156,7 @@
 	case w.hasRoom(a.slots):
 		w.startOrQueue(a)
 	default:
-		w.removeAttempt(a)
+		w.jobs.remove(a)
 		w.returnAttempt(a)
 	}
 }
--- a/internal/testbed/environment/worker_progress.go
+++ b/internal/testbed/environment/worker_progress.go
@@ -19,9 +19,9 @@
 }
 
 func (w *worker) scheduleProgress(at time.Duration) {
-	boot := w.incarnation
+	boot := w.process.incarnation
 	w.env.schedule(at, func() {
-		if w.incarnation == boot && w.state == workerUp {
+		if w.process.incarnation == boot && w.process.state == workerUp {
 			w.whenRunning(w.sendProgress)
 		}
 	})
@@ -31,16 +31,16 @@
 func (w *worker) sendProgress() {
 	w.runDue()
 	next := time.Duration(math.MaxInt64)
-	for _, a := range w.running {
+	for _, a := range w.jobs.running {
 		if a.nextProgressAt <= w.env.now {
-			if !w.hanging {
-				w.notify(a, "running", min(1, max(0, (w.progressPerSlot-a.startProgress)/a.work)))
+			if !w.process.hanging {
+				w.notify(a, "running", w.jobs.progress(a))
 			}
 			a.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std()
 		}
 		next = min(next, a.nextProgressAt)
 	}
-	if w.progressPlanned = len(w.running) > 0; w.progressPlanned {
+	if w.progressPlanned = len(w.jobs.running) > 0; w.progressPlanned {
 		w.scheduleProgress(next)
 	}
 }
--- a/internal/testbed/environment/worker_queue.go
+++ b/internal/testbed/environment/worker_queue.go
@@ -1,30 +1,26 @@
 package environment
 
-import (
-	"slices"
-
-	"valvecove/internal/testbed/trace"
-)
+import "valvecove/internal/testbed/trace"
 
 // This file holds the queue of attempts that wait for a slot of their worker.
 
 // hasRoom tells whether there is room for a job of so many slots, running or waiting.
 func (w *worker) hasRoom(slots float64) bool {
-	free := float64(w.kind.Slots) - w.usedSlots
-	if w.hanging { // what it would have begun waits as well
-		return float64(len(w.queue)) < float64(w.kind.Queue)+free
+	free := float64(w.kind.Slots) - w.jobs.usedSlots
+	if w.process.hanging { // what it would have begun waits as well
+		return float64(len(w.jobs.queue)) < float64(w.kind.Queue)+free
 	}
-	return len(w.queue) < w.kind.Queue || slots <= free && (len(w.queue) == 0 || w.kind.QueueOrder == "backfill")
+	return len(w.jobs.queue) < w.kind.Queue || slots <= free && (len(w.jobs.queue) == 0 || w.kind.QueueOrder == "backfill")
 }
 
 // dropExpired makes room by dropping waiting attempts whose time is up, where the kind drops those.
 func (w *worker) dropExpired(slots float64) bool {
-	if w.kind.ExpiredJobs != "drop" || w.hanging {
+	if w.kind.ExpiredJobs != "drop" || w.process.hanging {
 		return false
 	}
 	varied := false
-	for i := 0; i < len(w.queue); {
-		if a := w.queue[i]; a.expiresAt > 0 && a.expiresAt <= w.env.now {
+	for i := 0; i < len(w.jobs.queue); {
+		if a := w.jobs.queue[i]; a.expiresAt > 0 && a.expiresAt <= w.env.now {
 			w.expireAttempt(a)
 			varied = true
 		} else {
@@ -35,26 +31,24 @@
 }
 
 func (w *worker) expireAttempt(a *attempt) {
-	w.removeAttempt(a)
+	w.jobs.remove(a)
 	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: "expired"})
 	w.shared.releaseKey(a)
 }
 
 // startOrQueue begins an attempt, or has it wait.
 func (w *worker) startOrQueue(a *attempt) {
-	a.state = attemptQueued
-	w.queuedWork += a.work * a.slots
-	w.queue = append(w.queue, a)
-	if len(w.queue) == 1 || w.kind.QueueOrder == "backfill" {
+	w.jobs.enqueue(a)
+	if len(w.jobs.queue) == 1 || w.kind.QueueOrder == "backfill" {
 		w.runDue()
 	}
 }
 
 // returnQueue hands back what waits.
 func (w *worker) returnQueue() {
-	for len(w.queue) > 0 {
-		a := w.queue[0]
-		w.removeAttempt(a)
+	for len(w.jobs.queue) > 0 {
+		a := w.jobs.queue[0]
+		w.jobs.remove(a)
 		w.returnAttempt(a)
 	}
 	w.maybeExit()
@@ -77,12 +71,12 @@
 
 // startQueued begins what fits. In a fifo the head waits until it fits, and all others behind it.
 func (w *worker) startQueued() {
-	for i := 0; i < len(w.queue); {
-		a := w.queue[i]
+	for i := 0; i < len(w.jobs.queue); {
+		a := w.jobs.queue[i]
 		switch {
 		case w.kind.ExpiredJobs == "drop" && a.expiresAt > 0 && a.expiresAt <= w.env.now:
 			w.expireAttempt(a)
-		case a.slots <= float64(w.kind.Slots)-w.usedSlots:
+		case a.slots <= float64(w.kind.Slots)-w.jobs.usedSlots:
 			w.startAttempt(a, i)
 		case w.kind.QueueOrder == "backfill":
 			i++
@@ -94,15 +88,8 @@
 
 // startAttempt begins the i-th of what waits.
 func (w *worker) startAttempt(attempt *attempt, i int) {
-	w.queue = slices.Delete(w.queue, i, i+1)
-	if w.queuedWork -= attempt.work * attempt.slots; len(w.queue) == 0 {
-		w.queuedWork = 0
-	}
-	attempt.state, attempt.startProgress, attempt.endProgress = attemptRunning, w.progressPerSlot, w.progressPerSlot+attempt.work
-	w.usedSlots += attempt.slots
-	w.runningEnds += attempt.slots * attempt.endProgress
-	w.running.add(attempt)
-	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.incarnation})
+	w.jobs.start(i)
+	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.process.incarnation})
 	if !w.kind.OmitsStartNotifications {
 		w.notify(attempt, "started", 0)
 		w.planProgress(attempt)
--- a/internal/testbed/environment/worker_view.go
+++ b/internal/testbed/environment/worker_view.go
@@ -6,32 +6,68 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// View is a worker's true state as it matters to one scheduler: what only a baseline policy may know.
+// This file holds the true state of workers, for baseline policies that see everything.
+
+// WorkerState is the true state of a worker.
+type WorkerState struct {
+	Up             bool // admits attempts, and will report their end
+	Draining       bool
+	Cores          float64
+	Speed          float64 // of a core at present, warm-up and faults included; 0 while paused
+	Slots          float64
+	Free           float64 // free slots
+	Queued         int     // queued attempts
+	QueueLimit     int
+	BacklogSeconds float64 // work in seconds at speed 1 that is not done yet, running and queued
+}
+
+// WorkerState returns the true state of worker i. A worker that rejects all, drops its callbacks, is about to crash or
+// refuses connections is not up. Faults of the network don't count.
+func (e *Environment) WorkerState(i int) WorkerState {
+	worker := e.workers[i]
+	state := WorkerState{
+		Draining: worker.process.draining, Cores: worker.kind.Cores, Slots: float64(worker.kind.Slots), QueueLimit: worker.kind.Queue,
+	}
+	if worker.process.state != workerUp {
+		return state
+	}
+	state.Up = worker.process.completesWork() && !worker.machine.refusesConns && !worker.machine.acceptsSilently
+	state.Speed = worker.machine.speed() * worker.capacityShare()
+	if worker.isPaused() {
+		state.Speed = 0
+	}
+	state.Free = state.Slots - worker.jobs.usedSlots
+	state.Queued = len(worker.jobs.queue)
+	state.BacklogSeconds = worker.jobs.backlog(e.now)
+	return state
+}
+
+// View is a worker's true state as it matters to one scheduler.
 type View struct {
-	WorkerState               // Up: it takes work that reaches it, and answers
-	Reachable   bool          // what passes between the two arrives, both ways
-	Connectable bool          // a new connection from that scheduler comes up
-	ReadDelay   time.Duration // requests are read so late
+	WorkerState               // Up: it admits attempts that reach it, and will report their end
+	Reachable   bool          // the network delivers between the two, both ways
+	Connectable bool          // a new connection from that scheduler is accepted
+	ReadDelay   time.Duration // delay of the last byte of a request
 	ErrorRate   float64       // share of attempts that end with an error
 }
 
-// View shows the machine at a place (see NodeAddr) to a scheduler. One whose place another took is never met.
+// View returns the true state of the machine at a place (see WorkerAddr) for a scheduler; that of a machine that has been
+// replaced is zero.
 func (e *Environment) View(sched, place int) View {
-	i := place % len(e.workers)
-	n := e.workers[i]
-	if n.placeIndex() != place {
+	number := place % len(e.workers)
+	worker := e.workers[number]
+	if worker.placeIndex() != place {
 		return View{}
 	}
-	view := View{WorkerState: e.WorkerState(i), ErrorRate: n.kind.ErrorRate}
-	if n.errorRate >= 0 {
-		view.ErrorRate = n.errorRate
-	}
-	if n.slowReads {
-		view.ReadDelay = slowReadFor
+	view := View{
+		WorkerState: e.WorkerState(number),
+		ErrorRate:   worker.machine.effectiveErrorRate(worker.kind.ErrorRate),
+		ReadDelay:   worker.machine.readDelay(),
 	}
-	view.Up = n.state == workerUp && !n.hanging && !n.rejectsAll && !n.silencesCallbacks && !n.diesAtAccept
-	me := endpoint{schedulerEndpoint, sched}
-	view.Reachable = e.network.partitionBetween(me, n.endpoint()) == nil && e.network.partitionBetween(n.endpoint(), me) == nil
-	view.Connectable = view.Reachable && n.acceptMode() == simapi.AcceptAll && (n.kind.ConnLimit <= 0 || len(n.conns) < n.kind.ConnLimit)
+	view.Up = worker.process.completesWork()
+	viewer := endpoint{schedulerEndpoint, sched}
+	view.Reachable = e.network.partitionBetween(viewer, worker.endpoint()) == nil &&
+		e.network.partitionBetween(worker.endpoint(), viewer) == nil
+	view.Connectable = view.Reachable && worker.acceptMode() == simapi.AcceptAll && !worker.isAtConnLimit()
 	return view
 }
--- a/internal/testbed/environment/worker_warmup.go
+++ b/internal/testbed/environment/worker_warmup.go
@@ -56,7 +56,7 @@
 }
 
 func (w *worker) warmUpStep() time.Duration {
-	return (w.env.now - w.startedAt) * warmUpSteps / w.kind.WarmUp.Std()
+	return (w.env.now - w.process.startedAt) * warmUpSteps / w.kind.WarmUp.Std()
 }
 
 // nextWarmUpStep is when a cold one gets faster by itself; not ok: it is warm.
@@ -64,7 +64,7 @@
 	if w.warming.warm {
 		return 0, false
 	}
-	return w.startedAt + ((w.warmUpStep()+1)*w.kind.WarmUp.Std()+warmUpSteps-1)/warmUpSteps, true
+	return w.process.startedAt + ((w.warmUpStep()+1)*w.kind.WarmUp.Std()+warmUpSteps-1)/warmUpSteps, true
 }
 
 // coldWorkReceived counts the work of an attempt that has arrived, taken or not, if it is cold. Where within one span of
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -11,86 +11,37 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// worker is a worker: a machine, and on it one process after another. Its parts are in files of their own:
-// worker_conns.go has its connections, worker_attempts.go, worker_queue.go and worker_cores.go what it takes and runs,
-// worker_warmup.go how it warms up and is overloaded, worker_keys.go what a group remembers of idempotency keys,
-// worker_callbacks.go its callbacks, worker_lifecycle.go its processes and its faults.
+// worker is a worker: a machine, and on it one process after another. It joins the parts that own their state: machine,
+// workerProcess, workerJobs, workerConnSet, warmUpState and callbackQueue.
 //
 // An attempt that it has received ends exactly once, as trace event AttemptRejected, AttemptFinished, AttemptReturned or
 // AttemptDied.
 type worker struct {
-	env         *Environment
-	shared      *workerShared
-	number      int    // its index
-	id          string // as discovery tells it; w-N, and w-N.1 and so on for machines that took its place
-	incarnation int    // counts its processes; the first, 1, has run since long ago
-	kind        *scenario.WorkerKind
-	kindIndex   int // index of kind
-	zone        int // index in Fleet.Zones
-	cell        int // numbered through the fleet
-	rng         *rand.Rand
-
-	// The machine.
-	machine         int     // counts machines; 0: the first
-	coreSpeed       float64 // speed of a core, as drawn
-	slowFactor      float64 // divides it
-	errorRate       float64 // share of attempts that end with an error; < 0: the kind's
-	refusing        bool
-	acceptsSilently bool
-	slowReads       bool // requests are read slowly
-	resetBytes      int  // bytes after which new connections are reset
-	reportedMode    int  // mode of accepting that was last told
-
-	// Its process.
-	state             workerState
-	lifeTurn          int // counts turns of its life: what was planned before the last is void
-	startedAt         time.Duration
-	sincePast         bool // it has run since long before the run
-	draining          bool
-	leaving           bool // its process ends once it has nothing left
-	restartAfter      time.Duration
-	removed           bool // off the list for good
-	overloaded        bool
-	hanging           bool
-	pausedUntil       time.Duration // nothing moves until then
-	rejectsAll        bool          // it rejects all
-	silencesCallbacks bool          // sends no callbacks
-	diesAtAccept      bool          // at the next 202
-	diesRestartAfter  time.Duration
-	inbox             []func() // what came while it was paused
-
-	// Its connections.
-	conns      []*workerConn
-	ghostConns []*workerConn // whose process ended without a word
-
-	// What it has in hand.
-	attemptsByRequest map[string]*attempt
-	attempts          []*attempt
-	queue             []*attempt // its waiting room, in order
-	running           runningHeap
-	usedSlots         float64 // slots
-	progressPerSlot   float64 // work done for each slot since the process began, in seconds at speed 1
-	progressRate      float64 // at which v grows, a second
-	progressAt        time.Duration
-	nextTick          time.Duration // the earliest entry of tick on the event queue; 0: none
-	tick              func()
-	queuedWork        float64 // work that waits
-	runningEnds       float64 // sum over the running of slots x end
-	attemptCount      uint64  // counts attempts taken
-	resultCount       uint64  // counts results made
-	progressPlanned   bool    // an entry for progress callbacks is on the event queue
-
+	env       *Environment
+	shared    *workerShared
+	number    int    // its index
+	id        string // in the endpoint list; w-N, and w-N.1 and so on for machines that replaced the first
+	kind      *scenario.WorkerKind
+	kindIndex int // index of kind
+	zone      int // index in Fleet.Zones
+	cell      int // numbered through the fleet
+	rng       *rand.Rand
+
+	removed    bool // from the endpoint list, for good
+	overloaded bool // its process died of overload: none starts again
+
+	machine   machine
+	process   workerProcess
+	conns     workerConnSet
+	jobs      workerJobs
 	warming   warmUpState
 	callbacks callbackQueue
-}
 
-type workerState uint8
-
-const (
-	workerUp     workerState = iota
-	workerDead               // its process has ended, and the machine says so
-	workerSilent             // the machine says nothing
-)
+	tick            func()
+	nextTick        time.Duration // the earliest entry of tick on the event queue; 0: none
+	progressPlanned bool          // an entry for progress callbacks is on the event queue
+	resultCount     uint64        // results made by all processes
+}
 
 // workerShared is what workers share.
 type workerShared struct {
@@ -105,7 +56,7 @@
 	onLifeEvent func(n *worker, what lifeEvent)
 }
 
-// classRules is what a worker goes by of a class.
+// classRules is what a worker needs of a class's settings.
 type classRules struct {
 	idempotentWithKey bool
 	scope             string
@@ -136,9 +87,9 @@
 	nodes := make([]*worker, spec.Fleet.Workers)
 	for i := range nodes {
 		n := &worker{
-			env: environment, shared: f, number: i, id: "w-" + strconv.Itoa(i), incarnation: 1, kindIndex: kinds[i],
-			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: environment.rng("node", i), slowFactor: 1, errorRate: -1, sincePast: true,
-			attemptsByRequest: map[string]*attempt{},
+			env: environment, shared: f, number: i, id: "w-" + strconv.Itoa(i), kindIndex: kinds[i],
+			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: environment.rng("node", i),
+			process: workerProcess{incarnation: 1, startedBeforeRun: true}, jobs: workerJobs{byRequest: map[string]*attempt{}},
 		}
 		// Cells are racks: each takes its workers from one zone, apart from those in which a zone ends.
 		place := i / zones
@@ -146,7 +97,7 @@
 			place += (len(nodes) - z + zones - 1) / zones
 		}
 		n.cell = place / size
-		n.coreSpeed = n.drawSpeed()
+		n.machine = newMachine(0, n.drawSpeed())
 		n.tick = n.tickDue
 		n.warming.warm = true
 		nodes[i] = n
@@ -178,7 +129,7 @@
 }
 
 func (w *worker) begin() {
-	w.env.record(trace.Event{Kind: trace.WorkerPresent, Worker: w.number, Incarnation: w.incarnation, Slots: float64(w.kind.Slots), Text: w.kind.Name})
+	w.env.record(trace.Event{Kind: trace.WorkerPresent, Worker: w.number, Incarnation: w.process.incarnation, Slots: float64(w.kind.Slots), Text: w.kind.Name})
 	if w.kind.PauseEvery > 0 && w.kind.Pause > 0 {
 		w.planPause(w.env.rng("pauses", w.number))
 	}
@@ -188,7 +139,7 @@
 func (w *worker) planPause(rng *rand.Rand) {
 	every, long := rng.ExpFloat64()*float64(w.kind.PauseEvery), rng.ExpFloat64()*float64(w.kind.Pause)
 	w.env.after(time.Duration(every), func() {
-		if w.state == workerUp {
+		if w.process.state == workerUp {
 			w.env.record(trace.Event{Kind: trace.WorkerFaultStarted, Worker: w.number, Text: "pause"})
 			w.pauseFor(time.Duration(long))
 			w.env.after(time.Duration(long), func() { w.env.record(trace.Event{Kind: trace.WorkerFaultEnded, Worker: w.number, Text: "pause"}) })
@@ -199,19 +150,21 @@
 
 func (w *worker) endpoint() endpoint { return endpoint{workerEndpoint, w.number} }
 
-// startedMs is its last start as discovery tells it; 0: long ago.
+// startedMs returns the start of the last process as discovery publishes it, in Unix milliseconds; 0: long ago.
 func (w *worker) startedMs() int64 {
-	if w.sincePast {
+	if w.process.startedBeforeRun {
 		return 0
 	}
-	return (w.env.Epoch + w.startedAt).Milliseconds()
+	return (w.env.Epoch + w.process.startedAt).Milliseconds()
 }
 
 // capacity is the work that it does a second once it is warm, on standard cores, were it not slowed.
-func (w *worker) capacity() float64 { return min(w.kind.Cores, float64(w.kind.Slots)) * w.coreSpeed }
+func (w *worker) capacity() float64 {
+	return min(w.kind.Cores, float64(w.kind.Slots)) * w.machine.coreSpeed
+}
 
 // placeIndex numbers machines: the first ones as their workers, those that took their places after all of these.
-func (w *worker) placeIndex() int { return w.number + w.machine*len(w.env.workers) }
+func (w *worker) placeIndex() int { return w.number + w.machine.number*len(w.env.workers) }
 
 // WorkerAddr is where a machine listens, by its place (see placeIndex; of the first ones: their worker's number): a
 // loopback address of its own.
@@ -222,38 +175,7 @@
 	return "127." + strconv.Itoa(64+i/(254*254)) + "." + strconv.Itoa(1+i/254%254) + "." + strconv.Itoa(1+i%254) + ":9000"
 }
 
-// WorkerState is the true state of a worker, for baseline policies that see everything.
-type WorkerState struct {
-	Up             bool // takes work, and will answer
-	Draining       bool
-	Cores          float64
-	Speed          float64 // of a core, now: cold and slow included
-	Slots          float64 // that it has
-	Free           float64 // slots free
-	Queued         int     // jobs in its waiting room
-	QueueLimit     int     // and room for so many
-	BacklogSeconds float64 // seconds of work at speed 1 that it has not done yet, running and waiting
-}
-
-// WorkerState tells the true state of worker i. Speed is 0 while nothing moves in it. One that rejects all, tells
-// nothing, is about to die or can't be connected to is not up. What the network does to it is not in it.
-func (e *Environment) WorkerState(i int) WorkerState {
-	n := e.workers[i]
-	t := WorkerState{Draining: n.draining, Cores: n.kind.Cores, Slots: float64(n.kind.Slots), QueueLimit: n.kind.Queue}
-	if n.state != workerUp {
-		return t
-	}
-	t.Up = !n.hanging && !n.rejectsAll && !n.silencesCallbacks && !n.diesAtAccept && !n.refusing && !n.acceptsSilently
-	if t.Speed = n.coreSpeed / n.slowFactor * n.capacityShare(); n.isPaused() {
-		t.Speed = 0
-	}
-	t.Free, t.Queued = t.Slots-n.usedSlots, len(n.queue)
-	v := n.progressPerSlot + n.progressRate*(e.now-n.progressAt).Seconds()
-	t.BacklogSeconds = max(0, n.queuedWork+n.runningEnds-v*n.usedSlots)
-	return t
-}
-
-// Work tells the true work of a client's request: seconds on a standard core, and slots.
+// Work returns the true work of a client's request, in seconds on a standard core, and its slots.
 func (e *Environment) Work(call string) (work, slots float64, ok bool) {
 	t := e.clients.findRequest(call)
 	if t == nil {
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -199,10 +199,10 @@
 	worker.setHang(false)
 	n.pass(5 * time.Minute)
 	s.Check(len(n.in) == 0 && n.used == 0, "%v has no end, %v slots are in use", n.in, n.used)
-	s.Check(len(worker.attempts)+len(worker.attemptsByRequest)+len(worker.queue)+len(worker.running)+worker.callbacks.outstanding+len(worker.callbacks.callbacks) == 0 && worker.usedSlots == 0,
+	s.Check(len(worker.jobs.all)+len(worker.jobs.byRequest)+len(worker.jobs.queue)+len(worker.jobs.running)+worker.callbacks.outstanding+len(worker.callbacks.callbacks) == 0 && worker.jobs.usedSlots == 0,
 		"left over: %+v", worker)
 	t := n.w.WorkerState(0)
-	s.Check(worker.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
+	s.Check(worker.process.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
 }
 
 func TestCoresAreShared(t *testing.T) {
@@ -250,7 +250,7 @@
 			}
 		}
 		// The work done is the integral of the speed: from 0.25 to 1 evenly over 8 s is 5 s, and each step gives a little.
-		if done := n.progressPerSlot; by == "time" && (done < 5 || done > 5.06) || by == "work" && (done < 6 || done > 8) {
+		if done := n.jobs.progressPerSlot; by == "time" && (done < 5 || done > 5.06) || by == "work" && (done < 6 || done > 8) {
 			t.Fatalf("by %s it did %v s in 8 s", by, done)
 		}
 	}
@@ -286,7 +286,7 @@
 	}
 	last[simapi.WorkerDisconnected](r, r.sendRequest(0, "later", safeClass, 1, 1))
 	r.w.workers[0].crash(time.Second)
-	if r.pass(time.Hour); r.w.workers[0].state == workerUp {
+	if r.pass(time.Hour); r.w.workers[0].process.state == workerUp {
 		t.Fatal("it is back after its fall")
 	}
 	if fell = play(10*ms, 1, true); fell != time.Duration(budget)*10*ms {
@@ -489,7 +489,7 @@
 	}
 	r.writeAttempt(idle, "v2")
 	r.pass(ms)
-	if last[simapi.WorkerDisconnected](r, idle); v.attemptCount != 1 {
+	if last[simapi.WorkerDisconnected](r, idle); v.jobs.admittedCount != 1 {
 		t.Fatal("it took what came over a connection of before")
 	}
 	// It answers 202 and dies at that instant.
@@ -512,10 +512,10 @@
 	}
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptFinished, "p0", at+1900*ms)
-	if r.expectCallbacks("p0", "started", "done"); p.state != workerDead {
+	if r.expectCallbacks("p0", "started", "done"); p.process.state != workerDead {
 		t.Fatal("it runs on with nothing left")
 	}
-	if r.pass(time.Second); p.state != workerUp || p.incarnation != 2 || p.id != "w-2" {
+	if r.pass(time.Second); p.process.state != workerUp || p.process.incarnation != 2 || p.id != "w-2" {
 		t.Fatalf("%+v", p)
 	}
 	// Another machine takes its place. Where the first was there is silence, whoever has been told of what.
@@ -534,8 +534,8 @@
 	x.crash(time.Second)
 	r.pass(time.Minute)
 	want := []lifeEvent{lifeSilent, lifeRemoved, lifeStarted, lifeDraining, lifeRemoved, lifeStopped}
-	if x.id != "w-3.1" || x.state == workerUp || !slices.Equal(r.life, want) {
-		t.Fatalf("%s is in state %d, and discovery was told %v", x.id, x.state, r.life)
+	if x.id != "w-3.1" || x.process.state == workerUp || !slices.Equal(r.life, want) {
+		t.Fatalf("%s is in state %d, and discovery was told %v", x.id, x.process.state, r.life)
 	}
 }
 
