--- /dev/null
+++ b/internal/control/planner/loadreport.go
@@ -0,0 +1,124 @@
+package planner
+
+import (
+	"math"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+const (
+	loadReportValidity   = time.Second
+	openAverageWeight    = 4   // the newest count of open requests is this part of the moving average
+	quotaShareTolerance  = 10  // the policy is told of changes by more than this part of the share that it was told
+	maxLoadReportedSlots = 1e9 // less than that
+)
+
+// capacityEstimator is the policy: it is notified of events, and may have an estimate of the slots that are free.
+type capacityEstimator interface {
+	notifier
+	availableSlots() (slots float64, ok bool)
+}
+
+// loadReporter exchanges load reports with the peers and computes this planner's share of the quotas.
+type loadReporter struct {
+	interval   time.Duration
+	stats      *Stats
+	step       *step
+	forwarders *forwarderTable
+	peers      *peerTable
+	policy     capacityEstimator
+	requests   *requestTable
+	timer      *stepTimer
+	workers    *workerTable
+
+	nextReportAt time.Duration
+	averageOpen  float64 // moving average of this planner's open requests
+	quotaShare   float64 // this planner's, of which the policy was notified; 0: it was not
+}
+
+// report returns this planner's load.
+func (l *loadReporter) report() *message.LoadReport {
+	return &message.LoadReport{
+		OpenRequests:   l.requests.openCount,
+		QueuedRequests: l.requests.queued.length,
+		Forwarders:     len(l.forwarders.connected),
+		TimerLag:       l.timer.lag,
+		UsedSlots:      max(0, l.requests.slotsInUse),
+		FreeSlots:      l.freeSlots(),
+	}
+}
+
+// freeSlots returns how many slots are free as the policy knows it, or else the workers that have no attempt.
+func (l *loadReporter) freeSlots() (slots float64) {
+	if available, ok := l.policy.availableSlots(); ok {
+		return available
+	}
+	for _, worker := range l.workers.list {
+		if worker.announced && worker.announcedAs.Ready && worker.references == 0 {
+			slots++
+		}
+	}
+	return slots
+}
+
+// receive takes in a peer's load.
+func (l *loadReporter) receive(from *peer, report *message.LoadReport) {
+	if !isValidLoadReport(report) {
+		l.stats.InvalidMessages++
+		return
+	}
+	from.load = *report
+	from.loadAt = l.step.now()
+	from.claimedSlots = 0
+}
+
+// send tells the peers this planner's load, and the policy its share of the quotas.
+func (l *loadReporter) send() {
+	if l.step.now() < l.nextReportAt {
+		return
+	}
+	l.nextReportAt = l.step.now() + l.interval
+	l.averageOpen += (float64(l.requests.openCount) - l.averageOpen) / openAverageWeight
+	if l.peers.anyAlive || l.quotaShare > 0 {
+		l.updateQuotaShare()
+	}
+	if len(l.peers.list) > 0 {
+		l.step.sendToPeers(l.peers.list, l.report())
+	}
+}
+
+// updateQuotaShare finds out this planner's share of the quotas: that of the open requests of all planners. A peer without
+// a valid load report counts as having as many as this one.
+func (l *loadReporter) updateQuotaShare() {
+	own := l.averageOpen + 1
+	sum := own
+	for _, peer := range l.peers.list {
+		switch {
+		case !peer.alive:
+		case peer.hasRecentLoad(l.step.now()):
+			sum += float64(peer.load.OpenRequests) + 1
+		default:
+			sum += own
+		}
+	}
+	share := own / sum
+	if math.Abs(share-l.quotaShare) > l.quotaShare/quotaShareTolerance {
+		l.quotaShare = share
+		l.notifyShare()
+	}
+}
+
+// notifyShare notifies the policy of this planner's share of the quotas, if that is known.
+func (l *loadReporter) notifyShare() {
+	if l.quotaShare > 0 {
+		l.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: l.quotaShare})
+	}
+}
+
+func isValidLoadReport(report *message.LoadReport) bool {
+	return report.OpenRequests >= 0 && report.QueuedRequests >= 0 && report.TimerLag >= 0 &&
+		report.UsedSlots >= 0 && report.UsedSlots < maxLoadReportedSlots &&
+		report.FreeSlots >= 0 && report.FreeSlots < maxLoadReportedSlots
+}
--- a/internal/control/planner/placement.go
+++ b/internal/control/planner/placement.go
@@ -1,13 +1,34 @@
 package planner
 
-import "valvecove/dispatch"
+import (
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// singleRequestCloser closes a request, which may have attempts in flight.
+type singleRequestCloser interface{ close(req *request) }
+
+// placer decides which planner is to have a request, and transfers requests to other planners.
+type placer struct {
+	classes   []dispatch.Class
+	stats     *Stats
+	step      *step
+	closer    singleRequestCloser
+	locations *locationIndex
+	peers     *peerTable
+	policy    notifier
+	requests  *requestTable
+	workers   *workerTable
+}
 
 // maxTransfers bounds how often a request is transferred in its life.
 const maxTransfers = 2
 
 // preferredPeer returns the planner that should have a request, because no worker of this one may; empty: there is none, or
 // it can be placed here. A request that was possibly executed stays with the workers that know of it.
-func (p *Planner) preferredPeer(req *request) string {
+func (p *placer) preferredPeer(req *request) string {
 	if !p.peers.anyAlive || req.inFlight > 0 || req.transfers >= maxTransfers {
 		return ""
 	}
@@ -22,18 +43,18 @@
 }
 
 // preferredPeerAfter returns the planner that should have a request of a class after an attempt that was possibly executed.
-func (p *Planner) preferredPeerAfter(a *attempt, class int) string {
-	settings := &p.config.Settings.Classes[class]
+func (p *placer) preferredPeerAfter(a *attempt, class int) string {
+	settings := &p.classes[class]
 	switch {
 	case settings.Idempotency == dispatch.NonIdempotent:
 		return "" // nobody may send it again
 	case !a.worker.listed:
 		return "" // it is not known here who may
 	case settings.DeduplicationScope == dispatch.ScopeCell:
-		return p.peers.ifAlive(p.ownerName(a.worker))
+		return p.peers.ifAlive(p.workers.partition.owner(a.worker))
 	}
 	sameZone := inZone(a.worker.Zone)
-	if p.locations.availableFor(class, p.config.Name, sameZone) > 0 {
+	if p.locations.availableFor(class, p.locations.local, sameZone) > 0 {
 		return ""
 	}
 	return p.bestPeerFor(class, sameZone)
@@ -41,8 +62,8 @@
 
 // bindingAttempt returns the first attempt because of which a request may not go to any worker: it was possibly executed,
 // and the request may not be executed twice, or only where that is noticed. Else nil.
-func (p *Planner) bindingAttempt(req *request) *attempt {
-	class := &p.config.Settings.Classes[req.job.Class]
+func (p *placer) bindingAttempt(req *request) *attempt {
+	class := &p.classes[req.job.Class]
 	if class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.IdempotentWithKey && class.DeduplicationScope == dispatch.ScopeAll {
 		return nil
@@ -57,7 +78,7 @@
 
 // bestPeerFor returns the peer with the most workers that are up at which a class may be placed, at locations that match;
 // empty: there is none.
-func (p *Planner) bestPeerFor(class int, matches func(at *location) bool) string {
+func (p *placer) bestPeerFor(class int, matches func(at *location) bool) string {
 	best, bestAvailable := "", 0
 	for _, peer := range p.peers.list {
 		if !peer.alive {
@@ -69,3 +90,54 @@
 	}
 	return best
 }
+
+const (
+	minTransferWait          = 50 * time.Millisecond
+	transferObjectiveDivisor = 4   // a request is queued for this part of its latency objective before it is transferred
+	transferSlotMargin       = 1.0 // slots that have to be free beyond what the request takes
+	transferScanLimit        = 64  // queued requests that are looked at in a tick
+)
+
+// transferQueued transfers queued requests that no worker of this planner may have, or that have been queued for a part of
+// their latency objective while a peer has capacity.
+func (p *placer) transferQueued() {
+	if !p.peers.anyAlive {
+		return
+	}
+	planners := float64(1 + p.peers.countAlive())
+	scanned := 0
+	for req := range p.requests.queued.all() {
+		if scanned++; scanned > transferScanLimit {
+			return
+		}
+		if to := p.preferredPeer(req); to != "" { // workers have changed since the offer
+			p.transfer(req, to)
+			continue
+		}
+		if !p.hasWaitedForTransfer(req) {
+			continue
+		}
+		if to := p.peers.withMostFreeSlots(p.step.now(), req.slots); to != "" {
+			p.peers.find(to).claimedSlots += req.slots * planners // all planners may count on the same free slots
+			p.transfer(req, to)
+		}
+	}
+}
+
+// hasWaitedForTransfer reports whether a queued request may be transferred for lack of capacity. One that was transferred
+// before may not: it is not sent to and fro.
+func (p *placer) hasWaitedForTransfer(req *request) bool {
+	objective := p.classes[req.job.Class].LatencyObjective
+	wait := max(minTransferWait, objective/transferObjectiveDivisor)
+	return req.transfers == 0 && p.step.now()-req.queuedSince >= wait && p.bindingAttempt(req) == nil
+}
+
+// transfer has the forwarder offer a request to another planner.
+func (p *placer) transfer(req *request, to string) {
+	p.stats.Transferred++
+	p.step.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID, Planner: to})
+	if req.knownToPolicy {
+		p.policy.notify(dispatch.ClientDisconnected{Job: req.id})
+	}
+	p.closer.close(req)
+}
--- a/internal/control/planner/request.go
+++ b/internal/control/planner/request.go
@@ -11,17 +11,8 @@
 // requestState is how far a request has come at this planner. It changes by requestTable.transition only.
 type requestState uint8
 
-const (
-	requestNew      requestState = iota // not in the table yet
-	requestOffered                      // open; not decided yet whether it stays here
-	requestQueued                       // open, without an attempt in flight
-	requestInFlight                     // open, with attempts in flight
-	requestClosing                      // closed, with attempts in flight
-	requestRemoved                      // not in the table any more
-)
-
-func (s requestState) String() string {
-	switch s {
+func (r requestState) String() string {
+	switch r {
 	case requestNew:
 		return "new"
 	case requestOffered:
@@ -39,7 +30,16 @@
 }
 
 // isOpen reports whether the forwarder awaits a decision on the request.
-func (s requestState) isOpen() bool { return s >= requestOffered && s <= requestInFlight }
+func (r requestState) isOpen() bool { return r >= requestOffered && r <= requestInFlight }
+
+const (
+	requestNew      requestState = iota // not in the table yet
+	requestOffered                      // open; not decided yet whether it stays here
+	requestQueued                       // open, without an attempt in flight
+	requestInFlight                     // open, with attempts in flight
+	requestClosing                      // closed, with attempts in flight
+	requestRemoved                      // not in the table any more
+)
 
 // request is a request that a forwarder has offered.
 type request struct {
@@ -62,148 +62,29 @@
 	inFlight      int           // attempts
 }
 
-// requestTable is the requests that are open, or closing.
-type requestTable struct {
-	byID       map[uint64]*request
-	lastID     uint64
-	openCount  int
-	slotsInUse float64     // of attempts in flight
-	queued     requestList // the one that has been queued longest first
-	expiries   deadline.Queue[*request]
-	free       []*request // for reuse
-	maxFree    int
-}
-
-func newRequestTable(maxFree int) requestTable {
-	return requestTable{byID: map[uint64]*request{}, queued: requestList{id: queuedList}, maxFree: maxFree}
-}
-
-// allocate returns a request that is new but for its number. Its attempts' array may be that of an earlier request.
-func (t *requestTable) allocate() *request {
-	req := &request{}
-	if last := len(t.free) - 1; last >= 0 {
-		req = t.free[last]
-		t.free = t.free[:last]
-	}
-	t.lastID++
-	*req = request{id: t.lastID, attempts: req.attempts[:0]}
-	return req
-}
-
-// release keeps a removed request for reuse.
-func (t *requestTable) release(req *request) {
-	if len(t.free) < t.maxFree {
-		t.free = append(t.free, req)
-	}
-}
-
-// open returns the request of a number if it is open, else nil.
-func (t *requestTable) open(id uint64) *request {
-	if req := t.byID[id]; req != nil && req.state.isOpen() {
-		return req
-	}
-	return nil
-}
-
-// transition moves a request to a state. It keeps the counts of open requests, the queue, and the expiries of closing
-// requests, whose At is to be set before.
-func (t *requestTable) transition(req *request, state requestState, now time.Duration) {
-	from := req.state
-	if from == state {
-		return
-	}
-	req.state = state
-	if from.isOpen() != state.isOpen() {
-		t.countOpen(req, state.isOpen())
-	}
-	switch from {
-	case requestQueued:
-		t.queued.remove(req)
-	case requestClosing:
-		t.expiries.Remove(req)
-	}
-	switch state {
-	case requestQueued:
-		req.queuedSince = now
-		t.queued.push(req)
-	case requestClosing:
-		t.expiries.Add(req)
-	}
-}
-
-func (t *requestTable) countOpen(req *request, opened bool) {
-	change := -1
-	if opened {
-		change = 1
-	}
-	t.openCount += change
-	req.forwarder.openCount += change
-}
-
-// settle gives an open request the state that follows from its attempts.
-func (t *requestTable) settle(req *request, now time.Duration) {
-	switch {
-	case !req.state.isOpen():
-	case req.inFlight > 0:
-		t.transition(req, requestInFlight, now)
-	default:
-		t.transition(req, requestQueued, now)
-	}
-}
-
-// expireBy has a closing request expire at a time, unless it does so earlier.
-func (t *requestTable) expireBy(req *request, at time.Duration) {
-	if req.At <= at {
-		return
-	}
-	t.expiries.Remove(req)
-	req.At = at
-	t.expiries.Add(req)
-}
-
-// closeRequest takes in that a request is not open any more. What is in flight of it still counts as load.
-func (p *Planner) closeRequest(req *request) {
-	switch {
-	case !req.state.isOpen():
-	case req.inFlight == 0:
-		p.removeRequest(req)
-	default:
-		req.At = max(req.deadline, p.now) + reportGrace
-		p.requests.transition(req, requestClosing, p.now)
-	}
-}
-
-// removeRequest forgets a request.
-func (p *Planner) removeRequest(req *request) {
-	table := &p.requests
-	table.transition(req, requestRemoved, p.now)
-	for i := range req.attempts {
-		attempt := &req.attempts[i]
-		if attempt.inFlight() {
-			table.slotsInUse -= req.slots
+// resumedJob returns the event that gives a policy the request with its attempts.
+func (r *request) resumedJob(now time.Duration) dispatch.JobResumed {
+	resumed := dispatch.JobResumed{
+		Job:          r.job,
+		Age:          now - r.arrivedAt,
+		QuotaCharged: r.knownToPolicy || r.transfers > 0,
+	}
+	resumed.Job.Remaining = max(0, r.deadline-now)
+	for i := range r.attempts {
+		attempt := &r.attempts[i]
+		past := dispatch.PastAttempt{
+			Worker:  attempt.worker.ID,
+			SentAgo: now - attempt.sentAt,
+			Ended:   !attempt.inFlight(),
+			Result:  attempt.result,
 		}
-		p.addReferences(attempt.worker, -1)
-		attempt.worker = nil
-	}
-	if f := req.forwarder; f != nil {
-		f.offered.remove(req)
-		if f.requests[req.forwarderID] == req {
-			delete(f.requests, req.forwarderID)
+		if attempt.startedAt != 0 {
+			past.StartedAgo = max(1, now-attempt.startedAt)
 		}
-		req.forwarder = nil
+		resumed.Attempts = append(resumed.Attempts, past)
 	}
-	delete(table.byID, req.id)
-	if len(table.byID) == 0 {
-		table.slotsInUse = 0 // without the rounding errors of its sums
-	}
-	table.release(req)
+	return resumed
 }
 
-// abandonRequest ends a request and its attempts for the policy.
-func (p *Planner) abandonRequest(req *request) {
-	if req.state.isOpen() {
-		p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
-	}
-	p.cancelAttempts(req)
-	p.removeRequest(req)
-}
+// clampSpan returns a reported duration within its bounds.
+func clampSpan(d time.Duration) time.Duration { return min(max(d, 0), maxReportedSpan) }
--- a/internal/server/drain_requests_test.go
+++ b/internal/server/drain_requests_test.go
@@ -16,15 +16,15 @@
 	"time"
 )
 
-// hangingWorkers take requests and never answer any.
+// hangingWorkers accepts connections and requests, and never responds.
 type hangingWorkers struct {
 	net.Listener
 	received sync.Map // by call ID
 }
 
-func (w *hangingWorkers) serve() {
+func (h *hangingWorkers) serve() {
 	for {
-		connection, err := w.Accept()
+		connection, err := h.Accept()
 		if err != nil {
 			return
 		}
@@ -34,13 +34,13 @@
 				if err != nil {
 					return
 				}
-				w.received.Store(request.Header.Get("X-Call-Id"), true)
+				h.received.Store(request.Header.Get("X-Call-Id"), true)
 			}
 		}()
 	}
 }
 
-// persistentClient sends one request after the other up to the scheduler's end, on a connection that it keeps.
+// persistentClient sends one request after the other up to the scheduler's end, on one connection.
 type persistentClient struct {
 	name     string
 	address  string
@@ -52,65 +52,65 @@
 }
 
 // run sends requests until the scheduler has ended.
-func (c *persistentClient) run() {
+func (p *persistentClient) run() {
 	var reader *bufio.Reader
 	for n := 0; ; n++ {
-		connection, isNew := c.connect()
+		connection, isNew := p.connect()
 		if connection == nil {
 			return
 		}
 		if isNew {
 			reader = bufio.NewReader(connection)
 		}
-		id := fmt.Sprintf("%s-%d", c.name, n)
+		id := fmt.Sprintf("%s-%d", p.name, n)
 		_, _ = fmt.Fprintf(connection, "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %s\r\nX-Budget-Ms: 200\r\nContent-Length: 0\r\n\r\n", id)
 		response, err := http.ReadResponse(reader, nil)
 		if err == nil {
 			_, err = io.Copy(io.Discard, response.Body)
 		}
-		c.answered[id] = err == nil || errors.Is(err, os.ErrDeadlineExceeded) && hasResponse(connection)
+		p.answered[id] = err == nil || errors.Is(err, os.ErrDeadlineExceeded) && hasResponse(connection)
 		if err != nil || response.Close { // what crossed a close is sent again, on another connection
-			c.disconnect()
+			p.disconnect()
 		}
 	}
 }
 
-// connect returns the client's connection; nil: the scheduler has ended.
-func (c *persistentClient) connect() (connection *net.TCPConn, isNew bool) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.ended {
+// connect returns the client's connection, or nil if the scheduler has ended.
+func (p *persistentClient) connect() (connection *net.TCPConn, isNew bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.ended {
 		return nil, false
 	}
-	if c.connection != nil {
-		return c.connection, false
+	if p.connection != nil {
+		return p.connection, false
 	}
-	dialed, err := net.Dial("tcp", c.address)
+	dialed, err := net.Dial("tcp", p.address)
 	if err != nil {
 		return nil, false
 	}
-	c.connection = dialed.(*net.TCPConn)
-	return c.connection, true
+	p.connection = dialed.(*net.TCPConn)
+	return p.connection, true
 }
 
-func (c *persistentClient) disconnect() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	_ = c.connection.Close()
-	c.connection = nil
+func (p *persistentClient) disconnect() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	_ = p.connection.Close()
+	p.connection = nil
 }
 
-// stop lets the client know that the scheduler has ended: what it has not written by now does not come.
-func (c *persistentClient) stop() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.ended = true
-	if c.connection != nil {
-		_ = c.connection.SetReadDeadline(time.Unix(1, 0))
+// stop is called when the scheduler has ended, so that no further response is expected.
+func (p *persistentClient) stop() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.ended = true
+	if p.connection != nil {
+		_ = p.connection.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// hasResponse reports whether a response has come that was not read when the scheduler ended.
+// hasResponse reports whether a response was received that was not read when the scheduler ended.
 func hasResponse(connection *net.TCPConn) bool {
 	_ = connection.SetReadDeadline(time.Time{})
 	raw, err := connection.SyscallConn()
@@ -126,8 +126,8 @@
 	return size > 0 && bytes.HasPrefix(received[:size], []byte("HTTP/1.1 "))
 }
 
-// Where deadlines are short, SIGKILL is due soon after SIGTERM. Whatever else is under way then, with workers that hang through all
-// of it and clients that go on on the connections that they have, each request that was sent to a worker is answered.
+// Where deadlines are short, SIGKILL is due soon after SIGTERM. With hanging workers, and clients
+// that continue on their connections, each request that was sent to a worker is responded to.
 func TestTermWithShortDeadlines(t *testing.T) {
 	const clients = 4
 	for name, reloads := range map[string]int{"discovery is down": 0, "a new configuration": 1, "several": 5} {
@@ -164,11 +164,11 @@
 	}
 }
 
-// expectAnswered expects an answer to each request of the client that workers have received.
-func (c *persistentClient) expectAnswered(t *testing.T, workers *hangingWorkers) {
+// expectAnswered expects a response to each request of the client that workers have received.
+func (p *persistentClient) expectAnswered(t *testing.T, workers *hangingWorkers) {
 	t.Helper()
 	workers.received.Range(func(id, _ any) bool {
-		if strings.HasPrefix(id.(string), c.name+"-") && !c.answered[id.(string)] {
+		if strings.HasPrefix(id.(string), p.name+"-") && !p.answered[id.(string)] {
 			t.Errorf("%s was sent to a worker, and not answered", id)
 		}
 		return true
