--- a/internal/control/planner/attempt.go
+++ b/internal/control/planner/attempt.go
@@ -6,7 +6,7 @@
 	"valvecove/dispatch"
 )
 
-// attemptState is how far an attempt has come. States follow each other in this order.
+// attemptState is the state of an attempt. An attempt passes through the states in this order, and may skip some.
 type attemptState uint8
 
 func (a attemptState) String() string {
@@ -22,7 +22,7 @@
 }
 
 const (
-	attemptCommanded attemptState = iota // its send command is sent, and nothing was heard of it
+	attemptCommanded attemptState = iota // its send command is sent, and the forwarder has not reported on it
 	attemptConfirmed                     // the forwarder has reported it
 	attemptEnded
 )
@@ -41,7 +41,7 @@
 // advanceTo moves the attempt to a state, if that is later than its present one.
 func (a *attempt) advanceTo(state attemptState) { a.state = max(a.state, state) }
 
-// confirmStart takes in that the worker has started to execute the attempt.
+// confirmStart records that the worker has started to execute the attempt. Only the first start counts.
 func (a *attempt) confirmStart(now time.Duration) {
 	a.advanceTo(attemptConfirmed)
 	if a.startedAt == 0 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// knownResult returns a result, or for one that this build doesn't know one that leaves open whether the attempt was
-// executed.
+// knownResult returns a result. One that this build doesn't know is replaced by one that leaves open whether the attempt
+// was executed.
 func knownResult(result dispatch.Result) dispatch.Result {
 	if result < dispatch.OK || result > dispatch.NotSent {
 		return dispatch.ConnectionReset
--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -45,9 +45,9 @@
 	b.ReportMetric(float64(d.rejected-rejectedBefore)/served, "rejected/request")
 }
 
-// loadDriver drives a planner with forwarders that execute every command: each attempt starts after one delay and ends after
-// another. Its queues are slices in order of time, and its messages are reused, as it must cost next to nothing beside the
-// planner.
+// loadDriver drives a planner with forwarders that execute every command: each attempt starts after one delay and ends
+// after another. Its queues are slices in order of time, and its messages are reused, as it must cost next to nothing
+// beside the planner.
 type loadDriver struct {
 	planner    *Planner
 	now        time.Duration
@@ -180,7 +180,7 @@
 	}
 }
 
-// advance has the planner take in what is due next, at most so many messages, and an offer for each request that is served.
+// advance delivers the messages that are due next, at most so many, and an offer for each request that is served.
 func (d *loadDriver) advance(batch int) {
 	d.events = d.events[:0]
 	for len(d.events)+2 <= batch || len(d.events) == 0 {
--- a/internal/control/planner/commands.go
+++ b/internal/control/planner/commands.go
@@ -5,7 +5,7 @@
 	"valvecove/internal/control/message"
 )
 
-// healthCheckStarter has a forwarder check a worker.
+// healthCheckStarter commands a forwarder to check a worker.
 type healthCheckStarter interface{ start(workerID uint64) }
 
 // attemptAdder adds attempts to requests, and closes requests.
@@ -26,7 +26,7 @@
 	workers          *workerTable
 }
 
-// execute sends the commands that the policy's actions ask for. The actions' array becomes the buffer for its next ones.
+// execute executes the policy's actions. Their array becomes the buffer for its next ones.
 func (c *commandExecutor) execute(actions []dispatch.Action) {
 	for i, action := range actions {
 		switch action := action.(type) {
@@ -50,14 +50,15 @@
 		case dispatch.Log:
 			c.step.log(action.Text)
 		case dispatch.WorkerEjected:
-			c.step.log("worker ejected", "worker", action.Worker, "reason", action.Reason.String(), "ejection_time", action.EjectionTime)
+			c.step.log("worker ejected", "worker", action.Worker, "reason", action.Reason.String(),
+				"ejection_time", action.EjectionTime)
 		}
 	}
 	c.policy.reuseActions(actions)
 }
 
-// sendAttempt commands an attempt. Each Send of the policy has its outcome: that of one that can't be commanded is at once
-// that it was not sent.
+// sendAttempt commands an attempt. Each Send of the policy has an outcome: one that can't be commanded has the immediate
+// one that it was not sent.
 func (c *commandExecutor) sendAttempt(send dispatch.Send) {
 	req := c.requests.byID[send.Job]
 	if req == nil {
@@ -83,6 +84,7 @@
 	})
 }
 
+// reject commands the forwarder to reject a request that is open, and closes it.
 func (c *commandExecutor) reject(action dispatch.Reject) {
 	if req := c.requests.open(action.Job); req != nil {
 		c.step.send(req.forwarder, &message.RejectCommand{RequestID: req.forwarderID, RetryAfter: action.RetryAfter})
@@ -91,6 +93,7 @@
 	}
 }
 
+// fail commands the forwarder to fail a request that is open, and closes it.
 func (c *commandExecutor) fail(action dispatch.Fail) {
 	if req := c.requests.open(action.Job); req != nil {
 		c.step.send(req.forwarder, &message.FailCommand{RequestID: req.forwarderID})
@@ -99,6 +102,7 @@
 	}
 }
 
+// cancel commands the forwarder to cancel an attempt that is in flight.
 func (c *commandExecutor) cancel(action dispatch.Cancel) {
 	req := c.requests.byID[action.Job]
 	if req == nil || req.forwarder == nil || action.Attempt < 0 || action.Attempt >= len(req.attempts) {
@@ -109,8 +113,8 @@
 	}
 }
 
-// closeIdleConnections has idle connections to a worker closed: those of the forwarder that is to send there by the action
-// after this one, if that is so, else those of all.
+// closeIdleConnections closes idle connections to a worker: those of the forwarder that is to send there by the action
+// after this one, if it is such a send, otherwise those of all forwarders.
 func (c *commandExecutor) closeIdleConnections(workerID uint64, next []dispatch.Action) {
 	if len(next) > 0 {
 		if send, ok := next[0].(dispatch.Send); ok && send.Worker == workerID {
--- a/internal/control/planner/config.go
+++ b/internal/control/planner/config.go
@@ -7,13 +7,13 @@
 	"valvecove/dispatch"
 )
 
-// Config configures a planner. Zero counts, sizes and durations stand for those of Defaults.
+// Config configures a planner. Counts, sizes and durations of zero are replaced by those of Defaults.
 type Config struct {
 	Name        string
 	Incarnation uint64 // start of this process, in ns since the Unix epoch
 	Version     int    // of the protocol: major version times 256 plus minor version; peers of another major version are rejected
 	Settings    dispatch.Settings
-	NewPolicy   func() Policy // returns a policy without any knowledge, for use by one planner alone
+	NewPolicy   func() Policy // returns a policy without any state, for use by one planner alone
 
 	MaxOpenRequests      int // of all forwarders
 	MinCredit, MaxCredit int // bounds of one forwarder's share of MaxOpenRequests; the lower one only while there is enough
@@ -24,7 +24,7 @@
 	StopTimeout          time.Duration // how long a planner that stops waits for its forwarders to disconnect
 }
 
-// Defaults returns the configuration that holds for fields that are zero.
+// Defaults returns the values of fields that are zero.
 func Defaults() Config {
 	return Config{
 		MaxOpenRequests:    20_000,
@@ -52,7 +52,7 @@
 	return c
 }
 
-// compatible reports whether a protocol version can be spoken with this planner: its major version is the same.
+// compatible reports whether this planner supports a version of the protocol: its major version is the same.
 func (c *Config) compatible(version int) bool { return major(version) == major(c.Version) }
 
 func major(version int) int { return version >> 8 }
--- a/internal/control/planner/contract_policy_test.go
+++ b/internal/control/planner/contract_policy_test.go
@@ -8,11 +8,12 @@
 	"valvecove/dispatch"
 )
 
-// contractPolicy is a dispatcher that also checks whether the planner tells it what package dispatch asks of its caller.
+// contractPolicy is a dispatcher that also checks that the planner's events are those that package dispatch asks of its
+// caller.
 type contractPolicy struct {
 	*dispatch.Dispatcher
 	jobs       map[uint64]*contractJob
-	workers    map[uint64]bool // that it was told of
+	workers    map[uint64]bool // of which it was notified
 	violations []string
 }
 
--- a/internal/control/planner/creditallocator.go
+++ b/internal/control/planner/creditallocator.go
@@ -9,17 +9,19 @@
 	forwarders *forwarderTable
 }
 
+// covers reports whether a forwarder's credit covers one more open request.
 func (c *creditAllocator) covers(f *forwarder) bool {
 	return f.credit.covers(f.openCount, c.step.now())
 }
 
-// decayPeaks brings the recent peaks up to date.
+// decayPeaks updates the recent peaks: each decays, and is at least the present count of open requests.
 func (c *creditAllocator) decayPeaks() {
 	for _, f := range c.forwarders.connected {
 		f.credit.recentPeak = max(float64(f.openCount), f.credit.recentPeak*peakRetention)
 	}
 }
 
+// plan returns the basis of an assignment of credit. At least one forwarder must be connected.
 func (c *creditAllocator) plan() creditPlan {
 	connected := c.forwarders.connected
 	plan := creditPlan{total: c.config.MaxOpenRequests, forwarders: len(connected), minCredit: c.config.MinCredit}
@@ -31,8 +33,8 @@
 	return plan
 }
 
-// assign shares the credit by the recent peaks. Credits are reduced, and forwarders told so, before others are raised:
-// all together never exceed Config.MaxOpenRequests. A change that is small is left out, unless all are wanted.
+// assign shares the credit by the recent peaks. Credits are reduced, and their forwarders notified, before others are
+// raised: their sum never exceeds Config.MaxOpenRequests. Small changes are skipped, unless all is set.
 func (c *creditAllocator) assign(all bool) {
 	if len(c.forwarders.connected) == 0 {
 		return
@@ -48,7 +50,7 @@
 	}
 }
 
-// reduce reduces a credit to a share that is less; if it is small only where it is less than three quarters.
+// reduce reduces a credit to a share that is less. Unless small is set, the share must be less than three quarters of it.
 func (c *creditAllocator) reduce(f *forwarder, share int, small bool) {
 	current := f.credit.limit
 	if share >= current || !small && share >= current*3/4 {
@@ -62,8 +64,8 @@
 	c.set(f, share)
 }
 
-// raise raises a credit to a share that is greater, by what is unassigned at most, and returns by how much. A small
-// raise, by less than a quarter, is made only if it is wanted, or the forwarder uses three quarters of its credit.
+// raise raises a credit to a share that is greater, by what is unassigned at most, and returns by how much. Unless small is
+// set, a raise by less than a quarter is made only if the forwarder uses three quarters of its credit.
 func (c *creditAllocator) raise(f *forwarder, share, unassigned int, small bool) int {
 	current := f.credit.limit
 	raise := min(share-current, unassigned)
@@ -74,7 +76,7 @@
 	return raise
 }
 
-// set sets a credit and tells the forwarder, unless the reply to its handshake will.
+// set sets a credit and notifies the forwarder, unless the reply to its handshake is to have the credit.
 func (c *creditAllocator) set(f *forwarder, limit int) {
 	f.credit.limit = limit
 	if f.session.state == sessionEstablished {
--- a/internal/control/planner/creditplan.go
+++ b/internal/control/planner/creditplan.go
@@ -1,9 +1,9 @@
 package planner
 
-// creditPlan shares Config.MaxOpenRequests among the connected forwarders.
+// creditPlan is the basis of one assignment of credit: the total, the demand of all forwarders and the limits of each.
 type creditPlan struct {
 	total, forwarders  int
-	minCredit          int // that is added to what a forwarder needs by its peak
+	minCredit          int // added to what a forwarder needs by its peak
 	minLimit, maxLimit int // of a forwarder
 	demand             int // of all forwarders
 }
@@ -14,8 +14,8 @@
 	return min(max(demand, c.minLimit), c.maxLimit)
 }
 
-// shareOf returns the credit that a forwarder is to have. What is left beyond all demands is shared evenly; if they come to
-// more than there is, each forwarder has the minimum and a part of the rest in proportion to its demand.
+// shareOf returns the credit that a forwarder is to have. What remains beyond all demands is shared evenly; if the demands
+// exceed the total, each forwarder has the minimum and a part of the rest in proportion to its demand.
 func (c *creditPlan) shareOf(f *forwarder) int {
 	demand := c.demandOf(f)
 	if c.demand <= c.total {
--- a/internal/control/planner/doc.go
+++ b/internal/control/planner/doc.go
@@ -6,18 +6,30 @@
 // turns events into actions. It does no I/O, reads no clock, starts no goroutine, and never sees a payload; the same
 // events give the same actions. What it commands is validated by the forwarder, whose records decide where the two differ.
 //
+// # Parts
+//
+// New joins the parts; each owns its state, and declares what it needs of the others by small interfaces. Planner passes
+// events to them. The step has the instant and collects the actions.
+//
+//   - Forwarders: sessionLifecycle (sessions, handshakes), creditAllocator, heartbeats, snapshotSender.
+//   - Requests: requestTable, requestLifecycle, offerHandler, reportHandler, commandExecutor, placer, healthChecker.
+//   - Workers: workerTable, locationIndex, endpointHandler (endpoint list, partition), statusHandler, policySync.
+//   - Peers: peerTable, peerSessions, loadReporter.
+//   - Policy: policyRunner, and recovery after a panic.
+//   - Planner: lifecycle (its phases), stepTimer, summaryLog.
+//
 // # Guarantees
 //
 //   - An open request belongs to one session of one forwarder. When that session ends the request is closed. Its attempts in
-//     flight still count as load until the forwarder reports their ends, or until they must have ended.
+//     flight still count as load until the forwarder reports their ends, or until they are assumed to have ended.
 //   - The send commands of a request are numbered on from the attempts that its summary has. No number is used twice in a
 //     session.
-//   - A request is transferred to another planner at most maxTransfers times in its life, and only once for lack of
+//   - A request is transferred to another planner at most maxTransfers times, and only once for lack of
 //     capacity.
-//   - The credits that forwarders were told add up to Config.MaxOpenRequests at most. A session that ends returns its
+//   - The credits of the forwarders add up to Config.MaxOpenRequests at most. A session that ends returns its
 //     credit at once.
 //   - Input is checked and bounded: what is invalid is counted, and is ignored or ends its session.
-//   - A panic of the policy ends no session. The policy is replaced by a new one, which is told every request; a request
+//   - A panic of the policy ends no session. The policy is replaced by a new one, which receives every request; a request
 //     that makes it panic again is returned to its forwarder.
 //
 // # Use
--- a/internal/control/planner/endpoints.go
+++ b/internal/control/planner/endpoints.go
@@ -29,14 +29,14 @@
 	takeovers []takeover // by time
 }
 
-// processList takes in a watch event and tells the policy of it.
+// processList processes a watch event and notifies the policy of it.
 func (e *endpointHandler) processList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
 		e.policy.endpointListReceived(list.Kind)
 		e.policy.notify(list)
 		return
 	}
-	e.policySync.flush() // the policy is told of earlier changes before
+	e.policySync.flush() // the policy is notified of earlier changes first
 	table := e.workers
 	table.revision = list.Revision
 	e.policy.endpointListReceived(list.Kind)
@@ -58,7 +58,7 @@
 	e.policy.notify(list)
 }
 
-// processSourceChange takes in that revisions begin anew.
+// processSourceChange discards the revisions, which restart with a new source.
 func (e *endpointHandler) processSourceChange() {
 	for _, worker := range e.workers.list {
 		worker.status.Revision = 0
@@ -66,7 +66,7 @@
 	e.workers.revision = 0
 }
 
-// update takes in an entry of the list.
+// update processes an entry of the list.
 func (e *endpointHandler) update(entry *dispatch.Worker, revision int64) {
 	if entry.Removed {
 		if known := e.workers.byID[entry.ID]; known != nil && known.listed {
@@ -87,7 +87,7 @@
 	e.policySync.sync(worker)
 }
 
-// removeUnlisted takes in that workers are not on the newest full list.
+// removeUnlisted removes the workers that are not on the newest full list.
 func (e *endpointHandler) removeUnlisted(revision int64) {
 	table := e.workers
 	for i := len(table.list) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of one that is removed
@@ -98,7 +98,7 @@
 	}
 }
 
-// remove takes in that a worker is not on the list any more, unless a newer status says that it is there.
+// remove marks a worker as not listed, unless a newer status reports that it is not gone.
 func (e *endpointHandler) remove(w *worker, revision int64) {
 	status := entryStatus(&w.Worker, revision)
 	status.State = message.WorkerGone
@@ -111,7 +111,7 @@
 	e.policySync.sync(w)
 }
 
-// processPartition takes in how workers are assigned.
+// processPartition processes a new assignment of workers to planners.
 func (e *endpointHandler) processPartition(ownerOf func(w *dispatch.Worker) string) {
 	partition := &e.workers.partition
 	partition.ownerOf = ownerOf
@@ -125,8 +125,8 @@
 	e.locations.resetPlacements()
 }
 
-// updateOwner finds out which planner a worker is assigned to. One that comes from another planner gets no work for one
-// overload window while it is warming up: what that planner has sent it lately is not known. isNew: it was nobody's before.
+// updateOwner determines whether a worker is assigned to this planner. One that was another planner's gets no work for one
+// overload window while it is warming up: what that planner has sent it recently is unknown. isNew: it had no owner before.
 func (e *endpointHandler) updateOwner(w *worker, isNew bool) {
 	isOurs := e.workers.partition.owner(w) == e.workers.partition.local
 	isTakenOver := isOurs && !w.owned && !isNew
@@ -137,7 +137,7 @@
 	w.owned = isOurs
 }
 
-// expireTakeovers lets workers have work whose time has come.
+// expireTakeovers makes the workers available whose takeover has expired.
 func (e *endpointHandler) expireTakeovers() {
 	for len(e.takeovers) > 0 && e.takeovers[0].until <= e.step.now() {
 		worker := e.takeovers[0].worker
--- a/internal/control/planner/event.go
+++ b/internal/control/planner/event.go
@@ -10,13 +10,13 @@
 // SessionID identifies a connection of a forwarder. The driver chooses it and never uses it again.
 type SessionID uint64
 
-// Event is something that has happened: one of the types of this file.
+// Event is an input of the planner: one of the types below.
 type Event interface{ event() }
 
 type (
-	// SessionOpened tells that a forwarder has connected.
+	// SessionOpened reports that a forwarder has connected.
 	SessionOpened struct{ Session SessionID }
-	// SessionClosed tells that a forwarder's connection has ended, whoever ended it.
+	// SessionClosed reports that a forwarder's connection has ended, whichever side ended it.
 	SessionClosed struct{ Session SessionID }
 	// ForwarderMessage is a message of a forwarder.
 	ForwarderMessage struct {
@@ -24,9 +24,9 @@
 		Envelope message.Envelope
 	}
 
-	// PeerConnected tells that there is a connection to another planner.
+	// PeerConnected reports that a connection to another planner is established.
 	PeerConnected struct{ Peer string }
-	// PeerDisconnected tells that there is none any more.
+	// PeerDisconnected reports that the connection to another planner has ended.
 	PeerDisconnected struct{ Peer string }
 	// PeerMessage is a message of another planner.
 	PeerMessage struct {
@@ -38,18 +38,18 @@
 
 	// EndpointsChanged is a watch event of the endpoint list.
 	EndpointsChanged struct{ Endpoints dispatch.WorkerList }
-	// EndpointSourceChanged tells that the list comes from another source from now on, whose revisions begin anew.
+	// EndpointSourceChanged reports that the list is read from another source from now on, whose revisions restart.
 	EndpointSourceChanged struct{}
-	// PartitionChanged tells which planner each worker is assigned to. Owner returns a planner's name; its results may
+	// PartitionChanged reports which planner each worker is assigned to. Owner returns a planner's name; its results may
 	// change with the next PartitionChanged only. A nil Owner, as before the first of these events, assigns every worker to
 	// this planner.
 	PartitionChanged struct {
 		Owner func(w *dispatch.Worker) string
 	}
 
-	// TimerFired tells that the time has come for which SetTimer asked.
+	// TimerFired reports that the timer of SetTimer has fired.
 	TimerFired struct{}
-	// StopRequested tells the planner to stop.
+	// StopRequested stops the planner.
 	StopRequested struct{}
 )
 
@@ -66,7 +66,7 @@
 func (TimerFired) event()            {}
 func (StopRequested) event()         {}
 
-// Action is something to be done: one of the types below.
+// Action is an output of the planner: one of the types below.
 type Action interface{ action() }
 
 type (
@@ -75,24 +75,24 @@
 		Session  SessionID
 		Envelope message.Envelope
 	}
-	// SendToPeer sends a message to another planner. It is void without a connection. Several actions may share the message;
-	// it is not to be changed.
+	// SendToPeer sends a message to another planner. Without a connection it is ignored. Several actions may share the
+	// message; it is not to be changed.
 	SendToPeer struct {
 		Peer     string
 		Envelope message.Envelope
 	}
 	// CloseSession closes a forwarder's connection, after the messages that precede it.
 	CloseSession struct{ Session SessionID }
-	// SetTimer asks for TimerFired after this duration. An earlier time that was asked for remains valid.
+	// SetTimer requests a TimerFired after this duration. A timer that was set before and fires earlier remains set.
 	SetTimer struct{ After time.Duration }
 	// WatchEndpoints starts to watch the endpoint list from a revision on.
 	WatchEndpoints struct{ Revision int64 }
-	// LogLine is a line of the operators' log. Attributes are alternating keys and values, as log/slog takes them.
+	// LogLine is a line of the operators' log. Attributes are alternating keys and values, as in log/slog.
 	LogLine struct {
 		Message    string
 		Attributes []any
 	}
-	// Stopped tells that the planner has stopped. No action follows it.
+	// Stopped reports that the planner has stopped. No action follows it.
 	Stopped struct{}
 )
 
--- a/internal/control/planner/forwarder.go
+++ b/internal/control/planner/forwarder.go
@@ -9,12 +9,12 @@
 	"valvecove/internal/control/message"
 )
 
-// forwarder is a forwarder by its name. Its process may be replaced by another one.
+// forwarder is a forwarder, identified by its name. Its process may be replaced by another one.
 type forwarder struct {
 	name           string
 	incarnation    uint64
 	epoch          message.Epoch // of its newest session
-	session        *session      // nil: that has ended
+	session        *session      // nil: it has ended
 	disconnectedAt time.Duration
 	requests       map[uint64]*request // by the forwarder's number
 	offered        requestList         // the same in the order of their offers
@@ -23,8 +23,8 @@
 	snapshotDue    time.Duration
 }
 
-// detachRequests takes in that the forwarder's process has ended: its requests have no numbers any more, and nobody reports
-// what becomes of their attempts.
+// detachRequests removes the requests of a forwarder whose process has ended: their numbers are invalid, and nobody reports
+// the ends of their attempts.
 func (f *forwarder) detachRequests() {
 	for req := range f.offered.all() {
 		f.offered.remove(req)
@@ -60,15 +60,15 @@
 	return req, &req.attempts[number]
 }
 
-// forwarderTable is the forwarders and their sessions.
+// forwarderTable has the forwarders and their sessions.
 type forwarderTable struct {
 	sessions     map[SessionID]*session
 	byName       map[string]*forwarder
 	connected    []*forwarder // that have a session, by name
-	disconnected []*forwarder // by the time at which they lost theirs; some may have one again
+	disconnected []*forwarder // by the time at which their session ended; some may have a session again
 }
 
-// sessionIDs returns the sessions in order: the order of maps must decide nothing.
+// sessionIDs returns the sessions in order, so that no decision depends on the order of a map.
 func (f *forwarderTable) sessionIDs() []SessionID { return slices.Sorted(maps.Keys(f.sessions)) }
 
 func (f *forwarderTable) connect(entry *forwarder) {
--- a/internal/control/planner/handshake.go
+++ b/internal/control/planner/handshake.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/control/message"
 )
 
-// receiveHandshake opens a forwarder's session, which ends the one before. One whose epoch is not newer is of a connection
-// that was overtaken on its way, or of another forwarder by the same name, and is closed.
+// receiveHandshake opens a forwarder's session and ends its previous one. A handshake whose epoch is not newer is of a
+// connection that a later one has overtaken, or of another forwarder of the same name, and its session is closed.
 func (s *sessionLifecycle) receiveHandshake(session *session, epoch message.Epoch, handshake *message.Handshake) {
 	if !s.checkHandshake(session, epoch, handshake) {
 		s.close(session)
@@ -34,8 +34,8 @@
 	s.step.log("forwarder connected", "forwarder", f.name, "epoch", f.epoch, "credit", f.credit.limit)
 }
 
-// checkHandshake reports whether a handshake is valid and its session the forwarder's newest. If not, it says why: to the
-// forwarder where that helps it, to the log, or by a count.
+// checkHandshake reports whether a handshake is valid and its session the forwarder's newest. If not, it reports why: to
+// the forwarder if that can react to it, to the log, or by a count.
 func (s *sessionLifecycle) checkHandshake(session *session, epoch message.Epoch, handshake *message.Handshake) bool {
 	switch {
 	case !s.config.compatible(handshake.Version):
@@ -59,7 +59,7 @@
 	return true
 }
 
-// supersede ends the session that a forwarder has had so far, if any. It may have been on the same connection.
+// supersede ends a forwarder's previous session, if any. It may be on the same connection.
 func (s *sessionLifecycle) supersede(f *forwarder, newest *session) {
 	old := f.session
 	if old == nil {
@@ -72,6 +72,7 @@
 	}
 }
 
+// handshakeAccept returns the reply to a handshake. A credit of 0 is that of a rejected one.
 func (s *sessionLifecycle) handshakeAccept(credit int) *message.HandshakeAccept {
 	return &message.HandshakeAccept{
 		Name: s.config.Name, Incarnation: s.config.Incarnation, Version: s.config.Version, Credit: credit,
--- a/internal/control/planner/healthcheck.go
+++ b/internal/control/planner/healthcheck.go
@@ -11,7 +11,7 @@
 
 const healthCheckTimeout = 5 * time.Second
 
-// healthCheck is one that a forwarder was told to make.
+// healthCheck is a health check that a forwarder was commanded to make.
 type healthCheck struct {
 	forwarder *forwarder
 	startedAt time.Duration
@@ -29,10 +29,10 @@
 	policy     notifier
 
 	pending map[uint64]healthCheck // by worker, one each
-	started int                    // so far
+	started int                    // count since the planner started
 }
 
-// start has the next forwarder check a worker.
+// start commands the next forwarder to check a worker.
 func (h *healthChecker) start(workerID uint64) {
 	connected := h.forwarders.connected
 	_, isPending := h.pending[workerID]
@@ -46,7 +46,7 @@
 	h.step.send(f, &message.HealthCheckCommand{WorkerID: workerID})
 }
 
-// finish takes in the result of a health check, if it is the one that the forwarder was to make.
+// finish processes the result of a health check, if it is the one that the forwarder was commanded to make.
 func (h *healthChecker) finish(f *forwarder, report *message.HealthCheckResult) {
 	if h.pending[report.WorkerID].forwarder != f {
 		return
@@ -55,7 +55,7 @@
 	h.policy.notify(dispatch.HealthChecked{Worker: report.WorkerID, Result: knownResult(report.Result)})
 }
 
-// expire ends the health checks without a result in time.
+// expire ends the health checks that have no result after healthCheckTimeout.
 func (h *healthChecker) expire() {
 	h.cancel(func(check healthCheck) bool { return h.step.now()-check.startedAt >= healthCheckTimeout })
 }
--- a/internal/control/planner/lifecycle.go
+++ b/internal/control/planner/lifecycle.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/control/message"
 )
 
-// phase is how far a planner's life has come. Phases follow each other in this order.
+// phase is the phase of a planner. A planner passes through the phases in this order.
 type phase uint8
 
 func (p phase) String() string {
@@ -25,8 +25,8 @@
 
 const (
 	phaseNew      phase = iota // before the first step
-	phaseRunning               // it decides
-	phaseStopping              // it decides nothing more; its forwarders were told to leave
+	phaseRunning               // it makes decisions
+	phaseStopping              // it makes no decisions; its forwarders have received a goodbye
 	phaseStopped
 )
 
@@ -58,10 +58,10 @@
 	}
 }
 
-// decides reports whether the policy is still asked.
+// decides reports whether the planner still makes decisions.
 func (l *lifecycle) decides() bool { return l.phase < phaseStopping }
 
-// stop tells every forwarder to leave. Commands that were sent stay valid; what forwarders offer from now on is ignored.
+// stop sends a goodbye to each forwarder. Commands that were sent remain valid; later offers are ignored.
 func (l *lifecycle) stop() {
 	if !l.decides() {
 		return
@@ -78,7 +78,7 @@
 	l.finishStop()
 }
 
-// finishStop stops the planner once no session is left, or the time for that is over.
+// finishStop stops the planner if no session is left, or stopTimeout has passed.
 func (l *lifecycle) finishStop() {
 	if len(l.forwarders.sessions) > 0 && l.step.now() < l.stopDeadline {
 		return
--- a/internal/control/planner/loadreport.go
+++ b/internal/control/planner/loadreport.go
@@ -10,9 +10,9 @@
 
 const (
 	loadReportValidity   = time.Second
-	openAverageWeight    = 4   // the newest count of open requests is this part of the moving average
-	quotaShareTolerance  = 10  // the policy is told of changes by more than this part of the share that it was told
-	maxLoadReportedSlots = 1e9 // less than that
+	openAverageDivisor   = 4   // of the newest count of open requests, for its part of the moving average
+	quotaShareDivisor    = 10  // of the quota share: the policy is notified of greater changes
+	maxLoadReportedSlots = 1e9 // exclusive
 )
 
 // capacityEstimator is the policy: it is notified of events, and may have an estimate of the slots that are free.
@@ -50,7 +50,7 @@
 	}
 }
 
-// freeSlots returns how many slots are free as the policy knows it, or else the workers that have no attempt.
+// freeSlots returns how many slots are free by the policy's estimate; without one, the count of workers without an attempt.
 func (l *loadReporter) freeSlots() (slots float64) {
 	if available, ok := l.policy.availableSlots(); ok {
 		return available
@@ -63,7 +63,7 @@
 	return slots
 }
 
-// receive takes in a peer's load.
+// receive records a peer's load.
 func (l *loadReporter) receive(from *peer, report *message.LoadReport) {
 	if !isValidLoadReport(report) {
 		l.stats.InvalidMessages++
@@ -74,13 +74,13 @@
 	from.claimedSlots = 0
 }
 
-// send tells the peers this planner's load, and the policy its share of the quotas.
+// send reports this planner's load to the peers, and its share of the quotas to the policy, once per interval.
 func (l *loadReporter) send() {
 	if l.step.now() < l.nextReportAt {
 		return
 	}
 	l.nextReportAt = l.step.now() + l.interval
-	l.averageOpen += (float64(l.requests.openCount) - l.averageOpen) / openAverageWeight
+	l.averageOpen += (float64(l.requests.openCount) - l.averageOpen) / openAverageDivisor
 	if l.peers.anyAlive || l.quotaShare > 0 {
 		l.updateQuotaShare()
 	}
@@ -89,8 +89,8 @@
 	}
 }
 
-// updateQuotaShare finds out this planner's share of the quotas: that of the open requests of all planners. A peer without
-// a valid load report counts as having as many as this one.
+// updateQuotaShare computes this planner's share of the quotas: its part of the open requests of all planners. A peer
+// without a valid load report is assumed to have as many as this one.
 func (l *loadReporter) updateQuotaShare() {
 	own := l.averageOpen + 1
 	sum := own
@@ -104,7 +104,7 @@
 		}
 	}
 	share := own / sum
-	if math.Abs(share-l.quotaShare) > l.quotaShare/quotaShareTolerance {
+	if math.Abs(share-l.quotaShare) > l.quotaShare/quotaShareDivisor {
 		l.quotaShare = share
 		l.notifyShare()
 	}
--- a/internal/control/planner/location.go
+++ b/internal/control/planner/location.go
@@ -6,7 +6,7 @@
 	"valvecove/dispatch"
 )
 
-// locationKey is what decides whether a class may be placed at a worker.
+// locationKey is the properties of a worker on which it depends whether a class may be placed there.
 type locationKey struct {
 	owner      string
 	zone, kind int
@@ -18,7 +18,7 @@
 	available int // workers that are up
 }
 
-// placement tells whether a class may be placed at a worker of this planner that is up.
+// placement is whether a class may be placed at a worker of this planner that is up.
 type placement uint8
 
 func (p placement) String() string {
@@ -34,21 +34,21 @@
 }
 
 const (
-	placementUnknown placement = iota // not found out since workers have changed
+	placementUnknown placement = iota // not computed since the last change of workers
 	placementLocal
-	placementRemote // at workers of other planners at best
+	placementRemote // at workers of other planners only, if at all
 )
 
 // locationIndex counts the workers that are up by location.
 type locationIndex struct {
 	local      string // the name of this planner
 	classes    []dispatch.Class
-	locations  []*location // the order of maps must decide nothing
+	locations  []*location // in the order of their addition, so that no decision depends on the order of a map
 	byKey      map[locationKey]*location
 	placements []placement // by class
 }
 
-// at returns the location of a key, and enters it if it is not known.
+// at returns the location of a key, and adds it if it is not known.
 func (l *locationIndex) at(key locationKey) *location {
 	known := l.byKey[key]
 	if known == nil {
@@ -59,7 +59,7 @@
 	return known
 }
 
-// move counts a worker at another location than before. Either may be nil, where it is not up.
+// move counts a worker at another location than before. A nil location is that of a worker that is not up.
 func (l *locationIndex) move(from, to *location) {
 	if from != nil {
 		l.count(from, -1)
@@ -69,7 +69,7 @@
 	}
 }
 
-// count adds to a location's workers. The first one and the last one change where classes may be placed.
+// count changes the count of a location's workers. The first and the last one affect where classes may be placed.
 func (l *locationIndex) count(at *location, change int) {
 	at.available += change
 	if at.available <= 1 {
@@ -96,7 +96,7 @@
 	worker.location = to
 }
 
-// resetPlacements discards what is known of where classes may be placed.
+// resetPlacements discards the computed placements of all classes.
 func (l *locationIndex) resetPlacements() {
 	for class := range l.placements {
 		l.placements[class] = placementUnknown
@@ -137,7 +137,7 @@
 	}
 }
 
-// isListed reports whether a list of the settings names something. A list that is nil names everything.
+// isListed reports whether a list of the settings has an element. A nil list has every element.
 func isListed(names []int, name int) bool { return names == nil || slices.Contains(names, name) }
 
 func anywhere(*location) bool { return true }
--- a/internal/control/planner/model_connection_test.go
+++ b/internal/control/planner/model_connection_test.go
@@ -15,7 +15,7 @@
 	forwarder   *modelForwarder // the same; nil: it has another connection by now
 	toPlanner   []delivery
 	toForwarder []delivery
-	epoch       message.Epoch // the newest that the planner was told, or will be in its next step
+	epoch       message.Epoch // the newest that the planner has received, or will receive in its next step
 	credit      int
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// recordMessage records what the planner is told that it must heed from then on.
+// recordMessage records a message to the planner, as far as the planner must respect it from then on.
 func (r *randomRun) recordMessage(connection *modelConnection, envelope message.Envelope) {
 	switch m := envelope.Message.(type) {
 	case *message.Handshake:
--- a/internal/control/planner/model_fault_test.go
+++ b/internal/control/planner/model_fault_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendList has the planner told of the endpoint list, or of some of its entries.
+// sendList sends the planner the endpoint list, or some of its entries.
 func (r *randomRun) sendList(kind dispatch.ListKind, changed ...dispatch.Worker) {
 	list := dispatch.WorkerList{Kind: kind, Revision: r.revision, Workers: changed}
 	if kind != dispatch.ListDelta {
--- a/internal/control/planner/model_forwarder_test.go
+++ b/internal/control/planner/model_forwarder_test.go
@@ -18,7 +18,7 @@
 	epoch       message.Epoch
 	connection  *modelConnection
 	established bool
-	leaving     bool // it was told goodbye
+	leaving     bool // it has received a goodbye
 	credit      int
 	lastID      uint64
 	requests    map[uint64]*modelRequest
@@ -115,7 +115,7 @@
 	f.connection.toPlanner = append(f.connection.toPlanner, delivery{at, message.Envelope{Epoch: f.epoch, Message: m}})
 }
 
-// receive takes in a message of the planner.
+// receive processes a message of the planner.
 func (f *modelForwarder) receive(connection *modelConnection, envelope message.Envelope) {
 	if connection != f.connection || envelope.Epoch != f.epoch {
 		return
@@ -248,7 +248,7 @@
 func (f *modelForwarder) scheduleResult(req *modelRequest, attempt int) {
 	r := f.run
 	at := r.now + r.span(40*ms)
-	if r.oneIn(8) { // nothing is heard of it
+	if r.oneIn(8) { // no result is ever reported
 		f.scheduleAt(req.deadline, req, attempt, false, dispatch.TimedOut)
 		return
 	}
@@ -268,7 +268,7 @@
 	slices.SortStableFunc(f.schedule, func(a, b scheduledResult) int { return cmp.Compare(a.at, b.at) })
 }
 
-// end ends an attempt. The planner is told that has the request, or had it until its response.
+// end ends an attempt. The planner that has the request, or had it until its response, receives a report.
 func (f *modelForwarder) end(req *modelRequest, i int, result dispatch.Result) {
 	attempt := &req.attempts[i]
 	if attempt.ended {
--- a/internal/control/planner/offers.go
+++ b/internal/control/planner/offers.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	maxAttempts       = 64                    // of a request that is offered; twice as many by the commands of this planner
+	maxAttempts       = 64                    // of an offered request; twice as many with the commands of this planner
 	maxReportedSpan   = time.Hour             // of any duration that a forwarder reports
-	maxReportedSlots  = 1e9                   // less than that; a greater figure counts as 1
-	resumeThreshold   = 10 * time.Millisecond // a request that has waited for so long is no new one to the policy
+	maxReportedSlots  = 1e9                   // exclusive; greater figures are replaced by defaultSlotDemand
+	resumeThreshold   = 10 * time.Millisecond // a request that has waited this long is resumed by the policy, not new to it
 	defaultSlotDemand = 1
 )
 
@@ -40,11 +40,11 @@
 	workers          *workerTable
 }
 
-// handle takes in an offer. One of a request that is known replaces it: the forwarder has reason to think that
-// the two know different things, and its records decide.
+// handle processes an offer. An offer of a known request replaces that request: the forwarder assumes that the
+// records of both differ, and its own decide.
 func (o *offerHandler) handle(f *forwarder, offer *message.RequestOffer) {
 	if !o.phase.decides() {
-		return // the forwarder offers all of them to others once it reads the goodbye
+		return // the forwarder offers its requests to other planners when it reads the goodbye
 	}
 	o.stats.Offers++
 	known := f.requests[offer.RequestID]
@@ -53,20 +53,20 @@
 		return
 	}
 	unread := unreadCommands(known, f.epoch, len(offer.Summary.Attempts))
-	o.referToWorkers(unread, 1) // else they could be forgotten with the request
+	o.referToWorkers(unread, 1) // otherwise the workers could be removed with the request
 	o.requestLifecycle.abandon(known)
 	o.decide(f, offer, unread)
 	o.referToWorkers(unread, -1)
 }
 
-// referToWorkers counts attempts that are in no request, each so many times.
+// referToWorkers adds count to the references to the workers of attempts that belong to no request.
 func (o *offerHandler) referToWorkers(attempts []attempt, count int) {
 	for i := range attempts {
 		o.policySync.addReferences(attempts[i].worker, count)
 	}
 }
 
-// decide accepts an offer of a request that is not known, or doesn't. unread are attempts to add to those that the
+// decide accepts or rejects an offer of an unknown request. unread are attempts to add to those that the
 // offer has.
 func (o *offerHandler) decide(f *forwarder, offer *message.RequestOffer, unread []attempt) {
 	if !o.accepts(f, &offer.Summary) {
@@ -85,20 +85,21 @@
 	if len(req.attempts) == 0 && offer.Summary.Transfers == 0 && offer.Summary.Waited < resumeThreshold {
 		o.policy.notify(req.job)
 	} else {
-		o.policySync.flush() // the attempts may name workers that the policy was not told of
+		o.policySync.flush() // the attempts may refer to workers of which the policy is not notified yet
 		o.policy.notify(req.resumedJob(o.step.now()))
 	}
 	req.knownToPolicy = true
 }
 
-// accepts reports whether the forwarder's credit covers one more request, and this planner can plan for it.
+// accepts reports whether the forwarder's credit covers one more request, and the summary is within the planner's bounds.
 func (o *offerHandler) accepts(f *forwarder, summary *message.RequestSummary) bool {
 	return o.credits.covers(f) &&
 		summary.Class >= 0 && summary.Class < o.classCount &&
 		len(summary.Attempts) <= maxAttempts
 }
 
-// reject answers an offer that is not accepted.
+// reject replies to an offer that is not accepted: by a transfer to a peer with free slots if there is one, otherwise by a
+// failure if the request was possibly executed, otherwise by a rejection.
 func (o *offerHandler) reject(f *forwarder, offer *message.RequestOffer) {
 	o.stats.OffersRejected++
 	if offer.Summary.Transfers < maxTransfers {
@@ -117,7 +118,7 @@
 	o.step.send(f, &message.RejectCommand{RequestID: offer.RequestID})
 }
 
-// addRequest enters a request with the attempts that its summary has.
+// addRequest adds a request with the attempts of its summary.
 func (o *offerHandler) addRequest(f *forwarder, offer *message.RequestOffer) *request {
 	summary := &offer.Summary
 	req := o.requests.allocate()
@@ -149,7 +150,7 @@
 	return req
 }
 
-// reportedAttempt returns an attempt as the forwarder reports it. Where the result and the forwarder's records differ on
+// reportedAttempt returns an attempt that the forwarder has reported. If the result and the forwarder's records differ on
 // whether it was possibly executed, the records decide.
 func (o *offerHandler) reportedAttempt(past *message.PastAttempt) attempt {
 	reported := attempt{
@@ -174,8 +175,8 @@
 	return reported
 }
 
-// unreadCommands returns the attempts that were commanded in the session of an epoch and that the forwarder had not read of
-// when it reported so many attempts. It will.
+// unreadCommands returns the attempts that were commanded in the session of an epoch and whose command the forwarder had
+// not read when it reported its attempts. It reads them later.
 func unreadCommands(req *request, epoch message.Epoch, reported int) (unread []attempt) {
 	if req.epoch != epoch {
 		return nil
@@ -188,7 +189,7 @@
 	return unread
 }
 
-// slotDemand returns the slots that an attempt takes: the greater one of slots and memory, and one at least.
+// slotDemand returns the slots that an attempt occupies: the maximum of slots and memory, at least one.
 func slotDemand(summary *message.RequestSummary) float64 {
 	demand := float64(defaultSlotDemand)
 	for _, figure := range []float64{summary.Slots, summary.Memory} {
--- a/internal/control/planner/partition.go
+++ b/internal/control/planner/partition.go
@@ -10,7 +10,7 @@
 type partition struct {
 	local   string                          // the name of this planner
 	ownerOf func(w *dispatch.Worker) string // nil: all are this planner's
-	known   bool                            // there was a PartitionChanged
+	known   bool                            // a PartitionChanged was received
 }
 
 // owner returns the planner that a worker is assigned to.
@@ -21,7 +21,7 @@
 	return p.ownerOf(&w.Worker)
 }
 
-// takeover is a worker that has come from another planner, and gets no work until a time while it is warming up.
+// takeover is a worker that was assigned to another planner before, and gets no work until a time while it is warming up.
 type takeover struct {
 	until  time.Duration
 	worker *worker
--- a/internal/control/planner/peer.go
+++ b/internal/control/planner/peer.go
@@ -24,20 +24,20 @@
 
 const (
 	peerDisconnected peerState = iota
-	peerConnected              // what it sends is ignored but for its handshake
+	peerConnected              // of its messages only the handshake is processed
 	peerEstablished
 )
 
 // peer is another planner.
 type peer struct {
 	name         string
-	alive        bool // as a member; that is known otherwise than by the connection
+	alive        bool // by the membership, not by the connection
 	state        peerState
 	epoch        message.Epoch // of the messages to it
 	remoteEpoch  message.Epoch // of the messages from it, if established, else 0
 	load         message.LoadReport
-	loadAt       time.Duration // when it reported that; 0: it has not
-	claimedSlots float64       // of the free slots that it reported, those that may be taken by now
+	loadAt       time.Duration // when load was received; 0: there is none
+	claimedSlots float64       // of the reported free slots, those that transfers since then may have occupied
 }
 
 // transition moves the connection to a state. The epoch is that of an established peer, else 0.
--- a/internal/control/planner/peersessions.go
+++ b/internal/control/planner/peersessions.go
@@ -24,7 +24,7 @@
 	workers  *workerTable
 }
 
-// ensure returns the peer of a name, and enters it if it is not known; nil: the name is not that of a peer, or there are
+// ensure returns the peer of a name, and adds it if it is not known; nil: the name is not that of a peer, or there are
 // too many.
 func (p *peerSessions) ensure(name string) *peer {
 	if name == "" || len(name) > maxNameLength || name == p.config.Name {
@@ -33,7 +33,7 @@
 	return p.peers.ensure(name)
 }
 
-// processMembers takes in which planners are alive.
+// processMembers records which planners are alive.
 func (p *peerSessions) processMembers(names []string) {
 	for _, peer := range p.peers.list {
 		peer.alive = false
@@ -46,7 +46,7 @@
 	p.peers.removeStale()
 }
 
-// connect greets a peer, and tells it this planner's load and which workers are not available.
+// connect opens the session with a peer: it sends the handshake, this planner's load and the unavailable workers.
 func (p *peerSessions) connect(name string) {
 	peer := p.ensure(name)
 	if peer == nil {
@@ -67,6 +67,7 @@
 	}
 }
 
+// disconnect records that the connection to a peer has ended.
 func (p *peerSessions) disconnect(name string) {
 	if peer := p.peers.find(name); peer != nil {
 		peer.transition(peerDisconnected, 0)
@@ -74,7 +75,7 @@
 	}
 }
 
-// receive takes in a message of a peer.
+// receive processes a message of a peer.
 func (p *peerSessions) receive(name string, envelope message.Envelope) {
 	if envelope.Message == nil {
 		return
@@ -84,33 +85,36 @@
 		p.stats.StrayMessages++
 		return
 	}
-	if handshake, ok := envelope.Message.(*message.PeerHandshake); ok && p.receiveHandshake(peer, envelope.Epoch, handshake) {
-		return
+	if handshake, ok := envelope.Message.(*message.PeerHandshake); ok {
+		isProcessed := p.receiveHandshake(peer, envelope.Epoch, handshake)
+		if isProcessed {
+			return
+		}
 	}
 	if peer.state != peerEstablished || envelope.Epoch != peer.remoteEpoch {
 		p.stats.StrayMessages++
 		return
 	}
-	switch m := envelope.Message.(type) {
+	switch received := envelope.Message.(type) {
 	case *message.WorkerStatus:
-		p.statuses.receive(*m, statusSource{peer: peer})
+		p.statuses.receive(*received, statusSource{peer: peer})
 	case *message.LoadReport:
-		p.loads.receive(peer, m)
+		p.loads.receive(peer, received)
 	default:
 		p.stats.InvalidMessages++
 	}
 }
 
-// receiveHandshake takes in a peer's handshake, and reports whether it opens the session, or ends it for its version. Any other
-// one is treated like a message that is not a handshake.
-func (p *peerSessions) receiveHandshake(from *peer, epoch message.Epoch, m *message.PeerHandshake) bool {
+// receiveHandshake processes a peer's handshake, and reports whether it opens the session, or ends it for its version.
+// Any other one is treated like a message that is not a handshake.
+func (p *peerSessions) receiveHandshake(from *peer, epoch message.Epoch, handshake *message.PeerHandshake) bool {
 	switch {
-	case !p.config.compatible(m.Version):
+	case !p.config.compatible(handshake.Version):
 		from.transition(peerConnected, 0)
 		p.step.log("planner ignored: another major version of the protocol", "planner", from.name,
-			"version", versionText(m.Version), "own_version", versionText(p.config.Version))
+			"version", versionText(handshake.Version), "own_version", versionText(p.config.Version))
 		return true
-	case epoch > from.remoteEpoch && m.Name == from.name:
+	case epoch > from.remoteEpoch && handshake.Name == from.name:
 		from.transition(peerEstablished, epoch)
 		return true
 	}
--- a/internal/control/planner/peertable.go
+++ b/internal/control/planner/peertable.go
@@ -9,7 +9,7 @@
 
 const maxPeers = 64
 
-// peerTable is the other planners.
+// peerTable has the other planners.
 type peerTable struct {
 	list     []*peer // by name
 	anyAlive bool
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// ensure returns the peer of a name, and enters it if it is not known; nil: there are too many.
+// ensure returns the peer of a name, and adds it if it is not known; nil: there are maxPeers already.
 func (p *peerTable) ensure(name string) *peer {
 	i, ok := slices.BinarySearchFunc(p.list, name, comparePeer)
 	if !ok {
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// removeStale forgets the peers that are neither alive nor connected.
+// removeStale removes the peers that are neither alive nor connected.
 func (p *peerTable) removeStale() {
 	p.list = slices.DeleteFunc(p.list, func(peer *peer) bool { return !peer.alive && peer.state == peerDisconnected })
 	p.anyAlive = slices.ContainsFunc(p.list, func(peer *peer) bool { return peer.alive })
--- a/internal/control/planner/placement.go
+++ b/internal/control/planner/placement.go
@@ -23,11 +23,11 @@
 	workers   *workerTable
 }
 
-// maxTransfers bounds how often a request is transferred in its life.
+// maxTransfers is the maximum of transfers of a request between planners.
 const maxTransfers = 2
 
-// preferredPeer returns the planner that should have a request, because no worker of this one may; empty: there is none, or
-// it can be placed here. A request that was possibly executed stays with the workers that know of it.
+// preferredPeer returns the planner that should have a request, because no worker of this one may have it; empty: none, or
+// it can be placed here. A request that was possibly executed stays with the workers that deduplicate it.
 func (p *placer) preferredPeer(req *request) string {
 	if !p.peers.anyAlive || req.inFlight > 0 || req.transfers >= maxTransfers {
 		return ""
@@ -47,9 +47,9 @@
 	settings := &p.classes[class]
 	switch {
 	case settings.Idempotency == dispatch.NonIdempotent:
-		return "" // nobody may send it again
+		return "" // it must not be sent again
 	case !a.worker.listed:
-		return "" // it is not known here who may
+		return "" // the worker's owner is unknown
 	case settings.DeduplicationScope == dispatch.ScopeCell:
 		return p.peers.ifAlive(p.workers.partition.owner(a.worker))
 	}
@@ -60,8 +60,8 @@
 	return p.bestPeerFor(class, sameZone)
 }
 
-// bindingAttempt returns the first attempt because of which a request may not go to any worker: it was possibly executed,
-// and the request may not be executed twice, or only where that is noticed. Else nil.
+// bindingAttempt returns the first attempt that restricts the workers of a request: it was possibly executed,
+// and the request may not be executed twice, or only where that is deduplicated. Without such an attempt it returns nil.
 func (p *placer) bindingAttempt(req *request) *attempt {
 	class := &p.classes[req.job.Class]
 	if class.Idempotency == dispatch.Idempotent ||
@@ -93,9 +93,9 @@
 
 const (
 	minTransferWait          = 50 * time.Millisecond
-	transferObjectiveDivisor = 4   // a request is queued for this part of its latency objective before it is transferred
-	transferSlotMargin       = 1.0 // slots that have to be free beyond what the request takes
-	transferScanLimit        = 64  // queued requests that are looked at in a tick
+	transferObjectiveDivisor = 4   // of the latency objective, for the time that a request is queued before its transfer
+	transferSlotMargin       = 1.0 // slots that must be free at the peer beyond the request's own
+	transferScanLimit        = 64  // queued requests that are examined per tick
 )
 
 // transferQueued transfers queued requests that no worker of this planner may have, or that have been queued for a part of
@@ -107,7 +107,8 @@
 	planners := float64(1 + p.peers.countAlive())
 	scanned := 0
 	for req := range p.requests.queued.all() {
-		if scanned++; scanned > transferScanLimit {
+		scanned++
+		if scanned > transferScanLimit {
 			return
 		}
 		if to := p.preferredPeer(req); to != "" { // workers have changed since the offer
@@ -125,14 +126,14 @@
 }
 
 // hasWaitedForTransfer reports whether a queued request may be transferred for lack of capacity. One that was transferred
-// before may not: it is not sent to and fro.
+// before may not, so that planners don't transfer it back and forth.
 func (p *placer) hasWaitedForTransfer(req *request) bool {
 	objective := p.classes[req.job.Class].LatencyObjective
 	wait := max(minTransferWait, objective/transferObjectiveDivisor)
 	return req.transfers == 0 && p.step.now()-req.queuedSince >= wait && p.bindingAttempt(req) == nil
 }
 
-// transfer has the forwarder offer a request to another planner.
+// transfer commands the forwarder to offer a request to another planner, and closes it here.
 func (p *placer) transfer(req *request, to string) {
 	p.stats.Transferred++
 	p.step.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID, Planner: to})
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -6,6 +6,12 @@
 	"valvecove/internal/control/message"
 )
 
+const (
+	tickInterval     = 50 * time.Millisecond // between two runs of the periodic work
+	creditTicks      = 2                     // ticks between two assignments of credit
+	maintenanceTicks = 20                    // ticks between two searches for sessions and health checks that have timed out
+)
+
 // Planner makes the decisions for the forwarders that are connected to it. It is not safe for concurrent use.
 type Planner struct {
 	config     Config
@@ -45,8 +51,8 @@
 	loads        loadReporter
 }
 
-// Step takes in what has happened by now, in order, and appends what is to be done to dst. Time never runs backwards: a now
-// before that of an earlier step counts as that one.
+// Step processes the events since the last step, in order, and appends the resulting actions to dst. Time never runs
+// backwards: a now before that of an earlier step is replaced by the latter.
 func (p *Planner) Step(now time.Duration, events []Event, dst []Action) []Action {
 	p.step.begin(now, dst)
 	p.lifecycle.enter(phaseRunning)
@@ -61,6 +67,7 @@
 	return p.step.finish()
 }
 
+// handle passes an event to the part that processes it.
 func (p *Planner) handle(event Event) {
 	if p.lifecycle.phase == phaseStopped {
 		return
@@ -91,7 +98,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick does the periodic work, once per tickInterval.
 func (p *Planner) tick() {
 	if p.step.now() < p.nextTickAt || p.lifecycle.phase == phaseStopped {
 		return
@@ -121,7 +128,7 @@
 	p.timer.decayLag()
 }
 
-// setTimer asks for a timer at the next time at which something is due.
+// setTimer requests a timer for the next instant at which a step is needed.
 func (p *Planner) setTimer() {
 	if p.lifecycle.phase == phaseStopped {
 		return
@@ -132,7 +139,7 @@
 	}
 }
 
-// runPolicy has the policy decide, and executes its actions.
+// runPolicy runs the policy until it has no pending event, and executes its actions.
 func (p *Planner) runPolicy() {
 	for range maxPolicyIterations {
 		if !p.lifecycle.decides() || p.policy.isBackingOff(p.step.now()) {
@@ -153,14 +160,14 @@
 	}
 }
 
-// receive takes in a message of a forwarder. Other messages than a handshake are to bear the epoch of its newest session.
+// receive processes a message of a forwarder. Messages other than a handshake must have the epoch of its newest session.
 func (p *Planner) receive(id SessionID, envelope message.Envelope) {
 	if envelope.Message == nil {
 		return
 	}
 	session := p.forwarders.sessions[id]
 	if session == nil {
-		p.stats.StrayMessages++ // the forwarder had not read yet that the session is closed
+		p.stats.StrayMessages++ // sent before the forwarder has read that the session is closed
 		return
 	}
 	if handshake, ok := envelope.Message.(*message.Handshake); ok {
@@ -174,6 +181,7 @@
 	p.receiveInSession(session, envelope.Message)
 }
 
+// receiveInSession passes a message of an accepted session to the part that processes it.
 func (p *Planner) receiveInSession(session *session, received message.Message) {
 	f := session.forwarder
 	switch received := received.(type) {
@@ -197,9 +205,3 @@
 		p.stats.InvalidMessages++
 	}
 }
-
-const (
-	tickInterval     = 50 * time.Millisecond // of everything that is due by time
-	creditTicks      = 2                     // ticks between two assignments of credit
-	maintenanceTicks = 20                    // ticks between two searches for sessions and health checks that have timed out
-)
--- a/internal/control/planner/policy.go
+++ b/internal/control/planner/policy.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// Policy makes the decisions. It is a dispatch.Dispatcher, or something that does the same. Of a policy that has them, the
-// methods ModelSnapshot, AvailableSlots and TimeUntilOverdue of dispatch.Dispatcher are used too.
+// Policy makes the decisions. It is a dispatch.Dispatcher, or has the same contract. If a policy has them, its
+// methods ModelSnapshot, AvailableSlots and TimeUntilOverdue, as of dispatch.Dispatcher, are used too.
 type Policy interface {
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
--- a/internal/control/planner/policypanic.go
+++ b/internal/control/planner/policypanic.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// policyPanicError tells that the policy has panicked.
+// policyPanicError is the error of a policy that has panicked.
 type policyPanicError struct {
 	cause    any
 	location string // functions, files and lines, the innermost first
--- a/internal/control/planner/policyrunner.go
+++ b/internal/control/planner/policyrunner.go
@@ -7,8 +7,8 @@
 	"valvecove/dispatch"
 )
 
-// maxPolicyIterations bounds the policy's iterations in a step. What a policy's actions lead to at once, it hears of in the
-// next iteration.
+// maxPolicyIterations is the maximum of the policy's iterations in a step. The policy is notified of the immediate
+// results of its actions in the next iteration.
 const maxPolicyIterations = 8
 
 // notifier passes an event to the policy in its next iteration.
@@ -120,7 +120,7 @@
 	return reporter.AvailableSlots(), true
 }
 
-// timeUntilOverdue returns after which time an attempt takes longer than the policy can explain; ok: it has an estimate.
+// timeUntilOverdue returns after which time an attempt is overdue by the policy's estimate; ok: it has one.
 func (p *policyRunner) timeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool) {
 	estimator, ok := p.policy.(runtimeEstimator)
 	if !ok {
@@ -151,8 +151,10 @@
 
 // takePending returns the pending events, which are then the delivered ones.
 func (p *policyRunner) takePending() []dispatch.Event {
-	p.pending, p.delivered = p.delivered[:0], p.pending
-	return p.delivered
+	events := p.pending
+	p.pending = p.delivered[:0]
+	p.delivered = events
+	return events
 }
 
 // releaseDelivered empties the buffer of delivered events, which refer to requests.
@@ -168,7 +170,7 @@
 	}
 }
 
-// step has the policy take in events, and returns its actions in a buffer of the runner. The error of a panic is a
+// step runs the policy with events, and returns its actions in a buffer of the runner. The error of a panic is a
 // *policyPanicError.
 func (p *policyRunner) step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, err error) {
 	defer func() {
@@ -179,7 +181,7 @@
 	return p.policy.Step(now, events, p.actions), nil
 }
 
-// recordPanic records a panic, and reports whether there were too many of late.
+// recordPanic records a panic, and reports whether there were more than maxPanics within panicWindow.
 func (p *policyRunner) recordPanic(now time.Duration) (tooMany bool) {
 	p.recentPanics = slices.DeleteFunc(p.recentPanics, func(at time.Duration) bool { return now-at >= panicWindow })
 	p.recentPanics = append(p.recentPanics, now)
--- a/internal/control/planner/policysync.go
+++ b/internal/control/planner/policysync.go
@@ -21,7 +21,7 @@
 	updates []dispatch.Worker // of which the policy is not notified yet
 }
 
-// view returns a worker as the policy is to have it; ok: it is to have it at all.
+// view returns a worker as the policy is to have it; ok: the policy is to have the worker at all.
 func (p *policySync) view(w *worker) (view dispatch.Worker, ok bool) {
 	view = w.Worker
 	view.Ready = w.owned && w.isUp()
@@ -30,28 +30,30 @@
 	view.AssigneeRank = 0
 	view.Assignees = 1
 	if p.step.now() < w.warmUntil {
-		view.AssigneeRank = 1 // another planner may still have work there
+		view.AssigneeRank = 1 // another planner may still have attempts there
 	}
 	return view, w.references > 0 || w.listed && w.owned && w.status.State != message.WorkerGone
 }
 
-// sync brings what the policy has of a worker up to date, and the count of the workers that are up at its location.
+// sync updates what the policy has of a worker, and the count of the workers that are up at its location.
 func (p *policySync) sync(w *worker) {
 	p.locations.update(w, &p.workers.partition)
 	view, ok := p.view(w)
 	switch {
 	case ok && (!w.announced || view != w.announcedAs):
-		w.announced, w.announcedAs = true, view
+		w.announced = true
+		w.announcedAs = view
 		p.updates = append(p.updates, view)
 	case !ok && w.announced:
 		w.announced = false
-		view.Ready, view.Removed = false, true
+		view.Ready = false
+		view.Removed = true
 		p.updates = append(p.updates, view)
 	}
 }
 
-// flush tells the policy of the workers that have changed. While it awaits the list that it has asked for,
-// changes would look like the answer: it gets the whole list as it was known then.
+// flush notifies the policy of the workers that have changed. While the policy waits for a list that it has requested,
+// changes alone would be mistaken for the list: it receives the complete list as a cached one.
 func (p *policySync) flush() {
 	if len(p.updates) == 0 {
 		return
@@ -94,7 +96,7 @@
 func (p *policySync) addReferences(w *worker, count int) {
 	w.references += count
 	if w.owned && w.listed && w.status.State != message.WorkerGone {
-		return // the policy has it in any case
+		return // the policy has the worker without references too
 	}
 	p.sync(w)
 	p.workers.removeWorker(w)
--- a/internal/control/planner/random_run_test.go
+++ b/internal/control/planner/random_run_test.go
@@ -15,11 +15,11 @@
 	"valvecove/internal/control/message"
 )
 
-// Any order of messages, sessions that end and come again, processes that die, planners that come and go, poison requests:
-// send commands are numbered without a gap, none goes to a worker that the newest status makes unavailable or that is
-// another planner's, a request gets one final command at a time and is transferred twice at most, credits never exceed
-// what there is, the policy is told nothing that makes no sense, and in the end nothing is left. The same run once more has
-// the same results.
+// Any order of messages, sessions that end and come again, processes that die, planners that come and go, poison
+// requests: send commands are numbered without a gap, none goes to a worker that the newest status makes unavailable or
+// that is another planner's, a request gets one final command at a time and is transferred twice at most, credits never
+// exceed what there is, the policy receives no event that violates its contract, and in the end nothing is left. The
+// same run once more has the same results.
 func TestRandomRuns(t *testing.T) {
 	sends, transfers, panics, runs := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -58,8 +58,8 @@
 
 	workers  []dispatch.Worker               // as they are
 	revision int64                           // of the endpoint list
-	listed   map[uint64]dispatch.Worker      // as the planner was told
-	statuses map[uint64]message.WorkerStatus // the newest that the planner was told
+	listed   map[uint64]dispatch.Worker      // as the planner was notified
+	statuses map[uint64]message.WorkerStatus // the newest of which the planner was notified
 
 	peers map[string]bool
 	owner []string // by cell
--- a/internal/control/planner/recovery.go
+++ b/internal/control/planner/recovery.go
@@ -11,18 +11,18 @@
 	"valvecove/internal/control/message"
 )
 
-// A policy that has panicked can't be trusted any more. A new one is told everything that the planner knows, request by
+// A policy that has panicked is in an undefined state. A new one receives everything that the planner has, request by
 // request, and a request at which that one panics too is returned to its forwarder. So no session ends, and a poison
-// request costs each planner that it comes to one policy, and no other request anything. To close all sessions instead,
-// so that everything is offered anew, would burden the next planner with every request of every forwarder, the poison one
-// among them. That remains the last resort.
+// request costs each planner that receives it one policy, and affects no other request. Closing all sessions instead,
+// so that everything is offered again, would load the next planner with every request of every forwarder, the poison one
+// included. That remains the last resort.
 const (
 	maxPanics            = 5 // within panicWindow; with one more, all sessions are closed
 	panicWindow          = 10 * time.Second
 	panicBackoff         = time.Second // after all sessions were closed
-	maxPoisonRequests    = 8           // that are returned for one panic
-	maxFailureCandidates = 8           // requests of a step with a panic; of more, none is held responsible
-	maxFailureCount      = 2           // steps with a panic that a request may be a candidate of
+	maxPoisonRequests    = 8           // returned for one panic
+	maxFailureCandidates = 8           // requests of a step with a panic; if there are more, none of them is a candidate
+	maxFailureCount      = 2           // steps with a panic after which a candidate is returned
 	maxPanicFrames       = 8           // of the call stack that are logged
 )
 
@@ -52,7 +52,7 @@
 	sessions         sessionCloser
 }
 
-// replacePolicy replaces the policy after a panic by one that knows all there is.
+// replacePolicy replaces the policy after a panic by a new one, which receives the complete state of the planner.
 func (r *recovery) replacePolicy(err error) {
 	r.stats.Panics++
 	tooMany := r.policy.recordPanic(r.step.now())
@@ -77,6 +77,7 @@
 	r.closeAllSessions()
 }
 
+// logPanic logs a panic of the policy with its cause and location.
 func (r *recovery) logPanic(err error) {
 	attributes := []any{"open_requests", r.requests.openCount}
 	var panicked *policyPanicError
@@ -86,8 +87,8 @@
 	r.step.log("policy panicked and is restarted", attributes...)
 }
 
-// countFailures counts a failure of each request that the step with the panic was about. Where they are few, one that has
-// been among them before is returned, though nothing proves that it is the cause.
+// countFailures counts a failure of each request that the events of the step with the panic refer to. One that has
+// been among them before is returned, although it is not proved to be the cause.
 func (r *recovery) countFailures() {
 	candidates := map[uint64]bool{}
 	for _, event := range r.policy.delivered {
@@ -110,8 +111,8 @@
 	}
 }
 
-// rebuildPolicy makes a new policy and tells it first the endpoint list and then every request. Its actions are in
-// p.policy.actions. The error of a panic is a *policyPanicError, and poison the request at which it occurred; nil: it
+// rebuildPolicy makes a new policy and delivers to it first the endpoint list and then every request. Its actions are
+// kept by the runner. The error of a panic is a *policyPanicError, and poison the request at which it occurred; nil: it
 // occurred at the list.
 func (r *recovery) rebuildPolicy() (poison *request, err error) {
 	r.resetPolicy()
@@ -139,8 +140,8 @@
 	r.healthChecks.cancel(func(healthCheck) bool { return true })
 }
 
-// returnPoisonRequest has the forwarder offer a request to another planner, or fail it if that was done before. The request
-// is forgotten here, with its attempts in flight.
+// returnPoisonRequest commands the forwarder to offer a request to another planner, or to fail it if that was done
+// before. The request is removed here, with its attempts in flight.
 func (r *recovery) returnPoisonRequest(req *request) {
 	if req.state.isOpen() {
 		r.stats.Poison++
@@ -151,7 +152,7 @@
 	r.requestLifecycle.remove(req)
 }
 
-// closeAllSessions closes all sessions: forwarders offer their requests to other planners, and in time here again.
+// closeAllSessions closes all sessions: forwarders offer their requests to other planners, and reconnect after the backoff.
 func (r *recovery) closeAllSessions() {
 	r.step.log("policy panics repeatedly, all sessions are closed", "sessions", len(r.forwarders.sessions))
 	for _, id := range r.forwarders.sessionIDs() {
@@ -165,7 +166,7 @@
 	r.resetPolicy()
 }
 
-// jobOf returns the job that an event is about, if that may be why the policy panics.
+// jobOf returns the job that an event refers to, if the job may be the cause of a panic at the event.
 func jobOf(event dispatch.Event) (id uint64, ok bool) {
 	switch e := event.(type) {
 	case dispatch.Job:
--- a/internal/control/planner/reports.go
+++ b/internal/control/planner/reports.go
@@ -20,7 +20,7 @@
 	summary          rejectionRecorder
 }
 
-// attemptEnded takes in how an attempt has ended, or why the forwarder's validator has rejected its send command.
+// attemptEnded processes the end of an attempt, or the rejection of its send command by the forwarder's validator.
 func (r *reportHandler) attemptEnded(f *forwarder, report *message.AttemptEnded) {
 	rejected := report.Reason != message.ReasonNone
 	if rejected {
@@ -43,7 +43,7 @@
 	r.settleAfterEnd(req, result, report.Reason)
 }
 
-// settleAfterEnd takes in what the end of an attempt means for its request.
+// settleAfterEnd updates the request of an attempt that has ended.
 func (r *reportHandler) settleAfterEnd(req *request, result dispatch.Result, reason message.RejectReason) {
 	lost := reason == message.ReasonUnknownRequest || reason == message.ReasonNotOwner
 	switch {
@@ -62,7 +62,7 @@
 	}
 }
 
-// attemptStarted takes in that a worker has started to execute an attempt.
+// attemptStarted processes the report that a worker has started to execute an attempt.
 func (r *reportHandler) attemptStarted(f *forwarder, report *message.AttemptStarted) {
 	req, attempt := f.attemptInFlight(report.RequestID, report.Attempt)
 	if attempt == nil {
@@ -73,7 +73,7 @@
 	r.policy.notify(dispatch.Started{Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID})
 }
 
-// attemptProgressed takes in how much of an attempt is done. A figure that is no fraction tells no more than its start.
+// attemptProgressed processes the completed fraction of an attempt. A value outside 0 to 1 confirms the start only.
 func (r *reportHandler) attemptProgressed(f *forwarder, report *message.AttemptProgress) {
 	req, attempt := f.attemptInFlight(report.RequestID, report.Attempt)
 	if attempt == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// requestClosed takes in that a request needs no decision any more, or not from this planner.
+// requestClosed processes the report that a request needs no decision any more, or not from this planner.
 func (r *reportHandler) requestClosed(f *forwarder, report *message.RequestClosed) {
 	req := f.requests[report.RequestID]
 	if req == nil || !req.state.isOpen() {
@@ -96,7 +96,7 @@
 	}
 	r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 	r.requestLifecycle.close(req)
-	if req.state == requestClosing { // if another planner has it now, nothing more is reported here
+	if req.state == requestClosing { // another planner may have it now, and the forwarder report to that one only
 		r.requestLifecycle.expireUnreported(req)
 	}
 }
--- a/internal/control/planner/request.go
+++ b/internal/control/planner/request.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/deadline"
 )
 
-// requestState is how far a request has come at this planner. It changes by requestTable.transition only.
+// requestState is the state of a request at this planner. It changes by requestTable.transition only.
 type requestState uint8
 
 func (r requestState) String() string {
@@ -34,35 +34,35 @@
 
 const (
 	requestNew      requestState = iota // not in the table yet
-	requestOffered                      // open; not decided yet whether it stays here
+	requestOffered                      // open; it may still be transferred at once
 	requestQueued                       // open, without an attempt in flight
 	requestInFlight                     // open, with attempts in flight
 	requestClosing                      // closed, with attempts in flight
-	requestRemoved                      // not in the table any more
+	requestRemoved                      // removed from the table
 )
 
 // request is a request that a forwarder has offered.
 type request struct {
-	deadline.Item // when the attempts of a closing request are taken to have ended
+	deadline.Item // when the attempts of a closing request are assumed to have ended
 	state         requestState
-	id            uint64        // the job number by which the policy knows it
+	id            uint64        // the policy's job number
 	forwarderID   uint64        // the forwarder's number
-	forwarder     *forwarder    // nil: that process has ended
+	forwarder     *forwarder    // nil: its process has ended
 	epoch         message.Epoch // of the session in which it was offered
 	links         [listCount]listLinks
-	knownToPolicy bool // to this one, or one before it
+	knownToPolicy bool // to the present policy or an earlier one
 	job           dispatch.Job
 	arrivedAt     time.Duration // at the forwarder
 	deadline      time.Duration
 	queuedSince   time.Duration // of one that is queued
-	slots         float64       // that an attempt takes
+	slots         float64       // that an attempt occupies
 	transfers     int           // between planners so far
-	failureCount  int           // steps with a panic of the policy that were about it
+	failureCount  int           // steps with a panic of the policy whose events refer to it
 	attempts      []attempt     // by number
 	inFlight      int           // attempts
 }
 
-// resumedJob returns the event that gives a policy the request with its attempts.
+// resumedJob returns the event that passes the request and its attempts to a policy.
 func (r *request) resumedJob(now time.Duration) dispatch.JobResumed {
 	resumed := dispatch.JobResumed{
 		Job:          r.job,
--- a/internal/control/planner/requestlifecycle.go
+++ b/internal/control/planner/requestlifecycle.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	reportGrace     = 5 * time.Second // how long beyond the deadline a closed request's ends are awaited
-	minExpiryGrace  = time.Second     // the least time after which attempts that nobody reports on are taken to have ended
-	tableSizeFactor = 4               // most requests in the table, as a multiple of Config.MaxOpenRequests
+	reportGrace     = 5 * time.Second // how long beyond its deadline the planner waits for the ends of a closed request's attempts
+	minExpiryGrace  = time.Second     // minimum time after which unreported attempts are assumed to have ended
+	tableSizeFactor = 4               // maximum of requests in the table, as a multiple of Config.MaxOpenRequests
 )
 
 // overdueEstimator is the policy: it is notified of events, and may have an estimate of when an attempt is overdue.
@@ -23,7 +23,7 @@
 	addReferences(w *worker, count int)
 }
 
-// requestLifecycle ends requests and their attempts: for the policy, in the table, and by time.
+// requestLifecycle adds attempts to requests, and ends attempts and requests: for the policy, in the table, and by expiry.
 type requestLifecycle struct {
 	maxRequests int // in the table, closing ones included
 	stats       *Stats
@@ -39,7 +39,7 @@
 	r.requests.addAttempt(req, added)
 }
 
-// close takes in that a request is not open any more. What is in flight of it still counts as load.
+// close closes an open request. Its attempts in flight still count as load.
 func (r *requestLifecycle) close(req *request) {
 	switch {
 	case !req.state.isOpen():
@@ -51,7 +51,7 @@
 	}
 }
 
-// closeAllOf closes a forwarder's open requests. Which planner has them next is not known; what is in flight of them
+// closeAllOf closes a forwarder's open requests. Which planner has them next is unknown; their attempts in flight
 // may go on.
 func (r *requestLifecycle) closeAllOf(f *forwarder) {
 	for req := range f.offered.all() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// remove forgets a request.
+// remove removes a request, with the references of its attempts to workers.
 func (r *requestLifecycle) remove(req *request) {
 	r.requests.transition(req, requestRemoved, r.step.now())
 	for i := range req.attempts {
@@ -79,7 +79,7 @@
 	r.requests.remove(req)
 }
 
-// abandon ends a request and its attempts for the policy.
+// abandon ends a request and its attempts for the policy, and removes it.
 func (r *requestLifecycle) abandon(req *request) {
 	if req.state.isOpen() {
 		r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
@@ -88,7 +88,7 @@
 	r.remove(req)
 }
 
-// cancelAttempts has the policy take all attempts in flight for ended, without a result that says anything of the worker.
+// cancelAttempts ends all attempts in flight for the policy, with a result that implies nothing about the worker.
 func (r *requestLifecycle) cancelAttempts(req *request) {
 	for i := range req.attempts {
 		attempt := &req.attempts[i]
@@ -102,8 +102,8 @@
 	}
 }
 
-// expireUnreported has a closing request expire whose attempts may not be reported on any more. They have ended by the
-// deadline, and before that once they take longer than can be explained.
+// expireUnreported sets the expiry of a closing request whose attempts may not be reported any more. They have ended by the
+// deadline, or earlier if they are overdue by the policy's estimate.
 func (r *requestLifecycle) expireUnreported(req *request) {
 	remaining := max(req.deadline-r.step.now(), 0)
 	if overdue := r.timeUntilOverdue(req); overdue > 0 {
@@ -112,8 +112,8 @@
 	r.requests.expireBy(req, r.step.now()+max(remaining, minExpiryGrace))
 }
 
-// timeUntilOverdue returns when all attempts in flight of a request take longer than the policy can explain; 0: it can't
-// tell.
+// timeUntilOverdue returns after which time all attempts in flight of a request are overdue by the policy's estimate; 0: it
+// has none.
 func (r *requestLifecycle) timeUntilOverdue(req *request) (longest time.Duration) {
 	for i := range req.attempts {
 		overdue, ok := r.policy.timeUntilOverdue(req.id, i)
@@ -124,8 +124,8 @@
 	return longest
 }
 
-// expireAttempts takes the attempts of closing requests for ended whose time has come. If there are too many requests, it
-// does so before.
+// expireAttempts ends the attempts of closing requests that have expired, and removes the requests. If the table has more
+// than maxRequests, the next ones to expire are removed at once.
 func (r *requestLifecycle) expireAttempts() {
 	expiries := &r.requests.expiries
 	for expiries.Len() > 0 && (expiries.First().At <= r.step.now() || len(r.requests.byID) > r.maxRequests) {
@@ -136,7 +136,7 @@
 	}
 }
 
-// endAttempts ends a request's attempts in flight without telling the policy, which knows nothing of them.
+// endAttempts ends a request's attempts in flight without notifying the policy, which is a new one without the request.
 func (r *requestLifecycle) endAttempts(req *request) {
 	for i := range req.attempts {
 		if attempt := &req.attempts[i]; attempt.inFlight() {
--- a/internal/control/planner/requestlist.go
+++ b/internal/control/planner/requestlist.go
@@ -2,7 +2,7 @@
 
 import "iter"
 
-// listID names a list that a request may be in.
+// listID identifies a list that a request may be in.
 type listID int
 
 const (
@@ -33,7 +33,7 @@
 	r.length++
 }
 
-// remove takes out a request, which must be in the list.
+// remove removes a request, which must be in the list.
 func (r *requestList) remove(req *request) {
 	links := req.links[r.id]
 	if links.previous == nil {
@@ -50,7 +50,7 @@
 	r.length--
 }
 
-// all iterates over the list. The loop may take out the request that it is at.
+// all iterates over the list. The loop may remove its present request.
 func (r *requestList) all() iter.Seq[*request] {
 	return func(yield func(*request) bool) {
 		for req := r.first; req != nil; {
--- a/internal/control/planner/requesttable.go
+++ b/internal/control/planner/requesttable.go
@@ -10,13 +10,13 @@
 	"valvecove/internal/deadline"
 )
 
-// requestTable is the requests that are open, or closing.
+// requestTable has the requests that are open or closing.
 type requestTable struct {
 	byID       map[uint64]*request
 	lastID     uint64
 	openCount  int
 	slotsInUse float64     // of attempts in flight
-	queued     requestList // the one that has been queued longest first
+	queued     requestList // the one that has been queued longest is first
 	expiries   deadline.Queue[*request]
 	free       []*request // for reuse
 	maxFree    int
@@ -35,7 +35,7 @@
 	return slices.SortedFunc(maps.Values(r.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
 
-// allocate returns a request that is new but for its number. Its attempts' array may be that of an earlier request.
+// allocate returns a new request with a number. The array of its attempts may be that of an earlier request.
 func (r *requestTable) allocate() *request {
 	req := &request{}
 	if last := len(r.free) - 1; last >= 0 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// open returns the request of a number if it is open, else nil.
+// open returns the request of a number if it is open, otherwise nil.
 func (r *requestTable) open(id uint64) *request {
 	if req := r.byID[id]; req != nil && req.state.isOpen() {
 		return req
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// transition moves a request to a state. It keeps the counts of open requests, the queue, and the expiries of closing
+// transition moves a request to a state. It updates the counts of open requests, the queue, and the expiries of closing
 // requests, whose At is to be set before.
 func (r *requestTable) transition(req *request, state requestState, now time.Duration) {
 	from := req.state
@@ -109,6 +109,7 @@
 	}
 }
 
+// countOpen counts a request that has become open, or is open no more.
 func (r *requestTable) countOpen(req *request, opened bool) {
 	change := -1
 	if opened {
@@ -118,7 +119,7 @@
 	req.forwarder.openCount += change
 }
 
-// settle gives an open request the state that follows from its attempts.
+// settle moves an open request to the state that corresponds to its attempts.
 func (r *requestTable) settle(req *request, now time.Duration) {
 	switch {
 	case !req.state.isOpen():
@@ -129,7 +130,7 @@
 	}
 }
 
-// expireBy has a closing request expire at a time, unless it does so earlier.
+// expireBy sets the expiry of a closing request to a time, unless it expires earlier.
 func (r *requestTable) expireBy(req *request, at time.Duration) {
 	if req.At <= at {
 		return
--- a/internal/control/planner/scripted_policy_test.go
+++ b/internal/control/planner/scripted_policy_test.go
@@ -7,7 +7,7 @@
 	"valvecove/dispatch"
 )
 
-// scriptedPolicy does what a transcript says, and records what it is told.
+// scriptedPolicy does what a transcript says, and records its events.
 type scriptedPolicy struct {
 	next   []dispatch.Action
 	lines  *[]string
--- a/internal/control/planner/session.go
+++ b/internal/control/planner/session.go
@@ -7,10 +7,10 @@
 	id        SessionID
 	state     sessionState
 	openedAt  time.Duration
-	forwarder *forwarder // of one that is accepting or established, else nil
+	forwarder *forwarder // set while accepting or established, otherwise nil
 }
 
-// transition moves a session to a state, as the session of a forwarder. States without a forwarder have nil.
+// transition moves a session to a state. f is its forwarder, nil in states without one.
 func (s *session) transition(to sessionState, f *forwarder) {
 	if s.forwarder != nil {
 		s.forwarder.session = nil
@@ -40,7 +40,7 @@
 }
 
 const (
-	sessionAwaitingHandshake sessionState = iota // whose it is, is not known
+	sessionAwaitingHandshake sessionState = iota // its forwarder is unknown
 	sessionAccepting                             // its handshake is valid; the reply with its credit follows
 	sessionEstablished
 	sessionClosed
--- a/internal/control/planner/sessionlifecycle.go
+++ b/internal/control/planner/sessionlifecycle.go
@@ -2,9 +2,10 @@
 
 import "time"
 
+// handshakeTimeout is the maximum time from the start of a session to its handshake.
 const handshakeTimeout = 5 * time.Second
 
-// forwarderRetention is how long a forwarder without a session is remembered, for its epochs and its attempts in flight.
+// forwarderRetention is how long a forwarder without a session is kept, for its epochs and its attempts in flight.
 const forwarderRetention = 10 * time.Second
 
 const maxNameLength = 255 // bytes, of a forwarder or planner
@@ -34,9 +35,10 @@
 	statuses     statusSender
 }
 
-// open enters a session, or closes it where there is no place for it.
+// open adds a session, or closes it if there are too many or the planner doesn't run its policy.
 func (s *sessionLifecycle) open(id SessionID) {
-	if len(s.forwarders.sessions) >= s.config.MaxSessions || !s.phase.decides() || s.policy.isBackingOff(s.step.now()) {
+	isFull := len(s.forwarders.sessions) >= s.config.MaxSessions
+	if isFull || !s.phase.decides() || s.policy.isBackingOff(s.step.now()) {
 		s.stats.ConnectionsRejected++
 		s.step.emit(CloseSession{Session: id})
 		return
@@ -46,7 +48,7 @@
 	}
 }
 
-// processClosed takes in that a session has ended.
+// processClosed removes a session whose connection has ended.
 func (s *sessionLifecycle) processClosed(id SessionID) {
 	session := s.forwarders.sessions[id]
 	if session == nil {
@@ -60,7 +62,7 @@
 	session.transition(sessionClosed, nil)
 }
 
-// close ends a session.
+// close closes a session and its connection.
 func (s *sessionLifecycle) close(session *session) {
 	delete(s.forwarders.sessions, session.id)
 	s.step.emit(CloseSession{Session: session.id})
@@ -70,7 +72,7 @@
 	session.transition(sessionClosed, nil)
 }
 
-// disconnect takes in that a forwarder's session has ended. The connection may go on, for another session.
+// disconnect ends a forwarder's session. The connection may remain, for another session.
 func (s *sessionLifecycle) disconnect(f *forwarder) {
 	s.requests.closeAllOf(f)
 	f.session.transition(sessionAwaitingHandshake, nil)
@@ -80,7 +82,7 @@
 	s.healthChecks.cancel(func(check healthCheck) bool { return check.forwarder == f })
 }
 
-// expireHandshakes closes the sessions in which no valid handshake has come in time.
+// expireHandshakes closes the sessions without a valid handshake after handshakeTimeout.
 func (s *sessionLifecycle) expireHandshakes() {
 	for _, id := range s.forwarders.sessionIDs() {
 		session := s.forwarders.sessions[id]
@@ -91,7 +93,8 @@
 	}
 }
 
-// forgetDisconnected forgets the forwarders that have been without a session for long, and the earliest of too many.
+// forgetDisconnected removes the forwarders without a session for forwarderRetention, and the earliest ones beyond the
+// maximum.
 func (s *sessionLifecycle) forgetDisconnected() {
 	table := s.forwarders
 	for len(table.disconnected) > 0 {
@@ -109,6 +112,7 @@
 	}
 }
 
+// logForwarder writes a line about a forwarder, its open requests and its attempts in flight.
 func (s *sessionLifecycle) logForwarder(text string, f *forwarder) {
 	s.step.log(text, "forwarder", f.name, "epoch", f.epoch, "open_requests", f.openCount, "attempts_in_flight", f.inFlight())
 }
--- a/internal/control/planner/snapshot.go
+++ b/internal/control/planner/snapshot.go
@@ -6,25 +6,25 @@
 	"valvecove/internal/control/message"
 )
 
-// snapshotOffsets is over how many parts of the interval the forwarders' snapshots are spread.
+// snapshotOffsets is the count of different offsets within the interval at which forwarders get their snapshots.
 const snapshotOffsets = 16
 
-// modelSource is the policy, which may have a model that it has learned.
+// modelSource is the policy, which may have a learned model.
 type modelSource interface {
 	hasModel() bool
 	modelSnapshot(maxBytes int) []byte
 }
 
-// snapshotSender sends the policy's model snapshot to the forwarders, to each at a different time of the interval.
+// snapshotSender sends the policy's model snapshot to the forwarders, spread over the interval.
 type snapshotSender struct {
 	config     *Config
 	step       *step
 	forwarders *forwarderTable
 	policy     modelSource
 
-	data    []byte // nil: none was taken
+	data    []byte // nil: none was made
 	takenAt time.Duration
-	offsets int // that were given out
+	offsets int // count that was assigned
 }
 
 // schedule sets when a forwarder that has connected gets its first snapshot.
@@ -34,7 +34,7 @@
 	f.snapshotDue = s.step.now() + offset
 }
 
-// send sends the policy's model snapshot to the forwarders for which it is due. Several get the same one.
+// send sends the policy's model snapshot to the forwarders for which it is due. Several may get the same one.
 func (s *snapshotSender) send() {
 	if !s.policy.hasModel() {
 		return
--- a/internal/control/planner/stats.go
+++ b/internal/control/planner/stats.go
@@ -6,21 +6,21 @@
 	"valvecove/internal/control/message"
 )
 
-// Stats counts what has happened since the planner started.
+// Stats has counts since the planner started.
 type Stats struct {
 	Offers              int // that were received
 	Commands            int // to send an attempt
-	Served              int // requests that have got their response
+	Served              int // requests with a response
 	Rejected            int // requests, by command
 	Failed              int // requests, by command
 	Transferred         int // requests, to another planner
 	Poison              int // requests that were returned because the policy panics at them
 	OffersRejected      int // beyond the forwarder's credit, or of an unknown class
-	Expired             int // attempts that nobody reported on, and that were taken to have ended
-	StatusUpdates       int // of workers, that were passed on
+	Expired             int // attempts without a report that were assumed to have ended
+	StatusUpdates       int // of workers, that were forwarded
 	Panics              int // of the policy
-	ConnectionsRejected int // for lack of a place, or after panics
-	StaleSessions       int // that were not the newest of their forwarder
+	ConnectionsRejected int // beyond Config.MaxSessions, while stopping, or after panics
+	StaleSessions       int // other than the newest one of their forwarder
 	StrayMessages       int // of sessions, requests or attempts that have ended
 	InvalidMessages     int
 	ByReason            [message.ReasonCount]int // send commands that a forwarder's validator has rejected
@@ -34,7 +34,7 @@
 	Queued     int     // of these, without an attempt in flight
 	Closing    int     // requests that are closed, with attempts in flight
 	Credit     int     // of all forwarders
-	Slots      float64 // that attempts in flight take
+	Slots      float64 // that attempts in flight occupy
 	Workers    int     // that are known
 	Owned      int     // on the endpoint list, and assigned to this planner
 	TimerLag   time.Duration
--- a/internal/control/planner/summarylog.go
+++ b/internal/control/planner/summarylog.go
@@ -10,7 +10,7 @@
 
 const (
 	summaryInterval        = time.Second
-	maxRejectingForwarders = 8 // that are named in a line
+	maxRejectingForwarders = 8 // named in a line
 )
 
 // lineLogger writes lines of the operators' log at the instant of the present step.
@@ -19,7 +19,7 @@
 	log(text string, attributes ...any)
 }
 
-// summaryLog is the log line that sums up what went wrong.
+// summaryLog writes the log line that summarizes the faults since the last one.
 type summaryLog struct {
 	step  lineLogger
 	stats *Stats
@@ -41,7 +41,7 @@
 	}
 }
 
-// write writes the counts that have increased since the last such line, if any.
+// write writes the counts that have increased since the last line, if any, once per summaryInterval.
 func (s *summaryLog) write() {
 	if s.step.now() < s.nextAt {
 		return
--- a/internal/control/planner/transcript_test.go
+++ b/internal/control/planner/transcript_test.go
@@ -45,7 +45,7 @@
 	t       *testing.T
 	planner *Planner
 	policy  *scriptedPolicy // the newest
-	panics  int             // that are still to come
+	panics  int             // steps that are still to panic
 	now     time.Duration
 	timerAt time.Duration // 0: none
 	events  []Event       // of the next step
--- a/internal/control/planner/worker.go
+++ b/internal/control/planner/worker.go
@@ -7,29 +7,29 @@
 	"valvecove/internal/control/message"
 )
 
-// worker is a worker on the endpoint list, or one that is not (any more) and of which there is a status or an attempt.
+// worker is a worker on the endpoint list, or an unlisted one that has a status or an attempt.
 type worker struct {
-	dispatch.Worker        // as the list has it
-	listed          bool   // it is on the list
+	dispatch.Worker        // its entry on the list
+	listed          bool   // on the list
 	listSequence    uint64 // of the last full list on which it was
-	owned           bool   // it is assigned to this planner
+	owned           bool   // assigned to this planner
 	hasStatus       bool
-	status          message.WorkerStatus // the newest, whoever reported it
+	status          message.WorkerStatus // the newest one, of any source
 	warmUntil       time.Duration        // until then it gets no work while it is warming up
 	references      int                  // attempts of requests in the table
-	announced       bool                 // the policy has it
+	announced       bool                 // the policy has it, as announcedAs
 	announcedAs     dispatch.Worker
 	index           int // in workerTable.list
 	location        *location
 }
 
-// startedAt returns when the worker's process started, by what is known of it.
+// startedAt returns when the worker's process started, by its entry and its status.
 func (w *worker) startedAt() time.Duration {
 	return max(w.BootAt, time.Duration(w.status.StartedMs)*time.Millisecond)
 }
 
-// isUp reports whether the worker is on the endpoint list and its newest status says that it is up.
+// isUp reports whether the worker is on the endpoint list and up by its newest status.
 func (w *worker) isUp() bool { return w.listed && w.status.State == message.WorkerUp }
 
-// isUnavailable reports whether the newest status says that the worker is draining or gone.
+// isUnavailable reports whether the worker is draining or gone by its newest status.
 func (w *worker) isUnavailable() bool { return w.hasStatus && w.status.State != message.WorkerUp }
--- a/internal/control/planner/workerstatus.go
+++ b/internal/control/planner/workerstatus.go
@@ -6,16 +6,16 @@
 	"valvecove/internal/control/message"
 )
 
-// maxClockSkew is by how much a worker's start may lie ahead of this planner's clock.
+// maxClockSkew is by how much a worker's start may be ahead of this planner's clock.
 const maxClockSkew = time.Minute
 
-// statusSource is who has reported a worker's status. The zero value is the endpoint list.
+// statusSource is the source of a worker's status. The zero value is the endpoint list.
 type statusSource struct {
 	forwarder *forwarder
 	peer      *peer
 }
 
-// statusHandler keeps the newest status of each worker and passes it on.
+// statusHandler keeps the newest status of each worker and forwards it.
 type statusHandler struct {
 	stats      *Stats
 	step       *step
@@ -25,14 +25,14 @@
 	workers    *workerTable
 }
 
-// receive takes in what a forwarder or a peer reports of a worker.
+// receive processes a worker's status that a forwarder or a peer has reported.
 func (s *statusHandler) receive(status message.WorkerStatus, source statusSource) {
 	if !s.isPlausible(&status) {
 		s.stats.InvalidMessages++
 		return
 	}
 	if s.workers.byID[status.WorkerID] == nil && status.State == message.WorkerUp {
-		return // the endpoint list will tell what it is
+		return // its entry on the endpoint list follows
 	}
 	worker := s.workers.ensure(status.WorkerID)
 	s.update(worker, status, source)
@@ -42,24 +42,29 @@
 	s.workers.removeWorker(worker)
 }
 
+// isPlausible reports whether a status has a valid state, and a start that is not ahead of this planner's clock.
 func (s *statusHandler) isPlausible(status *message.WorkerStatus) bool {
 	latestStart := (s.step.now() + maxClockSkew) / time.Millisecond
 	return status.State <= message.WorkerGone && status.StartedMs >= 0 && time.Duration(status.StartedMs) <= latestStart
 }
 
-// update keeps a status that is newer than the one before. It is passed on where that matters: if the worker drains,
-// is gone, is back, or has started again. What a peer reports goes to forwarders only: it tells the other peers itself.
+// update keeps a status that is newer than the present one. It is forwarded if the worker drains, is gone, is available
+// again, or has restarted. A status from a peer is sent to forwarders only: that peer sends it to the others.
 func (s *statusHandler) update(w *worker, status message.WorkerStatus, source statusSource) {
-	previous, isKnown := w.status, w.hasStatus
+	previous := w.status
+	isKnown := w.hasStatus
 	if isKnown && !status.Supersedes(previous) {
 		return
 	}
-	w.status, w.hasStatus = status, true
+	w.status = status
+	w.hasStatus = true
 	if !w.listed {
 		s.workers.addTombstone(w, s.step.now())
 	}
 	restarted := isKnown && status.StartedMs > previous.StartedMs
-	if !s.workers.synced || status.State == previous.State && !restarted || !isKnown && status.State == message.WorkerUp {
+	isUnchanged := status.State == previous.State && !restarted
+	isNewAndUp := !isKnown && status.State == message.WorkerUp
+	if !s.workers.synced || isUnchanged || isNewAndUp {
 		return
 	}
 	s.stats.StatusUpdates++
@@ -73,7 +78,7 @@
 	}
 }
 
-// sendUnavailable tells a forwarder that has just connected which workers are not available.
+// sendUnavailable sends the statuses of the unavailable workers to a forwarder that has connected.
 func (s *statusHandler) sendUnavailable(f *forwarder) {
 	for _, worker := range s.workers.list {
 		if worker.isUnavailable() {
--- a/internal/control/planner/workertable.go
+++ b/internal/control/planner/workertable.go
@@ -12,14 +12,14 @@
 	maxTombstones      = 4096
 )
 
-// workerTable is all workers. The policy has those that are assigned to this planner. While requests in the table have
+// workerTable has all workers. The policy has those that are assigned to this planner. While requests in the table have
 // attempts at other ones, it has these too, as not ready.
 type workerTable struct {
 	byID         map[uint64]*worker
-	list         []*worker // the order of maps must decide nothing
+	list         []*worker // so that no decision depends on the order of a map
 	revision     int64     // of the endpoint list
 	listSequence uint64    // counts full lists
-	synced       bool      // there was a list
+	synced       bool      // a list was received
 	partition    partition
 	tombstones   []tombstone // by time
 }
@@ -39,7 +39,7 @@
 	return added
 }
 
-// removeWorker forgets a worker that is not listed, and of which there is neither a status nor an attempt.
+// removeWorker removes a worker that is neither listed nor has a status or an attempt. Any other one is kept.
 func (w *workerTable) removeWorker(known *worker) {
 	if known.listed || known.references > 0 || known.hasStatus || w.byID[known.ID] != known {
 		return
@@ -53,7 +53,7 @@
 	w.list = w.list[:end]
 }
 
-// addTombstone has the status of a worker that is not listed forgotten later.
+// addTombstone schedules the removal of the status of a worker that is not listed.
 func (w *workerTable) addTombstone(known *worker, now time.Duration) {
 	w.tombstones = append(w.tombstones, tombstone{now, known})
 	if len(w.tombstones) > maxTombstones {
@@ -61,7 +61,7 @@
 	}
 }
 
-// expireTombstone forgets the status of the worker whose tombstone is the oldest, unless it is listed again.
+// expireTombstone removes the status of the worker with the oldest tombstone, unless it is listed again.
 func (w *workerTable) expireTombstone() {
 	known := w.tombstones[0].worker
 	w.tombstones[0] = tombstone{}
@@ -81,7 +81,7 @@
 	}
 }
 
-// tombstone is a worker that was not on the endpoint list at a time. Its status is forgotten later.
+// tombstone is a worker that was not on the endpoint list at a time. Its status is removed tombstoneRetention later.
 type tombstone struct {
 	at     time.Duration
 	worker *worker
