--- a/internal/control/membership/bid_heap.go
+++ b/internal/control/membership/bid_heap.go
@@ -13,9 +13,9 @@
 type bidHeap []bid
 
 // push adds a bid.
-func (h *bidHeap) push(added bid) {
-	*h = append(*h, added)
-	heap := *h
+func (b *bidHeap) push(added bid) {
+	*b = append(*b, added)
+	heap := *b
 	for child := len(heap) - 1; child > 0; {
 		parent := (child - 1) / 2
 		if heap[parent].height <= heap[child].height {
@@ -27,13 +27,13 @@
 }
 
 // popLowest removes the lowest bid. The heap must not be empty.
-func (h *bidHeap) popLowest() bid {
-	heap := *h
+func (b *bidHeap) popLowest() bid {
+	heap := *b
 	lowest := heap[0]
 	last := len(heap) - 1
 	heap[0] = heap[last]
 	heap = heap[:last]
-	*h = heap
+	*b = heap
 	for parent := 0; ; {
 		child := 2*parent + 1
 		if child >= len(heap) {
--- a/internal/control/membership/latency.go
+++ b/internal/control/membership/latency.go
@@ -24,8 +24,8 @@
 	latencySlow
 )
 
-func (s latencyState) String() string {
-	switch s {
+func (l latencyState) String() string {
+	switch l {
 	case latencyNormal:
 		return "normal"
 	case latencySlow:
--- a/internal/control/membership/log.go
+++ b/internal/control/membership/log.go
@@ -22,8 +22,8 @@
 	reasonAssigned moveReason = "assigned" // it is assigned to this one
 )
 
-func (t *memberTable) log(message string, attributes ...slog.Attr) {
-	t.emit(LogLine{message, attributes})
+func (m *memberTable) log(message string, attributes ...slog.Attr) {
+	m.emit(LogLine{message, attributes})
 }
 
 func (f *ForwarderMembership) logLatencyState(planner *memberRecord, latency time.Duration) {
--- a/internal/control/membership/presence.go
+++ b/internal/control/membership/presence.go
@@ -3,24 +3,24 @@
 import "time"
 
 // handleMember takes in an event of gossip or of a session.
-func (t *memberTable) handleMember(event Event) {
-	t.changed = true
+func (m *memberTable) handleMember(event Event) {
+	m.changed = true
 	switch event := event.(type) {
 	case MemberJoined:
-		t.memberJoined(event.Member)
+		m.memberJoined(event.Member)
 	case MemberLeft:
-		t.memberGone(event.Name, gossipLeft, event.Incarnation)
+		m.memberGone(event.Name, gossipLeft, event.Incarnation)
 	case MemberDied:
-		t.memberGone(event.Name, gossipFailed, event.Incarnation)
+		m.memberGone(event.Name, gossipFailed, event.Incarnation)
 	case PlannerConnected:
-		t.plannerConnected(event.Name)
+		m.plannerConnected(event.Name)
 	case PlannerDisconnected:
-		t.plannerDisconnected(event)
+		m.plannerDisconnected(event)
 	}
 }
 
-func (t *memberTable) memberJoined(announced Member) {
-	record := t.findOrAdd(announced.Name, announced.Role)
+func (m *memberTable) memberJoined(announced Member) {
+	record := m.findOrAdd(announced.Name, announced.Role)
 	if record == nil {
 		return
 	}
@@ -35,10 +35,10 @@
 		record.session = record.session.next(incarnationChanged)
 	}
 	if appears {
-		record.aliveAt = t.now
+		record.aliveAt = m.now
 	}
 	if appears || !isAssignedAlike {
-		t.requireAssignment(assignmentOutdated)
+		m.requireAssignment(assignmentOutdated)
 	}
 }
 
@@ -48,8 +48,8 @@
 }
 
 // memberGone takes in that a member has failed or left; incarnation 0 stands for any.
-func (t *memberTable) memberGone(name string, reported gossipState, incarnation uint64) {
-	record := t.find(name)
+func (m *memberTable) memberGone(name string, reported gossipState, incarnation uint64) {
+	record := m.find(name)
 	if record == nil {
 		return
 	}
@@ -59,100 +59,100 @@
 	if !record.setGossip(reported, incarnation) {
 		return
 	}
-	record.failedAt = t.now
-	t.requireAssignment(assignmentOutdated)
+	record.failedAt = m.now
+	m.requireAssignment(assignmentOutdated)
 }
 
-func (t *memberTable) plannerConnected(name string) {
-	record := t.findOrAdd(name, RolePlanner)
+func (m *memberTable) plannerConnected(name string) {
+	record := m.findOrAdd(name, RolePlanner)
 	if record == nil {
 		return
 	}
 	record.session = record.session.next(sessionOpened)
 	record.latency.restart()
-	t.requireAssignment(assignmentOutdated)
+	m.requireAssignment(assignmentOutdated)
 }
 
-func (t *memberTable) plannerDisconnected(event PlannerDisconnected) {
-	record := t.find(event.Name)
+func (m *memberTable) plannerDisconnected(event PlannerDisconnected) {
+	record := m.find(event.Name)
 	if record == nil || record.session != sessionOpen {
 		return
 	}
 	ended := sessionEnded
-	if event.Silent && t.self.Role == RolePlanner {
+	if event.Silent && m.self.Role == RolePlanner {
 		ended = sessionWentSilent
 	}
 	record.session = record.session.next(ended)
-	record.sessionLostAt = t.now
-	t.requireAssignment(assignmentUrgent)
+	record.sessionLostAt = m.now
+	m.requireAssignment(assignmentUrgent)
 }
 
 // review concludes which members are absent by now, and removes those that have been for Config.Retention. It reports
 // whether anything may have changed.
-func (t *memberTable) review() bool {
-	if !t.changed && (t.reviewAt == 0 || t.now < t.reviewAt) {
-		t.wakeAt(t.reviewAt)
+func (m *memberTable) review() bool {
+	if !m.changed && (m.reviewAt == 0 || m.now < m.reviewAt) {
+		m.wakeAt(m.reviewAt)
 		return false
 	}
-	t.changed = false
-	t.reviewAt = 0
-	kept := t.members[:0]
-	planners := t.planners[:0]
-	for _, record := range t.members {
-		if record.setState(t.concludeState(record), t.now) {
-			t.requireAssignment(assignmentOutdated)
+	m.changed = false
+	m.reviewAt = 0
+	kept := m.members[:0]
+	planners := m.planners[:0]
+	for _, record := range m.members {
+		if record.setState(m.concludeState(record), m.now) {
+			m.requireAssignment(assignmentOutdated)
 		}
-		if t.isExpired(record) {
-			t.requireAssignment(assignmentOutdated)
+		if m.isExpired(record) {
+			m.requireAssignment(assignmentOutdated)
 			continue
 		}
-		t.scheduleReview(record)
+		m.scheduleReview(record)
 		kept = append(kept, record)
 		if record.Role == RolePlanner {
 			planners = append(planners, record)
 		}
 	}
-	clear(t.members[len(kept):])
-	t.members = kept
-	t.planners = planners
-	t.wakeAt(t.reviewAt)
+	clear(m.members[len(kept):])
+	m.members = kept
+	m.planners = planners
+	m.wakeAt(m.reviewAt)
 	return true
 }
 
 // concludeState returns what follows about a member from gossip and sessions.
-func (t *memberTable) concludeState(record *memberRecord) memberState {
+func (m *memberTable) concludeState(record *memberRecord) memberState {
 	switch {
 	case record.session == sessionOpen || record.gossip == gossipAlive:
 		return memberAlive
 	case record.gossip == gossipLeft:
 		return memberLeft
-	case t.now < t.suspicionEnd(record):
+	case m.now < m.suspicionEnd(record):
 		return memberSuspected
 	}
 	return memberDead
 }
 
 // suspicionEnd returns when a suspect is dead.
-func (t *memberTable) suspicionEnd(record *memberRecord) time.Duration {
-	return record.failedAt + t.health.scale(t.config.SuspicionTimeout)
+func (m *memberTable) suspicionEnd(record *memberRecord) time.Duration {
+	return record.failedAt + m.health.scale(m.config.SuspicionTimeout)
 }
 
-func (t *memberTable) isExpired(record *memberRecord) bool {
-	return record.state.isAbsent() && t.now-record.absentAt >= t.config.Retention
+func (m *memberTable) isExpired(record *memberRecord) bool {
+	return record.state.isAbsent() && m.now-record.absentAt >= m.config.Retention
 }
 
 // scheduleReview has the next review take place when the member's state changes by time alone.
-func (t *memberTable) scheduleReview(record *memberRecord) {
+func (m *memberTable) scheduleReview(record *memberRecord) {
 	var at time.Duration
 	switch record.state {
 	case memberAlive:
 		return
 	case memberSuspected:
-		at = t.suspicionEnd(record)
+		at = m.suspicionEnd(record)
 	case memberDead, memberLeft:
-		at = record.absentAt + t.config.Retention
+		at = record.absentAt + m.config.Retention
 	}
-	if t.reviewAt == 0 || at < t.reviewAt {
-		t.reviewAt = at
+	if m.reviewAt == 0 || at < m.reviewAt {
+		m.reviewAt = at
 	}
 }
--- a/internal/control/membership/record.go
+++ b/internal/control/membership/record.go
@@ -28,40 +28,40 @@
 func compareName(record *memberRecord, name string) int { return cmp.Compare(record.Name, name) }
 
 // isSlow reports whether the planner's replies are slow.
-func (r *memberRecord) isSlow() bool { return r.latency.state == latencySlow }
+func (m *memberRecord) isSlow() bool { return m.latency.state == latencySlow }
 
 // setGossip takes in what gossip reports of an incarnation of the member, and tells whether that counts. It does not if it
 // is about an earlier incarnation, ends one that is not alive, or is a late announcement of one that has left.
-func (r *memberRecord) setGossip(reported gossipState, incarnation uint64) bool {
+func (m *memberRecord) setGossip(reported gossipState, incarnation uint64) bool {
 	switch {
-	case incarnation < r.Incarnation:
+	case incarnation < m.Incarnation:
 		return false
-	case reported != gossipAlive && r.gossip != gossipAlive:
+	case reported != gossipAlive && m.gossip != gossipAlive:
 		return false
-	case reported == gossipAlive && r.gossip == gossipLeft && incarnation == r.Incarnation && r.session != sessionOpen:
+	case reported == gossipAlive && m.gossip == gossipLeft && incarnation == m.Incarnation && m.session != sessionOpen:
 		return false
 	}
-	r.gossip = reported
+	m.gossip = reported
 	return true
 }
 
 // setState sets what is concluded about the member, and tells whether it has become absent or present by that.
-func (r *memberRecord) setState(state memberState, now time.Duration) bool {
-	wasAbsent := r.state.isAbsent()
-	r.state = state
+func (m *memberRecord) setState(state memberState, now time.Duration) bool {
+	wasAbsent := m.state.isAbsent()
+	m.state = state
 	if state.isAbsent() == wasAbsent {
 		return false
 	}
-	r.absentAt = now
+	m.absentAt = now
 	return true
 }
 
 // extendTimeouts begins the timeouts after gossip's reports again, as this process may have missed later ones.
-func (r *memberRecord) extendTimeouts(now time.Duration) {
+func (m *memberRecord) extendTimeouts(now time.Duration) {
 	switch {
-	case r.gossip == gossipFailed && !r.state.isAbsent():
-		r.failedAt = now
-	case r.gossip == gossipAlive && r.session == sessionNone:
-		r.aliveAt = now
+	case m.gossip == gossipFailed && !m.state.isAbsent():
+		m.failedAt = now
+	case m.gossip == gossipAlive && m.session == sessionNone:
+		m.aliveAt = now
 	}
 }
--- a/internal/control/membership/self_health.go
+++ b/internal/control/membership/self_health.go
@@ -15,20 +15,20 @@
 }
 
 // recordLateness takes in a sign of lateness.
-func (h *selfHealth) recordLateness(now time.Duration) {
-	h.lateness = min(h.lateness+1, maxLateness)
-	h.changedAt = now
+func (s *selfHealth) recordLateness(now time.Duration) {
+	s.lateness = min(s.lateness+1, maxLateness)
+	s.changedAt = now
 }
 
 // decay discards signs of lateness that are over.
-func (h *selfHealth) decay(now time.Duration) {
-	for h.lateness > 0 && now-h.changedAt >= latenessDecayPeriod {
-		h.lateness--
-		h.changedAt += latenessDecayPeriod
+func (s *selfHealth) decay(now time.Duration) {
+	for s.lateness > 0 && now-s.changedAt >= latenessDecayPeriod {
+		s.lateness--
+		s.changedAt += latenessDecayPeriod
 	}
 }
 
 // scale returns a timeout extended by the signs of lateness.
-func (h *selfHealth) scale(timeout time.Duration) time.Duration {
-	return timeout * time.Duration(1+h.lateness)
+func (s *selfHealth) scale(timeout time.Duration) time.Duration {
+	return timeout * time.Duration(1+s.lateness)
 }
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -10,8 +10,8 @@
 	gossipLeft
 )
 
-func (s gossipState) String() string {
-	switch s {
+func (g gossipState) String() string {
+	switch g {
 	case gossipUnknown:
 		return "unknown"
 	case gossipAlive:
@@ -80,8 +80,8 @@
 	memberLeft
 )
 
-func (s memberState) String() string {
-	switch s {
+func (m memberState) String() string {
+	switch m {
 	case memberAlive:
 		return "alive"
 	case memberSuspected:
@@ -95,7 +95,7 @@
 }
 
 // isAbsent reports whether the member is dead or has left.
-func (s memberState) isAbsent() bool { return s == memberDead || s == memberLeft }
+func (m memberState) isAbsent() bool { return m == memberDead || m == memberLeft }
 
 // assignmentState is whether the assignment follows from what is known now. A greater state is more pressing.
 type assignmentState uint8
@@ -106,8 +106,8 @@
 	assignmentUrgent                   // it is to be recomputed at once
 )
 
-func (s assignmentState) String() string {
-	switch s {
+func (a assignmentState) String() string {
+	switch a {
 	case assignmentCurrent:
 		return "current"
 	case assignmentOutdated:
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -32,46 +32,46 @@
 }
 
 // OverflowCount returns how often a member was not taken in, because there were too many of its role.
-func (t *memberTable) OverflowCount() int { return t.overflowCount }
+func (m *memberTable) OverflowCount() int { return m.overflowCount }
 
 // Next returns when a Step is due without an event; 0: never.
-func (t *memberTable) Next() time.Duration { return t.nextStepAt }
+func (m *memberTable) Next() time.Duration { return m.nextStepAt }
 
 // find returns the record of a member; nil: there is none.
-func (t *memberTable) find(name string) *memberRecord {
-	i, found := slices.BinarySearchFunc(t.members, name, compareName)
+func (m *memberTable) find(name string) *memberRecord {
+	i, found := slices.BinarySearchFunc(m.members, name, compareName)
 	if !found {
 		return nil
 	}
-	return t.members[i]
+	return m.members[i]
 }
 
 // findOrAdd returns the record of a member, and adds it if there is none. It returns nil for the name of this process, for
 // one that is not valid, and if there are too many members of the role.
-func (t *memberTable) findOrAdd(name string, role Role) *memberRecord {
-	i, found := slices.BinarySearchFunc(t.members, name, compareName)
+func (m *memberTable) findOrAdd(name string, role Role) *memberRecord {
+	i, found := slices.BinarySearchFunc(m.members, name, compareName)
 	if found {
-		return t.members[i]
+		return m.members[i]
 	}
-	if name == "" || len(name) > maxNameLength || name == t.self.Name {
+	if name == "" || len(name) > maxNameLength || name == m.self.Name {
 		return nil
 	}
-	if t.isFull(role) {
-		t.overflowCount++
+	if m.isFull(role) {
+		m.overflowCount++
 		return nil
 	}
 	record := newMemberRecord(name, role)
-	t.members = slices.Insert(t.members, i, record)
+	m.members = slices.Insert(m.members, i, record)
 	return record
 }
 
-func (t *memberTable) isFull(role Role) bool {
+func (m *memberTable) isFull(role Role) bool {
 	limit := maxForwarders
 	if role == RolePlanner {
 		limit = maxPlanners
 	}
 	count := 0
-	for _, record := range t.members {
+	for _, record := range m.members {
 		if record.Role == role {
 			count++
 		}
@@ -81,102 +81,36 @@
 
 // beginStep sets the time. Time never runs backwards. A process that comes late to a step may have missed what others did
 // meanwhile.
-func (t *memberTable) beginStep(now time.Duration) {
-	t.now = max(now, t.now)
-	if t.nextStepAt > 0 && t.now > t.nextStepAt+maxOwnTimerLag {
-		t.stepWasLate()
+func (m *memberTable) beginStep(now time.Duration) {
+	m.now = max(now, m.now)
+	if m.nextStepAt > 0 && m.now > m.nextStepAt+maxOwnTimerLag {
+		m.stepWasLate()
 	}
-	t.nextStepAt = 0
-	t.health.decay(t.now)
+	m.nextStepAt = 0
+	m.health.decay(m.now)
 }
 
-func (t *memberTable) stepWasLate() {
-	t.health.recordLateness(t.now)
-	t.changed = true
-	for _, record := range t.members {
-		record.extendTimeouts(t.now)
+func (m *memberTable) stepWasLate() {
+	m.health.recordLateness(m.now)
+	m.changed = true
+	for _, record := range m.members {
+		record.extendTimeouts(m.now)
 	}
 }
 
 // wakeAt requests a step at a time; 0: none.
-func (t *memberTable) wakeAt(at time.Duration) {
-	if at > t.now && (t.nextStepAt == 0 || at < t.nextStepAt) {
-		t.nextStepAt = at
+func (m *memberTable) wakeAt(at time.Duration) {
+	if at > m.now && (m.nextStepAt == 0 || at < m.nextStepAt) {
+		m.nextStepAt = at
 	}
 }
 
-func (t *memberTable) emit(action Action) { t.output = append(t.output, action) }
+func (m *memberTable) emit(action Action) { m.output = append(m.output, action) }
 
 // takeOutput appends the actions of the step to dst.
-func (t *memberTable) takeOutput(dst []Action) []Action {
-	dst = append(dst, t.output...)
-	clear(t.output)
-	t.output = t.output[:0]
+func (m *memberTable) takeOutput(dst []Action) []Action {
+	dst = append(dst, m.output...)
+	clear(m.output)
+	m.output = m.output[:0]
 	return dst
 }
-
-// ---- Assignment ----
-
-// requireAssignment marks the assignment as outdated or urgent.
-func (t *memberTable) requireAssignment(state assignmentState) {
-	t.assignment = max(t.assignment, state)
-}
-
-// beginAssignment reports whether the assignment is to be recomputed now, and marks it as current if so.
-func (t *memberTable) beginAssignment() bool {
-	switch {
-	case t.assignment == assignmentCurrent:
-		return false
-	case t.assignment == assignmentOutdated && t.now < t.nextAssignmentAt:
-		t.wakeAt(t.nextAssignmentAt)
-		return false
-	}
-	t.assignment = assignmentCurrent
-	t.nextAssignmentAt = t.now + t.config.AssignInterval
-	return true
-}
-
-// updateCandidates finds which planners count in assignments, and reports whether any of that has changed. It may by time
-// alone: isCandidate requests a step for that.
-func (t *memberTable) updateCandidates(isCandidate func(planner *memberRecord) bool) (changed bool) {
-	for _, planner := range t.planners {
-		if candidate := isCandidate(planner); candidate != planner.candidate {
-			planner.candidate = candidate
-			changed = true
-		}
-	}
-	if changed {
-		t.requireAssignment(assignmentOutdated)
-	}
-	return changed
-}
-
-// ---- Announcements ----
-
-// announcePlanners emits the planners to have sessions with, if they have changed: all that are present.
-func (t *memberTable) announcePlanners() {
-	names := t.plannerNames(func(planner *memberRecord) bool { return !planner.state.isAbsent() })
-	if !slices.Equal(names, t.announcedPlanners) {
-		t.announcedPlanners = names
-		t.emit(SetPlanners{slices.Clone(names)})
-	}
-}
-
-// plannerNames returns the names of some planners, sorted.
-func (t *memberTable) plannerNames(include func(planner *memberRecord) bool) []string {
-	var names []string
-	for _, planner := range t.planners {
-		if include(planner) {
-			names = append(names, planner.Name)
-		}
-	}
-	return names
-}
-
-// announceSelf has gossip announce this process, if what it announces has changed.
-func (t *memberTable) announceSelf(self Member) {
-	if self != t.announcedSelf {
-		t.announcedSelf = self
-		t.emit(Announce{self})
-	}
-}
