--- a/internal/control/membership/action.go
+++ b/internal/control/membership/action.go
@@ -6,16 +6,16 @@
 	"valvecove/dispatch"
 )
 
-// Action is an output of Step: something to carry out. The receiver owns it.
+// Action is an output of Step, which the caller carries out and owns.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// SetPlanners names the planners to have sessions with, sorted. A planner's own name is not among them.
+	// SetPlanners has the names of the planners to have sessions with, sorted. A planner's own name is not among them.
 	SetPlanners struct{ Names []string }
-	// SetPeers names the planners that a planner counts as its peers, sorted.
+	// SetPeers has the names of the planners that are a planner's peers, sorted.
 	SetPeers struct{ Names []string }
-	// Announce has the gossip engine announce the member to the others.
+	// Announce requests that the gossip engine announces the member to the others.
 	Announce struct{ Member Member }
 	// SetForwarderIndex gives a forwarder its index among Count forwarders, from 0.
 	SetForwarderIndex struct{ Index, Count int }
@@ -24,7 +24,7 @@
 	SetPartition struct {
 		Owner func(w *dispatch.Worker) string
 	}
-	// LogLine has a line logged for the operators. Messages are constant.
+	// LogLine is a line of the operators' log. Messages are constant.
 	LogLine struct {
 		Message    string
 		Attributes []slog.Attr
--- a/internal/control/membership/announcements.go
+++ b/internal/control/membership/announcements.go
@@ -22,7 +22,7 @@
 	return names
 }
 
-// announceSelf has gossip announce this process, if what it announces has changed.
+// announceSelf announces this process by gossip, if its announcement has changed.
 func (m *memberTable) announceSelf(self Member) {
 	if self != m.announcedSelf {
 		m.announcedSelf = self
--- a/internal/control/membership/assignment.go
+++ b/internal/control/membership/assignment.go
@@ -162,7 +162,8 @@
 		}
 		candidate := mixBits(a.items[item].hash ^ a.owners[i].hash)
 		if candidate < a.lastHeight[item] && (owner == noOwner || candidate > height) {
-			owner, height = i, candidate
+			owner = i
+			height = candidate
 		}
 	}
 	return owner, height
--- a/internal/control/membership/cell_index.go
+++ b/internal/control/membership/cell_index.go
@@ -24,7 +24,7 @@
 	clear(c.cellOf)
 }
 
-// apply takes in entries of the endpoint list, and returns the cells that they concern. The result is valid until the next
+// apply applies entries of the endpoint list, and returns the cells that they concern. The result is valid until the next
 // call, and may name a cell more than once.
 func (c *cellIndex) apply(workers []dispatch.Worker) []int {
 	c.changed = c.changed[:0]
@@ -38,12 +38,14 @@
 	return c.changed
 }
 
+// add adds a worker to its cell.
 func (c *cellIndex) add(worker uint64, cell int) {
 	c.cellOf[worker] = cell
 	c.workerCount[cell]++
 	c.changed = append(c.changed, cell)
 }
 
+// remove removes a worker from its cell, if it is listed.
 func (c *cellIndex) remove(worker uint64) {
 	cell, ok := c.cellOf[worker]
 	if !ok {
--- a/internal/control/membership/event.go
+++ b/internal/control/membership/event.go
@@ -6,19 +6,19 @@
 	"valvecove/dispatch"
 )
 
-// Event is an input to Step: something that has happened.
+// Event is an input of Step.
 type Event interface{ event() }
 
 // Events from the gossip engine.
 type (
 	// MemberJoined reports that a member is present, or that it announces something new of itself.
 	MemberJoined struct{ Member Member }
-	// MemberLeft reports that a member has left in an orderly way. Incarnation 0 stands for any.
+	// MemberLeft reports that a member has left in an orderly way. Incarnation 0 matches any.
 	MemberLeft struct {
 		Name        string
 		Incarnation uint64
 	}
-	// MemberDied reports that the engine considers a member dead. Incarnation 0 stands for any.
+	// MemberDied reports that the engine considers a member dead. Incarnation 0 matches any.
 	MemberDied struct {
 		Name        string
 		Incarnation uint64
@@ -40,7 +40,7 @@
 		Name              string
 		Latency, TimerLag time.Duration
 	}
-	// EndpointsChanged brings a change of the endpoint list to a planner.
+	// EndpointsChanged is a watch event of the endpoint list, for a planner.
 	EndpointsChanged struct{ List dispatch.WorkerList }
 )
 
--- a/internal/control/membership/forwarder.go
+++ b/internal/control/membership/forwarder.go
@@ -29,7 +29,7 @@
 	return &ForwarderMembership{memberTable: newMemberTable(self, config)}
 }
 
-// Step takes in the events up to now, in order, and appends the actions that follow to dst.
+// Step processes the events up to now, in order, and appends the resulting actions to dst.
 func (f *ForwarderMembership) Step(now time.Duration, events []Event, dst []Action) []Action {
 	f.beginStep(now)
 	for _, event := range events {
@@ -39,6 +39,7 @@
 	return f.takeOutput(dst)
 }
 
+// handle processes an event.
 func (f *ForwarderMembership) handle(event Event) {
 	switch event := event.(type) {
 	case ReplyReceived:
@@ -48,7 +49,7 @@
 	}
 }
 
-// update decides again on what may have changed.
+// update recomputes what may have changed: members, candidates, assignment and announcements.
 func (f *ForwarderMembership) update() {
 	if f.startupUntil == 0 {
 		f.startupUntil = f.now + f.config.StartupTime
@@ -69,7 +70,7 @@
 	}
 }
 
-// announceHome has gossip announce the home, once there is a session with it.
+// announceHome announces the home by gossip, once there is a session with it.
 func (f *ForwarderMembership) announceHome() {
 	self := f.self
 	if home := f.find(f.homePlanner); home != nil && home.session == sessionOpen {
--- a/internal/control/membership/home.go
+++ b/internal/control/membership/home.go
@@ -43,6 +43,7 @@
 	})
 }
 
+// setIndex emits the forwarder's index if it has changed.
 func (f *ForwarderMembership) setIndex(index, count int) {
 	if index == f.forwarderIndex && count == f.forwarderCount {
 		return
@@ -91,7 +92,8 @@
 // those do whose planners are.
 func (f *ForwarderMembership) selectHome() {
 	f.updateTarget()
-	home, target := f.find(f.homePlanner), f.find(f.targetPlanner)
+	home := f.find(f.homePlanner)
+	target := f.find(f.targetPlanner)
 	switch {
 	case home == nil || !home.candidate:
 		f.failOver(target)
@@ -155,6 +157,7 @@
 	return period / slots * time.Duration(slot)
 }
 
+// moveTo makes a planner the home, and counts and logs the move.
 func (f *ForwarderMembership) moveTo(target *memberRecord, reason moveReason) {
 	previous := f.homePlanner
 	f.moveCount++
--- a/internal/control/membership/latency.go
+++ b/internal/control/membership/latency.go
@@ -7,12 +7,12 @@
 
 const (
 	sampleWindow    = 5                      // samples of which the median counts: one pause makes no planner slow
-	maxReplyGap     = 250 * time.Millisecond // a reply stands for at most this much time since the one before
-	sampleValidity  = time.Second            // a planner without replies for longer is no measure for others
+	maxReplyGap     = 250 * time.Millisecond // maximum time since the previous reply that a reply represents
+	sampleValidity  = time.Second            // a planner without replies for longer is not compared with others
 	relapseWindow   = time.Minute            // a planner that is slow again within this time has relapsed
 	maxRelapses     = 5
 	unlimitedBound  = time.Duration(1<<63 - 1)
-	minSampleCount  = sampleWindow / 2 // replies before a planner is a measure for others
+	minSampleCount  = sampleWindow / 2 // replies before a planner is compared with others
 	recoveryDivisor = 2                // replies are fast below the bound divided by this
 )
 
@@ -34,7 +34,7 @@
 	return "invalid"
 }
 
-// latencyLevel is where a latency is against a bound.
+// latencyLevel is the range of a latency relative to a bound.
 type latencyLevel uint8
 
 const (
@@ -43,6 +43,7 @@
 	levelHigh                         // at the bound or beyond
 )
 
+// levelOf returns the range of a latency relative to a bound.
 func levelOf(latency, bound time.Duration) latencyLevel {
 	switch {
 	case latency >= bound:
@@ -53,11 +54,11 @@
 	return levelElevated
 }
 
-// latencyTracker judges one planner's replies. What counts is the time for which replies are slow, not their number.
+// latencyTracker classifies one planner's replies, by the time for which replies are slow, not by their number.
 type latencyTracker struct {
 	state          latencyState
 	stateChangedAt time.Duration // 0: never
-	relapses       int           // how often it became slow again within relapseWindow, in a row; at most maxRelapses
+	relapses       int           // consecutive times that it became slow again within relapseWindow; at most maxRelapses
 
 	samples     [sampleWindow]time.Duration // a ring
 	sampleCount int                         // of this session
@@ -68,12 +69,12 @@
 	fastFor       time.Duration // in latencySlow: how long replies have been fast since they were high
 }
 
-// restart begins a new session: the state and its history stay, samples and timers do not.
+// restart begins a new session: it keeps the state and its history, and resets samples and timers.
 func (l *latencyTracker) restart() {
 	*l = latencyTracker{state: l.state, stateChangedAt: l.stateChangedAt, relapses: l.relapses}
 }
 
-// addSample adds a reply's latency, and returns the time that the reply stands for.
+// addSample adds a reply's latency, and returns the time that the reply represents.
 func (l *latencyTracker) addSample(latency, now time.Duration) time.Duration {
 	elapsed := min(now-l.lastReplyAt, maxReplyGap)
 	if l.sampleCount == 0 {
@@ -96,12 +97,12 @@
 	return recent[len(recent)/2]
 }
 
-// hasRecentSamples reports whether the planner is a measure for others.
+// hasRecentSamples reports whether other planners are compared with this one.
 func (l *latencyTracker) hasRecentSamples(now time.Duration) bool {
 	return l.sampleCount >= minSampleCount && now-l.lastReplyAt <= sampleValidity
 }
 
-// observe takes in that replies have been at a level for some time. It returns the state that follows, which the caller
+// observe records that replies have been at a level for a time. It returns the resulting state, which the caller
 // sets by transition if it is another one. A planner is slow after confirmation, and normal again after recovery.
 func (l *latencyTracker) observe(level latencyLevel, elapsed, confirmation, recovery time.Duration) latencyState {
 	if l.state == latencySlow {
@@ -121,6 +122,7 @@
 	return latencyNormal
 }
 
+// observeSlow is observe in state latencySlow.
 func (l *latencyTracker) observeSlow(level latencyLevel, elapsed, recovery time.Duration) latencyState {
 	switch level {
 	case levelFast:
@@ -148,6 +150,7 @@
 	l.fastFor = 0
 }
 
+// countRelapse counts a change to latencySlow soon after the last change; a later one resets the count.
 func (l *latencyTracker) countRelapse(now time.Duration) {
 	if l.stateChangedAt == 0 || now-l.stateChangedAt > relapseWindow {
 		l.relapses = 0
@@ -156,7 +159,7 @@
 	l.relapses = min(l.relapses+1, maxRelapses)
 }
 
-// recordReply takes in a planner's reply, and finds whether the planner is slow.
+// recordReply records a planner's reply, and updates whether the planner is slow.
 func (f *ForwarderMembership) recordReply(event ReplyReceived) {
 	planner := f.find(event.Name)
 	if planner == nil || planner.session != sessionOpen {
--- a/internal/control/membership/partition.go
+++ b/internal/control/membership/partition.go
@@ -19,11 +19,13 @@
 	if name, ok := p.owners[w.Cell]; ok {
 		return name
 	}
-	best, highest := 0, uint64(0)
+	best := 0
+	highest := uint64(0)
 	for i, planner := range p.planners {
 		hash := mixBits(hashCell(w.Cell) ^ planner.hash)
 		if planner.weight > 0 && hash >= highest {
-			best, highest = i, hash
+			best = i
+			highest = hash
 		}
 	}
 	return p.names[best]
--- a/internal/control/membership/planner.go
+++ b/internal/control/membership/planner.go
@@ -22,7 +22,7 @@
 	return &PlannerMembership{memberTable: newMemberTable(self, config), cells: newCellIndex()}
 }
 
-// Step takes in the events up to now, in order, and appends the actions that follow to dst.
+// Step processes the events up to now, in order, and appends the resulting actions to dst.
 func (p *PlannerMembership) Step(now time.Duration, events []Event, dst []Action) []Action {
 	p.beginStep(now)
 	for _, event := range events {
@@ -37,7 +37,7 @@
 	return p.takeOutput(dst)
 }
 
-// update decides again on what may have changed.
+// update recomputes what may have changed: members, candidates, assignment and announcements.
 func (p *PlannerMembership) update() {
 	changed := p.review()
 	if p.updateCandidates(p.isCandidate) {
--- a/internal/control/membership/presence.go
+++ b/internal/control/membership/presence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// handleMember takes in an event of gossip or of a session.
+// handleMember processes an event of gossip or of a session.
 func (m *memberTable) handleMember(event Event) {
 	m.changed = true
 	switch event := event.(type) {
@@ -19,6 +19,7 @@
 	}
 }
 
+// memberJoined records the announcement of a member.
 func (m *memberTable) memberJoined(announced Member) {
 	record := m.findOrAdd(announced.Name, announced.Role)
 	if record == nil {
@@ -47,7 +48,7 @@
 	return a.Role == b.Role && a.Home == b.Home && a.Load == b.Load && a.Workers == b.Workers
 }
 
-// memberGone takes in that a member has failed or left; incarnation 0 stands for any.
+// memberGone records that a member has failed or left; incarnation 0 matches any.
 func (m *memberTable) memberGone(name string, reported gossipState, incarnation uint64) {
 	record := m.find(name)
 	if record == nil {
@@ -63,6 +64,7 @@
 	m.requireAssignment(assignmentOutdated)
 }
 
+// plannerConnected records that a session with a planner has opened.
 func (m *memberTable) plannerConnected(name string) {
 	record := m.findOrAdd(name, RolePlanner)
 	if record == nil {
@@ -73,6 +75,7 @@
 	m.requireAssignment(assignmentOutdated)
 }
 
+// plannerDisconnected records that the session with a planner has ended.
 func (m *memberTable) plannerDisconnected(event PlannerDisconnected) {
 	record := m.find(event.Name)
 	if record == nil || record.session != sessionOpen {
@@ -119,7 +122,7 @@
 	return true
 }
 
-// concludeState returns what follows about a member from gossip and sessions.
+// concludeState returns the state of a member by gossip and sessions.
 func (m *memberTable) concludeState(record *memberRecord) memberState {
 	switch {
 	case record.session == sessionOpen || record.gossip == gossipAlive:
@@ -132,16 +135,17 @@
 	return memberDead
 }
 
-// suspicionEnd returns when a suspect is dead.
+// suspicionEnd returns when a suspected member is considered dead.
 func (m *memberTable) suspicionEnd(record *memberRecord) time.Duration {
 	return record.failedAt + m.health.scale(m.config.SuspicionTimeout)
 }
 
+// isExpired reports whether a member has been absent for Config.Retention.
 func (m *memberTable) isExpired(record *memberRecord) bool {
 	return record.state.isAbsent() && m.now-record.absentAt >= m.config.Retention
 }
 
-// scheduleReview has the next review take place when the member's state changes by time alone.
+// scheduleReview schedules the next review for when the member's state changes by time alone.
 func (m *memberTable) scheduleReview(record *memberRecord) {
 	var at time.Duration
 	switch record.state {
--- a/internal/control/membership/ranking.go
+++ b/internal/control/membership/ranking.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// rank returns the rank of a planner.
 func (f *ForwarderMembership) rank(planner *memberRecord) plannerRank {
 	switch {
 	case planner.Name == f.homePlanner:
--- a/internal/control/membership/record.go
+++ b/internal/control/membership/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// memberRecord is what is known of one member.
+// memberRecord is the record of one member.
 type memberRecord struct {
 	Member
 	hash uint64 // of its name
@@ -30,7 +30,7 @@
 // isSlow reports whether the planner's replies are slow.
 func (m *memberRecord) isSlow() bool { return m.latency.state == latencySlow }
 
-// setGossip takes in what gossip reports of an incarnation of the member, and tells whether that counts. It does not if it
+// setGossip records what gossip reports of an incarnation of the member, and returns whether it is valid. It is not if it
 // is about an earlier incarnation, ends one that is not alive, or is a late announcement of one that has left.
 func (m *memberRecord) setGossip(reported gossipState, incarnation uint64) bool {
 	switch {
@@ -45,7 +45,7 @@
 	return true
 }
 
-// setState sets what is concluded about the member, and tells whether it has become absent or present by that.
+// setState sets the state that is concluded of the member, and returns whether it has become absent or present by that.
 func (m *memberRecord) setState(state memberState, now time.Duration) bool {
 	wasAbsent := m.state.isAbsent()
 	m.state = state
@@ -56,7 +56,7 @@
 	return true
 }
 
-// extendTimeouts begins the timeouts after gossip's reports again, as this process may have missed later ones.
+// extendTimeouts restarts the timeouts after gossip's reports, as this process may have missed later ones.
 func (m *memberRecord) extendTimeouts(now time.Duration) {
 	switch {
 	case m.gossip == gossipFailed && !m.state.isAbsent():
--- a/internal/control/membership/selector.go
+++ b/internal/control/membership/selector.go
@@ -28,7 +28,7 @@
 	return append(dst, f.ranking...)
 }
 
-// handleNow takes in one event, and keeps the actions that follow for the next Step.
+// handleNow processes one event, and keeps the resulting actions for the next Step.
 func (f *ForwarderMembership) handleNow(now time.Duration, event Event) {
 	f.beginStep(now)
 	f.handle(event)
--- a/internal/control/membership/self_health.go
+++ b/internal/control/membership/self_health.go
@@ -8,19 +8,19 @@
 	latenessDecayPeriod = time.Second // one sign of lateness counts for this long
 )
 
-// selfHealth is how much this process trusts its own judgement, by how often its timers ran late recently.
+// selfHealth counts how often this process's timers ran late recently; its timeouts are extended by that.
 type selfHealth struct {
 	lateness  int // signs that count still, at most maxLateness
 	changedAt time.Duration
 }
 
-// recordLateness takes in a sign of lateness.
+// recordLateness records a sign of lateness.
 func (s *selfHealth) recordLateness(now time.Duration) {
 	s.lateness = min(s.lateness+1, maxLateness)
 	s.changedAt = now
 }
 
-// decay discards signs of lateness that are over.
+// decay discards signs of lateness that are older than latenessDecayPeriod.
 func (s *selfHealth) decay(now time.Duration) {
 	for s.lateness > 0 && now-s.changedAt >= latenessDecayPeriod {
 		s.lateness--
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -97,7 +97,7 @@
 // isAbsent reports whether the member is dead or has left.
 func (m memberState) isAbsent() bool { return m == memberDead || m == memberLeft }
 
-// assignmentState is whether the assignment follows from what is known now. A greater state is more pressing.
+// assignmentState is whether the assignment is up to date. A greater state is more urgent.
 type assignmentState uint8
 
 const (
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// memberTable is what a process knows of the others, and what both roles do with it. It bounds its members by role.
+// memberTable has the other members, and what both roles have in common. The count of members is bounded for each role.
 type memberTable struct {
 	config   Config
 	self     Member
@@ -31,7 +31,7 @@
 	return memberTable{config: config.withDefaults(), self: self}
 }
 
-// OverflowCount returns how often a member was not taken in, because there were too many of its role.
+// OverflowCount returns how often a member was not added, because there were too many of its role.
 func (m *memberTable) OverflowCount() int { return m.overflowCount }
 
 // Next returns when a Step is due without an event; 0: never.
@@ -65,6 +65,7 @@
 	return record
 }
 
+// isFull reports whether the table has the maximum of members of a role.
 func (m *memberTable) isFull(role Role) bool {
 	limit := maxForwarders
 	if role == RolePlanner {
@@ -90,6 +91,7 @@
 	m.health.decay(m.now)
 }
 
+// stepWasLate records that a step was late, and extends the timeouts of the members.
 func (m *memberTable) stepWasLate() {
 	m.health.recordLateness(m.now)
 	m.changed = true
@@ -105,6 +107,7 @@
 	}
 }
 
+// emit appends an action to those of the next takeOutput.
 func (m *memberTable) emit(action Action) { m.output = append(m.output, action) }
 
 // takeOutput appends the actions of the step to dst.
--- a/internal/control/membership/worker_count.go
+++ b/internal/control/membership/worker_count.go
@@ -7,7 +7,7 @@
 	"valvecove/dispatch"
 )
 
-// endpointsChanged takes in a change of the endpoint list. The assignment is outdated if the weight of a cell changes.
+// endpointsChanged processes a change of the endpoint list. The assignment is outdated if the weight of a cell changes.
 func (p *PlannerMembership) endpointsChanged(list dispatch.WorkerList) {
 	switch list.Kind {
 	case dispatch.ListUnavailable:
@@ -33,7 +33,7 @@
 }
 
 // updateWorkerCount sets the number of workers to announce. A lower one is announced after Config.Retention only, as most
-// workers that vanish come back.
+// workers that are unlisted are listed again soon.
 func (p *PlannerMembership) updateWorkerCount() {
 	workers := 0
 	if total := p.cells.totalWorkers(); total > 0 {
