--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -9,57 +9,57 @@
 
 // This file holds the rules for attempts, as workers see them: where and when a request may be sent, and sent again.
 
-func (j *Checker) attemptReceived(b *job, t *request, n int, event *trace.Event) {
-	j.counts.Attempts++
-	j.checkCounts[ruleDrain]++
-	j.checkDrain(b, t, event)
-	t.attemptCount++
-	j.checkCounts[ruleAttempts]++
-	if t.attemptCount > j.attemptLimit {
-		j.report(ruleAttempts, b, t.id, "sent %d times, of %d allowed", t.attemptCount, j.attemptLimit)
-	}
-	j.checkSending(b, t, event)
-	at := len(b.attempts)
-	b.attempts = append(b.attempts, attempt{firstByteAt: min(event.FirstByteAt, event.At), request: n, worker: event.Worker})
-	for i := range at {
-		early, late := i, at
-		if b.attempts[at].firstByteAt < b.attempts[i].firstByteAt {
-			early, late = at, i
+func (c *Checker) attemptReceived(job *job, request *request, requestIndex int, event *trace.Event) {
+	c.counts.Attempts++
+	c.checkCounts[ruleDrain]++
+	c.checkDrain(job, request, event)
+	request.attemptCount++
+	c.checkCounts[ruleAttempts]++
+	if request.attemptCount > c.attemptLimit {
+		c.report(ruleAttempts, job, request.id, "sent %d times, of %d allowed", request.attemptCount, c.attemptLimit)
+	}
+	c.checkSending(job, request, event)
+	newest := len(job.attempts)
+	job.attempts = append(job.attempts, attempt{firstByteAt: min(event.FirstByteAt, event.At), request: requestIndex, worker: event.Worker})
+	for i := range newest {
+		early, late := i, newest
+		if job.attempts[newest].firstByteAt < job.attempts[i].firstByteAt {
+			early, late = newest, i
 		}
-		j.checkPair(b, t, early, late, event.Scheduler)
+		c.checkPair(job, request, early, late, event.Scheduler)
 	}
 }
 
 // checkDrain checks that the scheduler did not send to a worker that it had to know to drain.
-func (j *Checker) checkDrain(b *job, t *request, s *trace.Event) {
-	if c := j.scheduler(s.Scheduler); len(c.drainNotifiedAt) > 0 {
-		if notified, ok := c.drainNotifiedAt[s.Worker]; ok && s.FirstByteAt > j.noticedAt(c, notified)+j.drainGrace+j.observationLateness() {
-			j.report(ruleDrain, b, t.id, "sent to w-%d %v after scheduler %d was notified that it drains or is gone",
-				s.Worker, s.FirstByteAt-notified, s.Scheduler)
+func (c *Checker) checkDrain(job *job, request *request, event *trace.Event) {
+	if scheduler := c.scheduler(event.Scheduler); len(scheduler.drainNotifiedAt) > 0 {
+		if notified, ok := scheduler.drainNotifiedAt[event.Worker]; ok && event.FirstByteAt > c.noticedAt(scheduler, notified)+c.drainGrace+c.observationLateness() {
+			c.report(ruleDrain, job, request.id, "sent to w-%d %v after scheduler %d was notified that it drains or is gone",
+				event.Worker, event.FirstByteAt-notified, event.Scheduler)
 		}
 	}
 }
 
 // checkSending checks the key of an attempt, and that its request was still open.
-func (j *Checker) checkSending(b *job, t *request, s *trace.Event) {
-	if b.class.idempotentWithKey && s.IdempotencyKey != t.key {
-		j.report(ruleKeyScope, b, t.id, "came to w-%d with key %q, its client's is %q", s.Worker, s.IdempotencyKey, t.key)
+func (c *Checker) checkSending(job *job, request *request, event *trace.Event) {
+	if job.class.idempotentWithKey && event.IdempotencyKey != request.key {
+		c.report(ruleKeyScope, job, request.id, "came to w-%d with key %q, its client's is %q", event.Worker, event.IdempotencyKey, request.key)
 	}
-	if t.state != requestOpen && s.FirstByteAt > t.endedAt+j.lateSend+j.observationLateness() && !j.scheduler(t.scheduler).frozenDuring(t.endedAt, s.FirstByteAt) &&
-		!anyOverlaps(j.clientsCut, t.endedAt, s.FirstByteAt) {
-		j.report(ruleOneAnswer, b, t.id, "sent to w-%d %v after it was over", s.Worker, s.FirstByteAt-t.endedAt)
+	if request.state != requestOpen && event.FirstByteAt > request.endedAt+c.lateSend+c.observationLateness() && !c.scheduler(request.scheduler).frozenDuring(request.endedAt, event.FirstByteAt) &&
+		!anyOverlaps(c.clientsCut, request.endedAt, event.FirstByteAt) {
+		c.report(ruleOneAnswer, job, request.id, "sent to w-%d %v after it was over", event.Worker, event.FirstByteAt-request.endedAt)
 	}
-	if t.state == requestAnswered && isRejection(t.status) && !b.class.isRepeatable() {
-		j.report(ruleRefusalHarmless, b, t.id, "came to w-%d after it had been rejected", s.Worker)
+	if request.state == requestAnswered && isRejection(request.status) && !job.class.isRepeatable() {
+		c.report(ruleRefusalHarmless, job, request.id, "came to w-%d after it had been rejected", event.Worker)
 	}
 }
 
 // noticedAt is when a scheduler can have heard what was written to it: one that is frozen reads nothing, and what it had
 // begun before goes on when it wakes.
-func (j *Checker) noticedAt(c *scheduler, notified time.Duration) time.Duration {
-	for _, f := range c.freezes {
-		if notified+j.drainGrace >= f.start && notified < f.end && f.end < forever {
-			notified = f.end
+func (c *Checker) noticedAt(scheduler *scheduler, notified time.Duration) time.Duration {
+	for _, freeze := range scheduler.freezes {
+		if notified+c.drainGrace >= freeze.start && notified < freeze.end && freeze.end < forever {
+			notified = freeze.end
 		}
 	}
 	return notified
@@ -69,97 +69,97 @@
 func (c *class) isRepeatable() bool { return c.idempotent || c.idempotentWithKey && c.scope == "all" }
 
 // checkPair holds two attempts of a job against each other.
-func (j *Checker) checkPair(b *job, t *request, early, late, scheduler int) {
-	first, second := &b.attempts[early], &b.attempts[late]
+func (c *Checker) checkPair(job *job, request *request, early, late, scheduler int) {
+	first, second := &job.attempts[early], &job.attempts[late]
 	if first.request != second.request {
-		j.checkRetryAfterRejection(b, t, first, second)
+		c.checkRetryAfterRejection(job, request, first, second)
 		return
 	}
 	if first.possiblyExecuted(second.firstByteAt) {
-		j.checkRepeat(b, t, first, second)
+		c.checkRepeat(job, request, first, second)
 	}
-	if b.class.nonIdempotent {
-		j.checkCounts[rulePayoutOnce]++
-	} else if b.class.idempotentWithKey {
-		j.checkCounts[ruleKeyScope]++
+	if job.class.nonIdempotent {
+		c.checkCounts[rulePayoutOnce]++
+	} else if job.class.idempotentWithKey {
+		c.checkCounts[ruleKeyScope]++
 	}
-	if (first.worker == second.worker || !j.hedging) && first.inFlight(second.firstByteAt) &&
-		!anyOverlaps(j.workersImpaired, second.firstByteAt, second.firstByteAt) && len(j.overlaps) < maxOverlaps {
+	if (first.worker == second.worker || !c.hedging) && first.inFlight(second.firstByteAt) &&
+		!anyOverlaps(c.workersImpaired, second.firstByteAt, second.firstByteAt) && len(c.overlaps) < maxOverlaps {
 		r := ruleAttempts
 		if first.worker == second.worker {
 			r = ruleOnePerWorker
 		}
-		j.checkCounts[r]++
-		j.counts.Overlaps++
-		j.overlaps = append(j.overlaps, overlap{job: b, rule: r, early: early, late: late, scheduler: scheduler, worker: first.worker})
+		c.checkCounts[r]++
+		c.counts.Overlaps++
+		c.overlaps = append(c.overlaps, overlap{job: job, rule: r, early: early, late: late, scheduler: scheduler, worker: first.worker})
 	}
 }
 
 // checkRetryAfterRejection checks an attempt at a non-idempotent job whose earlier request was rejected.
-func (j *Checker) checkRetryAfterRejection(b *job, t *request, first, second *attempt) {
-	earlier := &b.requests[min(first.request, second.request)]
-	if !b.class.nonIdempotent || earlier.state != requestAnswered || !isRejection(earlier.status) {
+func (c *Checker) checkRetryAfterRejection(job *job, request *request, first, second *attempt) {
+	earlier := &job.requests[min(first.request, second.request)]
+	if !job.class.nonIdempotent || earlier.state != requestAnswered || !isRejection(earlier.status) {
 		return
 	}
-	j.checkCounts[rulePayoutOnce]++
+	c.checkCounts[rulePayoutOnce]++
 	if first.possiblyExecuted(second.firstByteAt) {
-		j.report(rulePayoutOnce, b, t.id,
+		c.report(rulePayoutOnce, job, request.id,
 			"tried again after a rejection and sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
 	}
 }
 
 // checkRepeat checks the second of two attempts at one request, of which the first was possibly executed.
-func (j *Checker) checkRepeat(b *job, t *request, first, second *attempt) {
-	switch c := b.class; {
-	case c.nonIdempotent:
-		j.report(rulePayoutOnce, b, t.id, "sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
-	case c.idempotentWithKey && !j.shareScope(c.scope, first.worker, second.worker):
-		j.report(ruleKeyScope, b, t.id, "sent to w-%d, which is not of the %s of w-%d, where it may have run",
-			second.worker, c.scope, first.worker)
-	case c.idempotentWithKey && second.firstByteAt-first.firstByteAt >= c.window:
-		j.report(ruleKeyScope, b, t.id, "sent again %v after it may have run, in a window of %v",
-			second.firstByteAt-first.firstByteAt, c.window)
+func (c *Checker) checkRepeat(job *job, request *request, first, second *attempt) {
+	switch class := job.class; {
+	case class.nonIdempotent:
+		c.report(rulePayoutOnce, job, request.id, "sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
+	case class.idempotentWithKey && !c.shareScope(class.scope, first.worker, second.worker):
+		c.report(ruleKeyScope, job, request.id, "sent to w-%d, which is not of the %s of w-%d, where it may have run",
+			second.worker, class.scope, first.worker)
+	case class.idempotentWithKey && second.firstByteAt-first.firstByteAt >= class.window:
+		c.report(ruleKeyScope, job, request.id, "sent again %v after it may have run, in a window of %v",
+			second.firstByteAt-first.firstByteAt, class.window)
 	}
 }
 
 // shareScope tells whether two workers drop each other's repeats.
-func (j *Checker) shareScope(group string, x, y int) bool {
-	switch group {
+func (c *Checker) shareScope(scope string, first, second int) bool {
+	switch scope {
 	case "cell":
-		return elementAt(j.cells, x) == elementAt(j.cells, y)
+		return elementAt(c.cells, first) == elementAt(c.cells, second)
 	case "zone":
-		return elementAt(j.zones, x) == elementAt(j.zones, y)
+		return elementAt(c.zones, first) == elementAt(c.zones, second)
 	}
 	return true
 }
 
-func elementAt(list []int, i int) int {
-	if i < 0 || i >= len(list) {
+func elementAt(values []int, index int) int {
+	if index < 0 || index >= len(values) {
 		return -1
 	}
-	return list[i]
+	return values[index]
 }
 
 // attemptEvent takes what became of an attempt.
-func (j *Checker) attemptEvent(b *job, t *request, attempt *attempt, event *trace.Event) {
+func (c *Checker) attemptEvent(job *job, request *request, attempt *attempt, event *trace.Event) {
 	switch event.Kind {
 	case trace.AttemptRejected:
-		j.attemptRejected(b, event)
+		c.attemptRejected(job, event)
 		attempt.notExecuted = true
 		attempt.markEnded(event.At)
-		attempt.markEndKnown(j.responseSeenBy(event.At))
-		j.updateExhausted(b, t)
+		attempt.markEndKnown(c.responseSeenBy(event.At))
+		c.updateExhausted(job, request)
 	case trace.AttemptStarted:
 		if event.Text == "repeat" {
-			j.counts.Duplicates++
+			c.counts.Duplicates++
 			return
 		}
-		j.counts.Started++
-		j.attemptStarted(b, t, attempt)
+		c.counts.Started++
+		c.attemptStarted(job, request, attempt)
 	case trace.AttemptAccepted:
 		attempt.accepted = true
 	case trace.AttemptFinished:
-		j.attemptFinished(b, t, attempt, event)
+		c.attemptFinished(job, request, attempt, event)
 	case trace.AttemptReturned:
 		attempt.notExecuted = true
 		attempt.markEnded(event.At)
@@ -170,76 +170,76 @@
 			attempt.markEndKnown(event.At)
 		}
 	case trace.CallbackAnswered:
-		j.callbackAnswered(b, t, attempt, event)
+		c.callbackAnswered(job, request, attempt, event)
 	}
 }
 
 // attemptFinished handles the end of an attempt that ran, or an error in place of the 202.
-func (j *Checker) attemptFinished(b *job, t *request, a *attempt, s *trace.Event) {
-	a.markEnded(s.At)
-	a.result, a.succeeded = s.Text, s.Status == http.StatusOK
-	if !a.succeeded && !a.accepted { // an error in place of the 202
-		a.markEndKnown(j.responseSeenBy(s.At))
-		if b.class.nonIdempotent && t.exhaustedAt == 0 {
-			t.exhaustedAt = a.endKnownAt
+func (c *Checker) attemptFinished(job *job, request *request, attempt *attempt, event *trace.Event) {
+	attempt.markEnded(event.At)
+	attempt.result, attempt.succeeded = event.Text, event.Status == http.StatusOK
+	if !attempt.succeeded && !attempt.accepted { // an error in place of the 202
+		attempt.markEndKnown(c.responseSeenBy(event.At))
+		if job.class.nonIdempotent && request.exhaustedAt == 0 {
+			request.exhaustedAt = attempt.endKnownAt
 		}
-		j.updateExhausted(b, t)
+		c.updateExhausted(job, request)
 	}
 }
 
 // callbackAnswered handles a callback that its scheduler has answered, which knows the state from then on.
-func (j *Checker) callbackAnswered(b *job, t *request, attempt *attempt, event *trace.Event) {
-	if event.Status/100 != 2 || event.Scheduler != t.scheduler || t.incarnation != j.scheduler(event.Scheduler).incarnation {
+func (c *Checker) callbackAnswered(job *job, request *request, attempt *attempt, event *trace.Event) {
+	if event.Status/100 != 2 || event.Scheduler != request.scheduler || request.incarnation != c.scheduler(event.Scheduler).incarnation {
 		return
 	}
 	switch event.Text {
 	case "failed", "lost":
 		attempt.markEndKnown(event.At)
-		if b.class.nonIdempotent && t.exhaustedAt == 0 {
-			t.exhaustedAt = event.At
+		if job.class.nonIdempotent && request.exhaustedAt == 0 {
+			request.exhaustedAt = event.At
 		}
 	case "returned":
 		attempt.markEndKnown(event.At)
 	}
-	j.updateExhausted(b, t)
+	c.updateExhausted(job, request)
 }
 
 // responseSeenBy is when a scheduler has heard what a worker has answered at an instant.
-func (j *Checker) responseSeenBy(at time.Duration) time.Duration {
-	for _, s := range j.workersCut {
-		if s.start <= at+j.workerDelay && at < s.end {
-			at = s.end
+func (c *Checker) responseSeenBy(at time.Duration) time.Duration {
+	for _, cut := range c.workersCut {
+		if cut.start <= at+c.workerDelay && at < cut.end {
+			at = cut.end
 		}
 	}
-	return min(at, forever-j.workerDelay) + j.workerDelay
+	return min(at, forever-c.workerDelay) + c.workerDelay
 }
 
 // attemptStarted takes the begin of a run.
-func (j *Checker) attemptStarted(b *job, t *request, attempt *attempt) {
+func (c *Checker) attemptStarted(job *job, request *request, attempt *attempt) {
 	if attempt.started {
 		return
 	}
-	if attempt.started = true; !b.class.nonIdempotent {
+	if attempt.started = true; !job.class.nonIdempotent {
 		return
 	}
-	j.checkCounts[rulePayoutOnce]++
-	for i := range b.attempts {
-		x := &b.attempts[i]
-		if x == attempt || !x.started {
+	c.checkCounts[rulePayoutOnce]++
+	for i := range job.attempts {
+		other := &job.attempts[i]
+		if other == attempt || !other.started {
 			continue
 		}
-		if first := &b.requests[min(x.request, attempt.request)]; x.request == attempt.request || first.state == requestAnswered && isRejection(first.status) {
-			j.report(rulePayoutOnce, b, t.id, "begins at w-%d, and had begun at w-%d", attempt.worker, x.worker)
+		if first := &job.requests[min(other.request, attempt.request)]; other.request == attempt.request || first.state == requestAnswered && isRejection(first.status) {
+			c.report(rulePayoutOnce, job, request.id, "begins at w-%d, and had begun at w-%d", attempt.worker, other.worker)
 		}
 	}
 }
 
 // attemptRejected looks at why a worker turned a request away.
-func (j *Checker) attemptRejected(b *job, s *trace.Event) {
-	switch s.Status {
+func (c *Checker) attemptRejected(job *job, event *trace.Event) {
+	switch event.Status {
 	case http.StatusBadRequest:
-		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got request %q, which no client sent in this form", s.Worker, s.RequestID)
+		c.report(ruleIDUnknown, job, event.RequestID, "w-%d got request %q, which no client sent in this form", event.Worker, event.RequestID)
 	case http.StatusNotFound:
-		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got a request without an id", s.Worker)
+		c.report(ruleIDUnknown, job, event.RequestID, "w-%d got a request without an id", event.Worker)
 	}
 }
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -51,11 +51,11 @@
 const latenessWindow = time.Second
 
 // observationLateness is how late the testbed may be with what it sees now.
-func (j *Checker) observationLateness() time.Duration {
-	if j.now-j.recentLateness.observedAt > latenessWindow {
+func (c *Checker) observationLateness() time.Duration {
+	if c.now-c.recentLateness.observedAt > latenessWindow {
 		return 0
 	}
-	return j.recentLateness.amount
+	return c.recentLateness.amount
 }
 
 // noRequest is no try.
@@ -75,18 +75,18 @@
 const idempotentRetention = time.Second
 
 // New returns a checker of a run of a checked scenario.
-func New(spec *scenario.Scenario, opt Options) *Checker {
-	if opt.MaxLateness <= 0 {
-		opt.MaxLateness = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
+func New(spec *scenario.Scenario, options Options) *Checker {
+	if options.MaxLateness <= 0 {
+		options.MaxLateness = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
 	}
 	checker := &Checker{
-		spec: spec, options: opt, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
+		spec: spec, options: options, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
 		jobsByRequest: make(map[string]*job, 1024),
 		misbehaving:   map[uint64]misbehavingClient{}, coldWork: map[int][]coldArrival{},
 		texts: textTable{[]string{""}, map[string]uint16{}},
 	}
 	checker.cells, checker.zones = spec.WorkerPlacement()
-	checker.timeLimits = newTimeLimits(spec, opt.RealProcesses)
+	checker.timeLimits = newTimeLimits(spec, options.RealProcesses)
 	for range max(1, spec.Schedulers.Count) {
 		checker.schedulers = append(checker.schedulers, newScheduler())
 	}
@@ -94,72 +94,72 @@
 }
 
 // Observe handles an event of the trace. Events have to come in order of time; the event is not kept.
-func (j *Checker) Observe(event *trace.Event) {
-	j.now = event.At
-	j.evictSettled()
-	if len(j.overlaps) > 0 {
-		j.resolveOverlaps(event)
+func (c *Checker) Observe(event *trace.Event) {
+	c.now = event.At
+	c.evictSettled()
+	if len(c.overlaps) > 0 {
+		c.resolveOverlaps(event)
 	}
 	if event.Kind >= trace.WorkerStarted {
-		j.fleetEvent(event)
+		c.fleetEvent(event)
 		return
 	}
 	switch event.Kind {
 	case trace.JobDue:
-		j.jobDue(event)
+		c.jobDue(event)
 	case trace.RequestSent:
-		j.requestSent(event)
+		c.requestSent(event)
 	case trace.JobSettled:
-		j.jobSettled(event)
+		c.jobSettled(event)
 	case trace.HealthChecked, trace.WorkerConnected, trace.AttemptSent, trace.WorkerDialed, trace.WorkerFaultStarted, trace.WorkerFaultEnded, trace.WorkerPresent:
 	case trace.MisbehavingClientConnected:
-		j.misbehavingClientConnected(event)
+		c.misbehavingClientConnected(event)
 	case trace.MisbehavingClientAnswered:
-		j.misbehavingClientAnswered(event)
+		c.misbehavingClientAnswered(event)
 	case trace.ColdWorkReceived:
-		j.coldWorkReceived(event)
+		c.coldWorkReceived(event)
 	case trace.WorkerOverloaded:
-		j.workerOverloaded(event)
+		c.workerOverloaded(event)
 	default:
-		j.requestEvent(event)
+		c.requestEvent(event)
 	}
 }
 
 // evictSettled forgets the settled jobs whose time is up, or for which there is no space.
-func (j *Checker) evictSettled() {
-	for i := range j.retained {
-		for f := &j.retained[i]; f.size > 0 && (f.first().retainedUntil < j.now || f.size > maxSettled); {
-			j.evictOldest(f)
+func (c *Checker) evictSettled() {
+	for i := range c.retained {
+		for queue := &c.retained[i]; queue.size > 0 && (queue.first().retainedUntil < c.now || queue.size > maxSettled); {
+			c.evictOldest(queue)
 		}
 	}
 }
 
 // evictOldest forgets the job that was settled first.
-func (j *Checker) evictOldest(f *retentionQueue) {
-	r := f.first()
-	if r.retainedUntil >= j.now {
-		j.counts.Evicted++
+func (c *Checker) evictOldest(queue *retentionQueue) {
+	oldest := queue.first()
+	if oldest.retainedUntil >= c.now {
+		c.counts.Evicted++
 	}
-	b, id := r.job, r.id
-	f.drop()
+	job, id := oldest.job, oldest.id
+	queue.drop()
 	switch {
-	case b.id != id || !b.settled:
-	case f == &j.retained[0] && b.hasInFlight():
-		j.retained[1].add(retainedJob{b, id, j.now + j.retention})
+	case job.id != id || !job.settled:
+	case queue == &c.retained[0] && job.hasInFlight():
+		c.retained[1].add(retainedJob{job, id, c.now + c.retention})
 	default:
-		j.forgetJob(b)
+		c.forgetJob(job)
 	}
 }
 
-func (j *Checker) forgetJob(b *job) {
-	j.dropOverlaps(b)
-	j.attachExplanation(b)
-	delete(j.jobs, b.id)
-	for i := range b.requests {
-		if j.jobsByRequest[b.requests[i].id] == b {
-			delete(j.jobsByRequest, b.requests[i].id)
+func (c *Checker) forgetJob(job *job) {
+	c.dropOverlaps(job)
+	c.attachExplanation(job)
+	delete(c.jobs, job.id)
+	for i := range job.requests {
+		if c.jobsByRequest[job.requests[i].id] == job {
+			delete(c.jobsByRequest, job.requests[i].id)
 		}
 	}
-	b.id, b.settled = 0, false
-	j.freeJobs = append(j.freeJobs, b)
+	job.id, job.settled = 0, false
+	c.freeJobs = append(c.freeJobs, job)
 }
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -30,52 +30,52 @@
 
 const maxTexts = 4096
 
-func (w *textTable) intern(text string) uint16 {
+func (t *textTable) intern(text string) uint16 {
 	if text == "" {
 		return 0
 	}
-	n, known := w.index[text]
-	if !known && len(w.texts) < maxTexts {
-		n = uint16(len(w.texts))
-		w.texts = append(w.texts, text)
-		w.index[text] = n
+	index, known := t.index[text]
+	if !known && len(t.texts) < maxTexts {
+		index = uint16(len(t.texts))
+		t.texts = append(t.texts, text)
+		t.index[text] = index
 	}
-	return n
+	return index
 }
 
-func (w *textTable) newEntry(event *trace.Event) logEntry {
-	logEntry := logEntry{at: event.At, worker: int32(event.Worker), scheduler: int16(event.Scheduler), status: int16(event.Status), kind: event.Kind}
+func (t *textTable) newEntry(event *trace.Event) logEntry {
+	entry := logEntry{at: event.At, worker: int32(event.Worker), scheduler: int16(event.Scheduler), status: int16(event.Status), kind: event.Kind}
 	switch event.Kind {
 	case trace.AttemptFinished:
 	case trace.RequestSent:
-		logEntry.duration = event.Budget
+		entry.duration = event.Budget
 	case trace.AttemptReceived, trace.AttemptUnread:
-		logEntry.duration = event.FirstByteAt
+		entry.duration = event.FirstByteAt
 	case trace.ResponseReceived:
-		logEntry.duration = event.RetryAfter
+		entry.duration = event.RetryAfter
 	case trace.WorkerStarted, trace.StartNotified:
-		logEntry.duration = time.Duration(event.Incarnation)
+		entry.duration = time.Duration(event.Incarnation)
 	case trace.ResourceUsage:
-		logEntry.text = w.intern(fmt.Sprintf("%.1f MB, %d descriptors", float64(event.Memory)/(1<<20), event.OpenFiles))
+		entry.text = t.intern(fmt.Sprintf("%.1f MB, %d descriptors", float64(event.Memory)/(1<<20), event.OpenFiles))
 	case trace.CallbackAnswered:
-		logEntry.sendings = uint8(event.Number)
+		entry.sendings = uint8(event.Number)
 		fallthrough
 	default:
-		logEntry.text = w.intern(event.Text)
+		entry.text = t.intern(event.Text)
 	}
-	return logEntry
+	return entry
 }
 
 // recordJobEvent logs a trace event with its job. Where there is no room the middle of the log goes: how it began and how it ended
 // say most.
-func (j *Checker) recordJobEvent(b *job, s *trace.Event, try int) {
-	if len(b.log) == maxJobLog {
-		b.log = slices.Delete(b.log, maxJobLog/2, maxJobLog/2+1)
-		b.omitted++
+func (c *Checker) recordJobEvent(job *job, event *trace.Event, requestIndex int) {
+	if len(job.log) == maxJobLog {
+		job.log = slices.Delete(job.log, maxJobLog/2, maxJobLog/2+1)
+		job.omitted++
 	}
-	e := j.texts.newEntry(s)
-	e.request = uint8(try)
-	b.log = append(b.log, e)
+	entry := c.texts.newEntry(event)
+	entry.request = uint8(requestIndex)
+	job.log = append(job.log, entry)
 }
 
 // eventRing is the last trace events of the fleet.
@@ -84,82 +84,82 @@
 	next    int
 }
 
-func (r *eventRing) add(e logEntry) {
+func (r *eventRing) add(entry logEntry) {
 	if len(r.entries) < maxFleetLog {
-		r.entries = append(r.entries, e)
+		r.entries = append(r.entries, entry)
 		return
 	}
-	r.entries[r.next] = e
+	r.entries[r.next] = entry
 	r.next = (r.next + 1) % maxFleetLog
 }
 
 // recordFleetEvent keeps a trace event of the fleet, or of a request that nobody knows.
-func (j *Checker) recordFleetEvent(s *trace.Event) {
-	e := j.texts.newEntry(s)
-	if s.Kind < trace.WorkerStarted {
-		e.text = j.texts.intern(s.RequestID)
+func (c *Checker) recordFleetEvent(event *trace.Event) {
+	entry := c.texts.newEntry(event)
+	if event.Kind < trace.WorkerStarted {
+		entry.text = c.texts.intern(event.RequestID)
 	}
-	j.fleetLog.add(e)
+	c.fleetLog.add(entry)
 }
 
 // eachSince goes through what was seen at an instant and after, in order.
-func (r *eventRing) eachSince(at time.Duration, do func(e *logEntry)) {
+func (r *eventRing) eachSince(at time.Duration, do func(entry *logEntry)) {
 	for i := range r.entries {
-		if e := &r.entries[(r.next+i)%len(r.entries)]; e.at >= at {
-			do(e)
+		if entry := &r.entries[(r.next+i)%len(r.entries)]; entry.at >= at {
+			do(entry)
 		}
 	}
 }
 
 // attachExplanation puts a job's explanation to its violations, as it is about to be forgotten.
-func (j *Checker) attachExplanation(b *job) {
-	if len(b.violations) == 0 {
+func (c *Checker) attachExplanation(job *job) {
+	if len(job.violations) == 0 {
 		return
 	}
-	story := j.explainJob(b)
-	for _, i := range b.violations {
-		j.violations[i].Explanation = story
+	explanation := c.explainJob(job)
+	for _, i := range job.violations {
+		c.violations[i].Explanation = explanation
 	}
-	b.violations = nil
+	job.violations = nil
 }
 
 // explainJob is what was seen of a job, and meanwhile of the schedulers and workers that it met.
-func (j *Checker) explainJob(b *job) []string {
-	around := j.fleetEntriesOf(b)
-	lines := make([]string, 0, len(b.log)+len(around)+1)
-	for i := range b.log {
-		if i == maxJobLog/2 && b.omitted > 0 {
-			lines = append(lines, fmt.Sprintf("%14s  (%d more)", "", b.omitted))
+func (c *Checker) explainJob(job *job) []string {
+	around := c.fleetEntriesOf(job)
+	lines := make([]string, 0, len(job.log)+len(around)+1)
+	for i := range job.log {
+		if i == maxJobLog/2 && job.omitted > 0 {
+			lines = append(lines, fmt.Sprintf("%14s  (%d more)", "", job.omitted))
 		}
-		for len(around) > 0 && around[0].at < b.log[i].at {
-			lines = append(lines, formatLine(&around[0], j.describe(&around[0], nil)))
+		for len(around) > 0 && around[0].at < job.log[i].at {
+			lines = append(lines, formatLine(&around[0], c.describe(&around[0], nil)))
 			around = around[1:]
 		}
-		lines = append(lines, formatLine(&b.log[i], j.describe(&b.log[i], b)))
+		lines = append(lines, formatLine(&job.log[i], c.describe(&job.log[i], job)))
 	}
 	for i := range around {
-		lines = append(lines, formatLine(&around[i], j.describe(&around[i], nil)))
+		lines = append(lines, formatLine(&around[i], c.describe(&around[i], nil)))
 	}
 	return lines
 }
 
 // fleetEntriesOf returns the log entries of the schedulers and workers that a job met, from when it was due to its last entry.
-func (j *Checker) fleetEntriesOf(b *job) []logEntry {
+func (c *Checker) fleetEntriesOf(job *job) []logEntry {
 	workers, schedulers := map[int32]bool{}, map[int16]bool{}
-	for i := range b.attempts {
-		workers[int32(b.attempts[i].worker)] = true
+	for i := range job.attempts {
+		workers[int32(job.attempts[i].worker)] = true
 	}
-	for i := range b.requests {
-		schedulers[int16(b.requests[i].scheduler)] = true
+	for i := range job.requests {
+		schedulers[int16(job.requests[i].scheduler)] = true
 	}
-	last := b.dueAt
-	for i := range b.log {
-		last = max(last, b.log[i].at)
+	last := job.dueAt
+	for i := range job.log {
+		last = max(last, job.log[i].at)
 	}
 	var around []logEntry
-	j.fleetLog.eachSince(b.dueAt, func(logEntry *logEntry) {
-		if logEntry.at <= last && concerns(logEntry, workers, schedulers) {
-			around = append(around, *logEntry)
+	c.fleetLog.eachSince(job.dueAt, func(entry *logEntry) {
+		if entry.at <= last && concerns(entry, workers, schedulers) {
+			around = append(around, *entry)
 		}
 	})
 	return around
@@ -179,46 +179,46 @@
 }
 
 // explainFleet is what was seen of the fleet from an instant on.
-func (j *Checker) explainFleet(from time.Duration) []string {
+func (c *Checker) explainFleet(since time.Duration) []string {
 	lines := []string{}
-	j.fleetLog.eachSince(from, func(e *logEntry) { lines = append(lines, formatLine(e, j.describe(e, nil))) })
+	c.fleetLog.eachSince(since, func(entry *logEntry) { lines = append(lines, formatLine(entry, c.describe(entry, nil))) })
 	return lines[max(0, len(lines)-maxJobLog):]
 }
 
 // explainColdWork is what came to a cold worker.
-func (j *Checker) explainColdWork(node int) []string {
+func (c *Checker) explainColdWork(worker int) []string {
 	lines := []string{}
-	for _, p := range j.coldWork[node] {
-		e := logEntry{at: p.receivedAt}
-		lines = append(lines, formatLine(&e, fmt.Sprintf("scheduler %d sends %.3f s of work to w-%d, which can do %.2f s a second",
-			p.scheduler, p.work, node, p.capacity)))
+	for _, arrival := range c.coldWork[worker] {
+		entry := logEntry{at: arrival.receivedAt}
+		lines = append(lines, formatLine(&entry, fmt.Sprintf("scheduler %d sends %.3f s of work to w-%d, which can do %.2f s a second",
+			arrival.scheduler, arrival.work, worker, arrival.capacity)))
 	}
-	j.fleetLog.eachSince(0, func(e *logEntry) {
-		if int(e.worker) == node && (e.kind >= trace.WorkerStarted && e.kind <= trace.StartNotified || e.kind == trace.WorkerOverloaded) {
-			lines = append(lines, formatLine(e, j.describe(e, nil)))
+	c.fleetLog.eachSince(0, func(entry *logEntry) {
+		if int(entry.worker) == worker && (entry.kind >= trace.WorkerStarted && entry.kind <= trace.StartNotified || entry.kind == trace.WorkerOverloaded) {
+			lines = append(lines, formatLine(entry, c.describe(entry, nil)))
 		}
 	})
 	slices.Sort(lines) // they begin with the time
 	return lines
 }
 
-func formatLine(e *logEntry, words string) string {
-	return fmt.Sprintf("%12.6f s  %s", e.at.Seconds(), words)
+func formatLine(entry *logEntry, words string) string {
+	return fmt.Sprintf("%12.6f s  %s", entry.at.Seconds(), words)
 }
 
 // describe says what an entry means; b is the job that it is about, if any.
-func (j *Checker) describe(logEntry *logEntry, b *job) string {
-	node, which, text := fmt.Sprintf("w-%d", logEntry.worker), "", j.texts.texts[logEntry.text]
-	if b != nil && len(b.requests) > 1 && int(logEntry.request) < len(b.requests) {
-		which = fmt.Sprintf(" (request %d)", logEntry.request+1)
+func (c *Checker) describe(entry *logEntry, job *job) string {
+	node, which, text := fmt.Sprintf("w-%d", entry.worker), "", c.texts.texts[entry.text]
+	if job != nil && len(job.requests) > 1 && int(entry.request) < len(job.requests) {
+		which = fmt.Sprintf(" (request %d)", entry.request+1)
 	}
-	switch logEntry.kind {
+	switch entry.kind {
 	case trace.JobDue:
-		return j.describeDue(b)
+		return c.describeDue(job)
 	case trace.RequestSent:
-		return describeSent(logEntry, b) + which
+		return describeSent(entry, job) + which
 	case trace.ResponseReceived:
-		return describeResponse(logEntry, b, text) + which
+		return describeResponse(entry, job, text) + which
 	case trace.ConnectionLost:
 		return "its connection ended without an answer" + which
 	case trace.ClientLeft:
@@ -228,28 +228,28 @@
 	case trace.SchedulerUnreachable:
 		return "no connection came up for it" + which
 	case trace.JobSettled:
-		return fmt.Sprintf("settled, the last answer being %d", logEntry.status)
+		return fmt.Sprintf("settled, the last answer being %d", entry.status)
 	}
-	if logEntry.kind < trace.WorkerStarted && logEntry.kind != trace.WorkerOverloaded {
-		return describeAttempt(logEntry, b, node, which, text)
+	if entry.kind < trace.WorkerStarted && entry.kind != trace.WorkerOverloaded {
+		return describeAttempt(entry, job, node, which, text)
 	}
-	return j.describeFleet(logEntry, node, text)
+	return c.describeFleet(entry, node, text)
 }
 
 // describeAttempt describes an event of an attempt at a worker; which names the request, where its job has several.
-func describeAttempt(logEntry *logEntry, b *job, node, which, text string) string {
-	switch logEntry.kind {
+func describeAttempt(entry *logEntry, job *job, node, which, text string) string {
+	switch entry.kind {
 	case trace.AttemptReceived:
 		if text != "" {
 			text = " by request " + text
 		}
-		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, logEntry.scheduler,
-			logEntry.duration.Seconds(), which)
+		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, entry.scheduler,
+			entry.duration.Seconds(), which)
 	case trace.AttemptUnread:
 		return fmt.Sprintf("what was written to %s at %.6f s was not read there before its connection ended%s", node,
-			logEntry.duration.Seconds(), which)
+			entry.duration.Seconds(), which)
 	case trace.AttemptRejected:
-		return fmt.Sprintf("rejected by %s with %d%s", node, logEntry.status, which)
+		return fmt.Sprintf("rejected by %s with %d%s", node, entry.status, which)
 	case trace.AttemptAccepted:
 		return "accepted by " + node + which
 	case trace.AttemptStarted:
@@ -258,7 +258,7 @@
 		}
 		return "begins at " + node + which
 	case trace.AttemptFinished:
-		return describeFinished(logEntry, b, node) + which
+		return describeFinished(entry, job, node) + which
 	case trace.AttemptReturned:
 		return "returned unstarted by " + node + which
 	case trace.AttemptDied:
@@ -269,66 +269,66 @@
 		}
 		return "cancelled at " + node + which
 	case trace.CallbackAnswered:
-		return fmt.Sprintf("callback %q of %s answered with %d by scheduler %d, sending %d%s", text, node, logEntry.status, logEntry.scheduler,
-			logEntry.sendings, which)
+		return fmt.Sprintf("callback %q of %s answered with %d by scheduler %d, sending %d%s", text, node, entry.status, entry.scheduler,
+			entry.sendings, which)
 	case trace.CallbackLost:
 		return fmt.Sprintf("callback %q of %s abandoned%s", text, node, which)
 	}
-	return fmt.Sprintf("trace event %d", logEntry.kind)
+	return fmt.Sprintf("trace event %d", entry.kind)
 }
 
 // describeDue describes a job that falls due.
-func (j *Checker) describeDue(b *job) string {
+func (c *Checker) describeDue(job *job) string {
 	tenant := ""
-	if b.tenant >= 0 && b.tenant < len(j.spec.Tenants) {
-		tenant = " of " + j.spec.Tenants[b.tenant].Name
+	if job.tenant >= 0 && job.tenant < len(c.spec.Tenants) {
+		tenant = " of " + c.spec.Tenants[job.tenant].Name
 	}
-	return fmt.Sprintf("due: %s%s, %v of work on %g slots, deadline %v", b.class.name, tenant, b.work,
-		b.slots, b.deadline)
+	return fmt.Sprintf("due: %s%s, %v of work on %g slots, deadline %v", job.class.name, tenant, job.work,
+		job.slots, job.deadline)
 }
 
 // describeSent describes a request that is sent.
-func describeSent(e *logEntry, b *job) string {
-	t := &b.requests[e.request]
+func describeSent(entry *logEntry, job *job) string {
+	request := &job.requests[entry.request]
 	key := ""
-	if t.key != "" {
-		key = ", key " + t.key
+	if request.key != "" {
+		key = ", key " + request.key
 	}
-	return fmt.Sprintf("sent to scheduler %d as %s, budget %v%s", e.scheduler, t.id, e.duration, key)
+	return fmt.Sprintf("sent to scheduler %d as %s, budget %v%s", entry.scheduler, request.id, entry.duration, key)
 }
 
 // describeResponse describes a response; text is the request's ID where its job is not known.
-func describeResponse(e *logEntry, b *job, text string) string {
+func describeResponse(entry *logEntry, job *job, text string) string {
 	after := ""
-	if e.duration > 0 {
-		after = fmt.Sprintf(", to come back after %v", e.duration)
+	if entry.duration > 0 {
+		after = fmt.Sprintf(", to come back after %v", entry.duration)
 	}
-	if b != nil && e.status == 200 && int(e.request) < len(b.requests) {
-		after += fmt.Sprintf(", %q", truncate(b.requests[e.request].responseBody))
-	} else if b == nil {
+	if job != nil && entry.status == 200 && int(entry.request) < len(job.requests) {
+		after += fmt.Sprintf(", %q", truncate(job.requests[entry.request].responseBody))
+	} else if job == nil {
 		after += " to request " + text
 	}
-	return fmt.Sprintf("answered with %d%s", e.status, after)
+	return fmt.Sprintf("answered with %d%s", entry.status, after)
 }
 
 // describeFinished describes a run that has ended, and its result.
-func describeFinished(e *logEntry, b *job, node string) string {
+func describeFinished(entry *logEntry, job *job, node string) string {
 	result := ""
-	for i := range b.attempts {
-		if a := &b.attempts[i]; e.status == 200 && a.worker == int(e.worker) && a.request == int(e.request) {
-			result = fmt.Sprintf(", %q", truncate(a.result))
+	for i := range job.attempts {
+		if attempt := &job.attempts[i]; entry.status == 200 && attempt.worker == int(entry.worker) && attempt.request == int(entry.request) {
+			result = fmt.Sprintf(", %q", truncate(attempt.result))
 		}
 	}
-	return fmt.Sprintf("has run at %s: %d%s", node, e.status, result)
+	return fmt.Sprintf("has run at %s: %d%s", node, entry.status, result)
 }
 
 // describeFleet describes an entry of the fleet, of a process or of a fault.
-func (j *Checker) describeFleet(logEntry *logEntry, node, text string) string {
-	switch logEntry.kind {
+func (c *Checker) describeFleet(entry *logEntry, node, text string) string {
+	switch entry.kind {
 	case trace.WorkerOverloaded:
 		return node + " is overloaded"
 	case trace.WorkerStarted:
-		return fmt.Sprintf("%s starts (process %d)", node, logEntry.duration)
+		return fmt.Sprintf("%s starts (process %d)", node, entry.duration)
 	case trace.WorkerStopped:
 		return node + "'s process ends"
 	case trace.WorkerDraining:
@@ -338,25 +338,25 @@
 	case trace.WorkerRecovered:
 		return node + " is well again"
 	case trace.DrainNotified:
-		return fmt.Sprintf("scheduler %d is notified that %s drains or is gone", logEntry.scheduler, node)
+		return fmt.Sprintf("scheduler %d is notified that %s drains or is gone", entry.scheduler, node)
 	case trace.StartNotified:
-		return fmt.Sprintf("scheduler %d is notified of the start of %s (process %d)", logEntry.scheduler, node, logEntry.duration)
+		return fmt.Sprintf("scheduler %d is notified of the start of %s (process %d)", entry.scheduler, node, entry.duration)
 	case trace.SchedulerExited:
-		return fmt.Sprintf("scheduler %d ends by itself with %d", logEntry.scheduler, logEntry.status)
+		return fmt.Sprintf("scheduler %d ends by itself with %d", entry.scheduler, entry.status)
 	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed, trace.SchedulerReloaded,
 		trace.SchedulerReplaced:
-		return fmt.Sprintf("scheduler %d %s", logEntry.scheduler, [...]string{
+		return fmt.Sprintf("scheduler %d %s", entry.scheduler, [...]string{
 			"starts", "is ready", "gets SIGTERM", "gets SIGKILL",
 			"is frozen", "goes on", "gets SIGHUP",
-		}[logEntry.kind-trace.SchedulerStarted])
+		}[entry.kind-trace.SchedulerStarted])
 	case trace.FaultStarted:
 		return "fault: " + text
 	case trace.FaultEnded:
 		return "over: " + text
 	case trace.ResourceUsage:
-		return fmt.Sprintf("scheduler %d holds %s", logEntry.scheduler, text)
+		return fmt.Sprintf("scheduler %d holds %s", entry.scheduler, text)
 	}
-	return fmt.Sprintf("trace event %d", logEntry.kind)
+	return fmt.Sprintf("trace event %d", entry.kind)
 }
 
 // truncate cuts what may be long.
@@ -369,17 +369,17 @@
 }
 
 // String returns the violation with its explanation, several lines as people read them.
-func (b Violation) String() string {
+func (v Violation) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s at %.6f s", b.Rule, b.At.Seconds())
-	if b.JobID != 0 {
-		fmt.Fprintf(&text, ", job %d", b.JobID)
+	fmt.Fprintf(&text, "%s at %.6f s", v.Rule, v.At.Seconds())
+	if v.JobID != 0 {
+		fmt.Fprintf(&text, ", job %d", v.JobID)
 	}
-	if b.RequestID != "" {
-		fmt.Fprintf(&text, ", request %s", b.RequestID)
+	if v.RequestID != "" {
+		fmt.Fprintf(&text, ", request %s", v.RequestID)
 	}
-	fmt.Fprintf(&text, ": %s\n", b.Text)
-	for _, l := range b.Explanation {
+	fmt.Fprintf(&text, ": %s\n", v.Text)
+	for _, l := range v.Explanation {
 		fmt.Fprintf(&text, "  %s\n", l)
 	}
 	return text.String()
--- a/internal/testbed/checker/fleet_events.go
+++ b/internal/testbed/checker/fleet_events.go
@@ -13,35 +13,35 @@
 }
 
 // scheduler gives the books of a scheduler.
-func (j *Checker) scheduler(n int) *scheduler {
-	for n >= len(j.schedulers) {
-		j.schedulers = append(j.schedulers, newScheduler())
+func (c *Checker) scheduler(n int) *scheduler {
+	for n >= len(c.schedulers) {
+		c.schedulers = append(c.schedulers, newScheduler())
 	}
-	return j.schedulers[max(n, 0)]
+	return c.schedulers[max(n, 0)]
 }
 
 // fleetEvent takes a trace event of the fleet, of processes or of the testbed itself.
-func (j *Checker) fleetEvent(event *trace.Event) {
+func (c *Checker) fleetEvent(event *trace.Event) {
 	switch event.Kind {
 	case trace.ResourceUsage:
 		if event.Scheduler >= 0 {
-			j.checkUsage(event)
+			c.checkUsage(event)
 		}
 		return
 	case trace.TestbedLate:
-		j.maxLateness = max(j.maxLateness, event.Lateness)
-		if event.Lateness >= j.observationLateness() {
-			j.recentLateness = lateness{event.At, event.Lateness}
+		c.maxLateness = max(c.maxLateness, event.Lateness)
+		if event.Lateness >= c.observationLateness() {
+			c.recentLateness = lateness{event.At, event.Lateness}
 		}
 		return
 	}
-	j.recordFleetEvent(event)
-	j.schedulerEvent(event)
+	c.recordFleetEvent(event)
+	c.schedulerEvent(event)
 }
 
 // schedulerEvent handles an event of a scheduler's process, or of what it was notified of.
-func (j *Checker) schedulerEvent(event *trace.Event) {
-	switch scheduler := j.scheduler(event.Scheduler); event.Kind {
+func (c *Checker) schedulerEvent(event *trace.Event) {
+	switch scheduler := c.scheduler(event.Scheduler); event.Kind {
 	case trace.DrainNotified:
 		if _, known := scheduler.drainNotifiedAt[event.Worker]; !known {
 			scheduler.drainNotifiedAt[event.Worker] = event.At
@@ -55,9 +55,9 @@
 	case trace.SchedulerKilled:
 		scheduler.end(processExit{exitedAt: event.At, terminatedAt: scheduler.terminatedAt, killed: true})
 	case trace.SchedulerExited:
-		j.checkCounts[ruleCrash]++
+		c.checkCounts[ruleCrash]++
 		if scheduler.terminatedAt == 0 {
-			j.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", event.Scheduler,
+			c.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", event.Scheduler,
 				event.Status)
 		}
 		scheduler.end(processExit{exitedAt: event.At, terminatedAt: scheduler.terminatedAt})
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -49,9 +49,9 @@
 	const many = 32
 	blocks, jobs := make([]block, many), make([]*job, many)
 	for i := range blocks {
-		r := &blocks[i]
-		r.job.requests, r.job.attempts, r.job.log = r.requests[:0], r.attempts[:0], r.log[:0]
-		jobs[i] = &r.job
+		current := &blocks[i]
+		current.job.requests, current.job.attempts, current.job.log = current.requests[:0], current.attempts[:0], current.log[:0]
+		jobs[i] = &current.job
 	}
 	return jobs
 }
@@ -117,10 +117,10 @@
 	}
 }
 
-func (b *job) findRequest(call string) (*request, int) {
-	for i := len(b.requests) - 1; i >= 0; i-- {
-		if b.requests[i].id == call {
-			return &b.requests[i], i
+func (j *job) findRequest(requestID string) (*request, int) {
+	for i := len(j.requests) - 1; i >= 0; i-- {
+		if j.requests[i].id == requestID {
+			return &j.requests[i], i
 		}
 	}
 	return nil, -1
@@ -128,25 +128,25 @@
 
 // findAttempt finds what a trace event at a worker is about. Of two that are out there one is rejected, the last that
 // came; all else is about the first. Where none is out it is the last.
-func (b *job) findAttempt(try, node int, last bool) *attempt {
+func (j *job) findAttempt(requestIndex, worker int, last bool) *attempt {
 	var found *attempt
-	for i := range b.attempts {
-		a := &b.attempts[i]
-		if a.request != try || a.worker != node {
+	for i := range j.attempts {
+		attempt := &j.attempts[i]
+		if attempt.request != requestIndex || attempt.worker != worker {
 			continue
 		}
-		if a.endedAt == 0 && !last {
-			return a
+		if attempt.endedAt == 0 && !last {
+			return attempt
 		}
-		found = a
+		found = attempt
 	}
 	return found
 }
 
 // hasInFlight tells whether an attempt of its is.
-func (b *job) hasInFlight() bool {
-	for i := range b.attempts {
-		if b.attempts[i].endedAt == 0 {
+func (j *job) hasInFlight() bool {
+	for i := range j.attempts {
+		if j.attempts[i].endedAt == 0 {
 			return true
 		}
 	}
@@ -172,8 +172,8 @@
 }
 
 // frozenDuring tells whether it was frozen at any time from a to b.
-func (s *scheduler) frozenDuring(a, b time.Duration) bool {
-	return len(s.freezes) > 0 && anyOverlaps(s.freezes, a, b)
+func (s *scheduler) frozenDuring(from, to time.Duration) bool {
+	return len(s.freezes) > 0 && anyOverlaps(s.freezes, from, to)
 }
 
 // thaw ends a freeze, if there is one.
@@ -190,9 +190,9 @@
 type interval struct{ start, end time.Duration }
 
 // anyOverlaps tells whether one of the spans has a part of the time from a to b.
-func anyOverlaps(list []interval, a, b time.Duration) bool {
-	for _, s := range list {
-		if s.start <= b && a <= s.end {
+func anyOverlaps(intervals []interval, from, to time.Duration) bool {
+	for _, interval := range intervals {
+		if interval.start <= to && from <= interval.end {
 			return true
 		}
 	}
@@ -228,33 +228,33 @@
 	start, size int
 }
 
-func (f *retentionQueue) add(r retainedJob) {
-	if f.size == len(f.ring) {
-		ring := make([]retainedJob, max(64, 2*len(f.ring)))
-		for i := range f.size {
-			ring[i] = f.ring[(f.start+i)%len(f.ring)]
+func (r *retentionQueue) add(entry retainedJob) {
+	if r.size == len(r.ring) {
+		ring := make([]retainedJob, max(64, 2*len(r.ring)))
+		for i := range r.size {
+			ring[i] = r.ring[(r.start+i)%len(r.ring)]
 		}
-		f.ring, f.start = ring, 0
+		r.ring, r.start = ring, 0
 	}
-	f.ring[(f.start+f.size)%len(f.ring)] = r
-	f.size++
+	r.ring[(r.start+r.size)%len(r.ring)] = entry
+	r.size++
 }
 
-func (f *retentionQueue) first() *retainedJob { return &f.ring[f.start] }
+func (r *retentionQueue) first() *retainedJob { return &r.ring[r.start] }
 
-func (f *retentionQueue) drop() {
-	f.start = (f.start + 1) % len(f.ring)
-	f.size--
+func (r *retentionQueue) drop() {
+	r.start = (r.start + 1) % len(r.ring)
+	r.size--
 }
 
 // classes are the scenario's classes.
 func classes(spec *scenario.Scenario) []class {
 	list := make([]class, len(spec.Classes))
 	for i := range spec.Classes {
-		c := &spec.Classes[i]
+		source := &spec.Classes[i]
 		list[i] = class{
-			name: c.Name, idempotent: c.Idempotency == "safe", idempotentWithKey: c.Idempotency == "keyed", nonIdempotent: c.Idempotency == "unsafe",
-			scope: c.DeduplicationScope, window: c.DeduplicationWindow.Std(), objective: c.LatencyObjective.Std(), objectiveStretch: c.ObjectiveStretch, meanWork: c.Work.Std(),
+			name: source.Name, idempotent: source.Idempotency == "safe", idempotentWithKey: source.Idempotency == "keyed", nonIdempotent: source.Idempotency == "unsafe",
+			scope: source.DeduplicationScope, window: source.DeduplicationWindow.Std(), objective: source.LatencyObjective.Std(), objectiveStretch: source.ObjectiveStretch, meanWork: source.Work.Std(),
 		}
 	}
 	return list
--- a/internal/testbed/checker/overlap_rules.go
+++ b/internal/testbed/checker/overlap_rules.go
@@ -8,38 +8,38 @@
 // arrived.
 
 // resolveOverlaps looks at suspicions again, as a trace event comes in that may settle some.
-func (j *Checker) resolveOverlaps(event *trace.Event) {
-	kept := j.overlaps[:0]
-	for _, overlap := range j.overlaps {
-		x, y := &overlap.job.attempts[overlap.early], &overlap.job.attempts[overlap.late]
+func (c *Checker) resolveOverlaps(event *trace.Event) {
+	kept := c.overlaps[:0]
+	for _, overlap := range c.overlaps {
+		early, late := &overlap.job.attempts[overlap.early], &overlap.job.attempts[overlap.late]
 		switch {
-		case overlap.provedOpenAt > 0 && event.At > overlap.provedOpenAt+j.workerDelay && x.inFlight(overlap.provedOpenAt+j.workerDelay):
-			j.reportOverlap(overlap)
+		case overlap.provedOpenAt > 0 && event.At > overlap.provedOpenAt+c.workerDelay && early.inFlight(overlap.provedOpenAt+c.workerDelay):
+			c.reportOverlap(overlap)
 			continue
-		case x.endedAt > 0:
+		case early.endedAt > 0:
 			continue
-		case overlap.provedOpenAt == 0 && event.Kind == trace.AttemptReceived && event.Worker == overlap.worker && event.Scheduler == overlap.scheduler && event.FirstByteAt > y.firstByteAt+j.dialDelay:
+		case overlap.provedOpenAt == 0 && event.Kind == trace.AttemptReceived && event.Worker == overlap.worker && event.Scheduler == overlap.scheduler && event.FirstByteAt > late.firstByteAt+c.dialDelay:
 			overlap.provedOpenAt = event.At
 		}
 		kept = append(kept, overlap)
 	}
-	clear(j.overlaps[len(kept):])
-	j.overlaps = kept
+	clear(c.overlaps[len(kept):])
+	c.overlaps = kept
 }
 
-func (j *Checker) reportOverlap(o overlap) {
-	x, y := &o.job.attempts[o.early], &o.job.attempts[o.late]
-	j.report(o.rule, o.job, o.job.requests[x.request].id, "sent to w-%d while an attempt at w-%d was out", y.worker, x.worker)
+func (c *Checker) reportOverlap(overlap overlap) {
+	early, late := &overlap.job.attempts[overlap.early], &overlap.job.attempts[overlap.late]
+	c.report(overlap.rule, overlap.job, overlap.job.requests[early.request].id, "sent to w-%d while an attempt at w-%d was out", late.worker, early.worker)
 }
 
 // dropOverlaps forgets suspicions of a job.
-func (j *Checker) dropOverlaps(b *job) {
-	kept := j.overlaps[:0]
-	for _, o := range j.overlaps {
-		if o.job != b {
-			kept = append(kept, o)
+func (c *Checker) dropOverlaps(job *job) {
+	kept := c.overlaps[:0]
+	for _, overlap := range c.overlaps {
+		if overlap.job != job {
+			kept = append(kept, overlap)
 		}
 	}
-	clear(j.overlaps[len(kept):])
-	j.overlaps = kept
+	clear(c.overlaps[len(kept):])
+	c.overlaps = kept
 }
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -37,22 +37,22 @@
 func (r rule) String() string { return RuleNames[r] }
 
 // report notes a broken rule. A job breaks each rule once.
-func (j *Checker) report(r rule, b *job, call, format string, args ...any) {
-	if b != nil {
-		if b.brokenRules&(1<<r) != 0 {
+func (c *Checker) report(broken rule, job *job, requestID, format string, args ...any) {
+	if job != nil {
+		if job.brokenRules&(1<<broken) != 0 {
 			return
 		}
-		b.brokenRules |= 1 << r
+		job.brokenRules |= 1 << broken
 	}
-	if j.violationCounts[r]++; j.violationCounts[r] > maxExplained {
+	if c.violationCounts[broken]++; c.violationCounts[broken] > maxExplained {
 		return
 	}
-	f := Violation{Rule: r.String(), At: j.now, RequestID: call, Text: fmt.Sprintf(format, args...)}
-	if b != nil {
-		f.JobID = b.id
-		b.violations = append(b.violations, len(j.violations))
+	violation := Violation{Rule: broken.String(), At: c.now, RequestID: requestID, Text: fmt.Sprintf(format, args...)}
+	if job != nil {
+		violation.JobID = job.id
+		job.violations = append(job.violations, len(c.violations))
 	} else {
-		f.Explanation = j.explainFleet(j.now - 10*time.Second)
+		violation.Explanation = c.explainFleet(c.now - 10*time.Second)
 	}
-	j.violations = append(j.violations, f)
+	c.violations = append(c.violations, violation)
 }
--- a/internal/testbed/checker/time_limits.go
+++ b/internal/testbed/checker/time_limits.go
@@ -39,91 +39,91 @@
 // lateSendGrace is how long after a client's close, or the answer, an attempt may begin.
 const lateSendGrace = 100 * time.Millisecond
 
-func newTimeLimits(spec *scenario.Scenario, live bool) timeLimits {
-	r, n := &spec.Rules, &spec.Network
+func newTimeLimits(spec *scenario.Scenario, realProcesses bool) timeLimits {
+	rules, network := &spec.Rules, &spec.Network
 	// Delays are log-normal; no run is so long that one lies six deviations out.
-	far := math.Exp(6 * math.Sqrt(math.Log1p(n.Jitter*n.Jitter)))
+	far := math.Exp(6 * math.Sqrt(math.Log1p(network.Jitter*network.Jitter)))
 	long := func(d time.Duration) time.Duration { return time.Duration(far * float64(d)) }
-	f := timeLimits{
-		slack: r.Slack.Std(), clientDelay: time.Millisecond + long(n.ClientDelay.Std()),
-		workerDelay: time.Millisecond + long(max(n.Delay.Std(), n.CrossZone.Std())), drainGrace: r.DrainGrace.Std(),
-		rejectionDeadline: r.RejectionDeadline.Std(), retention: retention(spec), maxSpeed: 1,
+	limits := timeLimits{
+		slack: rules.Slack.Std(), clientDelay: time.Millisecond + long(network.ClientDelay.Std()),
+		workerDelay: time.Millisecond + long(max(network.Delay.Std(), network.CrossZone.Std())), drainGrace: rules.DrainGrace.Std(),
+		rejectionDeadline: rules.RejectionDeadline.Std(), retention: retention(spec), maxSpeed: 1,
 		attemptLimit: max(1, spec.Schedulers.AttemptLimit), hedging: spec.Schedulers.Hedging,
 	}
-	f.dialDelay = spec.Schedulers.ConnTimeout.Std() + 2*f.workerDelay + long(n.Handshake.Std())
+	limits.dialDelay = spec.Schedulers.ConnTimeout.Std() + 2*limits.workerDelay + long(network.Handshake.Std())
 	wait := 16 * time.Millisecond
-	if live {
+	if realProcesses {
 		const wider = 50 * time.Millisecond
 		wait = wider
-		f.clientDelay += wider / 2
-		f.workerDelay += wider / 2
-		f.drainGrace += wider
+		limits.clientDelay += wider / 2
+		limits.workerDelay += wider / 2
+		limits.drainGrace += wider
 	}
-	if f.slack <= 0 {
-		f.slack = wait
+	if limits.slack <= 0 {
+		limits.slack = wait
 	}
-	f.dialDelay += wait
-	f.lateSend = lateSendGrace + f.clientDelay + wait
+	limits.dialDelay += wait
+	limits.lateSend = lateSendGrace + limits.clientDelay + wait
 	for i := range spec.Fleet.Kinds {
-		k := &spec.Fleet.Kinds[i]
-		f.maxSpeed = max(f.maxSpeed, k.Speed*(1+3*k.Spread))
+		kind := &spec.Fleet.Kinds[i]
+		limits.maxSpeed = max(limits.maxSpeed, kind.Speed*(1+3*kind.Spread))
 	}
-	f.setEstimateFactors(spec)
+	limits.setEstimateFactors(spec)
 	longest := time.Duration(0)
 	for i := range spec.Classes {
 		longest = max(longest, spec.Classes[i].Deadline.Std())
 	}
-	f.killDelay = min(longest, 3*time.Second) + termGrace
+	limits.killDelay = min(longest, 3*time.Second) + termGrace
 	for i := range spec.Faults {
-		f.addFault(&spec.Faults[i])
+		limits.addFault(&spec.Faults[i])
 	}
-	if n.DropsIdleAfter > 0 {
-		f.workersImpaired = append(f.workersImpaired, interval{0, forever})
+	if network.DropsIdleAfter > 0 {
+		limits.workersImpaired = append(limits.workersImpaired, interval{0, forever})
 	}
-	return f
+	return limits
 }
 
 // setEstimateFactors sets how far a scheduler's estimate of a job's work may be off, by the scenario's hints.
-func (f *timeLimits) setEstimateFactors(spec *scenario.Scenario) {
-	f.estimateFactor, f.heavyFactor = 4, 4
-	switch l := &spec.Load; l.Hints {
+func (t *timeLimits) setEstimateFactors(spec *scenario.Scenario) {
+	t.estimateFactor, t.heavyFactor = 4, 4
+	switch load := &spec.Load; load.Hints {
 	case "exact":
-		f.estimateFactor = 2
+		t.estimateFactor = 2
 	case "rough": // what hints err by shows in what runs are found to take, and twice that is allowed for
-		f.estimateFactor, f.heavyFactor = max(2, math.Exp(4*l.HintFactor)), 4*math.Exp(2*l.HintFactor)
+		t.estimateFactor, t.heavyFactor = max(2, math.Exp(4*load.HintFactor)), 4*math.Exp(2*load.HintFactor)
 	case "wrong": // it looks at first as if all were so much faster, and as if expectations erred by that
-		f.estimateFactor, f.heavyFactor = 2*max(1, l.HintFactor), 4*max(1, l.HintFactor*l.HintFactor)
+		t.estimateFactor, t.heavyFactor = 2*max(1, load.HintFactor), 4*max(1, load.HintFactor*load.HintFactor)
 	}
 	if hasProlongedRuns(spec) {
-		f.estimateFactor *= 4
+		t.estimateFactor *= 4
 	}
 }
 
 // addFault widens the limits by a fault of the timeline, and adds the interval in which it excuses what.
-func (f *timeLimits) addFault(fault *scenario.Fault) {
+func (t *timeLimits) addFault(fault *scenario.Fault) {
 	interval := interval{fault.At.Std(), forever}
 	if fault.Duration > 0 {
-		interval.end = interval.start + (fault.Duration + fault.Spread).Std() + 2*f.clientDelay
+		interval.end = interval.start + (fault.Duration + fault.Spread).Std() + 2*t.clientDelay
 	}
 	nodes := fault.Between == "nodes" || fault.And == "nodes"
 	if fault.Kind == "delay" && nodes {
-		f.workerDelay += 2 * time.Duration(fault.Size*float64(time.Millisecond))
+		t.workerDelay += 2 * time.Duration(fault.Size*float64(time.Millisecond))
 	}
 	if nodes && (fault.Kind == "cut" || fault.Kind == "cut_one_way") {
-		f.workersCut = append(f.workersCut, interval)
+		t.workersCut = append(t.workersCut, interval)
 	}
 	if connectImpairingFaults[fault.Kind] {
-		f.connectsImpaired = append(f.connectsImpaired, interval)
+		t.connectsImpaired = append(t.connectsImpaired, interval)
 	}
 	switch clients := fault.Between == "clients" || fault.And == "clients"; {
 	case clients && scenario.FaultKinds[fault.Kind] == "net":
-		f.clientsCut = append(f.clientsCut, interval)
+		t.clientsCut = append(t.clientsCut, interval)
 	case impairingFaults[fault.Kind]:
 		interval.start -= impairmentMargin
 		if fault.Duration > 0 {
 			interval.end += impairmentMargin
 		}
-		f.workersImpaired = append(f.workersImpaired, interval)
+		t.workersImpaired = append(t.workersImpaired, interval)
 	}
 }
 
--- a/internal/testbed/checker/verdict.go
+++ b/internal/testbed/checker/verdict.go
@@ -59,38 +59,38 @@
 }
 
 // Verdict returns what was found so far, including in requests that are still open. The run may go on after it.
-func (j *Checker) Verdict() Verdict {
-	verdict := Verdict{Violations: []Violation{}, Counts: j.counts}
+func (c *Checker) Verdict() Verdict {
+	verdict := Verdict{Violations: []Violation{}, Counts: c.counts}
 	// What is open is checked on a copy of the findings.
-	found, checked, violated := slices.Clone(j.violations), j.checkCounts, j.violationCounts
-	saved := j.saveJobs()
+	found, checked, violated := slices.Clone(c.violations), c.checkCounts, c.violationCounts
+	saved := c.saveJobs()
 	for _, state := range saved {
-		j.checkOpenRequests(state.job, &verdict.Counts)
+		c.checkOpenRequests(state.job, &verdict.Counts)
 	}
-	for _, o := range j.overlaps {
-		if o.provedOpenAt > 0 && j.now > o.provedOpenAt+j.workerDelay {
-			j.reportOverlap(o)
+	for _, overlap := range c.overlaps {
+		if overlap.provedOpenAt > 0 && c.now > overlap.provedOpenAt+c.workerDelay {
+			c.reportOverlap(overlap)
 		}
 	}
-	j.checkOpenMisbehaving()
+	c.checkOpenMisbehaving()
 	for _, state := range saved {
 		for _, i := range state.job.violations {
-			j.violations[i].Explanation = j.explainJob(state.job)
+			c.violations[i].Explanation = c.explainJob(state.job)
 		}
 	}
-	verdict.Violations = append(verdict.Violations, j.violations...)
+	verdict.Violations = append(verdict.Violations, c.violations...)
 	slices.SortStableFunc(verdict.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	for r := range ruleCount {
-		verdict.Rules = append(verdict.Rules, RuleCount{r.String(), j.checkCounts[r], j.violationCounts[r]})
+		verdict.Rules = append(verdict.Rules, RuleCount{r.String(), c.checkCounts[r], c.violationCounts[r]})
 	}
-	j.violations, j.checkCounts, j.violationCounts = found, checked, violated
+	c.violations, c.checkCounts, c.violationCounts = found, checked, violated
 	for _, state := range saved {
 		state.job.brokenRules, state.job.violations = state.brokenRules, state.violations
 	}
-	if j.maxLateness > j.options.MaxLateness {
-		verdict.Invalid = fmt.Sprintf("the testbed itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
+	if c.maxLateness > c.options.MaxLateness {
+		verdict.Invalid = fmt.Sprintf("the testbed itself was %v late, more than %v", c.maxLateness, c.options.MaxLateness)
 	}
-	verdict.NotChecked = j.notChecked()
+	verdict.NotChecked = c.notChecked()
 	return verdict
 }
 
@@ -102,12 +102,12 @@
 }
 
 // saveJobs saves all jobs, in order of their numbers, and gives each its own copy of its violations.
-func (j *Checker) saveJobs() []savedJob {
+func (c *Checker) saveJobs() []savedJob {
 	var saved []savedJob
-	for _, b := range j.jobs {
-		saved = append(saved, savedJob{b, b.brokenRules, b.violations})
+	for _, job := range c.jobs {
+		saved = append(saved, savedJob{job, job.brokenRules, job.violations})
 	}
-	slices.SortFunc(saved, func(a, b savedJob) int { return cmp.Compare(a.job.id, b.job.id) })
+	slices.SortFunc(saved, func(a, job savedJob) int { return cmp.Compare(a.job.id, job.job.id) })
 	for _, state := range saved {
 		state.job.violations = slices.Clone(state.violations)
 	}
@@ -115,55 +115,55 @@
 }
 
 // checkOpenRequests counts a job's open requests, and checks those whose time is up.
-func (j *Checker) checkOpenRequests(b *job, counts *Counts) {
-	for i := range b.requests {
-		t := &b.requests[i]
-		if t.state != requestOpen {
+func (c *Checker) checkOpenRequests(job *job, counts *Counts) {
+	for i := range job.requests {
+		request := &job.requests[i]
+		if request.state != requestOpen {
 			continue
 		}
 		counts.Open++
-		if j.now > t.deadline+j.slack+2*j.clientDelay {
-			j.checkUnanswered(b, t, j.now, false, counts)
+		if c.now > request.deadline+c.slack+2*c.clientDelay {
+			c.checkUnanswered(job, request, c.now, false, counts)
 		}
 	}
 }
 
 // checkOpenMisbehaving reports misbehaving clients that are owed a response or a close, in order of their connections.
-func (j *Checker) checkOpenMisbehaving() {
-	for _, conn := range slices.Sorted(maps.Keys(j.misbehaving)) {
-		client := j.misbehaving[conn]
-		if !client.answered && j.now > client.connectedAt+j.misbehaviorDeadline(client.kind) {
-			j.reportUnansweredClient(client)
+func (c *Checker) checkOpenMisbehaving() {
+	for _, conn := range slices.Sorted(maps.Keys(c.misbehaving)) {
+		client := c.misbehaving[conn]
+		if !client.answered && c.now > client.connectedAt+c.misbehaviorDeadline(client.kind) {
+			c.reportUnansweredClient(client)
 		}
 	}
 }
 
 // notChecked names what this run can't show, and why.
-func (j *Checker) notChecked() []string {
+func (c *Checker) notChecked() []string {
 	var list []string
-	if len(j.workersImpaired) > 0 {
+	if len(c.workersImpaired) > 0 {
 		list = append(list, "one-attempt-per-node, attempts: overlaps that begin while messages to workers"+
-			" may get lost (by "+j.impairedBy()+"), as a scheduler may have given the earlier one up")
+			" may get lost (by "+c.impairedBy()+"), as a scheduler may have given the earlier one up")
 	}
-	if 2*j.clientDelay > j.slack {
+	if 2*c.clientDelay > c.slack {
 		list = append(list, "one-answer, in time: clients close before an answer of the last moment can have"+
 			" come, as words may take longer than the slack")
 	}
-	if !j.options.RealProcesses {
+	if !c.options.RealProcesses {
 		list = append(list, "bad-clients: there are no bytes on sockets in virtual time",
 			"limits: there are no processes in virtual time, whose memory and descriptors could be counted")
 	}
 	return list
 }
 
-func (j *Checker) impairedBy() string {
+func (c *Checker) impairedBy() string {
 	var by []string
-	for i := range j.spec.Faults {
-		if a := &j.spec.Faults[i]; impairingFaults[a.Kind] && !slices.Contains(by, a.Kind) {
-			by = append(by, a.Kind)
+	for i := range c.spec.Faults {
+		if fault := &c.spec.Faults[i]; impairingFaults[fault.Kind] && !slices.Contains(by, fault.Kind) {
+			by = append(by, fault.Kind)
 		}
 	}
-	if j.spec.Network.DropsIdleAfter > 0 {
+	if c.spec.Network.DropsIdleAfter > 0 {
 		by = append(by, "net.drops_idle")
 	}
 	return strings.Join(by, ", ")
--- a/internal/testbed/checker/worker_rules.go
+++ b/internal/testbed/checker/worker_rules.go
@@ -18,74 +18,74 @@
 	capacity   float64
 }
 
-func (j *Checker) coldWorkReceived(s *trace.Event) {
-	list := j.coldWork[s.Worker]
-	if len(list) == maxColdWork {
-		list = append(list[:0], list[1:]...)
+func (c *Checker) coldWorkReceived(event *trace.Event) {
+	arrivals := c.coldWork[event.Worker]
+	if len(arrivals) == maxColdWork {
+		arrivals = append(arrivals[:0], arrivals[1:]...)
 	}
-	j.coldWork[s.Worker] = append(list, coldArrival{s.At, s.Scheduler, s.Slots * s.Work, s.Share})
-	j.checkCounts[ruleCold]++
+	c.coldWork[event.Worker] = append(arrivals, coldArrival{event.At, event.Scheduler, event.Slots * event.Work, event.Share})
+	c.checkCounts[ruleCold]++
 }
 
-func (j *Checker) workerOverloaded(s *trace.Event) {
-	j.recordFleetEvent(s)
-	if s.Share < 2.0/3 {
+func (c *Checker) workerOverloaded(event *trace.Event) {
+	c.recordFleetEvent(event)
+	if event.Share < 2.0/3 {
 		return
 	}
-	before := len(j.violations)
-	j.report(ruleCold, nil, "", "w-%d was overloaded while warming up, %.0f %% of the work from schedulers notified of its start",
-		s.Worker, 100*s.Share)
-	if len(j.violations) > before {
-		j.violations[before].Explanation = j.explainColdWork(s.Worker)
+	before := len(c.violations)
+	c.report(ruleCold, nil, "", "w-%d was overloaded while warming up, %.0f %% of the work from schedulers notified of its start",
+		event.Worker, 100*event.Share)
+	if len(c.violations) > before {
+		c.violations[before].Explanation = c.explainColdWork(event.Worker)
 	}
 }
 
 // misbehaviorDeadline is the time within which a misbehaving client of a kind has its error or its close.
-func (j *Checker) misbehaviorDeadline(kind string) time.Duration {
-	d := j.spec.Rules.MisbehaviorDeadline.Std()
+func (c *Checker) misbehaviorDeadline(kind string) time.Duration {
+	deadline := c.spec.Rules.MisbehaviorDeadline.Std()
 	if kind == "huge_body" {
-		d *= 2
+		deadline *= 2
 	}
-	return d + j.slack
+	return deadline + c.slack
 }
 
-func (j *Checker) misbehavingClientAnswered(event *trace.Event) {
-	b, known := j.misbehaving[event.Conn]
+func (c *Checker) misbehavingClientAnswered(event *trace.Event) {
+	client, known := c.misbehaving[event.Conn]
 	if !known {
-		j.counts.Unknown++
+		c.counts.Unknown++
 		return
 	}
-	again := b.answered
-	b.answered = true
-	j.misbehaving[event.Conn] = b
-	j.checkCounts[ruleBadClients]++
-	switch took := event.At - b.connectedAt; {
+	again := client.answered
+	client.answered = true
+	c.misbehaving[event.Conn] = client
+	c.checkCounts[ruleBadClients]++
+	switch took := event.At - client.connectedAt; {
 	case event.Status == http.StatusOK:
-		j.report(ruleBadClients, nil, "", "a misbehaving client (%s) was served as if its request had run", b.kind)
-	case !again && took > j.misbehaviorDeadline(b.kind)+j.observationLateness():
-		j.report(ruleBadClients, nil, "", "a misbehaving client (%s) waited %v for an error or a close", b.kind, took)
+		c.report(ruleBadClients, nil, "", "a misbehaving client (%s) was served as if its request had run", client.kind)
+	case !again && took > c.misbehaviorDeadline(client.kind)+c.observationLateness():
+		c.report(ruleBadClients, nil, "", "a misbehaving client (%s) waited %v for an error or a close", client.kind, took)
 	}
 }
 
-func (j *Checker) reportUnansweredClient(b misbehavingClient) {
-	j.checkCounts[ruleBadClients]++
-	j.report(ruleBadClients, nil, "", "a misbehaving client (%s) of %v has neither an error nor a close", b.kind, b.connectedAt)
+func (c *Checker) reportUnansweredClient(client misbehavingClient) {
+	c.checkCounts[ruleBadClients]++
+	c.report(ruleBadClients, nil, "", "a misbehaving client (%s) of %v has neither an error nor a close", client.kind, client.connectedAt)
 }
 
-func (j *Checker) checkUsage(event *trace.Event) {
-	j.checkCounts[ruleLimits]++
-	scheduler, own := j.scheduler(event.Scheduler), &j.spec.Schedulers
+func (c *Checker) checkUsage(event *trace.Event) {
+	c.checkCounts[ruleLimits]++
+	scheduler, limits := c.scheduler(event.Scheduler), &c.spec.Schedulers
 	text := ""
 	switch {
-	case own.MemoryMB > 0 && event.Memory > int64(own.MemoryMB)<<20:
-		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed", event.Scheduler, float64(event.Memory)/(1<<20), own.MemoryMB)
-	case own.Sockets > 0 && event.OpenFiles > own.Sockets:
-		text = fmt.Sprintf("scheduler %d holds %d descriptors, of %d allowed", event.Scheduler, event.OpenFiles, own.Sockets)
+	case limits.MemoryMB > 0 && event.Memory > int64(limits.MemoryMB)<<20:
+		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed", event.Scheduler, float64(event.Memory)/(1<<20), limits.MemoryMB)
+	case limits.Sockets > 0 && event.OpenFiles > limits.Sockets:
+		text = fmt.Sprintf("scheduler %d holds %d descriptors, of %d allowed", event.Scheduler, event.OpenFiles, limits.Sockets)
 	}
 	if text == "" || scheduler.overLimits {
 		return
 	}
 	scheduler.overLimits = true
-	j.recordFleetEvent(event)
-	j.report(ruleLimits, nil, "", "%s", text)
+	c.recordFleetEvent(event)
+	c.report(ruleLimits, nil, "", "%s", text)
 }
