--- a/internal/control/planner/attempt.go
+++ b/internal/control/planner/attempt.go
@@ -9,14 +9,8 @@
 // attemptState is how far an attempt has come. States follow each other in this order.
 type attemptState uint8
 
-const (
-	attemptCommanded attemptState = iota // its send command is sent, and nothing was heard of it
-	attemptConfirmed                     // the forwarder has reported it
-	attemptEnded
-)
-
-func (s attemptState) String() string {
-	switch s {
+func (a attemptState) String() string {
+	switch a {
 	case attemptCommanded:
 		return "commanded"
 	case attemptConfirmed:
@@ -27,6 +21,12 @@
 	return "unknown"
 }
 
+const (
+	attemptCommanded attemptState = iota // its send command is sent, and nothing was heard of it
+	attemptConfirmed                     // the forwarder has reported it
+	attemptEnded
+)
+
 // attempt is one sending of a request to a worker.
 type attempt struct {
 	state     attemptState
@@ -49,38 +49,6 @@
 	}
 }
 
-// addAttempt adds an attempt to a request.
-func (p *Planner) addAttempt(req *request, added attempt) {
-	p.addReferences(added.worker, 1)
-	if added.inFlight() {
-		req.inFlight++
-		p.requests.slotsInUse += req.slots
-	}
-	req.attempts = append(req.attempts, added)
-}
-
-// endAttempt ends an attempt that is in flight.
-func (t *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
-	a.advanceTo(attemptEnded)
-	a.result = result
-	req.inFlight--
-	t.slotsInUse -= req.slots
-}
-
-// cancelAttempts has the policy take all attempts in flight for ended, without a result that says anything of the worker.
-func (p *Planner) cancelAttempts(req *request) {
-	for i := range req.attempts {
-		attempt := &req.attempts[i]
-		if !attempt.inFlight() {
-			continue
-		}
-		p.requests.endAttempt(req, attempt, dispatch.Cancelled)
-		p.notifyPolicy(dispatch.Outcome{
-			Job: req.id, Attempt: i, Worker: attempt.worker.ID, Result: dispatch.Cancelled, Closed: true,
-		})
-	}
-}
-
 // knownResult returns a result, or for one that this build doesn't know one that leaves open whether the attempt was
 // executed.
 func knownResult(result dispatch.Result) dispatch.Result {
--- a/internal/control/planner/endpoints.go
+++ b/internal/control/planner/endpoints.go
@@ -5,86 +5,148 @@
 	"valvecove/internal/control/message"
 )
 
-// endpointsChanged takes in a watch event and tells the policy of it.
-func (p *Planner) endpointsChanged(list dispatch.WorkerList) {
+// statusUpdater keeps a worker's status if that is newer than the one before.
+type statusUpdater interface {
+	update(w *worker, status message.WorkerStatus, source statusSource)
+}
+
+// listReceiver is the policy: it is notified of events, and a list ends its subscription.
+type listReceiver interface {
+	notifier
+	endpointListReceived(kind dispatch.ListKind)
+}
+
+// endpointHandler processes changes of the endpoint list and of the assignment of workers to planners.
+type endpointHandler struct {
+	settings   *dispatch.Settings
+	step       *step
+	locations  *locationIndex
+	policy     listReceiver
+	policySync *policySync
+	statuses   statusUpdater
+	workers    *workerTable
+
+	takeovers []takeover // by time
+}
+
+// processList takes in a watch event and tells the policy of it.
+func (e *endpointHandler) processList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
-		p.policy.subscribing = false
-		p.notifyPolicy(list)
+		e.policy.endpointListReceived(list.Kind)
+		e.policy.notify(list)
 		return
 	}
-	p.flushWorkerUpdates() // the policy is told of earlier changes before
-	table := &p.workers
+	e.policySync.flush() // the policy is told of earlier changes before
+	table := e.workers
 	table.revision = list.Revision
-	p.policy.subscribing = p.policy.subscribing && list.Kind == dispatch.ListCached
+	e.policy.endpointListReceived(list.Kind)
 	isFull := list.Kind != dispatch.ListDelta
 	if isFull {
 		table.listSequence++
 	}
 	for i := range list.Workers {
-		p.endpointChanged(&list.Workers[i], list.Revision)
+		e.update(&list.Workers[i], list.Revision)
 	}
 	if isFull {
-		p.removeUnlisted(list.Revision)
-		list.Workers = p.policyWorkers()
+		e.removeUnlisted(list.Revision)
+		e.policySync.takeUpdates() // the full list has them
+		list.Workers = e.policySync.workersOfPolicy()
 	} else {
-		list.Workers = table.updates
+		list.Workers = e.policySync.takeUpdates()
 	}
 	table.synced = true
-	table.updates = nil // the list has them
-	p.notifyPolicy(list)
+	e.policy.notify(list)
 }
 
-// endpointSourceChanged takes in that revisions begin anew.
-func (p *Planner) endpointSourceChanged() {
-	for _, worker := range p.workers.list {
+// processSourceChange takes in that revisions begin anew.
+func (e *endpointHandler) processSourceChange() {
+	for _, worker := range e.workers.list {
 		worker.status.Revision = 0
 	}
-	p.workers.revision = 0
+	e.workers.revision = 0
 }
 
-// endpointChanged takes in an entry of the list.
-func (p *Planner) endpointChanged(entry *dispatch.Worker, revision int64) {
+// update takes in an entry of the list.
+func (e *endpointHandler) update(entry *dispatch.Worker, revision int64) {
 	if entry.Removed {
-		if known := p.workers.byID[entry.ID]; known != nil && known.listed {
+		if known := e.workers.byID[entry.ID]; known != nil && known.listed {
 			known.BootAt = max(known.BootAt, entry.BootAt)
-			p.endpointRemoved(known, revision)
+			e.remove(known, revision)
 		}
 		return
 	}
-	worker := p.ensureWorker(entry.ID)
+	worker := e.workers.ensure(entry.ID)
 	isNew := !worker.listed
 	worker.Worker = *entry
 	worker.listed = true
-	worker.listSequence = p.workers.listSequence
-	if isNew || p.workers.partition.ownerOf != nil {
-		p.updateOwner(worker, isNew)
+	worker.listSequence = e.workers.listSequence
+	if isNew || e.workers.partition.ownerOf != nil {
+		e.updateOwner(worker, isNew)
 	}
-	p.updateStatus(worker, entryStatus(entry, revision), statusSource{})
-	p.syncWorker(worker)
+	e.statuses.update(worker, entryStatus(entry, revision), statusSource{})
+	e.policySync.sync(worker)
 }
 
 // removeUnlisted takes in that workers are not on the newest full list.
-func (p *Planner) removeUnlisted(revision int64) {
-	table := &p.workers
+func (e *endpointHandler) removeUnlisted(revision int64) {
+	table := e.workers
 	for i := len(table.list) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of one that is removed
 		worker := table.list[i]
 		if worker.listed && worker.listSequence != table.listSequence {
-			p.endpointRemoved(worker, revision)
+			e.remove(worker, revision)
 		}
 	}
 }
 
-// endpointRemoved takes in that a worker is not on the list any more, unless a newer status says that it is there.
-func (p *Planner) endpointRemoved(w *worker, revision int64) {
+// remove takes in that a worker is not on the list any more, unless a newer status says that it is there.
+func (e *endpointHandler) remove(w *worker, revision int64) {
 	status := entryStatus(&w.Worker, revision)
 	status.State = message.WorkerGone
 	if w.hasStatus && w.status.Supersedes(status) && w.status.State != message.WorkerGone {
 		return
 	}
 	w.listed = false
-	p.workers.addTombstone(w, p.now)
-	p.updateStatus(w, status, statusSource{})
-	p.syncWorker(w)
+	e.workers.addTombstone(w, e.step.now())
+	e.statuses.update(w, status, statusSource{})
+	e.policySync.sync(w)
+}
+
+// processPartition takes in how workers are assigned.
+func (e *endpointHandler) processPartition(ownerOf func(w *dispatch.Worker) string) {
+	partition := &e.workers.partition
+	partition.ownerOf = ownerOf
+	for _, worker := range e.workers.list {
+		if worker.listed {
+			e.updateOwner(worker, !partition.known)
+			e.policySync.sync(worker)
+		}
+	}
+	partition.known = true
+	e.locations.resetPlacements()
+}
+
+// updateOwner finds out which planner a worker is assigned to. One that comes from another planner gets no work for one
+// overload window while it is warming up: what that planner has sent it lately is not known. isNew: it was nobody's before.
+func (e *endpointHandler) updateOwner(w *worker, isNew bool) {
+	isOurs := e.workers.partition.owner(w) == e.workers.partition.local
+	isTakenOver := isOurs && !w.owned && !isNew
+	if isTakenOver && e.settings.OverloadWindow > 0 && e.step.now()-w.startedAt() < e.settings.WarmUp {
+		w.warmUntil = e.step.now() + e.settings.OverloadWindow
+		e.takeovers = append(e.takeovers, takeover{w.warmUntil, w})
+	}
+	w.owned = isOurs
+}
+
+// expireTakeovers lets workers have work whose time has come.
+func (e *endpointHandler) expireTakeovers() {
+	for len(e.takeovers) > 0 && e.takeovers[0].until <= e.step.now() {
+		worker := e.takeovers[0].worker
+		e.takeovers[0] = takeover{}
+		e.takeovers = e.takeovers[1:]
+		if e.workers.byID[worker.ID] == worker {
+			e.policySync.sync(worker)
+		}
+	}
 }
 
 // entryStatus returns a worker's status by its entry in the list.
