--- a/docs/names_in_pages_test.go
+++ b/docs/names_in_pages_test.go
@@ -37,6 +37,8 @@
 	testNames = regexp.MustCompile(`\b(?:Test|Fuzz)[A-Z]\w*`)
 	codeSpans = regexp.MustCompile("`([^`\n]+)`")
 	paths     = regexp.MustCompile(`^(?:cmd|deploy|dispatch|docs|internal|scenarios)/[\w./-]+$`)
+	member    = regexp.MustCompile(`^(?:\w+\.)?([A-Za-z]\w*\.[A-Za-z]\w*)$`)
+	camelCase = regexp.MustCompile(`^[a-z]\w*[A-Z]\w*$`)
 	dotted    = regexp.MustCompile(`^(?:\w+\.)+([A-Z]\w+)$`)
 )
 
@@ -61,6 +63,60 @@
 	}
 }
 
+// members returns the qualified names in a source: T.m for each method and field of a type, and each p.N that it uses.
+func members(source string) map[string]bool {
+	found := map[string]bool{}
+	for _, method := range regexp.MustCompile(`(?m)^func \(\w+ \*?(\w+)(?:\[\w+\])?\) (\w+)\(`).FindAllStringSubmatch(source, -1) {
+		found[method[1]+"."+method[2]] = true
+	}
+	fields := regexp.MustCompile(`(?m)^\t([A-Za-z]\w*(?:, \w+)*)[ (]`)
+	for _, declared := range regexp.MustCompile(`(?ms)^type (\w+)(?:\[[^\]]*\])? (?:struct|interface) \{\n(.*?)^\}`).FindAllStringSubmatch(source, -1) {
+		for _, names := range fields.FindAllStringSubmatch(declared[2], -1) {
+			for _, name := range strings.Split(names[1], ", ") {
+				found[declared[1]+"."+name] = true
+			}
+		}
+	}
+	for _, qualified := range regexp.MustCompile(`\b[A-Za-z]\w*\.[A-Za-z]\w*\b`).FindAllString(source, -1) {
+		found[qualified] = true
+	}
+	return found
+}
+
+// Identifiers in the code spans of the design pages are declared: T.m, p.T.m and p.N, and names in mixed caps.
+func TestDesignPagesNameCode(t *testing.T) {
+	pages, err := filepath.Glob("design/*.md")
+	if err != nil || len(pages) == 0 {
+		t.Fatal(pages, err)
+	}
+	source := goSource(t, false) + goSource(t, true)
+	declared := members(source)
+	for _, name := range regexp.MustCompile(`\b[A-Za-z]\w*\b`).FindAllString(source, -1) {
+		declared[name] = true
+	}
+	found := 0
+	for _, name := range pages {
+		for _, span := range codeSpans.FindAllStringSubmatch(page(t, name), -1) {
+			identifier := span[1]
+			if m := member.FindStringSubmatch(identifier); m != nil {
+				identifier = m[1]
+			} else if !camelCase.MatchString(identifier) {
+				continue
+			}
+			if strings.HasSuffix(identifier, ".go") || strings.ToLower(identifier) == identifier {
+				continue // a file, or a key of the configuration
+			}
+			found++
+			if !declared[identifier] {
+				t.Errorf("%s names %s, and there is no such code", name, span[1])
+			}
+		}
+	}
+	if found < 150 {
+		t.Errorf("the design pages name %d identifiers", found)
+	}
+}
+
 // Paths and exported names in ARCHITECTURE.md exist, and it names every package of the program.
 func TestArchitectureNamesCode(t *testing.T) {
 	text, source := page(t, "../ARCHITECTURE.md"), goSource(t, false)
