--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"net/http"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -9,10 +10,9 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds what a worker does with an attempt that reaches it: it takes or rejects it, accepts it with a 202, and
-// forgets it at its end.
+// This file holds how a worker admits, rejects, accepts and cancels attempts.
 
-// attempt is one sending of a request, at the worker that it was sent to.
+// attempt is one attempt at a request, at the worker that it was sent to.
 type attempt struct {
 	worker      *worker
 	requestID   string
@@ -20,8 +20,8 @@
 	scheduler   int
 	budget      time.Duration
 	firstByteAt time.Duration // when its first byte was written
-	knewStart   bool          // its scheduler knew then of the worker's start
-	incarnation int           // of the process that took it
+	knewStart   bool          // its scheduler had been notified of the worker's start
+	incarnation int           // of the process that received it
 
 	class             int
 	conn              *workerConn // that its 202 is owed on; nil: answered, or given up before
@@ -35,38 +35,41 @@
 
 	state            attemptState
 	number           uint64
-	allIndex         int     // in node.all
-	heapIndex        int     // in node.running
-	startProgress    float64 // n.v then
-	endProgress      float64 // n.v when it is done
+	allIndex         int     // in workerJobs.all
+	heapIndex        int     // in workerJobs.running
+	startProgress    float64 // workerJobs.progressPerSlot at its start
+	endProgress      float64 // the same when it is done
 	nextProgressAt   time.Duration
 	keyRecord        *keyRecord
 	pendingCallbacks []*callback // that wait for its 202
 	result           string
 }
 
+// isExpired reports whether the attempt has a budget that is over at now.
+func (a *attempt) isExpired(now time.Duration) bool { return a.expiresAt > 0 && a.expiresAt <= now }
+
 type attemptState uint8
 
 const (
-	attemptQueued attemptState = iota // in the waiting room
+	attemptQueued attemptState = iota // for slots
 	attemptRunning
-	attemptDuplicate // its key is known: it waits for the run of another
+	attemptDuplicate // it waits for the run of another with its key
 	attemptEnded
 )
 
-// A worker's readings of the protocol:
-//   - An id that no client sent, or a keyed request under another key than its client's, is answered 400; no id, 404.
-//   - One whose id is in hand already, given up or not, is rejected like what there is no room for: 503, X-Rejected.
-//     So is what its kind may not run, what takes more slots than there are, and anything new while it drains.
+// How a worker applies the protocol:
+//   - An ID that no client sent, or an idempotency key other than the client's, is answered 400; no ID, 404.
+//   - An attempt for which there is no room is rejected: 503, X-Rejected. So is one whose ID is in flight, cancelled or
+//     not, whose class its kind may not run, that needs more slots than there are, or that arrives while it drains.
 //   - A job of k slots does k times its run time of work. While more slots are in use than there are cores, all jobs
-//     share these evenly.
-//   - Of attempts that end with an error, a quarter do so at the door: 500 in place of 202. The others are told as
-//     failed after a part of their work, drawn evenly from a tenth to all of it.
+//     share the cores evenly.
+//   - Of attempts that end with an error, a quarter get a 500 in place of the 202. The others are reported as failed
+//     after a part of their work, drawn evenly from a tenth to all of it.
 
-// earlyErrorShare is the share of errors that come before a 202.
+// earlyErrorShare is the share of errors that are answered in place of a 202.
 const earlyErrorShare = 0.25
 
-// attemptReceived takes an attempt whose last byte has been read.
+// attemptReceived handles an attempt whose last byte has been read.
 func (w *worker) attemptReceived(conn *workerConn, attempt *attempt) {
 	if conn.unreadAttempt == attempt {
 		conn.unreadAttempt = nil
@@ -81,13 +84,15 @@
 		w.reject(conn, attempt, status)
 		return
 	}
-	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, w.process.incarnation
+	attempt.class = request.class
+	attempt.slots = request.slots
+	attempt.incarnation = w.process.incarnation
 	if w.coldWorkReceived(attempt, request.work*request.slots) {
 		return
 	}
 	keyRecord := w.shared.findKey(w, attempt)
-	if !w.canTake(attempt, keyRecord) {
-		w.reject(conn, attempt, 503)
+	if !w.canAdmit(attempt, keyRecord) {
+		w.reject(conn, attempt, http.StatusServiceUnavailable)
 		return
 	}
 	w.drawOutcome(attempt, request.work, w.shared.classes[attempt.class].noise)
@@ -95,24 +100,24 @@
 		w.failBeforeAccept(conn, attempt)
 		return
 	}
-	w.takeAttempt(conn, attempt, keyRecord)
+	w.admitAttempt(conn, attempt, keyRecord)
 	w.acceptLater(attempt)
 }
 
-// checkRequest is the status that answers an attempt of no request, or of another one's than it says; 0: it is in order.
+// checkRequest returns the status of an attempt without a request of a client, or with another key; 0: it is valid.
 func (w *worker) checkRequest(attempt *attempt, request *request) (status int) {
 	switch {
 	case attempt.requestID == "":
-		return 404
+		return http.StatusNotFound
 	case request == nil || w.shared.classes[request.class].idempotentWithKey && attempt.key != request.key:
-		return 400
+		return http.StatusBadRequest
 	}
 	return 0
 }
 
-// canTake reports whether the worker takes an attempt. keyRecord is what is known of its key; nil: nothing, so that it
-// needs room of its own.
-func (w *worker) canTake(attempt *attempt, keyRecord *keyRecord) bool {
+// canAdmit reports whether the worker admits an attempt. keyRecord is the record of its key; nil: there is none, so that
+// the attempt needs room of its own.
+func (w *worker) canAdmit(attempt *attempt, keyRecord *keyRecord) bool {
 	class := &w.shared.classes[attempt.class]
 	switch {
 	case w.process.draining || w.process.rejectsAll:
@@ -130,13 +135,12 @@
 // failBeforeAccept ends an attempt with an error in place of its 202.
 func (w *worker) failBeforeAccept(conn *workerConn, attempt *attempt) {
 	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.process.incarnation})
-	w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: w.number, Status: 500})
-	w.respond(conn, 500, false)
+	w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: w.number, Status: http.StatusInternalServerError})
+	w.respond(conn, http.StatusInternalServerError, false)
 }
 
-// takeAttempt enters an attempt in the worker's tables, and has it run, wait for a slot, or wait for the run of another
-// with its key.
-func (w *worker) takeAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
+// admitAttempt admits an attempt, which then runs, waits for slots, or waits for the run of another with its key.
+func (w *worker) admitAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
 	attempt.conn = conn
 	conn.awaitingAnswer = attempt
 	if attempt.budget > 0 {
@@ -151,7 +155,7 @@
 	w.startOrQueue(attempt)
 }
 
-// acceptLater answers an attempt with 202 after the time that its kind of worker takes for that.
+// acceptLater answers an attempt with 202 after the accept delay of the worker's kind.
 func (w *worker) acceptLater(attempt *attempt) {
 	delay := w.kind.Accept.Std()
 	if delay <= 0 {
@@ -169,36 +173,43 @@
 	})
 }
 
-func (w *worker) reject(l *workerConn, a *attempt, status int) {
-	w.env.record(trace.Event{Kind: trace.AttemptRejected, RequestID: a.requestID, Worker: w.number, Status: status})
-	w.respond(l, status, status == 503)
+// reject answers an attempt with an error status.
+func (w *worker) reject(conn *workerConn, attempt *attempt, status int) {
+	w.env.record(trace.Event{Kind: trace.AttemptRejected, RequestID: attempt.requestID, Worker: w.number, Status: status})
+	w.respond(conn, status, status == http.StatusServiceUnavailable)
 }
 
-// drawOutcome draws what becomes of a run. It follows from the request and the worker alone.
+// drawOutcome draws the work and the result of a run. They depend on the request and the worker alone.
 func (w *worker) drawOutcome(attempt *attempt, work, noise float64) {
-	r := w.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(w.number))
-	z, fails, part, kind, early := r.NormFloat64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
-	if attempt.work = work; noise > 0 {
-		attempt.work *= math.Exp(noise * (z - noise/2))
+	rng := w.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(w.number))
+	deviation := rng.NormFloat64()
+	failureDraw := rng.Float64()
+	partDone := rng.Float64()
+	earlyErrorDraw := rng.Float64()
+	earlyCallbackDraw := rng.Float64()
+	attempt.work = work
+	if noise > 0 {
+		attempt.work *= math.Exp(noise * (deviation - noise/2))
 	}
 	rate := w.machine.effectiveErrorRate(w.kind.ErrorRate)
-	attempt.notifiesEarly = early < w.kind.CallbackEarlyShare
-	attempt.fails, attempt.failsBeforeAccept = fails < rate, fails < rate && kind < earlyErrorShare
+	attempt.notifiesEarly = earlyCallbackDraw < w.kind.CallbackEarlyShare
+	attempt.fails = failureDraw < rate
+	attempt.failsBeforeAccept = attempt.fails && earlyErrorDraw < earlyErrorShare
 	if attempt.fails {
-		attempt.work *= 0.1 + 0.9*part
+		attempt.work *= 0.1 + 0.9*partDone
 	}
 }
 
-// accept answers an attempt with 202, unless its connection is gone, and lets its callbacks go.
+// accept answers an attempt with 202, unless its connection is closed, and sends the callbacks that waited for that.
 func (w *worker) accept(attempt *attempt) {
-	if l := attempt.conn; l != nil {
+	if conn := attempt.conn; conn != nil {
 		attempt.conn = nil
-		if l.awaitingAnswer == attempt {
-			l.awaitingAnswer = nil
+		if conn.awaitingAnswer == attempt {
+			conn.awaitingAnswer = nil
 		}
-		l.pendingAccept = attempt
+		conn.pendingAccept = attempt
 		w.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: attempt.requestID, Worker: w.number})
-		w.respond(l, 202, false)
+		w.respond(conn, http.StatusAccepted, false)
 		if w.process.diesAtAccept {
 			attempt.mayNotify = true
 			w.crash(w.process.diesRestartDelay)
@@ -209,22 +220,22 @@
 		return
 	}
 	attempt.mayNotify = true
-	held := attempt.pendingCallbacks
+	pending := attempt.pendingCallbacks
 	attempt.pendingCallbacks = nil
-	for _, t := range held {
-		w.sendCallback(t)
+	for _, callback := range pending {
+		w.sendCallback(callback)
 	}
 }
 
-// cancelAttempt is the word that an attempt is given up. Most kinds run on regardless.
-func (w *worker) cancelAttempt(a *attempt, reason string) {
-	w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: a.requestID, Worker: w.number, Text: reason})
-	if a.state == attemptEnded || !w.kind.CancellationStops {
+// cancelAttempt handles the cancellation of an attempt. It ends the attempt only if the worker's kind does that.
+func (w *worker) cancelAttempt(attempt *attempt, reason string) {
+	w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: attempt.requestID, Worker: w.number, Text: reason})
+	if attempt.state == attemptEnded || !w.kind.CancellationStops {
 		return
 	}
 	w.advance()
-	w.jobs.remove(a)
-	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: "cancelled"})
-	w.shared.releaseKey(a)
+	w.jobs.remove(attempt)
+	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: attempt.requestID, Worker: w.number, Text: "cancelled"})
+	w.shared.releaseKey(attempt)
 	w.runDue()
 }
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -1,6 +1,7 @@
 package environment
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -9,24 +10,24 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// callbackQueue is the callbacks that a worker owes schedulers. Each is sent by calls of its own until one is answered, by
-// 200 or 204, to whichever process of the scheduler runs by then.
+// callbackQueue holds the callbacks of a worker that are neither answered nor given up. Each is sent, by calls with a
+// timeout, until a call is answered 200 or 204, to whichever process of the scheduler runs then.
 type callbackQueue struct {
-	firstID       uint64         // id, without the worker's part, of the first of callbacks
-	callbacks     []*callback    // in the order in which they were made; nil: answered or given up
-	outstanding   int            // that are neither, and the process's own
-	held          []*callback    // while it hangs
-	pendingCalls  []callbackCall // in the order in which their time is up
-	expiryPlanned bool           // an entry for that is on the event queue
+	firstID       uint64         // ID, without the worker's part, of the first of callbacks
+	callbacks     []*callback    // in order of creation; nil: answered or given up
+	outstanding   int            // those of the process, without those of the machine's agent
+	held          []*callback    // while the process hangs
+	pendingCalls  []callbackCall // in order of deadline
+	expiryPlanned bool           // an entry for the first deadline is on the event queue
 }
 
-// callback is something that is to be told of an attempt.
+// callback is a notification of the state of an attempt.
 type callback struct {
-	id        uint64
+	id        uint64 // the worker's number in the upper half
 	scheduler int
 	sendings  int
-	byAgent   bool // told by the machine's agent: no matter what becomes of the process
-	awaiting  bool // for the answer to a call
+	byAgent   bool // sent by the machine's agent, whatever becomes of the process
+	awaiting  bool // the answer to a call
 	closed    bool // answered or given up
 	body      requests.Callback
 	result    string
@@ -39,203 +40,243 @@
 	deadline time.Duration
 }
 
+// isAwaited reports whether the call still waits for its answer.
+func (c *callbackCall) isAwaited() bool {
+	return !c.callback.closed && c.callback.awaiting && c.callback.sendings == c.sending
+}
+
 const (
 	callbackAttempts    = 10
 	callbackTimeout     = 2 * time.Second        // for the answer to a call
-	callbackBackoff     = 100 * time.Millisecond // before the second, doubling
+	callbackBackoff     = 100 * time.Millisecond // before the second call, doubling
 	callbackMaxBackoff  = 2 * time.Second
-	callbackRepeatDelay = 20 * time.Millisecond // until one is sent again though answered
+	callbackRepeatDelay = 20 * time.Millisecond // before an answered callback is sent again
 )
 
-// notify tells something of an attempt: at once, or with its 202 if that is still to come.
-func (w *worker) notify(a *attempt, state string, share float64) {
-	t := w.newCallback(a, state)
-	t.body.Progress = share
+// callbackIDBits is the size of the part of a callback's ID that counts a worker's callbacks.
+const callbackIDBits = 32
+
+// callbackIndexMask selects that part.
+const callbackIndexMask = 1<<callbackIDBits - 1
+
+// add adds a callback of a worker and sets its ID.
+func (c *callbackQueue) add(workerNumber int, callback *callback) {
+	callback.id = uint64(workerNumber)<<callbackIDBits | (c.firstID + uint64(len(c.callbacks)))
+	c.callbacks = append(c.callbacks, callback)
+}
+
+// find returns a callback that is neither answered nor given up; nil: there is none with that ID.
+func (c *callbackQueue) find(id uint64) *callback {
+	index := id&callbackIndexMask - c.firstID
+	if index < uint64(len(c.callbacks)) {
+		return c.callbacks[index]
+	}
+	return nil
+}
+
+// close removes a callback that is answered or given up.
+func (c *callbackQueue) close(callback *callback) {
+	callback.closed = true
+	callback.awaiting = false
+	c.callbacks[callback.id&callbackIndexMask-c.firstID] = nil
+	done := 0
+	for done < len(c.callbacks) && c.callbacks[done] == nil {
+		done++
+	}
+	c.callbacks = slices.Delete(c.callbacks, 0, done)
+	c.firstID += uint64(done)
+	if !callback.byAgent {
+		c.outstanding--
+	}
+}
+
+// takeHeld removes the callbacks that a hang holds up and returns them.
+func (c *callbackQueue) takeHeld() []*callback {
+	held := c.held
+	c.held = nil
+	return held
+}
+
+// notify makes a callback of an attempt's state, and sends it now, or after the 202 if that is still to be sent. progress
+// is the share of the work that is done.
+func (w *worker) notify(attempt *attempt, state string, progress float64) {
+	callback := w.newCallback(attempt, state)
+	callback.body.Progress = progress
 	w.callbacks.outstanding++
 	switch {
 	case w.process.silencesCallbacks:
-		w.loseCallback(t)
-	case a.mayNotify || a.notifiesEarly:
-		w.sendCallback(t)
+		w.loseCallback(callback)
+	case attempt.mayNotify || attempt.notifiesEarly:
+		w.sendCallback(callback)
 	default:
-		a.pendingCallbacks = append(a.pendingCallbacks, t)
+		attempt.pendingCallbacks = append(attempt.pendingCallbacks, callback)
 	}
 }
 
-// notifyLost has the machine's agent tell that an attempt was lost.
-func (w *worker) notifyLost(a *attempt) {
-	t := w.newCallback(a, "lost")
-	t.byAgent = true
-	w.sendCallback(t)
+// notifyLost makes the machine's agent send a callback that an attempt was lost.
+func (w *worker) notifyLost(attempt *attempt) {
+	callback := w.newCallback(attempt, "lost")
+	callback.byAgent = true
+	w.sendCallback(callback)
 }
 
-func (w *worker) newCallback(a *attempt, state string) *callback {
-	p := &w.callbacks
-	t := &callback{
-		id: uint64(w.number)<<32 | (p.firstID + uint64(len(p.callbacks))), scheduler: a.scheduler,
-		body: requests.Callback{CallID: a.requestID, EndpointID: w.id, State: state},
+func (w *worker) newCallback(attempt *attempt, state string) *callback {
+	made := &callback{
+		scheduler: attempt.scheduler,
+		body:      requests.Callback{CallID: attempt.requestID, EndpointID: w.id, State: state},
 	}
 	if state == "done" {
-		t.result = a.result
-		t.body.Result = &t.result
+		made.result = attempt.result
+		made.body.Result = &made.result
 	}
-	p.callbacks = append(p.callbacks, t)
-	return t
+	w.callbacks.add(w.number, made)
+	return made
 }
 
-// find finds a callback that is neither answered nor given up.
-func (c *callbackQueue) find(id uint64) *callback {
-	if i := id&(1<<32-1) - c.firstID; i < uint64(len(c.callbacks)) {
-		return c.callbacks[i]
-	}
-	return nil
-}
-
-// sendCallback sends a callback once.
-func (w *worker) sendCallback(t *callback) {
-	callbackQueue := &w.callbacks
-	if t.closed {
+// sendCallback sends a callback once. If the process drops its callbacks it is lost, and if it hangs it is held.
+func (w *worker) sendCallback(callback *callback) {
+	queue := &w.callbacks
+	if callback.closed {
 		return
 	}
-	if !t.byAgent {
+	if !callback.byAgent {
 		if w.process.silencesCallbacks {
-			w.loseCallback(t)
+			w.loseCallback(callback)
 			return
 		}
 		if w.process.hanging {
-			callbackQueue.held = append(callbackQueue.held, t)
+			queue.held = append(queue.held, callback)
 			return
 		}
 	}
-	t.sendings++
-	t.awaiting = true
-	w.deliverCallback(t)
-	callbackQueue.pendingCalls = append(callbackQueue.pendingCalls, callbackCall{t, t.sendings, w.env.now + callbackTimeout})
-	if !callbackQueue.expiryPlanned {
-		callbackQueue.expiryPlanned = true
+	callback.sendings++
+	callback.awaiting = true
+	w.deliverCallback(callback)
+	queue.pendingCalls = append(queue.pendingCalls, callbackCall{callback, callback.sendings, w.env.now + callbackTimeout})
+	if !queue.expiryPlanned {
+		queue.expiryPlanned = true
 		w.env.after(callbackTimeout, w.expireCalls)
 	}
 }
 
-// deliverCallback brings one sending of a callback to its scheduler, unless it gets lost.
-func (w *worker) deliverCallback(t *callback) {
-	late := time.Duration(0)
+// deliverCallback delivers one sending of a callback to its scheduler, unless it gets lost.
+func (w *worker) deliverCallback(callback *callback) {
+	delay := time.Duration(0)
 	if w.kind.CallbackLossShare > 0 || w.kind.CallbackDelay > 0 {
-		r := w.shared.dice.stream(t.id, uint64(t.sendings))
-		if r.Float64() < w.kind.CallbackLossShare {
+		rng := w.shared.dice.stream(callback.id, uint64(callback.sendings))
+		if rng.Float64() < w.kind.CallbackLossShare {
 			return
 		}
-		late = time.Duration(r.ExpFloat64() * float64(w.kind.CallbackDelay))
+		delay = time.Duration(rng.ExpFloat64() * float64(w.kind.CallbackDelay))
 	}
-	if arrive, ok := w.env.network.arrival(w.endpoint(), endpoint{schedulerEndpoint, t.scheduler}); ok {
-		w.env.schedule(arrive+late, func() {
-			w.env.deliver(simapi.Input{Scheduler: t.scheduler, Message: simapi.CallbackReceived{Worker: w.number, CallbackID: t.id, Callback: &t.body}})
-		})
+	arrival, ok := w.env.network.arrival(w.endpoint(), endpoint{schedulerEndpoint, callback.scheduler})
+	if !ok {
+		return
 	}
+	w.env.schedule(arrival+delay, func() {
+		w.env.deliver(simapi.Input{Scheduler: callback.scheduler, Message: simapi.CallbackReceived{
+			Worker: w.number, CallbackID: callback.id, Callback: &callback.body,
+		}})
+	})
 }
 
-// applyAck is a scheduler's answer to a callback; status 0: the call has failed.
+// applyAck sends a scheduler's answer to a callback over the network; status 0: the call has failed.
 func (w *worker) applyAck(scheduler int, message *simapi.CallbackAnswered) {
-	id, status := message.CallbackID, message.Status
-	if arrive, ok := w.env.network.arrival(endpoint{schedulerEndpoint, scheduler}, w.endpoint()); ok {
-		w.env.schedule(arrive, func() { w.callbackAnswered(id, status) })
+	arrival, ok := w.env.network.arrival(endpoint{schedulerEndpoint, scheduler}, w.endpoint())
+	if !ok {
+		return
 	}
+	id := message.CallbackID
+	status := message.Status
+	w.env.schedule(arrival, func() { w.callbackAnswered(id, status) })
 }
 
+// callbackAnswered handles the answer to a call. Any but 200 and 204 leads to another call.
 func (w *worker) callbackAnswered(id uint64, status int) {
-	t := w.callbacks.find(id)
+	callback := w.callbacks.find(id)
 	switch {
-	case t == nil: // of a process that is gone, or answered before
-	case w.isPaused() && !t.byAgent:
+	case callback == nil: // of an earlier process, or already answered
+	case w.isPaused() && !callback.byAgent:
 		w.process.inbox = append(w.process.inbox, func() { w.callbackAnswered(id, status) })
-	case status == 200 || status == 204:
-		w.closeCallback(t)
+	case status == http.StatusOK || status == http.StatusNoContent:
+		w.callbacks.close(callback)
 		w.env.record(trace.Event{
-			Kind: trace.CallbackAnswered, RequestID: t.body.CallID, Worker: w.number, Scheduler: t.scheduler, Text: t.body.State,
-			Status: status, Number: t.sendings,
+			Kind: trace.CallbackAnswered, RequestID: callback.body.CallID, Worker: w.number, Scheduler: callback.scheduler,
+			Text: callback.body.State, Status: status, Number: callback.sendings,
 		})
-		if twice := w.kind.CallbackTwiceShare; twice > 0 && w.shared.dice.stream(id, 0).Float64() < twice {
-			w.env.after(callbackRepeatDelay, func() { w.deliverCallback(t) })
+		if w.sendsTwice(id) {
+			w.env.after(callbackRepeatDelay, func() { w.deliverCallback(callback) })
 		}
 		w.maybeExit()
-	case t.awaiting:
-		w.retryCallback(t)
+	case callback.awaiting:
+		w.retryCallback(callback)
 	}
 }
 
-// expireCalls gives up calls that have waited for too long.
+// sendsTwice draws whether a callback is sent again although it has been answered.
+func (w *worker) sendsTwice(id uint64) bool {
+	share := w.kind.CallbackTwiceShare
+	return share > 0 && w.shared.dice.stream(id, 0).Float64() < share
+}
+
+// expireCalls handles the calls whose deadline is over, and plans the next expiry.
 func (w *worker) expireCalls() {
-	callbackQueue := &w.callbacks
-	i := 0
-	for ; i < len(callbackQueue.pendingCalls); i++ {
-		c := &callbackQueue.pendingCalls[i]
-		if c.callback.closed || !c.callback.awaiting || c.callback.sendings != c.sending {
+	queue := &w.callbacks
+	expired := 0
+	for ; expired < len(queue.pendingCalls); expired++ {
+		call := &queue.pendingCalls[expired]
+		if !call.isAwaited() {
 			continue
 		}
-		if c.deadline > w.env.now {
+		if call.deadline > w.env.now {
 			break
 		}
-		w.retryCallback(c.callback)
+		w.retryCallback(call.callback)
 	}
-	callbackQueue.pendingCalls = slices.Delete(callbackQueue.pendingCalls, 0, i)
-	if callbackQueue.expiryPlanned = len(callbackQueue.pendingCalls) > 0; callbackQueue.expiryPlanned {
-		w.env.schedule(callbackQueue.pendingCalls[0].deadline, w.expireCalls)
+	queue.pendingCalls = slices.Delete(queue.pendingCalls, 0, expired)
+	queue.expiryPlanned = len(queue.pendingCalls) > 0
+	if queue.expiryPlanned {
+		w.env.schedule(queue.pendingCalls[0].deadline, w.expireCalls)
 	}
 }
 
-// retryCallback plans the next call of a callback, unless there were enough.
-func (w *worker) retryCallback(t *callback) {
-	t.awaiting = false
-	if t.sendings >= callbackAttempts {
-		w.loseCallback(t)
+// retryCallback plans the next call of a callback, or gives it up after callbackAttempts.
+func (w *worker) retryCallback(callback *callback) {
+	callback.awaiting = false
+	if callback.sendings >= callbackAttempts {
+		w.loseCallback(callback)
 		return
 	}
-	w.env.after(min(callbackBackoff<<(t.sendings-1), callbackMaxBackoff), func() {
+	w.env.after(min(callbackBackoff<<(callback.sendings-1), callbackMaxBackoff), func() {
 		switch {
-		case t.closed:
-		case t.byAgent:
-			w.sendCallback(t)
-		default: // it has not been forgotten, so its process is there
-			w.whenRunning(func() { w.sendCallback(t) })
+		case callback.closed:
+		case callback.byAgent:
+			w.sendCallback(callback)
+		default: // its process still runs, or it would be closed
+			w.whenRunning(func() { w.sendCallback(callback) })
 		}
 	})
 }
 
-// sendHeld sends what was held up by a hang.
+// sendHeld sends the callbacks that a hang has held up.
 func (w *worker) sendHeld() {
-	held := w.callbacks.held
-	w.callbacks.held = nil
-	for _, t := range held {
-		w.whenRunning(func() { w.sendCallback(t) })
+	for _, callback := range w.callbacks.takeHeld() {
+		w.whenRunning(func() { w.sendCallback(callback) })
 	}
 }
 
 // loseCallback gives up a callback.
-func (w *worker) loseCallback(t *callback) {
-	w.closeCallback(t)
-	w.env.record(trace.Event{Kind: trace.CallbackLost, RequestID: t.body.CallID, Worker: w.number, Text: t.body.State})
+func (w *worker) loseCallback(callback *callback) {
+	w.callbacks.close(callback)
+	w.env.record(trace.Event{Kind: trace.CallbackLost, RequestID: callback.body.CallID, Worker: w.number, Text: callback.body.State})
 	w.maybeExit()
 }
 
-func (w *worker) closeCallback(t *callback) {
-	t.closed, t.awaiting = true, false
-	p := &w.callbacks
-	p.callbacks[t.id&(1<<32-1)-p.firstID] = nil
-	done := 0
-	for done < len(p.callbacks) && p.callbacks[done] == nil {
-		done++
-	}
-	p.callbacks, p.firstID = slices.Delete(p.callbacks, 0, done), p.firstID+uint64(done)
-	if !t.byAgent {
-		p.outstanding--
-	}
-}
-
-// loseCallbacks loses the callbacks of a process that has ended; those of the agent too when the machine has fallen silent.
-func (w *worker) loseCallbacks(agent bool) {
-	for _, t := range slices.Clone(w.callbacks.callbacks) {
-		if t != nil && (agent || !t.byAgent) {
-			w.loseCallback(t)
+// loseCallbacks gives up the callbacks of a process that has ended, and those of the machine's agent if agentToo.
+func (w *worker) loseCallbacks(agentToo bool) {
+	for _, callback := range slices.Clone(w.callbacks.callbacks) {
+		if callback != nil && (agentToo || !callback.byAgent) {
+			w.loseCallback(callback)
 		}
 	}
 	w.callbacks.held = nil
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -1,6 +1,7 @@
 package environment
 
 import (
+	"net/http"
 	"time"
 
 	"valvecove/internal/testbed/simapi"
@@ -11,39 +12,42 @@
 type workerConn struct {
 	worker         *worker
 	conn           *conn
-	machine        int
-	index          int // among links or ghosts; -1: in neither
+	machine        int // number of the machine that it leads to; -1: it is never established
+	index          int // in its list of workerConnSet; -1: in neither
 	fresh          bool
 	reading        int      // requests that are being read
-	abandoned      bool     // the process deals with it no more
-	halfOpen       bool     // its process ended without a word
-	usedSince      bool     // and something was sent over it since
-	resetBytes     int      // see resetAt
-	unreadAttempt  *attempt // was wholly written to it, and has not been read
-	awaitingAnswer *attempt // its answer is owed
-	pendingAccept  *attempt // its 202 is on the way
+	abandoned      bool     // the process no longer handles it
+	halfOpen       bool     // the machine fell silent, see workerConnSet
+	usedSince      bool     // it was written to after that
+	resetBytes     int      // see setResetBytes
+	unreadAttempt  *attempt // wholly written to it, and not read yet
+	awaitingAnswer *attempt // not answered yet
+	pendingAccept  *attempt // its 202 is in transit
 }
 
-// dialed is a scheduler's attempt to connect.
+// dialed handles a scheduler's attempt to connect, which arrives later.
 func (w *worker) dialed(scheduler int, message *simapi.WorkerDialed) {
 	w.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: w.number, Scheduler: scheduler, Conn: uint64(message.Conn)})
-	l := &workerConn{worker: w, machine: w.machine.number, index: -1, fresh: true}
-	l.conn = w.env.openConn(&conn{id: message.Conn, scheduler: scheduler, worker: w.number, workerIncarnation: w.process.incarnation, far: w, state: l})
-	way, back, ok := w.env.network.connectDelays(endpoint{schedulerEndpoint, scheduler}, w.endpoint())
+	workerConn := &workerConn{worker: w, machine: w.machine.number, index: -1, fresh: true}
+	workerConn.conn = w.env.openConn(&conn{
+		id: message.Conn, scheduler: scheduler, worker: w.number, workerIncarnation: w.process.incarnation, far: w, state: workerConn,
+	})
+	delay, returnDelay, ok := w.env.network.connectDelays(endpoint{schedulerEndpoint, scheduler}, w.endpoint())
 	if !ok || message.Machine != w.machine.number {
-		l.machine = -1 // to nowhere
+		workerConn.machine = -1
 		return
 	}
-	l.conn.arrivesBy[farSide] = w.env.now + way
-	w.env.after(way, func() {
-		if !l.conn.closed[farSide] {
-			w.connectArrived(l, back)
+	workerConn.conn.arrivesBy[farSide] = w.env.now + delay
+	w.env.after(delay, func() {
+		if !workerConn.conn.closed[farSide] {
+			w.connectArrived(workerConn, returnDelay)
 		}
 	})
 }
 
-// connectArrived is the arrival of an attempt to connect. The kernel takes it, so a pause changes nothing.
-func (w *worker) connectArrived(workerConn *workerConn, back time.Duration) {
+// connectArrived handles the arrival of an attempt to connect. The kernel accepts it, so a pause has no effect.
+// returnDelay is the network delay of the answer.
+func (w *worker) connectArrived(workerConn *workerConn, returnDelay time.Duration) {
 	conn := workerConn.conn
 	switch mode := w.acceptMode(); {
 	case mode == simapi.AcceptSilently || workerConn.machine != w.machine.number:
@@ -60,7 +64,7 @@
 	w.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: w.number, Scheduler: conn.scheduler, Conn: uint64(conn.id)})
 	w.addOverhead(w.kind.Handshake.Std())
 	conn.lastUsed = w.env.now
-	conn.arrivesBy[schedulerSide] = max(conn.arrivesBy[schedulerSide], w.env.now+back+w.env.Spec.Network.Handshake.Std())
+	conn.arrivesBy[schedulerSide] = max(conn.arrivesBy[schedulerSide], w.env.now+returnDelay+w.env.Spec.Network.Handshake.Std())
 	w.env.schedule(conn.arrivesBy[schedulerSide], func() {
 		if !conn.closed[schedulerSide] {
 			conn.up = true
@@ -74,7 +78,7 @@
 	}
 }
 
-// closeWhenIdle closes a connection once it has been idle for too long.
+// closeWhenIdle checks a connection after the given time, and closes it once it has been idle for the kind's timeout.
 func (w *worker) closeWhenIdle(workerConn *workerConn, after time.Duration) {
 	w.env.after(after, func() {
 		if workerConn.abandoned {
@@ -92,11 +96,11 @@
 	})
 }
 
-// closeConn closes a connection.
-func (w *worker) closeConn(l *workerConn) {
-	l.abandoned = true
-	w.conns.remove(l)
-	w.env.closeSide(l.conn, farSide)
+// closeConn closes a connection from the worker's side.
+func (w *worker) closeConn(workerConn *workerConn) {
+	workerConn.abandoned = true
+	w.conns.remove(workerConn)
+	w.env.closeSide(workerConn.conn, farSide)
 }
 
 // isAtConnLimit reports whether the process accepts no more connections.
@@ -104,7 +108,7 @@
 	return w.kind.ConnLimit > 0 && len(w.conns.open) >= w.kind.ConnLimit
 }
 
-// openConn is a scheduler's connection to the worker; nil: it is over.
+// openConn returns a scheduler's connection to the worker; nil: it is closed.
 func (w *worker) openConn(scheduler int, id simapi.Conn) *workerConn {
 	conn := w.env.conns[id]
 	if conn == nil || conn.far != farEnd(w) || conn.scheduler != scheduler {
@@ -113,29 +117,29 @@
 	return conn.state.(*workerConn)
 }
 
-// attemptWritten takes an attempt that a scheduler has written. It arrives later.
+// attemptWritten handles an attempt that a scheduler has written, which arrives later.
 func (w *worker) attemptWritten(scheduler int, message *simapi.AttemptWritten) {
 	conn := w.openConn(scheduler, message.Conn)
 	if conn == nil {
 		return
 	}
-	a := &attempt{
+	attempt := &attempt{
 		worker: w, requestID: message.RequestID, key: message.IdempotencyKey, scheduler: scheduler, budget: message.Budget,
 		firstByteAt: message.FirstByteAt, knewStart: !w.warming.warm && w.shared.knowsStart(scheduler, w),
 	}
-	w.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: w.number, Scheduler: scheduler})
-	conn.unreadAttempt = a
-	w.env.toFarEnd(conn.conn, func() { w.requestArrived(conn, func() { w.attemptReceived(conn, a) }) })
+	w.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: attempt.requestID, Worker: w.number, Scheduler: scheduler})
+	conn.unreadAttempt = attempt
+	w.env.toFarEnd(conn.conn, func() { w.requestArrived(conn, func() { w.attemptReceived(conn, attempt) }) })
 }
 
-// healthCheckWritten takes a health check that a scheduler has written. It arrives later.
+// healthCheckWritten handles a health check that a scheduler has written, which arrives later.
 func (w *worker) healthCheckWritten(scheduler int, id simapi.Conn) {
 	if conn := w.openConn(scheduler, id); conn != nil {
 		w.env.toFarEnd(conn.conn, func() { w.requestArrived(conn, func() { w.healthChecked(conn) }) })
 	}
 }
 
-// cancellationWritten takes a cancellation that a scheduler has written. It arrives later.
+// cancellationWritten handles a cancellation that a scheduler has written, which arrives later.
 func (w *worker) cancellationWritten(scheduler int, message *simapi.CancellationWritten) {
 	if conn := w.openConn(scheduler, message.Conn); conn != nil {
 		requestID := message.RequestID
@@ -143,7 +147,7 @@
 	}
 }
 
-// schedulerClosed takes a scheduler's close of a connection.
+// schedulerClosed handles a scheduler's close of a connection.
 func (w *worker) schedulerClosed(scheduler int, id simapi.Conn) {
 	if conn := w.openConn(scheduler, id); conn != nil {
 		conn.schedulerClosed()
@@ -151,7 +155,7 @@
 	}
 }
 
-// requestArrived is the arrival of a request. Its process handles it once its last byte has been read.
+// requestArrived handles the arrival of a request. handle is called once its last byte has been read.
 func (w *worker) requestArrived(conn *workerConn, handle func()) {
 	if conn.abandoned || conn.index < 0 {
 		w.halfOpenReceived(conn)
@@ -179,15 +183,16 @@
 	}
 }
 
-// halfOpenReceived is something sent to a process that ended without a word. A machine that is there answers it by a reset.
-func (w *worker) halfOpenReceived(l *workerConn) {
-	if !l.halfOpen || l.machine != w.machine.number {
+// halfOpenReceived handles data for an earlier process whose machine fell silent. If the machine is back it resets the
+// connection.
+func (w *worker) halfOpenReceived(workerConn *workerConn) {
+	if !workerConn.halfOpen || workerConn.machine != w.machine.number {
 		return
 	}
-	l.usedSince = true
+	workerConn.usedSince = true
 	if w.process.state != workerSilent {
-		w.conns.remove(l)
-		w.env.closeSide(l.conn, farSide)
+		w.conns.remove(workerConn)
+		w.env.closeSide(workerConn.conn, farSide)
 	}
 }
 
@@ -199,7 +204,7 @@
 	}
 }
 
-// connClosed is the close of a connection by its scheduler, or the end of that.
+// connClosed handles the close of a connection by its scheduler, or the end of the scheduler's process.
 func (w *worker) connClosed(conn *conn) {
 	workerConn := conn.state.(*workerConn)
 	if workerConn.abandoned || workerConn.index < 0 {
@@ -210,14 +215,15 @@
 	w.whenRunning(func() {
 		workerConn.abandoned = true
 		w.conns.remove(workerConn)
-		// What has not been answered yet is given up by that, and so is what was answered when the close came first.
+		// That cancels an attempt that has not been answered, and one whose 202 has not arrived.
 		reason := ""
 		if conn.resetSilently[farSide] {
 			reason = "forgotten"
 		}
 		switch a := workerConn.awaitingAnswer; {
 		case a != nil:
-			workerConn.awaitingAnswer, a.conn = nil, nil
+			workerConn.awaitingAnswer = nil
+			a.conn = nil
 			w.cancelAttempt(a, reason)
 		case workerConn.pendingAccept != nil:
 			w.cancelAttempt(workerConn.pendingAccept, reason)
@@ -225,16 +231,17 @@
 	})
 }
 
-// respond writes an answer to what came over a connection.
+// respond writes a response to a connection, and resets it within the response if it has such a fault.
 func (w *worker) respond(workerConn *workerConn, status int, rejected bool) {
 	if workerConn.abandoned {
 		return
 	}
-	c, bytes := workerConn.conn, max(0, -workerConn.resetBytes)
-	w.env.toSched(c, func() {
+	conn := workerConn.conn
+	bytes := max(0, -workerConn.resetBytes)
+	w.env.toSched(conn, func() {
 		workerConn.pendingAccept = nil
-		w.env.deliver(simapi.Input{Scheduler: c.scheduler, Message: simapi.ResponseReceived{
-			Worker: w.number, Conn: c.id, Status: status, Rejected: rejected, Bytes: bytes,
+		w.env.deliver(simapi.Input{Scheduler: conn.scheduler, Message: simapi.ResponseReceived{
+			Worker: w.number, Conn: conn.id, Status: status, Rejected: rejected, Bytes: bytes,
 		}})
 	})
 	if bytes > 0 {
@@ -242,33 +249,33 @@
 	}
 }
 
-// healthChecked is a sign of life that is asked for. Beside the queue, it costs a little work; the answer is 503 while even
-// the smallest job would be rejected.
+// healthChecked answers a health check. It costs work but needs no slot; the answer is 503 while even an attempt that needs
+// one slot would be rejected.
 func (w *worker) healthChecked(workerConn *workerConn) {
 	w.env.record(trace.Event{Kind: trace.HealthChecked, Worker: w.number, Scheduler: workerConn.conn.scheduler})
 	if !w.env.Spec.Schedulers.HealthChecks {
-		w.respond(workerConn, 404, false)
+		w.respond(workerConn, http.StatusNotFound, false)
 		return
 	}
 	w.addOverhead(w.kind.HealthCheckWork.Std())
-	took := time.Duration(float64(w.kind.HealthCheckWork.Std()) / max(1e-3, w.machine.speed()*w.capacityShare()))
-	w.afterInProcess(took, func() {
+	duration := time.Duration(float64(w.kind.HealthCheckWork.Std()) / max(1e-3, w.machine.speed()*w.capacityShare()))
+	w.afterInProcess(duration, func() {
 		if w.process.draining || w.process.rejectsAll || !w.hasRoom(1) {
-			w.respond(workerConn, 503, false)
+			w.respond(workerConn, http.StatusServiceUnavailable, false)
 		} else {
-			w.respond(workerConn, 200, false)
+			w.respond(workerConn, http.StatusOK, false)
 		}
 	})
 }
 
-// cancelReceived is the word that an attempt is given up.
-func (w *worker) cancelReceived(l *workerConn, call string) {
-	a := w.jobs.byRequest[call]
-	if a == nil {
-		w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: call, Worker: w.number})
-		w.respond(l, 404, false)
+// cancelReceived handles the cancellation of an attempt.
+func (w *worker) cancelReceived(workerConn *workerConn, requestID string) {
+	attempt := w.jobs.byRequest[requestID]
+	if attempt == nil {
+		w.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: requestID, Worker: w.number})
+		w.respond(workerConn, http.StatusNotFound, false)
 		return
 	}
-	w.cancelAttempt(a, "")
-	w.respond(l, 200, false)
+	w.cancelAttempt(attempt, "")
+	w.respond(workerConn, http.StatusOK, false)
 }
--- a/internal/testbed/environment/worker_cores.go
+++ b/internal/testbed/environment/worker_cores.go
@@ -2,30 +2,31 @@
 
 import (
 	"math"
+	"net/http"
 	"strconv"
 	"time"
 
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the runs of attempts on a worker's cores, which all that runs shares evenly.
+// This file holds the runs of attempts on a worker's cores, which all running attempts share evenly.
 
-// advance brings the work done up to now.
+// advance brings the progress of the running attempts up to the present.
 func (w *worker) advance() {
 	w.warming.workDone += w.jobs.advance(w.env.now)
 }
 
-// addOverhead is work beside all slots, of a handshake or probe. A free core does it at no cost to anybody; else what runs
-// loses so much.
+// addOverhead adds work that needs no slot, of a handshake or a health check. Unless a core is free, the running attempts
+// lose that much progress.
 func (w *worker) addOverhead(work time.Duration) {
 	if w.jobs.usedSlots+1 <= w.kind.Cores || len(w.jobs.running) == 0 || work <= 0 {
 		return
 	}
 	w.advance()
-	w.jobs.progressPerSlot -= work.Seconds() / w.jobs.usedSlots // its pending entry comes too early by that, and sees so
+	w.jobs.addOverhead(work)
 }
 
-// runDue ends what is done, begins what fits, and plans what is next.
+// runDue ends the attempts that are done, starts the queued ones that fit, and plans the next tick.
 func (w *worker) runDue() {
 	if w.process.state != workerUp || w.isPaused() {
 		return
@@ -42,11 +43,11 @@
 	w.maybeExit()
 }
 
-// workTolerance is far less than a job's work, and more than what rounding to nanoseconds and in sums comes to.
+// workTolerance bounds the error of progress by rounding, in seconds of work.
 const workTolerance = 1e-8
 
-// planTick has run called when the next is done, by what runs now. There is one entry on the event queue that counts: one that
-// turns out to come too early plans anew, and later ones of the past mean nothing.
+// planTick sets the progress rate, and plans a tick for when the next running attempt is done or the next warm-up step
+// begins. Only the entry at nextTick counts: if nothing is due then, it plans anew; later entries have no effect.
 func (w *worker) planTick() {
 	w.jobs.progressRate = 0
 	if w.process.state != workerUp || w.process.hanging || w.isPaused() {
@@ -66,9 +67,12 @@
 	}
 }
 
-// durationOf is a span, rounded up.
-func durationOf(s float64) time.Duration { return time.Duration(min(math.Ceil(s*1e9), 1<<60)) }
+// durationOf converts seconds to a duration, rounded up to a nanosecond.
+func durationOf(seconds float64) time.Duration {
+	return time.Duration(min(math.Ceil(seconds*1e9), 1<<60))
+}
 
+// tickDue handles an entry of tick on the event queue.
 func (w *worker) tickDue() {
 	if w.env.now == w.nextTick {
 		w.nextTick = 0
@@ -76,11 +80,13 @@
 	}
 }
 
-// finishAttempt is the end of a run.
+// finishAttempt records and reports the end of a run, and passes its result on to duplicates.
 func (w *worker) finishAttempt(attempt *attempt) {
-	status, state := 200, "done"
+	status := http.StatusOK
+	state := "done"
 	if attempt.fails {
-		status, state = 500, "failed"
+		status = http.StatusInternalServerError
+		state = "failed"
 	} else {
 		w.resultCount++
 		attempt.result = w.makeResult(attempt)
@@ -94,10 +100,15 @@
 	}
 }
 
-// makeResult is what a run has made; no two are the same.
-func (w *worker) makeResult(a *attempt) string {
-	b := make([]byte, 0, 64)
-	b = append(append(append(append(b, a.requestID...), ' '), w.id...), '/')
-	b = append(strconv.AppendInt(b, int64(w.process.incarnation), 10), '#')
-	return string(strconv.AppendUint(b, w.resultCount, 10))
+// makeResult returns the result of a run, which is unique.
+func (w *worker) makeResult(attempt *attempt) string {
+	result := make([]byte, 0, 64)
+	result = append(result, attempt.requestID...)
+	result = append(result, ' ')
+	result = append(result, w.id...)
+	result = append(result, '/')
+	result = strconv.AppendInt(result, int64(w.process.incarnation), 10)
+	result = append(result, '#')
+	result = strconv.AppendUint(result, w.resultCount, 10)
+	return string(result)
 }
--- a/internal/testbed/environment/worker_jobs.go
+++ b/internal/testbed/environment/worker_jobs.go
@@ -39,6 +39,11 @@
 	return done * j.usedSlots
 }
 
+// addOverhead takes work from the progress of the running attempts, evenly. A tick that is planned is too early by that.
+func (j *workerJobs) addOverhead(work time.Duration) {
+	j.progressPerSlot -= work.Seconds() / j.usedSlots
+}
+
 // backlog returns the work, in seconds at speed 1, that is not done at now, running and queued.
 func (j *workerJobs) backlog(now time.Duration) float64 {
 	progress := j.progressPerSlot + j.progressRate*(now-j.progressAt).Seconds()
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -7,11 +7,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// keyStore is what groups of workers remember of the transfer keys that have come to them. A group's worker
-// nodes share it, whatever becomes of each of them.
+// keyStore holds the idempotency keys that groups of workers have seen. It outlasts the processes of a group's workers.
 type keyStore struct {
 	records  map[keyID]*keyRecord
-	expiring []keyExpiryQueue // by class, each in the order in which they are to be forgotten
+	expiring []keyExpiryQueue // by class, each in order of expiry
 }
 
 type keyID struct {
@@ -19,13 +18,14 @@
 	key          string
 }
 
-// keyRecord is a key that is known: an attempt with it has been taken, and has not ended without having run to its end.
+// keyRecord is the record of a key. It exists from the first attempt with the key that is admitted until the key expires,
+// or until its run ends without success and no duplicate takes over.
 type keyRecord struct {
 	id      keyID
 	until   time.Duration
-	runner  *attempt // whose run is awaited; nil: it is done
+	runner  *attempt // whose result is awaited; nil: its run succeeded
 	result  string
-	waiters []*attempt // repeats, which get its result
+	waiters []*attempt // duplicates, which get its result
 }
 
 type keyExpiryQueue struct {
@@ -33,7 +33,7 @@
 	start int
 }
 
-// keyGrace is how much longer than its window a key is known: what was sent in time may arrive a little later.
+// keyGrace is how much longer than its window a key is kept, for attempts that are sent within the window.
 const keyGrace = 100 * time.Millisecond
 
 func newKeyStore(classes int) keyStore {
@@ -51,7 +51,7 @@
 	return id
 }
 
-// findKey finds what the worker's group knows of an attempt's key; nil: nothing, or it isn't of a keyed class.
+// findKey returns the record of an attempt's key in the worker's group; nil: there is none, or the class has no keys.
 func (w *workerShared) findKey(n *worker, attempt *attempt) *keyRecord {
 	if attempt.key == "" || !w.classes[attempt.class].idempotentWithKey {
 		return nil
@@ -65,12 +65,13 @@
 		q.start++
 	}
 	if q.start > len(q.list)/2 {
-		q.list, q.start = slices.Delete(q.list, 0, q.start), 0
+		q.list = slices.Delete(q.list, 0, q.start)
+		q.start = 0
 	}
 	return w.keys.records[w.keyID(n, attempt)]
 }
 
-// rememberKey notes the key of an attempt that is taken, and is the first with it.
+// rememberKey records the key of an attempt that is admitted, the first with that key.
 func (w *workerShared) rememberKey(n *worker, a *attempt) {
 	if a.key == "" || !w.classes[a.class].idempotentWithKey {
 		return
@@ -82,9 +83,10 @@
 	q.list = append(q.list, k)
 }
 
-// addWaiter takes an attempt whose key is known: it does not run, and is done once the first is.
+// addWaiter adds a duplicate. It does not run, and ends with the result of the runner.
 func (k *keyRecord) addWaiter(a *attempt) {
-	a.keyRecord, a.state = k, attemptDuplicate
+	a.keyRecord = k
+	a.state = attemptDuplicate
 	a.worker.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: a.worker.number, Incarnation: a.worker.process.incarnation, Text: "repeat"})
 	if k.runner == nil {
 		a.worker.finishDuplicate(a, k.result)
@@ -93,12 +95,12 @@
 	}
 }
 
-// removeWaiter forgets an attempt that waits for the result.
+// removeWaiter removes a duplicate.
 func (k *keyRecord) removeWaiter(a *attempt) {
 	k.waiters = slices.DeleteFunc(k.waiters, func(waiter *attempt) bool { return waiter == a })
 }
 
-// finishDuplicate ends an attempt with the result of another's run.
+// finishDuplicate ends a duplicate with the result of the runner.
 func (w *worker) finishDuplicate(a *attempt, result string) {
 	w.whenRunning(func() {
 		if a.state != attemptDuplicate {
@@ -112,13 +114,14 @@
 	})
 }
 
-// attemptSucceeded is told of an attempt that has run to its end: repeats of it get its result.
+// attemptSucceeded handles the success of an attempt: duplicates get its result.
 func (w *workerShared) attemptSucceeded(a *attempt) {
 	k := a.keyRecord
 	if k == nil || k.runner != a {
 		return
 	}
-	k.runner, k.result = nil, a.result
+	k.runner = nil
+	k.result = a.result
 	waiters := k.waiters
 	k.waiters = nil
 	for _, r := range waiters {
@@ -126,8 +129,8 @@
 	}
 }
 
-// releaseKey is told of an attempt that ended without having run to its end: its key is free again. A repeat that waited
-// for it runs in its place, or else is handed back.
+// releaseKey handles the end of an attempt without success. The first duplicate takes over as the runner; if there is none,
+// the record of the key is deleted.
 func (w *workerShared) releaseKey(a *attempt) {
 	keyRecord := a.keyRecord
 	if keyRecord == nil || keyRecord.runner != a {
@@ -149,7 +152,7 @@
 	}
 }
 
-// promote has an attempt run that waited for another's result.
+// promote runs a duplicate that has become the runner, or returns it if there is no room.
 func (w *worker) promote(a *attempt) {
 	switch {
 	case a.state != attemptDuplicate:
--- a/internal/testbed/environment/worker_progress.go
+++ b/internal/testbed/environment/worker_progress.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// This file holds the progress callbacks of what runs.
+// This file holds the progress callbacks of running attempts.
 
-// planProgress has callbacks of progress told of what has begun. One entry on the event queue serves all that runs.
-func (w *worker) planProgress(a *attempt) {
+// planProgress plans the progress callbacks of an attempt that has started. One entry on the event queue serves all
+// running attempts.
+func (w *worker) planProgress(attempt *attempt) {
 	if w.kind.ProgressInterval <= 0 {
 		return
 	}
-	if a.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std(); !w.progressPlanned {
+	attempt.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std()
+	if !w.progressPlanned {
 		w.progressPlanned = true
-		w.scheduleProgress(a.nextProgressAt)
+		w.scheduleProgress(attempt.nextProgressAt)
 	}
 }
 
 func (w *worker) scheduleProgress(at time.Duration) {
-	boot := w.process.incarnation
+	incarnation := w.process.incarnation
 	w.env.schedule(at, func() {
-		if w.process.incarnation == boot && w.process.state == workerUp {
+		if w.isRunning(incarnation) {
 			w.whenRunning(w.sendProgress)
 		}
 	})
 }
 
-// sendProgress tells of all whose time it is. While it hangs there is no progress to tell.
+// sendProgress sends the progress callbacks that are due, and plans the next. While the process hangs none is sent.
 func (w *worker) sendProgress() {
 	w.runDue()
 	next := time.Duration(math.MaxInt64)
-	for _, a := range w.jobs.running {
-		if a.nextProgressAt <= w.env.now {
+	for _, attempt := range w.jobs.running {
+		if attempt.nextProgressAt <= w.env.now {
 			if !w.process.hanging {
-				w.notify(a, "running", w.jobs.progress(a))
+				w.notify(attempt, "running", w.jobs.progress(attempt))
 			}
-			a.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std()
+			attempt.nextProgressAt = w.env.now + w.kind.ProgressInterval.Std()
 		}
-		next = min(next, a.nextProgressAt)
+		next = min(next, attempt.nextProgressAt)
 	}
-	if w.progressPlanned = len(w.jobs.running) > 0; w.progressPlanned {
+	w.progressPlanned = len(w.jobs.running) > 0
+	if w.progressPlanned {
 		w.scheduleProgress(next)
 	}
 }
--- a/internal/testbed/environment/worker_queue.go
+++ b/internal/testbed/environment/worker_queue.go
@@ -1,67 +1,75 @@
 package environment
 
-import "valvecove/internal/testbed/trace"
+import (
+	"net/http"
+
+	"valvecove/internal/testbed/trace"
+)
 
 // This file holds the queue of attempts that wait for a slot of their worker.
 
-// hasRoom tells whether there is room for a job of so many slots, running or waiting.
+// hasRoom reports whether an attempt that needs the given slots can run or be queued.
 func (w *worker) hasRoom(slots float64) bool {
 	free := float64(w.kind.Slots) - w.jobs.usedSlots
-	if w.process.hanging { // what it would have begun waits as well
+	if w.process.hanging { // attempts that would have started stay in the queue
 		return float64(len(w.jobs.queue)) < float64(w.kind.Queue)+free
 	}
 	return len(w.jobs.queue) < w.kind.Queue || slots <= free && (len(w.jobs.queue) == 0 || w.kind.QueueOrder == "backfill")
 }
 
-// dropExpired makes room by dropping waiting attempts whose time is up, where the kind drops those.
+// dropExpired drops queued attempts whose budget is over, if the kind does that. It reports whether that made room for an
+// attempt that needs the given slots.
 func (w *worker) dropExpired(slots float64) bool {
 	if w.kind.ExpiredJobs != "drop" || w.process.hanging {
 		return false
 	}
-	varied := false
+	dropped := false
 	for i := 0; i < len(w.jobs.queue); {
-		if a := w.jobs.queue[i]; a.expiresAt > 0 && a.expiresAt <= w.env.now {
-			w.expireAttempt(a)
-			varied = true
+		attempt := w.jobs.queue[i]
+		if attempt.isExpired(w.env.now) {
+			w.expireAttempt(attempt)
+			dropped = true
 		} else {
 			i++
 		}
 	}
-	return varied && w.hasRoom(slots)
+	return dropped && w.hasRoom(slots)
 }
 
-func (w *worker) expireAttempt(a *attempt) {
-	w.jobs.remove(a)
-	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: w.number, Text: "expired"})
-	w.shared.releaseKey(a)
+// expireAttempt ends a queued attempt whose budget is over.
+func (w *worker) expireAttempt(attempt *attempt) {
+	w.jobs.remove(attempt)
+	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: attempt.requestID, Worker: w.number, Text: "expired"})
+	w.shared.releaseKey(attempt)
 }
 
-// startOrQueue begins an attempt, or has it wait.
-func (w *worker) startOrQueue(a *attempt) {
-	w.jobs.enqueue(a)
+// startOrQueue queues an admitted attempt, and starts it if it can run now.
+func (w *worker) startOrQueue(attempt *attempt) {
+	w.jobs.enqueue(attempt)
 	if len(w.jobs.queue) == 1 || w.kind.QueueOrder == "backfill" {
 		w.runDue()
 	}
 }
 
-// returnQueue hands back what waits.
+// returnQueue returns all queued attempts.
 func (w *worker) returnQueue() {
 	for len(w.jobs.queue) > 0 {
-		a := w.jobs.queue[0]
-		w.jobs.remove(a)
-		w.returnAttempt(a)
+		attempt := w.jobs.queue[0]
+		w.jobs.remove(attempt)
+		w.returnAttempt(attempt)
 	}
 	w.maybeExit()
 }
 
-// returnAttempt returns an attempt that has been dropped: by its answer, if that is owed yet.
+// returnAttempt returns an attempt that has been removed: by a rejection if it has not been answered, else by a callback.
 func (w *worker) returnAttempt(attempt *attempt) {
-	if l := attempt.conn; l != nil {
-		attempt.conn, attempt.mayNotify = nil, true
-		if l.awaitingAnswer == attempt {
-			l.awaitingAnswer = nil
+	if conn := attempt.conn; conn != nil {
+		attempt.conn = nil
+		attempt.mayNotify = true
+		if conn.awaitingAnswer == attempt {
+			conn.awaitingAnswer = nil
 		}
-		w.reject(l, attempt, 503)
+		w.reject(conn, attempt, http.StatusServiceUnavailable)
 	} else {
 		w.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: attempt.requestID, Worker: w.number})
 		w.notify(attempt, "returned", 0)
@@ -69,15 +77,15 @@
 	w.shared.releaseKey(attempt)
 }
 
-// startQueued begins what fits. In a fifo the head waits until it fits, and all others behind it.
+// startQueued starts the queued attempts that fit. Unless the kind backfills, none overtakes the head of the queue.
 func (w *worker) startQueued() {
 	for i := 0; i < len(w.jobs.queue); {
-		a := w.jobs.queue[i]
+		attempt := w.jobs.queue[i]
 		switch {
-		case w.kind.ExpiredJobs == "drop" && a.expiresAt > 0 && a.expiresAt <= w.env.now:
-			w.expireAttempt(a)
-		case a.slots <= float64(w.kind.Slots)-w.jobs.usedSlots:
-			w.startAttempt(a, i)
+		case w.kind.ExpiredJobs == "drop" && attempt.isExpired(w.env.now):
+			w.expireAttempt(attempt)
+		case attempt.slots <= float64(w.kind.Slots)-w.jobs.usedSlots:
+			w.startAttempt(attempt, i)
 		case w.kind.QueueOrder == "backfill":
 			i++
 		default:
@@ -86,9 +94,9 @@
 	}
 }
 
-// startAttempt begins the i-th of what waits.
-func (w *worker) startAttempt(attempt *attempt, i int) {
-	w.jobs.start(i)
+// startAttempt starts the attempt at an index of the queue.
+func (w *worker) startAttempt(attempt *attempt, index int) {
+	w.jobs.start(index)
 	w.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: w.number, Incarnation: w.process.incarnation})
 	if !w.kind.OmitsStartNotifications {
 		w.notify(attempt, "started", 0)
--- a/internal/testbed/environment/worker_warmup.go
+++ b/internal/testbed/environment/worker_warmup.go
@@ -6,60 +6,87 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// warmUpState is how a process warms up, and what has arrived at it meanwhile.
+// warmUpState is how far a process has warmed up, and the work that has arrived at it within Rules.OverloadWindow.
 type warmUpState struct {
 	warm        bool
 	workDone    float64 // work that the process has done, in seconds at speed 1
 	arrived     []coldArrival
-	first       int // in arrived: the oldest that counts
-	arrivedWork float64
-	knownWork   float64 // part of sum that came from schedulers that knew of its start
+	first       int     // index in arrived of the oldest within the window
+	arrivedWork float64 // sum of the work within the window
+	knownWork   float64 // part of it from schedulers that had been notified of the start
 }
 
+// coldArrival is the arrival of an attempt at a process that is warming up.
 type coldArrival struct {
 	arrivedAt time.Duration
 	work      float64
-	knewStart bool
+	knewStart bool // its scheduler had been notified of the start
 }
 
 const (
-	// It warms up in so many steps, each counting from its beginning as what it is at its end: never more slowly than
-	// evenly, and its speed is constant between two.
+	// warmUpSteps is the number of steps of a warm-up. The speed is constant within a step: the one at its end.
 	warmUpSteps = 64
-	// One that warms up by work is warm once it has done what it could do in this part of its kind's Cold when warm, and
-	// never later than one that warms up by time. Kept busy, that takes it less than half as long.
+	// warmUpWorkShare is the work that ends a warm-up by work, as a share of what a warm process does in the kind's WarmUp.
 	warmUpWorkShare = 0.25
-	// What may arrive at a cold worker beyond its budget, in mean jobs: a budget that chance breaks says nothing.
+	// overloadSlack is the work that a cold worker bears beyond its budget, in mean jobs.
 	overloadSlack = 1.25
 )
 
+// arrive adds the work of an attempt that arrives at now, and drops what arrived a window ago or earlier.
+func (s *warmUpState) arrive(now, window time.Duration, work float64, knewStart bool) {
+	for s.first < len(s.arrived) && s.arrived[s.first].arrivedAt <= now-window {
+		expired := s.arrived[s.first]
+		s.arrivedWork -= expired.work
+		if expired.knewStart {
+			s.knownWork -= expired.work
+		}
+		s.first++
+	}
+	if s.first == len(s.arrived) {
+		s.arrived = s.arrived[:0]
+		s.first = 0
+		s.arrivedWork = 0
+		s.knownWork = 0
+	}
+	s.arrived = append(s.arrived, coldArrival{now, work, knewStart})
+	s.arrivedWork += work
+	if knewStart {
+		s.knownWork += work
+	}
+}
+
+// knownShare returns the share of the arrived work that came from schedulers that had been notified of the start.
+func (s *warmUpState) knownShare() float64 { return max(0, s.knownWork) / s.arrivedWork }
+
+// startWarmUp starts the warm-up of a new process, if its kind warms up.
 func (w *worker) startWarmUp() {
 	w.warming = warmUpState{warm: w.kind.WarmUp <= 0 || w.kind.WarmUpCapacity >= 1}
 }
 
-// capacityShare is the share of its capacity that it has now.
+// capacityShare returns the present share of the capacity of a warm process.
 func (w *worker) capacityShare() float64 {
-	c := &w.warming
-	if c.warm {
+	warming := &w.warming
+	if warming.warm {
 		return 1
 	}
-	part := float64(w.warmUpStep()+1) / warmUpSteps
+	done := float64(w.warmUpStep()+1) / warmUpSteps
 	if w.kind.WarmUpBy == "work" {
-		part = max(part, c.workDone/(w.capacity()*w.kind.WarmUp.Std().Seconds()*warmUpWorkShare))
+		done = max(done, warming.workDone/(w.capacity()*w.kind.WarmUp.Std().Seconds()*warmUpWorkShare))
 	}
-	if part >= 1 {
-		*c = warmUpState{warm: true, workDone: c.workDone}
+	if done >= 1 {
+		*warming = warmUpState{warm: true, workDone: warming.workDone}
 		return 1
 	}
-	from := w.kind.WarmUpCapacity
-	return from + (1-from)*part
+	initial := w.kind.WarmUpCapacity
+	return initial + (1-initial)*done
 }
 
+// warmUpStep returns the index of the present step.
 func (w *worker) warmUpStep() time.Duration {
 	return (w.env.now - w.process.startedAt) * warmUpSteps / w.kind.WarmUp.Std()
 }
 
-// nextWarmUpStep is when a cold one gets faster by itself; not ok: it is warm.
+// nextWarmUpStep returns when the next step begins; not ok: the process is warm.
 func (w *worker) nextWarmUpStep() (at time.Duration, ok bool) {
 	if w.warming.warm {
 		return 0, false
@@ -67,38 +94,27 @@
 	return w.process.startedAt + ((w.warmUpStep()+1)*w.kind.WarmUp.Std()+warmUpSteps-1)/warmUpSteps, true
 }
 
-// coldWorkReceived counts the work of an attempt that has arrived, taken or not, if it is cold. Where within one span of
-// Rules.Fall more than Rules.FallFactor times what it can do in that at its present capacity has come, and a little
-// more, it falls over: its process dies, and none starts again. A fault that slows it takes nothing off its capacity.
-func (w *worker) coldWorkReceived(attempt *attempt, work float64) (fell bool) {
-	warmUpState, rules := &w.warming, &w.env.Spec.Rules
+// coldWorkReceived counts the work of an attempt that arrives at a process that is warming up, admitted or not. If the work
+// within Rules.OverloadWindow exceeds Rules.OverloadFactor times the present capacity, and overloadSlack, the process dies
+// and none starts again. Faults that slow the machine don't reduce that capacity.
+func (w *worker) coldWorkReceived(attempt *attempt, work float64) (overloaded bool) {
+	rules := &w.env.Spec.Rules
 	share := w.capacityShare()
-	if warmUpState.warm {
+	if w.warming.warm {
 		return false
 	}
-	capacity, now := w.capacity()*share, w.env.now
+	capacity := w.capacity() * share
+	window := rules.OverloadWindow.Std()
 	w.env.record(trace.Event{
 		Kind: trace.ColdWorkReceived, RequestID: attempt.requestID, Worker: w.number, Scheduler: attempt.scheduler, Slots: attempt.slots,
 		Work: work / attempt.slots, Share: capacity,
 	})
-	for warmUpState.first < len(warmUpState.arrived) && warmUpState.arrived[warmUpState.first].arrivedAt <= now-rules.OverloadWindow.Std() {
-		old := warmUpState.arrived[warmUpState.first]
-		if warmUpState.arrivedWork -= old.work; old.knewStart {
-			warmUpState.knownWork -= old.work
-		}
-		warmUpState.first++
-	}
-	if warmUpState.first == len(warmUpState.arrived) {
-		warmUpState.arrived, warmUpState.first, warmUpState.arrivedWork, warmUpState.knownWork = warmUpState.arrived[:0], 0, 0, 0
-	}
-	warmUpState.arrived = append(warmUpState.arrived, coldArrival{now, work, attempt.knewStart})
-	if warmUpState.arrivedWork += work; attempt.knewStart {
-		warmUpState.knownWork += work
-	}
-	if rules.OverloadFactor <= 0 || warmUpState.arrivedWork <= rules.OverloadFactor*capacity*rules.OverloadWindow.Std().Seconds()+w.shared.overloadSlack {
+	w.warming.arrive(w.env.now, window, work, attempt.knewStart)
+	budget := rules.OverloadFactor*capacity*window.Seconds() + w.shared.overloadSlack
+	if rules.OverloadFactor <= 0 || w.warming.arrivedWork <= budget {
 		return false
 	}
-	w.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: w.number, Share: max(0, warmUpState.knownWork) / warmUpState.arrivedWork})
+	w.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: w.number, Share: w.warming.knownShare()})
 	w.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: attempt.requestID, Worker: w.number, Text: "fell"})
 	w.end(workerDead, "fell", 0)
 	w.overloaded = true
