--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -8,13 +8,20 @@
 
 // This file applies faults to single workers.
 
-// workerFaults is what faults have put on a worker.
+// workerFaults counts and lists the active faults of a worker.
 type workerFaults struct {
-	hangs, fulls, mutes, refusals, silences, slowReads int
-	slowFactors, errorRates, resetBytes                []float64 // in order of time
+	hangs       int
+	fulls       int
+	mutes       int
+	refusals    int
+	silences    int
+	slowReads   int
+	slowFactors []float64 // in order of time, as the next two
+	errorRates  []float64
+	resetBytes  []float64
 }
 
-// applyToWorker strikes one worker.
+// applyToWorker applies the fault to one worker.
 func (a *activeFault) applyToWorker(i int) {
 	target := &faultyWorker{activeFault: a, worker: a.timeline.env.workers[i], faults: &a.timeline.workers[i]}
 	a.recordWorkers(trace.WorkerFaultStarted, []int{i})
@@ -42,18 +49,18 @@
 	}
 }
 
-// faultyWorker is an active fault at one of the workers that it strikes.
+// faultyWorker is an active fault at one of its workers.
 type faultyWorker struct {
 	*activeFault
 	worker *worker
-	faults *workerFaults // of all faults, on this worker
+	faults *workerFaults // all active faults of this worker
 }
 
 func (f *faultyWorker) recordEnd() {
 	f.recordWorkers(trace.WorkerFaultEnded, []int{f.worker.number})
 }
 
-// endLater ends the strike after the fault's duration, if it ever ends.
+// endLater ends the fault at this worker after its duration; 0: it never ends.
 func (f *faultyWorker) endLater(undo func()) {
 	f.activeFault.endLater(func() {
 		undo()
@@ -61,7 +68,7 @@
 	})
 }
 
-// endAtNextStart ends the strike when the worker has its next process, if it is to have one.
+// endAtNextStart ends the fault at this worker when its next process starts, if one is to start.
 func (f *faultyWorker) endAtNextStart() {
 	if f.Duration > 0 {
 		waiters := &f.timeline.restartWaiters[f.worker.number]
@@ -71,22 +78,22 @@
 
 // endProcess ends the worker's process, now or once it accepts an attempt.
 func (f *faultyWorker) endProcess() {
-	restartAfter := f.Duration.Std()
+	restartDelay := f.Duration.Std()
 	switch f.Kind {
 	case "crash":
-		f.worker.crash(restartAfter)
+		f.worker.crash(restartDelay)
 	case "vanish":
-		f.worker.vanish(restartAfter)
+		f.worker.vanish(restartDelay)
 	case "restart":
-		f.worker.restart(restartAfter)
+		f.worker.restart(restartDelay)
 	case "replace":
-		f.worker.replace(restartAfter)
+		f.worker.replace(restartDelay)
 	case "early_202_crash":
-		f.worker.dieAtAccept(restartAfter)
+		f.worker.dieAtAccept(restartDelay)
 	}
 }
 
-// condition is what the fault switches on, and the count of the faults that hold it on.
+// condition returns the setter of the condition that the fault sets, and the count of the active faults that set it.
 func (f *faultyWorker) condition() (count *int, set func(on bool)) {
 	switch f.Kind {
 	case "hang":
@@ -104,7 +111,7 @@
 	}
 }
 
-// setCondition switches a condition on, and off again once no fault holds it on any more.
+// setCondition sets a condition, and clears it once no active fault sets it.
 func (f *faultyWorker) setCondition(count *int, set func(on bool)) {
 	*count++
 	set(true)
@@ -114,7 +121,7 @@
 	})
 }
 
-// sizes are the sizes of the faults of this kind that hold at once, and apply has the worker follow all of them.
+// sizes returns the sizes of the active faults of this kind, and the function that applies them to the worker.
 func (f *faultyWorker) sizes() (sizes *[]float64, apply func()) {
 	switch f.Kind {
 	case "slow":
@@ -126,7 +133,7 @@
 	}
 }
 
-// addSize adds the fault's size to those that hold, until it ends.
+// addSize adds the fault's size to those of the active faults until it ends.
 func (f *faultyWorker) addSize(sizes *[]float64, apply func()) {
 	*sizes = append(*sizes, f.Size)
 	apply()
@@ -137,7 +144,7 @@
 	})
 }
 
-// applySlowFactors slows the worker down by the product of all factors.
+// applySlowFactors sets the slow factor of the worker to the product of all.
 func (f *faultyWorker) applySlowFactors() {
 	product := 1.0
 	for _, factor := range f.faults.slowFactors {
@@ -146,7 +153,7 @@
 	f.worker.setSlowFactor(product)
 }
 
-// applyErrorRates has the worker fail at the largest of all rates.
+// applyErrorRates sets the error rate of the worker to the largest of all.
 func (f *faultyWorker) applyErrorRates() {
 	largest := -1.0
 	for _, rate := range f.faults.errorRates {
@@ -155,7 +162,7 @@
 	f.worker.setErrorRate(largest)
 }
 
-// applyResetBytes has the worker reset connections after as many bytes as the latest fault says.
+// applyResetBytes sets the bytes after which the worker resets connections to those of the latest fault.
 func (f *faultyWorker) applyResetBytes() {
 	bytes := 0
 	if n := len(f.faults.resetBytes); n > 0 {
--- a/internal/testbed/environment/faults.go
+++ b/internal/testbed/environment/faults.go
@@ -7,86 +7,93 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the timeline of faults, and the life of one: it starts, strikes each of its targets, and ends with
-// the last of them.
+// This file holds the timeline of faults, and how a fault starts, is applied to its targets, and ends with the last of
+// them.
 
-// faultTimeline is the timeline of what goes wrong; package scenario says what each fault does.
+// faultTimeline runs the faults of a scenario; package scenario describes each kind.
 //
-// Whom a fault strikes is settled at the run's start, by the seed and the fault's place in the timeline alone. What
-// workers suffer is counted for each, so that faults may overlap: what each adds is taken away at its end, in
-// whatever order they end, and the worker is as it was once all are over.
+// The targets of a fault are chosen at the start of the run, and depend on the seed and the fault's index in the scenario
+// alone. Faults may overlap: the active ones are counted for each worker, so that they may end in any order, and the worker
+// is without faults once all have ended.
 type faultTimeline struct {
 	env            *Environment
 	workers        []workerFaults // by worker
-	restartWaiters [][]func()     // by worker: who waits for its next process
+	restartWaiters [][]func()     // by worker: called once when its next process starts
 }
 
-func newFaultTimeline(w *Environment) *faultTimeline {
-	return &faultTimeline{env: w, workers: make([]workerFaults, len(w.workers)), restartWaiters: make([][]func(), len(w.workers))}
+func newFaultTimeline(environment *Environment) *faultTimeline {
+	return &faultTimeline{
+		env:            environment,
+		workers:        make([]workerFaults, len(environment.workers)),
+		restartWaiters: make([][]func(), len(environment.workers)),
+	}
 }
 
+// start chooses the targets of all faults, and plans their starts.
 func (f *faultTimeline) start() {
 	for i := range f.env.Spec.Faults {
-		x := &activeFault{Fault: &f.env.Spec.Faults[i], timeline: f}
-		x.chooseTargets(i)
-		f.env.schedule(x.At.Std(), x.start)
+		fault := &activeFault{Fault: &f.env.Spec.Faults[i], timeline: f}
+		fault.chooseTargets(i)
+		f.env.schedule(fault.At.Std(), fault.start)
 	}
 }
 
-// activeFault is one of the timeline, as it is played.
+// activeFault is a fault of the scenario in a run, with its targets.
 type activeFault struct {
 	*scenario.Fault
 	timeline     *faultTimeline
-	onWorkers    bool  // it is done to workers
-	workers      []int // and to these
+	onWorkers    bool  // its targets are workers
+	workers      []int // their numbers
 	onSchedulers bool
 	schedulers   []int
-	// Planners count on after the schedulers.
-	onPlanners bool
-	planners   []int
-	remaining  int // strikes that are not over
+	onPlanners   bool
+	planners     []int // numbered after the schedulers
+	remaining    int   // targets at which it has not ended
 }
 
-// start strikes its targets, in turn where it is to spread. It ends with the last strike's end.
+// start applies the fault to its targets, spread over time if it has a spread.
 func (a *activeFault) start() {
-	w := a.timeline.env
-	w.record(trace.Event{Kind: trace.FaultStarted, Text: a.describe()})
-	switch kind := scenario.FaultKinds[a.Kind]; {
-	case kind == "sched":
+	a.timeline.env.record(trace.Event{Kind: trace.FaultStarted, Text: a.describe()})
+	scope := scenario.FaultKinds[a.Kind]
+	switch {
+	case scope == scenario.FaultScopeScheduler:
 		a.spread(a.schedulers, a.applyToScheduler)
-	case kind == "planner":
+	case scope == scenario.FaultScopePlanner:
 		a.spread(a.planners, a.applyToScheduler)
-	case kind == "node" && a.Kind != "half_open":
+	case scope == scenario.FaultScopeWorker && a.Kind != "half_open":
 		a.spread(a.workers, a.applyToWorker)
 	default:
 		a.remaining = 1
-		struck := a.applyToAll()
+		undo := a.applyToAll()
 		a.recordWorkers(trace.WorkerFaultStarted, a.workers)
 		a.endLater(func() {
-			struck()
+			undo()
 			a.recordWorkers(trace.WorkerFaultEnded, a.workers)
 		})
 	}
 }
 
-// recordWorkers says of workers that it strikes them, or no longer does.
-func (a *activeFault) recordWorkers(what trace.Kind, nodes []int) {
-	for _, n := range nodes {
-		a.timeline.env.record(trace.Event{Kind: what, Worker: n, Text: a.Kind})
+// recordWorkers records that the fault starts or ends at workers.
+func (a *activeFault) recordWorkers(kind trace.Kind, workers []int) {
+	for _, worker := range workers {
+		a.timeline.env.record(trace.Event{Kind: kind, Worker: worker, Text: a.Kind})
 	}
 }
 
-func (a *activeFault) spread(targets []int, apply func(n int)) {
-	if a.remaining = len(targets); a.remaining == 0 {
+// spread applies the fault to its targets in order, evenly over Spread. Without targets it ends at once.
+func (a *activeFault) spread(targets []int, apply func(target int)) {
+	a.remaining = len(targets)
+	if a.remaining == 0 {
 		a.remaining = 1
 		a.end()
 	}
-	for i, n := range targets {
-		a.timeline.env.after(a.Spread.Std()*time.Duration(i)/time.Duration(len(targets)), func() { apply(n) })
+	for i, target := range targets {
+		delay := a.Spread.Std() * time.Duration(i) / time.Duration(len(targets))
+		a.timeline.env.after(delay, func() { apply(target) })
 	}
 }
 
-// endLater ends a strike after For, if it ever ends.
+// endLater ends the fault at one target after its duration; 0: it never ends.
 func (a *activeFault) endLater(undo func()) {
 	if a.Duration > 0 {
 		a.timeline.env.after(a.Duration.Std(), func() {
@@ -96,18 +103,19 @@
 	}
 }
 
-// end is the end of a strike.
+// end ends the fault at one target, and the whole fault with the last.
 func (a *activeFault) end() {
-	if a.remaining--; a.remaining == 0 {
+	a.remaining--
+	if a.remaining == 0 {
 		a.timeline.env.record(trace.Event{Kind: trace.FaultEnded, Text: a.describe()})
 	}
 }
 
-// workerStarted is told that a worker has a new process.
-func (f *faultTimeline) workerStarted(node int) {
-	waits := f.restartWaiters[node]
-	f.restartWaiters[node] = nil
-	for _, do := range waits {
-		do()
+// workerStarted handles the start of a worker's process.
+func (f *faultTimeline) workerStarted(worker int) {
+	waiters := f.restartWaiters[worker]
+	f.restartWaiters[worker] = nil
+	for _, notify := range waiters {
+		notify()
 	}
 }
--- a/internal/testbed/environment/schedulers.go
+++ b/internal/testbed/environment/schedulers.go
@@ -9,57 +9,59 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// scheduler is a scheduler: one process after another, as the environment deals with them. What is done to one that does not run
-// means nothing, but for the address of discovery, which its next process reads from its configuration. Planners are
-// dealt with alike, and numbered after the schedulers; they are never ready, so no client comes to them, and nothing is
-// told of them: what counts is what is seen of schedulers.
+// scheduler is a scheduler: one process after another. A fault of a scheduler that doesn't run has no effect, except that
+// of the discovery address, which its next process reads from its configuration. Planners have the same type, and are
+// numbered after the schedulers; they are never ready, so that no client connects to them, and their events are not recorded.
 type scheduler struct {
 	env         *Environment
 	number      int
 	planner     bool
 	alive       bool
-	ready       bool // /up answered 200 the last time
+	ready       bool // its last readiness check was answered 200
 	frozen      bool
-	draining    bool // the load balancer was told to bring nothing new
-	incarnation int  // counts processes
+	draining    bool // the load balancer opens no new connections to it
+	incarnation int  // counts its processes, from 1
 
 	rng           *rand.Rand
-	discovery     int // index of the discovery address that its process goes by
+	discovery     int // index of the discovery address that its process uses
 	startedAt     time.Duration
 	terminated    bool // SIGTERM was sent
 	thawsAt       time.Duration
-	restartAfter  time.Duration // after its end, if that was asked for; 0: never
-	reloadPending bool          // a SIGHUP waits until it may be sent
-	startWaiters  []func()      // who waits for the next process
+	restartDelay  time.Duration // from its planned exit to the next start; 0: never
+	reloadPending bool          // a SIGHUP is sent as soon as it may be
+	startWaiters  []func()      // called once when the next process starts
 }
 
 const (
-	crashRestartDelay = time.Second // a process that ended by itself, unasked, is started again after this
-	minReloadAge      = time.Second // no SIGHUP within this of its start
+	crashRestartDelay = time.Second // from an unplanned exit to the next start
+	minReloadAge      = time.Second // age of a process before which no SIGHUP is sent
 
-	// At a planned restart the load balancer goes on for a moment, and SIGKILL comes once the longest deadline has passed,
-	// which counts as 3 s at most, and a grace.
+	// After SIGTERM the load balancer opens new connections for between balancerMinDelay and that plus
+	// balancerDelaySpread. SIGKILL is sent after the longest deadline, maxDeadlineWait at most, and killGrace.
 	balancerMinDelay    = 200 * time.Millisecond
 	balancerDelaySpread = 200 * time.Millisecond
 	maxDeadlineWait     = 3 * time.Second
 	killGrace           = 700 * time.Millisecond
 )
 
-func newSchedulers(w *Environment) []*scheduler {
-	list := make([]*scheduler, w.Spec.Schedulers.Count+w.Spec.Planners.Count)
+func newSchedulers(environment *Environment) []*scheduler {
+	list := make([]*scheduler, environment.Spec.Schedulers.Count+environment.Spec.Planners.Count)
 	for i := range list {
-		list[i] = &scheduler{env: w, number: i, planner: i >= w.Spec.Schedulers.Count, rng: w.rng("sched", i)}
+		list[i] = &scheduler{
+			env: environment, number: i, planner: i >= environment.Spec.Schedulers.Count, rng: environment.rng("sched", i),
+		}
 	}
 	return list
 }
 
-// record reports a trace event of it.
+// record records a trace event of a scheduler, not of a planner.
 func (s *scheduler) record(what trace.Kind, status int) {
 	if !s.planner {
 		s.env.record(trace.Event{Kind: what, Scheduler: s.number, Status: status})
 	}
 }
 
+// name returns the name of the scheduler or planner, s1 or p1 and so on.
 func (s *scheduler) name() string {
 	if s.planner {
 		return "p" + strconv.Itoa(s.number-s.env.Spec.Schedulers.Count+1)
@@ -67,7 +69,7 @@
 	return "s" + strconv.Itoa(s.number+1)
 }
 
-// scheduleStart starts its first process, at a drawn moment of the spread of starts.
+// scheduleStart plans the start of the first process, at a time drawn within StartSpread. Idle planners don't start.
 func (s *scheduler) scheduleStart() {
 	if s.number >= len(s.env.schedulers)-s.env.Spec.Planners.Idle {
 		return
@@ -75,30 +77,37 @@
 	s.env.schedule(time.Duration(s.rng.Float64()*float64(s.env.Spec.Schedulers.StartSpread)), s.start)
 }
 
-// start begins a process.
+// start starts a process, unless one runs.
 func (s *scheduler) start() {
 	if s.alive {
 		return
 	}
-	v := s.env.discovery.views[s.number]
+	view := s.env.discovery.views[s.number]
 	s.incarnation++
-	s.alive, s.ready, s.frozen, s.draining, s.terminated, s.reloadPending = true, false, false, false, false, false
-	s.startedAt, s.thawsAt, s.discovery = s.env.now, 0, s.env.discovery.address
+	s.alive = true
+	s.ready = false
+	s.frozen = false
+	s.draining = false
+	s.terminated = false
+	s.reloadPending = false
+	s.startedAt = s.env.now
+	s.thawsAt = 0
+	s.discovery = s.env.discovery.address
 	s.record(trace.SchedulerStarted, 0)
 	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Start{
 		Name:           s.name(),
-		Seed:           s.env.rng("boot", s.number<<20|s.incarnation).Uint64(), // whatever else was drawn
-		KnownEndpoints: v.endpointList(), Discovery: s.discovery,
+		Seed:           s.env.rng("boot", s.number<<20|s.incarnation).Uint64(), // independent of other draws
+		KnownEndpoints: view.endpointList(), Discovery: s.discovery,
 	}})
-	v.processStarted()
-	waits := s.startWaiters
+	view.processStarted()
+	waiters := s.startWaiters
 	s.startWaiters = nil
-	for _, do := range waits {
-		do()
+	for _, notify := range waiters {
+		notify()
 	}
 }
 
-// apply takes what is seen of its process from outside.
+// apply handles a change of the process that the driver observed.
 func (s *scheduler) apply(message simapi.OutputMessage) {
 	if !s.alive {
 		return
@@ -114,116 +123,34 @@
 		s.env.balancer.schedulerChanged(s)
 	case simapi.Exited:
 		s.record(trace.SchedulerExited, message.Status)
-		back := s.restartAfter
+		restartDelay := s.restartDelay
 		if !s.terminated {
-			back = crashRestartDelay
+			restartDelay = crashRestartDelay
 		}
-		s.processEnded(back)
+		s.processEnded(restartDelay)
 	}
 }
 
-// processEnded is the end of a process; another starts after back, unless that is 0.
-func (s *scheduler) processEnded(back time.Duration) {
-	s.alive, s.ready, s.frozen, s.terminated = false, false, false, false
+// processEnded handles the end of the process. The next starts after restartDelay; 0: never.
+func (s *scheduler) processEnded(restartDelay time.Duration) {
+	s.alive = false
+	s.ready = false
+	s.frozen = false
+	s.terminated = false
 	s.env.discovery.abandonWatch(s.env.discovery.views[s.number])
 	s.env.dropConns(s.number)
 	s.env.balancer.schedulerChanged(s)
-	if back > 0 {
-		s.env.after(back, s.start)
+	if restartDelay > 0 {
+		s.env.after(restartDelay, s.start)
 	}
 }
 
-// afterInProcess does something after a while, if its process is the one of now still.
-func (s *scheduler) afterInProcess(after time.Duration, do func()) {
-	sprout := s.incarnation
-	s.env.after(after, func() {
-		if s.alive && s.incarnation == sprout {
+// afterInProcess calls do after delay, if the present process still runs.
+func (s *scheduler) afterInProcess(delay time.Duration, do func()) {
+	incarnation := s.incarnation
+	s.env.after(delay, func() {
+		if s.alive && s.incarnation == incarnation {
 			do()
 		}
 	})
 }
-
-// ---- What may be done to a scheduler. back is when after its end its process starts again; 0: never ----
-
-// kill: SIGKILL.
-func (s *scheduler) kill(back time.Duration) {
-	if !s.alive {
-		return
-	}
-	s.record(trace.SchedulerKilled, 0)
-	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Kill{}})
-	s.processEnded(back)
-}
-
-// terminate: SIGTERM, as at a planned restart. New connections are led there for 0.2 to 0.4 s more. SIGKILL follows when it
-// is due, unless the process has ended by itself.
-func (s *scheduler) terminate(back time.Duration) {
-	if !s.alive || s.terminated {
-		return
-	}
-	s.terminated, s.restartAfter, s.reloadPending = true, back, false
-	s.record(trace.SchedulerTerminated, 0)
-	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Terminate{}})
-	s.afterInProcess(balancerMinDelay+time.Duration(s.rng.Float64()*float64(balancerDelaySpread)), func() {
-		s.draining = true
-		s.env.balancer.drop(s)
-	})
-	longest := time.Duration(0)
-	for i := range s.env.Spec.Classes {
-		longest = max(longest, s.env.Spec.Classes[i].Deadline.Std())
-	}
-	s.afterInProcess(min(longest, maxDeadlineWait)+killGrace, func() { s.kill(back) })
-}
-
-// freeze: SIGSTOP, and SIGCONT after d. What reaches it meanwhile waits at its sockets. Freezes that overlap end with
-// the last.
-func (s *scheduler) freeze(duration time.Duration) {
-	if !s.alive || duration <= 0 {
-		return
-	}
-	s.thawsAt = max(s.thawsAt, s.env.now+duration)
-	if !s.frozen {
-		s.frozen = true
-		s.record(trace.SchedulerFrozen, 0)
-		s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Freeze{}})
-		s.env.balancer.schedulerChanged(s)
-	}
-	s.afterInProcess(duration, func() {
-		if !s.frozen || s.thawsAt > s.env.now {
-			return
-		}
-		s.frozen = false
-		s.record(trace.SchedulerResumed, 0)
-		s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Resume{}})
-		s.env.balancer.schedulerChanged(s)
-	})
-}
-
-// reload: its configuration names the address at which discovery is now, and SIGHUP. That is never sent before it is
-// ready or in its first second, but as soon as it may be; nor to one that was told to end.
-func (s *scheduler) reload() {
-	if !s.alive || s.terminated || s.reloadPending {
-		return
-	}
-	s.reloadPending = true
-	s.reloadWhenDue()
-	s.afterInProcess(s.startedAt+minReloadAge-s.env.now, s.reloadWhenDue)
-}
-
-func (s *scheduler) reloadWhenDue() {
-	if !s.reloadPending || !s.ready && !s.planner || s.env.now < s.startedAt+minReloadAge {
-		return
-	}
-	s.reloadPending, s.discovery = false, s.env.discovery.address
-	s.record(trace.SchedulerReloaded, 0)
-	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Reload{Discovery: s.discovery}})
-	s.env.discovery.views[s.number].reloaded()
-}
-
-// replace: a second process starts beside it and takes over. To the environment it is the same scheduler all the time.
-func (s *scheduler) replace() {
-	if s.alive && !s.terminated && s.ready {
-		s.record(trace.SchedulerReplaced, 0)
-		s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Replace{}})
-	}
-}
