--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -9,6 +9,7 @@
 
 // This file holds the rules for attempts, as workers see them: where and when a request may be sent, and sent again.
 
+// attemptReceived adds an attempt that reached a worker to its job, and checks it alone and against each earlier attempt.
 func (c *Checker) attemptReceived(job *job, request *request, requestIndex int, event *trace.Event) {
 	c.counts.Attempts++
 	c.checkCounts[ruleDrain]++
@@ -20,7 +21,11 @@
 	}
 	c.checkSending(job, request, event)
 	newest := len(job.attempts)
-	job.attempts = append(job.attempts, attempt{firstByteAt: min(event.FirstByteAt, event.At), request: requestIndex, worker: event.Worker})
+	job.attempts = append(job.attempts, attempt{
+		firstByteAt: min(event.FirstByteAt, event.At),
+		request:     requestIndex,
+		worker:      event.Worker,
+	})
 	for i := range newest {
 		early, late := i, newest
 		if job.attempts[newest].firstByteAt < job.attempts[i].firstByteAt {
@@ -30,32 +35,39 @@
 	}
 }
 
-// checkDrain checks that the scheduler did not send to a worker that it had to know to drain.
+// checkDrain checks that the scheduler did not send to a worker after it was notified that the worker drains.
 func (c *Checker) checkDrain(job *job, request *request, event *trace.Event) {
-	if scheduler := c.scheduler(event.Scheduler); len(scheduler.drainNotifiedAt) > 0 {
-		if notified, ok := scheduler.drainNotifiedAt[event.Worker]; ok && event.FirstByteAt > c.noticedAt(scheduler, notified)+c.drainGrace+c.observationLateness() {
-			c.report(ruleDrain, job, request.id, "sent to w-%d %v after scheduler %d was notified that it drains or is gone",
-				event.Worker, event.FirstByteAt-notified, event.Scheduler)
-		}
+	scheduler := c.scheduler(event.Scheduler)
+	notified, isNotified := scheduler.drainNotifiedAt[event.Worker]
+	if !isNotified {
+		return
+	}
+	latest := c.noticedAt(scheduler, notified) + c.drainGrace + c.observationLateness()
+	if event.FirstByteAt > latest {
+		c.report(ruleDrain, job, request.id, "sent to w-%d %v after scheduler %d was notified that it drains or is gone",
+			event.Worker, event.FirstByteAt-notified, event.Scheduler)
 	}
 }
 
 // checkSending checks the key of an attempt, and that its request was still open.
 func (c *Checker) checkSending(job *job, request *request, event *trace.Event) {
 	if job.class.idempotentWithKey && event.IdempotencyKey != request.key {
-		c.report(ruleKeyScope, job, request.id, "came to w-%d with key %q, its client's is %q", event.Worker, event.IdempotencyKey, request.key)
+		c.report(ruleKeyScope, job, request.id, "came to w-%d with key %q, its client's is %q",
+			event.Worker, event.IdempotencyKey, request.key)
 	}
-	if request.state != requestOpen && event.FirstByteAt > request.endedAt+c.lateSend+c.observationLateness() && !c.scheduler(request.scheduler).frozenDuring(request.endedAt, event.FirstByteAt) &&
+	isLate := request.state != requestOpen && event.FirstByteAt > request.endedAt+c.lateSend+c.observationLateness()
+	if isLate && !c.scheduler(request.scheduler).frozenDuring(request.endedAt, event.FirstByteAt) &&
 		!anyOverlaps(c.clientsCut, request.endedAt, event.FirstByteAt) {
-		c.report(ruleOneAnswer, job, request.id, "sent to w-%d %v after it was over", event.Worker, event.FirstByteAt-request.endedAt)
+		c.report(ruleOneAnswer, job, request.id, "sent to w-%d %v after it was over",
+			event.Worker, event.FirstByteAt-request.endedAt)
 	}
 	if request.state == requestAnswered && isRejection(request.status) && !job.class.isRepeatable() {
 		c.report(ruleRefusalHarmless, job, request.id, "came to w-%d after it had been rejected", event.Worker)
 	}
 }
 
-// noticedAt is when a scheduler can have heard what was written to it: one that is frozen reads nothing, and what it had
-// begun before goes on when it wakes.
+// noticedAt returns the time by which a scheduler can have read a notification that was written to it at notified: a frozen
+// scheduler reads nothing until it is resumed, and then continues what it had begun.
 func (c *Checker) noticedAt(scheduler *scheduler, notified time.Duration) time.Duration {
 	for _, freeze := range scheduler.freezes {
 		if notified+c.drainGrace >= freeze.start && notified < freeze.end && freeze.end < forever {
@@ -65,10 +77,10 @@
 	return notified
 }
 
-// isRepeatable tells whether trying again is harmless whatever has run.
+// isRepeatable reports whether a job of the class may be retried whatever was executed.
 func (c *class) isRepeatable() bool { return c.idempotent || c.idempotentWithKey && c.scope == "all" }
 
-// checkPair holds two attempts of a job against each other.
+// checkPair checks two attempts of a job, by their indexes in it, against each other.
 func (c *Checker) checkPair(job *job, request *request, early, late, scheduler int) {
 	first, second := &job.attempts[early], &job.attempts[late]
 	if first.request != second.request {
@@ -85,13 +97,20 @@
 	}
 	if (first.worker == second.worker || !c.hedging) && first.inFlight(second.firstByteAt) &&
 		!anyOverlaps(c.workersImpaired, second.firstByteAt, second.firstByteAt) && len(c.overlaps) < maxOverlaps {
-		r := ruleAttempts
+		overlapRule := ruleAttempts
 		if first.worker == second.worker {
-			r = ruleOnePerWorker
+			overlapRule = ruleOnePerWorker
 		}
-		c.checkCounts[r]++
+		c.checkCounts[overlapRule]++
 		c.counts.Overlaps++
-		c.overlaps = append(c.overlaps, overlap{job: job, rule: r, early: early, late: late, scheduler: scheduler, worker: first.worker})
+		c.overlaps = append(c.overlaps, overlap{
+			job:       job,
+			rule:      overlapRule,
+			early:     early,
+			late:      late,
+			scheduler: scheduler,
+			worker:    first.worker,
+		})
 	}
 }
 
@@ -122,7 +141,7 @@
 	}
 }
 
-// shareScope tells whether two workers drop each other's repeats.
+// shareScope reports whether two workers are in one deduplication scope, so that each drops repeats of the other's requests.
 func (c *Checker) shareScope(scope string, first, second int) bool {
 	switch scope {
 	case "cell":
@@ -133,6 +152,7 @@
 	return true
 }
 
+// elementAt returns the value at an index, or -1 if the index is out of range.
 func elementAt(values []int, index int) int {
 	if index < 0 || index >= len(values) {
 		return -1
@@ -140,7 +160,7 @@
 	return values[index]
 }
 
-// attemptEvent takes what became of an attempt.
+// attemptEvent handles an event of an attempt that has reached its worker.
 func (c *Checker) attemptEvent(job *job, request *request, attempt *attempt, event *trace.Event) {
 	switch event.Kind {
 	case trace.AttemptRejected:
@@ -166,7 +186,8 @@
 	case trace.AttemptDied:
 		attempt.markEnded(event.At)
 	case trace.AttemptCancelled:
-		if attempt.markEnded(event.At); event.Text == "" {
+		attempt.markEnded(event.At)
+		if event.Text == "" {
 			attempt.markEndKnown(event.At)
 		}
 	case trace.CallbackAnswered:
@@ -174,10 +195,11 @@
 	}
 }
 
-// attemptFinished handles the end of an attempt that ran, or an error in place of the 202.
+// attemptFinished handles the result of an executed attempt, or an error that its worker returned in place of the 202.
 func (c *Checker) attemptFinished(job *job, request *request, attempt *attempt, event *trace.Event) {
 	attempt.markEnded(event.At)
-	attempt.result, attempt.succeeded = event.Text, event.Status == http.StatusOK
+	attempt.result = event.Text
+	attempt.succeeded = event.Status == http.StatusOK
 	if !attempt.succeeded && !attempt.accepted { // an error in place of the 202
 		attempt.markEndKnown(c.responseSeenBy(event.At))
 		if job.class.nonIdempotent && request.exhaustedAt == 0 {
@@ -187,9 +209,10 @@
 	}
 }
 
-// callbackAnswered handles a callback that its scheduler has answered, which knows the state from then on.
+// callbackAnswered handles a callback that its scheduler has answered; from then on the scheduler knows the reported state.
 func (c *Checker) callbackAnswered(job *job, request *request, attempt *attempt, event *trace.Event) {
-	if event.Status/100 != 2 || event.Scheduler != request.scheduler || request.incarnation != c.scheduler(event.Scheduler).incarnation {
+	isAdmitter := event.Scheduler == request.scheduler && request.incarnation == c.scheduler(event.Scheduler).incarnation
+	if event.Status/100 != 2 || !isAdmitter {
 		return
 	}
 	switch event.Text {
@@ -204,7 +227,7 @@
 	c.updateExhausted(job, request)
 }
 
-// responseSeenBy is when a scheduler has heard what a worker has answered at an instant.
+// responseSeenBy returns the time by which a scheduler has received what a worker sent it at an instant.
 func (c *Checker) responseSeenBy(at time.Duration) time.Duration {
 	for _, cut := range c.workersCut {
 		if cut.start <= at+c.workerDelay && at < cut.end {
@@ -214,12 +237,13 @@
 	return min(at, forever-c.workerDelay) + c.workerDelay
 }
 
-// attemptStarted takes the begin of a run.
+// attemptStarted handles the start of an attempt's execution: a non-idempotent job is executed once at most.
 func (c *Checker) attemptStarted(job *job, request *request, attempt *attempt) {
 	if attempt.started {
 		return
 	}
-	if attempt.started = true; !job.class.nonIdempotent {
+	attempt.started = true
+	if !job.class.nonIdempotent {
 		return
 	}
 	c.checkCounts[rulePayoutOnce]++
@@ -228,17 +252,19 @@
 		if other == attempt || !other.started {
 			continue
 		}
-		if first := &job.requests[min(other.request, attempt.request)]; other.request == attempt.request || first.state == requestAnswered && isRejection(first.status) {
+		earlier := &job.requests[min(other.request, attempt.request)]
+		if other.request == attempt.request || earlier.state == requestAnswered && isRejection(earlier.status) {
 			c.report(rulePayoutOnce, job, request.id, "begins at w-%d, and had begun at w-%d", attempt.worker, other.worker)
 		}
 	}
 }
 
-// attemptRejected looks at why a worker turned a request away.
+// attemptRejected checks the status with which a worker rejected a request. The job is nil if no client sent the request.
 func (c *Checker) attemptRejected(job *job, event *trace.Event) {
 	switch event.Status {
 	case http.StatusBadRequest:
-		c.report(ruleIDUnknown, job, event.RequestID, "w-%d got request %q, which no client sent in this form", event.Worker, event.RequestID)
+		c.report(ruleIDUnknown, job, event.RequestID, "w-%d got request %q, which no client sent in this form",
+			event.Worker, event.RequestID)
 	case http.StatusNotFound:
 		c.report(ruleIDUnknown, job, event.RequestID, "w-%d got a request without an id", event.Worker)
 	}
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -7,11 +7,11 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the checker itself: its state, the trace events that it takes, and what it forgets to stay small.
+// This file defines the checker: its state, the dispatch of trace events, and the eviction of settled jobs.
 
 // Options are the settings of a checker besides the scenario.
 type Options struct {
-	RealProcesses bool          // the schedulers are real processes: time limits are wider, and what only sockets show is checked
+	RealProcesses bool          // the schedulers are real processes: time limits are wider, and the rules on sockets are checked
 	MaxLateness   time.Duration // the testbed's own lateness beyond which a run is invalid; default 50 ms
 }
 
@@ -25,32 +25,35 @@
 	timeLimits
 
 	now             time.Duration
-	highestJobID    uint64 // of the jobs' numbers
+	highestJobID    uint64
 	jobs            map[uint64]*job
 	jobsByRequest   map[string]*job
 	schedulers      []*scheduler
 	misbehaving     map[uint64]misbehavingClient
-	coldWork        map[int][]coldArrival // by worker, onto a cold one
+	coldWork        map[int][]coldArrival // by worker: work sent to it while it was warming up
 	fleetLog        eventRing
 	texts           textTable
-	retained        [2]retentionQueue // the safe ones, and the others
-	freeJobs        []*job            // forgotten, to be used again
+	retained        [2]retentionQueue // settled jobs: the idempotent ones, and the others
+	freeJobs        []*job            // evicted jobs, for reuse
 	overlaps        []overlap
 	violations      []Violation
 	checkCounts     [ruleCount]int
 	violationCounts [ruleCount]int
 	counts          Counts
-	maxLateness     time.Duration // the testbed's own lateness, at most
-	recentLateness  lateness      // and lately
+	maxLateness     time.Duration // the largest lateness of the testbed in this run
+	recentLateness  lateness      // the largest lateness of the testbed within latenessWindow
 }
 
-// lateness is how late the testbed itself was, and when.
-type lateness struct{ observedAt, amount time.Duration }
+// lateness is a delay of the testbed's own events, and when it was observed.
+type lateness struct {
+	observedAt time.Duration
+	amount     time.Duration
+}
 
-// latenessWindow is how long the testbed's lateness is taken to show in what it sees.
+// latenessWindow is how long an observed lateness of the testbed widens the time limits.
 const latenessWindow = time.Second
 
-// observationLateness is how late the testbed may be with what it sees now.
+// observationLateness returns how late the present trace events may be.
 func (c *Checker) observationLateness() time.Duration {
 	if c.now-c.recentLateness.observedAt > latenessWindow {
 		return 0
@@ -58,26 +61,30 @@
 	return c.recentLateness.amount
 }
 
-// noRequest is no try.
+// noRequest is the request index of a log entry that belongs to no request.
 const noRequest = 255
 
 const (
-	maxSettled     = 1 << 16 // jobs remembered, of each sort
+	maxSettled     = 1 << 16 // jobs retained, in each of the two queues
 	maxJobLog      = 64      // trace events of a job
 	maxFleetLog    = 4096    // trace events of the fleet
-	maxColdWork    = 24      // told of a worker that fell
-	maxExplained   = 16      // breaches of a rule that are told in full
-	maxOverlaps    = 256     // overlaps looked at at once
-	maxMisbehaving = 1 << 14 // misbehaving clients remembered that have had their answer
+	maxColdWork    = 24      // arrivals listed for a worker that was overloaded
+	maxExplained   = 16      // violations of a rule that are explained in full
+	maxOverlaps    = 256     // overlaps that wait for a decision
+	maxMisbehaving = 1 << 14 // misbehaving clients remembered before the answered ones are removed
 )
 
-// idempotentRetention is how long safe jobs are remembered, besides what a late attempt may take: they are most.
+// idempotentRetention is how long idempotent jobs are retained, besides the time that a late attempt may take. It is short
+// because most jobs are idempotent.
 const idempotentRetention = time.Second
 
-// New returns a checker of a run of a checked scenario.
+// defaultMaxLateness equals the time for which clients wait beyond a deadline: with more, an answer in time may be missed.
+const defaultMaxLateness = 50 * time.Millisecond
+
+// New returns a checker of a run of a validated scenario.
 func New(spec *scenario.Scenario, options Options) *Checker {
 	if options.MaxLateness <= 0 {
-		options.MaxLateness = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
+		options.MaxLateness = defaultMaxLateness
 	}
 	checker := &Checker{
 		spec: spec, options: options, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
@@ -93,7 +100,7 @@
 	return checker
 }
 
-// Observe handles an event of the trace. Events have to come in order of time; the event is not kept.
+// Observe handles an event of the trace. Events have to be passed in order of time; the event is not retained.
 func (c *Checker) Observe(event *trace.Event) {
 	c.now = event.At
 	c.evictSettled()
@@ -111,7 +118,9 @@
 		c.requestSent(event)
 	case trace.JobSettled:
 		c.jobSettled(event)
-	case trace.HealthChecked, trace.WorkerConnected, trace.AttemptSent, trace.WorkerDialed, trace.WorkerFaultStarted, trace.WorkerFaultEnded, trace.WorkerPresent:
+	case trace.HealthChecked, trace.WorkerConnected, trace.AttemptSent, trace.WorkerDialed,
+		trace.WorkerFaultStarted, trace.WorkerFaultEnded, trace.WorkerPresent:
+		// No rule needs these.
 	case trace.MisbehavingClientConnected:
 		c.misbehavingClientConnected(event)
 	case trace.MisbehavingClientAnswered:
@@ -125,22 +134,25 @@
 	}
 }
 
-// evictSettled forgets the settled jobs whose time is up, or for which there is no space.
+// evictSettled evicts the settled jobs whose retention has expired, and the oldest ones of a queue that is over its size.
 func (c *Checker) evictSettled() {
 	for i := range c.retained {
-		for queue := &c.retained[i]; queue.size > 0 && (queue.first().retainedUntil < c.now || queue.size > maxSettled); {
+		queue := &c.retained[i]
+		for queue.size > 0 && (queue.first().retainedUntil < c.now || queue.size > maxSettled) {
 			c.evictOldest(queue)
 		}
 	}
 }
 
-// evictOldest forgets the job that was settled first.
+// evictOldest removes the job that was settled first from a queue. An idempotent job with an attempt in flight moves to the
+// other queue.
 func (c *Checker) evictOldest(queue *retentionQueue) {
 	oldest := queue.first()
 	if oldest.retainedUntil >= c.now {
 		c.counts.Evicted++
 	}
-	job, id := oldest.job, oldest.id
+	job := oldest.job
+	id := oldest.id
 	queue.drop()
 	switch {
 	case job.id != id || !job.settled:
@@ -151,6 +163,7 @@
 	}
 }
 
+// forgetJob completes the explanation of a job's violations and releases the job for reuse.
 func (c *Checker) forgetJob(job *job) {
 	c.dropOverlaps(job)
 	c.attachExplanation(job)
@@ -160,6 +173,7 @@
 			delete(c.jobsByRequest, job.requests[i].id)
 		}
 	}
-	job.id, job.settled = 0, false
+	job.id = 0
+	job.settled = false
 	c.freeJobs = append(c.freeJobs, job)
 }
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -9,27 +10,30 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// logEntry is a trace event as it is kept for explanations. Most of the checker's memory is entries: they are small, and no pointers.
+// logEntry is a trace event as it is retained for explanations. It is small and has no pointers, as most of the checker's
+// memory is entries.
 type logEntry struct {
 	at        time.Duration
-	duration  time.Duration // budget, first byte or advice; of a start of a process, its number
+	duration  time.Duration // budget, first byte or Retry-After; of the start of a process, its incarnation
 	worker    int32
 	scheduler int16
 	status    int16
-	text      uint16 // in the checker's words; results stand with their attempts and tries
-	request   uint8  // which of its job's; 255: none
-	sendings  uint8  // of a callback
+	text      uint16 // index in Checker.texts; results are stored with their attempts and requests
+	request   uint8  // index in its job; noRequest: none
+	sendings  uint8  // of a callback, so far
 	kind      trace.Kind
 }
 
-// textTable are the few texts that trace events have, results apart.
+// textTable interns the texts of trace events, besides results.
 type textTable struct {
 	texts []string // the first is empty
 	index map[string]uint16
 }
 
+// maxTexts bounds the texts of a table; later ones are dropped.
 const maxTexts = 4096
 
+// intern returns the index of a text, or 0 if it is empty or the table is full.
 func (t *textTable) intern(text string) uint16 {
 	if text == "" {
 		return 0
@@ -43,8 +47,15 @@
 	return index
 }
 
+// newEntry returns the log entry of a trace event.
 func (t *textTable) newEntry(event *trace.Event) logEntry {
-	entry := logEntry{at: event.At, worker: int32(event.Worker), scheduler: int16(event.Scheduler), status: int16(event.Status), kind: event.Kind}
+	entry := logEntry{
+		at:        event.At,
+		worker:    int32(event.Worker),
+		scheduler: int16(event.Scheduler),
+		status:    int16(event.Status),
+		kind:      event.Kind,
+	}
 	switch event.Kind {
 	case trace.AttemptFinished:
 	case trace.RequestSent:
@@ -66,8 +77,8 @@
 	return entry
 }
 
-// recordJobEvent logs a trace event with its job. Where there is no room the middle of the log goes: how it began and how it ended
-// say most.
+// recordJobEvent adds a trace event to the log of its job. A full log loses an entry from its middle: the first and the last
+// ones explain most.
 func (c *Checker) recordJobEvent(job *job, event *trace.Event, requestIndex int) {
 	if len(job.log) == maxJobLog {
 		job.log = slices.Delete(job.log, maxJobLog/2, maxJobLog/2+1)
@@ -78,12 +89,13 @@
 	job.log = append(job.log, entry)
 }
 
-// eventRing is the last trace events of the fleet.
+// eventRing is a ring buffer of the last trace events of the fleet.
 type eventRing struct {
 	entries []logEntry
 	next    int
 }
 
+// add appends an entry, in place of the oldest one if the ring is full.
 func (r *eventRing) add(entry logEntry) {
 	if len(r.entries) < maxFleetLog {
 		r.entries = append(r.entries, entry)
@@ -93,7 +105,7 @@
 	r.next = (r.next + 1) % maxFleetLog
 }
 
-// recordFleetEvent keeps a trace event of the fleet, or of a request that nobody knows.
+// recordFleetEvent adds a trace event of the fleet, or of an unknown request, to the log of the fleet.
 func (c *Checker) recordFleetEvent(event *trace.Event) {
 	entry := c.texts.newEntry(event)
 	if event.Kind < trace.WorkerStarted {
@@ -102,7 +114,7 @@
 	c.fleetLog.add(entry)
 }
 
-// eachSince goes through what was seen at an instant and after, in order.
+// eachSince calls a function with each entry of an instant and after, in order of time.
 func (r *eventRing) eachSince(at time.Duration, do func(entry *logEntry)) {
 	for i := range r.entries {
 		if entry := &r.entries[(r.next+i)%len(r.entries)]; entry.at >= at {
@@ -111,7 +123,7 @@
 	}
 }
 
-// attachExplanation puts a job's explanation to its violations, as it is about to be forgotten.
+// attachExplanation adds a job's explanation to its violations, before the job is released.
 func (c *Checker) attachExplanation(job *job) {
 	if len(job.violations) == 0 {
 		return
@@ -123,7 +135,7 @@
 	job.violations = nil
 }
 
-// explainJob is what was seen of a job, and meanwhile of the schedulers and workers that it met.
+// explainJob returns a line for each event of a job, and of the schedulers and workers of its requests meanwhile.
 func (c *Checker) explainJob(job *job) []string {
 	around := c.fleetEntriesOf(job)
 	lines := make([]string, 0, len(job.log)+len(around)+1)
@@ -143,7 +155,8 @@
 	return lines
 }
 
-// fleetEntriesOf returns the log entries of the schedulers and workers that a job met, from when it was due to its last entry.
+// fleetEntriesOf returns the log entries of the schedulers and workers of a job's requests, from when it was due to its last
+// entry.
 func (c *Checker) fleetEntriesOf(job *job) []logEntry {
 	workers, schedulers := map[int32]bool{}, map[int16]bool{}
 	for i := range job.attempts {
@@ -165,7 +178,7 @@
 	return around
 }
 
-// concerns reports whether an entry of the fleet is about one of these workers and schedulers, or about all.
+// concerns reports whether an entry of the fleet is about one of the workers and schedulers, or about all.
 func concerns(entry *logEntry, workers map[int32]bool, schedulers map[int16]bool) bool {
 	switch kind := entry.kind; {
 	case kind == trace.DrainNotified || kind == trace.StartNotified:
@@ -178,14 +191,14 @@
 	return entry.kind == trace.FaultStarted || entry.kind == trace.FaultEnded
 }
 
-// explainFleet is what was seen of the fleet from an instant on.
+// explainFleet returns a line for each of the last events of the fleet since an instant.
 func (c *Checker) explainFleet(since time.Duration) []string {
 	lines := []string{}
 	c.fleetLog.eachSince(since, func(entry *logEntry) { lines = append(lines, formatLine(entry, c.describe(entry, nil))) })
 	return lines[max(0, len(lines)-maxJobLog):]
 }
 
-// explainColdWork is what came to a cold worker.
+// explainColdWork returns a line for each work that a worker received while it was warming up, and for its own events.
 func (c *Checker) explainColdWork(worker int) []string {
 	lines := []string{}
 	for _, arrival := range c.coldWork[worker] {
@@ -194,19 +207,21 @@
 			arrival.scheduler, arrival.work, worker, arrival.capacity)))
 	}
 	c.fleetLog.eachSince(0, func(entry *logEntry) {
-		if int(entry.worker) == worker && (entry.kind >= trace.WorkerStarted && entry.kind <= trace.StartNotified || entry.kind == trace.WorkerOverloaded) {
+		isOwn := entry.kind >= trace.WorkerStarted && entry.kind <= trace.StartNotified || entry.kind == trace.WorkerOverloaded
+		if int(entry.worker) == worker && isOwn {
 			lines = append(lines, formatLine(entry, c.describe(entry, nil)))
 		}
 	})
-	slices.Sort(lines) // they begin with the time
+	slices.Sort(lines) // lines begin with the time
 	return lines
 }
 
+// formatLine returns a line of an explanation.
 func formatLine(entry *logEntry, words string) string {
 	return fmt.Sprintf("%12.6f s  %s", entry.at.Seconds(), words)
 }
 
-// describe says what an entry means; b is the job that it is about, if any.
+// describe returns the description of an entry; job is the one that it is about, or nil.
 func (c *Checker) describe(entry *logEntry, job *job) string {
 	node, which, text := fmt.Sprintf("w-%d", entry.worker), "", c.texts.texts[entry.text]
 	if job != nil && len(job.requests) > 1 && int(entry.request) < len(job.requests) {
@@ -269,8 +284,8 @@
 		}
 		return "cancelled at " + node + which
 	case trace.CallbackAnswered:
-		return fmt.Sprintf("callback %q of %s answered with %d by scheduler %d, sending %d%s", text, node, entry.status, entry.scheduler,
-			entry.sendings, which)
+		return fmt.Sprintf("callback %q of %s answered with %d by scheduler %d, sending %d%s",
+			text, node, entry.status, entry.scheduler, entry.sendings, which)
 	case trace.CallbackLost:
 		return fmt.Sprintf("callback %q of %s abandoned%s", text, node, which)
 	}
@@ -303,7 +318,7 @@
 	if entry.duration > 0 {
 		after = fmt.Sprintf(", to come back after %v", entry.duration)
 	}
-	if job != nil && entry.status == 200 && int(entry.request) < len(job.requests) {
+	if job != nil && entry.status == http.StatusOK && int(entry.request) < len(job.requests) {
 		after += fmt.Sprintf(", %q", truncate(job.requests[entry.request].responseBody))
 	} else if job == nil {
 		after += " to request " + text
@@ -311,11 +326,13 @@
 	return fmt.Sprintf("answered with %d%s", entry.status, after)
 }
 
-// describeFinished describes a run that has ended, and its result.
+// describeFinished describes an execution that has ended, and its result.
 func describeFinished(entry *logEntry, job *job, node string) string {
 	result := ""
 	for i := range job.attempts {
-		if attempt := &job.attempts[i]; entry.status == 200 && attempt.worker == int(entry.worker) && attempt.request == int(entry.request) {
+		attempt := &job.attempts[i]
+		isSame := attempt.worker == int(entry.worker) && attempt.request == int(entry.request)
+		if entry.status == http.StatusOK && isSame {
 			result = fmt.Sprintf(", %q", truncate(attempt.result))
 		}
 	}
@@ -343,8 +360,8 @@
 		return fmt.Sprintf("scheduler %d is notified of the start of %s (process %d)", entry.scheduler, node, entry.duration)
 	case trace.SchedulerExited:
 		return fmt.Sprintf("scheduler %d ends by itself with %d", entry.scheduler, entry.status)
-	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed, trace.SchedulerReloaded,
-		trace.SchedulerReplaced:
+	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled,
+		trace.SchedulerFrozen, trace.SchedulerResumed, trace.SchedulerReloaded, trace.SchedulerReplaced:
 		return fmt.Sprintf("scheduler %d %s", entry.scheduler, [...]string{
 			"starts", "is ready", "gets SIGTERM", "gets SIGKILL",
 			"is frozen", "goes on", "gets SIGHUP",
@@ -359,16 +376,16 @@
 	return fmt.Sprintf("trace event %d", entry.kind)
 }
 
-// truncate cuts what may be long.
+// truncate shortens a text that may be long.
 func truncate(s string) string {
-	const most = 60
-	if len(s) > most {
-		return s[:most] + "..."
+	const maxLength = 60
+	if len(s) > maxLength {
+		return s[:maxLength] + "..."
 	}
 	return s
 }
 
-// String returns the violation with its explanation, several lines as people read them.
+// String returns the violation with its explanation, in several lines.
 func (v Violation) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s at %.6f s", v.Rule, v.At.Seconds())
--- a/internal/testbed/checker/fleet_events.go
+++ b/internal/testbed/checker/fleet_events.go
@@ -6,21 +6,22 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds what becomes of workers and schedulers, event by event.
+// This file updates the history of workers and schedulers, event by event.
 
+// newScheduler returns the history of a scheduler before its first process.
 func newScheduler() *scheduler {
 	return &scheduler{exits: make([]processExit, 1), drainNotifiedAt: map[int]time.Duration{}}
 }
 
-// scheduler gives the books of a scheduler.
-func (c *Checker) scheduler(n int) *scheduler {
-	for n >= len(c.schedulers) {
+// scheduler returns the history of a scheduler by its index, and begins it if there is none.
+func (c *Checker) scheduler(index int) *scheduler {
+	for index >= len(c.schedulers) {
 		c.schedulers = append(c.schedulers, newScheduler())
 	}
-	return c.schedulers[max(n, 0)]
+	return c.schedulers[max(index, 0)]
 }
 
-// fleetEvent takes a trace event of the fleet, of processes or of the testbed itself.
+// fleetEvent handles a trace event of the fleet, of a process or of the testbed itself.
 func (c *Checker) fleetEvent(event *trace.Event) {
 	switch event.Kind {
 	case trace.ResourceUsage:
@@ -41,7 +42,8 @@
 
 // schedulerEvent handles an event of a scheduler's process, or of what it was notified of.
 func (c *Checker) schedulerEvent(event *trace.Event) {
-	switch scheduler := c.scheduler(event.Scheduler); event.Kind {
+	scheduler := c.scheduler(event.Scheduler)
+	switch event.Kind {
 	case trace.DrainNotified:
 		if _, known := scheduler.drainNotifiedAt[event.Worker]; !known {
 			scheduler.drainNotifiedAt[event.Worker] = event.At
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -7,20 +7,20 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// class is a class of jobs, as far as rules go.
+// class is what the rules need of a scenario's class of jobs.
 type class struct {
 	name              string
 	idempotent        bool
 	idempotentWithKey bool
 	nonIdempotent     bool
-	scope             string // of keyed ones
-	window            time.Duration
+	scope             string        // of a class that is idempotent with a key: cell, zone or all
+	window            time.Duration // in which workers drop repeats of a key
 	objective         time.Duration
-	objectiveStretch  float64
-	meanWork          time.Duration // of its work
+	objectiveStretch  float64 // added to the objective, times the work
+	meanWork          time.Duration
 }
 
-// job is what a client wants, with all that is known of it.
+// job is the history of a client's job.
 type job struct {
 	id          uint64
 	class       *class
@@ -32,13 +32,13 @@
 	requests    []request
 	attempts    []attempt
 	log         []logEntry
-	omitted     int // entries that the log had no room for
-	brokenRules uint32
-	violations  []int // in Checker.violations
+	omitted     int    // entries that were removed from the log
+	brokenRules uint32 // a bit for each rule
+	violations  []int  // indexes in Checker.violations
 	settled     bool
 }
 
-// newJobBatch makes room for jobs, each with what most of them need.
+// newJobBatch allocates jobs in one block, each with the capacity that most jobs need.
 func newJobBatch() []*job {
 	type block struct {
 		job
@@ -46,11 +46,14 @@
 		attempts [1]attempt
 		log      [14]logEntry
 	}
-	const many = 32
-	blocks, jobs := make([]block, many), make([]*job, many)
+	const batchSize = 32
+	blocks := make([]block, batchSize)
+	jobs := make([]*job, batchSize)
 	for i := range blocks {
 		current := &blocks[i]
-		current.job.requests, current.job.attempts, current.job.log = current.requests[:0], current.attempts[:0], current.log[:0]
+		current.job.requests = current.requests[:0]
+		current.job.attempts = current.attempts[:0]
+		current.job.log = current.log[:0]
 		jobs[i] = &current.job
 	}
 	return jobs
@@ -60,63 +63,67 @@
 type request struct {
 	id           string
 	key          string
-	responseBody string        // of its last answer
-	sentAt       time.Duration // asked
-	deadline     time.Duration // its budget is over
-	endedAt      time.Duration // answered or ended, as its client saw it
-	exhaustedAt  time.Duration // when the scheduler knew that no further attempt is allowed; 0: one is
-	unreadUntil  time.Duration // until then an attempt was out that no worker had read
+	responseBody string // of its last response
+	sentAt       time.Duration
+	deadline     time.Duration // the end of its budget
+	endedAt      time.Duration // when its client saw its response or its end
+	exhaustedAt  time.Duration // when the scheduler knew that no further attempt is allowed; 0: one is allowed
+	unreadUntil  time.Duration // until then an attempt was in flight that no worker had read
 	scheduler    int
-	incarnation  int // of the scheduler
+	incarnation  int // of the scheduler, when it was sent
 	attemptCount int // attempts that have reached a worker
 	responses    int
 	status       int
 	state        requestState
-	resent       bool // it was sent a second time, on another connection
+	resent       bool // sent a second time, on another connection
 }
 
+// requestState is the state of a request as its client sees it.
 type requestState uint8
 
 const (
 	requestOpen requestState = iota
 	requestAnswered
 	requestConnLost
-	requestClientLeft // by its client
+	requestClientLeft // its client closed the connection
 	requestTimedOut
 )
 
-// attempt is one sending of a request, from when it has reached a worker.
+// attempt is one sending of a request that has reached a worker.
 type attempt struct {
 	result      string
-	firstByteAt time.Duration // its first byte was written
-	endedAt     time.Duration // 0: it has not
-	request     int
+	firstByteAt time.Duration // when its first byte was written
+	endedAt     time.Duration // 0: it is in flight
+	request     int           // index in its job
 	worker      int
-	notExecuted bool // and that proves that it never ran
-	succeeded   bool // by a result
+	notExecuted bool // it ended in a way that proves that it was not executed
+	succeeded   bool // it ended with a result
 	started     bool
 	accepted    bool
-	endKnownAt  time.Duration // the scheduler has heard of its end, or gave it up itself; 0: not that anybody knows
+	endKnownAt  time.Duration // when its scheduler was notified of its end, or cancelled it; 0: neither was seen
 }
 
-// possiblyExecuted tells whether at t nothing proved that it had not.
-func (a *attempt) possiblyExecuted(t time.Duration) bool { return !a.notExecuted || a.endedAt > t }
+// possiblyExecuted reports whether nothing proved by an instant that the attempt was not executed.
+func (a *attempt) possiblyExecuted(at time.Duration) bool { return !a.notExecuted || a.endedAt > at }
 
-// inFlight tells whether at t it had neither ended nor been given up.
-func (a *attempt) inFlight(t time.Duration) bool { return a.endedAt == 0 || a.endedAt > t }
+// inFlight reports whether the attempt had neither ended nor been cancelled by an instant.
+func (a *attempt) inFlight(at time.Duration) bool { return a.endedAt == 0 || a.endedAt > at }
 
+// markEnded sets the time of the attempt's end, unless it is set.
 func (a *attempt) markEnded(at time.Duration) {
 	if a.endedAt == 0 {
 		a.endedAt = at
 	}
 }
 
+// markEndKnown sets the time from which the scheduler knows the attempt's end, unless it is set.
 func (a *attempt) markEndKnown(at time.Duration) {
 	if a.endKnownAt == 0 {
 		a.endKnownAt = at
 	}
 }
 
+// findRequest returns the request with an ID and its index, or nil and -1.
 func (j *job) findRequest(requestID string) (*request, int) {
 	for i := len(j.requests) - 1; i >= 0; i-- {
 		if j.requests[i].id == requestID {
@@ -126,8 +133,8 @@
 	return nil, -1
 }
 
-// findAttempt finds what a trace event at a worker is about. Of two that are out there one is rejected, the last that
-// came; all else is about the first. Where none is out it is the last.
+// findAttempt returns the attempt that an event at a worker is about, or nil: the first that is in flight there, else the
+// last one. If last is set it is the last one in any case: of two in flight at a worker, it rejects the later one.
 func (j *job) findAttempt(requestIndex, worker int, last bool) *attempt {
 	var found *attempt
 	for i := range j.attempts {
@@ -143,7 +150,7 @@
 	return found
 }
 
-// hasInFlight tells whether an attempt of its is.
+// hasInFlight reports whether an attempt of the job is in flight.
 func (j *job) hasInFlight() bool {
 	for i := range j.attempts {
 		if j.attempts[i].endedAt == 0 {
@@ -153,43 +160,47 @@
 	return false
 }
 
-// scheduler is a scheduler, and what became of its processes.
+// scheduler is the history of a scheduler and its processes.
 type scheduler struct {
-	incarnation     int
+	incarnation     int // of the present process: an index of exits
 	up              bool
-	exits           []processExit // by process
-	terminatedAt    time.Duration
-	freezes         []interval            // the last one lasts as long as its end is open
-	drainNotifiedAt map[int]time.Duration // by worker: told so
-	overLimits      bool                  // of its limits, by this process
+	exits           []processExit         // by process
+	terminatedAt    time.Duration         // when the present process got SIGTERM; 0: it did not
+	freezes         []interval            // the last one may end at forever: it lasts
+	drainNotifiedAt map[int]time.Duration // by worker
+	overLimits      bool                  // the present process has exceeded its limits
 }
 
-// processExit is how a process ended.
+// processExit is the end of a process.
 type processExit struct {
-	exitedAt     time.Duration // 0: it runs
-	terminatedAt time.Duration // SIGTERM; 0: none
-	killed       bool
+	exitedAt     time.Duration // 0: it is running
+	terminatedAt time.Duration // when it got SIGTERM; 0: it did not
+	killed       bool          // by SIGKILL
 }
 
-// frozenDuring tells whether it was frozen at any time from a to b.
+// frozenDuring reports whether the scheduler was frozen at any time of an interval.
 func (s *scheduler) frozenDuring(from, to time.Duration) bool {
 	return len(s.freezes) > 0 && anyOverlaps(s.freezes, from, to)
 }
 
-// thaw ends a freeze, if there is one.
+// thaw ends the present freeze, if there is one.
 func (s *scheduler) thaw(at time.Duration) {
-	if n := len(s.freezes); n > 0 && s.freezes[n-1].end == forever {
-		s.freezes[n-1].end = at
+	last := len(s.freezes) - 1
+	if last >= 0 && s.freezes[last].end == forever {
+		s.freezes[last].end = at
 	}
 }
 
-// forever is the end of what has none.
+// forever is the end of an interval without one.
 const forever = time.Duration(math.MaxInt64)
 
-// interval is a part of the run.
-type interval struct{ start, end time.Duration }
+// interval is a part of the run, with both of its ends.
+type interval struct {
+	start time.Duration
+	end   time.Duration
+}
 
-// anyOverlaps tells whether one of the spans has a part of the time from a to b.
+// anyOverlaps reports whether one of the intervals overlaps another one, given by its ends.
 func anyOverlaps(intervals []interval, from, to time.Duration) bool {
 	for _, interval := range intervals {
 		if interval.start <= to && from <= interval.end {
@@ -199,71 +210,82 @@
 	return false
 }
 
-// misbehavingClient is one that is owed an error or a close.
+// misbehavingClient is a client that has to get an error response or a close.
 type misbehavingClient struct {
 	connectedAt time.Duration
 	kind        string
-	answered    bool // it had one
+	answered    bool // it got one
 }
 
-// overlap is a suspicion: two attempts of a job are out at once.
+// overlap is a possible violation: two attempts of a job that seem to be in flight at once.
 type overlap struct {
 	job               *job
 	rule              rule
-	early, late       int
-	scheduler, worker int           // the way by which the early one would have been given up
-	provedOpenAt      time.Duration // when that proved open; 0: not yet
+	early, late       int           // indexes of the attempts in the job
+	scheduler, worker int           // the path on which the early one would have been cancelled
+	provedOpenAt      time.Duration // when a message of the path arrived; 0: none did
 }
 
-// retainedJob keeps a settled job for a while.
+// retainedJob is a settled job in a retention queue.
 type retainedJob struct {
 	job           *job
-	id            uint64 // by which a reused one is told
+	id            uint64 // differs from that of job if job was released and reused
 	retainedUntil time.Duration
 }
 
-// retentionQueue is a queue of settled jobs, the oldest first, that uses its room again.
+// retentionQueue is a queue of settled jobs, the oldest first, in a ring buffer that grows.
 type retentionQueue struct {
 	ring        []retainedJob
 	start, size int
 }
 
+// add appends a job.
 func (r *retentionQueue) add(entry retainedJob) {
 	if r.size == len(r.ring) {
 		ring := make([]retainedJob, max(64, 2*len(r.ring)))
 		for i := range r.size {
 			ring[i] = r.ring[(r.start+i)%len(r.ring)]
 		}
-		r.ring, r.start = ring, 0
+		r.ring = ring
+		r.start = 0
 	}
 	r.ring[(r.start+r.size)%len(r.ring)] = entry
 	r.size++
 }
 
+// first returns the oldest job of a queue that is not empty.
 func (r *retentionQueue) first() *retainedJob { return &r.ring[r.start] }
 
+// drop removes the oldest job of a queue that is not empty.
 func (r *retentionQueue) drop() {
 	r.start = (r.start + 1) % len(r.ring)
 	r.size--
 }
 
-// classes are the scenario's classes.
+// classes returns the classes of a scenario, in its order.
 func classes(spec *scenario.Scenario) []class {
 	list := make([]class, len(spec.Classes))
 	for i := range spec.Classes {
 		source := &spec.Classes[i]
 		list[i] = class{
-			name: source.Name, idempotent: source.Idempotency == "safe", idempotentWithKey: source.Idempotency == "keyed", nonIdempotent: source.Idempotency == "unsafe",
-			scope: source.DeduplicationScope, window: source.DeduplicationWindow.Std(), objective: source.LatencyObjective.Std(), objectiveStretch: source.ObjectiveStretch, meanWork: source.Work.Std(),
+			name:              source.Name,
+			idempotent:        source.Idempotency == "safe",
+			idempotentWithKey: source.Idempotency == "keyed",
+			nonIdempotent:     source.Idempotency == "unsafe",
+			scope:             source.DeduplicationScope,
+			window:            source.DeduplicationWindow.Std(),
+			objective:         source.LatencyObjective.Std(),
+			objectiveStretch:  source.ObjectiveStretch,
+			meanWork:          source.Work.Std(),
 		}
 	}
 	return list
 }
 
-// retention is how long a settled job is remembered that must not run again: what is sent again after the longest
-// window is still known.
+// retention returns how long a settled job is retained that is not idempotent: longer than the longest deduplication window.
 func retention(spec *scenario.Scenario) time.Duration {
-	longest := 5 * time.Second
+	const shortest = 5 * time.Second
+	longest := shortest
 	for i := range spec.Classes {
 		longest = max(longest, spec.Classes[i].DeduplicationWindow.Std())
 	}
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -13,11 +13,11 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// history draws what a scheduler that keeps the rules may do with one job, whatever becomes of its attempts.
+// history draws the events of one job at a scheduler that follows the rules, whatever the results of its attempts.
 type history struct {
 	t    *rapid.T
 	spec *scenario.Scenario
-	s    []trace.Event
+	s    []trace.Event // drawn so far
 	job  uint64
 	at   time.Duration
 	free map[int]time.Duration // until when workers have an attempt of the job
@@ -34,7 +34,7 @@
 	h.s = append(h.s, s)
 }
 
-// run draws the job from its start; tries follow each other as long as its client may go on.
+// run draws the job from its start, with a request after the other as long as its client may retry.
 func (h *history) run() {
 	class := h.draw(len(h.spec.Classes))
 	c := &h.spec.Classes[class]
@@ -57,7 +57,7 @@
 	h.see(trace.Event{Kind: trace.JobSettled, JobID: h.job})
 }
 
-// try draws one request; again: its client may ask anew.
+// try draws one request, and reports whether its client may retry.
 func (h *history) try(class *scenario.Class, call string, sentAt time.Duration) (again bool) {
 	h.free = map[int]time.Duration{}
 	risk, cell := time.Duration(0), -1 // when an attempt was first possibly executed, and in which cell
@@ -74,7 +74,7 @@
 	}
 	for sent := 0; ; sent++ {
 		switch h.draw(6) {
-		case 0: // its client has had enough
+		case 0: // its client leaves
 			h.wait(100 * time.Millisecond)
 			h.see(trace.Event{Kind: trace.ClientLeft, RequestID: call})
 			return false
@@ -95,7 +95,7 @@
 	}
 }
 
-// mayRepeat reports whether a further attempt is allowed after one that was possibly executed at risk; 0: none was.
+// mayRepeat reports whether another attempt is allowed after one that was possibly executed at risk; 0: none was.
 func (h *history) mayRepeat(class *scenario.Class, risk time.Duration) bool {
 	return risk == 0 || class.Idempotency == "safe" ||
 		class.Idempotency == "keyed" && h.at < risk+class.DeduplicationWindow.Std()-time.Second
@@ -155,7 +155,7 @@
 	return result, true
 }
 
-// Whoever keeps the rules is never blamed; and where one word of it is changed, the rule that forbids it is named.
+// A history within the rules has no violation; with one event changed, the rule that forbids it is violated.
 func TestLegalHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := scenario.Default()
@@ -211,7 +211,7 @@
 	return checker.Verdict()
 }
 
-// What is settled is forgotten, and the room for it used again.
+// Settled jobs are evicted, and their memory is reused.
 func TestMemory(t *testing.T) {
 	spec := scenario.Default()
 	j := New(spec, Options{})
--- a/internal/testbed/checker/overlap_rules.go
+++ b/internal/testbed/checker/overlap_rules.go
@@ -1,24 +1,28 @@
 package checker
 
 import (
+	"time"
+
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the rule for overlapping runs of a request, which is decided once what crosses on its way has
-// arrived.
+// This file holds the rules for overlapping attempts of a request. They are decided late, as a cancellation of the earlier
+// attempt and the later attempt may cross on their way.
 
-// resolveOverlaps looks at suspicions again, as a trace event comes in that may settle some.
+// resolveOverlaps reports or drops the overlaps that a trace event decides.
 func (c *Checker) resolveOverlaps(event *trace.Event) {
 	kept := c.overlaps[:0]
 	for _, overlap := range c.overlaps {
-		early, late := &overlap.job.attempts[overlap.early], &overlap.job.attempts[overlap.late]
+		early := &overlap.job.attempts[overlap.early]
+		late := &overlap.job.attempts[overlap.late]
 		switch {
-		case overlap.provedOpenAt > 0 && event.At > overlap.provedOpenAt+c.workerDelay && early.inFlight(overlap.provedOpenAt+c.workerDelay):
+		case c.isConfirmed(overlap, event.At):
 			c.reportOverlap(overlap)
 			continue
 		case early.endedAt > 0:
 			continue
-		case overlap.provedOpenAt == 0 && event.Kind == trace.AttemptReceived && event.Worker == overlap.worker && event.Scheduler == overlap.scheduler && event.FirstByteAt > late.firstByteAt+c.dialDelay:
+		case overlap.provedOpenAt == 0 && event.Kind == trace.AttemptReceived && event.Worker == overlap.worker &&
+			event.Scheduler == overlap.scheduler && event.FirstByteAt > late.firstByteAt+c.dialDelay:
 			overlap.provedOpenAt = event.At
 		}
 		kept = append(kept, overlap)
@@ -27,12 +31,25 @@
 	c.overlaps = kept
 }
 
+// isConfirmed reports whether the earlier attempt of an overlap was still in flight when a cancellation of it would have
+// arrived on the path that proved open.
+func (c *Checker) isConfirmed(overlap overlap, now time.Duration) bool {
+	if overlap.provedOpenAt == 0 {
+		return false
+	}
+	cancelledBy := overlap.provedOpenAt + c.workerDelay
+	return now > cancelledBy && overlap.job.attempts[overlap.early].inFlight(cancelledBy)
+}
+
+// reportOverlap reports two attempts of a job that were in flight at once.
 func (c *Checker) reportOverlap(overlap overlap) {
-	early, late := &overlap.job.attempts[overlap.early], &overlap.job.attempts[overlap.late]
-	c.report(overlap.rule, overlap.job, overlap.job.requests[early.request].id, "sent to w-%d while an attempt at w-%d was out", late.worker, early.worker)
+	early := &overlap.job.attempts[overlap.early]
+	late := &overlap.job.attempts[overlap.late]
+	requestID := overlap.job.requests[early.request].id
+	c.report(overlap.rule, overlap.job, requestID, "sent to w-%d while an attempt at w-%d was out", late.worker, early.worker)
 }
 
-// dropOverlaps forgets suspicions of a job.
+// dropOverlaps drops the undecided overlaps of a job.
 func (c *Checker) dropOverlaps(job *job) {
 	kept := c.overlaps[:0]
 	for _, overlap := range c.overlaps {
--- a/internal/testbed/checker/request_events.go
+++ b/internal/testbed/checker/request_events.go
@@ -7,13 +7,13 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds what becomes of jobs, their requests and attempts, event by event.
+// This file updates the history of jobs and their requests, event by event.
 
-// misbehavingClientConnected remembers a misbehaving client, which is owed a response or a close.
+// misbehavingClientConnected records a misbehaving client, which the scheduler has to answer or disconnect.
 func (c *Checker) misbehavingClientConnected(event *trace.Event) {
 	c.counts.Misbehaving++
 	if len(c.misbehaving) > maxMisbehaving {
-		maps.DeleteFunc(c.misbehaving, func(_ uint64, b misbehavingClient) bool { return b.answered })
+		maps.DeleteFunc(c.misbehaving, func(_ uint64, client misbehavingClient) bool { return client.answered })
 	}
 	c.misbehaving[event.Conn] = misbehavingClient{connectedAt: event.At, kind: event.Text}
 }
@@ -39,7 +39,7 @@
 	case trace.ClientTimedOut:
 		c.counts.TimedOut++
 		c.requestEnded(job, request, requestTimedOut, event.At)
-	case trace.SchedulerUnreachable: // it was asked once, crossed a close, and found no other connection
+	case trace.SchedulerUnreachable: // sent once, it crossed a close, and no other connection was established
 		c.requestEnded(job, request, requestClientLeft, event.At)
 	case trace.AttemptReceived:
 		c.attemptReceived(job, request, requestIndex, event)
@@ -52,11 +52,11 @@
 	}
 }
 
-// jobDue begins a job.
+// jobDue begins the history of a job.
 func (c *Checker) jobDue(event *trace.Event) {
 	if event.JobID > c.highestJobID {
 		c.highestJobID = event.JobID
-	} else if old := c.jobs[event.JobID]; old != nil { // its number is used again
+	} else if old := c.jobs[event.JobID]; old != nil { // its ID is reused
 		c.forgetJob(old)
 	}
 	if event.Class < 0 || event.Class >= len(c.classes) {
@@ -69,14 +69,19 @@
 	newJob := c.freeJobs[len(c.freeJobs)-1]
 	c.freeJobs = c.freeJobs[:len(c.freeJobs)-1]
 	*newJob = job{requests: newJob.requests[:0], attempts: newJob.attempts[:0], log: newJob.log[:0]}
-	newJob.id, newJob.class, newJob.tenant, newJob.dueAt = event.JobID, &c.classes[event.Class], event.Tenant, event.At
-	newJob.slots, newJob.work, newJob.deadline = event.Slots, time.Duration(event.Work*float64(time.Second)), event.Deadline
+	newJob.id = event.JobID
+	newJob.class = &c.classes[event.Class]
+	newJob.tenant = event.Tenant
+	newJob.dueAt = event.At
+	newJob.slots = event.Slots
+	newJob.work = time.Duration(event.Work * float64(time.Second))
+	newJob.deadline = event.Deadline
 	c.jobs[newJob.id] = newJob
 	c.counts.Jobs++
 	c.recordJobEvent(newJob, event, noRequest)
 }
 
-// requestSent begins a try, or has it on another connection once more.
+// requestSent begins the history of a request, or records that it was sent again on another connection.
 func (c *Checker) requestSent(event *trace.Event) {
 	job := c.jobs[event.JobID]
 	if job == nil {
@@ -93,15 +98,18 @@
 		c.counts.Requests++
 		c.checkCounts[ruleOneAnswer]++
 	} else {
-		sent.state, sent.resent = requestOpen, true
+		sent.state = requestOpen
+		sent.resent = true
 	}
-	sent.sentAt, sent.deadline = event.At, event.At+event.Budget
-	sent.scheduler, sent.incarnation = event.Scheduler, scheduler.incarnation
+	sent.sentAt = event.At
+	sent.deadline = event.At + event.Budget
+	sent.scheduler = event.Scheduler
+	sent.incarnation = scheduler.incarnation
 	c.recordJobEvent(job, event, n)
 }
 
-// jobSettled is the end of a job for its client. A try that is open has crossed a close, and was still waiting for another
-// connection.
+// jobSettled handles the end of a job for its client. A request that is still open had crossed a close, and was waiting for
+// another connection.
 func (c *Checker) jobSettled(event *trace.Event) {
 	job := c.jobs[event.JobID]
 	if job == nil || job.settled {
@@ -109,8 +117,9 @@
 	}
 	c.recordJobEvent(job, event, noRequest)
 	job.settled = true
-	if job.class.idempotent { // nothing of it is forbidden but to go on
-		c.retained[0].add(retainedJob{job, job.id, event.At + min(c.retention, 2*c.dialDelay+idempotentRetention)})
+	if job.class.idempotent { // only attempts after its end would violate a rule
+		retention := min(c.retention, 2*c.dialDelay+idempotentRetention)
+		c.retained[0].add(retainedJob{job, job.id, event.At + retention})
 	} else {
 		c.retained[1].add(retainedJob{job, job.id, event.At + c.retention})
 	}
@@ -119,7 +128,7 @@
 	}
 }
 
-// unknownRequest takes a trace event of a request that nobody knows.
+// unknownRequest handles a trace event of a request that no client sent, or that was evicted.
 func (c *Checker) unknownRequest(event *trace.Event) {
 	if job := c.jobs[event.JobID]; job != nil && event.Kind == trace.SchedulerUnreachable {
 		c.recordJobEvent(job, event, noRequest)
@@ -129,7 +138,8 @@
 	switch event.Kind {
 	case trace.ResponseReceived:
 		c.recordFleetEvent(event)
-		c.report(ruleOneAnswer, nil, event.RequestID, "a client had an answer to a request that it had not sent, or had long had one to")
+		c.report(ruleOneAnswer, nil, event.RequestID,
+			"a client had an answer to a request that it had not sent, or had long had one to")
 	case trace.AttemptReceived:
 		c.counts.Attempts++
 		c.recordFleetEvent(event)
--- a/internal/testbed/checker/response_rules.go
+++ b/internal/testbed/checker/response_rules.go
@@ -10,21 +10,27 @@
 
 // This file holds the rules for responses: exactly one final answer, prompt, with a result that a worker made.
 
+// isRejection reports whether a status rejects a request.
 func isRejection(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
+// responseReceived handles a response that a client received, and checks that it is the only one, in time and allowed.
 func (c *Checker) responseReceived(job *job, request *request, event *trace.Event) {
 	request.responseBody = event.Text
-	switch request.responses++; {
+	request.responses++
+	switch {
 	case request.responses > 1:
 		c.report(ruleOneAnswer, job, request.id, "its client had a second answer to one request")
 		return
-	case request.state != requestOpen: // its client had gone, and heard it all the same
+	case request.state != requestOpen: // its client had left, and received the response nevertheless
 		return
 	}
-	request.state, request.endedAt, request.status = requestAnswered, event.At, event.Status
-	if late := event.At - request.deadline; late > c.slack+2*c.clientDelay+c.observationLateness() && !c.isExcused(request, event.At) {
+	request.state = requestAnswered
+	request.endedAt = event.At
+	request.status = event.Status
+	late := event.At - request.deadline
+	if late > c.slack+2*c.clientDelay+c.observationLateness() && !c.isExcused(request, event.At) {
 		c.report(ruleOneAnswer, job, request.id, "its answer came %v after its budget was over", late)
 	}
 	switch {
@@ -41,27 +47,31 @@
 	c.checkPromptness(job, request, event.At)
 }
 
-// requestEnded takes the end of a try without an answer.
-func (c *Checker) requestEnded(job *job, request *request, state requestState, at time.Duration) {
+// requestEnded handles the end of a request without a response.
+func (c *Checker) requestEnded(job *job, request *request, state requestState, endedAt time.Duration) {
 	if request.state != requestOpen {
 		return
 	}
-	if request.state, request.endedAt = state, at; state == requestClientLeft || state == requestTimedOut && at < request.deadline+2*(c.clientDelay+c.observationLateness()) {
+	request.state = state
+	request.endedAt = endedAt
+	lastResponseAt := request.deadline + 2*(c.clientDelay+c.observationLateness())
+	if state == requestClientLeft || state == requestTimedOut && endedAt < lastResponseAt {
 		c.counts.Excused++
 		return
 	}
-	c.checkUnanswered(job, request, at, state == requestConnLost, &c.counts)
+	c.checkUnanswered(job, request, endedAt, state == requestConnLost, &c.counts)
 }
 
-// checkUnanswered says whether an answer was owed. cut: the connection has ended; else its time is up.
-func (c *Checker) checkUnanswered(job *job, request *request, at time.Duration, cut bool, counts *Counts) {
+// checkUnanswered checks whether a request may end without a response. If cut is set its connection has ended, else its
+// deadline has passed. An excused request is added to counts.
+func (c *Checker) checkUnanswered(job *job, request *request, endedAt time.Duration, cut bool, counts *Counts) {
 	exit := c.scheduler(request.scheduler).exits[request.incarnation]
-	idle := request.attemptCount == 0 && cut && at-request.sentAt <= 2*c.clientDelay+c.observationLateness()
+	idle := request.attemptCount == 0 && cut && endedAt-request.sentAt <= 2*c.clientDelay+c.observationLateness()
 	fault := ""
 	switch {
 	case exit.exitedAt > 0:
 		fault = c.unansweredAtExit(request, exit, idle)
-	case cut && idle, c.isExcused(request, at):
+	case cut && idle, c.isExcused(request, endedAt):
 	case cut:
 		fault = "its connection ended without an answer"
 	default:
@@ -99,17 +109,23 @@
 		anyOverlaps(c.clientsCut, request.sentAt, exit.exitedAt)
 }
 
-// isExcused tells whether a try that ended at an instant had met a freeze or a cut that excuses a missing answer.
-func (c *Checker) isExcused(request *request, at time.Duration) bool {
+// isExcused reports whether a freeze of its scheduler or a cut of its client's network excuses that a request had no
+// response by an instant.
+func (c *Checker) isExcused(request *request, endedAt time.Duration) bool {
 	for _, freeze := range c.scheduler(request.scheduler).freezes {
-		// Its scheduler may have read it only when it woke, and counts from there; or woke when time was up.
-		if freeze.start <= at && request.sentAt-c.clientDelay <= freeze.end && (freeze.start <= request.sentAt+c.clientDelay || freeze.end >= request.deadline-c.slack) {
+		if freeze.start > endedAt || request.sentAt-c.clientDelay > freeze.end {
+			continue
+		}
+		// The scheduler may have read the request only when it was resumed, and counts the budget from then.
+		isReadLate := freeze.start <= request.sentAt+c.clientDelay
+		if isReadLate || freeze.end >= request.deadline-c.slack {
 			return true
 		}
 	}
-	return anyOverlaps(c.clientsCut, request.sentAt, at)
+	return anyOverlaps(c.clientsCut, request.sentAt, endedAt)
 }
 
+// checkRejection checks that a rejected request has no attempt that was possibly executed.
 func (c *Checker) checkRejection(job *job, request *request, at time.Duration) {
 	c.checkCounts[ruleRefusalHarmless]++
 	if job.class.isRepeatable() {
@@ -118,17 +134,20 @@
 	requestIndex := request.indexIn(job)
 	for i := range job.attempts {
 		if attempt := &job.attempts[i]; attempt.request == requestIndex && attempt.possiblyExecuted(at) {
-			c.report(ruleRefusalHarmless, job, request.id, "rejected with %d, though it may have run at w-%d", request.status, attempt.worker)
+			c.report(ruleRefusalHarmless, job, request.id, "rejected with %d, though it may have run at w-%d",
+				request.status, attempt.worker)
 			return
 		}
 	}
 }
 
+// indexIn returns the index of the request in its job.
 func (r *request) indexIn(job *job) int {
-	_, n := job.findRequest(r.id)
-	return n
+	_, index := job.findRequest(r.id)
+	return index
 }
 
+// checkResult checks that a worker made the result of a 200 for this request.
 func (c *Checker) checkResult(job *job, request *request, event *trace.Event) {
 	c.checkCounts[ruleMadeByWorker]++
 	requestIndex := request.indexIn(job)
@@ -140,12 +159,13 @@
 	c.report(ruleMadeByWorker, job, request.id, "served with %q, which no worker made for it", truncate(event.Text))
 }
 
-// updateExhausted notes when a scheduler knows that no attempt is left to it.
+// updateExhausted sets exhaustedAt once the scheduler knows the end of the last attempt allowed.
 func (c *Checker) updateExhausted(job *job, request *request) {
 	if request.attemptCount < c.attemptLimit || request.exhaustedAt > 0 || request.state != requestOpen {
 		return
 	}
-	requestIndex, last := request.indexIn(job), time.Duration(0)
+	requestIndex := request.indexIn(job)
+	last := time.Duration(0)
 	for i := range job.attempts {
 		if attempt := &job.attempts[i]; attempt.request == requestIndex {
 			if attempt.endKnownAt == 0 {
@@ -157,13 +177,16 @@
 	request.exhaustedAt = last
 }
 
-// checkPromptness is the rule that what was given up is answered at once; see the package's doc.
+// checkPromptness checks that a request is answered as soon as its scheduler has no reason to retain it: see Prompt
+// rejections in the package's documentation.
 func (c *Checker) checkPromptness(job *job, request *request, answeredAt time.Duration) {
-	if c.scheduler(request.scheduler).frozenDuring(request.sentAt, answeredAt) || anyOverlaps(c.clientsCut, request.sentAt, answeredAt) {
+	if c.scheduler(request.scheduler).frozenDuring(request.sentAt, answeredAt) ||
+		anyOverlaps(c.clientsCut, request.sentAt, answeredAt) {
 		return
 	}
 	c.checkCounts[rulePromptRefusal]++
-	if request.exhaustedAt > 0 && answeredAt > request.exhaustedAt+c.rejectionDeadline+c.clientDelay+c.observationLateness() {
+	within := c.rejectionDeadline + c.clientDelay + c.observationLateness()
+	if request.exhaustedAt > 0 && answeredAt > request.exhaustedAt+within {
 		c.report(rulePromptRefusal, job, request.id, "answered with %d %v after its scheduler knew that no attempt was left to it",
 			request.status, answeredAt-request.exhaustedAt)
 		return
@@ -171,7 +194,8 @@
 	if !isRejection(request.status) {
 		return
 	}
-	requestIndex, last := request.indexIn(job), max(request.sentAt, request.unreadUntil)
+	requestIndex := request.indexIn(job)
+	last := max(request.sentAt, request.unreadUntil)
 	for i := range job.attempts {
 		switch attempt := &job.attempts[i]; {
 		case attempt.request != requestIndex:
@@ -181,7 +205,6 @@
 			last = max(last, attempt.endKnownAt)
 		}
 	}
-	within := c.rejectionDeadline + c.clientDelay + c.observationLateness()
 	if anyOverlaps(c.connectsImpaired, answeredAt-c.dialDelay, answeredAt) { // it may have waited for a connection
 		within += c.dialDelay
 	}
@@ -193,14 +216,16 @@
 	}
 }
 
-// objectiveHorizon is how long after it was asked a scheduler may have hoped to bring a request in by its objective, however wrong its
-// idea of the work. Of one held for heavy it knows that even the fastest worker needs a good part of the work.
+// objectiveHorizon returns how long after a request was sent its scheduler may have expected to meet its objective, given how
+// wrong the estimate of its work may be. For work estimated as heavy it knows the time that even the fastest worker needs.
 func (c *Checker) objectiveHorizon(job *job, request *request) time.Duration {
-	class, budget := job.class, request.deadline-request.sentAt
+	class := job.class
+	budget := request.deadline - request.sentAt
 	work := float64(max(job.work, class.meanWork)) * c.estimateFactor
 	objective := float64(class.objective) + class.objectiveStretch*work
 	if class.objectiveStretch > 0 {
-		objective = min(objective, float64(budget)-float64(budget-class.objective)/(c.heavyFactor*c.maxSpeed*class.objectiveStretch))
+		fastestRun := float64(budget-class.objective) / (c.heavyFactor * c.maxSpeed * class.objectiveStretch)
+		objective = min(objective, float64(budget)-fastestRun)
 	}
 	return min(time.Duration(objective), budget)
 }
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file holds the rules by name and number, and the report of a rule that is broken.
+// This file defines the rules by name and number, and reports their violations.
 
-// rule is a rule's number; its name is what a verdict says.
+// rule is the number of a rule, an index of RuleNames.
 type rule uint8
 
 const (
@@ -28,15 +28,19 @@
 	ruleCount
 )
 
-// RuleNames are the names of the rules.
+// RuleNames are the names of the rules, as verdicts and scripts give them.
 var RuleNames = [ruleCount]string{
 	"one-answer", "payout-once", "key-scope", "refusal-harmless", "drain", "cold",
 	"one-attempt-per-node", "attempts", "made-by-node", "prompt-refusal", "id-unknown", "bad-clients", "limits", "crash",
 }
 
+// String returns the name of the rule.
 func (r rule) String() string { return RuleNames[r] }
 
-// report notes a broken rule. A job breaks each rule once.
+// explainedFleetSpan is the time before a violation whose fleet events explain it, if it is about no job.
+const explainedFleetSpan = 10 * time.Second
+
+// report records a violation of a rule, by a job or, if job is nil, by none. A job violates each rule once at most.
 func (c *Checker) report(broken rule, job *job, requestID, format string, args ...any) {
 	if job != nil {
 		if job.brokenRules&(1<<broken) != 0 {
@@ -44,7 +48,8 @@
 		}
 		job.brokenRules |= 1 << broken
 	}
-	if c.violationCounts[broken]++; c.violationCounts[broken] > maxExplained {
+	c.violationCounts[broken]++
+	if c.violationCounts[broken] > maxExplained {
 		return
 	}
 	violation := Violation{Rule: broken.String(), At: c.now, RequestID: requestID, Text: fmt.Sprintf(format, args...)}
@@ -52,7 +57,7 @@
 		violation.JobID = job.id
 		job.violations = append(job.violations, len(c.violations))
 	} else {
-		violation.Explanation = c.explainFleet(c.now - 10*time.Second)
+		violation.Explanation = c.explainFleet(c.now - explainedFleetSpan)
 	}
 	c.violations = append(c.violations, violation)
 }
--- a/internal/testbed/checker/rules_test.go
+++ b/internal/testbed/checker/rules_test.go
@@ -31,8 +31,8 @@
 	"usage": trace.ResourceUsage, "late": trace.TestbedLate, "unread": trace.AttemptUnread,
 }
 
-// Each file of testdata is a history of trace events, a line each, and below a line of dashes what the checker makes of it.
-// "set" lines change the scenario before. A history has right beside wrong: what is not told was not blamed.
+// Each file of testdata is a history of trace events, a line each, and below a line of dashes the checker's verdict.
+// "set" lines change the scenario before. A history has allowed events beside violations: what the verdict does not name is allowed.
 func TestRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < int(ruleCount) {
@@ -84,7 +84,7 @@
 	return s.String()
 }
 
-// runScript has a checker watch a script.
+// runScript returns the verdict of a checker that observed the events of a script.
 func runScript(t *testing.T, script string) Verdict {
 	t.Helper()
 	spec, opt := scenario.Default(), Options{}
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// The checker deals cells and zones as the environment does.
+// The checker assigns workers to cells and zones as the environment does.
 func TestRacks(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers, spec.Fleet.Zones, spec.Fleet.CellSize = 23, []string{"a", "b", "c"}, 3
@@ -26,7 +26,7 @@
 			for _, h := range start.KnownEndpoints.Endpoints {
 				n, _ := scenario.NodeIndex(h.ID, spec.Fleet.Workers)
 				if listed++; cells[n] != h.Cell || spec.Fleet.Zones[zones[n]] != h.Zone {
-					t.Errorf("%s is of cell %d in zone %s, the judge says %d in %d", h.ID, h.Cell, h.Zone, cells[n], zones[n])
+					t.Errorf("%s is of cell %d in zone %s, the checker says %d in %d", h.ID, h.Cell, h.Zone, cells[n], zones[n])
 				}
 			}
 		}
@@ -36,10 +36,10 @@
 	}
 }
 
-// The cost of a request, all its trace events together, among 256 that are out at a time.
+// The cost of a request with all its trace events, among 256 in flight.
 func BenchmarkWatch(b *testing.B) {
 	const inFlight = 256
-	story := []trace.Event{
+	events := []trace.Event{
 		{Kind: trace.JobDue, Deadline: 5 * time.Second},
 		{Kind: trace.RequestSent, Budget: 5 * time.Second},
 		{Kind: trace.AttemptReceived},
@@ -51,23 +51,29 @@
 		{Kind: trace.ResponseReceived, Status: 200, Text: "r"},
 		{Kind: trace.JobSettled, Status: 200},
 	}
-	calls := make([]string, b.N+inFlight)
-	for i := range calls {
-		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
+	requestIDs := make([]string, b.N+inFlight)
+	for i := range requestIDs {
+		requestIDs[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
 	}
-	j, now := New(scenario.Default(), Options{}), time.Duration(0)
+	checker := New(scenario.Default(), Options{})
+	now := time.Duration(0)
 	b.ResetTimer()
 	for n := 0; n < b.N; n += inFlight {
-		for i := range story {
-			s := &story[i]
+		for i := range events {
+			event := &events[i]
 			for k := n; k < n+inFlight; k++ {
 				now += 5 * time.Microsecond
-				s.At, s.FirstByteAt, s.JobID, s.RequestID, s.Conn, s.Worker = now, now, uint64(k+1), calls[k], uint64(k%inFlight), k%100
-				j.Observe(s)
+				event.At = now
+				event.FirstByteAt = now
+				event.JobID = uint64(k + 1)
+				event.RequestID = requestIDs[k]
+				event.Conn = uint64(k % inFlight)
+				event.Worker = k % 100
+				checker.Observe(event)
 			}
 		}
 	}
-	if broken := j.Verdict().Violations; len(broken) > 0 {
+	if broken := checker.Verdict().Violations; len(broken) > 0 {
 		b.Fatal(broken[0])
 	}
 }
--- a/internal/testbed/checker/time_limits.go
+++ b/internal/testbed/checker/time_limits.go
@@ -8,47 +8,54 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// This file holds the time limits that follow from the scenario: how late an answer may be, and when faults of the
-// network and of workers excuse one.
+// This file derives the time limits from the scenario: how late a response may be, and when faults of the network and of
+// workers excuse one.
 
 // timeLimits are the time limits that follow from the scenario.
 type timeLimits struct {
-	slack             time.Duration // after a deadline an answer still counts
-	clientDelay       time.Duration // a word between client and scheduler takes at most
-	workerDelay       time.Duration // the same between scheduler and worker
-	dialDelay         time.Duration // from a scheduler's choice to the first byte of a request, at most
-	lateSend          time.Duration // after its client saw the end of a request, an attempt may begin
-	drainGrace        time.Duration // of a drain
-	rejectionDeadline time.Duration // prompt
-	heavyFactor       float64       // times its speed that the fastest worker may be taken to do at the most
-	retention         time.Duration // a settled job is remembered
-	estimateFactor    float64       // times its true work, at least the mean, that a job may be taken for
-	maxSpeed          float64       // speed of a core
-	clientsCut        []interval    // clients and schedulers are cut off from each other, or slowed down
-	workersImpaired   []interval    // words between schedulers and workers may never come
-	workersCut        []interval    // or come when that is over
-	connectsImpaired  []interval    // connections to workers may not come up
-	killDelay         time.Duration // from SIGTERM to SIGKILL at the soonest
-	attemptLimit      int
-	hedging           bool
+	slack             time.Duration // after a deadline, in which a response is still in time
+	clientDelay       time.Duration // of a message between client and scheduler, at most
+	workerDelay       time.Duration // of a message between scheduler and worker, at most
+	dialDelay         time.Duration // from the choice of a worker to the first byte of the attempt, at most
+	lateSend          time.Duration // after the end of a request for its client, in which an attempt may begin
+	drainGrace        time.Duration // after the notification of a drain, in which an attempt may begin
+	rejectionDeadline time.Duration // in which a rejection is prompt
+	heavyFactor       float64       // the fastest worker's estimated speed, at most, as a multiple of its speed
+	retention         time.Duration // of a settled job that is not idempotent
+	estimateFactor    float64       // a job's estimated work, at most, as a multiple of its work
+	maxSpeed          float64       // of a core of the fastest worker
+	clientsCut        []interval    // clients and schedulers are disconnected from each other, or delayed
+	workersImpaired   []interval    // messages between schedulers and workers may be lost
+	workersCut        []interval    // messages between schedulers and workers arrive after the interval, if at all
+	connectsImpaired  []interval    // connections to workers may not be established
+	killDelay         time.Duration // from SIGTERM to SIGKILL, at least
+	attemptLimit      int           // attempts of a request
+	hedging           bool          // attempts of a request may overlap
 }
 
-// termGrace is how long after SIGTERM requests come in that the process may take with it when it is killed.
+// termGrace is the time after SIGTERM in which requests may arrive that are lost when the process is killed.
 const termGrace = 700 * time.Millisecond
 
-// lateSendGrace is how long after a client's close, or the answer, an attempt may begin.
+// lateSendGrace is the time after a client's close, or the response, in which an attempt may begin.
 const lateSendGrace = 100 * time.Millisecond
 
+// newTimeLimits returns the time limits of a scenario, wider ones for real processes.
 func newTimeLimits(spec *scenario.Scenario, realProcesses bool) timeLimits {
-	rules, network := &spec.Rules, &spec.Network
-	// Delays are log-normal; no run is so long that one lies six deviations out.
+	rules := &spec.Rules
+	network := &spec.Network
+	// Delays are log-normal. One beyond six standard deviations is not expected in any run.
 	far := math.Exp(6 * math.Sqrt(math.Log1p(network.Jitter*network.Jitter)))
 	long := func(d time.Duration) time.Duration { return time.Duration(far * float64(d)) }
 	limits := timeLimits{
-		slack: rules.Slack.Std(), clientDelay: time.Millisecond + long(network.ClientDelay.Std()),
-		workerDelay: time.Millisecond + long(max(network.Delay.Std(), network.CrossZone.Std())), drainGrace: rules.DrainGrace.Std(),
-		rejectionDeadline: rules.RejectionDeadline.Std(), retention: retention(spec), maxSpeed: 1,
-		attemptLimit: max(1, spec.Schedulers.AttemptLimit), hedging: spec.Schedulers.Hedging,
+		slack:             rules.Slack.Std(),
+		clientDelay:       time.Millisecond + long(network.ClientDelay.Std()),
+		workerDelay:       time.Millisecond + long(max(network.Delay.Std(), network.CrossZone.Std())),
+		drainGrace:        rules.DrainGrace.Std(),
+		rejectionDeadline: rules.RejectionDeadline.Std(),
+		retention:         retention(spec),
+		maxSpeed:          1,
+		attemptLimit:      max(1, spec.Schedulers.AttemptLimit),
+		hedging:           spec.Schedulers.Hedging,
 	}
 	limits.dialDelay = spec.Schedulers.ConnTimeout.Std() + 2*limits.workerDelay + long(network.Handshake.Std())
 	wait := 16 * time.Millisecond
@@ -85,21 +92,25 @@
 
 // setEstimateFactors sets how far a scheduler's estimate of a job's work may be off, by the scenario's hints.
 func (t *timeLimits) setEstimateFactors(spec *scenario.Scenario) {
-	t.estimateFactor, t.heavyFactor = 4, 4
-	switch load := &spec.Load; load.Hints {
+	t.estimateFactor = 4
+	t.heavyFactor = 4
+	load := &spec.Load
+	switch load.Hints {
 	case "exact":
 		t.estimateFactor = 2
-	case "rough": // what hints err by shows in what runs are found to take, and twice that is allowed for
-		t.estimateFactor, t.heavyFactor = max(2, math.Exp(4*load.HintFactor)), 4*math.Exp(2*load.HintFactor)
-	case "wrong": // it looks at first as if all were so much faster, and as if expectations erred by that
-		t.estimateFactor, t.heavyFactor = 2*max(1, load.HintFactor), 4*max(1, load.HintFactor*load.HintFactor)
+	case "rough": // twice the deviation of the hints, which schedulers observe in execution times
+		t.estimateFactor = max(2, math.Exp(4*load.HintFactor))
+		t.heavyFactor = 4 * math.Exp(2*load.HintFactor)
+	case "wrong": // workers seem faster by the factor, and estimates seem wrong by it
+		t.estimateFactor = 2 * max(1, load.HintFactor)
+		t.heavyFactor = 4 * max(1, load.HintFactor*load.HintFactor)
 	}
 	if hasProlongedRuns(spec) {
 		t.estimateFactor *= 4
 	}
 }
 
-// addFault widens the limits by a fault of the timeline, and adds the interval in which it excuses what.
+// addFault widens the limits by a fault of the timeline, and adds its interval to those of what it excuses.
 func (t *timeLimits) addFault(fault *scenario.Fault) {
 	interval := interval{fault.At.Std(), forever}
 	if fault.Duration > 0 {
@@ -115,7 +126,8 @@
 	if connectImpairingFaults[fault.Kind] {
 		t.connectsImpaired = append(t.connectsImpaired, interval)
 	}
-	switch clients := fault.Between == "clients" || fault.And == "clients"; {
+	clients := fault.Between == "clients" || fault.And == "clients"
+	switch {
 	case clients && scenario.FaultKinds[fault.Kind] == "net":
 		t.clientsCut = append(t.clientsCut, interval)
 	case impairingFaults[fault.Kind]:
@@ -127,27 +139,33 @@
 	}
 }
 
-// prolongingFaults are the faults by which runs look longer to schedulers than they are, or are so for a while: what they
-// expect of others follows that.
+// prolongingFaults are the faults by which executions are longer, or seem longer to schedulers, whose estimates follow.
 var prolongingFaults = map[string]bool{
 	"cut": true, "cut_one_way": true, "delay": true, "hang": true, "no_notes": true,
 	"pause": true, "sched_freeze": true, "slow": true, "slow_read": true,
 }
 
-// hasProlongedRuns tells whether anything in a scenario does that. Where starts are not told, waiting looks like running.
+// hasProlongedRuns reports whether a fault or a kind of worker of a scenario makes executions longer, or seem longer: without
+// start notifications, time in a worker's queue looks like execution time.
 func hasProlongedRuns(spec *scenario.Scenario) bool {
-	return slices.ContainsFunc(spec.Faults, func(f scenario.Fault) bool { return prolongingFaults[f.Kind] }) ||
-		slices.ContainsFunc(spec.Fleet.Kinds, func(k scenario.WorkerKind) bool { return k.OmitsStartNotifications || k.PauseEvery > 0 })
+	if slices.ContainsFunc(spec.Faults, func(fault scenario.Fault) bool { return prolongingFaults[fault.Kind] }) {
+		return true
+	}
+	return slices.ContainsFunc(spec.Fleet.Kinds, func(kind scenario.WorkerKind) bool {
+		return kind.OmitsStartNotifications || kind.PauseEvery > 0
+	})
 }
 
-// impairingFaults are the faults by which words between schedulers and workers are lost or come very late.
+// impairingFaults are the faults by which messages between schedulers and workers are lost or very late.
 var impairingFaults = map[string]bool{
 	"cut": true, "cut_one_way": true, "delay": true, "drop_idle": true, "half_open": true,
 	"never_up": true, "refuse": true, "reset_at": true, "slow_read": true,
 }
 
-// connectImpairingFaults are the faults by which connections to workers do not come up.
-var connectImpairingFaults = map[string]bool{"cut": true, "cut_one_way": true, "never_up": true, "vanish": true, "replace": true}
+// connectImpairingFaults are the faults by which connections to workers are not established.
+var connectImpairingFaults = map[string]bool{
+	"cut": true, "cut_one_way": true, "never_up": true, "vanish": true, "replace": true,
+}
 
-// impairmentMargin is how long before and after such a fault its effect may show.
+// impairmentMargin is the time before and after an impairing fault in which messages may be lost, too.
 const impairmentMargin = 1500 * time.Millisecond
--- a/internal/testbed/checker/verdict.go
+++ b/internal/testbed/checker/verdict.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// This file holds the verdict on a run.
+// This file defines the verdict on a run, and derives it from what the checker found.
 
 // Verdict is the result of checking a run.
 type Verdict struct {
@@ -17,20 +17,21 @@
 	Invalid    string      `json:"void,omitempty"` // why the run is invalid; empty: it is valid
 	Counts     Counts      `json:"counts"`
 	Rules      []RuleCount `json:"rules"`
-	NotChecked []string    `json:"left_out,omitempty"` // what this driver can't show, and why
+	NotChecked []string    `json:"left_out,omitempty"` // what can't be checked in this run, and why
 }
 
-// Violation is one rule broken, by one job or one scheduler, worker or client.
+// Violation is a violation of one rule, by one job, scheduler, worker or client.
 type Violation struct {
 	Rule        string        `json:"rule"`
 	At          time.Duration `json:"at"`
-	JobID       uint64        `json:"job,omitempty"`  // 0 where it is about none
-	RequestID   string        `json:"call,omitempty"` // its request, where it is about one
+	JobID       uint64        `json:"job,omitempty"`  // 0 if it is about none
+	RequestID   string        `json:"call,omitempty"` // empty if it is about none
 	Text        string        `json:"text"`
-	Explanation []string      `json:"story"` // of the whole job, in order of time
+	Explanation []string      `json:"story"` // the events of the whole job, in order of time
 }
 
-// RuleCount tells how often a rule came up, and how many jobs or parties broke it; Verdict.Broken tells the first of them.
+// RuleCount counts the checks of a rule, and the jobs, processes and clients that violated it. Verdict.Violations has the first
+// of them.
 type RuleCount struct {
 	Rule     string `json:"rule"`
 	Checked  int    `json:"looked"`
@@ -41,28 +42,30 @@
 type Counts struct {
 	Jobs            int `json:"jobs"`
 	Requests        int `json:"tries"`
-	Served          int `json:"served"` // tries, as the next ones
+	Served          int `json:"served"` // requests, as the next six
 	Rejected        int `json:"refused"`
 	Failed          int `json:"failed"`
-	ConnectionsLost int `json:"lost"`     // their connection ended
-	TimedOut        int `json:"gave_up"`  // by their clients, their time being up
-	ClientsLeft     int `json:"left"`     // by their clients, earlier
-	Excused         int `json:"excused"`  // of those without an answer: nothing was owed
-	Open            int `json:"open"`     // nothing had become of them when the run ended
+	ConnectionsLost int `json:"lost"`     // their connection ended without a response
+	TimedOut        int `json:"gave_up"`  // their clients timed out
+	ClientsLeft     int `json:"left"`     // their clients left before
+	Excused         int `json:"excused"`  // requests without a response that a fault or their client excuses
+	Open            int `json:"open"`     // not ended when the run ended
 	Attempts        int `json:"attempts"` // that reached a worker
-	Started         int `json:"began"`    // to run
-	Duplicates      int `json:"repeats"`  // that a cell dropped
-	Misbehaving     int `json:"bad"`      // clients
-	Evicted         int `json:"crowded"`  // settled jobs forgotten early, for want of room
-	Unknown         int `json:"stray"`    // trace events of what the checker didn't know, or no longer
-	Overlaps        int `json:"suspects"` // overlaps looked at, most of which cross on their way
+	Started         int `json:"began"`    // executions
+	Duplicates      int `json:"repeats"`  // attempts that a cell dropped as repeats
+	Misbehaving     int `json:"bad"`      // misbehaving clients
+	Evicted         int `json:"crowded"`  // settled jobs that were evicted before their retention expired
+	Unknown         int `json:"stray"`    // trace events of unknown or evicted jobs and requests
+	Overlaps        int `json:"suspects"` // overlaps examined, most of them cancellations that cross the later attempt
 }
 
-// Verdict returns what was found so far, including in requests that are still open. The run may go on after it.
+// Verdict returns what was found so far, including violations by requests that are still open. The run may continue after it.
 func (c *Checker) Verdict() Verdict {
 	verdict := Verdict{Violations: []Violation{}, Counts: c.counts}
 	// What is open is checked on a copy of the findings.
-	found, checked, violated := slices.Clone(c.violations), c.checkCounts, c.violationCounts
+	found := slices.Clone(c.violations)
+	checked := c.checkCounts
+	violated := c.violationCounts
 	saved := c.saveJobs()
 	for _, state := range saved {
 		c.checkOpenRequests(state.job, &verdict.Counts)
@@ -83,9 +86,12 @@
 	for r := range ruleCount {
 		verdict.Rules = append(verdict.Rules, RuleCount{r.String(), c.checkCounts[r], c.violationCounts[r]})
 	}
-	c.violations, c.checkCounts, c.violationCounts = found, checked, violated
+	c.violations = found
+	c.checkCounts = checked
+	c.violationCounts = violated
 	for _, state := range saved {
-		state.job.brokenRules, state.job.violations = state.brokenRules, state.violations
+		state.job.brokenRules = state.brokenRules
+		state.job.violations = state.violations
 	}
 	if c.maxLateness > c.options.MaxLateness {
 		verdict.Invalid = fmt.Sprintf("the testbed itself was %v late, more than %v", c.maxLateness, c.options.MaxLateness)
@@ -94,14 +100,14 @@
 	return verdict
 }
 
-// savedJob is the part of a job that checking what is open changes.
+// savedJob is the part of a job that the checks of open requests change.
 type savedJob struct {
 	job         *job
 	brokenRules uint32
 	violations  []int
 }
 
-// saveJobs saves all jobs, in order of their numbers, and gives each its own copy of its violations.
+// saveJobs saves all jobs, in order of their IDs, and gives each its own copy of its violations.
 func (c *Checker) saveJobs() []savedJob {
 	var saved []savedJob
 	for _, job := range c.jobs {
@@ -114,7 +120,7 @@
 	return saved
 }
 
-// checkOpenRequests counts a job's open requests, and checks those whose time is up.
+// checkOpenRequests counts a job's open requests, and checks those whose deadline has passed.
 func (c *Checker) checkOpenRequests(job *job, counts *Counts) {
 	for i := range job.requests {
 		request := &job.requests[i]
@@ -128,7 +134,7 @@
 	}
 }
 
-// checkOpenMisbehaving reports misbehaving clients that are owed a response or a close, in order of their connections.
+// checkOpenMisbehaving reports misbehaving clients whose response or close is overdue, in order of their connections.
 func (c *Checker) checkOpenMisbehaving() {
 	for _, conn := range slices.Sorted(maps.Keys(c.misbehaving)) {
 		client := c.misbehaving[conn]
@@ -138,7 +144,7 @@
 	}
 }
 
-// notChecked names what this run can't show, and why.
+// notChecked lists the rules that can't be checked in this run, and why.
 func (c *Checker) notChecked() []string {
 	var list []string
 	if len(c.workersImpaired) > 0 {
@@ -156,6 +162,7 @@
 	return list
 }
 
+// impairedBy returns what makes messages to workers get lost, by the scenario's names.
 func (c *Checker) impairedBy() string {
 	var by []string
 	for i := range c.spec.Faults {
--- a/internal/testbed/checker/worker_rules.go
+++ b/internal/testbed/checker/worker_rules.go
@@ -10,26 +10,37 @@
 
 // This file holds the rules for warming workers, misbehaving clients and the limits of a scheduler's process.
 
-// coldArrival is work that came to a cold worker.
+// coldArrival is work that a worker received while it was warming up.
 type coldArrival struct {
 	receivedAt time.Duration
 	scheduler  int
-	work       float64
-	capacity   float64
+	work       float64 // seconds, times slots
+	capacity   float64 // seconds of work a second
 }
 
+// coldWorkReceived records work that a worker received while it was warming up.
 func (c *Checker) coldWorkReceived(event *trace.Event) {
 	arrivals := c.coldWork[event.Worker]
 	if len(arrivals) == maxColdWork {
 		arrivals = append(arrivals[:0], arrivals[1:]...)
 	}
-	c.coldWork[event.Worker] = append(arrivals, coldArrival{event.At, event.Scheduler, event.Slots * event.Work, event.Share})
+	c.coldWork[event.Worker] = append(arrivals, coldArrival{
+		receivedAt: event.At,
+		scheduler:  event.Scheduler,
+		work:       event.Slots * event.Work,
+		capacity:   event.Share,
+	})
 	c.checkCounts[ruleCold]++
 }
 
+// notifiedShareLimit is the part of a cold worker's work from which on the schedulers that were notified of its start are
+// responsible for its overload.
+const notifiedShareLimit = 2.0 / 3
+
+// workerOverloaded handles the overload of a worker that was warming up.
 func (c *Checker) workerOverloaded(event *trace.Event) {
 	c.recordFleetEvent(event)
-	if event.Share < 2.0/3 {
+	if event.Share < notifiedShareLimit {
 		return
 	}
 	before := len(c.violations)
@@ -40,7 +51,7 @@
 	}
 }
 
-// misbehaviorDeadline is the time within which a misbehaving client of a kind has its error or its close.
+// misbehaviorDeadline returns the time within which a misbehaving client of a kind has to be answered or disconnected.
 func (c *Checker) misbehaviorDeadline(kind string) time.Duration {
 	deadline := c.spec.Rules.MisbehaviorDeadline.Std()
 	if kind == "huge_body" {
@@ -49,6 +60,7 @@
 	return deadline + c.slack
 }
 
+// misbehavingClientAnswered handles a response to a misbehaving client, or the end of its connection.
 func (c *Checker) misbehavingClientAnswered(event *trace.Event) {
 	client, known := c.misbehaving[event.Conn]
 	if !known {
@@ -67,18 +79,22 @@
 	}
 }
 
+// reportUnansweredClient reports a misbehaving client that was neither answered nor disconnected in time.
 func (c *Checker) reportUnansweredClient(client misbehavingClient) {
 	c.checkCounts[ruleBadClients]++
 	c.report(ruleBadClients, nil, "", "a misbehaving client (%s) of %v has neither an error nor a close", client.kind, client.connectedAt)
 }
 
+// checkUsage checks the memory and descriptors of a scheduler's process against its limits, once a process.
 func (c *Checker) checkUsage(event *trace.Event) {
 	c.checkCounts[ruleLimits]++
-	scheduler, limits := c.scheduler(event.Scheduler), &c.spec.Schedulers
+	scheduler := c.scheduler(event.Scheduler)
+	limits := &c.spec.Schedulers
 	text := ""
 	switch {
 	case limits.MemoryMB > 0 && event.Memory > int64(limits.MemoryMB)<<20:
-		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed", event.Scheduler, float64(event.Memory)/(1<<20), limits.MemoryMB)
+		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed",
+			event.Scheduler, float64(event.Memory)/(1<<20), limits.MemoryMB)
 	case limits.Sockets > 0 && event.OpenFiles > limits.Sockets:
 		text = fmt.Sprintf("scheduler %d holds %d descriptors, of %d allowed", event.Scheduler, event.OpenFiles, limits.Sockets)
 	}
