--- a/internal/testbed/starvation/attempts.go
+++ b/internal/testbed/starvation/attempts.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// States that callbacks report, and the text of a cancellation that the attempt's scheduler does not know of.
+// States that callbacks report, and the text of a cancellation of which the attempt's scheduler is not notified.
 const (
 	stateStarted     = "started"
 	stateRunning     = "running"
@@ -21,19 +21,23 @@
 	sentAt        time.Duration
 	receivedAt    time.Duration // when its worker had read it
 	inFlight      bool          // for its scheduler
-	atWorker      bool          // it occupies its worker's slots, for all that was seen of its end
+	atWorker      bool          // it occupies its worker's slots, by the trace
 	received      bool          // its worker has read it
-	finished      bool          // it ran to its end
+	finished      bool          // its execution has ended
 	startNotified bool          // its scheduler was notified that it runs
-	notExecuted   bool          // its scheduler knows that it never ran
+	notExecuted   bool          // its scheduler was notified that it was not executed
 }
 
+// isInFlight reports whether the attempt has not ended for its scheduler.
 func (a *attempt) isInFlight() bool { return a.inFlight }
 
+// occupiesWorker reports whether the attempt occupies slots of its worker.
 func (a *attempt) occupiesWorker() bool { return a.atWorker }
 
+// isUnread reports whether the attempt occupies its worker, which has not read it.
 func (a *attempt) isUnread() bool { return a.atWorker && !a.received }
 
+// isUnresolved reports whether the attempt is in flight or occupies its worker.
 func (a *attempt) isUnresolved() bool { return a.inFlight || a.atWorker }
 
 // startedAttempt is an attempt that started, and of which its scheduler may not have been notified.
@@ -44,7 +48,7 @@
 
 // findAttempt returns the request of an event and its first attempt at the event's worker for which matches holds.
 // Either is nil if there is none.
-func (c *Checker) findAttempt(event *trace.Event, matches func(a *attempt) bool) (*request, *attempt) {
+func (c *Checker) findAttempt(event *trace.Event, matches func(candidate *attempt) bool) (*request, *attempt) {
 	owner := c.requests[event.RequestID]
 	if owner == nil {
 		return nil, nil
@@ -57,6 +61,7 @@
 	return owner, nil
 }
 
+// attemptSent adds an attempt, which occupies its worker, to its request.
 func (c *Checker) attemptSent(event *trace.Event) {
 	owner := c.requests[event.RequestID]
 	if owner == nil || !c.isWorker(event.Worker) {
@@ -71,6 +76,7 @@
 	c.addUse(&c.workers[event.Worker], owner.job.slots)
 }
 
+// attemptReceived handles an attempt that its worker has read.
 func (c *Checker) attemptReceived(event *trace.Event) {
 	if _, received := c.findAttempt(event, (*attempt).isUnread); received != nil {
 		received.received = true
@@ -78,6 +84,7 @@
 	}
 }
 
+// attemptRejected ends an attempt that its worker rejected: it was not executed.
 func (c *Checker) attemptRejected(event *trace.Event) {
 	c.markUnhealthy(event.Worker)
 	if owner, rejected := c.findAttempt(event, (*attempt).occupiesWorker); rejected != nil {
@@ -86,7 +93,7 @@
 	}
 }
 
-// attemptReturned is the end of an attempt at its worker only: its scheduler is notified of it by a callback.
+// attemptReturned ends an attempt at its worker only: its scheduler is notified of it by a callback.
 func (c *Checker) attemptReturned(event *trace.Event) {
 	c.markUnhealthy(event.Worker)
 	if owner, returned := c.findAttempt(event, (*attempt).occupiesWorker); returned != nil {
@@ -95,6 +102,7 @@
 	}
 }
 
+// attemptStarted handles the start of an execution, of which the scheduler has to be notified in time.
 func (c *Checker) attemptStarted(event *trace.Event) {
 	_, started := c.findAttempt(event, (*attempt).occupiesWorker)
 	isRepeat := event.Text != ""
@@ -114,6 +122,7 @@
 	}
 }
 
+// attemptFinished handles the end of an execution. The attempt occupies its worker until its scheduler is notified.
 func (c *Checker) attemptFinished(event *trace.Event) {
 	failed := event.Status != http.StatusOK
 	if failed {
@@ -133,6 +142,7 @@
 	}
 }
 
+// attemptDied ends an attempt at its worker, with the worker's process. Its scheduler is not notified.
 func (c *Checker) attemptDied(event *trace.Event) {
 	c.markUnhealthy(event.Worker)
 	if owner, died := c.findAttempt(event, (*attempt).occupiesWorker); died != nil {
@@ -140,7 +150,7 @@
 	}
 }
 
-// attemptCancelled is the end of an attempt for its scheduler. It occupies its worker until it has run to its end.
+// attemptCancelled ends an attempt for its scheduler. It occupies its worker until its execution has ended.
 func (c *Checker) attemptCancelled(event *trace.Event) {
 	owner, cancelled := c.findAttempt(event, (*attempt).isInFlight)
 	if cancelled == nil || event.Text == cancelledByFault {
@@ -152,6 +162,7 @@
 	c.endForScheduler(owner, cancelled)
 }
 
+// attemptUnread ends an attempt that no worker has read before its connection ended.
 func (c *Checker) attemptUnread(event *trace.Event) {
 	c.markUnhealthy(event.Worker)
 	if owner, unread := c.findAttempt(event, (*attempt).isUnread); unread != nil {
@@ -159,6 +170,7 @@
 	}
 }
 
+// callbackAnswered handles a callback that its scheduler has answered: the start or the end of an attempt.
 func (c *Checker) callbackAnswered(event *trace.Event) {
 	if event.Number > 1 {
 		c.markUnhealthy(event.Worker)
@@ -182,6 +194,7 @@
 	c.resolveAttempt(owner, ended)
 }
 
+// callbackLost handles a callback that its worker has abandoned: the attempt ends at the worker only.
 func (c *Checker) callbackLost(event *trace.Event) {
 	c.markUnhealthy(event.Worker)
 	if owner, ended := c.findAttempt(event, (*attempt).occupiesWorker); ended != nil && isFinalState(event.Text) {
@@ -189,7 +202,7 @@
 	}
 }
 
-// isFinalState tells whether a callback with this state reports the end of an attempt.
+// isFinalState reports whether a callback with this state reports the end of an attempt.
 func isFinalState(state string) bool { return state != stateStarted && state != stateRunning }
 
 // resolveAttempt ends an attempt at its worker and for its scheduler.
--- a/internal/testbed/starvation/checker.go
+++ b/internal/testbed/starvation/checker.go
@@ -10,10 +10,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Times after which something counts.
+// Windows of time, by the rules of the package comment.
 const (
 	idleWindow         = time.Second             // how long a request is queued, and a worker idle, before it is starvation
-	scanInterval       = 100 * time.Millisecond  // between two looks at the queued requests
+	scanInterval       = 100 * time.Millisecond  // between two scans of the queued requests
 	healthyAfter       = 10 * time.Second        // without a sign of a fault, a worker is healthy again
 	startupWindow      = 2 * time.Second         // that a scheduler has after its own start, and after it is notified of a worker's
 	dialWindow         = 1300 * time.Millisecond // in which a connection is up, or its worker counts as unhealthy
@@ -22,12 +22,12 @@
 
 // Estimates of how many requests a scheduler's limit on sockets admits.
 const (
-	processSockets      = 24 // of a process, beside its connections
-	workerSocketDivisor = 6  // one connection in so many is to a worker,
-	minWorkerSockets    = 8  // but not fewer than these
-	spareSocketDivisor  = 10 // one client connection in so many is kept free,
-	minSpareSockets     = 8  // but not fewer than these
-	crowdedShare        = 0.9
+	processSockets      = 24  // of a process, besides its connections
+	workerSocketDivisor = 6   // connections, of which one is to a worker
+	minWorkerSockets    = 8   // connections to workers, at least
+	spareSocketDivisor  = 10  // client connections, of which one is reserved
+	minSpareSockets     = 8   // reserved client connections, at least
+	crowdedShare        = 0.9 // of the requests admitted, from which on rejections are excused
 )
 
 // Checker finds starvation in one run from its trace. It is used by one goroutine.
@@ -36,7 +36,7 @@
 	classes         []class
 	kinds           []workerKind
 	maxSpeed        float64 // of any worker that the scenario allows
-	omitsStarts     bool    // some workers send no callbacks of starts, so that schedulers count on none
+	omitsStarts     bool    // some workers send no callbacks of starts, so that schedulers expect none
 	clientFaults    []interval
 	requestLimit    int // requests of a scheduler from which on it may reject
 	dialsPerRequest int // connections that may fail one after the other in the idle window of one request
@@ -66,7 +66,10 @@
 type requestsByBucket [slotBuckets][]*request
 
 // interval is a time in which clients and schedulers may be disconnected from each other.
-type interval struct{ start, end time.Duration }
+type interval struct {
+	start time.Duration
+	end   time.Duration
+}
 
 // New returns a checker of a run of a scenario, which has to be valid.
 func New(spec *scenario.Scenario) *Checker {
@@ -98,7 +101,9 @@
 	cells, zones := spec.WorkerPlacement()
 	for i := range checker.workers {
 		target := &checker.workers[i]
-		target.number, target.cell, target.zone = i, cells[i], zones[i]
+		target.number = i
+		target.cell = cells[i]
+		target.zone = zones[i]
 	}
 	return checker
 }
@@ -127,7 +132,7 @@
 	return int(crowdedShare * float64(connections-max(minSpareSockets, connections/spareSocketDivisor)))
 }
 
-// handlers has the effect of each kind of event; events of other kinds have none.
+// handlers are the handlers of trace events, by kind; events of other kinds are ignored.
 var handlers = [...]func(c *Checker, event *trace.Event){
 	trace.JobDue:     (*Checker).jobDue,
 	trace.JobSettled: (*Checker).jobSettled,
@@ -172,7 +177,7 @@
 	trace.SchedulerResumed:    (*Checker).schedulerEvent,
 }
 
-// Observe takes in a trace event and keeps nothing of it. Events have to come in order of time.
+// Observe handles a trace event and does not retain it. Events have to be passed in order of time.
 func (c *Checker) Observe(event *trace.Event) {
 	for c.nextScan <= event.At {
 		c.now = c.nextScan
--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -117,7 +117,7 @@
 	return event
 }
 
-// observeLine takes in a line of a history. The request of a job that falls due is sent at once.
+// observeLine has the checker observe a line of a history. The request of a job that falls due is sent at once.
 func observeLine(t *testing.T, checker *Checker, line string) {
 	t.Helper()
 	event := parseEvent(t, line)
@@ -139,7 +139,7 @@
 	return checker.Verdict()
 }
 
-// Histories with starvation, and beside each some that are much like it and have none.
+// Histories with starvation, and beside each some similar ones without.
 func TestCheckerHistories(t *testing.T) {
 	busy := func(workers ...int) string { // each of them by a job of four slots
 		text := ""
@@ -241,7 +241,7 @@
 	}
 }
 
-// Settings of a scenario that excuse what is starvation without them.
+// Settings of a scenario that excuse a request that is starved without them.
 func TestCheckerScenarios(t *testing.T) {
 	underestimated := "5 due work=1 objective=1800ms;5.9 response status=503"
 	overestimated := "5 due work=1;5.1 response status=503"
@@ -309,7 +309,7 @@
 	}
 }
 
-// The cost of a request, all its trace events together, among 256 that are in flight at a time on 1,000 workers.
+// The cost of a request with all its trace events, among 256 in flight on 1,000 workers.
 func BenchmarkCheckerObserve(b *testing.B) {
 	const inFlight, workers = 256, 1000
 	text := newSpec().Fleet.Kinds[0].Name
--- a/internal/testbed/starvation/class.go
+++ b/internal/testbed/starvation/class.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Requests of 1, 2, up to 4 and more slots are in buckets of their own.
+// slotBuckets is the number of buckets: for requests of 1, 2, up to 4 and more slots.
 const slotBuckets = 4
 
 // slotBucket returns the bucket of a number of slots: the least whose slots suffice, or the last one.
@@ -34,6 +34,7 @@
 	nonIdempotent
 )
 
+// parseIdempotency returns the idempotency that a scenario names.
 func parseIdempotency(name string) idempotency {
 	switch name {
 	case "keyed":
@@ -45,15 +46,16 @@
 	}
 }
 
-// class is what the scenario says of a class of jobs about where they may run.
+// class defines where the jobs of a class of the scenario may be executed.
 type class struct {
-	kind             int // the only kind of workers that runs it, or anyKind
+	kind             int // the only kind of workers that executes it, or anyKind
 	idempotency      idempotency
-	scope            string        // the workers that know an idempotency key: those of one "cell", one "zone", or all
-	window           time.Duration // for how long they know it
+	scope            string        // the workers that share an idempotency key: those of one "cell", one "zone", or all
+	window           time.Duration // of an idempotency key
 	objectiveStretch float64       // latency objective, as a multiple of the work
 }
 
+// newClass returns a class of the scenario, bound to one of its kinds of workers or to none.
 func newClass(spec *scenario.Class, kinds []scenario.WorkerKind) class {
 	isBoundTo := func(kind scenario.WorkerKind) bool { return spec.Kind != "" && kind.Name == spec.Kind }
 	return class{
@@ -72,5 +74,5 @@
 	slots     float64
 	work      float64       // seconds at speed 1
 	objective time.Duration // the instant of its latency objective
-	deadline  time.Duration // the instant at which its client gives up
+	deadline  time.Duration // the instant at which its client times out
 }
--- a/internal/testbed/starvation/detection.go
+++ b/internal/testbed/starvation/detection.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	windowShare    = 0.9 // of the time for which an idempotency key is known: retries have to be sent within it
-	maxExamined    = 64  // idle workers examined for one request, beside those that are still to be reserved
-	reserveDivisor = 20  // one worker in so many is reserved where several schedulers share the fleet
+	windowShare    = 0.9 // of the window of an idempotency key, in which retries have to be sent
+	maxExamined    = 64  // idle workers examined for one request, besides those that are still to be reserved
+	reserveDivisor = 20  // workers, of which one is reserved where several schedulers share the fleet
 )
 
 // Bounds on a scheduler's estimates of work.
 const (
-	minClassEnds    = 30   // executions after which a process has learnt how wrong the hints of a class are
-	maxLearntFactor = 2    // by which estimates may be wrong then: executions show speed and hint as one quotient only
-	meanFactor      = 2    // by which work may differ from the mean of its class without hints
-	roughDeviation  = 2    // standard deviations of rough hints
-	minWork         = 1e-9 // seconds
+	minClassEnds     = 30   // executions after which a process has estimated the error of a class's hints
+	maxEstimateError = 2    // factor of the error then: executions show speed and hint as one quotient only
+	meanFactor       = 2    // by which work may differ from the mean of its class without hints
+	roughDeviation   = 2    // standard deviations of rough hints
+	minWork          = 1e-9 // seconds
 )
 
 // scanRequests looks for starvation among the requests that have been queued for the idle window.
@@ -35,9 +35,9 @@
 	}
 }
 
-// scanSet looks for starvation in a set of queued requests. Those that it finds leave the set.
+// scanSet looks for starvation in a set of queued requests. Those that it finds are removed from the set.
 func (c *Checker) scanSet(set []*request) {
-	for i := len(set) - 1; i >= 0; i-- { // backward: a later request takes the place of one that leaves
+	for i := len(set) - 1; i >= 0; i-- { // backward: a later request replaces one that is removed
 		queued := set[i]
 		owner := &c.schedulers[queued.scheduler]
 		isConnecting := owner.dials >= c.dialsPerRequest*owner.oldCount
@@ -82,7 +82,7 @@
 	}
 }
 
-// isRejectionExcused tells whether the state of the scheduler or of the clients' network excuses a rejection.
+// isRejectionExcused reports whether the state of the scheduler or of the clients' network excuses a rejection.
 func (c *Checker) isRejectionExcused(rejected *request) bool {
 	owner := &c.schedulers[rejected.scheduler]
 	isCrowded := owner.open >= c.requestLimit
@@ -90,7 +90,7 @@
 	return !owner.isServing() || owner.isSettling(c.now) || isCrowded || mayHaveNoAttemptLeft || c.isClientCut(rejected.sentAt)
 }
 
-// isClientCut tells whether clients may have been disconnected from schedulers at any time since an instant.
+// isClientCut reports whether clients may have been disconnected from schedulers at any time since an instant.
 func (c *Checker) isClientCut(since time.Duration) bool {
 	return slices.ContainsFunc(c.clientFaults, func(fault interval) bool {
 		return fault.start <= c.now && since <= fault.end
@@ -129,7 +129,7 @@
 // reservedWorkers returns how many idle workers may be left idle for other requests.
 func (c *Checker) reservedWorkers(waiting *request) int {
 	reserved := 0
-	if c.running > 1 { // schedulers see nothing of each other's jobs on the workers that they share
+	if c.running > 1 { // schedulers have no information on each other's jobs at shared workers
 		reserved = len(c.workers) / reserveDivisor
 	}
 	larger := c.schedulers[waiting.scheduler].queued[waiting.job.bucket+1:]
@@ -139,13 +139,13 @@
 	return reserved
 }
 
-// canDispatch tells whether a scheduler could send an attempt of a request to an idle worker.
+// canDispatch reports whether a scheduler could send an attempt of a request to an idle worker.
 func (c *Checker) canDispatch(waiting *request, owner *scheduler, target *worker) bool {
 	mayBeFull := c.omitsStarts && target.usedSlots > 0
 	return !mayBeFull && owner.knowsWorker(target, c.now) && c.isRetryAllowed(waiting, target)
 }
 
-// isRetryAllowed tells whether a request's attempts so far allow another one at a worker.
+// isRetryAllowed reports whether a request's attempts so far allow another one at a worker.
 func (c *Checker) isRetryAllowed(waiting *request, target *worker) bool {
 	if len(waiting.attempts) >= c.spec.Schedulers.AttemptLimit {
 		return false
@@ -156,7 +156,7 @@
 	})
 }
 
-// isRepeatable tells whether an attempt that may have been executed may be followed by one at a worker.
+// isRepeatable reports whether an attempt that may have been executed may be followed by one at a worker.
 func (c *Checker) isRepeatable(class *class, earlier *attempt, target *worker) bool {
 	switch class.idempotency {
 	case idempotent:
@@ -178,7 +178,7 @@
 	}
 }
 
-// execution is the execution of a job that was not begun, as its scheduler may estimate it in reason.
+// execution is an execution of a job that was not begun, with the range of what its scheduler may estimate.
 type execution struct {
 	job              *job
 	start            time.Duration // the instant at which it could have begun
@@ -189,6 +189,7 @@
 	meetsAtBest      bool    // the fastest worker there may be would meet the objective
 }
 
+// executionOf returns the execution of a job that its scheduler could have begun at start.
 func (c *Checker) executionOf(waiting *job, owner *scheduler, start time.Duration, rejected bool) execution {
 	minShare, maxShare := c.estimateRange(owner, waiting)
 	return execution{
@@ -202,10 +203,11 @@
 	}
 }
 
-// isFeasible tells whether a scheduler has no reason to reject the job, or to let it wait for a faster worker, when the
+// isFeasible reports whether a scheduler has no reason to reject the job, or to let it wait for a faster worker, when the
 // slowest worker of a kind is idle.
 func (e *execution) isFeasible(kind *workerKind) bool {
-	work, objective := e.job.work, e.job.objective
+	work := e.job.work
+	objective := e.job.objective
 	isLate := e.start+durationOf(work/kind.minSpeed) > objective
 	if isLate && (e.rejected || e.meetsAtBest) {
 		return false
@@ -230,9 +232,11 @@
 		mean := c.spec.Classes[estimated.class].Work.Std().Seconds() / max(estimated.work, minWork)
 		return min(1, mean/meanFactor), max(1, meanFactor*mean)
 	case "wrong":
-		low, high = min(1, load.HintFactor), max(1, load.HintFactor)
+		low = min(1, load.HintFactor)
+		high = max(1, load.HintFactor)
 		if owner.classEnds[estimated.class] >= minClassEnds {
-			low, high = max(low, 1.0/maxLearntFactor), min(high, maxLearntFactor)
+			low = max(low, 1.0/maxEstimateError)
+			high = min(high, maxEstimateError)
 		}
 		return low, high
 	default:
@@ -240,4 +244,5 @@
 	}
 }
 
+// durationOf converts seconds to a duration.
 func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/testbed/starvation/doc.go
+++ b/internal/testbed/starvation/doc.go
@@ -1,7 +1,7 @@
 // Package starvation finds starvation in a run: requests that are queued or rejected while a worker that could execute
 // them is idle. It owns the rules by which a worker counts as idle and a scheduler as accountable. Like the invariant
-// checker it goes by the trace of clients, workers and discovery (package trace), never by what a scheduler reports, and it
-// never influences the run. It says nothing of an overloaded fleet: there no worker is plainly idle.
+// checker it uses only the trace of clients, workers and discovery (package trace), nothing that a scheduler reports, and it
+// never influences the run. It has no findings in an overloaded fleet: there no worker is plainly idle.
 //
 // # A worker is plainly idle
 //
@@ -37,7 +37,7 @@
 //
 // # What is excused
 //
-//   - A scheduler that is frozen, and the second after it resumed; one in its first 2 s; one that was told to terminate.
+//   - A scheduler that is frozen, and the second after it resumed; one in its first 2 s; one that got SIGTERM.
 //   - Requests of clients that a fault of the scenario disconnects from schedulers or slows down, until 1 s after it.
 //   - Rejections by a scheduler that has nine tenths of the requests that its limit on sockets admits.
 //   - Requests that may be waiting for connections that do not come up, which workers do not see: queued ones, while their
@@ -49,14 +49,14 @@
 //     the class. Without hints, the estimate is between half and twice the class's mean.
 //   - Free slots beside other attempts, where a kind sends no callbacks of starts: only empty workers count as idle there.
 //   - A worker that is reserved for a larger request: while the scheduler has one queued, one more worker has to be idle.
-//   - Few idle workers, where several schedulers run: they know nothing of each other's jobs. One worker in 20 of the
+//   - Few idle workers, where several schedulers run: they have no information on each other's jobs. One worker in 20 of the
 //     fleet has to be idle then, besides the one that has to be anyhow.
 //
-// A tenant's quota excuses nothing: jobs over quota are dispatched behind others, and where slots are idle there are none.
+// A tenant's quota excuses nothing: jobs over quota are dispatched behind others, and where slots are idle no others are queued.
 //
 // # Cost
 //
 // An event of a request costs a map access. Idle workers are kept in sets by kind and by free slots, which change when a
-// worker takes or ends work. Requests are examined only when they have been queued for a second, or are rejected, and only
+// worker starts or ends work. Requests are examined only when they have been queued for a second, or are rejected, and only
 // if a worker is idle for them.
 package starvation
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -13,7 +13,7 @@
 )
 
 // model finds starvation by the package comment alone: at each scan it replays the whole history, as far as it knows its
-// kinds of events, and keeps nothing but which requests it has reported.
+// kinds of events, and retains only which requests it has reported.
 type model struct {
 	spec     *scenario.Scenario
 	kinds    map[string]workerKind
@@ -52,7 +52,7 @@
 	slots       float64
 }
 
-// modelState is what a history leads to.
+// modelState is the state after a history.
 type modelState struct {
 	spec     *scenario.Scenario
 	jobs     map[uint64]trace.Event // that they fell due
@@ -145,11 +145,15 @@
 		attempt.received = true
 	case trace.AttemptRejected:
 		s.markUnhealthy(event)
-		attempt.inFlight, attempt.atWorker, attempt.notExecuted = false, false, true
+		attempt.inFlight = false
+		attempt.atWorker = false
+		attempt.notExecuted = true
 	case trace.AttemptFinished:
-		attempt.finished, attempt.atWorker = true, attempt.inFlight
+		attempt.finished = true
+		attempt.atWorker = attempt.inFlight
 	case trace.CallbackAnswered:
-		attempt.inFlight, attempt.atWorker = false, false
+		attempt.inFlight = false
+		attempt.atWorker = false
 	}
 }
 
@@ -170,7 +174,8 @@
 		s.markUnhealthy(event)
 	case trace.StartNotified, trace.DrainNotified:
 		known := &s.known[event.Worker]
-		known.notifiedAt, known.drained = event.At, event.Kind == trace.DrainNotified
+		known.notifiedAt = event.At
+		known.drained = event.Kind == trace.DrainNotified
 		if !known.drained {
 			known.incarnation = event.Incarnation
 		}
@@ -182,7 +187,7 @@
 	worker.healthyFrom = max(worker.healthyFrom, event.At+healthyAfter)
 }
 
-// wasIdle tells whether a worker was idle for a number of slots throughout the idle window before now.
+// wasIdle reports whether a worker was idle for a number of slots throughout the idle window before now.
 func (m *model) wasIdle(number int, slots float64, now time.Duration) bool {
 	windowStart := now - idleWindow
 	for events := 0; events <= len(m.history); events++ {
@@ -209,7 +214,7 @@
 	rejected   bool
 }
 
-// hasIdleWorker tells whether enough workers were idle.
+// hasIdleWorker reports whether enough workers were idle.
 func (m *model) hasIdleWorker(search idleSearch) bool {
 	bucket := slotBucket(search.request.job.Slots)
 	wanted := 1
@@ -226,7 +231,7 @@
 	return wanted <= 0
 }
 
-// isCandidate tells whether a worker, if it was idle, could have executed the request.
+// isCandidate reports whether a worker, if it was idle, could have executed the request.
 func (m *model) isCandidate(search idleSearch, number int) bool {
 	class := &m.spec.Classes[search.request.job.Class]
 	worker := &search.state.workers[number]
@@ -237,7 +242,7 @@
 	return isKnown && !isBoundElsewhere && m.isInTime(search, worker.kind) && m.allowsAttempt(search, number)
 }
 
-// isInTime tells whether a kind's slowest worker executes the request by its objective and deadline, or, for a queued one,
+// isInTime reports whether a kind's slowest worker executes the request by its objective and deadline, or, for a queued one,
 // no worker can by its objective.
 func (m *model) isInTime(search idleSearch, kind string) bool {
 	job := &search.request.job
@@ -250,7 +255,7 @@
 	return slowest <= job.At+job.Deadline
 }
 
-// allowsAttempt tells whether the request's attempts allow another one at a worker.
+// allowsAttempt reports whether the request's attempts allow another one at a worker.
 func (m *model) allowsAttempt(search idleSearch, number int) bool {
 	class := &m.spec.Classes[search.request.job.Class]
 	if len(search.request.attempts) >= m.spec.Schedulers.AttemptLimit {
@@ -269,7 +274,7 @@
 	return true
 }
 
-// observe takes in a trace event.
+// observe handles a trace event.
 func (m *model) observe(event trace.Event) {
 	for ; m.nextScan <= event.At; m.nextScan += scanInterval {
 		m.scan()
@@ -315,7 +320,7 @@
 
 const ms = time.Millisecond
 
-// modelRun draws a history, step by step, which the checker and the model both take in.
+// modelRun draws a history, step by step, which the checker and the model both observe.
 type modelRun struct {
 	t            *rapid.T
 	spec         *scenario.Scenario
@@ -328,7 +333,7 @@
 	worker       int         // that the step draws
 }
 
-// TestCheckerAgreesWithModel compares the checker with the model, in whatever order things happen.
+// TestCheckerAgreesWithModel compares the checker with the model, for events in random order.
 func TestCheckerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := newSpec()
@@ -364,7 +369,7 @@
 	r.now += rapid.SampledFrom(times).Draw(r.t, label)
 }
 
-// step lets time pass and draws one thing that happens.
+// step advances the time and draws one event.
 func (r *modelRun) step() {
 	r.pass("passes", 0, 7*ms, 250*ms, 800*ms, 2*time.Second)
 	r.state = r.model.stateAfter(len(r.model.history))
@@ -418,7 +423,8 @@
 func (r *modelRun) rejectEarly() {
 	event := r.sendRequest()
 	r.passBriefly()
-	event.Kind, event.Status = trace.ResponseReceived, 503
+	event.Kind = trace.ResponseReceived
+	event.Status = 503
 	r.observe(event)
 }
 
@@ -426,8 +432,11 @@
 func (r *modelRun) execute() {
 	event := r.sendRequest()
 	r.passBriefly()
-	event.Worker, event.Incarnation = r.worker, r.incarnations[r.worker]
-	event.Number, event.Text, event.Status = 1, stateDone, 200
+	event.Worker = r.worker
+	event.Incarnation = r.incarnations[r.worker]
+	event.Number = 1
+	event.Text = stateDone
+	event.Status = 200
 	for _, kind := range []trace.Kind{trace.AttemptSent, trace.AttemptReceived, trace.AttemptFinished, trace.CallbackAnswered} {
 		event.Kind = kind
 		r.observe(event)
@@ -483,7 +492,7 @@
 	worker    int
 }
 
-// resolve has an event happen to an attempt that occupies a worker, if it can.
+// resolve observes an event of an attempt that occupies a worker, if it may happen.
 func (r *modelRun) resolve(kind trace.Kind) {
 	var keys []modelAttemptKey
 	for _, id := range r.state.ids {
@@ -503,11 +512,14 @@
 		return
 	}
 	event := r.workerEvent(kind)
-	event.RequestID, event.Worker, event.Number, event.Text = key.requestID, key.worker, 1, stateDone
+	event.RequestID = key.requestID
+	event.Worker = key.worker
+	event.Number = 1
+	event.Text = stateDone
 	r.observe(event)
 }
 
-// canTake tells whether an event of the kind may happen to an attempt that occupies its worker.
+// canTake reports whether an event of the kind may happen to an attempt that occupies its worker.
 func (a *modelAttempt) canTake(kind trace.Kind) bool {
 	switch kind {
 	case trace.AttemptReceived:
--- a/internal/testbed/starvation/queue.go
+++ b/internal/testbed/starvation/queue.go
@@ -1,5 +1,6 @@
 package starvation
 
+// minRingSize is the capacity of a ring that is not empty, at least.
 const minRingSize = 64
 
 // ringQueue is a first-in first-out queue that reuses its memory.
@@ -8,33 +9,35 @@
 	start, size int
 }
 
-func (q *ringQueue[T]) push(element T) {
-	if q.size == len(q.ring) {
-		q.grow()
+// push appends an element.
+func (r *ringQueue[T]) push(element T) {
+	if r.size == len(r.ring) {
+		r.grow()
 	}
-	q.ring[(q.start+q.size)%len(q.ring)] = element
-	q.size++
+	r.ring[(r.start+r.size)%len(r.ring)] = element
+	r.size++
 }
 
-func (q *ringQueue[T]) grow() {
-	ring := make([]T, max(minRingSize, 2*len(q.ring)))
-	for i := range q.size {
-		ring[i] = q.ring[(q.start+i)%len(q.ring)]
+// grow doubles the capacity of the ring.
+func (r *ringQueue[T]) grow() {
+	ring := make([]T, max(minRingSize, 2*len(r.ring)))
+	for i := range r.size {
+		ring[i] = r.ring[(r.start+i)%len(r.ring)]
 	}
-	q.ring = ring
-	q.start = 0
+	r.ring = ring
+	r.start = 0
 }
 
 // first returns the oldest element of a queue that is not empty.
-func (q *ringQueue[T]) first() *T { return &q.ring[q.start] }
+func (r *ringQueue[T]) first() *T { return &r.ring[r.start] }
 
 // pop removes and returns the oldest element of a queue that is not empty.
-func (q *ringQueue[T]) pop() T {
+func (r *ringQueue[T]) pop() T {
 	var zero T
-	element := q.ring[q.start]
-	q.ring[q.start] = zero
-	q.start = (q.start + 1) % len(q.ring)
-	q.size--
+	element := r.ring[r.start]
+	r.ring[r.start] = zero
+	r.start = (r.start + 1) % len(r.ring)
+	r.size--
 	return element
 }
 
--- a/internal/testbed/starvation/requests.go
+++ b/internal/testbed/starvation/requests.go
@@ -13,7 +13,7 @@
 // notOld is the index of a request that has not been queued for the idle window.
 const notOld = -1
 
-// request is a request of a client. It is kept until its client has its end and no attempt of it is left at a worker.
+// request is a request of a client. It is retained until it has ended for its client and no attempt occupies a worker.
 type request struct {
 	job         *job
 	jobID       uint64
@@ -30,7 +30,7 @@
 	attempts    []*attempt
 }
 
-// isQueued tells whether the request waits at its scheduler without an attempt in flight.
+// isQueued reports whether the request is open at its scheduler without an attempt in flight.
 func (r *request) isQueued() bool { return r.open && r.inFlight == 0 }
 
 // queueEntry is a request that was queued at an instant, and may be so still.
@@ -39,6 +39,7 @@
 	request *request
 }
 
+// jobDue adds a job.
 func (c *Checker) jobDue(event *trace.Event) {
 	if event.Class < 0 || event.Class >= len(c.classes) {
 		return
@@ -53,6 +54,7 @@
 	}
 }
 
+// jobSettled removes a job. Its requests remain until they are finished.
 func (c *Checker) jobSettled(event *trace.Event) { delete(c.jobs, event.JobID) }
 
 // requestSent registers a request, or moves one to another connection: the first was closed before it was read.
@@ -82,7 +84,7 @@
 	}
 }
 
-// requestEnded is the end of a request for its client, with a response or without.
+// requestEnded handles the end of a request for its client, with a response or without.
 func (c *Checker) requestEnded(event *trace.Event) {
 	ended := c.requests[event.RequestID]
 	if ended == nil || !ended.open {
@@ -94,6 +96,7 @@
 	c.closeRequest(ended)
 }
 
+// isRejection reports whether an event is a response that rejects its request.
 func isRejection(event *trace.Event) bool {
 	return event.Kind == trace.ResponseReceived &&
 		(event.Status == http.StatusTooManyRequests || event.Status == http.StatusServiceUnavailable)
@@ -119,7 +122,7 @@
 	}
 }
 
-// dropRequest takes a request out of the checker's registers.
+// dropRequest removes a request from the checker and its scheduler.
 func (c *Checker) dropRequest(dropped *request) {
 	if dropped.scheduler == notRegistered {
 		return
@@ -143,7 +146,7 @@
 	c.removeOld(queued)
 }
 
-// addOldRequests puts the requests that have been queued for the idle window into their sets.
+// addOldRequests adds the requests that have been queued for the idle window to their sets.
 func (c *Checker) addOldRequests() {
 	for c.newlyQueued.size > 0 && c.now-c.newlyQueued.first().since >= idleWindow {
 		entry := c.newlyQueued.pop()
@@ -158,7 +161,7 @@
 	}
 }
 
-// removeOld takes a request out of the set of those queued for the idle window, if it is in one.
+// removeOld removes a request from the set of those queued for the idle window, if it is in one.
 func (c *Checker) removeOld(queued *request) {
 	if queued.oldIndex == notOld {
 		return
@@ -169,6 +172,7 @@
 	c.schedulers[queued.scheduler].oldCount--
 }
 
+// oldSet returns the set of requests queued for the idle window to which a job's requests belong.
 func (c *Checker) oldSet(queued *job) *[]*request {
 	return &c.oldRequests[c.classes[queued.class].kind+1][queued.bucket]
 }
--- a/internal/testbed/starvation/schedulers.go
+++ b/internal/testbed/starvation/schedulers.go
@@ -38,6 +38,7 @@
 	worker    int
 }
 
+// schedulerEvent handles an event of a scheduler's process.
 func (c *Checker) schedulerEvent(event *trace.Event) {
 	affected := &c.schedulers[event.Scheduler]
 	switch event.Kind {
@@ -55,6 +56,7 @@
 	}
 }
 
+// schedulerStarted begins a new process of a scheduler.
 func (c *Checker) schedulerStarted(started *scheduler) {
 	if !started.up {
 		c.running++
@@ -68,14 +70,14 @@
 	clear(started.classEnds)
 }
 
-// schedulerStopped ends a scheduler's attempts: nobody is notified of them any more. Those that no worker has read are
-// never read.
+// schedulerStopped ends a scheduler's attempts for it. Those that no worker has read, or that have finished, release their
+// workers, too.
 func (c *Checker) schedulerStopped(stopped *scheduler) {
 	if stopped.up {
 		c.running--
 	}
 	stopped.up = false
-	for i := len(stopped.requests) - 1; i >= 0; i-- { // backward: a later request takes the place of a dropped one
+	for i := len(stopped.requests) - 1; i >= 0; i-- { // backward: a later request replaces a dropped one
 		owner := stopped.requests[i]
 		for _, ended := range owner.attempts {
 			if ended.finished || !ended.received {
@@ -86,6 +88,7 @@
 	}
 }
 
+// schedulerNotified records that a scheduler was notified of the start or the drain of a worker.
 func (c *Checker) schedulerNotified(event *trace.Event) {
 	notified := &c.schedulers[event.Scheduler]
 	if notified.known == nil {
@@ -99,7 +102,7 @@
 	}
 }
 
-// knowsWorker tells whether a scheduler was notified of a worker's process, and had the time to act on it.
+// knowsWorker reports whether a scheduler was notified of a worker's process, and had time to act on it.
 func (s *scheduler) knowsWorker(target *worker, now time.Duration) bool {
 	if s.known == nil {
 		return target.incarnation <= 1
@@ -110,25 +113,27 @@
 	return !known.drained && isCurrent && hadTime
 }
 
-// isServing tells whether a scheduler's process accepts and dispatches requests.
+// isServing reports whether a scheduler's process accepts and dispatches requests.
 func (s *scheduler) isServing() bool { return s.up && !s.frozen && !s.terminating }
 
-// isAccountable tells whether a scheduler could have acted during the idle window on what has been queued since an instant.
+// isAccountable reports whether a scheduler could have acted during the idle window on what has been queued since an instant.
 func (s *scheduler) isAccountable(since, now time.Duration) bool {
 	return s.isServing() && now-max(since, s.startedAt+startupWindow, s.resumedAt) >= idleWindow
 }
 
-// isSettling tells whether a scheduler was started or resumed so recently that it may reject.
+// isSettling reports whether a scheduler was started or resumed so recently that it may reject.
 func (s *scheduler) isSettling(now time.Duration) bool {
 	return now-s.startedAt < startupWindow || s.resumedAt > 0 && now-s.resumedAt < idleWindow
 }
 
+// workerDialed adds a connection that a scheduler began to open.
 func (c *Checker) workerDialed(event *trace.Event) {
 	c.dialed[event.Conn] = true
 	c.schedulers[event.Scheduler].dials++
 	c.dials.push(dial{dialedAt: event.At, conn: event.Conn, scheduler: event.Scheduler, worker: event.Worker})
 }
 
+// workerConnected handles a connection that was established.
 func (c *Checker) workerConnected(event *trace.Event) {
 	if c.dialed[event.Conn] {
 		c.endDial(event.Conn, event.Scheduler)
@@ -146,6 +151,7 @@
 	}
 }
 
+// endDial removes an unfinished connection of a scheduler.
 func (c *Checker) endDial(conn uint64, number int) {
 	delete(c.dialed, conn)
 	dialer := &c.schedulers[number]
--- a/internal/testbed/starvation/verdict.go
+++ b/internal/testbed/starvation/verdict.go
@@ -8,6 +8,7 @@
 // Rule is the name under which the randomised search keeps a run with starvation.
 const Rule = "starvation"
 
+// maxFindings bounds the findings of a verdict; later ones are only counted.
 const maxFindings = 16
 
 // Verdict counts the requests of a run, and those of them that were starved. The fields have the order of stored results.
@@ -67,6 +68,7 @@
 	})
 }
 
+// findingText returns a finding as a sentence.
 func (c *Checker) findingText(affected *request, idle *worker, class string, rejected bool) string {
 	ending := "queued"
 	if rejected {
--- a/internal/testbed/starvation/workers.go
+++ b/internal/testbed/starvation/workers.go
@@ -13,13 +13,14 @@
 // minSpeedShare bounds how slow a worker may be, as a part of its kind's speed.
 const minSpeedShare = 0.1
 
-// workerKind is what the scenario says of a kind of workers.
+// workerKind is a kind of workers of the scenario.
 type workerKind struct {
 	warmUp             time.Duration
 	omitsStarts        bool // its workers send no callbacks of starts
 	minSpeed, maxSpeed float64
 }
 
+// newWorkerKind returns a kind of workers of the scenario.
 func newWorkerKind(spec *scenario.WorkerKind) workerKind {
 	deviation := spec.Speed * math.Sqrt(3) * spec.Spread // speeds are distributed uniformly, with this deviation at most
 	return workerKind{
@@ -55,8 +56,10 @@
 	bucket int
 }
 
+// isWorker reports whether the scenario has a worker of this number.
 func (c *Checker) isWorker(number int) bool { return number >= 0 && number < len(c.workers) }
 
+// workerEvent handles an event of a worker's process, or of a fault that affects it.
 func (c *Checker) workerEvent(event *trace.Event) {
 	if !c.isWorker(event.Worker) {
 		return
@@ -78,10 +81,10 @@
 	c.updateIdle(affected)
 }
 
-// workerStarted is a worker's new process, or its first one. A worker of an unknown kind stays down.
+// workerStarted handles the start of a worker's process, or the first one of the run. A worker of an unknown kind stays down.
 func (c *Checker) workerStarted(started *worker, event *trace.Event) {
 	started.up = false
-	c.updateIdle(started) // leaves the sets of its former kind
+	c.updateIdle(started) // removes it from the sets of its former kind
 	isKind := func(kind scenario.WorkerKind) bool { return kind.Name == event.Text }
 	kind := slices.IndexFunc(c.spec.Fleet.Kinds, isKind)
 	if kind < 0 {
@@ -96,7 +99,7 @@
 	}
 }
 
-// markUnhealthy records a sign that something is wrong with a worker.
+// markUnhealthy records a sign of a fault of a worker.
 func (c *Checker) markUnhealthy(number int) {
 	if c.isWorker(number) {
 		c.setHealthyFrom(&c.workers[number], c.now+healthyAfter)
@@ -115,7 +118,7 @@
 	c.updateIdle(affected)
 }
 
-// recoverWorkers counts workers as healthy, and as idle since then, whose time has come.
+// recoverWorkers counts workers as healthy, and as idle since then, whose time of recovery has passed.
 func (c *Checker) recoverWorkers() {
 	now := c.now
 	for c.recovering.Len() > 0 && c.recovering.First().At <= now {
@@ -127,13 +130,13 @@
 	c.now = now
 }
 
-// addUse takes slots of a worker, or gives back a negative number of them.
+// addUse reserves slots of a worker, or releases them if the number is negative.
 func (c *Checker) addUse(used *worker, slots float64) {
 	used.usedSlots += slots
 	c.updateIdle(used)
 }
 
-// updateIdle finds the buckets for which a worker is idle from now on.
+// updateIdle updates the buckets for which a worker is idle from now on.
 func (c *Checker) updateIdle(changed *worker) {
 	idleBuckets := 0
 	if changed.up && changed.faults == 0 && changed.healthyFrom <= c.now {
@@ -154,7 +157,7 @@
 	}
 }
 
-// addIdleWorkers puts the workers that have been idle for the idle window into their sets.
+// addIdleWorkers adds the workers that have been idle for the idle window to their sets.
 func (c *Checker) addIdleWorkers() {
 	for c.newlyIdle.size > 0 && c.now-c.newlyIdle.first().since >= idleWindow {
 		entry := c.newlyIdle.pop()
@@ -168,7 +171,7 @@
 	}
 }
 
-// removeIdle takes a worker out of the set of those idle for a bucket, if it is in it.
+// removeIdle removes a worker from the set of those idle for a bucket, if it is in it.
 func (c *Checker) removeIdle(busy *worker, bucket int) {
 	index := busy.idleIndex[bucket] - 1
 	if index < 0 {
@@ -179,7 +182,7 @@
 	busy.idleIndex[bucket] = 0
 }
 
-// anyIdle tells whether a worker of a kind has been idle for the idle window.
+// anyIdle reports whether a worker of a kind has been idle for the idle window.
 func (c *Checker) anyIdle(kind, bucket int) bool {
 	for i := range c.idleWorkers {
 		if (kind == anyKind || kind == i) && len(c.idleWorkers[i][bucket]) > 0 {
