--- a/internal/control/membership/self_health.go
+++ b/internal/control/membership/self_health.go
@@ -8,27 +8,27 @@
 	latenessDecayPeriod = time.Second // one sign of lateness counts for this long
 )
 
-// selfHealth is how much this process trusts its own judgement, by how often its timers ran late recently.
+// selfHealth counts how often this process's timers ran late recently; its timeouts are extended by that.
 type selfHealth struct {
 	lateness  int // signs that count still, at most maxLateness
 	changedAt time.Duration
 }
 
-// recordLateness takes in a sign of lateness.
-func (h *selfHealth) recordLateness(now time.Duration) {
-	h.lateness = min(h.lateness+1, maxLateness)
-	h.changedAt = now
+// recordLateness records a sign of lateness.
+func (s *selfHealth) recordLateness(now time.Duration) {
+	s.lateness = min(s.lateness+1, maxLateness)
+	s.changedAt = now
 }
 
-// decay discards signs of lateness that are over.
-func (h *selfHealth) decay(now time.Duration) {
-	for h.lateness > 0 && now-h.changedAt >= latenessDecayPeriod {
-		h.lateness--
-		h.changedAt += latenessDecayPeriod
+// decay discards signs of lateness that are older than latenessDecayPeriod.
+func (s *selfHealth) decay(now time.Duration) {
+	for s.lateness > 0 && now-s.changedAt >= latenessDecayPeriod {
+		s.lateness--
+		s.changedAt += latenessDecayPeriod
 	}
 }
 
 // scale returns a timeout extended by the signs of lateness.
-func (h *selfHealth) scale(timeout time.Duration) time.Duration {
-	return timeout * time.Duration(1+h.lateness)
+func (s *selfHealth) scale(timeout time.Duration) time.Duration {
+	return timeout * time.Duration(1+s.lateness)
 }
