--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,11 +1,14 @@
-// Package baseline has reference policies that any module can be held against in the same environment: each is a
-// ledger.Module that keeps the rules a scheduler must keep, and differs from the others in its choice of worker
-// alone. Random choice is the floor, the one that sees the true state of all workers is the top.
+// Package baseline has reference policies with which the dispatcher is compared in the same environment. Each is a
+// requests.Policy that follows the rules for schedulers, and differs from the others only in its choice of a worker. Random
+// choice is the lower bound, the policy that sees the true state of all workers the upper one.
 //
-// What they have in common (base): a request is sent where its class may go and to no worker that drains or is
-// gone; a cold one is passed over as often as it lacks capacity; an attempt that proves never to have run is
-// followed by another elsewhere, one that may have run only as far as the class permits; what can't be sent any
-// more is refused where that is harmless, and failed elsewhere. They decide the same for the same seed.
+// The common part (base): a job is sent to workers that its class allows, and to none that is draining or removed; a worker
+// that is warming up is skipped as often as it lacks capacity; an attempt that was not executed is retried at another worker,
+// one that was possibly executed only as far as its class allows; a job that can't be sent any more is rejected where its
+// client may retry, and fails otherwise. Decisions are the same for the same seed.
+//
+// Files: base.go (the step), jobs.go, attempts.go and workers.go (the common part), simple.go (the policies that see only
+// their own requests), omniscient.go with flight.go and heap.go (the one that sees all).
 package baseline
 
 import (
@@ -16,29 +19,29 @@
 	"valvecove/internal/testbed/environment"
 )
 
-// Oracle is what only a baseline policy in the testbed may know.
+// Oracle gives a baseline policy the true state of the environment.
 type Oracle interface {
-	// WorkerIndex is the environment's number of the machine that a module knows as worker; not ok: there is none.
+	// WorkerIndex returns the environment's number of a worker, given its ID; ok is false if there is none.
 	WorkerIndex(worker uint64) (node int, ok bool)
-	// View is a machine's true state, and what passes between it and the scheduler.
+	// View returns the true state of a worker by its number, and of its network to the scheduler.
 	View(node int) environment.View
-	// Work is the true work of a job that arrived in the present step: seconds on a standard core, and slots. Runs
-	// vary about it by the noise of the job's class.
+	// Work returns the true work of a job that arrived in the present step: seconds on a standard core, and slots.
+	// Execution times vary around it by the noise of the job's class.
 	Work(job uint64) (work, slots float64, ok bool)
 }
 
-// Maker makes a module that knows nothing.
+// Maker returns a policy in its initial state.
 type Maker func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy
 
 // Policy is one baseline policy.
 type Policy struct {
 	Name        string
 	Description string // one sentence
-	// ForRun gives the maker of one run's modules. Those of one run may share what is true at an instant.
+	// ForRun returns the maker of the policies of one run, one for each scheduler. They may share state.
 	ForRun func() Maker
 }
 
-// All are the baseline policies, from the floor to the top.
+// All returns the baseline policies, from the lower bound to the upper one.
 func All() []Policy {
 	return []Policy{
 		{"random", "any worker, each as likely", withChooser(func(b *base) chooser { return random{b} })},
@@ -63,16 +66,17 @@
 	}
 }
 
-// Find finds a baseline policy by its name.
+// Find returns the baseline policy with a name; the second result is false if there is none.
 func Find(name string) (Policy, bool) {
 	all := All()
-	i := slices.IndexFunc(all, func(p Policy) bool { return p.Name == name })
-	if i < 0 {
+	index := slices.IndexFunc(all, func(policy Policy) bool { return policy.Name == name })
+	if index < 0 {
 		return Policy{}, false
 	}
-	return all[i], true
+	return all[index], true
 }
 
+// withChooser returns the makers of a policy that sends each job at once to the worker of a chooser.
 func withChooser(choose func(b *base) chooser) func() Maker {
 	return func() Maker {
 		return func(set dispatch.Settings, seed uint64, _ Oracle) requests.Policy {
--- a/internal/testbed/baseline/simple.go
+++ b/internal/testbed/baseline/simple.go
@@ -2,179 +2,187 @@
 
 import "time"
 
-// chooser picks a worker for a job, of those that may have it; nil: there is none.
+// chooser selects a worker for a job, of those that the rules allow, or nil. It is notified of workers as a policy is.
 type chooser interface {
 	choose(j *job) *worker
 	track(w *worker)
 }
 
-// immediate is a policy that sends each job as soon as it comes, and holds only what no worker may have.
+// immediate is a policy that sends each job as soon as it arrives, and queues only those that no worker may execute.
 type immediate struct {
 	*base
 	chooser
-	queue []*job // some may want none any more
+	queue []*job // some may need no worker any more
 }
 
-func (p *immediate) track(w *worker)       { p.chooser.track(w) }
-func (p *immediate) attemptEnded(*attempt) {}
+func (i *immediate) track(worker *worker)  { i.chooser.track(worker) }
+func (i *immediate) attemptEnded(*attempt) {}
 
-// wake is when the first of the held is past its objective.
-func (p *immediate) wake() (at time.Duration) {
-	for _, j := range p.queue {
-		if j.heldIndex > 0 && (at == 0 || j.objective < at) {
-			at = j.objective
+// wake returns when the first objective of a queued job passes.
+func (i *immediate) wake() (at time.Duration) {
+	for _, job := range i.queue {
+		if job.queueIndex > 0 && (at == 0 || job.objective < at) {
+			at = job.objective
 		}
 	}
 	return at
 }
 
-func (p *immediate) offer(j *job) {
-	if w := p.choose(j); w != nil {
-		p.send(j, w)
+func (i *immediate) offer(job *job) {
+	if target := i.choose(job); target != nil {
+		i.send(job, target)
 		return
 	}
-	p.queue = append(p.queue, j)
-	j.heldIndex = len(p.queue)
+	i.queue = append(i.queue, job)
+	job.queueIndex = len(i.queue)
 }
 
-func (p *immediate) drop(j *job) { j.heldIndex = 0 }
+func (i *immediate) drop(job *job) { job.queueIndex = 0 }
 
-// settle offers again what is held, if there is news of workers, and ends what is past its objective.
-func (p *immediate) settle() {
-	held := p.queue
-	p.queue = p.queue[:0]
-	for _, j := range held {
+// settle offers the queued jobs again if the worker list was updated, and fails those whose objective has passed.
+func (i *immediate) settle() {
+	queued := i.queue
+	i.queue = i.queue[:0]
+	for _, job := range queued {
 		switch {
-		case j.heldIndex == 0: // it wants none any more
-		case !p.hasRoom(j):
-			p.failJob(j)
-		case p.listed:
-			j.heldIndex = 0
-			p.offer(j)
+		case job.queueIndex == 0: // dropped
+		case !i.allowsAttempt(job):
+			i.failJob(job)
+		case i.listed:
+			job.queueIndex = 0
+			i.offer(job)
 		default:
-			p.queue = append(p.queue, j)
-			j.heldIndex = len(p.queue)
+			i.queue = append(i.queue, job)
+			job.queueIndex = len(i.queue)
 		}
 	}
-	clear(p.queue[len(p.queue):len(held)])
+	clear(i.queue[len(i.queue):len(queued)])
 }
 
-// maxDraws is how often a worker is drawn before all are looked through.
+// maxDraws is the number of random draws of a worker before all workers are searched.
 const maxDraws = 8
 
-// drawWorker draws a worker that may have the job: one that has not had it if there is any, and a cold one less often.
-func (b *base) drawWorker(j *job) *worker {
-	n := len(b.ready)
-	if n == 0 {
+// drawWorker draws a worker that the rules allow for a job: if possible one to which it was not sent before. A worker that is
+// warming up is drawn less often.
+func (b *base) drawWorker(job *job) *worker {
+	count := len(b.ready)
+	if count == 0 {
 		return nil
 	}
 	for range maxDraws {
-		if w := b.ready[b.rng.IntN(n)]; b.isAllowed(j, w) && !j.wasSentTo(w) && !b.isUsable(w) {
-			return w
+		if drawn := b.ready[b.rng.IntN(count)]; b.isAllowed(job, drawn) && !job.wasSentTo(drawn) && !b.skipsWarmingUp(drawn) {
+			return drawn
 		}
 	}
-	return b.firstUsable(j, b.rng.IntN(n))
+	return b.firstUsable(job, b.rng.IntN(count))
 }
 
-// firstUsable is the first worker from a place on that may have the job, if possible one that has not had it.
-func (b *base) firstUsable(j *job, from int) (second *worker) {
+// firstUsable returns the first ready worker from an index on that the rules allow for a job, if possible one to which it was
+// not sent before, or nil.
+func (b *base) firstUsable(job *job, from int) (second *worker) {
 	for i := range b.ready {
-		w := b.ready[(from+i)%len(b.ready)]
-		if !b.isAllowed(j, w) {
+		candidate := b.ready[(from+i)%len(b.ready)]
+		if !b.isAllowed(job, candidate) {
 			continue
 		}
-		if !j.wasSentTo(w) {
-			return w
+		if !job.wasSentTo(candidate) {
+			return candidate
 		}
 		if second == nil {
-			second = w
+			second = candidate
 		}
 	}
 	return second
 }
 
+// random selects any worker with equal probability.
 type random struct{ *base }
 
-func (c random) choose(j *job) *worker { return c.drawWorker(j) }
-func (c random) track(*worker)         {}
+func (r random) choose(job *job) *worker { return r.drawWorker(job) }
+func (r random) track(*worker)           {}
 
-// roundRobin begins anywhere: many that all began with the same worker would go on side by side.
+// roundRobin selects the workers in turn, from a random one on: schedulers that begin with the same worker would stay in step.
 type roundRobin struct {
 	*base
-	next    int
+	next    int // index of the last selected worker in base.ready
 	started bool
 }
 
-func (c *roundRobin) track(*worker) {}
+func (r *roundRobin) track(*worker) {}
 
-func (c *roundRobin) choose(job *job) *worker {
-	if len(c.ready) > 0 && !c.started {
-		c.next, c.started = c.rng.IntN(len(c.ready)), true
+func (r *roundRobin) choose(job *job) *worker {
+	if len(r.ready) > 0 && !r.started {
+		r.next = r.rng.IntN(len(r.ready))
+		r.started = true
 	}
-	for range min(len(c.ready), maxDraws) {
-		c.next = (c.next + 1) % len(c.ready)
-		if w := c.ready[c.next]; c.isAllowed(job, w) && !job.wasSentTo(w) && !c.isUsable(w) {
-			return w
+	for range min(len(r.ready), maxDraws) {
+		r.next = (r.next + 1) % len(r.ready)
+		if candidate := r.ready[r.next]; r.isAllowed(job, candidate) && !job.wasSentTo(candidate) && !r.skipsWarmingUp(candidate) {
+			return candidate
 		}
 	}
-	if len(c.ready) == 0 {
+	if len(r.ready) == 0 {
 		return nil
 	}
-	w := c.firstUsable(job, (c.next+1)%len(c.ready))
-	if w != nil {
-		c.next = w.readyIndex - 1
+	candidate := r.firstUsable(job, (r.next+1)%len(r.ready))
+	if candidate != nil {
+		r.next = candidate.readyIndex - 1
 	}
-	return w
+	return candidate
 }
 
+// twoChoices selects the one with fewer attempts in flight of two random workers.
 type twoChoices struct{ *base }
 
-func (c twoChoices) track(*worker) {}
+func (t twoChoices) track(*worker) {}
 
-func (c twoChoices) choose(j *job) *worker {
-	one, other := c.drawWorker(j), c.drawWorker(j)
-	if one == nil || other.inFlight >= one.inFlight {
-		return one
+func (t twoChoices) choose(job *job) *worker {
+	first := t.drawWorker(job)
+	second := t.drawWorker(job)
+	if first == nil || second.inFlight >= first.inFlight {
+		return first
 	}
-	return other
+	return second
 }
 
-// leastOutstanding keeps the ready workers by how many attempts are out at them.
+// leastOutstanding selects a worker with the fewest attempts in flight.
 type leastOutstanding struct {
 	*base
-	levels [][]*worker
+	levels [][]*worker // the ready workers, by attempts in flight
 }
 
 // track moves a worker to its level.
-func (c *leastOutstanding) track(worker *worker) {
+func (l *leastOutstanding) track(worker *worker) {
 	if worker.level > 0 {
-		at := c.levels[worker.level-1]
-		last := at[len(at)-1]
-		at[worker.levelIndex], last.levelIndex = last, worker.levelIndex
-		at[len(at)-1] = nil
-		c.levels[worker.level-1] = at[:len(at)-1]
+		level := l.levels[worker.level-1]
+		last := level[len(level)-1]
+		level[worker.levelIndex] = last
+		last.levelIndex = worker.levelIndex
+		level[len(level)-1] = nil
+		l.levels[worker.level-1] = level[:len(level)-1]
 		worker.level = 0
 	}
 	if worker.readyIndex == 0 {
 		return
 	}
-	for len(c.levels) <= worker.inFlight {
-		c.levels = append(c.levels, nil)
+	for len(l.levels) <= worker.inFlight {
+		l.levels = append(l.levels, nil)
 	}
-	worker.level, worker.levelIndex = worker.inFlight+1, len(c.levels[worker.inFlight])
-	c.levels[worker.inFlight] = append(c.levels[worker.inFlight], worker)
+	worker.level = worker.inFlight + 1
+	worker.levelIndex = len(l.levels[worker.inFlight])
+	l.levels[worker.inFlight] = append(l.levels[worker.inFlight], worker)
 }
 
-func (c *leastOutstanding) choose(job *job) *worker {
-	for _, at := range c.levels {
-		for range min(len(at), maxDraws) {
-			if w := at[c.rng.IntN(len(at))]; c.isAllowed(job, w) && !job.wasSentTo(w) && !c.isUsable(w) {
-				return w
+func (l *leastOutstanding) choose(job *job) *worker {
+	for _, level := range l.levels {
+		for range min(len(level), maxDraws) {
+			if candidate := level[l.rng.IntN(len(level))]; l.isAllowed(job, candidate) && !job.wasSentTo(candidate) && !l.skipsWarmingUp(candidate) {
+				return candidate
 			}
 		}
 	}
-	if len(c.ready) == 0 {
+	if len(l.ready) == 0 {
 		return nil
 	}
-	return c.firstUsable(job, c.rng.IntN(len(c.ready)))
+	return l.firstUsable(job, l.rng.IntN(len(l.ready)))
 }
