--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -49,7 +49,7 @@
 	return known
 }
 
-// accept takes in one input.
+// accept handles one input.
 func (a *adapter) accept(now time.Duration, input simwire.Input) {
 	target := a.instance(input.Instance)
 	switch message := input.Message.(type) {
--- a/cmd/simadapter/peers_test.go
+++ b/cmd/simadapter/peers_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// An instance that is stopped, or not started yet, takes in nothing, and a new one begins anew.
+// An instance that is stopped, or not started yet, receives nothing, and a new one begins without state.
 func TestDatagramsToStoppedInstance(t *testing.T) {
 	batches, all := peerTranscript(t, func(_ int, sent []datagram) []string {
 		return append(deliver(sent), "PEER_DATA i=7 src=0 payload=aGkgNw==")
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -204,7 +204,7 @@
 	first, second := standby.Cordon(cordonedName), standby.Cordon(cordonedName)
 	if first != http.StatusOK || second != http.StatusOK || standby.Cordon("s-9") != http.StatusNotFound ||
 		serving.Metric("hosts_down") != 1 {
-		t.Error("calls at a process that stands by")
+		t.Error("calls at a process in standby")
 	}
 }
 
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -26,7 +26,7 @@
 	job := d.newJob(arrival, age)
 	d.arrivals.observe(job.class.PriorityWeight, d.workload.warmUpCost(job))
 	d.jobs[arrival.ID] = job
-	d.checks.earn(len(d.fleet.workers))
+	d.checks.addTokens(len(d.fleet.workers))
 	job.bindTimers()
 	d.setTimer(&job.deadlineTimer, job.deadline)
 	d.setTimer(&job.objectiveTimer, job.objectiveAt-d.workload.fastestRun(job, 0))
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -10,7 +10,7 @@
 func TestJobWhoseRunFailsPastItsObjectiveIsAnsweredAtOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.step(s.job(1, 2, 300*ms)) // an answer past its objective of 1 s earns nothing
+	s.step(s.job(1, 2, 300*ms)) // an answer past its objective of 1 s has no utility
 	s.now += ms
 	s.step(Started{Job: 1, Worker: 1})
 	s.take()
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -48,8 +48,8 @@
 	s.limit = max(1, math.Floor(s.limit/2))
 }
 
-// predatesDecrease reports whether an attempt was sent before the latest decrease: its outcome is due to the
-// same event, and changes nothing.
+// predatesDecrease reports whether an attempt was sent before the latest decrease: its outcome is due to
+// the same event, and changes nothing.
 func (s *slotLimit) predatesDecrease(sentAt time.Duration) bool { return sentAt < s.decreasedAt }
 
 // backoffState is how long a worker is sent nothing after a rejection.
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -165,7 +165,7 @@
 	cold     bool // workers start, and restart, while it lasts
 	faults   bool // workers fail, hang, break connections and reject
 	cordons  bool
-	handover bool // jobs and what was learnt come from another dispatcher
+	handover bool // jobs and estimates come from another dispatcher
 	assigned bool // the list says which dispatchers may use a warming worker
 	single   bool // every job takes one slot, and a run's end is notified before the next start
 	idle     bool // pauses in which connections go idle, and some of these break
@@ -732,7 +732,7 @@
 	p.after(time.Duration(1000+p.rng.IntN(3000))*ms, p.cordon)
 }
 
-// takeOver has the number of dispatchers change, and brings what another one has learnt.
+// takeOver changes the number of dispatchers, and applies the estimates of another one.
 func (p *decisionRun) takeOver() {
 	if p.now > p.end {
 		return
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -29,7 +29,7 @@
 	return set
 }
 
-// goldenScene brings a dispatcher to where it has learnt of sizes, kinds and workers, and has jobs of all classes: some run,
+// goldenScene returns a dispatcher with estimates of sizes, kinds and workers, and with jobs of all classes: some run,
 // some have not started, many wait, and one of them has a worker reserved; one worker is cordoned, one drains, one warms up,
 // and two are backed off from.
 func goldenScene(t *testing.T) *harness {
@@ -52,7 +52,7 @@
 		return j
 	}
 	id := uint64(0)
-	for ; id < 120; id++ { // these run to their end, and are learnt from
+	for ; id < 120; id++ { // these run to their end, and estimates follow them
 		s.step(job(id+1, int(id%3)))
 		for _, a := range taken[Send](s) {
 			span := time.Duration(15+a.Job*7%40) * ms * time.Duration(1+a.Worker>>40%3)
@@ -216,7 +216,7 @@
 	return started, unstarted, ended
 }
 
-// A model snapshot of a build before brings what that one had learnt.
+// A model snapshot of an earlier build has the estimates of that build.
 func TestGoldenModelIsRead(t *testing.T) {
 	source, err := Restore(goldenSettings(), storedform.Golden(t, goldenSnapshot))
 	if err != nil {
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -32,9 +32,9 @@
 	startedAt  time.Duration
 }
 
-// earn adds the checks that one job pays for: as many as their budget allows at the cost of a check. No
+// addTokens adds the tokens that one job brings: as many as their budget allows at the cost of a check. No
 // more are saved up than there are workers.
-func (h *healthChecker) earn(workers int) {
+func (h *healthChecker) addTokens(workers int) {
 	affordable := healthCheckBudget / max(h.settings.HealthCheckCost, divisionGuard)
 	earned := min(checksPerJob, affordable)
 	h.tokens.add(earned, float64(workers))
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -7,7 +7,7 @@
 
 // Learning from finished runs, for the design's model: "long means past a cut we choose"; mu_short is
 // "short jobs' mean hold-plus-run time", averaged over a long window. The sizes of jobs and the speeds of
-// workers that predictions rest on are learnt here too. Logs are natural.
+// workers that predictions rest on are estimated here too. Logs are natural.
 
 const (
 	maxMeanLogSpeed = 0.3 // of the fleet's workers: what exceeds it counts as size of the jobs
--- a/dispatch/leasebudget.go
+++ b/dispatch/leasebudget.go
@@ -8,9 +8,9 @@
 	peerCostBytes     = 256  // bytes per job that Settings.PeerCost is the price of
 )
 
-// UsesLeases reports whether slots are leased. They are not if there is only one dispatcher, if messages are
-// not allowed or exceed their budget, or if workers send no start notifications: a coordinator measures by
-// these how many jobs a worker has capacity for.
+// UsesLeases reports whether slots are leased. They are not if there is only one dispatcher, if messages
+// are not allowed or exceed their budget, or if workers send no start notifications: a coordinator measures
+// by these how many jobs a worker has capacity for.
 func (s *Settings) UsesLeases() bool {
 	if !s.PeerMessages || !s.StartNotifications {
 		return false
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -34,8 +34,8 @@
 
 // leasedJobs is what a lease client needs of the queue, and of the rules for sending a job.
 type leasedJobs interface {
-	// usableWorker returns the worker that a coordinator has granted slots of; nil: the job must not be sent
-	// there.
+	// usableWorker returns the worker that a coordinator has granted slots of; nil: the job must not be
+	// sent there.
 	usableWorker(job *jobInfo, worker uint64, shard Shard) *workerInfo
 	// sendOnLease removes a job from the queue and sends it.
 	sendOnLease(job *jobInfo, worker *workerInfo) *attemptInfo
@@ -137,8 +137,8 @@
 	return lease
 }
 
-// isBoundByAttempts reports whether earlier attempts leave a job only workers that share its idempotency key.
-// A request can't name these.
+// isBoundByAttempts reports whether earlier attempts leave a job only workers that share its idempotency
+// key. A request can't name these.
 func (j *jobInfo) isBoundByAttempts() bool {
 	return j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope != ScopeAll &&
 		slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -8,8 +8,9 @@
 )
 
 // The coordinator leases the slots of a shard's workers to all dispatchers. This carries out the design's
-// choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random among ties,
-// among those able to start the job now"), with the slots in use of all dispatchers in place of one's own.
+// choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random among
+// ties, among those able to start the job now"), with the slots in use of all dispatchers in place of one's
+// own.
 const (
 	leaseExpiry    = 4 * time.Second        // since a lease was last reported
 	reportMaxDelay = 250 * time.Millisecond // a complete report says nothing of leases granted within this
@@ -275,9 +276,9 @@
 	return hasRoom && l.warmUpAllows(now, request, worker, slots)
 }
 
-// warmUpAllows reports whether a lease stays within the lease budget of a warming worker. A coordinator does
-// not know what others have granted during the window before its first message, and leases nothing of a
-// warming worker then.
+// warmUpAllows reports whether a lease stays within the lease budget of a warming worker. A coordinator
+// does not know what others have granted during the window before its first message, and leases nothing of
+// a warming worker then.
 func (l *leaseCoordinator) warmUpAllows(
 	now time.Duration, request *LeaseRequest, worker *workerInfo, slots *workerSlots,
 ) bool {
@@ -378,8 +379,8 @@
 	l.remove(lease)
 }
 
-// handleReport updates a dispatcher's leases to those that it reports. Leases that are not known were granted
-// by an earlier coordinator, or are slots taken without a lease.
+// handleReport updates a dispatcher's leases to those that it reports. Leases that are not known were
+// granted by an earlier coordinator, or are slots taken without a lease.
 func (l *leaseCoordinator) handleReport(now time.Duration, from int, report LeaseReport) {
 	l.recordFirstMessage(now)
 	for _, held := range report.Leases[:min(len(report.Leases), MaxReported)] {
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -52,7 +52,7 @@
 	return ids
 }
 
-// Requests that can earn in full are granted before demoted ones; those over tau first, the oldest first, then by score.
+// Requests that may have their full utility are granted before deprioritized ones; those over tau first, the oldest first, then by score.
 func TestOrderOfGrants(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 1, noChange)
@@ -165,7 +165,7 @@
 	}
 }
 
-// What two coordinators that don't know of each other lease of a warming worker, and what is sent there without leases, stays
+// What two coordinators without messages between them lease of a warming worker, and what is sent there without leases, stays
 // within the budget of the rule in sum.
 func TestWarmUpBudgetOverLeases(t *testing.T) {
 	t.Parallel()
--- a/dispatch/leasedirectory.go
+++ b/dispatch/leasedirectory.go
@@ -9,8 +9,8 @@
 
 // The directory assigns workers to shards and shards to coordinators. The paper and the design know one
 // dispatcher only and have no sentence on this. Each dispatcher computes the same assignment by rendezvous
-// hashing, without messages. While two dispatchers disagree on the coordinator of a shard, the same slots may
-// be granted twice: that costs waiting time at a worker, and breaks no rule.
+// hashing, without messages. While two dispatchers disagree on the coordinator of a shard, the same slots
+// may be granted twice: that costs waiting time at a worker, and breaks no rule.
 const (
 	dispatchersPerShard   = 20 // mean number of dispatchers that share a shard
 	coordinatorCandidates = 8  // dispatchers ranked per shard
@@ -18,8 +18,9 @@
 	deniedAvoidance       = 10 * time.Second
 )
 
-// peerDirectory says which shard a worker belongs to and which dispatcher coordinates a shard. It also holds
-// the coordinators that are skipped for some time. Dispatchers are identified by their Settings.ReplicaIndex.
+// peerDirectory says which shard a worker belongs to and which dispatcher coordinates a shard. It also
+// holds the coordinators that are skipped for some time. Dispatchers are identified by their
+// Settings.ReplicaIndex.
 type peerDirectory struct {
 	dispatchers     int
 	shardsPerZone   int
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -3,8 +3,8 @@
 import "time"
 
 // How the client handles a coordinator's answers, and the use of what was granted. This carries out the
-// design's "among those able to start the job now": a grant is used only if this dispatcher's own rules allow
-// the worker too.
+// design's "among those able to start the job now": a grant is used only if this dispatcher's own rules
+// allow the worker too.
 
 // handleGranted notes a granted lease for use. One that can't be used is released: its job is finished, or
 // has a lease of another coordinator.
@@ -106,8 +106,8 @@
 	}
 }
 
-// usableWorker implements leasedJobs. A worker that this dispatcher does not know, or knows in another shard,
-// is never sent anything.
+// usableWorker implements leasedJobs. A worker that this dispatcher does not know, or knows in another
+// shard, is never sent anything.
 func (l *leaseAdapter) usableWorker(job *jobInfo, id uint64, shard Shard) *workerInfo {
 	worker := l.dispatcher.fleet.byID[id]
 	if worker == nil || !worker.Ready || !job.isQueued() || l.dispatcher.reservation.excludes(job, worker) {
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -6,8 +6,8 @@
 )
 
 // What the client reports of the leases in use: the design's limit of a worker "grows by one when a job
-// starts promptly and halves on 'full' or failure", so that a coordinator has to know of starts and results.
-// Reports repeat what it may have missed.
+// starts promptly and halves on 'full' or failure", so that a coordinator needs starts and results. Reports
+// repeat what it may have missed.
 
 // takeSlots records an attempt that was sent without a lease. The next report has it.
 func (l *leaseClient) takeSlots(now time.Duration, attempt *attemptInfo) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// handlePeerRestart repeats the requests that a restarted dispatcher has lost, and reports the leases in use
-// at once.
+// handlePeerRestart repeats the requests that a restarted dispatcher has lost, and reports the leases in
+// use at once.
 func (l *leaseClient) handlePeerRestart(now time.Duration, peer int) {
 	l.reportAt = now
 	isLost := func(lease *leaseInfo) bool {
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -4,8 +4,8 @@
 
 // The slots of a worker as its coordinator counts them, over all dispatchers. This carries out the
 // concurrency limit of the design ("Each worker starts with room for one job. Room grows by one when a job
-// starts promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt
-// start that it bounded, and halves on a rejection or failure.
+// starts promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each
+// prompt start that it bounded, and halves on a rejection or failure.
 const (
 	// warmUpLeaseFraction is the fraction of the work that overloads a warming worker which one coordinator
 	// leases. Two may do so at the same time, and jobs without a lease take warmUpBudgetFraction besides.
@@ -16,7 +16,8 @@
 	toleratedFailures = 1 // consecutive failures that suspend no worker
 )
 
-// workerSlots are the slots of one worker, with what its coordinator has observed of its starts and failures.
+// workerSlots are the slots of one worker, with what its coordinator has observed of its starts and
+// failures.
 type workerSlots struct {
 	slotLimit      // of the slots that are leased
 	leases         int
@@ -30,8 +31,8 @@
 // isSuspended reports whether consecutive failures keep leases from the worker.
 func (w *workerSlots) isSuspended(now time.Duration) bool { return now < w.suspendedUntil }
 
-// hasRoom reports whether the worker can start a job of so many slots. maxSlots bounds it besides the limit.
-// An idle worker has room for a job of any size.
+// hasRoom reports whether the worker can start a job of so many slots. maxSlots bounds it besides the
+// limit. An idle worker has room for a job of any size.
 func (w *workerSlots) hasRoom(demand, maxSlots float64) bool {
 	return w.used == 0 || w.fits(demand, maxSlots)
 }
@@ -60,7 +61,8 @@
 	return true
 }
 
-// observeLateStart lowers the limit by one: an attempt that has not started promptly is queued at the worker.
+// observeLateStart lowers the limit by one: an attempt that has not started promptly is queued at the
+// worker.
 func (w *workerSlots) observeLateStart(now time.Duration) {
 	w.decrease(now)
 }
@@ -81,8 +83,8 @@
 	}
 }
 
-// recordFailure counts a failure reported by a dispatcher. Consecutive reports by the same one count once, as
-// the fault may be its own.
+// recordFailure counts a failure reported by a dispatcher. Consecutive reports by the same one count once,
+// as the fault may be its own.
 func (w *workerSlots) recordFailure(now time.Duration, dispatcher int) {
 	if w.failures > 0 && w.lastFailedPeer == dispatcher {
 		return
--- a/dispatch/leasewaiting.go
+++ b/dispatch/leasewaiting.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The requests that wait at a coordinator. This carries out the design's order of the queue ("At each release
-// jobs held over tau = 3 × mu_short leave first, oldest first; otherwise the lowest score leaves, ties to the
-// oldest") over the jobs of all dispatchers.
+// The requests that wait at a coordinator. This carries out the design's order of the queue ("At each
+// release jobs held over tau = 3 × mu_short leave first, oldest first; otherwise the lowest score leaves,
+// ties to the oldest") over the jobs of all dispatchers.
 const (
 	waitingRequestExpiry = time.Second // since it was last repeated
 	maxWaiting           = 4096        // requests; further ones are answered as queued and forgotten
@@ -68,8 +68,8 @@
 	})
 }
 
-// grantWaiting grants waiting requests, in their order, and returns dst with the grants to send appended. It
-// evaluates them only if slots may have become free.
+// grantWaiting grants waiting requests, in their order, and returns dst with the grants to send appended.
+// It evaluates them only if slots may have become free.
 func (l *leaseCoordinator) grantWaiting(now time.Duration, dst []addressedMessage) []addressedMessage {
 	if l.nothingFreed || len(l.waiting) == 0 {
 		return dst
@@ -92,8 +92,9 @@
 	return dst
 }
 
-// grantWaitingRequest grants a waiting request; nil: it can't. ungranted has, by shape, the last request that
-// could not be granted since slots became free: one that wants at least as much can't be granted either.
+// grantWaitingRequest grants a waiting request; nil: it can't. ungranted has, by shape, the last request
+// that could not be granted since slots became free: one that wants at least as much can't be granted
+// either.
 func (l *leaseCoordinator) grantWaitingRequest(
 	now time.Duration, waiting *waitingRequest, ungranted map[requestShape]LeaseRequest,
 ) *grantedLease {
@@ -131,7 +132,7 @@
 const (
 	rankPromoted waitingRank = iota // its job has been queued for longer than tau
 	rankByScore
-	rankDemoted // its job can't earn in full any more
+	rankDemoted // its job's answer can't have its full utility any more
 )
 
 func (w *waitingRequest) rank(now time.Duration) waitingRank {
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -18,7 +18,7 @@
 	workerBytes   = 14  // that a worker takes up in a snapshot, at most
 )
 
-// model refers to what a dispatcher has learnt, except about single jobs and keys.
+// model refers to the estimates of a dispatcher, except those of single jobs and keys.
 type model struct {
 	figures   []*float64 // in the order of the snapshot
 	durations []*time.Duration
--- a/dispatch/overdue.go
+++ b/dispatch/overdue.go
@@ -33,9 +33,8 @@
 	}
 }
 
-// handleLateStart acts on an attempt that has not started in time. Once it has been unstarted for so
-// long that it is taken for lost, its connection or, if it has been silent since, its worker is at
-// fault.
+// handleLateStart acts on an attempt that has not started in time. Once it counts as
+// lost, the fault is attributed to its connection or, if the worker has been silent since, to the worker.
 func (d *Dispatcher) handleLateStart(attempt *attemptInfo) {
 	worker := attempt.worker
 	if lostAt := attempt.sentAt + d.starts.lostAfter(); d.now < lostAt {
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Under overload all would wait past tau and leave in order of arrival; what cannot earn in full is demoted.
+// Under overload all would wait past tau and leave in order of arrival; what can't have its full utility has a lower priority.
 func TestJobPastItsObjectiveIsDemoted(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -222,7 +222,7 @@
 // longestHold is how long a process may be held up between reading its clock and writing.
 const longestHold = 150 * ms
 
-// mayFollow tells whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection, and for
+// mayFollow reports whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection, and for
 // this process.
 func (r *ruleChecker) mayFollow(c *Class, earlier observedAttempt, w Worker) bool {
 	if !earlier.possiblyExecuted() || c.Idempotency == Idempotent {
--- a/dispatch/workerinfo.go
+++ b/dispatch/workerinfo.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// workerActivity is when a worker has last been heard of.
+// workerActivity is when a worker has last shown that it is alive, and that it progresses.
 type workerActivity struct {
 	aliveAt    time.Duration // the latest response or notification of any kind
 	progressAt time.Duration // the latest start, progress or successful end of an attempt
--- a/dispatch/workload.go
+++ b/dispatch/workload.go
@@ -11,8 +11,8 @@
 	maxKnownKeys          = 10000            // keys whose past work is known
 )
 
-// workloadModel is what has been learnt of how long jobs run: a correction of their hints, how far runs differ from what was
-// expected, and the logistic model that gives a job its score. Work is in seconds on a worker of speed 1; logs are natural.
+// workloadModel estimates how long jobs run: a correction of their hints, how far runs differ from what was expected, and the
+// logistic model that gives a job its score. Work is in seconds on a worker of speed 1; logs are natural.
 type workloadModel struct {
 	classes        []Class
 	sizeCorrection [][slotBuckets]float64 // log of work against its hint, by class and slots
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -15,8 +15,8 @@
 	*Queue
 	destination      io.Writer
 	dropNotice       func(pieces uint64) string
-	reportedDrops    uint64 // pieces that a drop notice has told of
-	reportedFailures uint64 // failed pieces that TryWrite has told of
+	reportedDrops    uint64 // pieces that a drop notice has counted
+	reportedFailures uint64 // failed pieces that TryWrite has returned an error for
 }
 
 // NewWriter returns a writer to a destination, with at most maxBytes bytes of text pending. dropNotice, unless it is nil,
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// enqueueDropNotice tells of dropped pieces where there are new ones. It returns false if there is no room for that: the
+// enqueueDropNotice enqueues a notice of dropped pieces if there are new ones. It returns false if there is no room for that: the
 // notice is then counted as dropped, in place of the text that was to follow it.
 func (w *Writer) enqueueDropNotice() bool {
 	dropped := w.Dropped()
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -34,7 +34,7 @@
 	hasLarge    bool
 	expected    string // all that was written
 	dropped     uint64
-	reported    uint64 // dropped pieces that a notice tells of
+	reported    uint64 // dropped pieces that a notice counts
 }
 
 // maxPending bounds the bytes that wait in the model test. Only large pieces are longer.
@@ -112,7 +112,7 @@
 }
 
 // Whatever is written, and whenever the destination takes it: it gets whole pieces in order, no more than allowed is
-// pending, and dropped pieces are counted and told of before the next one that is not dropped.
+// pending, and dropped pieces are counted in a notice before the next one that is not dropped.
 func FuzzWriter(f *testing.F) {
 	modeltest.Fuzz(f, func(steps *modeltest.Steps) {
 		model := newWriterModel(steps)
@@ -136,7 +136,7 @@
 	})
 }
 
-// failingWriter fails as long as it is told to.
+// failingWriter fails for as long as it is set to.
 type failingWriter struct{ fails bool }
 
 func (w *failingWriter) Write(text []byte) (int, error) {
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// callBack has workers call back about some of the attempts. Of many, the earliest are never heard of again.
+// callBack has workers call back about some of the attempts. Of many, the earliest get no further callback.
 func (s *scheduler) callBack() {
 	result := payload
 	for i := range s.Attempts {
--- a/internal/eventloop/errorclass.go
+++ b/internal/eventloop/errorclass.go
@@ -128,12 +128,11 @@
 	}
 }
 
-// Classify says what to do about the error of a call, which may be wrapped. An error that is none of the kernel's is
-// ErrorUnusable.
+// Classify returns the class of the error of a call, which may be wrapped. An error that is not an errno is ErrorUnusable.
 //
-// What SO_ERROR tells of a connect that was in progress is no error of the call any more, but one of the network: a first packet
-// was sent, and nobody answered it, or somebody on the way said that the peer can't be reached. That is the peer's, whichever
-// errno it is, as it is what a cut-off peer looks like.
+// SO_ERROR of a connect that was in progress is not an error of the call, but of the network: a first packet was sent, and was not
+// answered, or a router reported that the peer can't be reached. It is attributed to the peer, whichever errno it is: a peer that is
+// cut off looks the same.
 func Classify(call Call, err error) ErrorClass {
 	var errno unix.Errno
 	if !errors.As(err, &errno) {
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -12,7 +12,7 @@
 
 // Handler is one descriptor's side of the loop.
 type Handler interface {
-	// HandleEvents takes in events of epoll_ctl(2).
+	// HandleEvents handles events, as epoll_ctl(2) names them.
 	HandleEvents(events uint32)
 	// HandlePanic ends the handler after a panic: it removes its descriptor, and reports to its program what that ends.
 	HandlePanic()
@@ -60,11 +60,11 @@
 	priority Priority
 	events   uint32        // that are waited for
 	added    bool          // epoll has the descriptor
-	retry    *Timer        // while epoll could not be told of the events
+	retry    *Timer        // while epoll_ctl fails for the events
 	backoff  time.Duration // before it
 }
 
-// Pauses before epoll is told once more what a descriptor waits for.
+// Pauses before epoll_ctl is retried for the events of a descriptor.
 const (
 	minInterestBackoff = time.Millisecond
 	maxInterestBackoff = 50 * time.Millisecond
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -54,7 +54,7 @@
 	MaxLength int        // how many bytes a read or a write takes at most; 0: as many as it is given
 }
 
-// Interceptor is told of a system call before it is made, and of the descriptor that it is for, which is NoDescriptor if it is
+// Interceptor is called before each system call, with the descriptor that it is for, which is NoDescriptor if it is
 // for none. It may be called from several goroutines.
 type Interceptor func(call Call, descriptor int) Injection
 
--- a/internal/filesystem/lines.go
+++ b/internal/filesystem/lines.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// endsInLine tells whether the file ends within a line. Of what can't be read, such as a pipe, it says no.
+// endsInLine reports whether the file ends within a line. Of what can't be read, such as a pipe, it says no.
 func (f *LineFile) endsInLine() bool {
 	reader, err := f.files.OpenReader(f.path)
 	if err != nil {
--- a/internal/filesystem/retry.go
+++ b/internal/filesystem/retry.go
@@ -9,7 +9,7 @@
 // maxInterruptions bounds how often a call that a signal has interrupted is made anew.
 const maxInterruptions = 100
 
-// MayPass tells whether an error is one of a disk that fails or is full, which may pass, and not of a wrong path or right.
+// MayPass reports whether an error is one of a disk that fails or is full, which may pass, and not of a wrong path or right.
 func MayPass(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EIO) ||
 		errors.Is(err, syscall.EINTR)
--- a/internal/filesystem/retry_test.go
+++ b/internal/filesystem/retry_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// Interrupted and short writes go on where they stopped; any other error ends the write, and tells how much was written.
+// Interrupted and short writes go on where they stopped; any other error ends the write, and returns how much was written.
 func TestWriteAll(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -54,7 +54,7 @@
 	posted  chan func()
 	now     time.Duration
 	timers  []loopTimer
-	changes []error // that the store has told of
+	changes []error // that the store has reported
 }
 
 type loopTimer struct {
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -73,7 +73,7 @@
 	return nil, length + 1, nil
 }
 
-// consumeLine takes in a line between two chunks' data.
+// consumeLine consumes a line between the data of two chunks.
 func (d *ChunkDecoder) consumeLine(line []byte) error {
 	switch d.state {
 	case chunkStateSize:
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// Framing is told as soon as the header is complete, and is not that of the message before until then.
+// Framing is known as soon as the header is complete, and is not that of the message before until then.
 func TestFramingBeforeBody(t *testing.T) {
 	var response Response
 	for _, step := range []struct {
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -25,7 +25,7 @@
 // Status codes below this one are interim: another response follows.
 const firstFinalStatus = 200
 
-// reasonPhrases has what stands behind the code in a status line. Any other code has nothing there, which is valid.
+// reasonPhrases has the reason phrases of status lines. Any other code has an empty one, which is valid.
 var reasonPhrases = map[int]string{
 	StatusOK:                          "OK",
 	StatusAccepted:                    "Accepted",
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// While the list can't be followed workers start, and are told of later. A clock that may be right is believed, and one that
+// While the list can't be followed workers start, and are listed later. A clock that may be right is believed, and one that
 // is an hour ahead is not.
 func TestStartTimesAfterOutage(t *testing.T) {
 	for _, ahead := range clockErrors {
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -14,7 +14,7 @@
 // for nobody changes nothing.
 func FuzzTable(f *testing.F) { modeltest.Fuzz(f, runTableModel) }
 
-// modelRequest is what the model knows of a request.
+// modelRequest is the model's state of a request.
 type modelRequest struct {
 	request      *Request
 	responder    *countingResponder
