--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -40,100 +40,100 @@
 	return keyStore{records: map[keyID]*keyRecord{}, expiring: make([]keyExpiryQueue, classes)}
 }
 
-func (w *workerShared) keyID(n *worker, a *attempt) keyID {
-	id := keyID{class: a.class, key: a.key}
-	switch w.classes[a.class].scope {
+func (w *workerShared) keyID(worker *worker, attempt *attempt) keyID {
+	id := keyID{class: attempt.class, key: attempt.key}
+	switch w.classes[attempt.class].scope {
 	case "cell":
-		id.scope = n.cell
+		id.scope = worker.cell
 	case "zone":
-		id.scope = n.zone
+		id.scope = worker.zone
 	}
 	return id
 }
 
 // findKey returns the record of an attempt's key in the worker's group; nil: there is none, or the class has no keys.
-func (w *workerShared) findKey(n *worker, attempt *attempt) *keyRecord {
+func (w *workerShared) findKey(worker *worker, attempt *attempt) *keyRecord {
 	if attempt.key == "" || !w.classes[attempt.class].idempotentWithKey {
 		return nil
 	}
-	q := &w.keys.expiring[attempt.class]
-	for q.start < len(q.list) && q.list[q.start].until <= w.env.now {
-		if k := q.list[q.start]; w.keys.records[k.id] == k {
-			delete(w.keys.records, k.id)
+	queue := &w.keys.expiring[attempt.class]
+	for queue.start < len(queue.list) && queue.list[queue.start].until <= w.env.now {
+		if record := queue.list[queue.start]; w.keys.records[record.id] == record {
+			delete(w.keys.records, record.id)
 		}
-		q.list[q.start] = nil
-		q.start++
+		queue.list[queue.start] = nil
+		queue.start++
 	}
-	if q.start > len(q.list)/2 {
-		q.list = slices.Delete(q.list, 0, q.start)
-		q.start = 0
+	if queue.start > len(queue.list)/2 {
+		queue.list = slices.Delete(queue.list, 0, queue.start)
+		queue.start = 0
 	}
-	return w.keys.records[w.keyID(n, attempt)]
+	return w.keys.records[w.keyID(worker, attempt)]
 }
 
 // rememberKey records the key of an attempt that is admitted, the first with that key.
-func (w *workerShared) rememberKey(n *worker, a *attempt) {
-	if a.key == "" || !w.classes[a.class].idempotentWithKey {
+func (w *workerShared) rememberKey(worker *worker, attempt *attempt) {
+	if attempt.key == "" || !w.classes[attempt.class].idempotentWithKey {
 		return
 	}
-	k := &keyRecord{id: w.keyID(n, a), runner: a, until: w.env.now + w.classes[a.class].window + keyGrace}
-	a.keyRecord = k
-	w.keys.records[k.id] = k
-	q := &w.keys.expiring[a.class]
-	q.list = append(q.list, k)
+	record := &keyRecord{id: w.keyID(worker, attempt), runner: attempt, until: w.env.now + w.classes[attempt.class].window + keyGrace}
+	attempt.keyRecord = record
+	w.keys.records[record.id] = record
+	queue := &w.keys.expiring[attempt.class]
+	queue.list = append(queue.list, record)
 }
 
 // addWaiter adds a duplicate. It does not run, and ends with the result of the runner.
-func (k *keyRecord) addWaiter(a *attempt) {
-	a.keyRecord = k
-	a.state = attemptDuplicate
-	a.worker.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: a.worker.number, Incarnation: a.worker.process.incarnation, Text: "repeat"})
+func (k *keyRecord) addWaiter(attempt *attempt) {
+	attempt.keyRecord = k
+	attempt.state = attemptDuplicate
+	attempt.worker.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: attempt.worker.number, Incarnation: attempt.worker.process.incarnation, Text: "repeat"})
 	if k.runner == nil {
-		a.worker.finishDuplicate(a, k.result)
+		attempt.worker.finishDuplicate(attempt, k.result)
 	} else {
-		k.waiters = append(k.waiters, a)
+		k.waiters = append(k.waiters, attempt)
 	}
 }
 
 // removeWaiter removes a duplicate.
-func (k *keyRecord) removeWaiter(a *attempt) {
-	k.waiters = slices.DeleteFunc(k.waiters, func(waiter *attempt) bool { return waiter == a })
+func (k *keyRecord) removeWaiter(ended *attempt) {
+	k.waiters = slices.DeleteFunc(k.waiters, func(waiter *attempt) bool { return waiter == ended })
 }
 
 // finishDuplicate ends a duplicate with the result of the runner.
-func (w *worker) finishDuplicate(a *attempt, result string) {
+func (w *worker) finishDuplicate(attempt *attempt, result string) {
 	w.whenRunning(func() {
-		if a.state != attemptDuplicate {
+		if attempt.state != attemptDuplicate {
 			return
 		}
-		w.jobs.remove(a)
-		a.result = result
-		w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: w.number, Text: result, Status: 200})
-		w.notify(a, "done", 0)
+		w.jobs.remove(attempt)
+		attempt.result = result
+		w.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: w.number, Text: result, Status: 200})
+		w.notify(attempt, "done", 0)
 		w.maybeExit()
 	})
 }
 
 // attemptSucceeded handles the success of an attempt: duplicates get its result.
-func (w *workerShared) attemptSucceeded(a *attempt) {
-	k := a.keyRecord
-	if k == nil || k.runner != a {
+func (w *workerShared) attemptSucceeded(attempt *attempt) {
+	record := attempt.keyRecord
+	if record == nil || record.runner != attempt {
 		return
 	}
-	k.runner = nil
-	k.result = a.result
-	waiters := k.waiters
-	k.waiters = nil
-	for _, r := range waiters {
-		r.worker.finishDuplicate(r, k.result)
+	record.runner = nil
+	record.result = attempt.result
+	waiters := record.waiters
+	record.waiters = nil
+	for _, waiter := range waiters {
+		waiter.worker.finishDuplicate(waiter, record.result)
 	}
 }
 
 // releaseKey handles the end of an attempt without success. The first duplicate takes over as the runner; if there is none,
 // the record of the key is deleted.
-func (w *workerShared) releaseKey(a *attempt) {
-	keyRecord := a.keyRecord
-	if keyRecord == nil || keyRecord.runner != a {
+func (w *workerShared) releaseKey(attempt *attempt) {
+	keyRecord := attempt.keyRecord
+	if keyRecord == nil || keyRecord.runner != attempt {
 		return
 	}
 	for len(keyRecord.waiters) > 0 {
@@ -153,13 +153,13 @@
 }
 
 // promote runs a duplicate that has become the runner, or returns it if there is no room.
-func (w *worker) promote(a *attempt) {
+func (w *worker) promote(attempt *attempt) {
 	switch {
-	case a.state != attemptDuplicate:
-	case w.hasRoom(a.slots):
-		w.startOrQueue(a)
+	case attempt.state != attemptDuplicate:
+	case w.hasRoom(attempt.slots):
+		w.startOrQueue(attempt)
 	default:
-		w.jobs.remove(a)
-		w.returnAttempt(a)
+		w.jobs.remove(attempt)
+		w.returnAttempt(attempt)
 	}
 }
