--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -121,16 +121,16 @@
 }
 
 func (w *worker) newCallback(attempt *attempt, state string) *callback {
-	made := &callback{
+	created := &callback{
 		scheduler: attempt.scheduler,
 		body:      requests.Callback{CallID: attempt.requestID, EndpointID: w.id, State: state},
 	}
 	if state == "done" {
-		made.result = attempt.result
-		made.body.Result = &made.result
+		created.result = attempt.result
+		created.body.Result = &created.result
 	}
-	w.callbacks.add(w.number, made)
-	return made
+	w.callbacks.add(w.number, created)
+	return created
 }
 
 // sendCallback sends a callback once. If the process drops its callbacks it is lost, and if it hangs it is held.
