--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -84,7 +84,8 @@
 		{"two-choices", each - 4, each + 4},
 		{"least-outstanding", each, each},
 	} {
-		policy, received := module(t, test.name, plain, nil), map[uint64]int{}
+		policy := module(t, test.name, plain, nil)
+		received := map[uint64]int{}
 		policy.Step(1, []dispatch.Event{listOf(nodes)}, nil)
 		for _, sent := range sends(policy.Step(2, jobs(1, nodes*each), nil)) {
 			received[sent.Worker]++
@@ -127,7 +128,8 @@
 	oracle.truth[1].Queued = 1
 	oracle.work = func(job uint64) float64 { return 1 / float64(job) } // a later one can wait longer
 	maker := All()[4].ForRun()
-	first, second := maker(plain, 1, oracle), maker(plain, 2, oracle)
+	first := maker(plain, 1, oracle)
+	second := maker(plain, 2, oracle)
 	first.Step(1, []dispatch.Event{listOf(3)}, nil)
 	second.Step(1, []dispatch.Event{listOf(3)}, nil)
 	// Four slots are free at one node, so the four that can wait least go there; the next are held.
@@ -160,7 +162,10 @@
 // One large job among many small ones has a worker kept free for it.
 func TestAllSeeingKeepsRoom(t *testing.T) {
 	oracle := newFakeOracle(2)
-	oracle.truth[0].Free, oracle.truth[0].BacklogSeconds, oracle.truth[1].Free, oracle.truth[1].BacklogSeconds = 2, 0.1, 1, 0.3
+	oracle.truth[0].Free = 2
+	oracle.truth[0].BacklogSeconds = 0.1
+	oracle.truth[1].Free = 1
+	oracle.truth[1].BacklogSeconds = 0.3
 	policy := module(t, "all-seeing", plain, oracle)
 	policy.Step(1, []dispatch.Event{listOf(2)}, nil)
 	policy.Step(2, []dispatch.Event{dispatch.Job{ID: 1, Remaining: 5 * time.Second, Slots: 3}}, nil)
@@ -180,7 +185,8 @@
 // A job at a worker that has stopped answering goes elsewhere too, if it may run twice.
 func TestAllSeeingRescues(t *testing.T) {
 	for effect, want := range map[dispatch.Idempotency]int{dispatch.Idempotent: 1, dispatch.NonIdempotent: 0} {
-		oracle, settings := newFakeOracle(2), plain
+		oracle := newFakeOracle(2)
+		settings := plain
 		settings.Classes = []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: effect}}
 		policy := module(t, "all-seeing", settings, oracle)
 		policy.Step(1, []dispatch.Event{listOf(2)}, nil)
--- a/internal/testbed/baseline/jobs.go
+++ b/internal/testbed/baseline/jobs.go
@@ -16,7 +16,8 @@
 	full := &b.fullUntil[arrival.Class]
 	*full = max(*full, min(arrival.Remaining, added.class.ClientTimeout))
 	added.arrivedAt = b.now - max(0, *full-max(arrival.Remaining, 0))
-	added.objective = min(added.arrivedAt+added.class.LatencyObjective+seconds(added.class.ObjectiveStretch*b.estimateWork(added)), added.At)
+	objective := added.class.LatencyObjective + seconds(added.class.ObjectiveStretch*b.estimateWork(added))
+	added.objective = min(added.arrivedAt+objective, added.At)
 	b.jobs[arrival.ID] = added
 	b.deadlines.Add(added)
 	b.offer(added)
--- a/internal/testbed/baseline/rules_test.go
+++ b/internal/testbed/baseline/rules_test.go
@@ -156,7 +156,8 @@
 func checkRules(t *testing.T, policy Policy, seed uint64) {
 	t.Helper()
 	const nodes = 6
-	rng, oracle := rand.New(rand.NewPCG(seed, 9)), newFakeOracle(nodes)
+	rng := rand.New(rand.NewPCG(seed, 9))
+	oracle := newFakeOracle(nodes)
 	referee := &referee{
 		t: t, policy: policy, seed: seed, settings: ruledSettings(seed), now: time.Second, jobs: map[uint64]*ruledJob{},
 		ready: map[uint64]dispatch.Worker{}, list: listOf(nodes),
@@ -180,7 +181,8 @@
 			id := uint64(len(referee.ids) + 1)
 			job := &ruledJob{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
 			job.deadline = referee.now + job.Remaining
-			referee.jobs[id], referee.ids = job, append(referee.ids, id)
+			referee.jobs[id] = job
+			referee.ids = append(referee.ids, id)
 			referee.step(job.Job)
 		default:
 			if len(referee.ids) == 0 {
@@ -193,7 +195,8 @@
 				continue
 			}
 			attempt := &job.attempts[index]
-			attempt.ended, attempt.result = true, dispatch.Result(rng.IntN(int(dispatch.NotSent)+1))
+			attempt.ended = true
+			attempt.result = dispatch.Result(rng.IntN(int(dispatch.NotSent) + 1))
 			job.ended = job.ended || attempt.result == dispatch.OK
 			referee.step(dispatch.Outcome{Job: job.ID, Attempt: index, Worker: attempt.worker.ID, Result: attempt.result, Closed: job.ended})
 		}
--- a/internal/testbed/baseline/simple.go
+++ b/internal/testbed/baseline/simple.go
@@ -176,7 +176,8 @@
 func (l *leastOutstanding) choose(job *job) *worker {
 	for _, level := range l.levels {
 		for range min(len(level), maxDraws) {
-			if candidate := level[l.rng.IntN(len(level))]; l.isAllowed(job, candidate) && !job.wasSentTo(candidate) && !l.skipsWarmingUp(candidate) {
+			candidate := level[l.rng.IntN(len(level))]
+			if l.isAllowed(job, candidate) && !job.wasSentTo(candidate) && !l.skipsWarmingUp(candidate) {
 				return candidate
 			}
 		}
--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -82,7 +82,8 @@
 
 // checkPair checks two attempts of a job, by their indexes in it, against each other.
 func (c *Checker) checkPair(job *job, request *request, early, late, scheduler int) {
-	first, second := &job.attempts[early], &job.attempts[late]
+	first := &job.attempts[early]
+	second := &job.attempts[late]
 	if first.request != second.request {
 		c.checkRetryAfterRejection(job, request, first, second)
 		return
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -158,7 +158,8 @@
 // fleetEntriesOf returns the log entries of the schedulers and workers of a job's requests, from when it was due to its last
 // entry.
 func (c *Checker) fleetEntriesOf(job *job) []logEntry {
-	workers, schedulers := map[int32]bool{}, map[int16]bool{}
+	workers := map[int32]bool{}
+	schedulers := map[int16]bool{}
 	for i := range job.attempts {
 		workers[int32(job.attempts[i].worker)] = true
 	}
@@ -223,7 +224,9 @@
 
 // describe returns the description of an entry; job is the one that it is about, or nil.
 func (c *Checker) describe(entry *logEntry, job *job) string {
-	node, which, text := fmt.Sprintf("w-%d", entry.worker), "", c.texts.texts[entry.text]
+	node := fmt.Sprintf("w-%d", entry.worker)
+	which := ""
+	text := c.texts.texts[entry.text]
 	if job != nil && len(job.requests) > 1 && int(entry.request) < len(job.requests) {
 		which = fmt.Sprintf(" (request %d)", entry.request+1)
 	}
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -90,7 +90,8 @@
 			return respond(200, result)
 		}
 		if ran && risk == 0 {
-			risk, cell = h.at, worker/h.spec.Fleet.CellSize
+			risk = h.at
+			cell = worker / h.spec.Fleet.CellSize
 		}
 	}
 }
@@ -118,7 +119,8 @@
 	h.wait(time.Millisecond)
 	h.see(trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node, FirstByteAt: first, IdempotencyKey: "k" + call})
 	end := func(s trace.Event, callback string) {
-		s.RequestID, s.Worker = call, node
+		s.RequestID = call
+		s.Worker = node
 		h.see(s)
 		h.wait(time.Millisecond)
 		if callback != "" {
--- a/internal/testbed/checker/rules_test.go
+++ b/internal/testbed/checker/rules_test.go
@@ -87,7 +87,8 @@
 // runScript returns the verdict of a checker that observed the events of a script.
 func runScript(t *testing.T, script string) Verdict {
 	t.Helper()
-	spec, opt := scenario.Default(), Options{}
+	spec := scenario.Default()
+	opt := Options{}
 	var j *Checker
 	for n, line := range strings.Split(script, "\n") {
 		fields := strings.Fields(line)
@@ -113,8 +114,10 @@
 		}
 		if s.Kind == trace.JobDue {
 			c := &spec.Classes[s.Class]
-			s.Work, s.Slots = c.Work.Std().Seconds(), 1
-			s.Deadline, s.LatencyObjective = c.Deadline.Std(), c.LatencyObjective.Std()+time.Duration(c.ObjectiveStretch*float64(c.Work))
+			s.Work = c.Work.Std().Seconds()
+			s.Slots = 1
+			s.Deadline = c.Deadline.Std()
+			s.LatencyObjective = c.LatencyObjective.Std() + time.Duration(c.ObjectiveStretch*float64(c.Work))
 		}
 		j.Observe(&s)
 	}
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -14,7 +14,9 @@
 // The checker assigns workers to cells and zones as the environment does.
 func TestRacks(t *testing.T) {
 	spec := scenario.Default()
-	spec.Fleet.Workers, spec.Fleet.Zones, spec.Fleet.CellSize = 23, []string{"a", "b", "c"}, 3
+	spec.Fleet.Workers = 23
+	spec.Fleet.Zones = []string{"a", "b", "c"}
+	spec.Fleet.CellSize = 3
 	cells, zones := spec.WorkerPlacement()
 	listed := 0
 	trace := func(_ time.Duration, ins []simapi.Input, _ []simapi.Output) {
--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -31,10 +31,13 @@
 // others "slow-4c", and of classes that are idempotent, idempotent with a key by cell, non-idempotent, and bound to "slow-4c".
 func newSpec() *scenario.Scenario {
 	spec := scenario.Default()
-	spec.Fleet.Workers, spec.Fleet.CellSize = 4, 2
+	spec.Fleet.Workers = 4
+	spec.Fleet.CellSize = 2
 	for i, name := range []string{"safe", "keyed", "unsafe", "safe"} {
 		class := &spec.Classes[i]
-		class.Idempotency, class.DeduplicationScope, class.ObjectiveStretch = name, "cell", 2
+		class.Idempotency = name
+		class.DeduplicationScope = "cell"
+		class.ObjectiveStretch = 2
 	}
 	spec.Classes[3].Kind = "slow-4c"
 	spec.Load.Hints = "exact"
@@ -102,7 +105,10 @@
 		At: at, Kind: kind, JobID: 1, RequestID: "c", Number: 1, Incarnation: 1, Slots: 4, Text: "std-4c", Status: 200,
 	}
 	if kind == trace.JobDue {
-		event.Slots, event.Work, event.LatencyObjective, event.Deadline = 1, 0.1, 3*time.Second, 9*time.Second
+		event.Slots = 1
+		event.Work = 0.1
+		event.LatencyObjective = 3 * time.Second
+		event.Deadline = 9 * time.Second
 	}
 	for _, word := range words[2:] {
 		key, value, _ := strings.Cut(word, "=")
@@ -332,7 +338,8 @@
 	}
 	spec := newSpec()
 	spec.Fleet.Workers = workers
-	checker, now := New(spec), time.Duration(0)
+	checker := New(spec)
+	now := time.Duration(0)
 	checker.Observe(&trace.Event{Kind: trace.SchedulerStarted})
 	for i := range workers {
 		checker.Observe(&trace.Event{Kind: trace.WorkerPresent, Worker: i, Incarnation: 1, Slots: 4, Text: text})
@@ -344,7 +351,11 @@
 			event := &events[i]
 			for k := n; k < n+inFlight; k++ {
 				now += 5 * time.Microsecond
-				event.At, event.JobID, event.RequestID, event.Conn, event.Worker = now, uint64(k+1), ids[k], uint64(k%inFlight), k%workers
+				event.At = now
+				event.JobID = uint64(k + 1)
+				event.RequestID = ids[k]
+				event.Conn = uint64(k % inFlight)
+				event.Worker = k % workers
 				checker.Observe(event)
 			}
 		}
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -39,8 +39,10 @@
 // A run of the dispatcher has no starvation. With a faulty policy, all of it is in the class that the fault concerns.
 func TestCheckerSimulatedRun(t *testing.T) {
 	spec := scenario.Default()
-	spec.Length, spec.Load.CapacityShare = scenario.Duration(12*time.Second), 0.3
-	spec.Fleet.Kinds[0].CallbackLossShare, spec.Fleet.Kinds[1].CallbackLossShare = 0, 0
+	spec.Length = scenario.Duration(12 * time.Second)
+	spec.Load.CapacityShare = 0.3
+	spec.Fleet.Kinds[0].CallbackLossShare = 0
+	spec.Fleet.Kinds[1].CallbackLossShare = 0
 	for _, test := range []struct {
 		name             string
 		isFaulty         bool
