--- a/internal/control/planner/attempt.go
+++ b/internal/control/planner/attempt.go
@@ -6,7 +6,7 @@
 	"valvecove/dispatch"
 )
 
-// attemptState is the state of an attempt. An attempt passes through the states in this order, and may skip some.
+// attemptState is the state of an attempt. Attempts advance through the states in order and may skip some.
 type attemptState uint8
 
 func (a attemptState) String() string {
@@ -22,26 +22,26 @@
 }
 
 const (
-	attemptCommanded attemptState = iota // its send command is sent, and the forwarder has not reported on it
+	attemptCommanded attemptState = iota // the send command was sent; the forwarder has not reported the attempt yet
 	attemptConfirmed                     // the forwarder has reported it
 	attemptEnded
 )
 
-// attempt is one sending of a request to a worker.
+// attempt records one send of a request to a worker.
 type attempt struct {
 	state     attemptState
 	worker    *worker
 	sentAt    time.Duration
-	startedAt time.Duration // 0: no start was reported
+	startedAt time.Duration // 0 if no start was reported
 	result    dispatch.Result
 }
 
 func (a *attempt) inFlight() bool { return a.state != attemptEnded }
 
-// advanceTo moves the attempt to a state, if that is later than its present one.
+// advanceTo moves the attempt to a state unless it is already in that state or a later one.
 func (a *attempt) advanceTo(state attemptState) { a.state = max(a.state, state) }
 
-// confirmStart records that the worker has started to execute the attempt. Only the first start counts.
+// confirmStart records that the worker has started to execute the attempt. Repeated reports keep the first start time.
 func (a *attempt) confirmStart(now time.Duration) {
 	a.advanceTo(attemptConfirmed)
 	if a.startedAt == 0 {
@@ -49,16 +49,16 @@
 	}
 }
 
-// knownResult returns a result. One that this build doesn't know is replaced by one that leaves open whether the attempt
-// was executed.
-func knownResult(result dispatch.Result) dispatch.Result {
+// normalizeResult returns the result unchanged if this build defines it. Otherwise it returns ConnectionReset, which leaves open
+// whether the attempt was executed.
+func normalizeResult(result dispatch.Result) dispatch.Result {
 	if result < dispatch.OK || result > dispatch.NotSent {
 		return dispatch.ConnectionReset
 	}
 	return result
 }
 
-// provesNotExecuted reports whether a result proves that the worker has not executed the attempt, and will not.
+// provesNotExecuted reports whether a result proves that the worker has not executed the attempt and never will.
 func provesNotExecuted(result dispatch.Result) bool {
 	switch result {
 	case dispatch.WorkerFull, dispatch.ConnectFailed, dispatch.NotSent:
--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -9,8 +9,8 @@
 	"valvecove/internal/control/message"
 )
 
-// BenchmarkRequests is the whole life of a request at the planner: its offer, a command, a start, an end. A tenth of the
-// workers' slots are in use, by ten forwarders. By one message a step, and by up to 64.
+// BenchmarkRequests measures the whole life of a request at the planner: offer, send command, start and end. Ten forwarders
+// keep a tenth of the workers' slots in use. A batch is the maximum number of messages per step.
 func BenchmarkRequests(b *testing.B) {
 	for _, batch := range []int{2, 64} {
 		for _, workers := range []int{10, 100, 1000, 10000} {
@@ -46,13 +46,13 @@
 }
 
 // loadDriver drives a planner with forwarders that execute every command: each attempt starts after one delay and ends
-// after another. Its queues are slices in order of time, and its messages are reused, as it must cost next to nothing
-// beside the planner.
+// after another. Its queues are slices sorted by time, and its messages are reused, to keep its cost negligible compared to
+// the planner's.
 type loadDriver struct {
 	planner    *Planner
 	now        time.Duration
 	forwarders int
-	lastIDs    []uint64 // by forwarder
+	lastIDs    []uint64 // last request ID, by session
 	actions    []Action
 	events     []Event
 	starts     resultQueue
@@ -63,10 +63,10 @@
 	offers     []message.RequestOffer
 	offered    int
 	served     int
-	rejected   int // or failed
+	rejected   int // requests rejected or failed
 }
 
-// resultQueue is the starts, or the ends, of attempts in order of time.
+// resultQueue is a FIFO queue of the starts or the ends of attempts, sorted by time.
 type resultQueue struct {
 	items []dueResult
 	next  int
@@ -81,13 +81,13 @@
 
 func (q *resultQueue) push(result dueResult) { q.items = append(q.items, result) }
 
-// pop returns the first result, which must exist.
+// pop removes and returns the first result. The queue must not be empty.
 func (q *resultQueue) pop() dueResult {
 	q.next++
 	return q.items[q.next-1]
 }
 
-// nextAt returns when the first result is due; ok: there is one.
+// nextAt returns when the first result is due; ok is false if the queue is empty.
 func (q *resultQueue) nextAt() (at time.Duration, ok bool) {
 	if q.next == len(q.items) {
 		return 0, false
@@ -95,7 +95,7 @@
 	return q.items[q.next].at, true
 }
 
-// compact frees the array of what was taken out.
+// compact frees the space of removed results.
 func (q *resultQueue) compact() {
 	if q.next > 1<<14 {
 		q.items = q.items[:copy(q.items, q.items[q.next:])]
@@ -104,9 +104,9 @@
 }
 
 const (
-	driverDelay   = 200 * time.Microsecond // one way between a forwarder and the planner, or a worker
+	driverDelay   = 200 * time.Microsecond // one-way delay between a forwarder and the planner or a worker
 	driverRuntime = 20 * ms
-	driverBuffer  = 4096 // messages of a step
+	driverBuffer  = 4096 // maximum number of messages per step
 )
 
 func newLoadDriver(workers, forwarders int) *loadDriver {
@@ -130,7 +130,7 @@
 	return d
 }
 
-// setup returns the events by which the planner knows the workers and forwarders.
+// setup returns the events that introduce the workers and forwarders to the planner.
 func (d *loadDriver) setup(workers int) []Event {
 	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 1}
 	for id := range workers {
@@ -152,7 +152,7 @@
 	d.events = append(d.events, ForwarderMessage{Session: session, Envelope: message.Envelope{Epoch: 1, Message: m}})
 }
 
-// offer has the next forwarder offer a request.
+// offer makes the next forwarder offer a request.
 func (d *loadDriver) offer() {
 	session := SessionID(d.offered%d.forwarders + 1)
 	d.offered++
@@ -180,7 +180,7 @@
 	}
 }
 
-// advance delivers the messages that are due next, at most so many, and an offer for each request that is served.
+// advance delivers at most batch messages: the next results, and one offer for each request served.
 func (d *loadDriver) advance(batch int) {
 	d.events = d.events[:0]
 	for len(d.events)+2 <= batch || len(d.events) == 0 {
--- a/internal/control/planner/commands.go
+++ b/internal/control/planner/commands.go
@@ -5,7 +5,7 @@
 	"valvecove/internal/control/message"
 )
 
-// healthCheckStarter commands a forwarder to check a worker.
+// healthCheckStarter starts health checks of workers.
 type healthCheckStarter interface{ start(workerID uint64) }
 
 // attemptAdder adds attempts to requests, and closes requests.
@@ -14,7 +14,7 @@
 	close(req *request)
 }
 
-// commandExecutor sends the commands that result from the policy's actions.
+// commandExecutor executes the policy's actions, mostly by sending commands to forwarders.
 type commandExecutor struct {
 	stats            *Stats
 	step             *step
@@ -26,7 +26,7 @@
 	workers          *workerTable
 }
 
-// execute executes the policy's actions. Their array becomes the buffer for its next ones.
+// execute executes the policy's actions, and then reuses their slice as the buffer for its next actions.
 func (c *commandExecutor) execute(actions []dispatch.Action) {
 	for i, action := range actions {
 		switch action := action.(type) {
@@ -57,8 +57,8 @@
 	c.policy.reuseActions(actions)
 }
 
-// sendAttempt commands an attempt. Each Send of the policy has an outcome: one that can't be commanded has the immediate
-// one that it was not sent.
+// sendAttempt commands the forwarder to send an attempt. The policy receives an outcome for each Send: if no command can be
+// sent, it is notified at once of the result NotSent.
 func (c *commandExecutor) sendAttempt(send dispatch.Send) {
 	req := c.requests.byID[send.Job]
 	if req == nil {
@@ -66,7 +66,7 @@
 		return
 	}
 	number := len(req.attempts)
-	added := attempt{state: attemptCommanded, worker: c.workers.ensure(send.Worker), sentAt: c.step.now()}
+	added := attempt{state: attemptCommanded, worker: c.workers.findOrAdd(send.Worker), sentAt: c.step.now()}
 	if !req.state.isOpen() || number >= 2*maxAttempts {
 		added.advanceTo(attemptEnded)
 		added.result = dispatch.NotSent
@@ -77,14 +77,14 @@
 		return
 	}
 	c.requestLifecycle.addAttempt(req, added)
-	c.requests.settle(req, c.step.now())
+	c.requests.updateOpenState(req, c.step.now())
 	c.stats.Commands++
 	c.step.send(req.forwarder, &message.SendCommand{
 		RequestID: req.forwarderID, Attempt: number, WorkerID: send.Worker, Timeout: send.AttemptTimeout,
 	})
 }
 
-// reject commands the forwarder to reject a request that is open, and closes it.
+// reject commands the forwarder to reject an open request, and closes it.
 func (c *commandExecutor) reject(action dispatch.Reject) {
 	if req := c.requests.open(action.Job); req != nil {
 		c.step.send(req.forwarder, &message.RejectCommand{RequestID: req.forwarderID, RetryAfter: action.RetryAfter})
@@ -93,7 +93,7 @@
 	}
 }
 
-// fail commands the forwarder to fail a request that is open, and closes it.
+// fail commands the forwarder to fail an open request, and closes it.
 func (c *commandExecutor) fail(action dispatch.Fail) {
 	if req := c.requests.open(action.Job); req != nil {
 		c.step.send(req.forwarder, &message.FailCommand{RequestID: req.forwarderID})
@@ -102,7 +102,7 @@
 	}
 }
 
-// cancel commands the forwarder to cancel an attempt that is in flight.
+// cancel commands the forwarder to cancel an attempt in flight.
 func (c *commandExecutor) cancel(action dispatch.Cancel) {
 	req := c.requests.byID[action.Job]
 	if req == nil || req.forwarder == nil || action.Attempt < 0 || action.Attempt >= len(req.attempts) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// closeIdleConnections closes idle connections to a worker: those of the forwarder that is to send there by the action
-// after this one, if it is such a send, otherwise those of all forwarders.
+// closeIdleConnections closes idle connections to a worker. If the next action is a send to that worker, only the sending
+// forwarder closes its connections; otherwise all forwarders do.
 func (c *commandExecutor) closeIdleConnections(workerID uint64, next []dispatch.Action) {
 	if len(next) > 0 {
 		if send, ok := next[0].(dispatch.Send); ok && send.Worker == workerID {
--- a/internal/control/planner/config.go
+++ b/internal/control/planner/config.go
@@ -7,24 +7,24 @@
 	"valvecove/dispatch"
 )
 
-// Config configures a planner. Counts, sizes and durations of zero are replaced by those of Defaults.
+// Config configures a planner. Counts, sizes and durations that are zero take their values from Defaults.
 type Config struct {
 	Name        string
-	Incarnation uint64 // start of this process, in ns since the Unix epoch
-	Version     int    // of the protocol: major version times 256 plus minor version; peers of another major version are rejected
+	Incarnation uint64 // start time of this process in ns since the Unix epoch
+	Version     int    // protocol version: major * 256 + minor; peers with another major version are rejected
 	Settings    dispatch.Settings
-	NewPolicy   func() Policy // returns a policy without any state, for use by one planner alone
+	NewPolicy   func() Policy // returns a new policy, which is not shared with other planners
 
-	MaxOpenRequests      int // of all forwarders
-	MinCredit, MaxCredit int // bounds of one forwarder's share of MaxOpenRequests; the lower one only while there is enough
-	MaxSessions          int // of forwarders
+	MaxOpenRequests      int // sum over all forwarders
+	MinCredit, MaxCredit int // bounds of a forwarder's share of MaxOpenRequests; below MinCredit with many forwarders
+	MaxSessions          int // forwarder sessions
 	LoadReportInterval   time.Duration
-	SnapshotInterval     time.Duration // of model snapshots to each forwarder
+	SnapshotInterval     time.Duration // between model snapshots to a forwarder
 	MaxSnapshotBytes     int
-	StopTimeout          time.Duration // how long a planner that stops waits for its forwarders to disconnect
+	StopTimeout          time.Duration // how long a stopping planner waits for its forwarders to disconnect
 }
 
-// Defaults returns the values of fields that are zero.
+// Defaults returns the values that replace zero fields.
 func Defaults() Config {
 	return Config{
 		MaxOpenRequests:    20_000,
@@ -38,7 +38,7 @@
 	}
 }
 
-// withDefaults returns the configuration with its zero fields set.
+// withDefaults returns a copy of the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	defaults := Defaults()
 	c.MaxOpenRequests = cmp.Or(c.MaxOpenRequests, defaults.MaxOpenRequests)
@@ -52,7 +52,7 @@
 	return c
 }
 
-// compatible reports whether this planner supports a version of the protocol: its major version is the same.
+// compatible reports whether a protocol version has the same major version as this planner's.
 func (c *Config) compatible(version int) bool { return major(version) == major(c.Version) }
 
 func major(version int) int { return version >> 8 }
--- a/internal/control/planner/contract_policy_test.go
+++ b/internal/control/planner/contract_policy_test.go
@@ -8,12 +8,12 @@
 	"valvecove/dispatch"
 )
 
-// contractPolicy is a dispatcher that also checks that the planner's events are those that package dispatch asks of its
-// caller.
+// contractPolicy is a dispatcher that also checks that the planner's events satisfy the contract of package dispatch for its
+// callers.
 type contractPolicy struct {
 	*dispatch.Dispatcher
 	jobs       map[uint64]*contractJob
-	workers    map[uint64]bool // of which it was notified
+	workers    map[uint64]bool // workers in the notified lists
 	violations []string
 }
 
@@ -45,69 +45,69 @@
 	return dst
 }
 
-func (c *contractPolicy) violation(format string, args ...any) {
+func (c *contractPolicy) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 func (c *contractPolicy) check(event dispatch.Event) {
 	switch e := event.(type) {
 	case dispatch.Job:
-		c.arrived(e, nil)
+		c.recordJob(e, nil)
 	case dispatch.JobResumed:
-		c.arrived(e.Job, e.Attempts)
+		c.recordJob(e.Job, e.Attempts)
 	case dispatch.Outcome:
-		if attempt := c.inFlight("outcome", e.Job, e.Attempt, e.Worker); attempt != nil {
+		if attempt := c.checkInFlight("outcome", e.Job, e.Attempt, e.Worker); attempt != nil {
 			attempt.ended = true
 			c.jobs[e.Job].closed = c.jobs[e.Job].closed || e.Closed
-			c.forgetIfEnded(e.Job)
+			c.removeIfEnded(e.Job)
 		}
 	case dispatch.Started:
-		c.inFlight("start", e.Job, e.Attempt, e.Worker)
+		c.checkInFlight("start", e.Job, e.Attempt, e.Worker)
 	case dispatch.Progressed:
-		c.inFlight("progress", e.Job, e.Attempt, e.Worker)
+		c.checkInFlight("progress", e.Job, e.Attempt, e.Worker)
 	case dispatch.ClientDisconnected:
 		if job := c.jobs[e.Job]; job == nil || job.closed {
-			c.violation("job %d is closed twice", e.Job)
+			c.addViolation("job %d is closed twice", e.Job)
 		} else {
 			c.close(e.Job)
 		}
 	case dispatch.WorkerList:
-		c.listed(e)
+		c.recordList(e)
 	}
 }
 
-func (c *contractPolicy) arrived(job dispatch.Job, past []dispatch.PastAttempt) {
+func (c *contractPolicy) recordJob(job dispatch.Job, past []dispatch.PastAttempt) {
 	if job.Tenant == poisonTenant {
 		panic("poison")
 	}
 	if c.jobs[job.ID] != nil {
-		c.violation("job %d arrives twice", job.ID)
+		c.addViolation("job %d arrives twice", job.ID)
 	}
 	added := &contractJob{}
 	for _, p := range past {
 		added.attempts = append(added.attempts, contractAttempt{p.Worker, p.Ended})
 		if !c.workers[p.Worker] {
-			c.violation("job %d comes with an attempt at worker %d, which was not told of", job.ID, p.Worker)
+			c.addViolation("job %d arrives with an attempt at worker %d, which is in no worker list", job.ID, p.Worker)
 		}
 	}
 	c.jobs[job.ID] = added
 }
 
-// inFlight returns an attempt that is in flight; nil: it is not, which is a violation.
-func (c *contractPolicy) inFlight(what string, id uint64, number int, worker uint64) *contractAttempt {
+// checkInFlight returns an attempt in flight. If it is not in flight, it records a violation and returns nil.
+func (c *contractPolicy) checkInFlight(what string, id uint64, number int, worker uint64) *contractAttempt {
 	job := c.jobs[id]
 	if job == nil || number < 0 || number >= len(job.attempts) || job.attempts[number].ended ||
 		job.attempts[number].worker != worker {
-		c.violation("%s of job %d, attempt %d at worker %d, which is not in flight", what, id, number, worker)
+		c.addViolation("%s of job %d, attempt %d at worker %d, which is not in flight", what, id, number, worker)
 		return nil
 	}
 	return &job.attempts[number]
 }
 
-func (c *contractPolicy) listed(list dispatch.WorkerList) {
+func (c *contractPolicy) recordList(list dispatch.WorkerList) {
 	switch list.Kind {
 	case dispatch.ListUnavailable:
-		return // a dispatcher ignores entries
+		return // a dispatcher ignores the entries of this kind of list
 	case dispatch.ListFull, dispatch.ListCached:
 		clear(c.workers)
 	}
@@ -123,7 +123,7 @@
 	switch a := action.(type) {
 	case dispatch.Send:
 		if job := c.jobs[a.Job]; job == nil || job.closed {
-			c.violation("send of job %d, which is closed", a.Job)
+			c.addViolation("send of job %d, which is closed", a.Job)
 		} else {
 			job.attempts = append(job.attempts, contractAttempt{worker: a.Worker})
 		}
@@ -136,10 +136,10 @@
 
 func (c *contractPolicy) close(id uint64) {
 	c.jobs[id].closed = true
-	c.forgetIfEnded(id)
+	c.removeIfEnded(id)
 }
 
-func (c *contractPolicy) forgetIfEnded(id uint64) {
+func (c *contractPolicy) removeIfEnded(id uint64) {
 	job := c.jobs[id]
 	if job.closed && !slices.ContainsFunc(job.attempts, func(a contractAttempt) bool { return !a.ended }) {
 		delete(c.jobs, id)
--- a/internal/control/planner/credit.go
+++ b/internal/control/planner/credit.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	creditGrace   = time.Second // how long offers under a greater credit may be in transit after its reduction
-	peakRetention = 0.95        // fraction of a peak that remains after creditTicks
-	creditPerPeak = 2           // open requests that a forwarder may have, as a multiple of its recent peak
+	creditGrace      = time.Second // how long a forwarder may still use its previous credit after a reduction
+	peakDecayFactor  = 0.95        // factor by which a recent peak decays every creditTicks
+	creditPeakFactor = 2           // credit demand as a multiple of the recent peak of open requests
 )
 
-// credit is how many requests a forwarder may have open at this planner.
+// credit limits how many requests a forwarder may have open at this planner.
 type credit struct {
-	limit         int // as the forwarder was notified
-	previousLimit int // a greater one, which remains valid until previousUntil
+	limit         int // the limit that was last sent to the forwarder
+	previousLimit int // a greater limit from before a reduction, valid until previousUntil
 	previousUntil time.Duration
-	recentPeak    float64 // of its open requests, decaying
+	recentPeak    float64 // decaying maximum of its open requests
 }
 
-// covers reports whether the forwarder may have one more request open. A reduced limit applies after creditGrace only,
-// because offers under the earlier one may still be in transit.
+// covers reports whether the forwarder may have one more request open. A reduced limit applies only after creditGrace,
+// because offers made under the previous limit may still be in transit.
 func (c *credit) covers(open int, now time.Duration) bool {
 	if now < c.previousUntil {
 		return open < max(c.limit, c.previousLimit)
--- a/internal/control/planner/creditplan.go
+++ b/internal/control/planner/creditplan.go
@@ -1,21 +1,21 @@
 package planner
 
-// creditPlan is the basis of one assignment of credit: the total, the demand of all forwarders and the limits of each.
+// creditPlan holds the inputs of one assignment of credit: the total, the demand of all forwarders and the limits per forwarder.
 type creditPlan struct {
 	total, forwarders  int
-	minCredit          int // added to what a forwarder needs by its peak
-	minLimit, maxLimit int // of a forwarder
-	demand             int // of all forwarders
+	baseDemand         int // added to the demand that follows from a forwarder's peak
+	minLimit, maxLimit int // per forwarder
+	demand             int // sum over all forwarders
 }
 
-// demandOf returns the credit that a forwarder should have by its recent peak.
+// demandOf returns a forwarder's demand for credit, based on its recent peak.
 func (c *creditPlan) demandOf(f *forwarder) int {
-	demand := int(creditPerPeak*f.credit.recentPeak) + c.minCredit
+	demand := int(creditPeakFactor*f.credit.recentPeak) + c.baseDemand
 	return min(max(demand, c.minLimit), c.maxLimit)
 }
 
-// shareOf returns the credit that a forwarder is to have. What remains beyond all demands is shared evenly; if the demands
-// exceed the total, each forwarder has the minimum and a part of the rest in proportion to its demand.
+// shareOf returns a forwarder's share of the credit. If the total covers all demands, the surplus is divided evenly.
+// Otherwise each forwarder gets the minimum and a part of the rest in proportion to its demand above the minimum.
 func (c *creditPlan) shareOf(f *forwarder) int {
 	demand := c.demandOf(f)
 	if c.demand <= c.total {
--- a/internal/control/planner/endpoints.go
+++ b/internal/control/planner/endpoints.go
@@ -5,13 +5,13 @@
 	"valvecove/internal/control/message"
 )
 
-// statusUpdater keeps a worker's status if that is newer than the one before.
+// statusUpdater updates a worker's status if the given one is newer.
 type statusUpdater interface {
 	update(w *worker, status message.WorkerStatus, source statusSource)
 }
 
-// listReceiver is the policy: it is notified of events, and a list ends its subscription.
-type listReceiver interface {
+// listNotifier passes events to the policy, and records that an endpoint list answers the policy's subscription.
+type listNotifier interface {
 	notifier
 	endpointListReceived(kind dispatch.ListKind)
 }
@@ -21,22 +21,22 @@
 	settings   *dispatch.Settings
 	step       *step
 	locations  *locationIndex
-	policy     listReceiver
+	policy     listNotifier
 	policySync *policySync
 	statuses   statusUpdater
 	workers    *workerTable
 
-	takeovers []takeover // by time
+	takeovers []takeover // in order of their expiry
 }
 
-// processList processes a watch event and notifies the policy of it.
+// processList processes a watch event of the endpoint list and notifies the policy.
 func (e *endpointHandler) processList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
 		e.policy.endpointListReceived(list.Kind)
 		e.policy.notify(list)
 		return
 	}
-	e.policySync.flush() // the policy is notified of earlier changes first
+	e.policySync.flush() // notify the policy of earlier changes first
 	table := e.workers
 	table.revision = list.Revision
 	e.policy.endpointListReceived(list.Kind)
@@ -49,7 +49,7 @@
 	}
 	if isFull {
 		e.removeUnlisted(list.Revision)
-		e.policySync.takeUpdates() // the full list has them
+		e.policySync.takeUpdates() // discarded: the full list includes them
 		list.Workers = e.policySync.workersOfPolicy()
 	} else {
 		list.Workers = e.policySync.takeUpdates()
@@ -58,7 +58,7 @@
 	e.policy.notify(list)
 }
 
-// processSourceChange discards the revisions, which restart with a new source.
+// processSourceChange resets all revisions, because a new source numbers them from the start.
 func (e *endpointHandler) processSourceChange() {
 	for _, worker := range e.workers.list {
 		worker.status.Revision = 0
@@ -66,7 +66,7 @@
 	e.workers.revision = 0
 }
 
-// update processes an entry of the list.
+// update processes one entry of the endpoint list.
 func (e *endpointHandler) update(entry *dispatch.Worker, revision int64) {
 	if entry.Removed {
 		if known := e.workers.byID[entry.ID]; known != nil && known.listed {
@@ -75,7 +75,7 @@
 		}
 		return
 	}
-	worker := e.workers.ensure(entry.ID)
+	worker := e.workers.findOrAdd(entry.ID)
 	isNew := !worker.listed
 	worker.Worker = *entry
 	worker.listed = true
@@ -87,10 +87,10 @@
 	e.policySync.sync(worker)
 }
 
-// removeUnlisted removes the workers that are not on the newest full list.
+// removeUnlisted removes the workers that are missing from the newest full list.
 func (e *endpointHandler) removeUnlisted(revision int64) {
 	table := e.workers
-	for i := len(table.list) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of one that is removed
+	for i := len(table.list) - 1; i >= 0; i-- { // backwards: removal moves the last worker to the free index
 		worker := table.list[i]
 		if worker.listed && worker.listSequence != table.listSequence {
 			e.remove(worker, revision)
@@ -98,7 +98,7 @@
 	}
 }
 
-// remove marks a worker as not listed, unless a newer status reports that it is not gone.
+// remove marks a worker as unlisted, unless a newer status says that it is up or draining.
 func (e *endpointHandler) remove(w *worker, revision int64) {
 	status := entryStatus(&w.Worker, revision)
 	status.State = message.WorkerGone
@@ -117,29 +117,30 @@
 	partition.ownerOf = ownerOf
 	for _, worker := range e.workers.list {
 		if worker.listed {
-			e.updateOwner(worker, !partition.known)
+			e.updateOwner(worker, !partition.received)
 			e.policySync.sync(worker)
 		}
 	}
-	partition.known = true
+	partition.received = true
 	e.locations.resetPlacements()
 }
 
-// updateOwner determines whether a worker is assigned to this planner. One that was another planner's gets no work for one
-// overload window while it is warming up: what that planner has sent it recently is unknown. isNew: it had no owner before.
+// updateOwner updates whether a worker is assigned to this planner. If it was assigned to another planner before and is
+// still warming up, it gets no work for one overload window, because what the other planner sent it recently is unknown.
+// isNew states that the worker had no owner before.
 func (e *endpointHandler) updateOwner(w *worker, isNew bool) {
 	isOurs := e.workers.partition.owner(w) == e.workers.partition.local
 	isTakenOver := isOurs && !w.owned && !isNew
 	if isTakenOver && e.settings.OverloadWindow > 0 && e.step.now()-w.startedAt() < e.settings.WarmUp {
-		w.warmUntil = e.step.now() + e.settings.OverloadWindow
-		e.takeovers = append(e.takeovers, takeover{w.warmUntil, w})
+		w.noWorkUntil = e.step.now() + e.settings.OverloadWindow
+		e.takeovers = append(e.takeovers, takeover{w.noWorkUntil, w})
 	}
 	w.owned = isOurs
 }
 
-// expireTakeovers makes the workers available whose takeover has expired.
+// expireTakeovers updates the policy's view of the workers whose takeover has expired, so that they get work again.
 func (e *endpointHandler) expireTakeovers() {
-	for len(e.takeovers) > 0 && e.takeovers[0].until <= e.step.now() {
+	for len(e.takeovers) > 0 && e.takeovers[0].expiresAt <= e.step.now() {
 		worker := e.takeovers[0].worker
 		e.takeovers[0] = takeover{}
 		e.takeovers = e.takeovers[1:]
@@ -149,7 +150,7 @@
 	}
 }
 
-// entryStatus returns a worker's status by its entry in the list.
+// entryStatus returns the worker status that corresponds to an entry of the endpoint list.
 func entryStatus(entry *dispatch.Worker, revision int64) message.WorkerStatus {
 	status := message.WorkerStatus{
 		WorkerID:  entry.ID,
--- a/internal/control/planner/event.go
+++ b/internal/control/planner/event.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// SessionID identifies a connection of a forwarder. The driver chooses it and never uses it again.
+// SessionID identifies a connection of a forwarder. The caller of Step chooses it and never reuses it.
 type SessionID uint64
 
 // Event is an input of the planner: one of the types below.
@@ -18,7 +18,7 @@
 	SessionOpened struct{ Session SessionID }
 	// SessionClosed reports that a forwarder's connection has ended, whichever side ended it.
 	SessionClosed struct{ Session SessionID }
-	// ForwarderMessage is a message of a forwarder.
+	// ForwarderMessage is a message received from a forwarder.
 	ForwarderMessage struct {
 		Session  SessionID
 		Envelope message.Envelope
@@ -28,28 +28,28 @@
 	PeerConnected struct{ Peer string }
 	// PeerDisconnected reports that the connection to another planner has ended.
 	PeerDisconnected struct{ Peer string }
-	// PeerMessage is a message of another planner.
+	// PeerMessage is a message received from another planner.
 	PeerMessage struct {
 		Peer     string
 		Envelope message.Envelope
 	}
-	// PeersChanged gives the names of the other planners that are alive.
+	// PeersChanged lists the names of the other planners that are alive.
 	PeersChanged struct{ Names []string }
 
 	// EndpointsChanged is a watch event of the endpoint list.
 	EndpointsChanged struct{ Endpoints dispatch.WorkerList }
-	// EndpointSourceChanged reports that the list is read from another source from now on, whose revisions restart.
+	// EndpointSourceChanged reports that the endpoint list now comes from another source, which has its own revisions.
 	EndpointSourceChanged struct{}
-	// PartitionChanged reports which planner each worker is assigned to. Owner returns a planner's name; its results may
-	// change with the next PartitionChanged only. A nil Owner, as before the first of these events, assigns every worker to
-	// this planner.
+	// PartitionChanged reports which planner each worker is assigned to. Owner returns a planner's name and must return the
+	// same results until the next PartitionChanged. A nil Owner assigns every worker to this planner, as before the first
+	// PartitionChanged.
 	PartitionChanged struct {
 		Owner func(w *dispatch.Worker) string
 	}
 
-	// TimerFired reports that the timer of SetTimer has fired.
+	// TimerFired reports that a timer requested by SetTimer has fired.
 	TimerFired struct{}
-	// StopRequested stops the planner.
+	// StopRequested starts the graceful stop of the planner.
 	StopRequested struct{}
 )
 
@@ -70,29 +70,29 @@
 type Action interface{ action() }
 
 type (
-	// SendToForwarder sends a message. Several actions may share one; it is not to be changed.
+	// SendToForwarder sends a message to a forwarder. Several actions may share the message, so it must not be modified.
 	SendToForwarder struct {
 		Session  SessionID
 		Envelope message.Envelope
 	}
-	// SendToPeer sends a message to another planner. Without a connection it is ignored. Several actions may share the
-	// message; it is not to be changed.
+	// SendToPeer sends a message to another planner, and is ignored without a connection to it. Several actions may share
+	// the message, so it must not be modified.
 	SendToPeer struct {
 		Peer     string
 		Envelope message.Envelope
 	}
-	// CloseSession closes a forwarder's connection, after the messages that precede it.
+	// CloseSession closes a forwarder's connection after the messages of preceding actions are sent.
 	CloseSession struct{ Session SessionID }
-	// SetTimer requests a TimerFired after this duration. A timer that was set before and fires earlier remains set.
+	// SetTimer requests a TimerFired after a duration. It doesn't replace a timer that fires earlier.
 	SetTimer struct{ After time.Duration }
-	// WatchEndpoints starts to watch the endpoint list from a revision on.
+	// WatchEndpoints starts watching the endpoint list from a revision.
 	WatchEndpoints struct{ Revision int64 }
-	// LogLine is a line of the operators' log. Attributes are alternating keys and values, as in log/slog.
+	// LogLine is a line of the operators' log. Attributes alternates keys and values, as in log/slog.
 	LogLine struct {
 		Message    string
 		Attributes []any
 	}
-	// Stopped reports that the planner has stopped. No action follows it.
+	// Stopped reports that the planner has stopped. It is the planner's last action.
 	Stopped struct{}
 )
 
--- a/internal/control/planner/forwarder.go
+++ b/internal/control/planner/forwarder.go
@@ -9,22 +9,22 @@
 	"valvecove/internal/control/message"
 )
 
-// forwarder is a forwarder, identified by its name. Its process may be replaced by another one.
+// forwarder holds a forwarder's session, requests and credit. It is identified by its name and outlives process restarts.
 type forwarder struct {
 	name           string
 	incarnation    uint64
-	epoch          message.Epoch // of its newest session
-	session        *session      // nil: it has ended
+	epoch          message.Epoch // of the newest session
+	session        *session      // nil while disconnected
 	disconnectedAt time.Duration
-	requests       map[uint64]*request // by the forwarder's number
-	offered        requestList         // the same in the order of their offers
-	openCount      int                 // of these, the open ones
+	requests       map[uint64]*request // by the forwarder's request ID
+	offered        requestList         // the same requests in the order of their offers
+	openCount      int                 // open requests among these
 	credit         credit
 	snapshotDue    time.Duration
 }
 
-// detachRequests removes the requests of a forwarder whose process has ended: their numbers are invalid, and nobody reports
-// the ends of their attempts.
+// detachRequests separates all requests from a forwarder whose process has ended: their IDs are no longer valid, and no
+// process reports the ends of their attempts.
 func (f *forwarder) detachRequests() {
 	for req := range f.offered.all() {
 		f.offered.remove(req)
@@ -33,7 +33,7 @@
 	clear(f.requests)
 }
 
-// removeRequest removes a request of the forwarder.
+// removeRequest separates one request from the forwarder.
 func (f *forwarder) removeRequest(req *request) {
 	f.offered.remove(req)
 	if f.requests[req.forwarderID] == req {
@@ -42,7 +42,7 @@
 	req.forwarder = nil
 }
 
-// inFlight returns how many attempts of the forwarder are in flight.
+// inFlight returns the number of attempts of the forwarder that are in flight.
 func (f *forwarder) inFlight() (count int) {
 	for req := range f.offered.all() {
 		count += req.inFlight
@@ -50,8 +50,8 @@
 	return count
 }
 
-// attemptInFlight returns a request of the forwarder and one of its attempts; nil: there is none by this number, or it is
-// not in flight.
+// attemptInFlight returns a request of the forwarder and one of its attempts. The request is nil if the ID is unknown, the
+// attempt is nil if the number is unknown or the attempt is not in flight.
 func (f *forwarder) attemptInFlight(requestID uint64, number int) (*request, *attempt) {
 	req := f.requests[requestID]
 	if req == nil || number < 0 || number >= len(req.attempts) || !req.attempts[number].inFlight() {
@@ -60,15 +60,15 @@
 	return req, &req.attempts[number]
 }
 
-// forwarderTable has the forwarders and their sessions.
+// forwarderTable holds the forwarders and their sessions.
 type forwarderTable struct {
 	sessions     map[SessionID]*session
 	byName       map[string]*forwarder
-	connected    []*forwarder // that have a session, by name
-	disconnected []*forwarder // by the time at which their session ended; some may have a session again
+	connected    []*forwarder // those with a session, sorted by name
+	disconnected []*forwarder // sorted by the end of their session; may include forwarders that have reconnected
 }
 
-// sessionIDs returns the sessions in order, so that no decision depends on the order of a map.
+// sessionIDs returns the IDs of all sessions in ascending order, so that no decision depends on the order of a map.
 func (f *forwarderTable) sessionIDs() []SessionID { return slices.Sorted(maps.Keys(f.sessions)) }
 
 func (f *forwarderTable) connect(entry *forwarder) {
--- a/internal/control/planner/handshake.go
+++ b/internal/control/planner/handshake.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/control/message"
 )
 
-// receiveHandshake opens a forwarder's session and ends its previous one. A handshake whose epoch is not newer is of a
-// connection that a later one has overtaken, or of another forwarder of the same name, and its session is closed.
+// receiveHandshake establishes a forwarder's session and ends its previous one. A handshake whose epoch is not newer than the
+// forwarder's belongs to an outdated connection or to another forwarder of the same name; its session is closed.
 func (s *sessionLifecycle) receiveHandshake(session *session, epoch message.Epoch, handshake *message.Handshake) {
 	if !s.checkHandshake(session, epoch, handshake) {
 		s.close(session)
@@ -34,8 +34,8 @@
 	s.step.log("forwarder connected", "forwarder", f.name, "epoch", f.epoch, "credit", f.credit.limit)
 }
 
-// checkHandshake reports whether a handshake is valid and its session the forwarder's newest. If not, it reports why: to
-// the forwarder if that can react to it, to the log, or by a count.
+// checkHandshake reports whether a handshake is valid and its session is the forwarder's newest. If not, it replies to the
+// forwarder if the forwarder can react, logs the reason, or counts the rejection.
 func (s *sessionLifecycle) checkHandshake(session *session, epoch message.Epoch, handshake *message.Handshake) bool {
 	switch {
 	case !s.config.compatible(handshake.Version):
@@ -59,7 +59,7 @@
 	return true
 }
 
-// supersede ends a forwarder's previous session, if any. It may be on the same connection.
+// supersede ends a forwarder's previous session, if any. The previous session may use the same connection as the newest.
 func (s *sessionLifecycle) supersede(f *forwarder, newest *session) {
 	old := f.session
 	if old == nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// handshakeAccept returns the reply to a handshake. A credit of 0 is that of a rejected one.
+// handshakeAccept returns the reply to a handshake. A credit of 0 rejects the handshake.
 func (s *sessionLifecycle) handshakeAccept(credit int) *message.HandshakeAccept {
 	return &message.HandshakeAccept{
 		Name: s.config.Name, Incarnation: s.config.Incarnation, Version: s.config.Version, Credit: credit,
--- a/internal/control/planner/healthcheck.go
+++ b/internal/control/planner/healthcheck.go
@@ -11,28 +11,28 @@
 
 const healthCheckTimeout = 5 * time.Second
 
-// healthCheck is a health check that a forwarder was commanded to make.
+// healthCheck is a pending health check that was assigned to a forwarder.
 type healthCheck struct {
 	forwarder *forwarder
 	startedAt time.Duration
 }
 
-// healthCheckCanceller ends health checks for the policy as ones that were not sent.
+// healthCheckCanceller cancels pending health checks. The policy is notified of the result NotSent.
 type healthCheckCanceller interface {
 	cancel(matches func(check healthCheck) bool)
 }
 
-// healthChecker has forwarders make the policy's health checks in turn.
+// healthChecker assigns the policy's health checks to the connected forwarders in round-robin order.
 type healthChecker struct {
 	step       *step
 	forwarders *forwarderTable
 	policy     notifier
 
-	pending map[uint64]healthCheck // by worker, one each
-	started int                    // count since the planner started
+	pending      map[uint64]healthCheck // by worker ID, at most one per worker
+	startedCount int                    // checks commanded since the planner started
 }
 
-// start commands the next forwarder to check a worker.
+// start commands the next forwarder to check a worker. Without a forwarder, or if a check is pending, the result is NotSent.
 func (h *healthChecker) start(workerID uint64) {
 	connected := h.forwarders.connected
 	_, isPending := h.pending[workerID]
@@ -40,27 +40,27 @@
 		h.policy.notify(dispatch.HealthChecked{Worker: workerID, Result: dispatch.NotSent})
 		return
 	}
-	h.started++
-	f := connected[h.started%len(connected)]
+	h.startedCount++
+	f := connected[h.startedCount%len(connected)]
 	h.pending[workerID] = healthCheck{f, h.step.now()}
 	h.step.send(f, &message.HealthCheckCommand{WorkerID: workerID})
 }
 
-// finish processes the result of a health check, if it is the one that the forwarder was commanded to make.
+// finish processes the result of a health check, if the check is pending and assigned to this forwarder.
 func (h *healthChecker) finish(f *forwarder, report *message.HealthCheckResult) {
 	if h.pending[report.WorkerID].forwarder != f {
 		return
 	}
 	delete(h.pending, report.WorkerID)
-	h.policy.notify(dispatch.HealthChecked{Worker: report.WorkerID, Result: knownResult(report.Result)})
+	h.policy.notify(dispatch.HealthChecked{Worker: report.WorkerID, Result: normalizeResult(report.Result)})
 }
 
-// expire ends the health checks that have no result after healthCheckTimeout.
+// expire cancels the health checks without a result after healthCheckTimeout.
 func (h *healthChecker) expire() {
 	h.cancel(func(check healthCheck) bool { return h.step.now()-check.startedAt >= healthCheckTimeout })
 }
 
-// cancel ends the health checks that match, for the policy as ones that were not sent.
+// cancel cancels the health checks that match, and notifies the policy of the result NotSent.
 func (h *healthChecker) cancel(matches func(check healthCheck) bool) {
 	for _, workerID := range slices.Sorted(maps.Keys(h.pending)) {
 		if matches(h.pending[workerID]) {
--- a/internal/control/planner/heartbeats.go
+++ b/internal/control/planner/heartbeats.go
@@ -2,14 +2,14 @@
 
 import "valvecove/internal/control/message"
 
-// receivedHeartbeat is a heartbeat of a forwarder.
+// receivedHeartbeat is a forwarder's heartbeat that has no reply yet.
 type receivedHeartbeat struct {
 	session  SessionID
 	epoch    message.Epoch
 	sequence uint64
 }
 
-// heartbeats replies to the heartbeats of a step, after the policy has processed the messages that precede them.
+// heartbeats replies to heartbeats at the end of a step, after the policy has processed the messages that precede them.
 type heartbeats struct {
 	step       *step
 	timer      *stepTimer
@@ -23,7 +23,7 @@
 	h.received = append(h.received, receivedHeartbeat{session, epoch, sequence})
 }
 
-// answer replies to the heartbeats of this step whose sessions have not ended.
+// answer replies to the heartbeats of this step whose sessions are still open.
 func (h *heartbeats) answer() {
 	for _, heartbeat := range h.received {
 		session := h.forwarders.sessions[heartbeat.session]
--- a/internal/control/planner/invalid_input_test.go
+++ b/internal/control/planner/invalid_input_test.go
@@ -10,10 +10,10 @@
 	"valvecove/internal/control/message"
 )
 
-// Whatever anybody sends: nothing panics but a policy at a poison request, the counts stay right, the tables stay bounded,
-// and in the end nothing is left.
-func TestInvalidInputIsHarmless(t *testing.T) {
-	seeds := []uint64{297, 886} // a deadline that is far off; entries in a list that is unavailable
+// With random, mostly invalid events and messages nothing panics except a policy that receives a poison request, all counts
+// stay consistent, all tables stay bounded, and they are empty after all sessions have ended and all deadlines have passed.
+func TestInvalidInputKeepsInvariants(t *testing.T) {
+	seeds := []uint64{297, 886} // regressions: a very late deadline; entries in a list of kind ListUnavailable
 	for seed := range uint64(80) {
 		seeds = append(seeds, seed)
 	}
@@ -26,14 +26,14 @@
 			for range rng.IntN(6) {
 				events = append(events, randomEvent(rng))
 			}
-			now += time.Duration(rng.IntN(60)-5) * ms // at times it steps back
+			now += time.Duration(rng.IntN(60)-5) * ms // sometimes backwards
 			p.Step(now, events, nil)
 			if err := checkInvariants(p); err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, step, err)
 			}
 			checkBounds(t, p, seed, step)
 		}
-		checkEmptyInTheEnd(t, p, seed, now)
+		checkEmptyAfterExpiry(t, p, seed, now)
 	}
 }
 
@@ -47,9 +47,9 @@
 	}
 }
 
-// checkEmptyInTheEnd closes all sessions and lets time pass. After 100 s only attempts are left that may still be in flight
-// by the deadline of their request; once every deadline is over, nothing is.
-func checkEmptyInTheEnd(t *testing.T, p *Planner, seed uint64, now time.Duration) {
+// checkEmptyAfterExpiry closes all sessions and lets time pass. After 100 s only closing requests may remain, until shortly
+// after their deadlines. After every deadline nothing may remain.
+func checkEmptyAfterExpiry(t *testing.T, p *Planner, seed uint64, now time.Duration) {
 	t.Helper()
 	for id := range SessionID(12) {
 		p.Step(now, []Event{SessionClosed{Session: id}}, nil)
@@ -60,20 +60,20 @@
 	}
 	status := p.Status()
 	if status.Open+status.Sessions+len(p.forwarders.byName)+len(p.healthChecks.pending) > 0 {
-		t.Fatalf("seed %d: left after 100 s: %+v", seed, status)
+		t.Fatalf("seed %d: not empty after 100 s: %+v", seed, status)
 	}
 	for id, req := range p.requests.byID {
 		if req.state != requestClosing || req.At <= now || req.At > req.deadline+reportGrace {
-			t.Fatalf("seed %d: request %d is %v at %v, expires at %v, its deadline is %v", seed, id, req.state, now, req.At,
+			t.Fatalf("seed %d: request %d is %v at %v, expires at %v, has deadline %v", seed, id, req.state, now, req.At,
 				req.deadline)
 		}
 	}
-	for end := now + maxReportedSpan + reportGrace; now < end; {
+	for end := now + maxReportedDuration + reportGrace; now < end; {
 		now += time.Minute
 		p.Step(now, nil, nil)
 	}
 	if status := p.Status(); status.Closing > 0 || status.Slots > 0 {
-		t.Fatalf("seed %d: left in the end: %+v", seed, status)
+		t.Fatalf("seed %d: not empty after all deadlines: %+v", seed, status)
 	}
 }
 
@@ -84,7 +84,7 @@
 	return odd[rng.IntN(len(odd))]
 }
 
-func randomSpan(rng *rand.Rand) time.Duration { return time.Duration(randomNumber(rng)) }
+func randomDuration(rng *rand.Rand) time.Duration { return time.Duration(randomNumber(rng)) }
 
 func randomFloat(rng *rand.Rand) float64 {
 	odd := [...]float64{0, 1, 2.5, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300}
@@ -116,7 +116,7 @@
 	return ForwarderMessage{Session: session, Envelope: envelope}
 }
 
-// emptyEvent is an event of a type without what it refers to; nil: of none.
+// emptyEvent returns an event with empty or nil contents; number 0 returns a nil event.
 func emptyEvent(number int, session SessionID, peer string) Event {
 	return [...]Event{
 		nil,
@@ -139,13 +139,13 @@
 	for range rng.IntN(5) {
 		list.Workers = append(list.Workers, dispatch.Worker{
 			ID: uint64(rng.IntN(9)), Kind: int(randomNumber(rng)), Zone: int(randomNumber(rng)), Cell: rng.IntN(4),
-			Ready: rng.IntN(2) == 0, Removed: rng.IntN(4) == 0, Size: randomFloat(rng), BootAt: randomSpan(rng),
+			Ready: rng.IntN(2) == 0, Removed: rng.IntN(4) == 0, Size: randomFloat(rng), BootAt: randomDuration(rng),
 		})
 	}
 	return list
 }
 
-// randomEnvelope has a message that is invalid more often than not; its message may be nil.
+// randomEnvelope returns an envelope with a message that is invalid in most cases and may be nil.
 func randomEnvelope(rng *rand.Rand, name string) message.Envelope {
 	status := message.WorkerStatus{
 		WorkerID: uint64(rng.IntN(9)), StartedMs: randomNumber(rng), Revision: randomNumber(rng),
@@ -166,7 +166,7 @@
 		fields.status = status
 		fields.load = message.LoadReport{
 			OpenRequests: int(randomNumber(rng)), QueuedRequests: int(randomNumber(rng)), Forwarders: int(randomNumber(rng)),
-			TimerLag: randomSpan(rng), UsedSlots: randomFloat(rng), FreeSlots: randomFloat(rng),
+			TimerLag: randomDuration(rng), UsedSlots: randomFloat(rng), FreeSlots: randomFloat(rng),
 		}
 		fields.summary = randomSummary(rng)
 	}
@@ -175,13 +175,13 @@
 
 func randomSummary(rng *rand.Rand) message.RequestSummary {
 	summary := message.RequestSummary{
-		Class: rng.IntN(7) - 1, Tenant: int(randomNumber(rng)), Key: rng.Uint64(), Remaining: randomSpan(rng),
-		Waited: randomSpan(rng), Hint: randomSpan(rng), Slots: randomFloat(rng), Memory: randomFloat(rng),
+		Class: rng.IntN(7) - 1, Tenant: int(randomNumber(rng)), Key: rng.Uint64(), Remaining: randomDuration(rng),
+		Waited: randomDuration(rng), Hint: randomDuration(rng), Slots: randomFloat(rng), Memory: randomFloat(rng),
 		Transfers: int(randomNumber(rng)),
 	}
 	for range rng.IntN(4) {
 		summary.Attempts = append(summary.Attempts, message.PastAttempt{
-			WorkerID: uint64(rng.IntN(20)), SentAgo: randomSpan(rng), StartedAgo: randomSpan(rng), Ended: rng.IntN(2) == 0,
+			WorkerID: uint64(rng.IntN(20)), SentAgo: randomDuration(rng), StartedAgo: randomDuration(rng), Ended: rng.IntN(2) == 0,
 			Result: dispatch.Result(randomNumber(rng)), PossiblyExecuted: rng.IntN(2) == 0,
 		})
 	}
@@ -191,7 +191,7 @@
 	return summary
 }
 
-// randomFields are what a message of any kind may have.
+// randomFields holds values for the fields of messages of all kinds.
 type randomFields struct {
 	request, worker, sequence, incarnation uint64
 	attempt, credit, version               int
@@ -204,7 +204,7 @@
 	summary                                message.RequestSummary
 }
 
-// message returns one of a kind; nil: there is no such kind.
+// message returns a message of a kind, or nil if the kind doesn't exist.
 func (x *randomFields) message(kind message.Kind) message.Message {
 	switch kind {
 	case message.KindHandshake:
@@ -233,7 +233,7 @@
 	return x.plannerMessage(kind)
 }
 
-// plannerMessage returns one that only planners send to forwarders.
+// plannerMessage returns a message of a kind that only planners send to forwarders, or nil if there is no such kind.
 func (x *randomFields) plannerMessage(kind message.Kind) message.Message {
 	switch kind {
 	case message.KindHandshakeAccept:
--- a/internal/control/planner/invariants_test.go
+++ b/internal/control/planner/invariants_test.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// checkInvariants compares a planner's counts with what they count.
+// checkInvariants compares a planner's counters and indexes with the objects that they refer to.
 func checkInvariants(p *Planner) error {
 	for _, check := range []func(p *Planner) error{
 		checkRequests, checkRequestTable, checkForwarders, checkCredits, checkSessions, checkWorkers, checkLocations, checkContract,
@@ -28,9 +28,9 @@
 		f := req.forwarder
 		switch {
 		case req.id != id || req.inFlight != inFlight:
-			return fmt.Errorf("request %d: %d in flight, counted %d", id, inFlight, req.inFlight)
-		case req.state != stateByAttempts(req):
-			return fmt.Errorf("request %d is %v with %d in flight", id, req.state, inFlight)
+			return fmt.Errorf("request %d: %d attempts in flight, counted %d", id, inFlight, req.inFlight)
+		case req.state != expectedState(req):
+			return fmt.Errorf("request %d is %v with %d attempts in flight", id, req.state, inFlight)
 		case req.state.isOpen() && (f == nil || f.session == nil || f.requests[req.forwarderID] != req || req.epoch != f.epoch):
 			return fmt.Errorf("request %d is open without a session", id)
 		}
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// stateByAttempts returns the state that a request must have between two steps.
-func stateByAttempts(req *request) requestState {
+// expectedState returns the state that a request must have between steps, according to its attempts.
+func expectedState(req *request) requestState {
 	switch {
 	case req.state.isOpen() && req.inFlight == 0:
 		return requestQueued
@@ -48,7 +48,7 @@
 	case req.inFlight > 0:
 		return requestClosing
 	}
-	return requestRemoved // it must not be in the table
+	return requestRemoved // such a request must not be in the table
 }
 
 func checkRequestTable(p *Planner) error {
@@ -72,7 +72,7 @@
 	table := &p.requests
 	if open != table.openCount || queued != listed || queued != table.queued.length || closing != table.expiries.Len() ||
 		math.Abs(slots-table.slotsInUse) > 1e-6 {
-		return fmt.Errorf("%d open, counted %d; %d queued, %d in the queue, counted %d; %d closing, %d expire; %v slots, counted %v",
+		return fmt.Errorf("%d open, counted %d; %d queued, %d in the queue, counted %d; %d closing, %d with an expiry; %v slots, counted %v",
 			open, table.openCount, queued, listed, table.queued.length, closing, table.expiries.Len(), slots, table.slotsInUse)
 	}
 	return nil
@@ -105,7 +105,7 @@
 		sum += f.credit.limit
 	}
 	if sum > p.config.MaxOpenRequests {
-		return fmt.Errorf("credits come to %d of %d", sum, p.config.MaxOpenRequests)
+		return fmt.Errorf("sum of credits is %d, maximum %d", sum, p.config.MaxOpenRequests)
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 		f := session.forwarder
 		switch {
 		case session.id != id:
-			return fmt.Errorf("session %d is entered as %d", session.id, id)
+			return fmt.Errorf("session %d is stored under ID %d", session.id, id)
 		case f == nil && session.state != sessionAwaitingHandshake:
 			return fmt.Errorf("session %d is %v without a forwarder", id, session.state)
 		case f != nil && (session.state != sessionEstablished || f.session != session || p.forwarders.byName[f.name] != f):
@@ -140,7 +140,7 @@
 	}
 	for worker := range references {
 		if p.workers.byID[worker.ID] != worker {
-			return fmt.Errorf("worker %d is forgotten, with %d attempts", worker.ID, references[worker])
+			return fmt.Errorf("worker %d was removed with %d attempts", worker.ID, references[worker])
 		}
 	}
 	for i, worker := range p.workers.list {
@@ -150,7 +150,7 @@
 		}
 	}
 	if len(p.workers.list) != len(p.workers.byID) {
-		return fmt.Errorf("%d workers known and %d in order", len(p.workers.byID), len(p.workers.list))
+		return fmt.Errorf("%d workers by ID, %d in the list", len(p.workers.byID), len(p.workers.list))
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 
 func checkContract(p *Planner) error {
 	if policy, ok := p.policy.policy.(*contractPolicy); ok && len(policy.violations) > 0 {
-		return fmt.Errorf("the policy was told: %s", policy.violations[0])
+		return fmt.Errorf("policy contract violated: %s", policy.violations[0])
 	}
 	return nil
 }
--- a/internal/control/planner/lifecycle.go
+++ b/internal/control/planner/lifecycle.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/control/message"
 )
 
-// phase is the phase of a planner. A planner passes through the phases in this order.
+// phase is a phase in the life of a planner. A planner advances through the phases in order.
 type phase uint8
 
 func (p phase) String() string {
@@ -26,11 +26,11 @@
 const (
 	phaseNew      phase = iota // before the first step
 	phaseRunning               // it makes decisions
-	phaseStopping              // it makes no decisions; its forwarders have received a goodbye
+	phaseStopping              // it makes no decisions; a goodbye was sent to its forwarders
 	phaseStopped
 )
 
-// lifecycle is the phase of a planner, and its orderly stop.
+// lifecycle tracks the phase of a planner and performs its graceful stop.
 type lifecycle struct {
 	step        *step
 	stopTimeout time.Duration
@@ -40,10 +40,10 @@
 	policy      pendingDiscarder
 
 	phase        phase
-	stopDeadline time.Duration // of the wait for forwarders to disconnect, while stopping
+	stopDeadline time.Duration // end of the wait for forwarders to disconnect
 }
 
-// enter moves the planner to a phase, if that is later than its present one.
+// enter moves the planner to a phase, unless it is already in that phase or a later one.
 func (l *lifecycle) enter(to phase) {
 	if to <= l.phase {
 		return
@@ -61,7 +61,7 @@
 // decides reports whether the planner still makes decisions.
 func (l *lifecycle) decides() bool { return l.phase < phaseStopping }
 
-// stop sends a goodbye to each forwarder. Commands that were sent remain valid; later offers are ignored.
+// stop sends a goodbye to each forwarder. Commands sent before remain valid; offers received later are ignored.
 func (l *lifecycle) stop() {
 	if !l.decides() {
 		return
@@ -78,7 +78,7 @@
 	l.finishStop()
 }
 
-// finishStop stops the planner if no session is left, or stopTimeout has passed.
+// finishStop stops the planner if all sessions have ended or stopTimeout has passed.
 func (l *lifecycle) finishStop() {
 	if len(l.forwarders.sessions) > 0 && l.step.now() < l.stopDeadline {
 		return
@@ -92,5 +92,5 @@
 // requestCloser closes the requests of a forwarder.
 type requestCloser interface{ closeAllOf(f *forwarder) }
 
-// pendingDiscarder discards the events that are pending for the policy.
+// pendingDiscarder discards the policy's pending events.
 type pendingDiscarder interface{ discardPending() }
--- a/internal/control/planner/loadreport.go
+++ b/internal/control/planner/loadreport.go
@@ -10,12 +10,12 @@
 
 const (
 	loadReportValidity   = time.Second
-	openAverageDivisor   = 4   // of the newest count of open requests, for its part of the moving average
-	quotaShareDivisor    = 10  // of the quota share: the policy is notified of greater changes
+	openAverageDivisor   = 4   // the newest sample has the weight 1/openAverageDivisor in the moving average
+	quotaShareDivisor    = 10  // the policy is notified if the quota share changes by more than 1/quotaShareDivisor
 	maxLoadReportedSlots = 1e9 // exclusive
 )
 
-// capacityEstimator is the policy: it is notified of events, and may have an estimate of the slots that are free.
+// capacityEstimator passes events to the policy, and returns the policy's estimate of free slots if it has one.
 type capacityEstimator interface {
 	notifier
 	availableSlots() (slots float64, ok bool)
@@ -35,7 +35,7 @@
 
 	nextReportAt time.Duration
 	averageOpen  float64 // moving average of this planner's open requests
-	quotaShare   float64 // this planner's, of which the policy was notified; 0: it was not
+	quotaShare   float64 // the share last sent to the policy; 0 if none was sent
 }
 
 // report returns this planner's load.
@@ -50,20 +50,20 @@
 	}
 }
 
-// freeSlots returns how many slots are free by the policy's estimate; without one, the count of workers without an attempt.
+// freeSlots returns the policy's estimate of free slots or, without an estimate, the number of ready workers without attempts.
 func (l *loadReporter) freeSlots() (slots float64) {
 	if available, ok := l.policy.availableSlots(); ok {
 		return available
 	}
 	for _, worker := range l.workers.list {
-		if worker.announced && worker.announcedAs.Ready && worker.references == 0 {
+		if worker.knownToPolicy && worker.policyView.Ready && worker.references == 0 {
 			slots++
 		}
 	}
 	return slots
 }
 
-// receive records a peer's load.
+// receive records a peer's load report.
 func (l *loadReporter) receive(from *peer, report *message.LoadReport) {
 	if !isValidLoadReport(report) {
 		l.stats.InvalidMessages++
@@ -71,10 +71,10 @@
 	}
 	from.load = *report
 	from.loadAt = l.step.now()
-	from.claimedSlots = 0
+	from.reservedSlots = 0
 }
 
-// send reports this planner's load to the peers, and its share of the quotas to the policy, once per interval.
+// send sends this planner's load to the peers and its quota share to the policy, once per interval.
 func (l *loadReporter) send() {
 	if l.step.now() < l.nextReportAt {
 		return
@@ -89,8 +89,8 @@
 	}
 }
 
-// updateQuotaShare computes this planner's share of the quotas: its part of the open requests of all planners. A peer
-// without a valid load report is assumed to have as many as this one.
+// updateQuotaShare computes this planner's share of the quotas: its fraction of the open requests of all planners. A peer
+// without a recent load report is assumed to have as many open requests as this planner.
 func (l *loadReporter) updateQuotaShare() {
 	own := l.averageOpen + 1
 	sum := own
@@ -110,7 +110,7 @@
 	}
 }
 
-// notifyShare notifies the policy of this planner's share of the quotas, if that is known.
+// notifyShare notifies the policy of this planner's quota share, if it is known.
 func (l *loadReporter) notifyShare() {
 	if l.quotaShare > 0 {
 		l.policy.notify(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: l.quotaShare})
--- a/internal/control/planner/location.go
+++ b/internal/control/planner/location.go
@@ -6,19 +6,19 @@
 	"valvecove/dispatch"
 )
 
-// locationKey is the properties of a worker on which it depends whether a class may be placed there.
+// locationKey holds the properties of a worker that determine which classes may be placed there.
 type locationKey struct {
 	owner      string
 	zone, kind int
 }
 
-// location is the workers that have a key in common.
+// location counts the workers with the same locationKey.
 type location struct {
 	locationKey
 	available int // workers that are up
 }
 
-// placement is whether a class may be placed at a worker of this planner that is up.
+// placement states whether a worker of this planner that is up accepts a class.
 type placement uint8
 
 func (p placement) String() string {
@@ -34,21 +34,21 @@
 }
 
 const (
-	placementUnknown placement = iota // not computed since the last change of workers
+	placementUnknown placement = iota // not computed since workers last changed
 	placementLocal
-	placementRemote // at workers of other planners only, if at all
+	placementRemote // only workers of other planners accept the class, if any do
 )
 
 // locationIndex counts the workers that are up by location.
 type locationIndex struct {
-	local      string // the name of this planner
+	local      string // name of this planner
 	classes    []dispatch.Class
-	locations  []*location // in the order of their addition, so that no decision depends on the order of a map
+	locations  []*location // in order of creation, so that no decision depends on the order of a map
 	byKey      map[locationKey]*location
 	placements []placement // by class
 }
 
-// at returns the location of a key, and adds it if it is not known.
+// at returns the location with a key, and adds it if it doesn't exist.
 func (l *locationIndex) at(key locationKey) *location {
 	known := l.byKey[key]
 	if known == nil {
@@ -59,7 +59,7 @@
 	return known
 }
 
-// move counts a worker at another location than before. A nil location is that of a worker that is not up.
+// move moves a worker between locations in the counts. A worker that is not up has the location nil.
 func (l *locationIndex) move(from, to *location) {
 	if from != nil {
 		l.count(from, -1)
@@ -69,7 +69,7 @@
 	}
 }
 
-// count changes the count of a location's workers. The first and the last one affect where classes may be placed.
+// count changes a location's number of workers. Placements may change when the first worker is added or the last removed.
 func (l *locationIndex) count(at *location, change int) {
 	at.available += change
 	if at.available <= 1 {
@@ -77,7 +77,7 @@
 	}
 }
 
-// update counts a worker at the location at which it is up.
+// update updates the counts after a change of a worker's state, owner, zone or kind.
 func (l *locationIndex) update(worker *worker, partition *partition) {
 	if !worker.isUp() {
 		l.move(worker.location, nil)
@@ -103,7 +103,7 @@
 	}
 }
 
-// canPlaceLocally reports whether a class may be placed at a worker of this planner that is up.
+// canPlaceLocally reports whether any worker of this planner that is up accepts a class.
 func (l *locationIndex) canPlaceLocally(class int) bool {
 	placed := &l.placements[class]
 	if *placed == placementUnknown {
@@ -115,7 +115,7 @@
 	return *placed == placementLocal
 }
 
-// availableFor returns how many of a planner's workers are up at which a class may be placed, at locations that match.
+// availableFor returns how many of a planner's workers are up and accept a class, among the locations that match.
 func (l *locationIndex) availableFor(class int, owner string, matches func(at *location) bool) (available int) {
 	for _, at := range l.locations {
 		if at.owner == owner && l.allows(class, at) && matches(at) {
@@ -125,7 +125,7 @@
 	return available
 }
 
-// allows reports whether a class may be placed at a location by its kind and zone.
+// allows reports whether the kind and the zone of a location permit a class.
 func (l *locationIndex) allows(class int, at *location) bool {
 	c := &l.classes[class]
 	return isListed(c.Kinds, at.kind) && isListed(c.Zones, at.zone)
@@ -137,7 +137,7 @@
 	}
 }
 
-// isListed reports whether a list of the settings has an element. A nil list has every element.
+// isListed reports whether a list of the settings includes a name. A nil list includes every name.
 func isListed(names []int, name int) bool { return names == nil || slices.Contains(names, name) }
 
 func anywhere(*location) bool { return true }
--- a/internal/control/planner/main_test.go
+++ b/internal/control/planner/main_test.go
@@ -13,10 +13,10 @@
 	ms           = time.Millisecond
 	ownName      = "plan-a"
 	ownVersion   = 0x100
-	poisonTenant = 9 // its jobs make test policies panic
+	poisonTenant = 9 // jobs of this tenant make test policies panic
 )
 
-// TestMain has random runs always be the same ones, unless flags say otherwise.
+// TestMain fixes the seed and the number of random runs, unless flags set them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	setDefault("rapid.seed", "0", "1")
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// setDefault sets a flag that has its usual default.
+// setDefault sets a flag that still has its original default.
 func setDefault(name, usual, value string) {
 	if flag.Lookup(name).Value.String() != usual {
 		return
@@ -45,8 +45,8 @@
 	return New(config)
 }
 
-// testSettings has classes that are, in this order: idempotent; non-idempotent; idempotent with a key within a cell;
-// idempotent, for workers of kind 1; idempotent with a key within a zone.
+// testSettings returns settings with these classes: 0 idempotent; 1 non-idempotent; 2 idempotent with a key within a cell;
+// 3 idempotent, for workers of kind 1; 4 idempotent with a key within a zone.
 func testSettings() dispatch.Settings {
 	class := func(idempotency dispatch.Idempotency) dispatch.Class {
 		return dispatch.Class{
@@ -70,7 +70,7 @@
 	}
 }
 
-// ownerByCell assigns cells to planners in turn.
+// ownerByCell assigns cell n to the planner with index n modulo the number of planners.
 func ownerByCell(names ...string) func(w *dispatch.Worker) string {
 	return func(w *dispatch.Worker) string { return names[w.Cell%len(names)] }
 }
--- a/internal/control/planner/model_connection_test.go
+++ b/internal/control/planner/model_connection_test.go
@@ -8,34 +8,34 @@
 	"valvecove/internal/control/message"
 )
 
-// modelConnection is a connection of a forwarder. Messages arrive in order; what is on its way when it ends is lost.
+// modelConnection is a forwarder's connection. Messages arrive in order; those in transit when it closes are lost.
 type modelConnection struct {
 	id          SessionID
 	dialedBy    *modelForwarder
-	forwarder   *modelForwarder // the same; nil: it has another connection by now
+	forwarder   *modelForwarder // dialedBy, or nil once that forwarder has replaced the connection
 	toPlanner   []delivery
 	toForwarder []delivery
-	epoch       message.Epoch // the newest that the planner has received, or will receive in its next step
+	epoch       message.Epoch // of the newest handshake delivered to the planner, including the next step's
 	credit      int
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at       time.Duration
 	envelope message.Envelope
 }
 
-// later returns when a message arrives that is sent now, behind others.
-func (r *randomRun) later(others []delivery) time.Duration {
-	at := r.now + r.span(20*ms)
+// arrivalTime returns a random arrival time for a message sent now, not before the messages queued ahead of it.
+func (r *randomRun) arrivalTime(others []delivery) time.Duration {
+	at := r.now + r.randomDuration(20*ms)
 	if n := len(others); n > 0 {
 		at = max(at, others[n-1].at)
 	}
 	return at
 }
 
-// cut ends a connection, with what is on its way. The planner is notified, unless it has closed it.
-func (r *randomRun) cut(connection *modelConnection, notify bool) {
+// closeConnection closes a connection and drops its messages in transit. If notify is set, the planner is notified.
+func (r *randomRun) closeConnection(connection *modelConnection, notify bool) {
 	delete(r.connections, connection.id)
 	if notify {
 		r.events = append(r.events, SessionClosed{Session: connection.id})
@@ -71,11 +71,11 @@
 	}
 }
 
-// recordMessage records a message to the planner, as far as the planner must respect it from then on.
+// recordMessage updates the expected state from a message that the planner receives in its next step.
 func (r *randomRun) recordMessage(connection *modelConnection, envelope message.Envelope) {
 	switch m := envelope.Message.(type) {
 	case *message.Handshake:
-		connection.epoch, connection.credit = envelope.Epoch, 0 // the credit of the session before is void
+		connection.epoch, connection.credit = envelope.Epoch, 0 // the previous session's credit no longer counts
 	case *message.WorkerStatus:
 		_, isListed := r.listed[m.WorkerID]
 		isKnown := isListed || m.State != message.WorkerUp || r.statuses[m.WorkerID].WorkerID != 0
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordStatus keeps the newest status of a worker.
+// recordStatus stores a worker's status if it supersedes the stored one.
 func (r *randomRun) recordStatus(status message.WorkerStatus) {
 	if known, ok := r.statuses[status.WorkerID]; !ok || status.Supersedes(known) {
 		r.statuses[status.WorkerID] = status
--- a/internal/control/planner/model_fault_test.go
+++ b/internal/control/planner/model_fault_test.go
@@ -9,17 +9,17 @@
 	"valvecove/internal/control/message"
 )
 
-// fault has something happen to the planner, a forwarder, the workers or the peers.
-func (r *randomRun) fault() {
+// injectFault injects a random fault into the planner, a forwarder, the workers or the peers.
+func (r *randomRun) injectFault() {
 	f := r.forwarders[r.pick(len(r.forwarders))]
 	switch r.pick(13) {
 	case 0:
 		r.step(3 * time.Second) // the planner is frozen
-	case 1: // both ends notice
+	case 1: // both ends notice the lost connection
 		if f.connection != nil {
-			r.cut(f.connection, true)
+			r.closeConnection(f.connection, true)
 		}
-	case 4: // on another connection or on the same
+	case 4: // reconnects on a new connection or the same one
 		f.connect(r.oneIn(2))
 	case 5:
 		f.restart()
@@ -36,7 +36,7 @@
 	}
 }
 
-// changeWorker has a worker drain, go, come back, or start again.
+// changeWorker makes a worker drain, disappear, return, or restart.
 func (r *randomRun) changeWorker() {
 	r.revision++
 	worker := &r.workers[r.pick(len(r.workers))]
@@ -48,7 +48,7 @@
 	default:
 		worker.Removed, worker.Ready = false, true
 		if r.oneIn(2) {
-			worker.BootAt = (r.now - r.span(time.Second)).Truncate(ms)
+			worker.BootAt = (r.now - r.randomDuration(time.Second)).Truncate(ms)
 		}
 	}
 	if r.oneIn(4) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendList sends the planner the endpoint list, or some of its entries.
+// sendList sends the planner the full endpoint list, or a delta of changed entries.
 func (r *randomRun) sendList(kind dispatch.ListKind, changed ...dispatch.Worker) {
 	list := dispatch.WorkerList{Kind: kind, Revision: r.revision, Workers: changed}
 	if kind != dispatch.ListDelta {
@@ -89,7 +89,7 @@
 	return present
 }
 
-// recordRemoval records that a worker is not on the list any more, unless a newer status says that it is there.
+// recordRemoval records that a worker is no longer listed, unless a newer status says that it is up or draining.
 func (r *randomRun) recordRemoval(worker dispatch.Worker) {
 	known, isListed := r.listed[worker.ID]
 	if !isListed {
@@ -105,7 +105,7 @@
 	r.recordStatus(status)
 }
 
-// reportStatus has a forwarder report a worker's status, by the present list, the next one or the one before.
+// reportStatus makes a forwarder report a worker's status with the previous, the current or the next list revision.
 func (r *randomRun) reportStatus(f *modelForwarder) {
 	worker := r.workers[r.pick(len(r.workers))]
 	status := message.WorkerStatus{
@@ -117,12 +117,12 @@
 	}
 }
 
-// changePeer has a planner come or go, and the partition change with it.
+// changePeer makes another planner join or leave, and changes the partition accordingly.
 func (r *randomRun) changePeer() {
 	name := []string{"plan-b", "plan-c"}[r.pick(2)]
-	wasThere := r.peers[name]
+	wasPresent := r.peers[name]
 	event := Event(PeerConnected{Peer: name})
-	if wasThere {
+	if wasPresent {
 		event = PeerDisconnected{Peer: name}
 		delete(r.peers, name)
 	} else {
@@ -131,7 +131,7 @@
 	names := slices.Sorted(maps.Keys(r.peers))
 	r.owner = append([]string{ownName}, names...)
 	r.events = append(r.events, event, PeersChanged{Names: names}, PartitionChanged{Owner: ownerByCell(r.owner...)})
-	if !wasThere {
+	if !wasPresent {
 		handshake := &message.PeerHandshake{Name: name, Version: ownVersion}
 		r.events = append(r.events, PeerMessage{Peer: name, Envelope: message.Envelope{Epoch: 1, Message: handshake}})
 	}
--- a/internal/control/planner/model_forwarder_test.go
+++ b/internal/control/planner/model_forwarder_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/control/message"
 )
 
-// modelForwarder is a forwarder that offers random requests and does what it is commanded, with random results.
+// modelForwarder is a forwarder that offers random requests and executes commands with random results.
 type modelForwarder struct {
 	run         *randomRun
 	name        string
@@ -18,25 +18,25 @@
 	epoch       message.Epoch
 	connection  *modelConnection
 	established bool
-	leaving     bool // it has received a goodbye
+	leaving     bool // it has received a Goodbye
 	credit      int
 	lastID      uint64
 	requests    map[uint64]*modelRequest
 	schedule    []scheduledResult // by time
 }
 
-// modelRequest is a request of a forwarder.
+// modelRequest is a request of a model forwarder.
 type modelRequest struct {
-	id          uint64
-	summary     message.RequestSummary // without its times and attempts
-	arrivedAt   time.Duration
-	deadline    time.Duration
-	offeredIn   message.Epoch // the session whose planner has it; 0: none has
-	nextAttempt int           // number of the next send command
-	closed      bool
-	answeredIn  message.Epoch // the session in which a command has closed it
-	transferred message.Epoch // the session in which it was transferred
-	attempts    []modelAttempt
+	id            uint64
+	summary       message.RequestSummary // without durations and attempts
+	arrivedAt     time.Duration
+	deadline      time.Duration
+	offeredIn     message.Epoch // epoch of the session in which it is offered; 0 if none
+	nextAttempt   int           // expected attempt number of the next send command
+	closed        bool
+	closedIn      message.Epoch // epoch of the session in which a command closed it
+	transferredIn message.Epoch // epoch of the session in which it was transferred
+	attempts      []modelAttempt
 }
 
 type modelAttempt struct {
@@ -45,7 +45,7 @@
 	startedAt time.Duration
 	ended     bool
 	result    dispatch.Result
-	number    int // as the planner counts that has the request, or had it last
+	number    int // attempt number in the latest offer's numbering
 }
 
 // scheduledResult is the start or the end of an attempt.
@@ -62,13 +62,13 @@
 	return &modelForwarder{run: run, name: name, incarnation: 1, requests: map[uint64]*modelRequest{}}
 }
 
-// hasSession reports whether the planner has this forwarder's session by an epoch.
+// hasSession reports whether the planner's current session of this forwarder has the given ID and epoch.
 func (f *modelForwarder) hasSession(id SessionID, epoch message.Epoch) bool {
 	known := f.run.planner.forwarders.byName[f.name]
 	return known != nil && known.session != nil && known.session.id == id && known.epoch == epoch
 }
 
-// connect opens a session: on the connection that is there, or on another one.
+// connect opens a session on the existing connection if onSame is set, otherwise on a new one.
 func (f *modelForwarder) connect(onSame bool) {
 	r := f.run
 	if !onSame || f.connection == nil {
@@ -76,7 +76,7 @@
 		connection := &modelConnection{id: r.lastSession, dialedBy: f, forwarder: f}
 		r.connections[connection.id] = connection
 		r.events = append(r.events, SessionOpened{Session: connection.id})
-		if f.connection != nil { // it is not known yet that the old one has ended
+		if f.connection != nil { // the planner doesn't know yet that the old one has ended
 			f.connection.forwarder = nil
 		}
 		f.connection = connection
@@ -86,10 +86,10 @@
 	f.send(&message.Handshake{Name: f.name, Incarnation: f.incarnation, Version: ownVersion + 1})
 }
 
-// restart has the process die. It comes back under its name.
+// restart replaces the process by one with the same name and a later incarnation.
 func (f *modelForwarder) restart() {
 	if f.connection != nil {
-		f.run.cut(f.connection, true)
+		f.run.closeConnection(f.connection, true)
 	}
 	f.incarnation++
 	f.epoch += 1000
@@ -111,11 +111,11 @@
 	if f.connection == nil || !f.established && !isHandshake {
 		return
 	}
-	at := f.run.later(f.connection.toPlanner)
+	at := f.run.arrivalTime(f.connection.toPlanner)
 	f.connection.toPlanner = append(f.connection.toPlanner, delivery{at, message.Envelope{Epoch: f.epoch, Message: m}})
 }
 
-// receive processes a message of the planner.
+// receive processes a message from the planner.
 func (f *modelForwarder) receive(connection *modelConnection, envelope message.Envelope) {
 	if connection != f.connection || envelope.Epoch != f.epoch {
 		return
@@ -126,7 +126,7 @@
 	case *message.CreditUpdate:
 		f.credit = m.Credit
 	case *message.Goodbye:
-		f.leave()
+		f.withdrawRequests()
 	case *message.SendCommand:
 		f.sendAttempt(f.requests[m.RequestID], m)
 	case *message.RejectCommand:
@@ -142,10 +142,10 @@
 	}
 }
 
-// leave withdraws all requests from a planner that stops.
-func (f *modelForwarder) leave() {
+// withdrawRequests withdraws all requests from a planner that is stopping.
+func (f *modelForwarder) withdrawRequests() {
 	f.leaving = true
-	for _, req := range f.inOrder() {
+	for _, req := range f.sortedRequests() {
 		if req.offeredIn == f.epoch {
 			f.send(&message.RequestClosed{RequestID: req.id})
 			req.offeredIn = 0
@@ -164,14 +164,14 @@
 	}
 }
 
-// mayDecide reports whether the planner may send a final command for a request. One that it sent before it read what has
-// become of the request is ignored.
+// mayDecide reports whether a final command for a request is to be executed. Commands that crossed with a message that
+// ended the request are ignored. A command for a request that is not offered to the planner fails the test.
 func (f *modelForwarder) mayDecide(req *modelRequest, command message.Command) bool {
-	if req == nil || req.closed && req.answeredIn != f.epoch || req.transferred == f.epoch || f.leaving {
+	if req == nil || req.closed && req.closedIn != f.epoch || req.transferredIn == f.epoch || f.leaving {
 		return false
 	}
 	if req.offeredIn != f.epoch {
-		f.run.t.Fatalf("%v of request %d, which is not with the planner", command.Kind(), req.id)
+		f.run.t.Fatalf("%v of request %d, which is not offered to the planner", command.Kind(), req.id)
 	}
 	return true
 }
@@ -179,19 +179,19 @@
 // respond rejects or fails a request.
 func (f *modelForwarder) respond(req *modelRequest, command message.Command) {
 	if f.mayDecide(req, command) {
-		req.answeredIn = f.epoch
+		req.closedIn = f.epoch
 		req.closed = true
 	}
 }
 
-// transfer offers a request to another planner, which serves it or does not.
+// transfer takes a request back from the planner. Another planner, which is not simulated, serves it or not.
 func (f *modelForwarder) transfer(req *modelRequest, command *message.TransferCommand) {
 	if !f.mayDecide(req, command) {
 		return
 	}
-	req.offeredIn, req.transferred = 0, f.epoch
+	req.offeredIn, req.transferredIn = 0, f.epoch
 	if command.Planner != "" && req.summary.Transfers >= maxTransfers {
-		f.run.t.Fatalf("request %d transferred after %d times", req.id, req.summary.Transfers)
+		f.run.t.Fatalf("request %d transferred again after %d transfers", req.id, req.summary.Transfers)
 	}
 	req.summary.Transfers++
 	if command.Planner == "" || f.run.oneIn(2) {
@@ -199,7 +199,7 @@
 	}
 }
 
-// sendAttempt executes a send command, or rejects it as a validator may.
+// sendAttempt executes a send command, or rejects it as a forwarder's validator may.
 func (f *modelForwarder) sendAttempt(req *modelRequest, command *message.SendCommand) {
 	r := f.run
 	switch {
@@ -210,7 +210,7 @@
 		f.rejectSend(command, message.ReasonNotOwner)
 		return
 	case command.Attempt != req.nextAttempt:
-		r.t.Fatalf("request %d: send command of number %d, expected %d", req.id, command.Attempt, req.nextAttempt)
+		r.t.Fatalf("request %d: send command for attempt %d, expected %d", req.id, command.Attempt, req.nextAttempt)
 	}
 	req.nextAttempt++
 	f.checkRepeat(req, command.WorkerID)
@@ -231,24 +231,24 @@
 	})
 }
 
-// checkRepeat checks that a request may be sent to a worker after its attempts so far.
+// checkRepeat checks that the previous attempts of a request permit sending it to a worker.
 func (f *modelForwarder) checkRepeat(req *modelRequest, worker uint64) {
 	class := &f.run.planner.config.Settings.Classes[req.summary.Class]
 	for _, attempt := range req.attempts {
 		if !attempt.ended && attempt.worker == worker {
-			f.run.t.Fatalf("request %d goes twice to worker %d", req.id, worker)
+			f.run.t.Fatalf("request %d is sent to worker %d while an attempt is in flight there", req.id, worker)
 		}
 		if class.Idempotency == dispatch.NonIdempotent && (!attempt.ended || !provesNotExecuted(attempt.result)) {
-			f.run.t.Fatalf("request %d is sent again though it was possibly executed", req.id)
+			f.run.t.Fatalf("non-idempotent request %d is sent again although it was possibly executed", req.id)
 		}
 	}
 }
 
-// scheduleResult chooses what becomes of an attempt.
+// scheduleResult chooses the result of an attempt at random and schedules its start and end.
 func (f *modelForwarder) scheduleResult(req *modelRequest, attempt int) {
 	r := f.run
-	at := r.now + r.span(40*ms)
-	if r.oneIn(8) { // no result is ever reported
+	at := r.now + r.randomDuration(40*ms)
+	if r.oneIn(8) { // the worker never responds
 		f.scheduleAt(req.deadline, req, attempt, false, dispatch.TimedOut)
 		return
 	}
@@ -258,7 +258,7 @@
 	}
 	if result == dispatch.OK || result == dispatch.Failed || r.oneIn(2) {
 		f.scheduleAt(at, req, attempt, true, 0)
-		at += r.span(300 * ms)
+		at += r.randomDuration(300 * ms)
 	}
 	f.scheduleAt(min(at, req.deadline), req, attempt, false, result)
 }
@@ -268,7 +268,7 @@
 	slices.SortStableFunc(f.schedule, func(a, b scheduledResult) int { return cmp.Compare(a.at, b.at) })
 }
 
-// end ends an attempt. The planner that has the request, or had it until its response, receives a report.
+// end ends an attempt, and reports it if the request is offered in the current session.
 func (f *modelForwarder) end(req *modelRequest, i int, result dispatch.Result) {
 	attempt := &req.attempts[i]
 	if attempt.ended {
@@ -283,25 +283,25 @@
 	}
 }
 
-func (f *modelForwarder) inOrder() []*modelRequest {
+func (f *modelForwarder) sortedRequests() []*modelRequest {
 	return slices.SortedFunc(maps.Values(f.requests), func(a, b *modelRequest) int { return cmp.Compare(a.id, b.id) })
 }
 
-// work does what the forwarder does by itself.
-func (f *modelForwarder) work() {
+// runLocalEvents reports results, closes requests and offers requests, up to the current time.
+func (f *modelForwarder) runLocalEvents() {
 	f.reportResults()
 	open := f.closeRequests()
 	if !f.established || f.leaving {
 		return
 	}
 	r := f.run
-	for _, req := range f.inOrder() {
-		if open < f.credit && !req.closed && req.offeredIn != f.epoch && req.transferred != f.epoch && !r.oneIn(4) {
+	for _, req := range f.sortedRequests() {
+		if open < f.credit && !req.closed && req.offeredIn != f.epoch && req.transferredIn != f.epoch && !r.oneIn(4) {
 			f.offer(req)
 			open++
 		}
 	}
-	for !r.quiet && open < f.credit && r.oneIn(2) {
+	for !r.noNewRequests && open < f.credit && r.oneIn(2) {
 		f.offer(f.newRequest())
 		open++
 	}
@@ -328,11 +328,11 @@
 	}
 }
 
-// closeRequests closes the requests whose deadline is over or whose client disconnects, and forgets those of which nothing
-// is to be reported any more. It returns how many are open at the planner.
+// closeRequests closes the requests whose deadline has passed or whose client disconnects, and removes closed requests with
+// nothing left to report. It returns the number of requests that are open at the planner.
 func (f *modelForwarder) closeRequests() (open int) {
 	r := f.run
-	for _, req := range f.inOrder() {
+	for _, req := range f.sortedRequests() {
 		inFlight := slices.ContainsFunc(req.attempts, func(a modelAttempt) bool { return !a.ended })
 		if !req.closed && (r.now >= req.deadline || r.oneIn(400)) {
 			if req.offeredIn == f.epoch {
@@ -365,7 +365,7 @@
 	return req
 }
 
-// offer offers a request with its attempts so far, numbered anew.
+// offer offers a request with its previous attempts, which are renumbered from 0.
 func (f *modelForwarder) offer(req *modelRequest) {
 	now := f.run.now
 	summary := req.summary
--- a/internal/control/planner/new.go
+++ b/internal/control/planner/new.go
@@ -13,16 +13,16 @@
 		forwarders: forwarderTable{sessions: map[SessionID]*session{}, byName: map[string]*forwarder{}},
 		peers:      peerTable{epoch: message.Epoch(config.Incarnation)},
 	}
-	planner.joinPolicy()
-	planner.joinForwarders()
-	planner.joinRequests()
-	planner.joinWorkers()
-	planner.joinPeers()
+	planner.wirePolicy()
+	planner.wireForwarders()
+	planner.wireRequests()
+	planner.wireWorkers()
+	planner.wirePeers()
 	return planner
 }
 
-// joinPolicy makes the parts that run the policy, stop the planner and write its summary.
-func (p *Planner) joinPolicy() {
+// wirePolicy initializes the parts that run the policy, stop the planner and write its summary.
+func (p *Planner) wirePolicy() {
 	p.policy = policyRunner{policy: p.config.NewPolicy(), phase: &p.lifecycle}
 	p.lifecycle = lifecycle{
 		step:        &p.step,
@@ -52,8 +52,8 @@
 	}
 }
 
-// joinForwarders makes the parts that exchange messages with forwarders, apart from those about requests.
-func (p *Planner) joinForwarders() {
+// wireForwarders initializes the parts that exchange messages with forwarders, except messages about requests.
+func (p *Planner) wireForwarders() {
 	p.heartbeats = heartbeats{step: &p.step, timer: &p.timer, forwarders: &p.forwarders}
 	p.sessions = sessionLifecycle{
 		config:       &p.config,
@@ -87,8 +87,8 @@
 	}
 }
 
-// joinRequests makes the parts that process requests and their attempts.
-func (p *Planner) joinRequests() {
+// wireRequests initializes the parts that process requests and their attempts.
+func (p *Planner) wireRequests() {
 	p.requestLifecycle = requestLifecycle{
 		maxRequests: tableSizeFactor * p.config.MaxOpenRequests,
 		stats:       &p.stats,
@@ -142,8 +142,8 @@
 	}
 }
 
-// joinWorkers makes the parts that track the workers.
-func (p *Planner) joinWorkers() {
+// wireWorkers initializes the parts that track the workers.
+func (p *Planner) wireWorkers() {
 	p.policySync = policySync{
 		step:      &p.step,
 		locations: &p.locations,
@@ -169,8 +169,8 @@
 	}
 }
 
-// joinPeers makes the parts that exchange messages with other planners.
-func (p *Planner) joinPeers() {
+// wirePeers initializes the parts that exchange messages with other planners.
+func (p *Planner) wirePeers() {
 	p.peerSessions = peerSessions{
 		config:   &p.config,
 		stats:    &p.stats,
--- a/internal/control/planner/offers.go
+++ b/internal/control/planner/offers.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxAttempts       = 64                    // of an offered request; twice as many with the commands of this planner
-	maxReportedSpan   = time.Hour             // of any duration that a forwarder reports
-	maxReportedSlots  = 1e9                   // exclusive; greater figures are replaced by defaultSlotDemand
-	resumeThreshold   = 10 * time.Millisecond // a request that has waited this long is resumed by the policy, not new to it
-	defaultSlotDemand = 1
+	maxAttempts         = 64                    // per offer; a request has at most twice as many, with those commanded here
+	maxReportedDuration = time.Hour             // upper bound of any duration that a forwarder reports
+	maxReportedSlots    = 1e9                   // exclusive; greater values are replaced by defaultSlotDemand
+	resumeThreshold     = 10 * time.Millisecond // a request that has waited this long is passed as JobResumed, not as Job
+	defaultSlotDemand   = 1
 )
 
 // creditChecker reports whether a forwarder's credit covers one more open request.
 type creditChecker interface{ covers(f *forwarder) bool }
 
-// requestPlacer finds the peer that should have a request, and transfers the request to it.
+// requestPlacer finds the peer that should decide on a request, and transfers the request to it.
 type requestPlacer interface {
 	preferredPeer(req *request) string
 	transfer(req *request, to string)
@@ -40,8 +40,8 @@
 	workers          *workerTable
 }
 
-// handle processes an offer. An offer of a known request replaces that request: the forwarder assumes that the
-// records of both differ, and its own decide.
+// handle processes an offer. An offer of a known request replaces that request: the forwarder offers it again because the
+// records of both sides may differ, and the forwarder's are authoritative.
 func (o *offerHandler) handle(f *forwarder, offer *message.RequestOffer) {
 	if !o.phase.decides() {
 		return // the forwarder offers its requests to other planners when it reads the goodbye
@@ -53,21 +53,20 @@
 		return
 	}
 	unread := unreadCommands(known, f.epoch, len(offer.Summary.Attempts))
-	o.referToWorkers(unread, 1) // otherwise the workers could be removed with the request
+	o.adjustWorkerReferences(unread, 1) // keeps the workers while the request is removed
 	o.requestLifecycle.abandon(known)
 	o.decide(f, offer, unread)
-	o.referToWorkers(unread, -1)
+	o.adjustWorkerReferences(unread, -1)
 }
 
-// referToWorkers adds count to the references to the workers of attempts that belong to no request.
-func (o *offerHandler) referToWorkers(attempts []attempt, count int) {
+// adjustWorkerReferences adds count to the reference counts of the workers of some attempts, which belong to no request.
+func (o *offerHandler) adjustWorkerReferences(attempts []attempt, count int) {
 	for i := range attempts {
 		o.policySync.addReferences(attempts[i].worker, count)
 	}
 }
 
-// decide accepts or rejects an offer of an unknown request. unread are attempts to add to those that the
-// offer has.
+// decide accepts or rejects an offer of an unknown request. The unread attempts are added to those of the offer.
 func (o *offerHandler) decide(f *forwarder, offer *message.RequestOffer, unread []attempt) {
 	if !o.accepts(f, &offer.Summary) {
 		o.reject(f, offer)
@@ -81,25 +80,25 @@
 		o.placer.transfer(req, to)
 		return
 	}
-	o.requests.settle(req, o.step.now())
+	o.requests.updateOpenState(req, o.step.now())
 	if len(req.attempts) == 0 && offer.Summary.Transfers == 0 && offer.Summary.Waited < resumeThreshold {
 		o.policy.notify(req.job)
 	} else {
-		o.policySync.flush() // the attempts may refer to workers of which the policy is not notified yet
+		o.policySync.flush() // attempts may refer to workers that the policy doesn't have yet
 		o.policy.notify(req.resumedJob(o.step.now()))
 	}
 	req.knownToPolicy = true
 }
 
-// accepts reports whether the forwarder's credit covers one more request, and the summary is within the planner's bounds.
+// accepts reports whether the forwarder's credit covers one more request and the summary is within the planner's bounds.
 func (o *offerHandler) accepts(f *forwarder, summary *message.RequestSummary) bool {
 	return o.credits.covers(f) &&
 		summary.Class >= 0 && summary.Class < o.classCount &&
 		len(summary.Attempts) <= maxAttempts
 }
 
-// reject replies to an offer that is not accepted: by a transfer to a peer with free slots if there is one, otherwise by a
-// failure if the request was possibly executed, otherwise by a rejection.
+// reject replies to an offer that is not accepted: with a transfer if a peer has free slots, otherwise with a failure if the
+// request was possibly executed, otherwise with a rejection.
 func (o *offerHandler) reject(f *forwarder, offer *message.RequestOffer) {
 	o.stats.OffersRejected++
 	if offer.Summary.Transfers < maxTransfers {
@@ -118,15 +117,15 @@
 	o.step.send(f, &message.RejectCommand{RequestID: offer.RequestID})
 }
 
-// addRequest adds a request with the attempts of its summary.
+// addRequest adds an offered request to the table, with the attempts of its summary.
 func (o *offerHandler) addRequest(f *forwarder, offer *message.RequestOffer) *request {
 	summary := &offer.Summary
 	req := o.requests.allocate()
 	req.forwarderID = offer.RequestID
 	req.forwarder = f
 	req.epoch = f.epoch
-	req.arrivedAt = o.step.now() - clampSpan(summary.Waited)
-	req.deadline = o.step.now() + clampSpan(summary.Remaining)
+	req.arrivedAt = o.step.now() - clampDuration(summary.Waited)
+	req.deadline = o.step.now() + clampDuration(summary.Remaining)
 	req.transfers = max(0, summary.Transfers)
 	req.slots = slotDemand(summary)
 	req.job = dispatch.Job{
@@ -134,8 +133,8 @@
 		Class:     summary.Class,
 		Tenant:    summary.Tenant,
 		Key:       summary.Key,
-		Remaining: clampSpan(summary.Remaining),
-		Hint:      clampSpan(summary.Hint),
+		Remaining: clampDuration(summary.Remaining),
+		Hint:      clampDuration(summary.Hint),
 		Slots:     summary.Slots,
 		Memory:    summary.Memory,
 		Retry:     summary.Retry,
@@ -150,17 +149,17 @@
 	return req
 }
 
-// reportedAttempt returns an attempt that the forwarder has reported. If the result and the forwarder's records differ on
-// whether it was possibly executed, the records decide.
+// reportedAttempt returns an attempt that the forwarder has reported. If the result contradicts the forwarder's record of
+// whether the attempt was possibly executed, the result is replaced by one that matches the record.
 func (o *offerHandler) reportedAttempt(past *message.PastAttempt) attempt {
 	reported := attempt{
 		state:  attemptConfirmed,
-		worker: o.workers.ensure(past.WorkerID),
-		sentAt: o.step.now() - clampSpan(past.SentAgo),
-		result: knownResult(past.Result),
+		worker: o.workers.findOrAdd(past.WorkerID),
+		sentAt: o.step.now() - clampDuration(past.SentAgo),
+		result: normalizeResult(past.Result),
 	}
 	if past.StartedAgo > 0 {
-		reported.startedAt = max(o.step.now()-clampSpan(past.StartedAgo), reported.sentAt)
+		reported.startedAt = max(o.step.now()-clampDuration(past.StartedAgo), reported.sentAt)
 	}
 	if !past.Ended {
 		return reported
@@ -175,8 +174,8 @@
 	return reported
 }
 
-// unreadCommands returns the attempts that were commanded in the session of an epoch and whose command the forwarder had
-// not read when it reported its attempts. It reads them later.
+// unreadCommands returns the attempts whose send commands were sent in the session with the given epoch, and which the
+// forwarder had not read when it made the offer. The forwarder will still read and execute these commands.
 func unreadCommands(req *request, epoch message.Epoch, reported int) (unread []attempt) {
 	if req.epoch != epoch {
 		return nil
@@ -189,12 +188,12 @@
 	return unread
 }
 
-// slotDemand returns the slots that an attempt occupies: the maximum of slots and memory, at least one.
+// slotDemand returns the number of slots that an attempt occupies: the maximum of its slots and memory, and at least one.
 func slotDemand(summary *message.RequestSummary) float64 {
 	demand := float64(defaultSlotDemand)
-	for _, figure := range []float64{summary.Slots, summary.Memory} {
-		if figure > demand && figure < maxReportedSlots {
-			demand = figure
+	for _, reported := range []float64{summary.Slots, summary.Memory} {
+		if reported > demand && reported < maxReportedSlots {
+			demand = reported
 		}
 	}
 	return demand
--- a/internal/control/planner/partition.go
+++ b/internal/control/planner/partition.go
@@ -6,14 +6,14 @@
 	"valvecove/dispatch"
 )
 
-// partition is which workers are assigned to which planner.
+// partition assigns each worker to a planner.
 type partition struct {
-	local   string                          // the name of this planner
-	ownerOf func(w *dispatch.Worker) string // nil: all are this planner's
-	known   bool                            // a PartitionChanged was received
+	local    string                          // name of this planner
+	ownerOf  func(w *dispatch.Worker) string // nil assigns all workers to this planner
+	received bool                            // whether a PartitionChanged was received
 }
 
-// owner returns the planner that a worker is assigned to.
+// owner returns the name of the planner that a worker is assigned to.
 func (p *partition) owner(w *worker) string {
 	if p.ownerOf == nil {
 		return p.local
@@ -21,8 +21,8 @@
 	return p.ownerOf(&w.Worker)
 }
 
-// takeover is a worker that was assigned to another planner before, and gets no work until a time while it is warming up.
+// takeover is a worker that this planner took over from another one while it was warming up. It gets no work before until.
 type takeover struct {
-	until  time.Duration
-	worker *worker
+	expiresAt time.Duration
+	worker    *worker
 }
--- a/internal/control/planner/peer.go
+++ b/internal/control/planner/peer.go
@@ -24,23 +24,23 @@
 
 const (
 	peerDisconnected peerState = iota
-	peerConnected              // of its messages only the handshake is processed
+	peerConnected              // the peer's handshake is pending; its other messages are ignored
 	peerEstablished
 )
 
 // peer is another planner.
 type peer struct {
-	name         string
-	alive        bool // by the membership, not by the connection
-	state        peerState
-	epoch        message.Epoch // of the messages to it
-	remoteEpoch  message.Epoch // of the messages from it, if established, else 0
-	load         message.LoadReport
-	loadAt       time.Duration // when load was received; 0: there is none
-	claimedSlots float64       // of the reported free slots, those that transfers since then may have occupied
+	name          string
+	alive         bool // according to PeersChanged, independent of the connection
+	state         peerState
+	epoch         message.Epoch // of messages sent to the peer
+	remoteEpoch   message.Epoch // of messages received from the peer; 0 unless established
+	load          message.LoadReport
+	loadAt        time.Duration // when load was received; 0 without a load report
+	reservedSlots float64       // free slots that transfers since the load report may have used
 }
 
-// transition moves the connection to a state. The epoch is that of an established peer, else 0.
+// transition moves the connection to a state. remoteEpoch is 0 unless the new state is peerEstablished.
 func (p *peer) transition(to peerState, remoteEpoch message.Epoch) {
 	p.state = to
 	p.remoteEpoch = remoteEpoch
--- a/internal/control/planner/peersessions.go
+++ b/internal/control/planner/peersessions.go
@@ -2,18 +2,18 @@
 
 import "valvecove/internal/control/message"
 
-// loadExchanger has this planner's load, and keeps that of a peer.
+// loadExchanger reports this planner's load and records that of peers.
 type loadExchanger interface {
 	report() *message.LoadReport
 	receive(from *peer, report *message.LoadReport)
 }
 
-// statusReceiver processes a worker's status that a peer has reported.
+// statusReceiver processes worker statuses reported by peers.
 type statusReceiver interface {
 	receive(status message.WorkerStatus, source statusSource)
 }
 
-// peerSessions handles the connections to the other planners.
+// peerSessions handles the connections to the other planners and the messages received on them.
 type peerSessions struct {
 	config   *Config
 	stats    *Stats
@@ -24,13 +24,13 @@
 	workers  *workerTable
 }
 
-// ensure returns the peer of a name, and adds it if it is not known; nil: the name is not that of a peer, or there are
-// too many.
-func (p *peerSessions) ensure(name string) *peer {
+// findOrAdd returns the peer with a name, and adds it if it is unknown. It returns nil for an invalid name, the name of this
+// planner, and if there are too many peers.
+func (p *peerSessions) findOrAdd(name string) *peer {
 	if name == "" || len(name) > maxNameLength || name == p.config.Name {
 		return nil
 	}
-	return p.peers.ensure(name)
+	return p.peers.findOrAdd(name)
 }
 
 // processMembers records which planners are alive.
@@ -39,7 +39,7 @@
 		peer.alive = false
 	}
 	for _, name := range names {
-		if peer := p.ensure(name); peer != nil {
+		if peer := p.findOrAdd(name); peer != nil {
 			peer.alive = true
 		}
 	}
@@ -48,7 +48,7 @@
 
 // connect opens the session with a peer: it sends the handshake, this planner's load and the unavailable workers.
 func (p *peerSessions) connect(name string) {
-	peer := p.ensure(name)
+	peer := p.findOrAdd(name)
 	if peer == nil {
 		return
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// receive processes a message of a peer.
+// receive processes a message from a peer.
 func (p *peerSessions) receive(name string, envelope message.Envelope) {
 	if envelope.Message == nil {
 		return
@@ -105,8 +105,8 @@
 	}
 }
 
-// receiveHandshake processes a peer's handshake, and reports whether it opens the session, or ends it for its version.
-// Any other one is treated like a message that is not a handshake.
+// receiveHandshake processes a peer's handshake. It returns true if the handshake establishes the session, or ends it because
+// the protocol version is incompatible. The caller handles any other handshake as an unexpected message.
 func (p *peerSessions) receiveHandshake(from *peer, epoch message.Epoch, handshake *message.PeerHandshake) bool {
 	switch {
 	case !p.config.compatible(handshake.Version):
--- a/internal/control/planner/peertable.go
+++ b/internal/control/planner/peertable.go
@@ -9,14 +9,14 @@
 
 const maxPeers = 64
 
-// peerTable has the other planners.
+// peerTable holds the other planners.
 type peerTable struct {
-	list     []*peer // by name
+	list     []*peer // sorted by name
 	anyAlive bool
-	epoch    message.Epoch // of the newest connection
+	epoch    message.Epoch // sent with the newest connection
 }
 
-// find returns the peer of a name, or nil.
+// find returns the peer with a name, or nil.
 func (p *peerTable) find(name string) *peer {
 	if i, ok := slices.BinarySearchFunc(p.list, name, comparePeer); ok {
 		return p.list[i]
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// ensure returns the peer of a name, and adds it if it is not known; nil: there are maxPeers already.
-func (p *peerTable) ensure(name string) *peer {
+// findOrAdd returns the peer with a name, and adds it if it is unknown. It returns nil if there are maxPeers already.
+func (p *peerTable) findOrAdd(name string) *peer {
 	i, ok := slices.BinarySearchFunc(p.list, name, comparePeer)
 	if !ok {
 		if len(p.list) >= maxPeers {
@@ -36,7 +36,7 @@
 	return p.list[i]
 }
 
-// ifAlive returns the name if it is that of a peer that is alive, else an empty one.
+// ifAlive returns the name if a peer with that name is alive, otherwise an empty string.
 func (p *peerTable) ifAlive(name string) string {
 	if peer := p.find(name); peer != nil && peer.alive {
 		return name
@@ -50,15 +50,15 @@
 	p.anyAlive = slices.ContainsFunc(p.list, func(peer *peer) bool { return peer.alive })
 }
 
-// withMostFreeSlots returns the peer with the most free slots, if these are enough for a request that takes so many;
-// empty: there is none.
+// withMostFreeSlots returns the name of the peer with the most free slots, if its free slots exceed the given number by more
+// than transferSlotMargin, otherwise an empty string.
 func (p *peerTable) withMostFreeSlots(now time.Duration, slots float64) string {
 	best, bestFree := "", slots+transferSlotMargin
 	for _, peer := range p.list {
 		if !peer.alive || !peer.hasRecentLoad(now) {
 			continue
 		}
-		free := peer.load.FreeSlots - float64(peer.load.QueuedRequests) - peer.claimedSlots
+		free := peer.load.FreeSlots - float64(peer.load.QueuedRequests) - peer.reservedSlots
 		if free > bestFree {
 			best, bestFree = peer.name, free
 		}
@@ -66,7 +66,7 @@
 	return best
 }
 
-// countAlive returns how many peers are alive.
+// countAlive returns the number of peers that are alive.
 func (p *peerTable) countAlive() (count int) {
 	for _, peer := range p.list {
 		if peer.alive {
--- a/internal/control/planner/placement.go
+++ b/internal/control/planner/placement.go
@@ -7,10 +7,10 @@
 	"valvecove/internal/control/message"
 )
 
-// singleRequestCloser closes a request, which may have attempts in flight.
+// singleRequestCloser closes one request.
 type singleRequestCloser interface{ close(req *request) }
 
-// placer decides which planner is to have a request, and transfers requests to other planners.
+// placer decides which planner a request belongs to, and transfers requests to other planners.
 type placer struct {
 	classes   []dispatch.Class
 	stats     *Stats
@@ -23,17 +23,18 @@
 	workers   *workerTable
 }
 
-// maxTransfers is the maximum of transfers of a request between planners.
+// maxTransfers limits how often a request is transferred between planners.
 const maxTransfers = 2
 
-// preferredPeer returns the planner that should have a request, because no worker of this one may have it; empty: none, or
-// it can be placed here. A request that was possibly executed stays with the workers that deduplicate it.
+// preferredPeer returns the name of the planner to transfer a request to because no worker of this planner may execute it. It
+// returns an empty string if a worker of this planner may, or if no peer is suitable. A request that was possibly executed is
+// placed only at the workers that deduplicate it.
 func (p *placer) preferredPeer(req *request) string {
 	if !p.peers.anyAlive || req.inFlight > 0 || req.transfers >= maxTransfers {
 		return ""
 	}
 	class := req.job.Class
-	if attempt := p.bindingAttempt(req); attempt != nil {
+	if attempt := p.restrictingAttempt(req); attempt != nil {
 		return p.preferredPeerAfter(attempt, class)
 	}
 	if p.locations.canPlaceLocally(class) {
@@ -42,7 +43,7 @@
 	return p.bestPeerFor(class, anywhere)
 }
 
-// preferredPeerAfter returns the planner that should have a request of a class after an attempt that was possibly executed.
+// preferredPeerAfter is preferredPeer for a request of a class with an attempt that was possibly executed.
 func (p *placer) preferredPeerAfter(a *attempt, class int) string {
 	settings := &p.classes[class]
 	switch {
@@ -60,9 +61,9 @@
 	return p.bestPeerFor(class, sameZone)
 }
 
-// bindingAttempt returns the first attempt that restricts the workers of a request: it was possibly executed,
-// and the request may not be executed twice, or only where that is deduplicated. Without such an attempt it returns nil.
-func (p *placer) bindingAttempt(req *request) *attempt {
+// restrictingAttempt returns the first attempt that restricts where a request may be sent, or nil. An attempt does so if it was
+// possibly executed, and the class is not idempotent or is deduplicated only within a cell or zone.
+func (p *placer) restrictingAttempt(req *request) *attempt {
 	class := &p.classes[req.job.Class]
 	if class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.IdempotentWithKey && class.DeduplicationScope == dispatch.ScopeAll {
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// bestPeerFor returns the peer with the most workers that are up at which a class may be placed, at locations that match;
-// empty: there is none.
+// bestPeerFor returns the name of the peer with the most workers that are up and accept a class, among the locations that
+// match. It returns an empty string if no peer has any.
 func (p *placer) bestPeerFor(class int, matches func(at *location) bool) string {
 	best, bestAvailable := "", 0
 	for _, peer := range p.peers.list {
@@ -93,13 +94,13 @@
 
 const (
 	minTransferWait          = 50 * time.Millisecond
-	transferObjectiveDivisor = 4   // of the latency objective, for the time that a request is queued before its transfer
-	transferSlotMargin       = 1.0 // slots that must be free at the peer beyond the request's own
-	transferScanLimit        = 64  // queued requests that are examined per tick
+	transferObjectiveDivisor = 4   // a request is queued for latency objective / divisor before its transfer
+	transferSlotMargin       = 1.0 // slots that must be free at the peer in addition to the request's
+	transferScanLimit        = 64  // queued requests examined per tick
 )
 
-// transferQueued transfers queued requests that no worker of this planner may have, or that have been queued for a part of
-// their latency objective while a peer has capacity.
+// transferQueued transfers queued requests that no worker of this planner may execute, and requests that have been queued for
+// a fraction of their latency objective if a peer has capacity.
 func (p *placer) transferQueued() {
 	if !p.peers.anyAlive {
 		return
@@ -111,7 +112,7 @@
 		if scanned > transferScanLimit {
 			return
 		}
-		if to := p.preferredPeer(req); to != "" { // workers have changed since the offer
+		if to := p.preferredPeer(req); to != "" { // workers may have changed since the offer
 			p.transfer(req, to)
 			continue
 		}
@@ -119,18 +120,18 @@
 			continue
 		}
 		if to := p.peers.withMostFreeSlots(p.step.now(), req.slots); to != "" {
-			p.peers.find(to).claimedSlots += req.slots * planners // all planners may count on the same free slots
+			p.peers.find(to).reservedSlots += req.slots * planners // all planners may claim the same free slots
 			p.transfer(req, to)
 		}
 	}
 }
 
-// hasWaitedForTransfer reports whether a queued request may be transferred for lack of capacity. One that was transferred
-// before may not, so that planners don't transfer it back and forth.
+// hasWaitedForTransfer reports whether a queued request may be transferred for lack of capacity. Requests that were
+// transferred before may not, so that planners don't transfer them back and forth.
 func (p *placer) hasWaitedForTransfer(req *request) bool {
 	objective := p.classes[req.job.Class].LatencyObjective
 	wait := max(minTransferWait, objective/transferObjectiveDivisor)
-	return req.transfers == 0 && p.step.now()-req.queuedSince >= wait && p.bindingAttempt(req) == nil
+	return req.transfers == 0 && p.step.now()-req.queuedSince >= wait && p.restrictingAttempt(req) == nil
 }
 
 // transfer commands the forwarder to offer a request to another planner, and closes it here.
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	tickInterval     = 50 * time.Millisecond // between two runs of the periodic work
-	creditTicks      = 2                     // ticks between two assignments of credit
-	maintenanceTicks = 20                    // ticks between two searches for sessions and health checks that have timed out
+	tickInterval     = 50 * time.Millisecond // interval of the periodic work
+	creditTicks      = 2                     // ticks between assignments of credit
+	maintenanceTicks = 20                    // ticks between checks for handshakes and health checks that have timed out
 )
 
 // Planner makes the decisions for the forwarders that are connected to it. It is not safe for concurrent use.
@@ -51,8 +51,8 @@
 	loads        loadReporter
 }
 
-// Step processes the events since the last step, in order, and appends the resulting actions to dst. Time never runs
-// backwards: a now before that of an earlier step is replaced by the latter.
+// Step processes the events since the last step, in order, and appends the resulting actions to dst. If now is earlier than
+// in the previous step, the time of the previous step is used.
 func (p *Planner) Step(now time.Duration, events []Event, dst []Action) []Action {
 	p.step.begin(now, dst)
 	p.lifecycle.enter(phaseRunning)
@@ -113,7 +113,7 @@
 		p.sessions.expireHandshakes()
 		p.healthChecks.expire()
 	}
-	p.sessions.forgetDisconnected()
+	p.sessions.removeDisconnected()
 	p.endpoints.expireTakeovers()
 	p.workers.expireTombstones(p.step.now())
 	p.requestLifecycle.expireAttempts()
@@ -128,7 +128,7 @@
 	p.timer.decayLag()
 }
 
-// setTimer requests a timer for the next instant at which a step is needed.
+// setTimer requests a timer for the time of the next step that is due without an event.
 func (p *Planner) setTimer() {
 	if p.lifecycle.phase == phaseStopped {
 		return
@@ -139,7 +139,7 @@
 	}
 }
 
-// runPolicy runs the policy until it has no pending event, and executes its actions.
+// runPolicy runs the policy and executes its actions until no event is pending, for at most maxPolicyIterations.
 func (p *Planner) runPolicy() {
 	for range maxPolicyIterations {
 		if !p.lifecycle.decides() || p.policy.isBackingOff(p.step.now()) {
@@ -160,14 +160,14 @@
 	}
 }
 
-// receive processes a message of a forwarder. Messages other than a handshake must have the epoch of its newest session.
+// receive processes a message from a forwarder. All messages but handshakes must have the epoch of its newest session.
 func (p *Planner) receive(id SessionID, envelope message.Envelope) {
 	if envelope.Message == nil {
 		return
 	}
 	session := p.forwarders.sessions[id]
 	if session == nil {
-		p.stats.StrayMessages++ // sent before the forwarder has read that the session is closed
+		p.stats.StrayMessages++ // sent before the forwarder noticed that the session was closed
 		return
 	}
 	if handshake, ok := envelope.Message.(*message.Handshake); ok {
@@ -181,7 +181,7 @@
 	p.receiveInSession(session, envelope.Message)
 }
 
-// receiveInSession passes a message of an accepted session to the part that processes it.
+// receiveInSession passes a message of an established session to the part that processes it.
 func (p *Planner) receiveInSession(session *session, received message.Message) {
 	f := session.forwarder
 	switch received := received.(type) {
--- a/internal/control/planner/policy.go
+++ b/internal/control/planner/policy.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// Policy makes the decisions. It is a dispatch.Dispatcher, or has the same contract. If a policy has them, its
-// methods ModelSnapshot, AvailableSlots and TimeUntilOverdue, as of dispatch.Dispatcher, are used too.
+// Policy makes the dispatch decisions. It is a dispatch.Dispatcher, or implements the same contract. The planner also uses
+// the methods ModelSnapshot, AvailableSlots and TimeUntilOverdue of dispatch.Dispatcher if the policy has them.
 type Policy interface {
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
--- a/internal/control/planner/policypanic.go
+++ b/internal/control/planner/policypanic.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// policyPanicError is the error of a policy that has panicked.
+// policyPanicError reports a panic of the policy.
 type policyPanicError struct {
 	cause    any
 	location string // functions, files and lines, the innermost first
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("policy panicked: %v, at %s", p.cause, p.location)
 }
 
-// panicLocation returns the call stack of a panic down to the policy's step. It leaves addresses out: those differ from
+// panicLocation returns the call stack of a panic up to the call of the policy's Step. It omits addresses, which differ from
 // run to run.
 func panicLocation() string {
 	const skip = 3 // runtime.Callers, panicLocation, and the deferred function that calls it
--- a/internal/control/planner/random_run_test.go
+++ b/internal/control/planner/random_run_test.go
@@ -15,12 +15,15 @@
 	"valvecove/internal/control/message"
 )
 
-// Any order of messages, sessions that end and come again, processes that die, planners that come and go, poison
-// requests: send commands are numbered without a gap, none goes to a worker that the newest status makes unavailable or
-// that is another planner's, a request gets one final command at a time and is transferred twice at most, credits never
-// exceed what there is, the policy receives no event that violates its contract, and in the end nothing is left. The
-// same run once more has the same results.
-func TestRandomRuns(t *testing.T) {
+// Random runs with lost sessions, restarts, joining and leaving planners and poison requests keep these invariants:
+//   - Send commands of a request are numbered without gaps. None goes to a worker that is unavailable according to its newest
+//     status or is assigned to another planner.
+//   - A request receives one final command per offer and is transferred at most maxTransfers times.
+//   - The sum of credits never exceeds Config.MaxOpenRequests.
+//   - The policy receives no event that violates its contract.
+//   - All tables are empty after the run.
+//   - Repeating the same steps results in the same actions.
+func TestRandomRunsKeepInvariants(t *testing.T) {
 	sends, transfers, panics, runs := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		r := performRandomRun(t)
@@ -31,48 +34,48 @@
 	})
 	t.Logf("%d runs: %d send commands, %d transfers, %d panics", runs, sends, transfers, panics)
 	if sends < 10*runs || transfers < runs || panics < runs/10 {
-		t.Error("the runs see too little")
+		t.Error("too few send commands, transfers or panics to be a useful test")
 	}
 }
 
-// FuzzRandomRuns has the fuzzer choose the runs.
+// FuzzRandomRuns lets the fuzzer choose the random runs.
 func FuzzRandomRuns(f *testing.F) {
 	f.Fuzz(rapid.MakeFuzz(func(t *rapid.T) { performRandomRun(t) }))
 }
 
-// randomRun is a planner with forwarders, peers and workers around it, in virtual time. All of it is random.
+// randomRun simulates a planner with random forwarders, peers and workers in virtual time.
 type randomRun struct {
 	t       *rapid.T
-	rng     *rand.Rand // for all but how much there is of everything: rapid would have nearly all of it happen at once
+	rng     *rand.Rand // for all but sizes, which rapid draws: rapid's draws would make most faults coincide
 	planner *Planner
 	config  Config
 	now     time.Duration
-	timerAt time.Duration // 0: none
-	events  []Event       // of the next step
+	timerAt time.Duration // 0 if not set
+	events  []Event       // for the next step
 	steps   []recordedStep
 
 	forwarders  []*modelForwarder
 	connections map[SessionID]*modelConnection
 	lastSession SessionID
-	closed      map[SessionID]bool // by the planner
+	closed      map[SessionID]bool // sessions closed by the planner
 
-	workers  []dispatch.Worker               // as they are
+	workers  []dispatch.Worker               // actual state, whether the planner knows it or not
 	revision int64                           // of the endpoint list
-	listed   map[uint64]dispatch.Worker      // as the planner was notified
-	statuses map[uint64]message.WorkerStatus // the newest of which the planner was notified
+	listed   map[uint64]dispatch.Worker      // according to the lists sent to the planner
+	statuses map[uint64]message.WorkerStatus // the newest statuses sent to the planner
 
 	peers map[string]bool
-	owner []string // by cell
+	owner []string // by cell, modulo its length
 
 	stops         bool
 	stopped       bool
-	quiet         bool // nothing new is begun
-	faultInterval int  // steps between two faults, about
+	noNewRequests bool // set when the run is finishing
+	faultInterval int  // mean number of steps between faults
 
 	sends, transfers int
 }
 
-// recordedStep is a step with its results.
+// recordedStep is a step with its events and resulting actions.
 type recordedStep struct {
 	now     time.Duration
 	events  []Event
@@ -83,7 +86,7 @@
 
 func (r *randomRun) oneIn(n int) bool { return r.pick(n) == 0 }
 
-func (r *randomRun) span(longest time.Duration) time.Duration {
+func (r *randomRun) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(r.pick(1000)) * longest / 1000
 }
 
@@ -96,13 +99,13 @@
 			}
 		}
 		if r.oneIn(r.faultInterval) {
-			r.fault()
+			r.injectFault()
 		}
 		r.step(30 * ms)
 	}
 	r.finish()
 	r.checkEmpty()
-	r.repeat()
+	r.checkDeterminism()
 	return r
 }
 
@@ -131,9 +134,9 @@
 	return r
 }
 
-// finish begins nothing new, stops the planner in some runs, ends all connections, and lets everything expire.
+// finish stops new requests, stops the planner in some runs, closes all connections, and lets everything expire.
 func (r *randomRun) finish() {
-	r.quiet = true
+	r.noNewRequests = true
 	r.stops = r.oneIn(3)
 	if r.stops {
 		r.events = append(r.events, StopRequested{})
@@ -143,11 +146,11 @@
 	}
 	for _, f := range r.forwarders {
 		if f.connection != nil {
-			r.cut(f.connection, true)
+			r.closeConnection(f.connection, true)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.connections)) {
-		r.cut(r.connections[id], true)
+		r.closeConnection(r.connections[id], true)
 	}
 	for range 80 {
 		r.now += time.Second
@@ -156,11 +159,11 @@
 	}
 }
 
-// checkEmpty checks that nothing is left.
+// checkEmpty checks that the planner has stopped if that was requested, and otherwise that its tables are empty.
 func (r *randomRun) checkEmpty() {
 	if r.stops {
 		if !r.stopped {
-			r.t.Fatalf("it was told to stop, and has not")
+			r.t.Fatalf("stop was requested, but the planner has not stopped")
 		}
 		return
 	}
@@ -168,12 +171,12 @@
 	status := p.Status()
 	remaining := len(p.forwarders.byName) + len(p.healthChecks.pending) + len(p.endpoints.takeovers) + len(p.workers.tombstones)
 	if status.Open+status.Closing+status.Sessions+status.Credit > 0 || status.Slots != 0 || remaining > 0 {
-		r.t.Fatalf("left in the end: %+v, %d forwarders, %d health checks", status, len(p.forwarders.byName),
+		r.t.Fatalf("not empty after the run: %+v, %d forwarders, %d health checks", status, len(p.forwarders.byName),
 			len(p.healthChecks.pending))
 	}
 	for _, worker := range p.workers.list {
 		if !worker.listed {
-			r.t.Fatalf("worker %d is still known", worker.ID)
+			r.t.Fatalf("unlisted worker %d was not removed", worker.ID)
 		}
 	}
 	if policy := p.policy.policy.(*contractPolicy); len(policy.jobs) > 0 {
@@ -181,19 +184,19 @@
 	}
 }
 
-// repeat performs the same steps once more.
-func (r *randomRun) repeat() {
+// checkDeterminism repeats the recorded steps with a new planner, and checks that they result in the same actions.
+func (r *randomRun) checkDeterminism() {
 	p := newTestPlanner(r.config)
 	for _, step := range r.steps {
 		if actions := p.Step(step.now, step.events, nil); !reflect.DeepEqual(actions, step.actions) {
-			r.t.Fatalf("%v: the same again gives %v, not %v", step.now, actions, step.actions)
+			r.t.Fatalf("%v: repeated step results in %v, not %v", step.now, actions, step.actions)
 		}
 	}
 }
 
-// step lets time pass, delivers what is due, and has the planner step.
+// step advances the time, delivers due messages, and runs a step of the planner.
 func (r *randomRun) step(longest time.Duration) {
-	next := r.now + r.span(longest)
+	next := r.now + r.randomDuration(longest)
 	if r.timerAt > 0 && r.timerAt < next {
 		next = r.timerAt
 	}
@@ -204,7 +207,7 @@
 	}
 	r.deliverToForwarders()
 	for _, f := range r.forwarders {
-		f.work()
+		f.runLocalEvents()
 	}
 	r.deliverToPlanner()
 	events := r.events
@@ -212,20 +215,20 @@
 	actions := r.planner.Step(r.now, events, nil)
 	r.steps = append(r.steps, recordedStep{r.now, events, actions})
 	if len(r.steps) > 20_000 {
-		r.t.Fatalf("%v: it steps on and on, and gave %v", r.now, actions)
+		r.t.Fatalf("%v: more than 20000 steps, the latest resulted in %v", r.now, actions)
 	}
 	for _, action := range actions {
-		r.carryOut(action)
+		r.execute(action)
 	}
 	if err := checkInvariants(r.planner); err != nil {
 		r.t.Fatalf("%v: %v", r.now, err)
 	}
 }
 
-// carryOut does what the planner wants done.
-func (r *randomRun) carryOut(action Action) {
+// execute checks and executes an action of the planner.
+func (r *randomRun) execute(action Action) {
 	if r.stopped {
-		r.t.Fatalf("%T after it has stopped", action)
+		r.t.Fatalf("action %T after Stopped", action)
 	}
 	switch a := action.(type) {
 	case SendToForwarder:
@@ -234,7 +237,7 @@
 			r.t.Fatalf("%v sent in session %d, which has ended", a.Envelope.Message.Kind(), a.Session)
 		}
 		r.checkMessage(connection, a.Envelope)
-		connection.toForwarder = append(connection.toForwarder, delivery{r.later(connection.toForwarder), a.Envelope})
+		connection.toForwarder = append(connection.toForwarder, delivery{r.arrivalTime(connection.toForwarder), a.Envelope})
 	case SendToPeer:
 		if !r.peers[a.Peer] {
 			r.t.Fatalf("sent to peer %q, to which there is no connection", a.Peer)
@@ -244,8 +247,8 @@
 			r.t.Fatalf("session %d closed twice", a.Session)
 		}
 		r.closed[a.Session] = true
-		if connection := r.connections[a.Session]; connection != nil { // else it has ended by itself just then
-			r.cut(connection, false)
+		if connection := r.connections[a.Session]; connection != nil { // otherwise the other end has closed it
+			r.closeConnection(connection, false)
 		}
 	case SetTimer:
 		if at := r.now + a.After; r.timerAt == 0 || at < r.timerAt {
@@ -256,7 +259,7 @@
 	}
 }
 
-// checkMessage checks a message at the moment at which the planner sends it.
+// checkMessage checks a message when the planner sends it.
 func (r *randomRun) checkMessage(connection *modelConnection, envelope message.Envelope) {
 	switch m := envelope.Message.(type) {
 	case *message.HandshakeAccept:
@@ -267,15 +270,15 @@
 		r.sends++
 		worker, listed := r.listed[m.WorkerID]
 		if !listed || r.statuses[m.WorkerID].State != message.WorkerUp {
-			r.t.Fatalf("send to worker %d, of which the newest status is %+v", m.WorkerID, r.statuses[m.WorkerID])
+			r.t.Fatalf("send to worker %d, whose newest status is %+v", m.WorkerID, r.statuses[m.WorkerID])
 		}
 		if owner := r.owner[worker.Cell%len(r.owner)]; owner != ownName {
-			r.t.Fatalf("send to worker %d, which is %s's", m.WorkerID, owner)
+			r.t.Fatalf("send to worker %d, which is assigned to %s", m.WorkerID, owner)
 		}
 	case *message.TransferCommand:
 		r.transfers++
 		if m.Planner != "" && !r.peers[m.Planner] {
-			r.t.Fatalf("transfer to %q, which is not alive", m.Planner)
+			r.t.Fatalf("transfer to planner %q, which is not alive", m.Planner)
 		}
 	}
 }
@@ -289,6 +292,6 @@
 		sum += c.credit
 	}
 	if sum > r.config.MaxOpenRequests {
-		r.t.Fatalf("credits come to %d of %d", sum, r.config.MaxOpenRequests)
+		r.t.Fatalf("sum of credits is %d, maximum %d", sum, r.config.MaxOpenRequests)
 	}
 }
--- a/internal/control/planner/recovery.go
+++ b/internal/control/planner/recovery.go
@@ -11,22 +11,21 @@
 	"valvecove/internal/control/message"
 )
 
-// A policy that has panicked is in an undefined state. A new one receives everything that the planner has, request by
-// request, and a request at which that one panics too is returned to its forwarder. So no session ends, and a poison
-// request costs each planner that receives it one policy, and affects no other request. Closing all sessions instead,
-// so that everything is offered again, would load the next planner with every request of every forwarder, the poison one
-// included. That remains the last resort.
+// A policy that has panicked is in an undefined state. A new policy receives the planner's state, request by request, and a
+// request that makes the new policy panic is returned to its forwarder. No session ends, and a poison request costs each
+// planner that receives it one restart of the policy and affects no other request. Closing all sessions instead would make
+// the forwarders offer all their requests, including the poison request, to the next planner; it is the last resort.
 const (
-	maxPanics            = 5 // within panicWindow; with one more, all sessions are closed
+	maxPanics            = 5 // within panicWindow; one more closes all sessions
 	panicWindow          = 10 * time.Second
-	panicBackoff         = time.Second // after all sessions were closed
-	maxPoisonRequests    = 8           // returned for one panic
-	maxFailureCandidates = 8           // requests of a step with a panic; if there are more, none of them is a candidate
-	maxFailureCount      = 2           // steps with a panic after which a candidate is returned
-	maxPanicFrames       = 8           // of the call stack that are logged
+	panicBackoff         = time.Second // after all sessions are closed
+	maxPoisonRequests    = 8           // returned per panic
+	maxFailureCandidates = 8           // if more requests than this are delivered in a step that panics, none of them is counted
+	maxFailureCount      = 2           // steps with a panic after which a request is returned
+	maxPanicFrames       = 8           // call stack frames in the log
 )
 
-// What recovery needs of the planner's other parts.
+// Dependencies of recovery on other parts of the planner.
 type (
 	actionExecutor interface {
 		execute(actions []dispatch.Action)
@@ -52,12 +51,12 @@
 	sessions         sessionCloser
 }
 
-// replacePolicy replaces the policy after a panic by a new one, which receives the complete state of the planner.
+// replacePolicy replaces the policy after a panic by a new one, which receives the planner's complete state.
 func (r *recovery) replacePolicy(err error) {
 	r.stats.Panics++
 	tooMany := r.policy.recordPanic(r.step.now())
 	r.logPanic(err)
-	r.policy.takeActions() // a panic leaves them incomplete
+	r.policy.takeActions() // discarded: a panic leaves them incomplete
 	if tooMany {
 		r.closeAllSessions()
 		return
@@ -87,8 +86,8 @@
 	r.step.log("policy panicked and is restarted", attributes...)
 }
 
-// countFailures counts a failure of each request that the events of the step with the panic refer to. One that has
-// been among them before is returned, although it is not proved to be the cause.
+// countFailures counts a failure of each request that the events of the panicking step refer to. A request with
+// maxFailureCount failures is returned to its forwarder, although it is not proved to be the cause.
 func (r *recovery) countFailures() {
 	candidates := map[uint64]bool{}
 	for _, event := range r.policy.delivered {
@@ -111,12 +110,12 @@
 	}
 }
 
-// rebuildPolicy makes a new policy and delivers to it first the endpoint list and then every request. Its actions are
-// kept by the runner. The error of a panic is a *policyPanicError, and poison the request at which it occurred; nil: it
-// occurred at the list.
+// rebuildPolicy creates a new policy and delivers to it the endpoint list and then every request. The runner keeps the
+// resulting actions. If the policy panics, the error is a *policyPanicError, and poison is the request that was delivered, or
+// nil if it was the endpoint list.
 func (r *recovery) rebuildPolicy() (poison *request, err error) {
 	r.resetPolicy()
-	r.policy.takeActions() // of an earlier attempt at this
+	r.policy.takeActions() // discards those of an earlier rebuild
 	if err := r.policy.deliverPending(r.step.now()); err != nil {
 		return nil, err
 	}
@@ -132,7 +131,7 @@
 	return nil, nil
 }
 
-// resetPolicy replaces the policy by a new one. The events of the endpoint list and of the quota share are pending for it.
+// resetPolicy replaces the policy by a new one, and queues the endpoint list and the quota share as its first events.
 func (r *recovery) resetPolicy() {
 	r.policy.reset(r.newPolicy())
 	r.policySync.notifyAll()
@@ -140,8 +139,8 @@
 	r.healthChecks.cancel(func(healthCheck) bool { return true })
 }
 
-// returnPoisonRequest commands the forwarder to offer a request to another planner, or to fail it if that was done
-// before. The request is removed here, with its attempts in flight.
+// returnPoisonRequest removes a request and its attempts in flight, and returns it to its forwarder, which offers it to
+// another planner, or fails it if it was returned before.
 func (r *recovery) returnPoisonRequest(req *request) {
 	if req.state.isOpen() {
 		r.stats.Poison++
@@ -152,7 +151,8 @@
 	r.requestLifecycle.remove(req)
 }
 
-// closeAllSessions closes all sessions: forwarders offer their requests to other planners, and reconnect after the backoff.
+// closeAllSessions closes all sessions. Forwarders then offer their requests to other planners, and can reconnect after
+// panicBackoff.
 func (r *recovery) closeAllSessions() {
 	r.step.log("policy panics repeatedly, all sessions are closed", "sessions", len(r.forwarders.sessions))
 	for _, id := range r.forwarders.sessionIDs() {
@@ -166,7 +166,7 @@
 	r.resetPolicy()
 }
 
-// jobOf returns the job that an event refers to, if the job may be the cause of a panic at the event.
+// jobOf returns the job that an event refers to, if that job may have caused a panic while the event was processed.
 func jobOf(event dispatch.Event) (id uint64, ok bool) {
 	switch e := event.(type) {
 	case dispatch.Job:
--- a/internal/control/planner/reports.go
+++ b/internal/control/planner/reports.go
@@ -5,12 +5,12 @@
 	"valvecove/internal/control/message"
 )
 
-// rejectionRecorder counts a send command that a forwarder's validator has rejected.
+// rejectionRecorder counts send commands rejected by forwarders' validators.
 type rejectionRecorder interface {
 	recordRejection(f *forwarder, reason message.RejectReason)
 }
 
-// reportHandler processes what forwarders report about requests and attempts.
+// reportHandler processes forwarders' reports about requests and attempts.
 type reportHandler struct {
 	stats            *Stats
 	step             *step
@@ -31,7 +31,7 @@
 		r.stats.StrayMessages++
 		return
 	}
-	result := knownResult(report.Result)
+	result := normalizeResult(report.Result)
 	if rejected {
 		result = dispatch.NotSent
 	}
@@ -40,11 +40,11 @@
 		Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID, Result: result,
 		Closed: !req.state.isOpen() || result == dispatch.OK,
 	})
-	r.settleAfterEnd(req, result, report.Reason)
+	r.updateAfterEnd(req, result, report.Reason)
 }
 
-// settleAfterEnd updates the request of an attempt that has ended.
-func (r *reportHandler) settleAfterEnd(req *request, result dispatch.Result, reason message.RejectReason) {
+// updateAfterEnd updates the state of a request after the end of one of its attempts.
+func (r *reportHandler) updateAfterEnd(req *request, result dispatch.Result, reason message.RejectReason) {
 	lost := reason == message.ReasonUnknownRequest || reason == message.ReasonNotOwner
 	switch {
 	case !req.state.isOpen():
@@ -58,7 +58,7 @@
 		r.stats.Served++
 		r.requestLifecycle.close(req)
 	default:
-		r.requests.settle(req, r.step.now())
+		r.requests.updateOpenState(req, r.step.now())
 	}
 }
 
@@ -73,7 +73,7 @@
 	r.policy.notify(dispatch.Started{Job: req.id, Attempt: report.Attempt, Worker: attempt.worker.ID})
 }
 
-// attemptProgressed processes the completed fraction of an attempt. A value outside 0 to 1 confirms the start only.
+// attemptProgressed processes a progress report of an attempt. A fraction outside [0, 1] only confirms the start.
 func (r *reportHandler) attemptProgressed(f *forwarder, report *message.AttemptProgress) {
 	req, attempt := f.attemptInFlight(report.RequestID, report.Attempt)
 	if attempt == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// requestClosed processes the report that a request needs no decision any more, or not from this planner.
+// requestClosed processes the report that a request no longer needs decisions from this planner.
 func (r *reportHandler) requestClosed(f *forwarder, report *message.RequestClosed) {
 	req := f.requests[report.RequestID]
 	if req == nil || !req.state.isOpen() {
@@ -96,7 +96,7 @@
 	}
 	r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
 	r.requestLifecycle.close(req)
-	if req.state == requestClosing { // another planner may have it now, and the forwarder report to that one only
+	if req.state == requestClosing { // another planner may have the request now, and the forwarder reports only to that one
 		r.requestLifecycle.expireUnreported(req)
 	}
 }
--- a/internal/control/planner/request.go
+++ b/internal/control/planner/request.go
@@ -29,40 +29,40 @@
 	return "unknown"
 }
 
-// isOpen reports whether the forwarder awaits a decision on the request.
+// isOpen reports whether this planner still decides on the request.
 func (r requestState) isOpen() bool { return r >= requestOffered && r <= requestInFlight }
 
 const (
-	requestNew      requestState = iota // not in the table yet
-	requestOffered                      // open; it may still be transferred at once
-	requestQueued                       // open, without an attempt in flight
-	requestInFlight                     // open, with attempts in flight
-	requestClosing                      // closed, with attempts in flight
+	requestNew      requestState = iota // not added to the table yet
+	requestOffered                      // open; it may be transferred before the policy receives it
+	requestQueued                       // open, no attempt in flight
+	requestInFlight                     // open, attempts in flight
+	requestClosing                      // closed, attempts in flight
 	requestRemoved                      // removed from the table
 )
 
-// request is a request that a forwarder has offered.
+// request is a request offered by a forwarder.
 type request struct {
-	deadline.Item // when the attempts of a closing request are assumed to have ended
+	deadline.Item // expiry: when the attempts of a closing request are assumed to have ended
 	state         requestState
-	id            uint64        // the policy's job number
-	forwarderID   uint64        // the forwarder's number
-	forwarder     *forwarder    // nil: its process has ended
-	epoch         message.Epoch // of the session in which it was offered
+	id            uint64        // job ID for the policy
+	forwarderID   uint64        // request ID of the forwarder
+	forwarder     *forwarder    // nil after its process has ended
+	epoch         message.Epoch // of the session in which the request was offered
 	links         [listCount]listLinks
-	knownToPolicy bool // to the present policy or an earlier one
+	knownToPolicy bool // the current policy or an earlier one has received it
 	job           dispatch.Job
 	arrivedAt     time.Duration // at the forwarder
 	deadline      time.Duration
-	queuedSince   time.Duration // of one that is queued
-	slots         float64       // that an attempt occupies
-	transfers     int           // between planners so far
-	failureCount  int           // steps with a panic of the policy whose events refer to it
-	attempts      []attempt     // by number
-	inFlight      int           // attempts
+	queuedSince   time.Duration // valid while queued
+	slots         float64       // occupied by an attempt
+	transfers     int           // number of transfers between planners so far
+	failureCount  int           // panicking policy steps with events of this request
+	attempts      []attempt     // by attempt number
+	inFlight      int           // number of attempts in flight
 }
 
-// resumedJob returns the event that passes the request and its attempts to a policy.
+// resumedJob returns the event that delivers the request and its attempts to a policy.
 func (r *request) resumedJob(now time.Duration) dispatch.JobResumed {
 	resumed := dispatch.JobResumed{
 		Job:          r.job,
@@ -86,5 +86,5 @@
 	return resumed
 }
 
-// clampSpan returns a reported duration within its bounds.
-func clampSpan(d time.Duration) time.Duration { return min(max(d, 0), maxReportedSpan) }
+// clampDuration limits a reported duration to the range from 0 to maxReportedSpan.
+func clampDuration(d time.Duration) time.Duration { return min(max(d, 0), maxReportedDuration) }
--- a/internal/control/planner/requestlifecycle.go
+++ b/internal/control/planner/requestlifecycle.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	reportGrace     = 5 * time.Second // how long beyond its deadline the planner waits for the ends of a closed request's attempts
-	minExpiryGrace  = time.Second     // minimum time after which unreported attempts are assumed to have ended
-	tableSizeFactor = 4               // maximum of requests in the table, as a multiple of Config.MaxOpenRequests
+	reportGrace     = 5 * time.Second // wait for reports on a closed request's attempts, after its deadline
+	minExpiryGrace  = time.Second     // minimum wait until unreported attempts are assumed to have ended
+	tableSizeFactor = 4               // limit of requests in the table as a multiple of Config.MaxOpenRequests
 )
 
-// overdueEstimator is the policy: it is notified of events, and may have an estimate of when an attempt is overdue.
+// overdueEstimator passes events to the policy, and returns its estimate of when an attempt is overdue if it has one.
 type overdueEstimator interface {
 	notifier
 	timeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool)
 }
 
-// referenceCounter counts the attempts at a worker that requests in the table have.
+// referenceCounter counts the attempts at each worker that belong to requests in the table.
 type referenceCounter interface {
 	addReferences(w *worker, count int)
 }
 
-// requestLifecycle adds attempts to requests, and ends attempts and requests: for the policy, in the table, and by expiry.
+// requestLifecycle adds attempts to requests, closes and removes requests, and expires attempts without a report.
 type requestLifecycle struct {
-	maxRequests int // in the table, closing ones included
+	maxRequests int // in the table, including closing ones
 	stats       *Stats
 	step        *step
 	policy      overdueEstimator
@@ -51,8 +51,8 @@
 	}
 }
 
-// closeAllOf closes a forwarder's open requests. Which planner has them next is unknown; their attempts in flight
-// may go on.
+// closeAllOf closes a forwarder's open requests when its session ends. Their attempts may still be in flight, but may no
+// longer be reported to this planner.
 func (r *requestLifecycle) closeAllOf(f *forwarder) {
 	for req := range f.offered.all() {
 		if req.state.isOpen() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// remove removes a request, with the references of its attempts to workers.
+// remove removes a request and releases its attempts' references to workers.
 func (r *requestLifecycle) remove(req *request) {
 	r.requests.transition(req, requestRemoved, r.step.now())
 	for i := range req.attempts {
@@ -79,7 +79,7 @@
 	r.requests.remove(req)
 }
 
-// abandon ends a request and its attempts for the policy, and removes it.
+// abandon removes a request, after it notifies the policy that the request and its attempts have ended.
 func (r *requestLifecycle) abandon(req *request) {
 	if req.state.isOpen() {
 		r.policy.notify(dispatch.ClientDisconnected{Job: req.id})
@@ -88,7 +88,7 @@
 	r.remove(req)
 }
 
-// cancelAttempts ends all attempts in flight for the policy, with a result that implies nothing about the worker.
+// cancelAttempts ends all attempts in flight with the result Cancelled, from which the policy infers nothing about the worker.
 func (r *requestLifecycle) cancelAttempts(req *request) {
 	for i := range req.attempts {
 		attempt := &req.attempts[i]
@@ -102,8 +102,8 @@
 	}
 }
 
-// expireUnreported sets the expiry of a closing request whose attempts may not be reported any more. They have ended by the
-// deadline, or earlier if they are overdue by the policy's estimate.
+// expireUnreported brings forward the expiry of a closing request whose attempts may no longer be reported. They are assumed
+// to have ended by the deadline, or earlier if the policy estimates that they are overdue earlier.
 func (r *requestLifecycle) expireUnreported(req *request) {
 	remaining := max(req.deadline-r.step.now(), 0)
 	if overdue := r.timeUntilOverdue(req); overdue > 0 {
@@ -112,7 +112,7 @@
 	r.requests.expireBy(req, r.step.now()+max(remaining, minExpiryGrace))
 }
 
-// timeUntilOverdue returns after which time all attempts in flight of a request are overdue by the policy's estimate; 0: it
+// timeUntilOverdue returns the policy's estimate of the time until all attempts in flight of a request are overdue, or 0 if it
 // has none.
 func (r *requestLifecycle) timeUntilOverdue(req *request) (longest time.Duration) {
 	for i := range req.attempts {
@@ -124,8 +124,8 @@
 	return longest
 }
 
-// expireAttempts ends the attempts of closing requests that have expired, and removes the requests. If the table has more
-// than maxRequests, the next ones to expire are removed at once.
+// expireAttempts removes closing requests that have expired, and ends their attempts. While the table has more than
+// maxRequests, it also removes those that would expire next.
 func (r *requestLifecycle) expireAttempts() {
 	expiries := &r.requests.expiries
 	for expiries.Len() > 0 && (expiries.First().At <= r.step.now() || len(r.requests.byID) > r.maxRequests) {
@@ -136,7 +136,8 @@
 	}
 }
 
-// endAttempts ends a request's attempts in flight without notifying the policy, which is a new one without the request.
+// endAttempts ends a request's attempts in flight without notifying the policy. It is for a new policy, which doesn't have
+// the request.
 func (r *requestLifecycle) endAttempts(req *request) {
 	for i := range req.attempts {
 		if attempt := &req.attempts[i]; attempt.inFlight() {
--- a/internal/control/planner/requestlist.go
+++ b/internal/control/planner/requestlist.go
@@ -2,19 +2,19 @@
 
 import "iter"
 
-// listID identifies a list that a request may be in.
+// listID identifies one of the lists that a request can be in at the same time.
 type listID int
 
 const (
-	offeredList listID = iota // of a forwarder
-	queuedList
+	offeredList listID = iota // forwarder.offered
+	queuedList                // requestTable.queued
 	listCount
 )
 
-// listLinks is a request's place in a list.
+// listLinks holds a request's neighbors in a list.
 type listLinks struct{ next, previous *request }
 
-// requestList is a list of requests, the oldest first. The zero value is an empty offeredList.
+// requestList is an intrusive doubly linked list of requests in order of insertion. The zero value is an empty offeredList.
 type requestList struct {
 	id          listID
 	first, last *request
@@ -50,7 +50,7 @@
 	r.length--
 }
 
-// all iterates over the list. The loop may remove its present request.
+// all iterates over the list. The loop body may remove the current request.
 func (r *requestList) all() iter.Seq[*request] {
 	return func(yield func(*request) bool) {
 		for req := r.first; req != nil; {
--- a/internal/control/planner/requesttable.go
+++ b/internal/control/planner/requesttable.go
@@ -10,19 +10,19 @@
 	"valvecove/internal/deadline"
 )
 
-// requestTable has the requests that are open or closing.
+// requestTable holds the open and the closing requests.
 type requestTable struct {
 	byID       map[uint64]*request
 	lastID     uint64
 	openCount  int
-	slotsInUse float64     // of attempts in flight
-	queued     requestList // the one that has been queued longest is first
+	slotsInUse float64     // by attempts in flight
+	queued     requestList // longest queued first
 	expiries   deadline.Queue[*request]
-	free       []*request // for reuse
+	free       []*request // removed requests for reuse
 	maxFree    int
 }
 
-// endAttempt ends an attempt that is in flight.
+// endAttempt ends an attempt in flight.
 func (r *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
 	a.advanceTo(attemptEnded)
 	a.result = result
@@ -30,12 +30,12 @@
 	r.slotsInUse -= req.slots
 }
 
-// byAge returns all requests, the oldest first.
+// byAge returns all requests, oldest first.
 func (r *requestTable) byAge() []*request {
 	return slices.SortedFunc(maps.Values(r.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
 
-// allocate returns a new request with a number. The array of its attempts may be that of an earlier request.
+// allocate returns a new request with an ID. It reuses the memory of removed requests.
 func (r *requestTable) allocate() *request {
 	req := &request{}
 	if last := len(r.free) - 1; last >= 0 {
@@ -56,14 +56,14 @@
 	req.attempts = append(req.attempts, added)
 }
 
-// remove removes a request that is in state requestRemoved.
+// remove removes a request, which must be in the state requestRemoved.
 func (r *requestTable) remove(req *request) {
 	for range req.inFlight {
 		r.slotsInUse -= req.slots
 	}
 	delete(r.byID, req.id)
 	if len(r.byID) == 0 {
-		r.slotsInUse = 0 // without the rounding errors of its sums
+		r.slotsInUse = 0 // discards accumulated rounding errors
 	}
 	r.release(req)
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// open returns the request of a number if it is open, otherwise nil.
+// open returns the request with an ID if it is open, otherwise nil.
 func (r *requestTable) open(id uint64) *request {
 	if req := r.byID[id]; req != nil && req.state.isOpen() {
 		return req
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// transition moves a request to a state. It updates the counts of open requests, the queue, and the expiries of closing
-// requests, whose At is to be set before.
+// transition moves a request to a state, and updates the counts of open requests, the queue, and the expiries of closing
+// requests. The caller must set At before a transition to requestClosing.
 func (r *requestTable) transition(req *request, state requestState, now time.Duration) {
 	from := req.state
 	if from == state {
@@ -109,7 +109,7 @@
 	}
 }
 
-// countOpen counts a request that has become open, or is open no more.
+// countOpen updates the counts after a request became open or ceased to be open.
 func (r *requestTable) countOpen(req *request, opened bool) {
 	change := -1
 	if opened {
@@ -119,8 +119,8 @@
 	req.forwarder.openCount += change
 }
 
-// settle moves an open request to the state that corresponds to its attempts.
-func (r *requestTable) settle(req *request, now time.Duration) {
+// updateOpenState moves an open request to requestInFlight or requestQueued, depending on its attempts.
+func (r *requestTable) updateOpenState(req *request, now time.Duration) {
 	switch {
 	case !req.state.isOpen():
 	case req.inFlight > 0:
@@ -130,7 +130,7 @@
 	}
 }
 
-// expireBy sets the expiry of a closing request to a time, unless it expires earlier.
+// expireBy brings the expiry of a closing request forward to a time, unless it expires earlier.
 func (r *requestTable) expireBy(req *request, at time.Duration) {
 	if req.At <= at {
 		return
--- a/internal/control/planner/script_line_test.go
+++ b/internal/control/planner/script_line_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/control/message"
 )
 
-// scriptLine is a line of a transcript that says what happens: words, some of them arguments with a name, "after=20ms" say.
+// scriptLine is an input line of a transcript: words, some of which are named arguments such as "after=20ms".
 type scriptLine struct {
 	t     *testing.T
 	words []string
@@ -38,7 +38,7 @@
 	return number
 }
 
-func (l *scriptLine) parseSpan(text string) time.Duration {
+func (l *scriptLine) parseDuration(text string) time.Duration {
 	l.t.Helper()
 	span, err := time.ParseDuration(text)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return span
 }
 
-// number returns a numeric argument; 0: it is not given.
+// number returns a numeric argument, or 0 if it is not given.
 func (l *scriptLine) number(name string) int {
 	l.t.Helper()
 	if l.args[name] == "" {
@@ -56,16 +56,16 @@
 	return l.parseNumber(l.args[name])
 }
 
-// span returns an argument that is a duration; 0: it is not given.
-func (l *scriptLine) span(name string) time.Duration {
+// duration returns an argument that is a duration, or 0 if it is not given.
+func (l *scriptLine) duration(name string) time.Duration {
 	l.t.Helper()
 	if l.args[name] == "" {
 		return 0
 	}
-	return l.parseSpan(l.args[name])
+	return l.parseDuration(l.args[name])
 }
 
-// event returns the event that the line names, or nil.
+// event returns the event that the line describes, or nil.
 func (l *scriptLine) event(now time.Duration) Event {
 	l.t.Helper()
 	switch l.words[0] {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// endpoints reads "endpoints delta revision=3 2:up 3:draining 4:up:500": worker 4 is in cell 4%3, and started 500 ms ago.
+// endpoints parses a line such as "endpoints delta revision=3 2:up 3:draining 4:up:500". Worker 4 is in cell 4%3 and started
+// 500 ms ago.
 func (l *scriptLine) endpoints(now time.Duration) dispatch.WorkerList {
 	l.t.Helper()
 	list := dispatch.WorkerList{
@@ -109,7 +110,7 @@
 	return list
 }
 
-// action returns the action of the policy that the line names, or nil.
+// action returns the action of the policy that the line describes, or nil.
 func (l *scriptLine) action() dispatch.Action {
 	l.t.Helper()
 	job, worker := uint64(l.number("job")), uint64(l.number("worker"))
@@ -117,7 +118,7 @@
 	case "send":
 		return dispatch.Send{Job: job, Worker: worker}
 	case "reject":
-		return dispatch.Reject{Job: job, RetryAfter: l.span("after")}
+		return dispatch.Reject{Job: job, RetryAfter: l.duration("after")}
 	case "fail":
 		return dispatch.Fail{Job: job}
 	case "cancel":
@@ -127,14 +128,14 @@
 	case "close-idle":
 		return dispatch.CloseIdleConnections{Worker: worker}
 	case "timer":
-		return dispatch.SetTimer{After: l.span("after")}
+		return dispatch.SetTimer{After: l.duration("after")}
 	case "subscribe":
 		return dispatch.Subscribe{}
 	}
 	return nil
 }
 
-// peerMessage returns the message of a peer that the line has.
+// peerMessage returns the message from a peer that the line describes.
 func (l *scriptLine) peerMessage(name, kind string) message.Message {
 	l.t.Helper()
 	switch kind {
@@ -147,11 +148,11 @@
 			OpenRequests: l.number("open"), QueuedRequests: l.number("queued"), FreeSlots: float64(l.number("free")),
 		}
 	}
-	l.t.Fatalf("a peer does not send %q", kind)
+	l.t.Fatalf("unknown message kind %q from a peer", kind)
 	return nil
 }
 
-// forwarderMessage returns the message of a forwarder that the line has.
+// forwarderMessage returns the message from a forwarder that the line describes.
 func (l *scriptLine) forwarderMessage(kind string) message.Message {
 	l.t.Helper()
 	request, attempt := uint64(l.number("request")), l.number("attempt")
@@ -175,7 +176,7 @@
 	case "worker-status":
 		return l.status()
 	}
-	l.t.Fatalf("a forwarder does not send %q", kind)
+	l.t.Fatalf("unknown message kind %q from a forwarder", kind)
 	return nil
 }
 
@@ -214,10 +215,10 @@
 	return message.ReasonNone
 }
 
-// summary reads "class=1 waited=20ms w1:sent=20ms,connection-reset": one attempt, at worker 1.
+// summary parses arguments such as "class=1 waited=20ms w1:sent=20ms,connection-reset", with one attempt at worker 1.
 func (l *scriptLine) summary() message.RequestSummary {
 	l.t.Helper()
-	waited := l.span("waited")
+	waited := l.duration("waited")
 	summary := message.RequestSummary{
 		Class: l.number("class"), Tenant: l.number("tenant"), Remaining: 3*time.Second - waited, Waited: waited,
 		Hint: 100 * ms, Slots: 1, Transfers: l.number("transfers"),
@@ -236,10 +237,10 @@
 	for _, word := range words {
 		switch name, value, _ := strings.Cut(word, "="); name {
 		case "sent":
-			past.SentAgo = l.parseSpan(value)
+			past.SentAgo = l.parseDuration(value)
 		case "started":
-			past.StartedAgo = l.parseSpan(value)
-		case "possibly-executed", "not-executed": // by the forwarder's records, whatever the result
+			past.StartedAgo = l.parseDuration(value)
+		case "possibly-executed", "not-executed": // according to the forwarder's records, independent of the result
 			past.PossiblyExecuted = word == "possibly-executed"
 		default:
 			past.Ended = true
--- a/internal/control/planner/scripted_policy_test.go
+++ b/internal/control/planner/scripted_policy_test.go
@@ -7,11 +7,11 @@
 	"valvecove/dispatch"
 )
 
-// scriptedPolicy does what a transcript says, and records its events.
+// scriptedPolicy returns the actions given by a transcript, and records its events.
 type scriptedPolicy struct {
 	next   []dispatch.Action
 	lines  *[]string
-	panics *int // how many steps are still to panic, of this policy or the next one
+	panics *int // number of steps that will panic, also of replacement policies
 }
 
 func (s *scriptedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
@@ -27,13 +27,13 @@
 	return dst
 }
 
-// TimeUntilOverdue gives each attempt half a second.
+// TimeUntilOverdue returns 500 ms for every attempt.
 func (s *scriptedPolicy) TimeUntilOverdue(uint64, int) (time.Duration, bool) { return 500 * ms, true }
 
-// ModelSnapshot returns a snapshot that no dispatcher would return.
+// ModelSnapshot returns a fixed text as the snapshot.
 func (s *scriptedPolicy) ModelSnapshot(int, []byte) []byte { return []byte("snapshot") }
 
-// eventText returns an event as transcripts have it. It panics at a poison request.
+// eventText formats an event for transcripts. It panics if the event is a poison request.
 func eventText(event dispatch.Event) string {
 	switch e := event.(type) {
 	case dispatch.WorkerList:
--- a/internal/control/planner/session.go
+++ b/internal/control/planner/session.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// session is a connection of a forwarder.
+// session is a forwarder's connection and the state of its handshake.
 type session struct {
 	id        SessionID
 	state     sessionState
 	openedAt  time.Duration
-	forwarder *forwarder // set while accepting or established, otherwise nil
+	forwarder *forwarder // nil unless accepting or established
 }
 
-// transition moves a session to a state. f is its forwarder, nil in states without one.
+// transition moves a session to a state. f is the forwarder in the states sessionAccepting and sessionEstablished, else nil.
 func (s *session) transition(to sessionState, f *forwarder) {
 	if s.forwarder != nil {
 		s.forwarder.session = nil
@@ -40,8 +40,8 @@
 }
 
 const (
-	sessionAwaitingHandshake sessionState = iota // its forwarder is unknown
-	sessionAccepting                             // its handshake is valid; the reply with its credit follows
+	sessionAwaitingHandshake sessionState = iota // the forwarder is not known yet
+	sessionAccepting                             // the handshake is valid; the reply is not sent yet
 	sessionEstablished
 	sessionClosed
 )
--- a/internal/control/planner/sessionlifecycle.go
+++ b/internal/control/planner/sessionlifecycle.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// handshakeTimeout is the maximum time from the start of a session to its handshake.
+// handshakeTimeout is the maximum time from the opening of a connection to a valid handshake.
 const handshakeTimeout = 5 * time.Second
 
-// forwarderRetention is how long a forwarder without a session is kept, for its epochs and its attempts in flight.
+// forwarderRetention is how long a disconnected forwarder is kept, with its epoch and its attempts in flight.
 const forwarderRetention = 10 * time.Second
 
-const maxNameLength = 255 // bytes, of a forwarder or planner
+const maxNameLength = 255 // bytes of a forwarder's or planner's name
 
-// What sessionLifecycle needs of the planner's other parts, besides requestCloser and healthCheckCanceller.
+// Dependencies of sessionLifecycle on other parts of the planner, besides requestCloser and healthCheckCanceller.
 type (
-	creditAssigner    interface{ assign(all bool) }
+	creditAssigner    interface{ assign(includeSmall bool) }
 	snapshotScheduler interface{ schedule(f *forwarder) }
 	statusSender      interface{ sendUnavailable(f *forwarder) }
 )
 
-// backoffReporter reports whether the policy is not run for now.
+// backoffReporter reports whether the policy is suspended after repeated panics.
 type backoffReporter interface{ isBackingOff(now time.Duration) bool }
 
 // sessionLifecycle opens and ends the sessions of the forwarders.
@@ -35,7 +35,7 @@
 	statuses     statusSender
 }
 
-// open adds a session, or closes it if there are too many or the planner doesn't run its policy.
+// open adds a session, or rejects its connection if there are too many sessions or the planner doesn't run its policy.
 func (s *sessionLifecycle) open(id SessionID) {
 	isFull := len(s.forwarders.sessions) >= s.config.MaxSessions
 	if isFull || !s.phase.decides() || s.policy.isBackingOff(s.step.now()) {
@@ -72,7 +72,7 @@
 	session.transition(sessionClosed, nil)
 }
 
-// disconnect ends a forwarder's session. The connection may remain, for another session.
+// disconnect ends a forwarder's session. Its connection may stay open for a new session.
 func (s *sessionLifecycle) disconnect(f *forwarder) {
 	s.requests.closeAllOf(f)
 	f.session.transition(sessionAwaitingHandshake, nil)
@@ -93,9 +93,9 @@
 	}
 }
 
-// forgetDisconnected removes the forwarders without a session for forwarderRetention, and the earliest ones beyond the
-// maximum.
-func (s *sessionLifecycle) forgetDisconnected() {
+// removeDisconnected removes the forwarders that have been disconnected for forwarderRetention. If more than
+// Config.MaxSessions are disconnected, it also removes those that disconnected first.
+func (s *sessionLifecycle) removeDisconnected() {
 	table := s.forwarders
 	for len(table.disconnected) > 0 {
 		f := table.disconnected[0]
@@ -112,7 +112,7 @@
 	}
 }
 
-// logForwarder writes a line about a forwarder, its open requests and its attempts in flight.
+// logForwarder logs a message about a forwarder, with its open requests and attempts in flight.
 func (s *sessionLifecycle) logForwarder(text string, f *forwarder) {
 	s.step.log(text, "forwarder", f.name, "epoch", f.epoch, "open_requests", f.openCount, "attempts_in_flight", f.inFlight())
 }
--- a/internal/control/planner/snapshot.go
+++ b/internal/control/planner/snapshot.go
@@ -6,10 +6,10 @@
 	"valvecove/internal/control/message"
 )
 
-// snapshotOffsets is the count of different offsets within the interval at which forwarders get their snapshots.
+// snapshotOffsets is the number of offsets within the interval over which the forwarders' snapshots are spread.
 const snapshotOffsets = 16
 
-// modelSource is the policy, which may have a learned model.
+// modelSource returns snapshots of the policy's learned model, if it has one.
 type modelSource interface {
 	hasModel() bool
 	modelSnapshot(maxBytes int) []byte
@@ -22,19 +22,19 @@
 	forwarders *forwarderTable
 	policy     modelSource
 
-	data    []byte // nil: none was made
-	takenAt time.Duration
-	offsets int // count that was assigned
+	data            []byte // the newest snapshot; nil if there is none
+	takenAt         time.Duration
+	assignedOffsets int // number of offsets assigned so far
 }
 
-// schedule sets when a forwarder that has connected gets its first snapshot.
+// schedule sets when a newly connected forwarder gets its first snapshot.
 func (s *snapshotSender) schedule(f *forwarder) {
-	offset := s.config.SnapshotInterval * time.Duration(s.offsets%snapshotOffsets) / snapshotOffsets
-	s.offsets++
+	offset := s.config.SnapshotInterval * time.Duration(s.assignedOffsets%snapshotOffsets) / snapshotOffsets
+	s.assignedOffsets++
 	f.snapshotDue = s.step.now() + offset
 }
 
-// send sends the policy's model snapshot to the forwarders for which it is due. Several may get the same one.
+// send sends a model snapshot to each forwarder that is due. Forwarders may share a snapshot up to half an interval old.
 func (s *snapshotSender) send() {
 	if !s.policy.hasModel() {
 		return
--- a/internal/control/planner/state_test.go
+++ b/internal/control/planner/state_test.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 )
 
-// A request's state decides whether it is counted as open, is in the queue, and expires.
+// The state of a request determines whether it counts as open, is in the queue, and has an expiry.
 func TestRequestTransitions(t *testing.T) {
 	table := newRequestTable(1)
 	f := &forwarder{}
@@ -16,8 +16,8 @@
 	req.forwarder = f
 	req.At = time.Hour
 	for _, want := range []struct {
-		state                   requestState
-		open, queued, expirings int
+		state                  requestState
+		open, queued, expiring int
 	}{
 		{requestOffered, 1, 0, 0},
 		{requestQueued, 1, 1, 0},
@@ -30,18 +30,18 @@
 	} {
 		table.transition(req, want.state, time.Minute)
 		if req.state != want.state || table.openCount != want.open || f.openCount != want.open ||
-			table.queued.length != want.queued || table.expiries.Len() != want.expirings {
-			t.Errorf("%v: %d open, %d of the forwarder, %d queued, %d expire; want %+v", req.state, table.openCount, f.openCount,
+			table.queued.length != want.queued || table.expiries.Len() != want.expiring {
+			t.Errorf("%v: %d open, %d open of the forwarder, %d queued, %d expiring; want %+v", req.state, table.openCount, f.openCount,
 				table.queued.length, table.expiries.Len(), want)
 		}
 	}
 	if req.queuedSince != time.Minute {
-		t.Errorf("queued since %v", req.queuedSince)
+		t.Errorf("queued since %v, want 1m0s", req.queuedSince)
 	}
 }
 
-// An attempt never goes back to an earlier state, and its first start is the one that counts.
-func TestAttemptsOnlyAdvance(t *testing.T) {
+// An attempt never returns to an earlier state, and repeated starts don't change its start time.
+func TestAttemptStateNeverGoesBack(t *testing.T) {
 	a := attempt{}
 	a.confirmStart(time.Second)
 	a.confirmStart(2 * time.Second)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A session and its forwarder refer to each other in the states in which it has one, and in no other.
+// A session and its forwarder refer to each other only in the states sessionAccepting and sessionEstablished.
 func TestSessionTransitions(t *testing.T) {
 	f := &forwarder{}
 	s := &session{}
@@ -75,13 +75,13 @@
 	}
 }
 
-// A peer that disconnects has neither an epoch nor a load any more.
+// Disconnecting from a peer resets its epoch and its load report.
 func TestPeerTransitions(t *testing.T) {
 	p := &peer{}
 	p.transition(peerEstablished, 7)
 	p.loadAt = time.Second
 	if !p.hasRecentLoad(2*time.Second) || p.hasRecentLoad(3*time.Second) {
-		t.Error("a load report holds for a second")
+		t.Error("a load report is not valid for exactly one second")
 	}
 	p.transition(peerDisconnected, 0)
 	if p.state != peerDisconnected || p.remoteEpoch != 0 || p.hasRecentLoad(time.Second) {
@@ -89,33 +89,33 @@
 	}
 }
 
-// A planner's phases only advance, and it asks its policy nothing once it stops.
-func TestPhasesOnlyAdvance(t *testing.T) {
+// A planner never returns to an earlier phase, and passes no event to its policy once it is stopping.
+func TestPhaseNeverGoesBack(t *testing.T) {
 	p := newTestPlanner(Config{})
 	p.Step(time.Hour, nil, nil)
 	for _, to := range []phase{phaseRunning, phaseStopping, phaseRunning, phaseStopped, phaseStopping} {
 		before := p.lifecycle.phase
 		p.lifecycle.enter(to)
 		if p.lifecycle.phase != max(before, to) {
-			t.Errorf("%v after %v and %v", p.lifecycle.phase, before, to)
+			t.Errorf("phase %v after phase %v and a transition to %v", p.lifecycle.phase, before, to)
 		}
 		p.policy.notify(dispatch.TimerFired{})
 		if (len(p.policy.pending) > 0) != (p.lifecycle.phase == phaseRunning) {
-			t.Errorf("%d events for the policy while %v", len(p.policy.pending), p.lifecycle.phase)
+			t.Errorf("%d events pending for the policy while %v", len(p.policy.pending), p.lifecycle.phase)
 		}
 		p.policy.discardPending()
 	}
 }
 
-// Every state has a name of its own.
-func TestNamesOfStates(t *testing.T) {
+// Every state has a unique name, and values beyond the last state are "unknown".
+func TestStateNamesAreUnique(t *testing.T) {
 	names := map[string]bool{}
 	check := func(kind string, state fmt.Stringer, isState bool) {
 		t.Helper()
 		name := kind + " " + state.String()
 		isUnknown := state.String() == "unknown"
 		if isUnknown == isState || isState && names[name] {
-			t.Errorf("%s: known %v", name, isState)
+			t.Errorf("%s: is a state: %v", name, isState)
 		}
 		names[name] = true
 	}
--- a/internal/control/planner/stats.go
+++ b/internal/control/planner/stats.go
@@ -6,44 +6,44 @@
 	"valvecove/internal/control/message"
 )
 
-// Stats has counts since the planner started.
+// Stats counts events since the planner started.
 type Stats struct {
-	Offers              int // that were received
-	Commands            int // to send an attempt
-	Served              int // requests with a response
-	Rejected            int // requests, by command
-	Failed              int // requests, by command
-	Transferred         int // requests, to another planner
-	Poison              int // requests that were returned because the policy panics at them
-	OffersRejected      int // beyond the forwarder's credit, or of an unknown class
-	Expired             int // attempts without a report that were assumed to have ended
-	StatusUpdates       int // of workers, that were forwarded
-	Panics              int // of the policy
-	ConnectionsRejected int // beyond Config.MaxSessions, while stopping, or after panics
-	StaleSessions       int // other than the newest one of their forwarder
-	StrayMessages       int // of sessions, requests or attempts that have ended
+	Offers              int // offers received
+	Commands            int // send commands
+	Served              int // requests served by a worker
+	Rejected            int // requests rejected by command
+	Failed              int // requests failed by command
+	Transferred         int // requests transferred to another planner
+	Poison              int // requests returned to their forwarder because they made the policy panic
+	OffersRejected      int // offers beyond the forwarder's credit or with an invalid summary
+	Expired             int // attempts assumed to have ended without a report
+	StatusUpdates       int // worker statuses forwarded
+	Panics              int // panics of the policy
+	ConnectionsRejected int // connections beyond Config.MaxSessions, while stopping, or after panics
+	StaleSessions       int // handshakes of sessions that are not their forwarder's newest
+	StrayMessages       int // messages for sessions, requests or attempts that have ended
 	InvalidMessages     int
-	ByReason            [message.ReasonCount]int // send commands that a forwarder's validator has rejected
+	ByReason            [message.ReasonCount]int // send commands rejected by forwarders' validators
 }
 
-// Status is a planner's present state.
+// Status describes a planner's current state.
 type Status struct {
-	Forwarders int // that are connected
+	Forwarders int // connected forwarders
 	Sessions   int
-	Open       int     // requests
-	Queued     int     // of these, without an attempt in flight
-	Closing    int     // requests that are closed, with attempts in flight
-	Credit     int     // of all forwarders
-	Slots      float64 // that attempts in flight occupy
-	Workers    int     // that are known
-	Owned      int     // on the endpoint list, and assigned to this planner
+	Open       int     // open requests
+	Queued     int     // open requests without an attempt in flight
+	Closing    int     // closed requests with attempts in flight
+	Credit     int     // sum over all forwarders
+	Slots      float64 // occupied by attempts in flight
+	Workers    int     // known workers
+	Owned      int     // listed workers assigned to this planner
 	TimerLag   time.Duration
 }
 
-// Stats returns the counts so far.
+// Stats returns the planner's counters.
 func (p *Planner) Stats() Stats { return p.stats }
 
-// Status returns the planner's present state.
+// Status returns the planner's current state.
 func (p *Planner) Status() Status {
 	status := Status{
 		Forwarders: len(p.forwarders.connected),
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -6,33 +6,33 @@
 	"valvecove/internal/control/message"
 )
 
-// step is the instant of the present step and its resulting actions, in order.
+// step holds the time of the current step and collects its actions in order.
 type step struct {
-	instant time.Duration
-	actions []Action
+	currentTime time.Duration
+	actions     []Action
 }
 
-// begin starts a step, whose actions are appended to dst. The clock never runs backwards: an earlier instant than that of
-// the last step is replaced by the latter.
+// begin starts a step, whose actions are appended to dst. The time never decreases: if now is earlier than the last step, the
+// time of the last step is kept.
 func (s *step) begin(now time.Duration, dst []Action) {
-	s.instant = max(now, s.instant)
+	s.currentTime = max(now, s.currentTime)
 	s.actions = dst
 }
 
-// finish returns the actions of the step, and keeps no reference to them.
+// finish returns the actions of the step and retains no reference to them.
 func (s *step) finish() []Action {
 	actions := s.actions
 	s.actions = nil
 	return actions
 }
 
-// now returns the instant of the present step.
-func (s *step) now() time.Duration { return s.instant }
+// now returns the time of the current step.
+func (s *step) now() time.Duration { return s.currentTime }
 
 // emit appends an action.
 func (s *step) emit(action Action) { s.actions = append(s.actions, action) }
 
-// log writes a line for the operators: a constant message, and attributes as alternating keys and values.
+// log emits a LogLine. The text must be constant; attributes alternates keys and values.
 func (s *step) log(text string, attributes ...any) {
 	s.emit(LogLine{Message: text, Attributes: attributes})
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// sendInSession sends a message in a session, whether or not its handshake was accepted.
+// sendInSession sends a message in a session, even if the session has no accepted handshake.
 func (s *step) sendInSession(id SessionID, epoch message.Epoch, body message.Message) {
 	s.emit(SendToForwarder{Session: id, Envelope: message.Envelope{Epoch: epoch, Message: body}})
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// sendToPeers sends a message to each of the peers to which there is a connection.
+// sendToPeers sends a message to each of the peers that is connected.
 func (s *step) sendToPeers(peers []*peer, body message.Message) {
 	for _, peer := range peers {
 		s.sendToPeer(peer, body)
--- a/internal/control/planner/summarylog.go
+++ b/internal/control/planner/summarylog.go
@@ -10,22 +10,22 @@
 
 const (
 	summaryInterval        = time.Second
-	maxRejectingForwarders = 8 // named in a line
+	maxRejectingForwarders = 8 // names per log line
 )
 
-// lineLogger writes lines of the operators' log at the instant of the present step.
+// lineLogger writes log lines and returns the time of the current step.
 type lineLogger interface {
 	now() time.Duration
 	log(text string, attributes ...any)
 }
 
-// summaryLog writes the log line that summarizes the faults since the last one.
+// summaryLog periodically logs the faults counted since its last log line.
 type summaryLog struct {
 	step  lineLogger
 	stats *Stats
 
 	nextAt              time.Duration
-	logged              Stats // at the last line
+	logged              Stats // as of the last log line
 	rejectingForwarders []string
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// write writes the counts that have increased since the last line, if any, once per summaryInterval.
+// write logs the fault counts that have increased since the last line, if any, at most once per summaryInterval.
 func (s *summaryLog) write() {
 	if s.step.now() < s.nextAt {
 		return
@@ -59,7 +59,7 @@
 	s.rejectingForwarders = s.rejectingForwarders[:0]
 }
 
-// increases returns the counts of faults that have increased, as attributes of a log line.
+// increases returns the increases of fault counts as attributes of a log line.
 func increases(stats, logged *Stats) (attributes []any) {
 	add := func(key string, count, before int) {
 		if count > before {
--- a/internal/control/planner/transcript_test.go
+++ b/internal/control/planner/transcript_test.go
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "write the results of transcripts to their files")
 
-// Transcripts: lines with "> " are what happens, in one step up to the next empty line; lines with "< " are the result.
+// In a transcript, lines with the prefix "> " are inputs, and an empty line ends the inputs of a step. Lines with the prefix
+// "< " are the expected results.
 func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < 10 {
@@ -44,12 +45,12 @@
 type transcript struct {
 	t       *testing.T
 	planner *Planner
-	policy  *scriptedPolicy // the newest
-	panics  int             // steps that are still to panic
+	policy  *scriptedPolicy // the current policy
+	panics  int             // number of steps of the policy that will panic
 	now     time.Duration
-	timerAt time.Duration // 0: none
-	events  []Event       // of the next step
-	lines   []string      // the result of the last steps
+	timerAt time.Duration // 0 if not set
+	events  []Event       // for the next step
+	lines   []string      // results since the last flush
 	epochs  map[SessionID]message.Epoch
 }
 
@@ -69,7 +70,7 @@
 	return s
 }
 
-// run returns the transcript with its results.
+// run runs the inputs of a transcript, and returns the transcript with the actual results.
 func (s *transcript) run(text string) string {
 	s.t.Helper()
 	var result strings.Builder
@@ -94,7 +95,7 @@
 		}
 		result.WriteString(line + "\n")
 		if line, ok := strings.CutPrefix(line, "> "); ok {
-			s.do(newScriptLine(s.t, line))
+			s.execute(newScriptLine(s.t, line))
 			pending = true
 		}
 	}
@@ -123,7 +124,7 @@
 	}
 }
 
-// wait lets time pass, with a step whenever the timer fires.
+// wait advances the time, and runs a step whenever the timer fires.
 func (s *transcript) wait(span time.Duration) {
 	s.t.Helper()
 	end := s.now + span
@@ -135,11 +136,11 @@
 		s.now = s.timerAt
 		s.step()
 	}
-	s.t.Fatalf("it steps on and on within %v", span)
+	s.t.Fatalf("more than 10000 steps within %v", span)
 }
 
-// do does what a line says.
-func (s *transcript) do(line *scriptLine) {
+// execute executes an input line.
+func (s *transcript) execute(line *scriptLine) {
 	s.t.Helper()
 	if sender, isMessage := strings.CutSuffix(line.words[0], ":"); isMessage {
 		s.receive(sender, line)
@@ -155,17 +156,17 @@
 	}
 	switch line.words[0] {
 	case "wait":
-		s.wait(line.parseSpan(line.words[1]))
+		s.wait(line.parseDuration(line.words[1]))
 	case "freeze":
-		s.now += line.parseSpan(line.words[1])
+		s.now += line.parseDuration(line.words[1])
 	case "panics":
 		s.panics = line.number("n")
 	default:
-		s.t.Fatalf("%q is nothing that happens", line.words[0])
+		s.t.Fatalf("unknown input %q", line.words[0])
 	}
 }
 
-// receive delivers a message of a forwarder, by the number of its session, or of a peer.
+// receive delivers a message. The sender is a session ID for a forwarder, or the name of a peer.
 func (s *transcript) receive(sender string, line *scriptLine) {
 	s.t.Helper()
 	kind := line.words[1]
@@ -177,7 +178,7 @@
 	}
 	if kind == "request-offers" {
 		for id := line.number("from"); id <= line.number("to"); id++ {
-			s.do(newScriptLine(s.t, fmt.Sprintf("%s: request-offer request=%d", sender, id)))
+			s.execute(newScriptLine(s.t, fmt.Sprintf("%s: request-offer request=%d", sender, id)))
 		}
 		return
 	}
@@ -191,7 +192,7 @@
 	s.events = append(s.events, ForwarderMessage{Session: session, Envelope: envelope})
 }
 
-// actionText returns an action as transcripts have it.
+// actionText formats an action for transcripts.
 func actionText(action Action) string {
 	switch a := action.(type) {
 	case SendToForwarder:
@@ -210,7 +211,7 @@
 	return fmt.Sprintf("%T %+v", action, action)
 }
 
-// logText returns a line of the log without what differs from build to build.
+// logText formats a log line without the location, which differs between builds.
 func logText(line LogLine) string {
 	text := line.Message
 	for i := 0; i+1 < len(line.Attributes); i += 2 {
@@ -221,7 +222,7 @@
 	return text
 }
 
-// messageText returns a message without what is zero.
+// messageText formats a message; some fields are omitted if they are zero.
 func messageText(envelope message.Envelope) string {
 	line := textBuilder{envelope.Message.Kind().String()}
 	switch m := envelope.Message.(type) {
--- a/internal/control/planner/workerstatus.go
+++ b/internal/control/planner/workerstatus.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/control/message"
 )
 
-// maxClockSkew is by how much a worker's start may be ahead of this planner's clock.
+// maxClockSkew is the maximum by which a worker's start time may be ahead of this planner's clock.
 const maxClockSkew = time.Minute
 
 // statusSource is the source of a worker's status. The zero value is the endpoint list.
@@ -15,7 +15,7 @@
 	peer      *peer
 }
 
-// statusHandler keeps the newest status of each worker and forwards it.
+// statusHandler keeps the newest status of each worker, and forwards changes to forwarders and peers.
 type statusHandler struct {
 	stats      *Stats
 	step       *step
@@ -25,31 +25,32 @@
 	workers    *workerTable
 }
 
-// receive processes a worker's status that a forwarder or a peer has reported.
+// receive processes a worker status reported by a forwarder or a peer.
 func (s *statusHandler) receive(status message.WorkerStatus, source statusSource) {
 	if !s.isPlausible(&status) {
 		s.stats.InvalidMessages++
 		return
 	}
 	if s.workers.byID[status.WorkerID] == nil && status.State == message.WorkerUp {
-		return // its entry on the endpoint list follows
+		return // the endpoint list will add the worker
 	}
-	worker := s.workers.ensure(status.WorkerID)
+	worker := s.workers.findOrAdd(status.WorkerID)
 	s.update(worker, status, source)
 	if worker.listed {
 		s.policySync.sync(worker)
 	}
-	s.workers.removeWorker(worker)
+	s.workers.removeIfUnused(worker)
 }
 
-// isPlausible reports whether a status has a valid state, and a start that is not ahead of this planner's clock.
+// isPlausible reports whether a status has a valid state, and a start time no later than now plus maxClockSkew.
 func (s *statusHandler) isPlausible(status *message.WorkerStatus) bool {
 	latestStart := (s.step.now() + maxClockSkew) / time.Millisecond
 	return status.State <= message.WorkerGone && status.StartedMs >= 0 && time.Duration(status.StartedMs) <= latestStart
 }
 
-// update keeps a status that is newer than the present one. It is forwarded if the worker drains, is gone, is available
-// again, or has restarted. A status from a peer is sent to forwarders only: that peer sends it to the others.
+// update stores a status that supersedes the current one. It forwards the status if the worker's state has changed or the
+// worker has restarted. A status from a peer is forwarded only to forwarders, because the peer sends it to the other planners
+// itself.
 func (s *statusHandler) update(w *worker, status message.WorkerStatus, source statusSource) {
 	previous := w.status
 	isKnown := w.hasStatus
@@ -78,7 +79,7 @@
 	}
 }
 
-// sendUnavailable sends the statuses of the unavailable workers to a forwarder that has connected.
+// sendUnavailable sends the statuses of all unavailable workers to a newly connected forwarder.
 func (s *statusHandler) sendUnavailable(f *forwarder) {
 	for _, worker := range s.workers.list {
 		if worker.isUnavailable() {
--- a/internal/control/planner/workertable.go
+++ b/internal/control/planner/workertable.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	tombstoneRetention = time.Minute // of the status of a worker that is not on the endpoint list
+	tombstoneRetention = time.Minute // how long the status of an unlisted worker is kept
 	maxTombstones      = 4096
 )
 
-// workerTable has all workers. The policy has those that are assigned to this planner. While requests in the table have
-// attempts at other ones, it has these too, as not ready.
+// workerTable holds all known workers. The policy has those that are assigned to this planner. It also has other workers,
+// marked as not ready, while requests in the table have attempts at them.
 type workerTable struct {
 	byID         map[uint64]*worker
-	list         []*worker // so that no decision depends on the order of a map
-	revision     int64     // of the endpoint list
-	listSequence uint64    // counts full lists
-	synced       bool      // a list was received
+	list         []*worker // iterated instead of byID, so that no decision depends on the order of a map
+	revision     int64     // of the newest endpoint list
+	listSequence uint64    // number of full lists received
+	synced       bool      // whether an endpoint list was received
 	partition    partition
-	tombstones   []tombstone // by time
+	tombstones   []tombstone // oldest first
 }
 
-// ensure returns the worker of a number, and adds it if it is not known.
-func (w *workerTable) ensure(id uint64) *worker {
+// findOrAdd returns the worker with an ID, and adds it if it is unknown.
+func (w *workerTable) findOrAdd(id uint64) *worker {
 	if known := w.byID[id]; known != nil {
 		return known
 	}
 	added := &worker{index: len(w.list)}
 	added.ID = id
 	added.Kind = -1
-	added.Cell = math.MinInt // no other worker is in it
-	added.Zone = math.MinInt // no other worker is in it
+	added.Cell = math.MinInt // unknown, matches no listed worker
+	added.Zone = math.MinInt // unknown, matches no listed worker
 	w.byID[id] = added
 	w.list = append(w.list, added)
 	return added
 }
 
-// removeWorker removes a worker that is neither listed nor has a status or an attempt. Any other one is kept.
-func (w *workerTable) removeWorker(known *worker) {
+// removeIfUnused removes a worker, unless it is listed or has a status or attempts.
+func (w *workerTable) removeIfUnused(known *worker) {
 	if known.listed || known.references > 0 || known.hasStatus || w.byID[known.ID] != known {
 		return
 	}
@@ -53,7 +53,7 @@
 	w.list = w.list[:end]
 }
 
-// addTombstone schedules the removal of the status of a worker that is not listed.
+// addTombstone schedules the removal of the status of an unlisted worker. Beyond maxTombstones the oldest expires at once.
 func (w *workerTable) addTombstone(known *worker, now time.Duration) {
 	w.tombstones = append(w.tombstones, tombstone{now, known})
 	if len(w.tombstones) > maxTombstones {
@@ -61,7 +61,7 @@
 	}
 }
 
-// expireTombstone removes the status of the worker with the oldest tombstone, unless it is listed again.
+// expireTombstone removes the oldest tombstone and the status of its worker, unless the worker is listed again.
 func (w *workerTable) expireTombstone() {
 	known := w.tombstones[0].worker
 	w.tombstones[0] = tombstone{}
@@ -71,18 +71,18 @@
 	}
 	known.hasStatus = false
 	known.status = message.WorkerStatus{}
-	w.removeWorker(known)
+	w.removeIfUnused(known)
 }
 
-// expireTombstones removes the statuses of workers that have not been listed for tombstoneRetention.
+// expireTombstones removes the tombstones older than tombstoneRetention, with the statuses of their workers.
 func (w *workerTable) expireTombstones(now time.Duration) {
-	for len(w.tombstones) > 0 && now-w.tombstones[0].at >= tombstoneRetention {
+	for len(w.tombstones) > 0 && now-w.tombstones[0].createdAt >= tombstoneRetention {
 		w.expireTombstone()
 	}
 }
 
-// tombstone is a worker that was not on the endpoint list at a time. Its status is removed tombstoneRetention later.
+// tombstone records when a worker was found to be unlisted. The worker's status is removed tombstoneRetention later.
 type tombstone struct {
-	at     time.Duration
-	worker *worker
+	createdAt time.Duration
+	worker    *worker
 }
