--- a/internal/control/membership/action.go
+++ b/internal/control/membership/action.go
@@ -6,25 +6,25 @@
 	"valvecove/dispatch"
 )
 
-// Action is an output of Step, which the caller carries out and owns.
+// Action is an output of Step. The caller executes it and may retain it.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// SetPlanners has the names of the planners to have sessions with, sorted. A planner's own name is not among them.
+	// SetPlanners lists the planners with which the process should have sessions, sorted by name, without the process itself.
 	SetPlanners struct{ Names []string }
-	// SetPeers has the names of the planners that are a planner's peers, sorted.
+	// SetPeers lists a planner's peers, sorted by name.
 	SetPeers struct{ Names []string }
-	// Announce requests that the gossip engine announces the member to the others.
+	// Announce makes the gossip engine announce this process to the other members.
 	Announce struct{ Member Member }
-	// SetForwarderIndex gives a forwarder its index among Count forwarders, from 0.
+	// SetForwarderIndex sets a forwarder's zero-based index among Count forwarders.
 	SetForwarderIndex struct{ Index, Count int }
-	// SetPartition gives a planner the partition of the workers. Owner returns the name of the planner that owns a worker;
-	// its result for a cell never changes, and it may be called from any goroutine.
+	// SetPartition sets the partition of the workers among planners. Owner returns the name of the planner that owns a
+	// worker. Its result for a cell never changes, and it is safe for concurrent use.
 	SetPartition struct {
 		Owner func(w *dispatch.Worker) string
 	}
-	// LogLine is a line of the operators' log. Messages are constant.
+	// LogLine is a line of the operators' log. Message is one of a few constants.
 	LogLine struct {
 		Message    string
 		Attributes []slog.Attr
--- a/internal/control/membership/announcements.go
+++ b/internal/control/membership/announcements.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// announcePlanners emits the planners to have sessions with, if they have changed: all that are present.
-func (m *memberTable) announcePlanners() {
+// emitPlanners emits SetPlanners with all planners that are not absent, if they have changed.
+func (m *memberTable) emitPlanners() {
 	names := m.plannerNames(func(planner *memberRecord) bool { return !planner.state.isAbsent() })
-	if !slices.Equal(names, m.announcedPlanners) {
-		m.announcedPlanners = names
+	if !slices.Equal(names, m.emittedPlanners) {
+		m.emittedPlanners = names
 		m.emit(SetPlanners{slices.Clone(names)})
 	}
 }
 
-// plannerNames returns the names of some planners, sorted.
+// plannerNames returns the sorted names of the planners for which include returns true.
 func (m *memberTable) plannerNames(include func(planner *memberRecord) bool) []string {
 	var names []string
 	for _, planner := range m.planners {
@@ -22,7 +22,7 @@
 	return names
 }
 
-// announceSelf announces this process by gossip, if its announcement has changed.
+// announceSelf emits Announce for this process, if its announcement has changed.
 func (m *memberTable) announceSelf(self Member) {
 	if self != m.announcedSelf {
 		m.announcedSelf = self
--- a/internal/control/membership/assignment.go
+++ b/internal/control/membership/assignment.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// item is something to assign: a forwarder, or a cell of workers.
+// item is an object to assign to an owner: a forwarder, or a cell of workers.
 type item struct {
 	hash   uint64
 	weight int // at least 1
 }
 
-// owner is a planner that items are assigned to, in proportion to its weight; with weight 0 it gets none.
+// owner is a planner that receives items in proportion to its weight, and none if its weight is 0.
 type owner struct {
 	hash   uint64
 	weight int
 }
 
-// noOwner is the index of no owner.
+// noOwner is the owner index of an unassigned item.
 const noOwner = -1
 
-// assign returns the owner's index for each item; noOwner: no owner has any weight. The result follows from the arguments
-// alone, whatever the order of the items, and is computed in whole numbers, so that all machines agree.
+// assign returns the index of the owner for each item, or noOwner if the owners' total weight is 0. The result is
+// deterministic, does not depend on the order of the items, and is computed in integers, so that all machines agree.
 //
-// Items of one weight are assigned in whole numbers, as near to the owners' proportions as these allow, with the items of
-// other weights counted in: the heaviest come first, and lighter ones balance what those leave uneven. Within that each item
-// goes to the owner with the highest hash for it, among those that have not enough items with higher hashes (a stable
-// matching). So a change of owners or of their weights moves few items beyond those that it must.
+// Items are assigned in groups of equal weight, heaviest first. Each owner has a quota in each group, such that its total
+// weight so far is as close as possible to its proportion; lighter items thus balance the unevenness of heavier ones. Within
+// the quotas the assignment is a stable matching: items prefer owners, and owners prefer items, by the hash of the pair. So
+// a change of owners or of their weights moves few more items than necessary.
 func assign(items []item, owners []owner) []int {
 	assigner := newAssigner(items, owners)
 	if assigner.ownerWeight <= 0 {
@@ -60,25 +60,25 @@
 	ownerOf []int // by item: the result
 
 	ownerWeight int   // sum over all owners
-	itemWeight  int   // sum over the items up to the weight at hand
-	load        []int // by owner: the weight of the items that it has
+	itemWeight  int   // sum over the items of the groups so far
+	load        []int // by owner: total weight of its items
 
-	quota      []int     // by owner: how many items of the weight at hand it gets
-	remainder  []int     // by owner: what it lacks of its proportion beyond the quota, times ownerWeight
-	bids       []bidHeap // by owner: the items that it holds, of the weight at hand
-	lastHeight []uint64  // by item: the hash with the owner that it was proposed to last
+	quota        []int     // by owner: number of items that it gets in the current group
+	remainder    []int     // by owner: weight missing from its proportion after the quota, times ownerWeight
+	bids         []bidHeap // by owner: the items that it holds in the current group
+	lastPriority []uint64  // by item: hash with the last owner that it was proposed to
 }
 
 func newAssigner(items []item, owners []owner) *assigner {
 	assigner := &assigner{
-		items:      items,
-		owners:     owners,
-		ownerOf:    slices.Repeat([]int{noOwner}, len(items)),
-		load:       make([]int, len(owners)),
-		quota:      make([]int, len(owners)),
-		remainder:  make([]int, len(owners)),
-		bids:       make([]bidHeap, len(owners)),
-		lastHeight: make([]uint64, len(items)),
+		items:        items,
+		owners:       owners,
+		ownerOf:      slices.Repeat([]int{noOwner}, len(items)),
+		load:         make([]int, len(owners)),
+		quota:        make([]int, len(owners)),
+		remainder:    make([]int, len(owners)),
+		bids:         make([]bidHeap, len(owners)),
+		lastPriority: make([]uint64, len(items)),
 	}
 	for _, owner := range owners {
 		assigner.ownerWeight += owner.weight
@@ -86,11 +86,11 @@
 	return assigner
 }
 
-// setQuotas sets how many of the count items of one weight each owner gets: whole numbers, the largest fractions rounded up.
+// setQuotas sets how many of the count items of one weight each owner gets. It rounds by the largest remainder method.
 func (a *assigner) setQuotas(count, weight int) {
 	a.itemWeight += count * weight
-	unit := weight * a.ownerWeight // of one item, in units of the remainder
-	open := count                  // items without a quota; below 0: too many have one
+	unit := weight * a.ownerWeight // weight of one item in units of remainder
+	open := count                  // items not covered by quotas; negative if the quotas exceed count
 	for i, owner := range a.owners {
 		missing := a.itemWeight*owner.weight - a.load[i]*a.ownerWeight
 		a.quota[i] = max(0, missing/unit)
@@ -106,8 +106,8 @@
 	}
 }
 
-// ownerToRound returns the owner whose quota is changed by step, 1 or -1: the one that lacks most, or least. Of equal ones
-// it is the one with the highest hash.
+// ownerToRound returns the owner whose quota should change by step, which is 1 or -1: the owner with the largest or the
+// smallest remainder. Ties go to the owner with the highest hash.
 func (a *assigner) ownerToRound(step int) int {
 	best := noOwner
 	for i, owner := range a.owners {
@@ -122,11 +122,11 @@
 	return best
 }
 
-// match assigns items of one weight within the quotas. Each is proposed to owners in descending order of their hashes for
-// it, until one holds it. An owner beyond its quota gives up the item with the lowest hash.
+// match assigns items of one weight within the quotas by deferred acceptance. Each item is proposed to owners in descending
+// order of the hash of the pair, until one holds it. An owner above its quota rejects its item with the lowest hash.
 func (a *assigner) match(items []int) {
 	for _, item := range items {
-		a.lastHeight[item] = math.MaxUint64
+		a.lastPriority[item] = math.MaxUint64
 		for pending := item; pending != noItem; {
 			pending = a.propose(pending)
 		}
@@ -140,31 +140,31 @@
 	}
 }
 
-// propose proposes an item to the next owner, and returns the item that has no owner by that, or noItem.
+// propose proposes an item to its next owner. It returns the item that this owner rejects, or noItem.
 func (a *assigner) propose(item int) int {
-	owner, height := a.nextOwner(item)
-	a.lastHeight[item] = height
+	owner, priority := a.nextOwner(item)
+	a.lastPriority[item] = priority
 	bids := &a.bids[owner]
-	bids.push(bid{height, item})
+	bids.push(bid{priority, item})
 	if len(*bids) <= a.quota[owner] {
 		return noItem
 	}
 	return bids.popLowest().item
 }
 
-// nextOwner returns the owner with the highest hash for an item, among those with a quota and below the one that the item
-// was proposed to last.
-func (a *assigner) nextOwner(item int) (owner int, height uint64) {
+// nextOwner returns the next owner to propose an item to: the one with the highest hash among the owners that have a quota and
+// a lower hash than the last one.
+func (a *assigner) nextOwner(item int) (owner int, priority uint64) {
 	owner = noOwner
 	for i := range a.owners {
 		if a.quota[i] == 0 {
 			continue
 		}
 		candidate := mixBits(a.items[item].hash ^ a.owners[i].hash)
-		if candidate < a.lastHeight[item] && (owner == noOwner || candidate > height) {
+		if candidate < a.lastPriority[item] && (owner == noOwner || candidate > priority) {
 			owner = i
-			height = candidate
+			priority = candidate
 		}
 	}
-	return owner, height
+	return owner, priority
 }
--- a/internal/control/membership/assignment_due.go
+++ b/internal/control/membership/assignment_due.go
@@ -1,11 +1,11 @@
 package membership
 
-// requireAssignment marks the assignment as outdated or urgent.
-func (m *memberTable) requireAssignment(state assignmentState) {
+// requestAssignment marks the assignment as outdated or urgent. It never lowers the urgency.
+func (m *memberTable) requestAssignment(state assignmentState) {
 	m.assignment = max(m.assignment, state)
 }
 
-// beginAssignment reports whether the assignment is to be recomputed now, and marks it as current if so.
+// beginAssignment reports whether the assignment must be recomputed now, and marks it as current if so.
 func (m *memberTable) beginAssignment() bool {
 	switch {
 	case m.assignment == assignmentCurrent:
@@ -19,8 +19,8 @@
 	return true
 }
 
-// updateCandidates finds which planners count in assignments, and reports whether any of that has changed. It may by time
-// alone: isCandidate requests a step for that.
+// updateCandidates updates which planners are candidates in assignments, and reports whether this has changed. As a candidate
+// may change without an event, isCandidate schedules a step for the time at which it does.
 func (m *memberTable) updateCandidates(isCandidate func(planner *memberRecord) bool) (changed bool) {
 	for _, planner := range m.planners {
 		if candidate := isCandidate(planner); candidate != planner.candidate {
@@ -29,7 +29,7 @@
 		}
 	}
 	if changed {
-		m.requireAssignment(assignmentOutdated)
+		m.requestAssignment(assignmentOutdated)
 	}
 	return changed
 }
--- a/internal/control/membership/assignment_test.go
+++ b/internal/control/membership/assignment_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// testOwners returns owners of weight 1.
+// testOwners returns count owners of weight 1, with hashes that depend on the seed.
 func testOwners(seed, count int) (owners []owner) {
 	for i := range count {
 		owners = append(owners, owner{hashName(fmt.Sprint("p", seed, i)), 1})
@@ -14,7 +14,7 @@
 	return owners
 }
 
-// randomAssignment draws items and owners: weights of items differ in every second run, those of owners in two of three.
+// randomAssignment returns random items and owners. Item weights vary in every second run, owner weights in two of three runs.
 func randomAssignment(rng *rand.Rand, run int) ([]item, []owner) {
 	items := make([]item, rng.IntN(80))
 	owners := testOwners(run, 1+rng.IntN(8))
@@ -32,8 +32,9 @@
 	return items, owners
 }
 
-// Each owner gets its proportion within one item, the heaviest if weights differ, whatever the order of the items.
-func TestAssignIsEven(t *testing.T) {
+// Each owner's load differs from its proportion by less than the weight of the heaviest item, and the order of the items does
+// not affect the assignment.
+func TestAssignIsProportionalAndOrderIndependent(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for run := range 400 {
 		items, owners := randomAssignment(rng, run)
@@ -46,7 +47,7 @@
 		}
 		for i, owner := range assign(shuffled, owners) {
 			if owner != assigned[permutation[i]] {
-				t.Fatalf("run %d: another order of the items, another owner", run)
+				t.Fatalf("run %d: the order of the items changes the assignment", run)
 			}
 		}
 	}
@@ -63,7 +64,7 @@
 	for i, owner := range assigned {
 		if ownerWeight == 0 {
 			if owner != noOwner {
-				t.Fatalf("run %d: assigned to owner %d, of weight 0", run, owner)
+				t.Fatalf("run %d: assigned to owner %d although all weights are 0", run, owner)
 			}
 			continue
 		}
@@ -76,12 +77,12 @@
 	}
 	for i, owner := range owners {
 		if excess := load[i]*ownerWeight - itemWeight*owner.weight; excess <= -heaviest*ownerWeight || excess >= heaviest*ownerWeight {
-			t.Errorf("run %d: an owner of weight %d of %d has %d of %d", run, owner.weight, ownerWeight, load[i], itemWeight)
+			t.Errorf("run %d: owner of weight %d of %d has load %d of %d", run, owner.weight, ownerWeight, load[i], itemWeight)
 		}
 	}
 }
 
-// The heaviest items are assigned first, so that the lighter ones balance them.
+// Heavy items are assigned first, and lighter items balance the loads.
 func TestAssignBalancesHeavyItems(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for run := range 100 {
@@ -99,12 +100,12 @@
 	}
 }
 
-// If an owner leaves or comes, what moves is what it had or gets, and little more. The bounds are as measured, over 40
-// assignments each.
-func TestAssignMovesFew(t *testing.T) {
+// If an owner leaves, few items move beyond those that it had. The bounds are measured over 40 assignments each, or 5 for 2500
+// items.
+func TestAssignMovesFewItemsWhenOwnerLeaves(t *testing.T) {
 	for _, test := range []struct {
 		items, owners int
-		maxExcess     float64 // fraction of all items that moves though it need not, on the mean
+		maxExcess     float64 // mean fraction of all items that move unnecessarily
 	}{
 		{3, 3, 0.1},
 		{10, 3, 0.08},
@@ -128,13 +129,13 @@
 		}
 		total := float64(runs * test.items)
 		if excess := float64(moved-required) / total; excess > test.maxExcess {
-			t.Errorf("%d items, %d owners: %.3f move beyond the %.3f that must", test.items, test.owners, excess,
+			t.Errorf("%d items, %d owners: fraction %.3f of the items moves in addition to the necessary %.3f", test.items, test.owners, excess,
 				float64(required)/total)
 		}
 	}
 }
 
-// countMoves counts the items that move as the last of some owners leaves, and those that it had.
+// countMoves counts the items that move when the last owner leaves, and the items that this owner had.
 func countMoves(run, itemCount, ownerCount int) (moved, required int) {
 	items := make([]item, itemCount)
 	for i := range items {
--- a/internal/control/membership/bid_heap.go
+++ b/internal/control/membership/bid_heap.go
@@ -1,15 +1,15 @@
 package membership
 
-// noItem is the index of no item.
+// noItem is returned in place of an item index if there is no item.
 const noItem = -1
 
-// bid is an item that an owner holds.
+// bid is an item that an owner holds, with its priority.
 type bid struct {
-	height uint64 // the hash of the two
-	item   int
+	priority uint64 // hash of the item and the owner; the owner keeps the highest
+	item     int
 }
 
-// bidHeap is a binary heap of bids, the lowest first.
+// bidHeap is a binary min-heap of bids.
 type bidHeap []bid
 
 // push adds a bid.
@@ -18,7 +18,7 @@
 	heap := *b
 	for child := len(heap) - 1; child > 0; {
 		parent := (child - 1) / 2
-		if heap[parent].height <= heap[child].height {
+		if heap[parent].priority <= heap[child].priority {
 			return
 		}
 		heap[parent], heap[child] = heap[child], heap[parent]
@@ -26,7 +26,7 @@
 	}
 }
 
-// popLowest removes the lowest bid. The heap must not be empty.
+// popLowest removes and returns the lowest bid. The heap must not be empty.
 func (b *bidHeap) popLowest() bid {
 	heap := *b
 	lowest := heap[0]
@@ -39,10 +39,10 @@
 		if child >= len(heap) {
 			return lowest
 		}
-		if child+1 < len(heap) && heap[child+1].height < heap[child].height {
+		if child+1 < len(heap) && heap[child+1].priority < heap[child].priority {
 			child++
 		}
-		if heap[parent].height <= heap[child].height {
+		if heap[parent].priority <= heap[child].priority {
 			return lowest
 		}
 		heap[parent], heap[child] = heap[child], heap[parent]
--- a/internal/control/membership/cell_index.go
+++ b/internal/control/membership/cell_index.go
@@ -9,9 +9,9 @@
 
 // cellIndex counts the listed workers by cell.
 type cellIndex struct {
-	workerCount map[int]int    // by cell; cells without workers are not in it
+	workerCount map[int]int    // by cell; has no entries for cells without workers
 	cellOf      map[uint64]int // by worker ID
-	changed     []int          // of the latest apply
+	changed     []int          // buffer for the result of apply
 }
 
 func newCellIndex() cellIndex {
@@ -24,8 +24,8 @@
 	clear(c.cellOf)
 }
 
-// apply applies entries of the endpoint list, and returns the cells that they concern. The result is valid until the next
-// call, and may name a cell more than once.
+// apply applies entries of the endpoint list, and returns the affected cells. The result is valid until the next call and may
+// contain duplicates.
 func (c *cellIndex) apply(workers []dispatch.Worker) []int {
 	c.changed = c.changed[:0]
 	for i := range workers {
@@ -62,5 +62,5 @@
 // totalWorkers returns the number of listed workers.
 func (c *cellIndex) totalWorkers() int { return len(c.cellOf) }
 
-// sortedCells returns the cells that have workers.
+// sortedCells returns the cells that have workers, in ascending order.
 func (c *cellIndex) sortedCells() []int { return slices.Sorted(maps.Keys(c.workerCount)) }
--- a/internal/control/membership/cluster_checks_test.go
+++ b/internal/control/membership/cluster_checks_test.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// check checks what holds in a cluster that has settled.
-func (c *cluster) check(when string) {
+// checkConverged checks the invariants of a cluster that has converged.
+func (c *cluster) checkConverged(when string) {
 	c.t.Helper()
 	planners := c.running(RolePlanner)
 	if len(planners) == 0 {
@@ -18,7 +18,8 @@
 	c.checkPartition(when, planners)
 }
 
-// checkFollowers checks that forwarders are spread evenly over as many planners as the workers allow.
+// checkFollowers checks that forwarders are spread evenly over the planners, and that as many are followed as the number of
+// workers permits.
 func (c *cluster) checkFollowers(when string, planners []string) {
 	c.t.Helper()
 	forwarders := len(c.running(RoleForwarder))
@@ -30,7 +31,7 @@
 			followed++
 		}
 	}
-	limit := len(planners) // the others are on standby
+	limit := len(planners) // planners beyond the limit are on standby
 	if c.cells > 0 {
 		limit = min(limit, max(1, roundUpToPowerOfTwo(workersPerCell*c.cells)/Defaults().MinWorkersPerPlanner))
 	}
@@ -49,7 +50,7 @@
 	}
 }
 
-// checkPartition checks that the planners agree who owns each cell, and that each owns its share.
+// checkPartition checks that the planners agree on the owner of each cell, and that each planner owns its share of the cells.
 func (c *cluster) checkPartition(when string, planners []string) {
 	c.t.Helper()
 	owned := map[string]int{}
@@ -68,14 +69,15 @@
 	}
 }
 
-// checkOwner returns the owner of a cell by the first planner, and checks that the others agree and that it is running.
+// checkOwner returns the owner of a cell according to the first planner. It checks that the owner is running and that all
+// planners agree.
 func (c *cluster) checkOwner(when string, planners []string, cell int) string {
 	c.t.Helper()
 	worker := &dispatch.Worker{Cell: cell}
 	owner := c.find(planners[0]).ownerOf(worker)
 	for _, name := range planners {
 		if other := c.find(name).ownerOf(worker); other != owner || !slices.Contains(planners, other) {
-			c.t.Errorf("%s: cell %d: owner is %s by %s, and %s by %s", when, cell, other, name, owner, planners[0])
+			c.t.Errorf("%s: cell %d: owner is %s according to %s, and %s according to %s", when, cell, other, name, owner, planners[0])
 		}
 	}
 	return owner
--- a/internal/control/membership/cluster_faults_test.go
+++ b/internal/control/membership/cluster_faults_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// scheduleFaults injects faults at random times, until they are disabled.
+// scheduleFaults injects faults at random times until faultsEnabled is false.
 func (c *cluster) scheduleFaults() {
 	c.after(c.randomDelay(50, 1500), func() {
 		if !c.faultsEnabled {
@@ -21,7 +21,7 @@
 		process.stop(c.rng.IntN(2) == 0)
 		c.after(c.randomDelay(10, 6000), process.start)
 	case 1:
-		c.cutConnection(process, other)
+		c.isolatePair(process, other)
 	case 2:
 		c.reportFalseDeath(process)
 	case 3:
@@ -34,22 +34,22 @@
 	}
 }
 
-// cutConnection has two processes lose sight of each other, but not of the rest.
-func (c *cluster) cutConnection(one, other *process) {
+// isolatePair breaks the connection between two processes for a time. Gossip and other connections are not affected.
+func (c *cluster) isolatePair(one, other *process) {
 	a, b := one.announced.Name, other.announced.Name
-	one.cut[b] = true
-	other.cut[a] = true
+	one.unreachable[b] = true
+	other.unreachable[a] = true
 	c.after(500*time.Millisecond, func() {
 		one.disconnect(b, true)
 		other.disconnect(a, true)
 	})
 	c.after(c.randomDelay(600, 8000), func() {
-		delete(one.cut, b)
-		delete(other.cut, a)
+		delete(one.unreachable, b)
+		delete(other.unreachable, a)
 	})
 }
 
-// reportFalseDeath has gossip report a death that did not happen, and take it back.
+// reportFalseDeath makes gossip report a running process as dead, and later announce it again.
 func (c *cluster) reportFalseDeath(process *process) {
 	member := process.announced
 	process.broadcast(0, MemberDied{member.Name, member.Incarnation})
@@ -60,7 +60,7 @@
 	})
 }
 
-// delayTimer has a process come late to its next step.
+// delayTimer delays the next timed step of a process.
 func (c *cluster) delayTimer(process *process) {
 	if !process.running || process.timerAt == 0 {
 		return
@@ -73,8 +73,8 @@
 	})
 }
 
-// settle ends all faults, and runs until their effects are over.
-func (c *cluster) settle() {
+// recoverFromFaults ends all faults, restarts all processes, and runs until the effects of faults have passed.
+func (c *cluster) recoverFromFaults() {
 	c.faultsEnabled = false
 	c.run(10 * time.Second)
 	for _, process := range c.processes {
--- a/internal/control/membership/cluster_test.go
+++ b/internal/control/membership/cluster_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// clusterConfig has a cluster settle sooner than Defaults.
+// clusterConfig has shorter times than Defaults, so that a cluster converges sooner.
 var clusterConfig = Config{Retention: 8 * time.Second, RecoveryTime: 500 * time.Millisecond}
 
-// cluster simulates forwarders and planners with a model of a gossip engine and of sessions between them: reports take their
-// time and arrive in order from each process, crashes are noticed late, and some are reported that did not happen.
+// cluster simulates forwarders and planners with models of the gossip engine and the sessions. Gossip reports are delayed and
+// arrive in order per process, crashes are detected late, and some reported crashes did not happen.
 type cluster struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -22,10 +22,10 @@
 	sequence      int
 	processes     []*process
 	cells         int
-	plannerLimit  int // forwarders that a planner can serve without delay; 0: any number
+	plannerLimit  int // forwarders that a planner serves without extra latency; 0 for any number
 	faultsEnabled bool
-	moveCount     int                   // forwarders' changes from one planner to another
-	movesBySecond map[time.Duration]int // the same, by the second in which they were
+	moveCount     int                   // announced changes of a forwarder's home
+	movesBySecond map[time.Duration]int // moves by simulated second
 }
 
 // scheduledEvent is an event of the simulation.
@@ -35,7 +35,7 @@
 	run      func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events ordered by time.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -55,7 +55,7 @@
 	return event
 }
 
-// newCluster returns a cluster whose processes start within 300 ms.
+// newCluster returns a cluster whose processes start at random times within 300 ms.
 func newCluster(t *testing.T, seed uint64, forwarders, planners, cells int) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -78,18 +78,18 @@
 	return c
 }
 
-// randomDelay draws a delay between two numbers of milliseconds.
+// randomDelay returns a random delay in milliseconds from the range [from, to).
 func (c *cluster) randomDelay(from, to int) time.Duration {
 	return time.Duration(from+c.rng.IntN(to-from)) * time.Millisecond
 }
 
-// after schedules an event.
+// after schedules an event after a delay.
 func (c *cluster) after(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, scheduledEvent{c.now + delay, c.sequence, run})
 }
 
-// run runs the events of a period.
+// run runs the events of the next period.
 func (c *cluster) run(period time.Duration) {
 	for end := c.now + period; len(c.queue) > 0 && c.queue[0].at <= end; {
 		event := heap.Pop(&c.queue).(scheduledEvent)
@@ -102,7 +102,7 @@
 	return c.processes[slices.IndexFunc(c.processes, func(p *process) bool { return p.announced.Name == name })]
 }
 
-// replyLatency draws how long a planner takes to reply: longer beyond its limit of forwarders.
+// replyLatency returns a random reply latency of a planner, increased by 40 ms per follower above plannerLimit.
 func (c *cluster) replyLatency(planner string) time.Duration {
 	latency := c.find(planner).latency + time.Duration(c.rng.IntN(3))*time.Millisecond
 	if followers := c.followerCount(planner); c.plannerLimit > 0 && followers > c.plannerLimit {
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Config holds the timeouts and bounds of a process. A field that is 0 takes its value from Defaults.
+// Config holds the timeouts and bounds of a process. Fields that are 0 take their values from Defaults.
 type Config struct {
-	SuspicionTimeout time.Duration // a member that gossip alone reports as dead is dead after this
-	ConnectTimeout   time.Duration // to a forwarder, a planner that is announced counts for this long without a session
-	ReconnectGrace   time.Duration // to a planner, one whose session was lost counts again after this if gossip still has it
-	Retention        time.Duration // a member that is gone is kept this long; a forwarder counts for its last home meanwhile
+	SuspicionTimeout time.Duration // a member that only gossip reports as failed is dead after this time
+	ConnectTimeout   time.Duration // a forwarder treats a new planner without a session as a candidate for this time
+	ReconnectGrace   time.Duration // delay before a planner re-admits a peer with a lost session that gossip reports as alive
+	Retention        time.Duration // an absent member is kept for this time; a forwarder still counts for its last home
 
-	StartupTime    time.Duration // a forwarder moves without delay for this long after its start
-	SettleTime     time.Duration // a move, other than from a planner that is lost, waits for this
-	RampTime       time.Duration // and then for the forwarder's part of this
-	AssignInterval time.Duration // assignments are recomputed at most this often, except after a loss
+	StartupTime    time.Duration // for this time after its start a forwarder changes planners without delay
+	SettleTime     time.Duration // minimum delay of a change of planner, unless the old one is lost or slow
+	RampTime       time.Duration // these changes are spread over this additional time
+	AssignInterval time.Duration // minimum time between assignments, except after a lost session
 
-	SlowThreshold    time.Duration // a planner is slow if its replies take longer than this,
-	SlowFactor       int           // and this many times as long as those of the fastest other planner,
-	SlowConfirmation time.Duration // for this long
-	DrainTime        time.Duration // forwarders leave a slow planner over this time, while it is slow
-	RecoveryTime     time.Duration // it has recovered after replies below half the bound for this; doubled with each relapse
+	SlowThreshold    time.Duration // a planner is slow if its reply latency is at least this,
+	SlowFactor       int           // and at least this multiple of the fastest other planner's,
+	SlowConfirmation time.Duration // for this time
+	DrainTime        time.Duration // forwarders leave a slow planner spread over this time of high latency
+	RecoveryTime     time.Duration // a slow planner recovers after this time below half the bound, doubled per relapse
 
-	MinWorkersPerPlanner int // with fewer workers for each planner, fewer planners are followed
+	MinWorkersPerPlanner int // with fewer workers per planner, some planners are on standby
 }
 
-// Defaults returns the configuration that applies where nothing else is set.
+// Defaults returns the values that replace zero fields.
 func Defaults() Config {
 	return Config{
 		SuspicionTimeout:     time.Second,
@@ -46,7 +46,7 @@
 	}
 }
 
-// withDefaults returns the configuration with the fields that are 0 set to their defaults.
+// withDefaults returns a copy of the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	defaults := Defaults()
 	return Config{
--- a/internal/control/membership/event.go
+++ b/internal/control/membership/event.go
@@ -11,14 +11,14 @@
 
 // Events from the gossip engine.
 type (
-	// MemberJoined reports that a member is present, or that it announces something new of itself.
+	// MemberJoined reports that a member is alive, or that its announcement has changed.
 	MemberJoined struct{ Member Member }
-	// MemberLeft reports that a member has left in an orderly way. Incarnation 0 matches any.
+	// MemberLeft reports that a member has shut down gracefully. Incarnation 0 matches any incarnation.
 	MemberLeft struct {
 		Name        string
 		Incarnation uint64
 	}
-	// MemberDied reports that the engine considers a member dead. Incarnation 0 matches any.
+	// MemberDied reports that the gossip engine considers a member dead. Incarnation 0 matches any incarnation.
 	MemberDied struct {
 		Name        string
 		Incarnation uint64
@@ -29,13 +29,14 @@
 type (
 	// PlannerConnected reports that a session with a planner has opened.
 	PlannerConnected struct{ Name string }
-	// PlannerDisconnected reports that a session with a planner has ended or is about to end. Silent: nothing more was
-	// heard, which says nothing about the process at the other end. A forwarder makes no difference between the two.
+	// PlannerDisconnected reports that a session with a planner has ended or is about to end. Silent is set if the session
+	// timed out without messages, so that the state of the other process is unknown. Forwarders ignore Silent.
 	PlannerDisconnected struct {
 		Name   string
 		Silent bool
 	}
-	// ReplyReceived reports a planner's reply to a heartbeat: the round trip, and how late the planner's own timers run.
+	// ReplyReceived reports a planner's reply to a heartbeat: Latency is the round-trip time, TimerLag is by how much the
+	// planner's own timers run late.
 	ReplyReceived struct {
 		Name              string
 		Latency, TimerLag time.Duration
--- a/internal/control/membership/forwarder.go
+++ b/internal/control/membership/forwarder.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// ForwarderMembership decides which planner a forwarder follows. It implements forwarder.PlannerSelector. It is used by one
-// goroutine.
+// ForwarderMembership decides which planner a forwarder follows. It implements forwarder.PlannerSelector. It is not safe for
+// concurrent use.
 type ForwarderMembership struct {
 	memberTable
-	startupUntil time.Duration // until then it moves without delay; 0: there was no step yet
+	startupUntil time.Duration // until then moves are not delayed; 0 before the first step
 
-	homePlanner       string        // the planner that it follows; empty: none
-	targetPlanner     string        // the planner that it should follow; empty: none
-	targetSince       time.Duration // since when
-	assignedOfAll     string        // the planner assigned to it of all candidates; empty: there are none
-	assignedOfHealthy string        // and of those that are not slow
-	ranking           []string      // all planners that are present, the best first
-	moveCount         int
+	homePlanner          string        // planner that the forwarder follows; empty if none
+	targetPlanner        string        // planner that the forwarder should follow; empty if none
+	targetSince          time.Duration // when targetPlanner last changed
+	assignedAmongAll     string        // planner assigned among all candidates; empty if there are none
+	assignedAmongHealthy string        // planner assigned among the candidates that are not slow
+	ranking              []string      // names of all planners that are present, best first
+	moveCount            int
 
 	forwarderIndex int // as of the latest SetForwarderIndex
 	forwarderCount int
 }
 
-// NewForwarderMembership returns the membership of a forwarder that knows no other process. Role, Home and Addr of self are
-// ignored.
+// NewForwarderMembership returns the membership of a forwarder, without other members. Role, Home and Addr of self are ignored.
 func NewForwarderMembership(self Member, config Config) *ForwarderMembership {
 	self.Role = RoleForwarder
 	self.Home = ""
@@ -49,12 +48,12 @@
 	}
 }
 
-// update recomputes what may have changed: members, candidates, assignment and announcements.
+// update recomputes member states, candidates, the assignment, the home and announcements where they may have changed.
 func (f *ForwarderMembership) update() {
 	if f.startupUntil == 0 {
 		f.startupUntil = f.now + f.config.StartupTime
 	}
-	changed := f.review() || f.assignment != assignmentCurrent
+	changed := f.updateStates() || f.assignment != assignmentCurrent
 	if f.updateCandidates(f.isCandidate) {
 		changed = true
 	}
@@ -65,12 +64,12 @@
 	f.selectHome()
 	if changed || f.homePlanner != previousHome {
 		f.rankPlanners()
-		f.announcePlanners()
+		f.emitPlanners()
 		f.announceHome()
 	}
 }
 
-// announceHome announces the home by gossip, once there is a session with it.
+// announceHome announces the home by gossip if there is an open session with it, otherwise no home.
 func (f *ForwarderMembership) announceHome() {
 	self := f.self
 	if home := f.find(f.homePlanner); home != nil && home.session == sessionOpen {
@@ -79,8 +78,8 @@
 	f.announceSelf(self)
 }
 
-// Home returns the planner that the forwarder follows; empty: none.
+// Home returns the name of the planner that the forwarder follows, or an empty string if there is none.
 func (f *ForwarderMembership) Home() string { return f.homePlanner }
 
-// PlannerChanges returns the number of moves to another planner, without those from a planner that was lost.
+// PlannerChanges returns the number of moves to another planner, not counting failovers from a lost planner.
 func (f *ForwarderMembership) PlannerChanges() int { return f.moveCount }
--- a/internal/control/membership/hash.go
+++ b/internal/control/membership/hash.go
@@ -1,6 +1,6 @@
 package membership
 
-// hashName returns a hash of a name: FNV-1a, with its bits mixed. All processes must compute the same.
+// hashName returns the FNV-1a hash of a name, finalized by mixBits. All processes must compute the same hash.
 func hashName(name string) uint64 {
 	const (
 		offsetBasis = 14695981039346656037
@@ -13,7 +13,7 @@
 	return mixBits(hash)
 }
 
-// hashCell returns a hash of a cell's number. All processes must compute the same.
+// hashCell returns a hash of a cell number. All processes must compute the same hash.
 func hashCell(cell int) uint64 {
 	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
 	return mixBits(uint64(cell) + goldenRatio)
--- a/internal/control/membership/home.go
+++ b/internal/control/membership/home.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// isCandidate reports whether forwarders are assigned to a planner. Without a session one that is new is a candidate for
-// Config.ConnectTimeout.
+// isCandidate reports whether forwarders may be assigned to a planner. A planner that is absent or whose session was lost is
+// not a candidate. A new planner without a session is a candidate for Config.ConnectTimeout.
 func (f *ForwarderMembership) isCandidate(planner *memberRecord) bool {
 	switch {
 	case planner.state.isAbsent() || planner.session == sessionLost:
@@ -20,9 +20,9 @@
 	return planner.gossip == gossipAlive && f.now < connectUntil
 }
 
-// assign finds the planner that this forwarder is assigned to, and the forwarder's index.
+// assign computes the planner that this forwarder is assigned to, and the forwarder's index.
 func (f *ForwarderMembership) assign() {
-	forwarders := []item{{hashName(f.self.Name), 1}} // this one first
+	forwarders := []item{{hashName(f.self.Name), 1}} // this forwarder is first
 	index := 0
 	for _, record := range f.members {
 		if record.Role != RoleForwarder {
@@ -35,10 +35,10 @@
 	}
 	f.setIndex(index, len(forwarders))
 	limit := f.followedLimit()
-	f.assignedOfAll = f.assignedPlanner(forwarders, limit, func(planner *memberRecord) bool {
+	f.assignedAmongAll = f.assignedPlanner(forwarders, limit, func(planner *memberRecord) bool {
 		return planner.candidate
 	})
-	f.assignedOfHealthy = f.assignedPlanner(forwarders, limit, func(planner *memberRecord) bool {
+	f.assignedAmongHealthy = f.assignedPlanner(forwarders, limit, func(planner *memberRecord) bool {
 		return planner.candidate && !planner.isSlow()
 	})
 }
@@ -53,7 +53,7 @@
 	f.emit(SetForwarderIndex{index, count})
 }
 
-// followedLimit returns how many planners are followed at most, by the largest number of workers that one announces.
+// followedLimit returns the maximum number of followed planners, based on the largest number of workers announced by one.
 func (f *ForwarderMembership) followedLimit() int {
 	workers := 0
 	for _, planner := range f.planners {
@@ -67,8 +67,8 @@
 	return max(1, workers/f.config.MinWorkersPerPlanner)
 }
 
-// assignedPlanner returns the planner that the first of the forwarders is assigned to, of the eligible ones; of these the
-// limit with the highest hashes are followed. It returns an empty name if there are none.
+// assignedPlanner returns the planner that the first forwarder is assigned to. Forwarders are assigned to the eligible planners
+// with the highest hashes, at most limit of them. The name is empty if no planner is eligible.
 func (f *ForwarderMembership) assignedPlanner(forwarders []item, limit int, isEligible func(*memberRecord) bool) string {
 	var eligible []*memberRecord
 	for _, planner := range f.planners {
@@ -88,8 +88,8 @@
 	return followed[assign(forwarders, owners)[0]].Name
 }
 
-// selectHome moves to another planner if that is due. A forwarder whose own planner is not slow stays with it, whatever
-// those do whose planners are.
+// selectHome moves to another planner if a move is due. A forwarder whose home is not slow moves only if its assignment among
+// all planners changes, even while forwarders of slow planners move.
 func (f *ForwarderMembership) selectHome() {
 	f.updateTarget()
 	home := f.find(f.homePlanner)
@@ -101,18 +101,18 @@
 	case f.now < f.startupUntil:
 		f.homePlanner = target.Name
 	case home.isSlow():
-		f.leaveSlow(home, target)
+		f.leaveSlowPlanner(home, target)
 	default:
-		f.moveInTurn(target)
+		f.moveAfterDelay(target)
 	}
 }
 
-// updateTarget sets the planner that the forwarder should follow: the one assigned to it, or if that is slow, the one
-// assigned to it of those that are not.
+// updateTarget sets the planner that the forwarder should follow: the one assigned among all candidates or, if that planner is
+// slow, the one assigned among those that are not slow.
 func (f *ForwarderMembership) updateTarget() {
-	target := f.assignedOfAll
+	target := f.assignedAmongAll
 	if planner := f.find(target); planner != nil && planner.isSlow() {
-		target = cmp.Or(f.assignedOfHealthy, target)
+		target = cmp.Or(f.assignedAmongHealthy, target)
 	}
 	if target != f.targetPlanner {
 		f.targetPlanner = target
@@ -120,8 +120,8 @@
 	}
 }
 
-// canMove reports whether the target is another planner that can be moved to: there is a session with it, or the forwarder
-// is starting, and it is not slow, or the home is slow too.
+// canMove reports whether the forwarder can move from its home to the target. The target must differ from the home, must have
+// an open session unless the forwarder is starting, and must not be slow unless the home is slow too.
 func (f *ForwarderMembership) canMove(home, target *memberRecord) bool {
 	if target == nil || target == home {
 		return false
@@ -131,17 +131,17 @@
 	return isReachable && !isWorse
 }
 
-// leaveSlow moves from a slow planner to one that is not, once the home has been slow for the forwarder's part of
-// Config.DrainTime.
-func (f *ForwarderMembership) leaveSlow(home, target *memberRecord) {
+// leaveSlowPlanner moves from a slow home to a planner that is not slow, once the home's latency has been high for the
+// forwarder's stagger delay within Config.DrainTime.
+func (f *ForwarderMembership) leaveSlowPlanner(home, target *memberRecord) {
 	if target.isSlow() || home.latency.highFor < f.staggerDelay(home, f.config.DrainTime) {
 		return
 	}
 	f.moveTo(target, reasonSlow)
 }
 
-// moveInTurn moves to the target after Config.SettleTime and the forwarder's part of Config.RampTime.
-func (f *ForwarderMembership) moveInTurn(target *memberRecord) {
+// moveAfterDelay moves to the target after Config.SettleTime plus the forwarder's stagger delay within Config.RampTime.
+func (f *ForwarderMembership) moveAfterDelay(target *memberRecord) {
 	moveAt := f.targetSince + f.config.SettleTime + f.staggerDelay(target, f.config.RampTime)
 	f.wakeAt(moveAt)
 	if f.now >= moveAt {
@@ -149,8 +149,8 @@
 	}
 }
 
-// staggerDelay returns this forwarder's delay among all that move to or from a planner within a period. It follows from the
-// two names.
+// staggerDelay returns this forwarder's delay within a period over which forwarders move to or from a planner. It is derived
+// from the hashes of both names.
 func (f *ForwarderMembership) staggerDelay(planner *memberRecord, period time.Duration) time.Duration {
 	const slots = 1 << 16
 	slot := mixBits(hashName(f.self.Name)+planner.hash) % slots
@@ -165,7 +165,7 @@
 	f.logMove(previous, reason)
 }
 
-// failOver moves at once, as the home was lost: to the target, or if that is no candidate, as at the start, to any that is.
+// failOver replaces a lost or missing home immediately: by the target if it is a candidate, otherwise by any candidate.
 func (f *ForwarderMembership) failOver(target *memberRecord) {
 	previous := f.homePlanner
 	f.homePlanner = ""
--- a/internal/control/membership/latency.go
+++ b/internal/control/membership/latency.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	sampleWindow    = 5                      // samples of which the median counts: one pause makes no planner slow
-	maxReplyGap     = 250 * time.Millisecond // maximum time since the previous reply that a reply represents
-	sampleValidity  = time.Second            // a planner without replies for longer is not compared with others
-	relapseWindow   = time.Minute            // a planner that is slow again within this time has relapsed
+	sampleWindow    = 5                      // samples in the median, so that a single pause doesn't make a planner slow
+	maxReplyGap     = 250 * time.Millisecond // maximum time that a reply accounts for
+	sampleValidity  = time.Second            // planners without replies for longer are not compared with others
+	relapseWindow   = time.Minute            // a planner that becomes slow again within this time has relapsed
 	maxRelapses     = 5
 	unlimitedBound  = time.Duration(1<<63 - 1)
-	minSampleCount  = sampleWindow / 2 // replies before a planner is compared with others
-	recoveryDivisor = 2                // replies are fast below the bound divided by this
+	minSampleCount  = sampleWindow / 2 // samples required before other planners are compared with a planner
+	recoveryDivisor = 2                // latency is low below bound / recoveryDivisor
 )
 
-// latencyState is whether a planner's replies are slow.
+// latencyState is the classification of a planner by the latency of its replies.
 type latencyState uint8
 
 const (
@@ -38,9 +38,9 @@
 type latencyLevel uint8
 
 const (
-	levelFast     latencyLevel = iota // below half the bound
-	levelElevated                     // between the two
-	levelHigh                         // at the bound or beyond
+	levelLow      latencyLevel = iota // below bound / recoveryDivisor
+	levelElevated                     // between low and high
+	levelHigh                         // at or above the bound
 )
 
 // levelOf returns the range of a latency relative to a bound.
@@ -49,32 +49,32 @@
 	case latency >= bound:
 		return levelHigh
 	case latency < bound/recoveryDivisor:
-		return levelFast
+		return levelLow
 	}
 	return levelElevated
 }
 
-// latencyTracker classifies one planner's replies, by the time for which replies are slow, not by their number.
+// latencyTracker classifies a planner by how long, not how often, its replies have been slow.
 type latencyTracker struct {
 	state          latencyState
-	stateChangedAt time.Duration // 0: never
-	relapses       int           // consecutive times that it became slow again within relapseWindow; at most maxRelapses
+	stateChangedAt time.Duration // 0 if never
+	relapses       int           // consecutive relapses within relapseWindow, at most maxRelapses
 
-	samples     [sampleWindow]time.Duration // a ring
-	sampleCount int                         // of this session
+	samples     [sampleWindow]time.Duration // ring buffer
+	sampleCount int                         // samples in this session
 	lastReplyAt time.Duration
 
-	confirmingFor time.Duration // in latencyNormal: how long replies have been high, less how long elevated since
-	highFor       time.Duration // in latencySlow: how long replies have been high
-	fastFor       time.Duration // in latencySlow: how long replies have been fast since they were high
+	confirmedFor time.Duration // in latencyNormal: time of high latency, minus time of elevated latency since
+	highFor      time.Duration // in latencySlow: time of high latency
+	lowFor       time.Duration // in latencySlow: time of low latency since the last high one
 }
 
-// restart begins a new session: it keeps the state and its history, and resets samples and timers.
+// restart prepares for a new session: it resets samples and timers, and keeps the state and the relapse history.
 func (l *latencyTracker) restart() {
 	*l = latencyTracker{state: l.state, stateChangedAt: l.stateChangedAt, relapses: l.relapses}
 }
 
-// addSample adds a reply's latency, and returns the time that the reply represents.
+// addSample adds the latency of a reply, and returns the time that this reply accounts for.
 func (l *latencyTracker) addSample(latency, now time.Duration) time.Duration {
 	elapsed := min(now-l.lastReplyAt, maxReplyGap)
 	if l.sampleCount == 0 {
@@ -86,7 +86,7 @@
 	return elapsed
 }
 
-// median returns the median of the latest samples; 0: there are none.
+// median returns the median of the latest samples, or 0 without samples.
 func (l *latencyTracker) median() time.Duration {
 	samples := l.samples
 	recent := samples[:min(l.sampleCount, sampleWindow)]
@@ -97,60 +97,61 @@
 	return recent[len(recent)/2]
 }
 
-// hasRecentSamples reports whether other planners are compared with this one.
+// hasRecentSamples reports whether other planners can be compared with this one.
 func (l *latencyTracker) hasRecentSamples(now time.Duration) bool {
 	return l.sampleCount >= minSampleCount && now-l.lastReplyAt <= sampleValidity
 }
 
-// observe records that replies have been at a level for a time. It returns the resulting state, which the caller
-// sets by transition if it is another one. A planner is slow after confirmation, and normal again after recovery.
+// observe records that the latency was at a level for a time, and returns the resulting state. If it differs from the current
+// state, the caller must call transition. A planner becomes slow after the confirmation time and normal after the recovery
+// time.
 func (l *latencyTracker) observe(level latencyLevel, elapsed, confirmation, recovery time.Duration) latencyState {
 	if l.state == latencySlow {
 		return l.observeSlow(level, elapsed, recovery)
 	}
 	switch level {
-	case levelFast:
-		l.confirmingFor = 0
+	case levelLow:
+		l.confirmedFor = 0
 	case levelElevated:
-		l.confirmingFor = max(0, l.confirmingFor-elapsed)
+		l.confirmedFor = max(0, l.confirmedFor-elapsed)
 	case levelHigh:
-		l.confirmingFor += elapsed
-		if l.confirmingFor >= confirmation {
+		l.confirmedFor += elapsed
+		if l.confirmedFor >= confirmation {
 			return latencySlow
 		}
 	}
 	return latencyNormal
 }
 
-// observeSlow is observe in state latencySlow.
+// observeSlow implements observe for the state latencySlow. The recovery time doubles with each relapse.
 func (l *latencyTracker) observeSlow(level latencyLevel, elapsed, recovery time.Duration) latencyState {
 	switch level {
-	case levelFast:
-		l.fastFor += elapsed
-		if l.fastFor >= recovery<<l.relapses {
+	case levelLow:
+		l.lowFor += elapsed
+		if l.lowFor >= recovery<<l.relapses {
 			return latencyNormal
 		}
 	case levelElevated:
 	case levelHigh:
 		l.highFor += elapsed
-		l.fastFor = 0
+		l.lowFor = 0
 	}
 	return latencySlow
 }
 
-// transition changes the state, and begins all timers again.
+// transition changes the state and resets all timers.
 func (l *latencyTracker) transition(state latencyState, now time.Duration) {
 	if state == latencySlow {
 		l.countRelapse(now)
 	}
 	l.state = state
 	l.stateChangedAt = now
-	l.confirmingFor = 0
+	l.confirmedFor = 0
 	l.highFor = 0
-	l.fastFor = 0
+	l.lowFor = 0
 }
 
-// countRelapse counts a change to latencySlow soon after the last change; a later one resets the count.
+// countRelapse counts a relapse if the last state change was within relapseWindow, and resets the count otherwise.
 func (l *latencyTracker) countRelapse(now time.Duration) {
 	if l.stateChangedAt == 0 || now-l.stateChangedAt > relapseWindow {
 		l.relapses = 0
@@ -175,12 +176,12 @@
 		return
 	}
 	tracker.transition(state, f.now)
-	f.requireAssignment(assignmentOutdated)
+	f.requestAssignment(assignmentOutdated)
 	f.logLatencyState(planner, latency)
 }
 
-// slowBound returns the latency at which a planner's replies are high: a multiple of that of the fastest other planner, and
-// unlimited if there is none to compare with.
+// slowBound returns the bound at which a planner's latency is high: Config.SlowFactor times the latency of the fastest other
+// planner, at least Config.SlowThreshold. It is unlimited if no other planner has recent samples.
 func (f *ForwarderMembership) slowBound(planner *memberRecord) time.Duration {
 	fastest := unlimitedBound
 	for _, other := range f.planners {
--- a/internal/control/membership/log.go
+++ b/internal/control/membership/log.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Messages of LogLine.
+// Values of LogLine.Message.
 const (
 	logPlannerLost      = "planner lost"
 	logPlannerChanged   = "planner changed"
@@ -18,8 +18,8 @@
 type moveReason string
 
 const (
-	reasonSlow     moveReason = "slow"     // the planner before was
-	reasonAssigned moveReason = "assigned" // it is assigned to this one
+	reasonSlow     moveReason = "slow"     // the previous planner was slow
+	reasonAssigned moveReason = "assigned" // the new planner is assigned to the forwarder
 )
 
 func (m *memberTable) log(message string, attributes ...slog.Attr) {
--- a/internal/control/membership/member.go
+++ b/internal/control/membership/member.go
@@ -1,12 +1,12 @@
 package membership
 
-// Role is what a member does.
+// Role is the role of a member in the cluster.
 type Role uint8
 
 // Roles.
 const (
-	RoleForwarder Role = iota // it follows a planner
-	RolePlanner               // it owns a partition of the workers
+	RoleForwarder Role = iota // follows a planner
+	RolePlanner               // owns a partition of the workers
 )
 
 // String returns the role's name.
@@ -20,13 +20,13 @@
 	return "unknown"
 }
 
-// Member is what a process announces of itself to the others.
+// Member is the information about a process that it announces by gossip.
 type Member struct {
 	Name        string // at most 255 bytes
 	Role        Role
-	Addr        string // of a planner: where it accepts sessions
-	Incarnation uint64 // start of its process, Unix time in ns: of two with one name the later one counts
-	Home        string // of a forwarder: the planner that it follows; empty: none
-	Load        int    // of a forwarder: its load relative to others', at most 1024; 0 counts as 1
-	Workers     int    // of a planner: workers that it knows, rounded up to a power of two; 0: it does not know
+	Addr        string // planners: address that accepts sessions
+	Incarnation uint64 // start time of the process, Unix time in ns; replaces earlier incarnations of the same name
+	Home        string // forwarders: planner that it follows; empty if none
+	Load        int    // forwarders: load relative to other forwarders, at most 1024; 0 counts as 1
+	Workers     int    // planners: number of known workers, rounded up to a power of two; 0 if unknown
 }
--- a/internal/control/membership/partition.go
+++ b/internal/control/membership/partition.go
@@ -6,15 +6,15 @@
 	"valvecove/dispatch"
 )
 
-// partition is an assignment of cells to planners. It does not change once it is computed.
+// partition is an assignment of cells to planners. It is immutable.
 type partition struct {
-	names    []string // of the planners
-	planners []owner  // the same, by index, with the load of the forwarders that follow them
-	owners   map[int]string
+	names    []string       // names of the planners
+	planners []owner        // same indexes as names; the weight is the load of the planner's followers
+	owners   map[int]string // planner name by cell
 }
 
-// ownerOf returns the name of the planner that owns a worker. A cell that is not assigned yet belongs to the planner of
-// positive weight with the highest hash for it.
+// ownerOf returns the name of the planner that owns a worker. A cell that is not assigned yet belongs to the planner with the
+// highest hash for it, among those with a positive weight.
 func (p *partition) ownerOf(w *dispatch.Worker) string {
 	if name, ok := p.owners[w.Cell]; ok {
 		return name
@@ -31,7 +31,7 @@
 	return p.names[best]
 }
 
-// workersOf returns how many cells and workers a planner owns.
+// workersOf returns the numbers of cells and workers that a planner owns.
 func (p *partition) workersOf(name string, workerCount map[int]int) (cells, workers int) {
 	for cell, owner := range p.owners {
 		if owner == name {
@@ -42,9 +42,9 @@
 	return cells, workers
 }
 
-// assign partitions the workers, and emits the partition if it has changed.
+// assign computes the partition of the workers, and emits it if it has changed.
 func (p *PlannerMembership) assign() {
-	names, planners := p.weighPlanners()
+	names, planners := p.weightedPlanners()
 	cells := p.cells.sortedCells()
 	items := make([]item, len(cells))
 	weights := make(map[int]int, len(cells))
@@ -66,9 +66,9 @@
 	p.logPartition()
 }
 
-// weighPlanners returns this planner and the candidates, weighted by the load of the forwarders that follow them. If no
-// planner is followed yet, all that are present weigh the same.
-func (p *PlannerMembership) weighPlanners() (names []string, planners []owner) {
+// weightedPlanners returns this planner and the candidates, weighted by the load of their followers. If no planner has followers
+// yet, all planners that are present have the same weight.
+func (p *PlannerMembership) weightedPlanners() (names []string, planners []owner) {
 	isFollowed := false
 	present := []bool{true}
 	add := func(name string, hash uint64) {
@@ -92,7 +92,7 @@
 	return names, planners
 }
 
-// followerLoad returns the load of the forwarders that announce that they follow a planner.
+// followerLoad returns the total load of the forwarders that announce a planner as their home.
 func (p *PlannerMembership) followerLoad(planner string) int {
 	load := 0
 	for _, record := range p.members {
--- a/internal/control/membership/planner.go
+++ b/internal/control/membership/planner.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// PlannerMembership decides how the workers are partitioned among planners. It is used by one goroutine.
+// PlannerMembership decides how the workers are partitioned among planners. It is not safe for concurrent use.
 type PlannerMembership struct {
 	memberTable
-	cells           cellIndex
-	assignedWeights map[int]int // of cells, as of the latest assignment
-	partition       *partition  // as of the latest SetPartition; nil: there was none yet
-	announcedPeers  []string
-	shrunkAt        time.Duration // since when there are fewer workers than announced; 0: there are not
+	cells               cellIndex
+	assignedWeights     map[int]int // by cell, in the latest assignment
+	partition           *partition  // in the latest SetPartition; nil before the first one
+	emittedPeers        []string
+	belowAnnouncedSince time.Duration // since when there are fewer workers than announced; 0 if there are not
 }
 
-// NewPlannerMembership returns the membership of a planner that knows no other process. Role and Home of self are ignored.
+// NewPlannerMembership returns the membership of a planner, without other members. Role and Home of self are ignored.
 func NewPlannerMembership(self Member, config Config) *PlannerMembership {
 	self.Role = RolePlanner
 	self.Home = ""
@@ -37,9 +37,9 @@
 	return p.takeOutput(dst)
 }
 
-// update recomputes what may have changed: members, candidates, assignment and announcements.
+// update recomputes member states, candidates, the assignment and announcements where they may have changed.
 func (p *PlannerMembership) update() {
-	changed := p.review()
+	changed := p.updateStates()
 	if p.updateCandidates(p.isCandidate) {
 		changed = true
 	}
@@ -48,15 +48,16 @@
 	}
 	p.updateWorkerCount()
 	if changed {
-		p.announcePlanners()
-		p.announcePeers()
+		p.emitPlanners()
+		p.emitPeers()
 	}
 	p.announceSelf(p.self)
 }
 
-// isCandidate reports whether cells are assigned to a planner. They are not to one that has left, nor to one whose session
-// was lost; but if gossip goes on to have that one, it is merely out of sight of this process. One that is silent may be as
-// well as before: the forwarders that follow it decide whether it has a partition.
+// isCandidate reports whether cells may be assigned to a planner. A planner that has left is not a candidate. A planner whose
+// session was lost becomes one again after Config.ReconnectGrace if gossip still reports it as alive, as only the connection to
+// this process may be lost. Any other planner is a candidate, even if it is silent: whether it gets cells depends on the load
+// of the forwarders that follow it.
 func (p *PlannerMembership) isCandidate(planner *memberRecord) bool {
 	switch {
 	case planner.gossip == gossipLeft && planner.session != sessionOpen:
@@ -69,13 +70,13 @@
 	return true
 }
 
-// announcePeers emits the peers, if they have changed: the candidates that are present.
-func (p *PlannerMembership) announcePeers() {
+// emitPeers emits SetPeers with the candidates that are not absent, if they have changed.
+func (p *PlannerMembership) emitPeers() {
 	peers := p.plannerNames(func(planner *memberRecord) bool {
 		return planner.candidate && !planner.state.isAbsent()
 	})
-	if !slices.Equal(peers, p.announcedPeers) {
-		p.announcedPeers = peers
+	if !slices.Equal(peers, p.emittedPeers) {
+		p.emittedPeers = peers
 		p.emit(SetPeers{slices.Clone(peers)})
 	}
 }
--- a/internal/control/membership/presence.go
+++ b/internal/control/membership/presence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// handleMember processes an event of gossip or of a session.
+// handleMember processes an event from gossip or from a session.
 func (m *memberTable) handleMember(event Event) {
 	m.changed = true
 	switch event := event.(type) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// memberJoined records the announcement of a member.
+// memberJoined processes the announcement of a member.
 func (m *memberTable) memberJoined(announced Member) {
 	record := m.findOrAdd(announced.Name, announced.Role)
 	if record == nil {
@@ -27,7 +27,7 @@
 	}
 	isLater := announced.Incarnation > record.Incarnation
 	appears := isLater || record.gossip != gossipAlive && record.session != sessionOpen
-	isAssignedAlike := assignedAlike(announced, record.Member)
+	isAssignedAlike := equalForAssignment(announced, record.Member)
 	if !record.setGossip(gossipAlive, announced.Incarnation) {
 		return
 	}
@@ -39,16 +39,16 @@
 		record.aliveAt = m.now
 	}
 	if appears || !isAssignedAlike {
-		m.requireAssignment(assignmentOutdated)
+		m.requestAssignment(assignmentOutdated)
 	}
 }
 
-// assignedAlike reports whether two announcements are the same for assignments.
-func assignedAlike(a, b Member) bool {
+// equalForAssignment reports whether two announcements are equal in all fields that affect assignments.
+func equalForAssignment(a, b Member) bool {
 	return a.Role == b.Role && a.Home == b.Home && a.Load == b.Load && a.Workers == b.Workers
 }
 
-// memberGone records that a member has failed or left; incarnation 0 matches any.
+// memberGone records that a member has failed or left. Incarnation 0 matches any incarnation.
 func (m *memberTable) memberGone(name string, reported gossipState, incarnation uint64) {
 	record := m.find(name)
 	if record == nil {
@@ -61,7 +61,7 @@
 		return
 	}
 	record.failedAt = m.now
-	m.requireAssignment(assignmentOutdated)
+	m.requestAssignment(assignmentOutdated)
 }
 
 // plannerConnected records that a session with a planner has opened.
@@ -72,7 +72,7 @@
 	}
 	record.session = record.session.next(sessionOpened)
 	record.latency.restart()
-	m.requireAssignment(assignmentOutdated)
+	m.requestAssignment(assignmentOutdated)
 }
 
 // plannerDisconnected records that the session with a planner has ended.
@@ -87,29 +87,29 @@
 	}
 	record.session = record.session.next(ended)
 	record.sessionLostAt = m.now
-	m.requireAssignment(assignmentUrgent)
+	m.requestAssignment(assignmentUrgent)
 }
 
-// review concludes which members are absent by now, and removes those that have been for Config.Retention. It reports
+// updateStates updates the states of all members, and removes members that have been absent for Config.Retention. It reports
 // whether anything may have changed.
-func (m *memberTable) review() bool {
-	if !m.changed && (m.reviewAt == 0 || m.now < m.reviewAt) {
-		m.wakeAt(m.reviewAt)
+func (m *memberTable) updateStates() bool {
+	if !m.changed && (m.stateUpdateAt == 0 || m.now < m.stateUpdateAt) {
+		m.wakeAt(m.stateUpdateAt)
 		return false
 	}
 	m.changed = false
-	m.reviewAt = 0
+	m.stateUpdateAt = 0
 	kept := m.members[:0]
 	planners := m.planners[:0]
 	for _, record := range m.members {
-		if record.setState(m.concludeState(record), m.now) {
-			m.requireAssignment(assignmentOutdated)
+		if record.setState(m.determineState(record), m.now) {
+			m.requestAssignment(assignmentOutdated)
 		}
 		if m.isExpired(record) {
-			m.requireAssignment(assignmentOutdated)
+			m.requestAssignment(assignmentOutdated)
 			continue
 		}
-		m.scheduleReview(record)
+		m.scheduleStateUpdate(record)
 		kept = append(kept, record)
 		if record.Role == RolePlanner {
 			planners = append(planners, record)
@@ -118,12 +118,12 @@
 	clear(m.members[len(kept):])
 	m.members = kept
 	m.planners = planners
-	m.wakeAt(m.reviewAt)
+	m.wakeAt(m.stateUpdateAt)
 	return true
 }
 
-// concludeState returns the state of a member by gossip and sessions.
-func (m *memberTable) concludeState(record *memberRecord) memberState {
+// determineState returns the state of a member according to gossip and its session.
+func (m *memberTable) determineState(record *memberRecord) memberState {
 	switch {
 	case record.session == sessionOpen || record.gossip == gossipAlive:
 		return memberAlive
@@ -145,8 +145,8 @@
 	return record.state.isAbsent() && m.now-record.absentAt >= m.config.Retention
 }
 
-// scheduleReview schedules the next review for when the member's state changes by time alone.
-func (m *memberTable) scheduleReview(record *memberRecord) {
+// scheduleStateUpdate schedules an update of states for the time at which the member's state changes without an event.
+func (m *memberTable) scheduleStateUpdate(record *memberRecord) {
 	var at time.Duration
 	switch record.state {
 	case memberAlive:
@@ -156,7 +156,7 @@
 	case memberDead, memberLeft:
 		at = record.absentAt + m.config.Retention
 	}
-	if m.reviewAt == 0 || at < m.reviewAt {
-		m.reviewAt = at
+	if m.stateUpdateAt == 0 || at < m.stateUpdateAt {
+		m.stateUpdateAt = at
 	}
 }
--- a/internal/control/membership/process_gossip_test.go
+++ b/internal/control/membership/process_gossip_test.go
@@ -10,8 +10,8 @@
 	}
 }
 
-// deliver has the process step with a report about another after some time. Reports about one process arrive in order, but
-// for those with a delay.
+// deliver delivers a gossip report about another process after a random time plus delay. Reports about one process arrive in
+// order, except after reports with a delay.
 func (p *process) deliver(about *process, delay time.Duration, event Event) {
 	incarnation := p.announced.Incarnation
 	at := max(p.cluster.now+delay+p.cluster.randomDelay(5, 300), p.deliverAt[about.announced.Name])
@@ -20,7 +20,7 @@
 			p.step(event)
 		}
 	})
-	if delay == 0 { // a crash that is noticed late may be reported after the next process has come
+	if delay == 0 { // a late report of a crash may arrive after the announcement of the restarted process
 		p.deliverAt[about.announced.Name] = at
 	}
 }
--- a/internal/control/membership/process_session_test.go
+++ b/internal/control/membership/process_session_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// connect opens sessions with the planners that are wanted, and ends the others.
+// connect opens sessions with the planners in wantedSessions, and closes all others.
 func (p *process) connect() {
 	for name := range p.connected {
-		if !slices.Contains(p.wanted, name) {
+		if !slices.Contains(p.wantedSessions, name) {
 			p.cluster.after(0, func() { p.disconnect(name, false) })
 		}
 	}
-	for _, name := range p.wanted {
+	for _, name := range p.wantedSessions {
 		if p.connected[name] || p.connecting[name] {
 			continue
 		}
 		p.connecting[name] = true
-		self := p.self
+		current := p.membership
 		p.cluster.after(p.cluster.randomDelay(1, 60), func() {
-			if p.self == self {
+			if p.membership == current {
 				p.finishConnecting(name)
 			}
 		})
@@ -28,7 +28,7 @@
 
 func (p *process) finishConnecting(name string) {
 	p.connecting[name] = false
-	canReach := p.cluster.find(name).running && !p.cut[name]
+	canReach := p.cluster.find(name).running && !p.unreachable[name]
 	switch {
 	case !p.running:
 	case canReach && !p.connected[name]:
@@ -47,14 +47,14 @@
 	}
 }
 
-// sendHeartbeat has a forwarder receive a planner's reply every 100 ms.
+// sendHeartbeat makes a forwarder receive a planner's heartbeat reply every 100 ms.
 func (p *process) sendHeartbeat(name string) {
 	if p.announced.Role == RolePlanner {
 		return
 	}
-	self := p.self
+	current := p.membership
 	p.cluster.after(p.cluster.randomDelay(95, 105), func() {
-		if !p.running || p.self != self || !p.connected[name] {
+		if !p.running || p.membership != current || !p.connected[name] {
 			return
 		}
 		p.step(ReplyReceived{Name: name, Latency: p.cluster.replyLatency(name)})
--- a/internal/control/membership/process_step_test.go
+++ b/internal/control/membership/process_step_test.go
@@ -1,11 +1,11 @@
 package membership
 
-// step runs a step of the process, and carries out its actions.
+// step runs a step of the process and executes its actions.
 func (p *process) step(events ...Event) {
-	for _, action := range p.self.Step(p.cluster.now, events, nil) {
+	for _, action := range p.membership.Step(p.cluster.now, events, nil) {
 		switch action := action.(type) {
 		case SetPlanners:
-			p.wanted = action.Names
+			p.wantedSessions = action.Names
 		case Announce:
 			p.announce(action.Member)
 		case SetPartition:
@@ -25,14 +25,14 @@
 }
 
 func (p *process) setTimer() {
-	at := p.self.Next()
+	at := p.membership.Next()
 	if at == 0 || at == p.timerAt {
 		return
 	}
 	p.timerAt = at
-	self := p.self
+	current := p.membership
 	p.cluster.after(at-p.cluster.now, func() {
-		if p.running && p.self == self && p.timerAt == at {
+		if p.running && p.membership == current && p.timerAt == at {
 			p.timerAt = 0
 			p.step()
 		}
--- a/internal/control/membership/process_test.go
+++ b/internal/control/membership/process_test.go
@@ -8,27 +8,27 @@
 
 // process is a forwarder or planner of a cluster.
 type process struct {
-	cluster   *cluster
-	announced Member
-	running   bool
-	self      stepper
-	deliverAt map[string]time.Duration // by sender: when its latest announcement arrives
-	timerAt   time.Duration            // of its next step without an event; 0: none
-	latency   time.Duration            // of its replies
-	ownerOf   func(w *dispatch.Worker) string
+	cluster    *cluster
+	announced  Member
+	running    bool
+	membership stepper
+	deliverAt  map[string]time.Duration // by sender: arrival time of its latest report
+	timerAt    time.Duration            // time of the next step without an event; 0 if none
+	latency    time.Duration            // additional latency of its replies
+	ownerOf    func(w *dispatch.Worker) string
 
-	wanted     []string // planners to have sessions with
-	connected  map[string]bool
-	connecting map[string]bool
-	cut        map[string]bool // names of processes that it can't reach
+	wantedSessions []string // planners of the latest SetPlanners
+	connected      map[string]bool
+	connecting     map[string]bool
+	unreachable    map[string]bool // names of processes with which no session can open
 }
 
 func newProcess(c *cluster, name string, role Role) *process {
 	return &process{
-		cluster:   c,
-		announced: Member{Name: name, Role: role},
-		deliverAt: map[string]time.Duration{},
-		cut:       map[string]bool{},
+		cluster:     c,
+		announced:   Member{Name: name, Role: role},
+		deliverAt:   map[string]time.Duration{},
+		unreachable: map[string]bool{},
 	}
 }
 
@@ -39,17 +39,17 @@
 	c := p.cluster
 	p.running = true
 	p.timerAt = 0
-	p.wanted = nil
+	p.wantedSessions = nil
 	p.connected = map[string]bool{}
 	p.connecting = map[string]bool{}
 	clear(p.deliverAt)
 	p.announced.Incarnation = uint64(c.now)
 	p.announced.Home = ""
 	if p.announced.Role == RolePlanner {
-		p.self = NewPlannerMembership(p.announced, clusterConfig)
+		p.membership = NewPlannerMembership(p.announced, clusterConfig)
 		p.step(fullList(c.cells))
 	} else {
-		p.self = NewForwarderMembership(p.announced, clusterConfig)
+		p.membership = NewForwarderMembership(p.announced, clusterConfig)
 	}
 	for _, other := range c.processes {
 		if other != p && other.running {
@@ -60,7 +60,7 @@
 	p.step()
 }
 
-// stop ends the process in an orderly way, or by a crash, which gossip notices late.
+// stop ends the process gracefully or by a crash, which gossip detects late.
 func (p *process) stop(orderly bool) {
 	if !p.running {
 		return
@@ -78,8 +78,8 @@
 	}
 }
 
-// follower returns the process as a running forwarder.
+// follower returns the membership of the process; ok is false unless it is a running forwarder.
 func (p *process) follower() (*ForwarderMembership, bool) {
-	forwarder, ok := p.self.(*ForwarderMembership)
+	forwarder, ok := p.membership.(*ForwarderMembership)
 	return forwarder, ok && p.running
 }
--- a/internal/control/membership/random_test.go
+++ b/internal/control/membership/random_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// While faults go on, each forwarder that has a session follows a planner. Once they are over, forwarders are spread evenly
-// over the planners, the planners agree on a partition in which each cell has one owner, and nothing moves any more.
+// During random faults, each forwarder with a session follows a planner. After the faults, forwarders are spread evenly over
+// the planners, the planners agree on a partition in which each cell has one owner, and no forwarder moves.
 func TestRandomFaultsConverge(t *testing.T) {
 	runs := 30
 	if testing.Short() {
@@ -24,8 +24,8 @@
 				c.run(100 * time.Millisecond)
 				c.checkFollowing()
 			}
-			c.settle()
-			c.check("at the end")
+			c.recoverFromFaults()
+			c.checkConverged("after the faults")
 			c.resetMoves()
 			c.run(10 * time.Second)
 			if c.moveCount != 0 {
@@ -35,9 +35,9 @@
 	}
 }
 
-// A planner whose latency is near the bound for a minute, or that is slow and normal by turns, moves hardly any forwarder
-// there and back.
-func TestUnsteadyLatencyMovesFew(t *testing.T) {
+// Few forwarders move if the latency of a planner fluctuates around the bound for a minute, or alternates between slow and
+// normal.
+func TestFluctuatingLatencyCausesFewMoves(t *testing.T) {
 	c := newCluster(t, 1, 12, 3, 30)
 	c.run(5 * time.Second)
 	planner := c.find("p2")
@@ -47,7 +47,7 @@
 		c.run(time.Second)
 	}
 	if c.moveCount > 4 { // its four forwarders may leave it once
-		t.Errorf("%d moves in a minute near the bound", c.moveCount)
+		t.Errorf("%d moves in a minute with a latency near the bound", c.moveCount)
 	}
 	for range 12 {
 		planner.latency = 80 * time.Millisecond
@@ -55,42 +55,42 @@
 		planner.latency = 0
 		c.run(5 * time.Second)
 	}
-	if c.moveCount > 4*2*5 { // of 4*2*12: its four forwarders leave and return at growing intervals
-		t.Errorf("%d moves in two minutes between slow and normal", c.moveCount)
+	if c.moveCount > 4*2*5 { // less than 4*2*12: its four forwarders leave and return at increasing intervals
+		t.Errorf("%d moves in two minutes with alternating latency", c.moveCount)
 	}
 }
 
-// Forwarders leave a slow planner one after another, and do not overload the next one: planners reply slowly here as soon as
-// more forwarders follow them than they can serve.
-func TestSlowPlannerIsLeftGradually(t *testing.T) {
+// Forwarders leave a slow planner one after another, so that they don't overload the others. In this test planners reply
+// slowly as soon as they have more than 16 followers, later 8.
+func TestForwardersLeaveSlowPlannerGradually(t *testing.T) {
 	c := newCluster(t, 1, 30, 3, 30)
 	c.plannerLimit = 16
 	c.run(5 * time.Second)
-	c.check("before")
+	c.checkConverged("before the slowdown")
 	c.resetMoves()
 	c.find("p1").latency = 80 * time.Millisecond
 	slowSince := c.now
 	c.run(10 * time.Second)
 	if count := c.followerCount("p1"); count > 0 {
-		t.Errorf("%d forwarders stay with it", count)
+		t.Errorf("%d forwarders still follow the slow planner", count)
 	}
 	if a, b := c.followerCount("p2"), c.followerCount("p3"); a > 16 || b > 16 {
-		t.Errorf("%d and %d forwarders follow the others", a, b)
+		t.Errorf("%d and %d forwarders follow the other planners", a, b)
 	}
 	for second, count := range c.movesBySecond {
 		if count > 6 {
-			t.Errorf("%d forwarders move within the second %v after", count, second*time.Second-slowSince)
+			t.Errorf("%d forwarders move within the second that begins %v after the planner became slow", count, second*time.Second-slowSince)
 		}
 	}
 	c.find("p1").latency = 0
 	c.run(20 * time.Second)
-	c.check("after")
+	c.checkConverged("after recovery")
 
-	// Planners that are all too weak for their forwarders keep them.
+	// Forwarders stay where they are if all planners are slow.
 	c.plannerLimit = 8
 	c.resetMoves()
 	c.run(time.Minute)
 	if c.moveCount > 0 {
-		t.Errorf("all planners are slow, and %d forwarders move", c.moveCount)
+		t.Errorf("%d forwarders move although all planners are slow", c.moveCount)
 	}
 }
--- a/internal/control/membership/ranking.go
+++ b/internal/control/membership/ranking.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// plannerRank is how good a planner is for this forwarder; a lower one is better.
+// plannerRank is the preference class of a planner for this forwarder; lower is better.
 type plannerRank uint8
 
 const (
-	rankHome plannerRank = iota
-	rankResponsive
+	rankHome       plannerRank = iota
+	rankResponsive             // open session, not slow
 	rankOther
 )
 
-// rankPlanners sorts the planners that are present by rank, and those of one rank by the hashes of their names with that of
-// this forwarder.
+// rankPlanners sorts the planners that are present by rank. Within a rank the order depends on the hash of each planner's name
+// combined with this forwarder's.
 func (f *ForwarderMembership) rankPlanners() {
 	present := slices.DeleteFunc(slices.Clone(f.planners), func(planner *memberRecord) bool {
 		return planner.state.isAbsent()
--- a/internal/control/membership/record.go
+++ b/internal/control/membership/record.go
@@ -8,16 +8,16 @@
 // memberRecord is the record of one member.
 type memberRecord struct {
 	Member
-	hash uint64 // of its name
+	hash uint64 // of Name
 
 	gossip        gossipState
-	aliveAt       time.Duration // when gossip announced this incarnation, or announced it again; extended by lateness
-	failedAt      time.Duration // when gossip reported that it failed or left, extended by lateness; 0: never
+	aliveAt       time.Duration // when gossip reported this incarnation as alive, first or again; see extendTimeouts
+	failedAt      time.Duration // when gossip reported that it failed or left, 0 if never; see extendTimeouts
 	session       sessionState
 	sessionLostAt time.Duration // when the last session ended
-	state         memberState   // as of the latest review
-	absentAt      time.Duration // when it was found to be dead or to have left, if it is
-	candidate     bool          // of a planner: whether it counts in assignments, as of the latest step
+	state         memberState   // set by the latest updateStates
+	absentAt      time.Duration // when state became dead or left, if absent
+	candidate     bool          // planners: whether assignments include it, set by the latest updateCandidates
 	latency       latencyTracker
 }
 
@@ -30,8 +30,9 @@
 // isSlow reports whether the planner's replies are slow.
 func (m *memberRecord) isSlow() bool { return m.latency.state == latencySlow }
 
-// setGossip records what gossip reports of an incarnation of the member, and returns whether it is valid. It is not if it
-// is about an earlier incarnation, ends one that is not alive, or is a late announcement of one that has left.
+// setGossip records the state of an incarnation reported by gossip, and returns whether the report is valid. It ignores reports
+// about earlier incarnations, reports that a member that is not alive has failed or left, and late announcements of an
+// incarnation that has left.
 func (m *memberRecord) setGossip(reported gossipState, incarnation uint64) bool {
 	switch {
 	case incarnation < m.Incarnation:
@@ -45,7 +46,7 @@
 	return true
 }
 
-// setState sets the state that is concluded of the member, and returns whether it has become absent or present by that.
+// setState sets the member's state, and returns whether the member became absent or present.
 func (m *memberRecord) setState(state memberState, now time.Duration) bool {
 	wasAbsent := m.state.isAbsent()
 	m.state = state
@@ -56,7 +57,7 @@
 	return true
 }
 
-// extendTimeouts restarts the timeouts after gossip's reports, as this process may have missed later ones.
+// extendTimeouts restarts the timeouts that began with a gossip report, because this process may have missed later reports.
 func (m *memberRecord) extendTimeouts(now time.Duration) {
 	switch {
 	case m.gossip == gossipFailed && !m.state.isAbsent():
--- a/internal/control/membership/script_test.go
+++ b/internal/control/membership/script_test.go
@@ -16,9 +16,9 @@
 
 var update = flag.Bool("update", false, "write the transcripts to the golden files")
 
-// Each file of testdata is a script: a line for each event, and below a line of dashes the transcript, in which each event
-// is followed by the actions up to the next. "self forwarder f1" or "self planner p1" names the process under test; "p1
-// replies 1ms" has a planner reply ten times a second from then on.
+// Each file of testdata consists of a script with one event per line, a line of dashes, and the expected transcript, in which
+// each event is followed by the actions before the next event. "self forwarder f1" or "self planner p1" sets the process under
+// test. "p1 replies 1ms" makes a planner reply ten times a second from that time on.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// stepper is what both roles implement.
+// stepper is implemented by the memberships of both roles.
 type stepper interface {
 	Step(now time.Duration, events []Event, dst []Action) []Action
 	Next() time.Duration
@@ -53,16 +53,16 @@
 // scriptRunner runs one script.
 type scriptRunner struct {
 	t          *testing.T
-	self       stepper
+	membership stepper
 	now        time.Duration
 	repliesAt  time.Duration            // time of the next replies
-	latencies  map[string]time.Duration // of the planners that reply
-	replying   []string                 // their names, in order
+	latencies  map[string]time.Duration // by planner that replies
+	replying   []string                 // names of these planners, in order of their setReplies
 	transcript strings.Builder
 	cells      int
 }
 
-// scriptStart is the time of the process's clock at which a script begins.
+// scriptStart is the time at which a script starts; times in scripts and transcripts are relative to it.
 const scriptStart = 1000 * time.Second
 
 func (r *scriptRunner) run(script string) string {
@@ -74,7 +74,7 @@
 		case words[0] == "self":
 			r.transcript.WriteString(line)
 			r.start(words[1], words[2])
-		case len(words) == 2 && words[1] == "frozen": // the process under test, until then
+		case len(words) == 2 && words[1] == "frozen": // freezes the process under test until this time
 			r.now = scriptStart + r.duration(words[0])
 			r.repliesAt = r.now
 			r.transcript.WriteString(line)
@@ -92,19 +92,19 @@
 	self := Member{Name: name, Incarnation: 1, Addr: name}
 	switch role {
 	case RolePlanner.String():
-		r.self = NewPlannerMembership(self, Config{})
+		r.membership = NewPlannerMembership(self, Config{})
 	case RoleForwarder.String():
-		r.self = NewForwarderMembership(self, Config{})
+		r.membership = NewForwarderMembership(self, Config{})
 	default:
 		r.t.Fatalf("unknown role %q", role)
 	}
 }
 
-// runUntil runs all steps before a time, and sets the clock to it.
+// runUntil runs all steps due before a time, and sets the current time to it.
 func (r *scriptRunner) runUntil(end time.Duration) {
 	for {
 		next := end
-		if at := r.self.Next(); at > 0 && at < next {
+		if at := r.membership.Next(); at > 0 && at < next {
 			next = at
 		}
 		if len(r.replying) > 0 && r.repliesAt < next {
@@ -118,7 +118,7 @@
 	}
 }
 
-// replies returns the planners' replies, if they are due.
+// replies returns the planners' replies if they are due, otherwise nil.
 func (r *scriptRunner) replies() (events []Event) {
 	if r.repliesAt > r.now {
 		return nil
@@ -131,7 +131,7 @@
 }
 
 func (r *scriptRunner) step(events ...Event) {
-	for _, action := range r.self.Step(r.now, events, nil) {
+	for _, action := range r.membership.Step(r.now, events, nil) {
 		fmt.Fprintf(&r.transcript, "    %v %s\n", r.now-scriptStart, r.actionText(action))
 	}
 }
@@ -151,7 +151,7 @@
 		return fmt.Sprintf("index %d of %d", action.Index, action.Count)
 	case SetPartition:
 		text := "partition:"
-		for cell := range r.cells + 1 { // the last one is not on the list
+		for cell := range r.cells + 1 { // the last cell is not in the endpoint list
 			text += " " + action.Owner(&dispatch.Worker{Cell: cell})
 		}
 		return text
@@ -170,7 +170,7 @@
 	return text
 }
 
-// events returns the events of a line without its time.
+// events returns the events described by a line, without its time.
 func (r *scriptRunner) events(words []string) []Event {
 	switch {
 	case len(words) == 0:
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// member reads a member: p1, p1@2 for its second incarnation, p1/10 for one that knows ten workers, f1=p1 for one that
+// member parses a member: p1, p1@2 for incarnation 2, p1/10 for a planner that knows ten workers, f1=p1 for a forwarder that
 // follows p1.
 func (r *scriptRunner) member(text string) Member {
 	member := Member{Incarnation: 1}
@@ -257,7 +257,7 @@
 
 const workersPerCell = 4
 
-// fullList returns an endpoint list of some cells.
+// fullList returns a full endpoint list with the given number of cells.
 func fullList(cells int) EndpointsChanged {
 	list := dispatch.WorkerList{Kind: dispatch.ListFull}
 	for i := range cells * workersPerCell {
--- a/internal/control/membership/selector.go
+++ b/internal/control/membership/selector.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// The methods of this file implement forwarder.PlannerSelector. Actions that follow from them are returned by the next Step.
+// The methods in this file implement forwarder.PlannerSelector. The next Step returns the resulting actions.
 
-// PlannersKnown has no effect: membership itself decides which planners there are.
+// PlannersKnown does nothing, because membership itself tracks the planners.
 func (f *ForwarderMembership) PlannersKnown(time.Duration, []string) {}
 
-// SessionChanged reports that a session with a planner has opened or was lost.
+// SessionChanged processes the opening or the loss of a session with a planner.
 func (f *ForwarderMembership) SessionChanged(now time.Duration, planner string, up bool) {
 	if up {
 		f.handleNow(now, PlannerConnected{planner})
@@ -16,12 +16,12 @@
 	}
 }
 
-// ReplyReceived reports how long a planner took to reply, and how late its own timers run.
+// ReplyReceived processes the round-trip time of a planner's reply, and by how much the planner's timers run late.
 func (f *ForwarderMembership) ReplyReceived(now time.Duration, planner string, latency, timerLag time.Duration) {
 	f.handleNow(now, ReplyReceived{planner, latency, timerLag})
 }
 
-// AppendOrder appends the planners that are present to dst, the one to follow first.
+// AppendOrder appends the planners that are present to dst, in order of preference.
 func (f *ForwarderMembership) AppendOrder(now time.Duration, dst []string) []string {
 	f.beginStep(now)
 	f.update()
--- a/internal/control/membership/self_health.go
+++ b/internal/control/membership/self_health.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	maxOwnTimerLag      = 20 * time.Millisecond // a process whose timers run later than this is late itself
-	maxLateness         = 8
-	latenessDecayPeriod = time.Second // one sign of lateness counts for this long
+	maxOwnTimerLag      = 20 * time.Millisecond // a step delayed by more than this counts as late
+	maxLateSteps        = 8                     // upper bound of selfHealth.lateSteps
+	lateStepDecayPeriod = time.Second           // lateSteps decreases by one per period without a late step
 )
 
-// selfHealth counts how often this process's timers ran late recently; its timeouts are extended by that.
+// selfHealth counts this process's recent late steps and extends its timeouts accordingly.
 type selfHealth struct {
-	lateness  int // signs that count still, at most maxLateness
+	lateSteps int // number of recent late steps, at most maxLateness
 	changedAt time.Duration
 }
 
-// recordLateness records a sign of lateness.
-func (s *selfHealth) recordLateness(now time.Duration) {
-	s.lateness = min(s.lateness+1, maxLateness)
+// recordLateStep records a late step.
+func (s *selfHealth) recordLateStep(now time.Duration) {
+	s.lateSteps = min(s.lateSteps+1, maxLateSteps)
 	s.changedAt = now
 }
 
-// decay discards signs of lateness that are older than latenessDecayPeriod.
+// decay reduces lateSteps by one for each lateStepDecayPeriod since its last change.
 func (s *selfHealth) decay(now time.Duration) {
-	for s.lateness > 0 && now-s.changedAt >= latenessDecayPeriod {
-		s.lateness--
-		s.changedAt += latenessDecayPeriod
+	for s.lateSteps > 0 && now-s.changedAt >= lateStepDecayPeriod {
+		s.lateSteps--
+		s.changedAt += lateStepDecayPeriod
 	}
 }
 
-// scale returns a timeout extended by the signs of lateness.
+// scale multiplies a timeout by one plus lateSteps.
 func (s *selfHealth) scale(timeout time.Duration) time.Duration {
-	return timeout * time.Duration(1+s.lateness)
+	return timeout * time.Duration(1+s.lateSteps)
 }
--- a/internal/control/membership/state.go
+++ b/internal/control/membership/state.go
@@ -1,10 +1,10 @@
 package membership
 
-// gossipState is what gossip reported last about a member.
+// gossipState is the last state of a member reported by gossip.
 type gossipState uint8
 
 const (
-	gossipUnknown gossipState = iota // gossip has never reported it: it is known by a session alone
+	gossipUnknown gossipState = iota // gossip has not reported the member, which is known only by a session
 	gossipAlive
 	gossipFailed
 	gossipLeft
@@ -28,9 +28,9 @@
 type sessionState uint8
 
 const (
-	sessionNone sessionState = iota // there is none, which says nothing about the planner
+	sessionNone sessionState = iota // no session, which implies nothing about the planner
 	sessionOpen
-	sessionLost // the last one with this incarnation of the planner was lost
+	sessionLost // the last session with this incarnation of the planner was lost
 )
 
 func (s sessionState) String() string {
@@ -45,13 +45,13 @@
 	return "invalid"
 }
 
-// sessionEvent is what changes a sessionState.
+// sessionEvent is an event that may change a sessionState.
 type sessionEvent uint8
 
 const (
 	sessionOpened      sessionEvent = iota
-	sessionEnded                    // the connection was lost, or an end was announced
-	sessionWentSilent               // nothing more was heard
+	sessionEnded                    // the connection was lost, or the planner announced the end
+	sessionWentSilent               // the session timed out without messages
 	incarnationChanged              // gossip has announced a later incarnation of the planner
 )
 
@@ -70,12 +70,12 @@
 	return s
 }
 
-// memberState is what this process concludes about a member from gossip and its sessions.
+// memberState is the state of a member according to gossip and its session.
 type memberState uint8
 
 const (
-	memberAlive     memberState = iota // a session is open, or gossip has it
-	memberSuspected                    // gossip does not have it any more, and the suspicion timeout is running
+	memberAlive     memberState = iota // a session is open, or gossip reports it as alive
+	memberSuspected                    // gossip does not report it as alive; the suspicion timeout is running
 	memberDead
 	memberLeft
 )
@@ -97,13 +97,13 @@
 // isAbsent reports whether the member is dead or has left.
 func (m memberState) isAbsent() bool { return m == memberDead || m == memberLeft }
 
-// assignmentState is whether the assignment is up to date. A greater state is more urgent.
+// assignmentState states whether the assignment is up to date. Greater states are more urgent.
 type assignmentState uint8
 
 const (
 	assignmentCurrent  assignmentState = iota
-	assignmentOutdated                 // it is to be recomputed once Config.AssignInterval has passed
-	assignmentUrgent                   // it is to be recomputed at once
+	assignmentOutdated                 // must be recomputed once Config.AssignInterval has passed
+	assignmentUrgent                   // must be recomputed immediately
 )
 
 func (a assignmentState) String() string {
--- a/internal/control/membership/state_test.go
+++ b/internal/control/membership/state_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// A member without a session is suspect until the timeout, then dead; gossip may refute that, and an open session does.
+// A member that gossip reports as failed is suspected until the timeout and then dead, unless gossip announces it again or a
+// session with it opens.
 func TestMemberTransitions(t *testing.T) {
 	f := NewForwarderMembership(Member{Name: "f"}, Config{})
 	joined := MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: 1}}
@@ -59,8 +60,8 @@
 	}
 }
 
-// A lost session has the cells assigned anew at once. Any other change waits until Config.AssignInterval has passed.
-func TestLossIsAssignedAtOnce(t *testing.T) {
+// A lost session causes an immediate reassignment of cells. Other changes wait until Config.AssignInterval has passed.
+func TestLostSessionReassignsCellsImmediately(t *testing.T) {
 	p := NewPlannerMembership(Member{Name: "p1"}, Config{})
 	interval := Defaults().AssignInterval
 	const start = time.Second
@@ -77,35 +78,35 @@
 	}
 	planner := MemberJoined{Member{Name: "p2", Role: RolePlanner, Incarnation: 1}}
 	if step(start, fullList(10), planner, PlannerConnected{"p2"}, joined("f1", "p1"), joined("f2", "p2")) != 1 {
-		t.Error("no partition in the first step")
+		t.Error("the first step emits no partition")
 	}
 	if step(start+interval/4, joined("f3", "p2")) != 0 {
-		t.Error("a new partition within the interval")
+		t.Error("a new forwarder causes a partition within the interval")
 	}
 	if step(start+interval/2, PlannerDisconnected{Name: "p2"}) != 1 {
-		t.Error("no new partition at once after a loss")
+		t.Error("a lost session causes no immediate partition")
 	}
 	if step(start+interval, PlannerConnected{"p2"}) != 0 || step(start+interval/2+interval) != 1 {
-		t.Error("not one new partition once the interval has passed")
+		t.Error("a new session does not cause exactly one partition after the interval")
 	}
 }
 
-// Each step that comes late adds a timeout to those of a process, up to a limit, and each second without one takes it back.
-func TestLatenessExtendsTimeouts(t *testing.T) {
+// Each late step extends the timeouts of a process by one unit, up to a limit, and each second without one shortens them by one.
+func TestLateStepsExtendTimeouts(t *testing.T) {
 	health := selfHealth{}
-	for range 2 * maxLateness {
-		health.recordLateness(time.Second)
+	for range 2 * maxLateSteps {
+		health.recordLateStep(time.Second)
 	}
-	if got := health.scale(time.Second); got != (1+maxLateness)*time.Second {
-		t.Errorf("timeout of 1 s is %v at most", got)
+	if got := health.scale(time.Second); got != (1+maxLateSteps)*time.Second {
+		t.Errorf("timeout of 1 s is scaled to %v at the limit", got)
 	}
-	health.decay(time.Second + 3*latenessDecayPeriod)
-	if got := health.scale(time.Second); got != (1+maxLateness-3)*time.Second {
-		t.Errorf("timeout of 1 s is %v after three periods", got)
+	health.decay(time.Second + 3*lateStepDecayPeriod)
+	if got := health.scale(time.Second); got != (1+maxLateSteps-3)*time.Second {
+		t.Errorf("timeout of 1 s is scaled to %v three decay periods later", got)
 	}
 	health.decay(time.Minute)
 	if got := health.scale(time.Second); got != time.Second {
-		t.Errorf("timeout of 1 s is %v in the end", got)
+		t.Errorf("timeout of 1 s is scaled to %v after all late steps have decayed", got)
 	}
 }
 
@@ -129,16 +130,16 @@
 		{levelHigh, 400 * time.Millisecond, latencyNormal},
 		{levelElevated, 200 * time.Millisecond, latencyNormal},
 		{levelHigh, 200 * time.Millisecond, latencyNormal},
-		{levelFast, time.Millisecond, latencyNormal},
+		{levelLow, time.Millisecond, latencyNormal},
 		{levelHigh, 500 * time.Millisecond, latencySlow},
-		{levelFast, 900 * time.Millisecond, latencySlow},
+		{levelLow, 900 * time.Millisecond, latencySlow},
 		{levelHigh, 100 * time.Millisecond, latencySlow},
-		{levelFast, 900 * time.Millisecond, latencySlow},
+		{levelLow, 900 * time.Millisecond, latencySlow},
 		{levelElevated, time.Minute, latencySlow},
-		{levelFast, 100 * time.Millisecond, latencyNormal},
+		{levelLow, 100 * time.Millisecond, latencyNormal},
 		{levelHigh, 500 * time.Millisecond, latencySlow}, // a relapse: recovery takes twice as long
-		{levelFast, 1900 * time.Millisecond, latencySlow},
-		{levelFast, 100 * time.Millisecond, latencyNormal},
+		{levelLow, 1900 * time.Millisecond, latencySlow},
+		{levelLow, 100 * time.Millisecond, latencyNormal},
 	} {
 		if got := observe(test.level, test.period); got != test.want {
 			t.Errorf("observation %d: %v, want %v", i, got, test.want)
@@ -146,7 +147,7 @@
 	}
 }
 
-func TestStatesHaveNames(t *testing.T) {
+func TestStateNamesAreUnique(t *testing.T) {
 	names := map[string]bool{}
 	for _, states := range [][]fmt.Stringer{
 		{RoleForwarder, RolePlanner},
--- a/internal/control/membership/table_test.go
+++ b/internal/control/membership/table_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The later incarnation of a name counts. Late reports about an earlier one, or an announcement of one that has left, do not.
-func TestLaterIncarnationCounts(t *testing.T) {
+// A later incarnation replaces an earlier one of the same name. Reports about an earlier incarnation, and announcements of an
+// incarnation that has left, are ignored.
+func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	f := NewForwarderMembership(Member{Name: "f"}, Config{})
 	planner := func(incarnation uint64, addr string) MemberJoined {
 		return MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: incarnation, Addr: addr}}
@@ -19,22 +20,22 @@
 	}
 	f.Step(3, []Event{MemberLeft{"p", 5}, planner(5, "")}, nil)
 	if record := f.find("p"); record.gossip != gossipLeft {
-		t.Errorf("an incarnation that has left is %v", record.gossip)
+		t.Errorf("gossip state after leaving is %v", record.gossip)
 	}
 	f.Step(4, []Event{planner(6, "")}, nil)
 	if record := f.find("p"); record.gossip != gossipAlive || record.state != memberAlive {
-		t.Errorf("the next incarnation is %v, and %v by gossip", record.state, record.gossip)
+		t.Errorf("the next incarnation is %v, gossip state %v", record.state, record.gossip)
 	}
 }
 
-// The table holds a limited number of members of a role, sorted by name, and counts those beyond.
-func TestTableIsBounded(t *testing.T) {
+// The table limits the number of members per role, keeps them sorted by name, and counts those that it does not add.
+func TestMemberTableIsBounded(t *testing.T) {
 	f := NewForwarderMembership(Member{Name: "f"}, Config{})
 	for i := range 2 * maxPlanners {
 		f.Step(4, []Event{MemberJoined{Member{Name: fmt.Sprint("p", i), Role: RolePlanner, Incarnation: 1}}}, nil)
 	}
 	if len(f.members) != maxPlanners || f.OverflowCount() != maxPlanners {
-		t.Errorf("%d members, %d beyond the limit", len(f.members), f.OverflowCount())
+		t.Errorf("%d members, overflow count %d", len(f.members), f.OverflowCount())
 	}
 	if !slices.IsSortedFunc(f.members, func(a, b *memberRecord) int { return compareName(a, b.Name) }) {
 		t.Error("members are not sorted")
@@ -46,6 +47,6 @@
 	}
 	f.Step(5, joined, nil)
 	if len(f.members) != maxPlanners {
-		t.Error("the own name, an empty one, or one that is too long was added")
+		t.Error("the process's own name, an empty name or a name that is too long was added")
 	}
 }
--- a/internal/control/membership/worker_count.go
+++ b/internal/control/membership/worker_count.go
@@ -7,22 +7,22 @@
 	"valvecove/dispatch"
 )
 
-// endpointsChanged processes a change of the endpoint list. The assignment is outdated if the weight of a cell changes.
+// endpointsChanged processes a watch event of the endpoint list. The assignment becomes outdated if the weight of a cell changes.
 func (p *PlannerMembership) endpointsChanged(list dispatch.WorkerList) {
 	switch list.Kind {
 	case dispatch.ListUnavailable:
 		return
 	case dispatch.ListFull, dispatch.ListCached:
 		p.cells.reset()
-		p.requireAssignment(assignmentOutdated)
+		p.requestAssignment(assignmentOutdated)
 	case dispatch.ListDelta:
 	}
 	if slices.ContainsFunc(p.cells.apply(list.Workers), p.weightChanged) {
-		p.requireAssignment(assignmentOutdated)
+		p.requestAssignment(assignmentOutdated)
 	}
 }
 
-// weightChanged reports whether a cell has another weight than in the latest assignment.
+// weightChanged reports whether the weight of a cell differs from that in the latest assignment.
 func (p *PlannerMembership) weightChanged(cell int) bool {
 	workers, isListed := p.cells.workerCount[cell]
 	weight, wasAssigned := p.assignedWeights[cell]
@@ -32,25 +32,25 @@
 	return isListed != wasAssigned
 }
 
-// updateWorkerCount sets the number of workers to announce. A lower one is announced after Config.Retention only, as most
-// workers that are unlisted are listed again soon.
+// updateWorkerCount updates the announced number of workers. A lower number is announced only after Config.Retention, because
+// most workers that become unlisted are soon listed again.
 func (p *PlannerMembership) updateWorkerCount() {
 	workers := 0
 	if total := p.cells.totalWorkers(); total > 0 {
 		workers = roundUpToPowerOfTwo(total)
 	}
 	isLower := workers < p.self.Workers
-	if isLower && p.shrunkAt == 0 {
-		p.shrunkAt = p.now
+	if isLower && p.belowAnnouncedSince == 0 {
+		p.belowAnnouncedSince = p.now
 	}
-	if announceAt := p.shrunkAt + p.config.Retention; isLower && p.now < announceAt {
+	if announceAt := p.belowAnnouncedSince + p.config.Retention; isLower && p.now < announceAt {
 		p.wakeAt(announceAt)
 		return
 	}
 	p.self.Workers = workers
-	p.shrunkAt = 0
+	p.belowAnnouncedSince = 0
 }
 
-// roundUpToPowerOfTwo returns the least power of two that is at least n, and 1 for n below 1. Counts of workers are rounded
-// so that a worker that restarts changes no assignment.
+// roundUpToPowerOfTwo returns the smallest power of two that is at least n, and 1 for n below 1. Worker counts are rounded so
+// that the restart of a worker usually changes no assignment.
 func roundUpToPowerOfTwo(n int) int { return 1 << bits.Len(uint(max(n, 1)-1)) }
