--- a/internal/control/membership/assignment_test.go
+++ b/internal/control/membership/assignment_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// If an owner leaves, few items move beyond those that it had. The bounds are measured over 40 assignments each, or 5 for 2500
-// items.
-func TestAssignMovesFewItemsWhenOwnerLeaves(t *testing.T) {
+// If an owner leaves or joins, few items move beyond those that it had or gets. The bounds are measured over 40 assignments
+// each, or 5 for 2500 items.
+func TestAssignMovesFewItemsWhenOwnersChange(t *testing.T) {
 	for _, test := range []struct {
 		items, owners int
 		maxExcess     float64 // mean fraction of all items that move unnecessarily
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -17,9 +17,9 @@
 	RampTime       time.Duration // these changes are spread over this additional time
 	AssignInterval time.Duration // minimum time between assignments, except after a lost session
 
-	SlowThreshold    time.Duration // a planner is slow if its reply latency is at least this,
-	SlowFactor       int           // and at least this multiple of the fastest other planner's,
-	SlowConfirmation time.Duration // for this time
+	SlowThreshold    time.Duration // minimum reply latency of a slow planner
+	SlowFactor       int           // minimum latency of a slow planner as a multiple of the fastest other planner's
+	SlowConfirmation time.Duration // how long the latency must be high before a planner is considered slow
 	DrainTime        time.Duration // forwarders leave a slow planner spread over this time of high latency
 	RecoveryTime     time.Duration // a slow planner recovers after this time below half the bound, doubled per relapse
 
--- a/internal/control/planner/loadreport.go
+++ b/internal/control/planner/loadreport.go
@@ -12,7 +12,7 @@
 	loadReportValidity   = time.Second
 	openAverageDivisor   = 4   // the newest sample has the weight 1/openAverageDivisor in the moving average
 	quotaShareDivisor    = 10  // the policy is notified if the quota share changes by more than 1/quotaShareDivisor
-	maxLoadReportedSlots = 1e9 // exclusive
+	maxLoadReportedSlots = 1e9 // exclusive upper bound of valid slot numbers in a load report
 )
 
 // capacityEstimator passes events to the policy, and returns the policy's estimate of free slots if it has one.
--- a/internal/control/planner/partition.go
+++ b/internal/control/planner/partition.go
@@ -21,7 +21,7 @@
 	return p.ownerOf(&w.Worker)
 }
 
-// takeover is a worker that this planner took over from another one while it was warming up. It gets no work before until.
+// takeover is a worker that this planner took over from another one while it was warming up. It gets no work before expiresAt.
 type takeover struct {
 	expiresAt time.Duration
 	worker    *worker
--- a/internal/control/planner/request.go
+++ b/internal/control/planner/request.go
@@ -86,5 +86,5 @@
 	return resumed
 }
 
-// clampDuration limits a reported duration to the range from 0 to maxReportedSpan.
+// clampDuration limits a reported duration to the range from 0 to maxReportedDuration.
 func clampDuration(d time.Duration) time.Duration { return min(max(d, 0), maxReportedDuration) }
--- a/internal/control/planner/state_test.go
+++ b/internal/control/planner/state_test.go
@@ -47,12 +47,12 @@
 	a.confirmStart(2 * time.Second)
 	a.advanceTo(attemptCommanded)
 	if a.state != attemptConfirmed || a.startedAt != time.Second {
-		t.Errorf("%v, started at %v", a.state, a.startedAt)
+		t.Errorf("state %v, started at %v", a.state, a.startedAt)
 	}
 	a.advanceTo(attemptEnded)
 	a.confirmStart(time.Second)
 	if a.state != attemptEnded || a.inFlight() {
-		t.Errorf("%v after its end", a.state)
+		t.Errorf("state %v after the end", a.state)
 	}
 }
 
@@ -63,14 +63,14 @@
 	for _, state := range []sessionState{sessionAccepting, sessionEstablished} {
 		s.transition(state, f)
 		if s.state != state || s.forwarder != f || f.session != s {
-			t.Errorf("%v, %v of %v", state, s.forwarder, f.session)
+			t.Errorf("%v: forwarder of the session is %v, session of the forwarder is %v", state, s.forwarder, f.session)
 		}
 	}
 	for _, state := range []sessionState{sessionAwaitingHandshake, sessionClosed} {
 		s.transition(sessionEstablished, f)
 		s.transition(state, nil)
 		if s.state != state || s.forwarder != nil || f.session != nil {
-			t.Errorf("%v, %v of %v", state, s.forwarder, f.session)
+			t.Errorf("%v: forwarder of the session is %v, session of the forwarder is %v", state, s.forwarder, f.session)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	}
 	p.transition(peerDisconnected, 0)
 	if p.state != peerDisconnected || p.remoteEpoch != 0 || p.hasRecentLoad(time.Second) {
-		t.Errorf("%v, epoch %d, load at %v", p.state, p.remoteEpoch, p.loadAt)
+		t.Errorf("state %v, epoch %d, load received at %v", p.state, p.remoteEpoch, p.loadAt)
 	}
 }
 
