--- a/internal/requests/admission.go
+++ b/internal/requests/admission.go
@@ -7,14 +7,14 @@
 	"valvecove/dispatch"
 )
 
-// responseMargin is the time between the end of a request's wait for the endpoint list and its deadline. The response is written in
-// it.
+// responseMargin is the minimum time between the end of a request's wait for the endpoint list and its deadline. It is needed
+// to write the response.
 const responseMargin = 100 * time.Millisecond
 
 // ErrDuplicateCallID is returned for a request that has the call ID of an open request.
 var ErrDuplicateCallID = errors.New("the call id belongs to an open request")
 
-// Arrival is a request that a frontend wants admitted.
+// Arrival is a request that a frontend submits for admission.
 type Arrival struct {
 	CallID    string // the client's ID for the request
 	Job       dispatch.Job
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -8,21 +8,21 @@
 	"valvecove/internal/modeltest"
 )
 
-// Requests wait for the first update of the endpoint list, and the policy learns of all of them in one step then, with
-// the remaining time of each; it learns of them in time for their deadlines, once discovery has failed, and once they
-// have waited for long enough. Nothing is sent by a list that may be stale until then.
+// A process that has just started must not send requests by an endpoint list that may be stale. The policy receives them, with
+// their remaining time, after the first update of the list or a failure of discovery, at the end of the wait, or in time for a
+// response before their deadline, whichever is first.
 func TestAdmitWaitsForFirstEndpointList(t *testing.T) {
 	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	for name, test := range map[string]struct {
 		remaining time.Duration
 		update    func(table *Table)
-		at        time.Duration // the policy learns of the request
+		at        time.Duration // when the policy receives the request
 	}{
-		"a list":           {5 * time.Second, func(table *Table) { table.UpdateEndpoints(list) }, 300 * time.Millisecond},
-		"discovery failed": {5 * time.Second, func(table *Table) { table.DiscoveryFailed() }, 300 * time.Millisecond},
-		"nothing":          {5 * time.Second, func(*Table) {}, time.Second},
-		"deadline":         {800 * time.Millisecond, func(*Table) {}, 700 * time.Millisecond},
-		"little time":      {50 * time.Millisecond, func(*Table) {}, 1},
+		"list received":              {5 * time.Second, func(table *Table) { table.UpdateEndpoints(list) }, 300 * time.Millisecond},
+		"discovery failed":           {5 * time.Second, func(table *Table) { table.DiscoveryFailed() }, 300 * time.Millisecond},
+		"end of wait":                {5 * time.Second, func(*Table) {}, time.Second},
+		"short deadline":             {800 * time.Millisecond, func(*Table) {}, 700 * time.Millisecond},
+		"deadline within the margin": {50 * time.Millisecond, func(*Table) {}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			policy := &modeltest.ScriptedPolicy{}
@@ -32,22 +32,22 @@
 			if _, err := table.Admit(0, arrival); err != nil {
 				t.Fatal(err)
 			}
-			learnedAt := stepUntilLearned(table, policy, test.update)
-			if learnedAt != test.at {
-				t.Errorf("learned at %v, expected %v", learnedAt, test.at)
+			receivedAt := stepUntilJobReceived(table, policy, test.update)
+			if receivedAt != test.at {
+				t.Errorf("the policy received the request at %v, expected %v", receivedAt, test.at)
 			}
 			for _, job := range jobsIn(policy.Received) {
-				if job.Remaining != test.remaining-learnedAt {
-					t.Errorf("%v remaining at %v, of %v", job.Remaining, learnedAt, test.remaining)
+				if job.Remaining != test.remaining-receivedAt {
+					t.Errorf("remaining time %v at %v, of %v at the admission", job.Remaining, receivedAt, test.remaining)
 				}
 			}
 		})
 	}
 }
 
-// stepUntilLearned steps the table ten times a second as it asks for, for a second at most, until the policy learns of
-// a request, and returns when that was, or 0. The update comes after 300 ms.
-func stepUntilLearned(table *Table, policy *modeltest.ScriptedPolicy, update func(table *Table)) time.Duration {
+// stepUntilJobReceived steps the table, when a step is due, every 100 ms until the policy receives a request, for a second at
+// most. It returns the instant of that step, or 0. It calls update after 300 ms.
+func stepUntilJobReceived(table *Table, policy *modeltest.ScriptedPolicy, update func(table *Table)) time.Duration {
 	for tick := range time.Duration(11) {
 		now := max(1, tick*100*time.Millisecond)
 		if tick == 3 {
@@ -73,14 +73,14 @@
 	return jobs
 }
 
-// A process whose requests would wait for the first list is not ready yet: clients that go to another are served at once.
-func TestReadyOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+// A process is not ready while requests would wait for the first endpoint list, so that clients use another scheduler.
+func TestReadyIsFalseWhileRequestsWaitForEndpointList(t *testing.T) {
 	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	for name, update := range map[string]func(table *Table){
-		"a list":           func(table *Table) { table.UpdateEndpoints(list) },
+		"list received":    func(table *Table) { table.UpdateEndpoints(list) },
 		"no change":        func(table *Table) { table.UpdateEndpoints(EndpointList{Revision: 2}) },
 		"discovery failed": func(table *Table) { table.DiscoveryFailed() },
-		"nothing":          func(table *Table) { table.Step(time.Second) },
+		"end of wait":      func(table *Table) { table.Step(time.Second) },
 		"hot restart":      func(table *Table) { table.AwaitEndpoints(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 			}
 			update(table)
 			if !table.Ready() {
-				t.Error("not ready though requests wait no more")
+				t.Error("not ready although no request waits")
 			}
 		})
 	}
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -13,7 +13,7 @@
 const (
 	attemptCreated    attemptState = iota // numbered, and not passed to the transport
 	attemptInFlight                       // passed to the transport
-	attemptCancelling                     // a cancellation is requested; it may still run until its worker confirms
+	attemptCancelling                     // cancellation requested; it may be executed until its worker confirms
 	attemptNotStarted                     // ended without being passed to the transport
 	attemptEnded                          // ended after it was passed to the transport
 )
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("attemptState(%d)", uint8(a))
 }
 
-// canBecome reports whether the transition from this state to the next one is valid.
-func (a attemptState) canBecome(next attemptState) bool {
+// canTransitionTo reports whether the transition from this state to the next one is valid.
+func (a attemptState) canTransitionTo(next attemptState) bool {
 	switch a {
 	case attemptCreated:
 		return next == attemptInFlight || next == attemptNotStarted
@@ -48,12 +48,12 @@
 	return false
 }
 
-// Attempt is one attempt to have a request executed by a worker. All fields but Stage are read only outside of the table.
+// Attempt is one attempt to execute a request at a worker. Outside of the table all fields but Stage are read-only.
 type Attempt struct {
 	// Item.At is when the attempt expires.
 	deadline.Item
 	Request    *Request
-	Number     int    // among the attempts of its request, from 0
+	Number     int    // index among the attempts of its request
 	Worker     uint64 // the policy's number for the endpoint
 	EndpointID string // discovery's ID of the endpoint
 	Stage      Stage  // set by the transport; it never decreases
@@ -61,7 +61,7 @@
 	state              attemptState
 	result             dispatch.Result // once it has ended
 	cancelReason       Reason          // while it is being cancelled
-	ambiguousCallbacks bool            // a callback of its endpoint may be about an earlier attempt there; callbacks have no number
+	ambiguousCallbacks bool            // a callback of its endpoint may be about an earlier attempt there; see Callback
 }
 
 // HasEnded reports whether the attempt has an outcome. A late callback about an earlier attempt at the same endpoint can end this
@@ -71,8 +71,8 @@
 	return a.state == attemptNotStarted || a.state == attemptEnded
 }
 
-// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation, so that its worker has nothing to
-// cancel.
+// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation, so that its worker has nothing
+// to cancel.
 func (a *Attempt) EndedByWorker() bool {
 	return a.HasEnded() && a.result != dispatch.TimedOut && a.result != dispatch.Cancelled
 }
@@ -85,9 +85,9 @@
 	return a.result == dispatch.ConnectionReset || a.result == dispatch.TimedOut || a.result == dispatch.Cancelled
 }
 
-// become makes the transition to a state, and reports whether it is valid. If it is not, nothing changes.
-func (a *Attempt) become(next attemptState) bool {
-	if !a.state.canBecome(next) {
+// transitionTo changes the state, and reports whether the transition is valid. An invalid transition changes nothing.
+func (a *Attempt) transitionTo(next attemptState) bool {
+	if !a.state.canTransitionTo(next) {
 		return false
 	}
 	a.state = next
@@ -97,7 +97,7 @@
 // end makes the transition to a final state, and reports whether the attempt had not ended before.
 func (a *Attempt) end() bool {
 	if a.state == attemptCreated {
-		return a.become(attemptNotStarted)
+		return a.transitionTo(attemptNotStarted)
 	}
-	return a.become(attemptEnded)
+	return a.transitionTo(attemptEnded)
 }
--- a/internal/requests/attempterror.go
+++ b/internal/requests/attempterror.go
@@ -68,7 +68,8 @@
 	return fmt.Sprintf("Reason(%d)", int(r))
 }
 
-// AttemptError is the error of an attempt, or of a health check, that ended without a result. A nil *AttemptError means success.
+// AttemptError is the error of an attempt that ended without a result, or of a failed health check. A nil *AttemptError means
+// success.
 type AttemptError struct {
 	Stage  Stage // of the attempt when it ended
 	Reason Reason
@@ -128,5 +129,5 @@
 	case ReasonCancelled:
 		return dispatch.Cancelled
 	}
-	return dispatch.NotSent // an invalid request says nothing about the worker that rejected it
+	return dispatch.NotSent // an invalid request is not a fault of the worker that rejected it
 }
--- a/internal/requests/attempterror_test.go
+++ b/internal/requests/attempterror_test.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// Whether an attempt is possibly executed follows from how far it came.
-func TestAttemptErrorResultFollowsFromStage(t *testing.T) {
+// An attempt whose connection is lost is possibly executed only if it was completely written.
+func TestAttemptErrorResultOfLostConnectionDependsOnStage(t *testing.T) {
 	for stage, want := range map[Stage]dispatch.Result{
 		StageNotConnected:  dispatch.ConnectFailed,
 		StagePartlyWritten: dispatch.ConnectFailed,
@@ -21,8 +21,8 @@
 	}
 }
 
-// Each reason has its result for the policy and its outcome for the observers.
-func TestAttemptErrorResultAndOutcomeFollowFromReason(t *testing.T) {
+// Each reason corresponds to one result for the policy and one outcome for the observers.
+func TestAttemptErrorResultAndOutcomeDependOnReason(t *testing.T) {
 	for reason, want := range map[Reason]struct {
 		result  dispatch.Result
 		outcome Outcome
--- a/internal/requests/attemptindex.go
+++ b/internal/requests/attemptindex.go
@@ -20,7 +20,7 @@
 
 func newAttemptIndex() attemptIndex { return attemptIndex{byKey: map[attemptKey]*Attempt{}} }
 
-// find returns the attempt in flight of a call at an endpoint, or nil.
+// find returns the attempt in flight with a key, or nil.
 func (a *attemptIndex) find(key attemptKey) *Attempt { return a.byKey[key] }
 
 // add adds an attempt that expires at its instant At.
@@ -29,7 +29,7 @@
 	a.timeouts.Add(attempt)
 }
 
-// remove removes an attempt. It does nothing for one that was not added.
+// remove removes an attempt. It does nothing if the attempt was not added.
 func (a *attemptIndex) remove(attempt *Attempt) {
 	a.timeouts.Remove(attempt)
 	if key := attempt.key(); a.byKey[key] == attempt {
@@ -37,7 +37,7 @@
 	}
 }
 
-// postpone has an attempt expire at a later instant.
+// postpone sets the expiry of an attempt to a later instant.
 func (a *attemptIndex) postpone(attempt *Attempt, until time.Duration) {
 	a.timeouts.Remove(attempt)
 	attempt.At = until
--- a/internal/requests/benchmark_test.go
+++ b/internal/requests/benchmark_test.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 )
 
-// sendingPolicy sends each job to one worker at once.
+// sendingPolicy sends each job to one worker immediately.
 type sendingPolicy struct{ worker uint64 }
 
 func (s sendingPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
@@ -20,7 +20,7 @@
 	return dst
 }
 
-// acceptingTransport has each attempt accepted at once.
+// acceptingTransport sets each attempt to accepted when it starts.
 type acceptingTransport struct{ *recordingTransport }
 
 func (acceptingTransport) Start(attempt *Attempt) { attempt.Stage = StageAccepted }
--- a/internal/requests/callback.go
+++ b/internal/requests/callback.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// Callback is a worker's message about an attempt. It identifies the attempt by call ID and endpoint ID only, so attempts of one
-// request at the same endpoint can't be distinguished. The worker repeats it until it is responded to.
+// Callback is a worker's message about an attempt. It identifies the attempt by call ID and endpoint ID only, so attempts of
+// one request at the same endpoint can't be distinguished. The worker repeats the callback until it gets a response.
 type Callback struct {
 	CallID     string  `json:"id"`
 	EndpointID string  `json:"from"`
@@ -44,9 +44,9 @@
 	return false
 }
 
-// HandleCallback handles a worker's callback. known is false if it is about no attempt in flight, which is not an error: it was
-// repeated, or is about an attempt of an earlier process of this scheduler. A callback may be received before the worker has
-// accepted the attempt. The error is ErrInvalidCallback or nil.
+// HandleCallback handles a worker's callback. known is false if it matches no attempt in flight, which is not an error: the
+// callback may be a repeated one, or be about an attempt of an earlier process of this scheduler. A callback may be received
+// before the worker has accepted the attempt. The error is ErrInvalidCallback or nil.
 func (t *Table) HandleCallback(callback Callback) (known bool, err error) {
 	if !callback.isValid() {
 		return false, ErrInvalidCallback
@@ -74,8 +74,8 @@
 	return true, nil
 }
 
-// endByCallback ends an attempt without a result because of a callback. If the callback may be about an earlier attempt at the same
-// endpoint, it is ignored: this attempt may still run, and the request would be sent to another worker meanwhile.
+// endByCallback ends an attempt without a result because of a callback. If the callback may be about an earlier attempt at the
+// same endpoint, it is ignored: otherwise the request could be sent to another worker while this attempt still runs.
 func (t *Table) endByCallback(attempt *Attempt, reason Reason) {
 	if attempt.ambiguousCallbacks {
 		return
--- a/internal/requests/cancel_test.go
+++ b/internal/requests/cancel_test.go
@@ -8,9 +8,9 @@
 	"valvecove/dispatch"
 )
 
-// An accepted attempt that is cancelled is in flight until its worker confirms: the policy learns of no end that would
-// have it send the request again, and the worker's own callback counts.
-func TestCancelEndsOnceWorkerConfirms(t *testing.T) {
+// An accepted attempt that is being cancelled stays in flight until its worker confirms or calls back, or until the deadline of
+// its request. An earlier outcome would allow the policy to send the request to another worker while the attempt runs.
+func TestCancelEndsAttemptOnceWorkerConfirms(t *testing.T) {
 	callBack := func(state string) func(t *testing.T, f *attemptFixture) {
 		return func(t *testing.T, f *attemptFixture) {
 			t.Helper()
@@ -18,9 +18,9 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		then func(t *testing.T, f *attemptFixture)
-		want []dispatch.Result // once that has happened
-		last dispatch.Result   // at the end of the request
+		event func(t *testing.T, f *attemptFixture)
+		want  []dispatch.Result // after the event
+		last  dispatch.Result   // after the deadline of the request
 	}{
 		"confirmed": {
 			func(_ *testing.T, f *attemptFixture) { f.transport.completeCancel(f.table, true) },
@@ -31,7 +31,7 @@
 			func(_ *testing.T, f *attemptFixture) { f.transport.completeCancel(f.table, false) },
 			nil, dispatch.TimedOut,
 		},
-		"nothing yet": {
+		"no response": {
 			func(*testing.T, *attemptFixture) {},
 			nil, dispatch.TimedOut,
 		},
@@ -51,36 +51,36 @@
 			f := newAttemptFixture(t, 0)
 			f.step(2, dispatch.Cancel{Job: f.request.ID})
 			if got := f.results(); len(got) != 0 || !slices.Equal(f.transport.cancelling, []*Attempt{f.first}) {
-				t.Fatalf("cancelled: results %v, %d cancellations", got, len(f.transport.cancelling))
+				t.Fatalf("after the cancellation: results %v, %d cancellations", got, len(f.transport.cancelling))
 			}
-			test.then(t, f)
+			test.event(t, f)
 			f.step(4)
 			if got := f.results(); !slices.Equal(got, test.want) || len(f.transport.cancelling) > 1 {
 				t.Errorf("results %v, expected %v, %d cancellations", got, test.want, len(f.transport.cancelling))
 			}
 			f.step(time.Second)
 			if len(f.transport.cancelling) > 0 {
-				f.transport.completeCancel(f.table, true) // too late to have an effect
+				f.transport.completeCancel(f.table, true) // after the deadline: no effect
 			}
 			f.step(time.Second)
 			if got := f.results(); !slices.Equal(got, []dispatch.Result{test.last}) {
-				t.Errorf("results %v at the end, expected %v", got, test.last)
+				t.Errorf("results %v after the deadline, expected %v", got, test.last)
 			}
 			if test.last == dispatch.OK && f.responder.results != 1 {
-				t.Error("what was done while it was cancelled is not the response")
+				t.Error("the result of the attempt that was being cancelled is not the response")
 			}
 		})
 	}
 }
 
-// An attempt that could not be cancelled may be later.
+// An attempt can be cancelled again after its cancellation has failed.
 func TestCancelRetriedAfterFailure(t *testing.T) {
 	f := newAttemptFixture(t, 0)
 	f.step(2, dispatch.Cancel{Job: f.request.ID})
 	f.transport.completeCancel(f.table, false)
 	f.step(3, dispatch.Cancel{Job: f.request.ID})
 	if len(f.transport.cancelling) != 1 {
-		t.Fatal("it is not cancelled again")
+		t.Fatal("the attempt is not cancelled again")
 	}
 	f.transport.completeCancel(f.table, true)
 	f.step(4)
@@ -89,7 +89,7 @@
 	}
 }
 
-// An attempt timeout before the deadline of the request cancels too: another attempt may follow.
+// An attempt that exceeds its timeout before the deadline of its request is cancelled, as another attempt may follow.
 func TestCancelByAttemptTimeout(t *testing.T) {
 	f := newAttemptFixture(t, time.Millisecond)
 	f.step(2 * time.Millisecond)
@@ -103,8 +103,8 @@
 	}
 }
 
-// A cancellation that one process has begun is completed by the one that takes over; until then the attempt is in
-// flight there too.
+// The successor in a hot restart repeats a cancellation that its predecessor has not completed. The attempt stays in flight
+// until the worker confirms.
 func TestTakeOverResumesCancellation(t *testing.T) {
 	f := newAttemptFixture(t, 0)
 	f.step(2, dispatch.Cancel{Job: f.request.ID})
--- a/internal/requests/completion.go
+++ b/internal/requests/completion.go
@@ -26,7 +26,7 @@
 	t.closeMatching(func(request *Request) bool { return len(request.attempts) == 0 })
 }
 
-// closeMatching closes the open requests that match. To the policy, their clients have disconnected.
+// closeMatching closes the open requests that match. The policy is notified as if their clients had disconnected.
 func (t *Table) closeMatching(matches func(*Request) bool) {
 	for _, request := range t.requests.inAdmissionOrder() {
 		if request.IsClosed() || !matches(request) {
@@ -48,28 +48,28 @@
 
 // serve responds to a request with a worker's result, unless it is closed.
 func (t *Table) serve(request *Request, result []byte) {
-	if t.conclude(request, ResponseResult) {
+	if t.closeWithResponse(request, ResponseResult) {
 		request.responder.RespondResult(result)
 	}
 }
 
 // reject responds to a request that it was not executed, unless it is closed.
 func (t *Table) reject(request *Request, retryAfter time.Duration) {
-	if t.conclude(request, ResponseRejected) {
+	if t.closeWithResponse(request, ResponseRejected) {
 		request.responder.RespondRejected(retryAfter)
 	}
 }
 
 // fail responds to a request that it has failed, unless it is closed.
 func (t *Table) fail(request *Request) {
-	if t.conclude(request, ResponseFailed) {
+	if t.closeWithResponse(request, ResponseFailed) {
 		request.responder.RespondFailed()
 	}
 }
 
-// conclude closes an open request with a kind of response, and reports whether it was open. It is called before each response, so
-// that a request gets one at most.
-func (t *Table) conclude(request *Request, response Response) bool {
+// closeWithResponse closes an open request with a kind of response, and reports whether it was open. It is called before each
+// response, so that a request gets at most one.
+func (t *Table) closeWithResponse(request *Request, response Response) bool {
 	if request.IsClosed() {
 		return false
 	}
@@ -80,7 +80,7 @@
 
 // closeRequest closes an open request. It stays in the table while attempts of it are in flight.
 func (t *Table) closeRequest(request *Request, next requestState) {
-	request.become(next)
+	request.transitionTo(next)
 	t.requests.removeOpen(request)
 	t.abandonUnwritten(request)
 	if request.state == requestResponded {
@@ -101,7 +101,7 @@
 
 // reportEnded notifies the observers that a closed request has ended, unless they were notified before.
 func (t *Table) reportEnded(request *Request) {
-	if request.become(requestEnded) {
+	if request.transitionTo(requestEnded) {
 		t.observers.notify(Notification{Kind: RequestEnded, Request: request})
 	}
 }
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -10,7 +10,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// Of two attempts that are both served only the first is the client's; the other ends as served and closed.
+// If both attempts of a hedged request are served, the client gets the first result only. The other attempt ends with
+// dispatch.OK and Closed.
 func TestHedgedRequestFirstResultIsSent(t *testing.T) {
 	policy, responder, transport := &modeltest.ScriptedPolicy{}, &countingResponder{}, newRecordingTransport()
 	table := newTestTable(policy, 2, transport)
@@ -32,7 +33,7 @@
 	table.Step(2)
 	outcome, ok := policy.Received[len(policy.Received)-1].(dispatch.Outcome)
 	if !ok || outcome.Attempt != 0 || outcome.Result != dispatch.OK || !outcome.Closed {
-		t.Errorf("last heard %+v", outcome)
+		t.Errorf("last event: %+v, expected the outcome of attempt 0, OK and closed", outcome)
 	}
 	if responder.results != 1 || responder.total() != 1 {
 		t.Errorf("%d results of %d responses", responder.results, responder.total())
@@ -49,8 +50,8 @@
 func (o orderedResponder) RespondRejected(time.Duration) { o.RespondResult(nil) }
 func (o orderedResponder) RespondFailed()                { o.RespondResult(nil) }
 
-// Where many requests are responded to at once, it is in order of arrival, at every run.
-func TestResponsesKeepOrderOfArrival(t *testing.T) {
+// Requests that are closed together get their responses in order of arrival, and not in the random order of a map.
+func TestBulkResponsesAreInOrderOfArrival(t *testing.T) {
 	for name, closeAll := range map[string]func(table *Table, policy *modeltest.ScriptedPolicy){
 		"end of process": func(table *Table, _ *modeltest.ScriptedPolicy) { table.CloseSince(0) },
 		"policy panic": func(table *Table, policy *modeltest.ScriptedPolicy) {
--- a/internal/requests/cordon.go
+++ b/internal/requests/cordon.go
@@ -31,7 +31,7 @@
 // sorted returns the numbers of the cordoned workers in ascending order.
 func (c cordonSet) sorted() []uint64 { return slices.Sorted(maps.Keys(c)) }
 
-// Cordon prevents attempts from being started at an endpoint until Uncordon, whatever the endpoint list contains. Attempts in
+// Cordon prevents attempts from being started at an endpoint until Uncordon, regardless of the endpoint list. Attempts in
 // flight continue. known is false if the endpoint was never listed, and full is true if maxCordoned endpoints are cordoned; in
 // both cases nothing changes. A cordoned endpoint stays cordoned.
 func (t *Table) Cordon(endpointID string) (known, full bool) {
@@ -47,8 +47,8 @@
 	return true, false
 }
 
-// Uncordon ends a cordon, however often Cordon was called. An endpoint that is not cordoned stays as it is. known is false if the
-// endpoint was never listed.
+// Uncordon ends a cordon, regardless of how often Cordon was called. An endpoint that is not cordoned is left unchanged. known
+// is false if the endpoint was never listed.
 func (t *Table) Uncordon(endpointID string) (known bool) {
 	worker, known := t.WorkerNumber(endpointID)
 	if known && t.cordons.contains(worker) {
--- a/internal/requests/cordon_test.go
+++ b/internal/requests/cordon_test.go
@@ -11,11 +11,12 @@
 	"valvecove/internal/modeltest"
 )
 
-// A cordon is of an id and not counted; it holds for an endpoint that the list does not name now, and for a policy that
-// starts anew. Nothing is sent against one, even if the policy wants it.
+// A cordon belongs to an endpoint ID, and is not counted. It outlasts the endpoint's removal from the list and a restart of the
+// policy. No attempt is started at a cordoned endpoint, even if the policy sends one.
 func FuzzCordons(f *testing.F) { modeltest.Fuzz(f, runCordonModel) }
 
-// cordonModel puts the cordons of a table through random steps. The endpoints s-0 to s-2 were listed, s-3 never was.
+// cordonModel checks the cordons of a table against a set of IDs in random steps. The endpoints s-0 to s-2 were listed, s-3 was
+// not.
 type cordonModel struct {
 	*modeltest.Steps
 	policy    *modeltest.ScriptedPolicy
@@ -33,7 +34,7 @@
 	}
 }
 
-// step takes one random step with an endpoint.
+// step makes one random step with an endpoint.
 func (c *cordonModel) step(id string) {
 	wasListed := id != "s-3"
 	switch c.Pick(6) {
@@ -56,10 +57,10 @@
 	}
 	c.Record(id)
 	want := slices.Sorted(maps.Keys(c.cordoned))
-	c.Check(slices.Equal(c.table.Cordoned(), want), "cordoned are %v, expected %v", c.table.Cordoned(), want)
+	c.Check(slices.Equal(c.table.Cordoned(), want), "cordoned: %v, expected %v", c.table.Cordoned(), want)
 }
 
-// restartPolicy has the policy panic, and checks that the next one learns of all cordons.
+// restartPolicy makes the policy panic, and checks that the new one receives all cordons.
 func (c *cordonModel) restartPolicy() {
 	c.policy.Panic = true
 	c.policy.Received = nil
@@ -72,15 +73,15 @@
 			received++
 		}
 	}
-	c.Check(received == len(c.cordoned), "a new policy learns of %d cordons of %d", received, len(c.cordoned))
+	c.Check(received == len(c.cordoned), "a new policy received %d of %d cordons", received, len(c.cordoned))
 }
 
-// send has the policy send a new request to an endpoint, if that is known.
+// send admits a request, and makes the policy send it to an endpoint if that is known.
 func (c *cordonModel) send(id string) {
 	c.admitted++
 	arrival := Arrival{CallID: strconv.Itoa(c.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &countingResponder{}}
 	request, err := c.table.Admit(time.Second, arrival)
-	c.Check(err == nil, "a new call id was rejected: %v", err)
+	c.Check(err == nil, "a new call ID was rejected: %v", err)
 	worker, known := c.table.WorkerNumber(id)
 	if !known {
 		return
@@ -89,5 +90,5 @@
 	c.transport.started = nil
 	c.table.Step(time.Second)
 	wasSent := len(c.transport.started) == 1
-	c.Check(wasSent != c.cordoned[id], "%d sent to %s, cordoned are %v", len(c.transport.started), id, c.cordoned)
+	c.Check(wasSent != c.cordoned[id], "%d attempts at %s, cordoned: %v", len(c.transport.started), id, c.cordoned)
 }
--- a/internal/requests/deadline_test.go
+++ b/internal/requests/deadline_test.go
@@ -10,29 +10,30 @@
 	"valvecove/dispatch"
 )
 
-// troubledTransport has attempts get to one stage and no further, or end there in one way, drawn for each.
-type troubledTransport struct {
+// faultyTransport sets each attempt to a random stage, and leaves it in flight there or ends it for a random reason. It never
+// serves a request.
+type faultyTransport struct {
 	*recordingTransport
 	table *Table
 	rng   *rand.Rand
 }
 
-func (t *troubledTransport) Start(attempt *Attempt) {
+func (t *faultyTransport) Start(attempt *Attempt) {
 	t.recordingTransport.Start(attempt)
 	attempt.Stage = Stage(t.rng.IntN(int(StageAccepted) + 1))
-	if reason := Reason(t.rng.IntN(2 * int(ReasonNotSent))); reason <= ReasonNotSent { // else it hangs there
+	if reason := Reason(t.rng.IntN(2 * int(ReasonNotSent))); reason <= ReasonNotSent { // otherwise the attempt stays in flight
 		t.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
 	}
 }
 
-// Cancel is never confirmed in half of the cases: the worker is cut off.
-func (t *troubledTransport) Cancel(attempt *Attempt) {
+// Cancel drops half of the cancellations, as if the worker were unreachable, and records the others. None is confirmed.
+func (t *faultyTransport) Cancel(attempt *Attempt) {
 	if t.rng.IntN(2) == 0 {
 		t.recordingTransport.Cancel(attempt)
 	}
 }
 
-// timedResponder notes when it responds.
+// timedResponder records the instant of the response.
 type timedResponder struct {
 	countingResponder
 	now *time.Duration
@@ -47,21 +48,24 @@
 }
 func (t *timedResponder) RespondFailed() { t.at = *t.now; t.countingResponder.RespondFailed() }
 
-// deadlineRun is a table with the real policy, whose workers give nothing but trouble.
+// deadlineRun is a table with a dispatch.Dispatcher as policy and a faultyTransport.
 type deadlineRun struct {
 	t         *testing.T
 	rng       *rand.Rand
 	now       time.Duration
 	table     *Table
-	transport *troubledTransport
+	transport *faultyTransport
 	requests  []*Request
 	responses []*timedResponder
-	heldUpAt  time.Duration
+	pausedAt  time.Duration
 }
 
 const (
-	longestHold = 150 * time.Millisecond // that a process may be held up for
-	stepDelay   = time.Microsecond       // a request that is past its deadline when the policy first sees it is answered in the next step
+	// maxPause is the duration of the pauses of the process.
+	maxPause = 150 * time.Millisecond
+	// stepTolerance allows for one more step: a request whose deadline has passed when the policy first receives it gets its
+	// response in the next step.
+	stepTolerance = time.Microsecond
 )
 
 func newDeadlineRun(t *testing.T, seed uint64) *deadlineRun {
@@ -79,7 +83,7 @@
 		})
 	}
 	r := &deadlineRun{t: t, rng: rng, now: time.Hour}
-	r.transport = &troubledTransport{recordingTransport: newRecordingTransport(), rng: rng}
+	r.transport = &faultyTransport{recordingTransport: newRecordingTransport(), rng: rng}
 	newPolicy := func() Policy { return dispatch.New(settings, seed) }
 	names := NameTable{Classes: []string{"a", "b", "c"}}
 	r.table = New(settings.AttemptLimit, names, newPolicy, endpointRange(0, 3), r.transport, slog.New(slog.DiscardHandler))
@@ -99,8 +103,8 @@
 	d.requests, d.responses = append(d.requests, request), append(d.responses, responder)
 }
 
-// disturb has something happen to workers or other clients.
-func (d *deadlineRun) disturb() {
+// injectEvent changes the endpoint list or a cordon, reports a failure of discovery, or disconnects a client.
+func (d *deadlineRun) injectEvent() {
 	id := fmt.Sprint("s-", d.rng.IntN(3))
 	switch d.rng.IntN(8) {
 	case 0:
@@ -124,58 +128,60 @@
 	}
 }
 
-// check checks that what is over has one response, in time.
-func (d *deadlineRun) check(held time.Duration) {
+// check checks that no request has two responses, that one whose client has disconnected has none, and that each response was
+// given by the deadline plus the tolerance.
+func (d *deadlineRun) check(tolerance time.Duration) {
 	for i, request := range d.requests {
 		responder := d.responses[i]
-		hasLeft := request.IsClosed() && request.Response() == ResponseNone
+		isDisconnected := request.IsClosed() && request.Response() == ResponseNone
 		switch {
-		case hasLeft && responder.total() != 0 || responder.total() > 1:
+		case isDisconnected && responder.total() != 0 || responder.total() > 1:
 			d.t.Fatalf("request %d: %d responses", i, responder.total())
-		case !hasLeft && responder.total() == 0 && d.now > request.Deadline+held:
+		case !isDisconnected && responder.total() == 0 && d.now > request.Deadline+tolerance:
 			d.t.Fatalf("request %d has no response %v after its deadline", i, d.now-request.Deadline)
-		case responder.at > request.Deadline+held:
+		case responder.at > request.Deadline+tolerance:
 			d.t.Fatalf("request %d: a response %v after its deadline", i, responder.at-request.Deadline)
 		}
 	}
 }
 
-// step does what is due next. The process is held up before that now and then, though not twice within a second.
-func (d *deadlineRun) step(held time.Duration) {
+// step advances the time to the next due step, and runs it. In one of 20 calls the process is paused first, at most once per
+// second.
+func (d *deadlineRun) step(pause time.Duration) {
 	at, ok := d.table.NextStep()
 	if !ok {
-		d.t.Fatal("nothing is due")
+		d.t.Fatal("no step is due")
 	}
 	d.now = max(d.now, at)
-	if held > 0 && d.now > d.heldUpAt+time.Second && d.rng.IntN(20) == 0 {
-		d.now += held
-		d.heldUpAt = d.now
+	if pause > 0 && d.now > d.pausedAt+time.Second && d.rng.IntN(20) == 0 {
+		d.now += pause
+		d.pausedAt = d.now
 	}
 	d.table.Step(d.now)
 }
 
-// Whatever its attempts meet at workers, and whatever else happens meanwhile, each request gets its one response by its deadline, in
-// the very step that is due then, and later by no more than the process is held up for.
-func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
+// Each request gets its response by its deadline, or as much later as the process is paused, regardless of how its attempts end
+// and of changes to endpoints and cordons.
+func TestEveryRequestIsRespondedToByItsDeadline(t *testing.T) {
 	for seed := range uint64(200) {
 		r := newDeadlineRun(t, seed)
-		held := time.Duration(seed%2) * longestHold
+		pause := time.Duration(seed%2) * maxPause
 		for range 400 {
 			if r.rng.IntN(4) == 0 && len(r.requests) < 40 || len(r.requests) == 0 {
 				r.admit()
 			}
 			if r.rng.IntN(30) == 0 {
-				r.disturb()
+				r.injectEvent()
 			}
-			r.step(held)
-			r.check(held + stepDelay)
+			r.step(pause)
+			r.check(pause + stepTolerance)
 		}
 		r.now += 3 * time.Second
 		for range 20 {
 			r.table.Step(r.now)
 		}
 		if open := r.table.OpenCount(); open != 0 {
-			t.Fatalf("seed %d: %d requests are open in the end", seed, open)
+			t.Fatalf("seed %d: %d requests are open 3 s after the last step", seed, open)
 		}
 	}
 }
--- a/internal/requests/doc.go
+++ b/internal/requests/doc.go
@@ -20,9 +20,9 @@
 // # Files
 //
 //   - table.go, step.go: the Table, and its step: events to the policy, actions of the policy
-//   - request.go, requestindex.go: a request, and all of them
+//   - request.go, requestindex.go: a request; the index of all requests
 //   - admission.go: admits requests
-//   - attempt.go, attemptindex.go: an attempt, and all that are in flight
+//   - attempt.go, attemptindex.go: an attempt; the index of the attempts in flight
 //   - lifecycle.go: starts, ends and cancels attempts
 //   - attempterror.go, outcome.go: why an attempt ended without a result, and what that means for client and policy
 //   - callback.go: callbacks of workers
@@ -30,9 +30,10 @@
 //   - endpoint.go: an endpoint of the list
 //   - endpointlist.go: lists and failures from discovery
 //   - endpointset.go, endpointtable.go, endpointlog.go: the endpoints as last listed; their numbers; log lines about changes
-//   - starttime.go: start times of workers, on this machine's clock
+//   - starttime.go: start times of workers by the process's clock
 //   - cordon.go: cordoned endpoints
 //   - policy.go, policylog.go: runs the policy; logs its messages
 //   - transport.go, observer.go: the interfaces to connections and to observers
-//   - snapshot.go, takeover.go, clockdifference.go: the state in a hot restart: its form, its restoration, and its instants on another clock
+//   - snapshot.go, takeover.go, clockdifference.go: the state that a hot restart transfers; its restoration; the conversion of
+//     its instants to another clock
 package requests
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// numberEndpoints returns the numbers of endpoints that become known in this order.
+// numberEndpoints returns the numbers of endpoints that are listed in the given order.
 func numberEndpoints(hash func(id string) uint64, ids ...string) map[string]uint64 {
 	table := newEndpointTable()
 	table.hash = hash
@@ -19,7 +19,8 @@
 	return table.numbers
 }
 
-// Schedulers that meet the endpoints in different orders must give them the same numbers, and two endpoints two.
+// Schedulers must assign the same numbers to endpoints regardless of the order in which they are listed. Endpoints with the
+// same hash must get different numbers.
 func TestEndpointNumbersAgreeBetweenSchedulers(t *testing.T) {
 	one := numberEndpoints(hashID, "s-1", "s-2")
 	other := numberEndpoints(hashID, "s-2", "s-3", "s-1")
@@ -32,8 +33,8 @@
 	}
 }
 
-// Removed endpoints are not remembered for ever, but for the cordoned ones.
-func TestEndpointsRemovedAreForgotten(t *testing.T) {
+// The number of remembered endpoints is bounded: removed ones are forgotten, unless they are cordoned.
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	table := newTestTable(&modeltest.ScriptedPolicy{}, 0, newRecordingTransport())
 	replace := func(id string) {
 		table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: id, Lifecycle: "up"}}})
@@ -49,6 +50,6 @@
 	}
 	known, _ := table.Cordon("cordoned")
 	if ids := table.Cordoned(); !known || len(ids) != 1 || ids[0] != "cordoned" {
-		t.Errorf("cordoned are %v", ids)
+		t.Errorf("cordoned: %v", ids)
 	}
 }
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -19,14 +19,14 @@
 	t.policy.addEvent(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
 }
 
-// WatchEndpoints has the transport watch the endpoint list for changes since its current revision.
+// WatchEndpoints makes the transport watch the endpoint list for changes since its current revision.
 func (t *Table) WatchEndpoints() { t.transport.Watch(t.endpoints.revision) }
 
-// ResetRevision is called when the endpoint list is read from another source from now on. The list stays as it is until the first
-// update of that source, but its revision is not valid there.
+// ResetRevision is called when the source of the endpoint list is replaced. The list stays unchanged until the first update
+// from the new source, but its revision is not valid there.
 func (t *Table) ResetRevision() { t.endpoints.resetRevision() }
 
-// Revision returns the revision of the endpoint list, or 0 if discovery can't list the changes since.
+// Revision returns the revision of the endpoint list, or 0 if discovery can't list the changes since the current list.
 func (t *Table) Revision() int64 { return t.endpoints.revision }
 
 // Endpoint returns a worker's endpoint as it was last listed. Its ID is empty if the worker is unknown.
@@ -48,8 +48,8 @@
 	return t.endpoints.hasReady(t.cordons)
 }
 
-// MayReceive reports whether a worker is listed as ready, and not cordoned, according to the current list. The list may have
-// changed since an attempt was started, by the time its connection is established.
+// MayReceive reports whether a worker is listed as ready, and not cordoned, according to the current list. It is called when
+// the connection of an attempt is established, as the list may have changed since the attempt was started.
 func (t *Table) MayReceive(worker uint64) bool {
 	return t.endpoints.isReady(worker) && !t.cordons.contains(worker)
 }
--- a/internal/requests/endpointlog.go
+++ b/internal/requests/endpointlog.go
@@ -13,7 +13,7 @@
 
 const (
 	changesLogInterval   = time.Second // minimum between two log lines about the endpoint list
-	maxAddedNamed        = 5           // endpoints in such a line
+	maxAddedLogged       = 5           // added endpoints named in such a line
 	numbersPerLine       = 100         // endpoints in a debug line with their numbers
 	maxNumberLinesLogged = 40          // such lines for one list; they must fit into the log's buffer
 )
@@ -25,7 +25,7 @@
 	loggedAt       time.Duration // 0: never
 }
 
-// countChanges counts the changes by a list that is not applied yet.
+// countChanges counts the changes that a list makes. It is called before the list is applied.
 func (e *endpointSet) countChanges(workers []dispatch.Worker, isFull bool) {
 	added, removed, kept := 0, 0, 0
 	for _, worker := range workers {
@@ -38,7 +38,7 @@
 			kept++
 		case !worker.Removed:
 			added++
-			e.changes.nameAdded(e.remembered.byNumber[worker.ID].ID)
+			e.changes.recordAdded(e.remembered.byNumber[worker.ID].ID)
 		}
 	}
 	if isFull {
@@ -51,9 +51,9 @@
 	}
 }
 
-// nameAdded stores the ID of an added endpoint, if it is one of the first.
-func (e *endpointChanges) nameAdded(id string) {
-	if len(e.firstAdded) < maxAddedNamed {
+// recordAdded stores the ID of an added endpoint, unless maxAddedLogged IDs are stored.
+func (e *endpointChanges) recordAdded(id string) {
+	if len(e.firstAdded) < maxAddedLogged {
 		e.firstAdded = append(e.firstAdded, id)
 	}
 }
--- a/internal/requests/endpointset.go
+++ b/internal/requests/endpointset.go
@@ -9,11 +9,11 @@
 	"valvecove/dispatch"
 )
 
-// endpointSet is the current endpoint list, and all endpoints that are remembered.
+// endpointSet holds the current endpoint list, and all endpoints that are remembered.
 type endpointSet struct {
 	names      NameTable
 	logger     *slog.Logger
-	revision   int64                      // of the endpoint list; 0: discovery can't list the changes since
+	revision   int64                      // of the endpoint list; 0: discovery can't list the changes since it
 	listed     map[uint64]dispatch.Worker // the endpoint list in the form of the policy
 	remembered endpointTable
 	changes    endpointChanges
@@ -58,7 +58,7 @@
 	return false
 }
 
-// resetRevision is called when the revision is not valid at the source of the next list.
+// resetRevision clears the revision, which is not valid at the source of the next list.
 func (e *endpointSet) resetRevision() { e.revision = 0 }
 
 // apply applies the full endpoint list, or an update of it, and returns its entries as workers of the policy.
@@ -127,8 +127,8 @@
 	return list
 }
 
-// restoreStarts replaces start times by those of another process's snapshot, so that its policy, which may be restored here, has
-// the same ones.
+// restoreStarts replaces start times by those of another process's snapshot. The policy of that process may be restored here,
+// and must find its start times unchanged.
 func (e *endpointSet) restoreStarts(state State) {
 	starts := &e.remembered.starts
 	starts.restore(state, e.remembered.numbers)
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// goldenFile has the frames of a hot restart of form 1. It is never written anew: see storedform.Golden.
+	// goldenFile contains the frames of a hot restart in form 1. It is never regenerated: see storedform.Golden.
 	goldenFile = "handover.frames"
-	// goldenAt is when that hot restart was, as Unix time.
-	goldenAt = 1_764_633_600 * time.Second
+	// goldenInstant is the Unix time at which the table of that hot restart was created.
+	goldenInstant = 1_764_633_600 * time.Second
 )
 
-// recordingTransport keeps the attempts that it is handed.
+// recordingTransport records the attempts that are started and cancelled.
 type recordingTransport struct {
 	started, cancelled []*requests.Attempt
 }
@@ -33,7 +33,7 @@
 func (r *recordingTransport) CloseIdleConnections(uint64) {}
 func (r *recordingTransport) Watch(int64)                 {}
 
-// recordingResponder keeps the response that it gets.
+// recordingResponder records the response.
 type recordingResponder struct{ got string }
 
 func (r *recordingResponder) RespondResult(result []byte)   { r.got += "result " + string(result) }
@@ -49,7 +49,7 @@
 }
 
 func newGoldenTable() *goldenTable {
-	g := &goldenTable{policy: &modeltest.ScriptedPolicy{}, transport: &recordingTransport{}, now: goldenAt}
+	g := &goldenTable{policy: &modeltest.ScriptedPolicy{}, transport: &recordingTransport{}, now: goldenInstant}
 	names := requests.NameTable{
 		Classes:      []string{"a", "b"},
 		Tenants:      []string{"t"},
@@ -83,7 +83,7 @@
 	g.Cordon("s-2")
 }
 
-// admit admits a request, and lets 10 ms pass.
+// admit admits a request, and advances the time by 10 ms.
 func (g *goldenTable) admit(t *testing.T, callID string, class int, remaining time.Duration) *requests.Request {
 	t.Helper()
 	request, err := g.Admit(g.now, requests.Arrival{
@@ -112,7 +112,7 @@
 	return request
 }
 
-// step has the policy act, and lets 10 ms pass.
+// step makes the policy return the actions, and advances the time by 10 ms.
 func (g *goldenTable) step(actions ...dispatch.Action) {
 	g.policy.Next = actions
 	g.Wake()
@@ -127,7 +127,7 @@
 	g.transport.started[len(g.transport.started)-1].Stage = stage
 }
 
-// callBack has s-0 call back about an attempt in flight.
+// callBack passes a callback of s-0 about an attempt in flight to the table.
 func (g *goldenTable) callBack(t *testing.T, callID, state, result string) {
 	t.Helper()
 	callback := requests.Callback{CallID: callID, EndpointID: "s-0", State: state, Result: &result}
@@ -136,9 +136,9 @@
 	}
 }
 
-// goldenRequests brings a table to where it has requests at all stages: 1 runs; 2 is queued; 3 was lost at one worker
-// and is written to another; the client of 4 has disconnected while it runs; 5 has its response while a second attempt
-// is in flight; 6 is being cancelled; 7 is partly written. 8 and 9 have ended and are forgotten.
+// goldenRequests returns a table with requests in all stages: 1 is running; 2 is queued; 3 was lost at one worker and is
+// written to another; the client of 4 has disconnected while it is running; 5 was responded to while a second attempt is in
+// flight; 6 is being cancelled; 7 is partly written. 8 and 9 have ended and are forgotten.
 func goldenRequests(t *testing.T) *goldenTable {
 	t.Helper()
 	g := newGoldenTable()
@@ -220,18 +220,17 @@
 		}
 	}
 	if _, _, err := hotrestart.ReadFrame(frames); !errors.Is(err, hotrestart.ErrIncomplete) || len(frames) > 0 {
-		t.Fatalf("%d bytes behind the last frame", len(frames))
+		t.Fatalf("%d bytes after the last frame", len(frames))
 	}
 	return state, open
 }
 
-// takeOverGolden has a new table go on from the golden file, and returns the responders of the open requests by call
-// id.
-func takeOverGolden(t *testing.T) (*goldenTable, map[string]*recordingResponder) {
+// restoreGoldenTable restores the golden file into a new table, and returns the responders of the open requests by call ID.
+func restoreGoldenTable(t *testing.T) (*goldenTable, map[string]*recordingResponder) {
 	t.Helper()
 	state, open := readFrames(t, storedform.Golden(t, goldenFile))
 	if len(open) != 7 {
-		t.Errorf("%d requests were handed over", len(open))
+		t.Errorf("the golden file has %d requests, expected 7", len(open))
 	}
 	responders, byCallID := map[uint64]requests.Responder{}, map[string]*recordingResponder{}
 	for _, request := range open {
@@ -246,22 +245,22 @@
 	return g, byCallID
 }
 
-// A table with requests at all stages is handed over in the bytes of the build of form 1.
-func TestGoldenHandOverIsWritten(t *testing.T) {
+// The frames of a table with requests in all stages are the bytes that a build of form 1 writes.
+func TestGoldenSnapshotIsWritten(t *testing.T) {
 	storedform.CheckGolden(t, goldenFile, writeFrames(t, goldenRequests(t).Table))
 }
 
-// What a build of form 1 has handed over is handed on in the same bytes.
-func TestGoldenHandOverIsHandedOn(t *testing.T) {
-	g, _ := takeOverGolden(t)
+// A table that is restored from the frames of a build of form 1 writes the same bytes.
+func TestGoldenSnapshotIsRewrittenUnchanged(t *testing.T) {
+	g, _ := restoreGoldenTable(t)
 	storedform.CheckGolden(t, goldenFile, writeFrames(t, g.Table))
 }
 
-// The endpoints, the cordons and the revision are taken over.
-func TestGoldenHandOverKeepsEndpoints(t *testing.T) {
-	g, _ := takeOverGolden(t)
+// The endpoints, the cordons and the revision are restored.
+func TestGoldenTakeOverRestoresEndpoints(t *testing.T) {
+	g, _ := restoreGoldenTable(t)
 	if got := g.Cordoned(); !slices.Equal(got, []string{"s-2"}) {
-		t.Errorf("cordoned are %v", got)
+		t.Errorf("cordoned: %v", got)
 	}
 	if g.Revision() != 42 || g.ListedCount() != 4 {
 		t.Errorf("revision %d, %d listed", g.Revision(), g.ListedCount())
@@ -282,8 +281,8 @@
 }
 
 // Attempts keep their numbers, workers and stages, and requests that were responded to stay closed.
-func TestGoldenHandOverKeepsAttempts(t *testing.T) {
-	g, _ := takeOverGolden(t)
+func TestGoldenTakeOverRestoresAttempts(t *testing.T) {
+	g, _ := restoreGoldenTable(t)
 	for _, want := range []struct {
 		request    uint64
 		number     int
@@ -308,14 +307,14 @@
 	}
 }
 
-// Requests keep their ids, jobs, payloads and responses.
-func TestGoldenHandOverKeepsRequests(t *testing.T) {
-	g, _ := takeOverGolden(t)
+// Requests keep their IDs, jobs, payloads and responses.
+func TestGoldenTakeOverRestoresRequests(t *testing.T) {
+	g, _ := restoreGoldenTable(t)
 	if g.OpenCount() != 5 {
 		t.Errorf("%d are open", g.OpenCount())
 	}
 	queued := g.Request(2)
-	if queued == nil || queued.CallID != "waits" || queued.Deadline != goldenAt+10*time.Millisecond+3*time.Second {
+	if queued == nil || queued.CallID != "waits" || queued.Deadline != goldenInstant+10*time.Millisecond+3*time.Second {
 		t.Fatalf("request 2: %+v", queued)
 	}
 	if job := queued.Job; job.Key != 0xfedcba9876543210 || !job.Retry || job.Slots != 1.5 {
@@ -329,11 +328,12 @@
 	}
 }
 
-// Cancellations, callbacks and the sequence of request IDs continue, and the policy receives the events that it needs.
-func TestGoldenHandOverGoesOn(t *testing.T) {
-	g, responders := takeOverGolden(t)
+// After the restoration cancellations are repeated, callbacks end their attempts, request IDs continue, call IDs of open
+// requests are rejected, and a step is due for the policy.
+func TestGoldenTakeOverResumesRequests(t *testing.T) {
+	g, responders := restoreGoldenTable(t)
 	if got := g.transport.cancelled; len(got) != 1 || got[0] != g.InFlightAttempt(6, 0) {
-		t.Errorf("%d cancellations go on", len(got))
+		t.Errorf("%d cancellations are repeated", len(got))
 	}
 	g.callBack(t, "runs", requests.CallbackDone, "made")
 	if got := responders["runs"].got; got != "result made" {
@@ -345,15 +345,15 @@
 	}
 	_, err = g.Admit(g.now, requests.Arrival{CallID: "waits"})
 	if !errors.Is(err, requests.ErrDuplicateCallID) {
-		t.Errorf("a call id of an open request: %v", err)
+		t.Errorf("a call ID of an open request: %v", err)
 	}
 	if at, ok := g.NextStep(); !ok || at != 0 {
-		t.Errorf("the policy has nothing to learn before %v", at)
+		t.Errorf("the next step is due at %v, expected it immediately", at)
 	}
 }
 
-// What reflection writes or reads has its names in tags: renamed in Go, it stays as it is in what is handed over, and
-// as the platform has it.
+// The fields of types that are encoded by reflection have tags, so that renaming them in Go does not change the encoded names
+// in snapshots, in lists of discovery and in callbacks.
 func TestStoredTypesAreTagged(t *testing.T) {
 	storedform.CheckTags(t, requests.State{}, requests.OpenRequest{}, requests.EndpointList{}, requests.Callback{})
 }
--- a/internal/requests/helpers_test.go
+++ b/internal/requests/helpers_test.go
@@ -18,13 +18,13 @@
 func (c *countingResponder) RespondFailed()                { c.failed++ }
 func (c *countingResponder) total() int                    { return c.results + c.rejected + c.failed }
 
-// recordingTransport records its calls, and does nothing.
+// recordingTransport records its calls, and sends nothing.
 type recordingTransport struct {
 	started           []*Attempt
 	abandoned         map[*Attempt]bool
-	cancelling        []*Attempt // whose cancellation is not completed
+	cancelling        []*Attempt // their cancellations are not completed
 	confirmed         map[*Attempt]bool
-	hasTwoAtOneWorker bool // a worker had two attempts of a request at once
+	hasTwoAtOneWorker bool // a worker had two attempts of a request in flight
 }
 
 func newRecordingTransport() *recordingTransport {
@@ -92,7 +92,7 @@
 	return f
 }
 
-// admit admits a request at instant 0 that has a second.
+// admit admits a request at instant 0 with a deadline of one second.
 func admit(t *testing.T, table *Table, callID string, responder Responder) *Request {
 	t.Helper()
 	request, err := table.Admit(0, Arrival{CallID: callID, Job: dispatch.Job{Remaining: time.Second}, Responder: responder})
@@ -102,7 +102,7 @@
 	return request
 }
 
-// step has the policy return actions, and then receive the resulting events.
+// step makes the policy return the actions, and then passes the resulting events to it.
 func (a *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
 	a.policy.Next = actions
 	a.table.Wake()
@@ -120,7 +120,7 @@
 	return results
 }
 
-// callBack has s-0 call back about the request.
+// callBack passes a callback of s-0 about the request to the table.
 func (a *attemptFixture) callBack(t *testing.T, state string) (known bool) {
 	t.Helper()
 	result := "r"
@@ -131,7 +131,7 @@
 	return known
 }
 
-// takeOver replaces the table by one of another process that is restored from its snapshot.
+// takeOver replaces the table by the one of a successor, which is restored from a snapshot.
 func (a *attemptFixture) takeOver(t *testing.T) {
 	t.Helper()
 	if !a.table.FlushEvents(5) {
--- a/internal/requests/lifecycle.go
+++ b/internal/requests/lifecycle.go
@@ -7,7 +7,7 @@
 	"valvecove/dispatch"
 )
 
-// startAttempt executes the policy's action to send a request to a worker. Each such action results in one outcome, also if the
+// startAttempt executes the policy's action to send a request to a worker. Each such action results in one outcome, even if the
 // attempt is not allowed.
 func (t *Table) startAttempt(now time.Duration, send dispatch.Send) {
 	request := t.Request(send.Job)
@@ -39,16 +39,16 @@
 	if request.FirstSentAt == 0 {
 		request.FirstSentAt = now
 	}
-	attempt.become(attemptInFlight)
+	attempt.transitionTo(attemptInFlight)
 	attempt.ambiguousCallbacks = request.hasAmbiguousCallbacks(attempt)
 	t.observers.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
 	t.transport.Start(attempt)
 }
 
 // mayStart reports whether an attempt is allowed. Its request must be open, with time and attempts remaining, and its endpoint
-// must not be cordoned. An endpoint gets no second attempt of a request while one is in flight there, nor after one was ended by
-// a callback: a repeated callback has no attempt number, so it would end the new attempt, and the request would be sent to
-// another worker while it still runs.
+// must not be cordoned. An endpoint gets no second attempt of a request while one is in flight there, nor after one was ended
+// by a callback: callbacks have no attempt number, so a repeated one would end the new attempt, and the request would be sent
+// to another worker while this one still executes it.
 func (t *Table) mayStart(now time.Duration, attempt *Attempt) bool {
 	request := attempt.Request
 	if request.IsClosed() || now >= request.Deadline || attempt.Number >= t.maxAttempts {
@@ -60,8 +60,8 @@
 	return !slices.Contains(request.endedByCallback, attempt.EndpointID)
 }
 
-// EndAttempt ends an attempt. failure is nil if it was served; result is then the response to its request, unless that is closed.
-// It has no effect on an attempt that has ended.
+// EndAttempt ends an attempt. failure is nil if it was served; result is then the response to its request, unless the request
+// is closed. It has no effect on an attempt that has ended.
 func (t *Table) EndAttempt(attempt *Attempt, result []byte, failure *AttemptError) {
 	if !attempt.end() {
 		return
@@ -92,8 +92,8 @@
 	t.forgetIfDone(request)
 }
 
-// expireAttempts ends the attempts of requests that are past their deadline. It cancels those that have exceeded the attempt
-// timeout only, as another attempt may follow them.
+// expireAttempts ends the attempts of requests that are past their deadline. An attempt that has only exceeded its own timeout
+// is cancelled, as another attempt may follow.
 func (t *Table) expireAttempts(now time.Duration) {
 	for attempt := t.attempts.firstExpired(now); attempt != nil; attempt = t.attempts.firstExpired(now) {
 		deadline := attempt.Request.Deadline
@@ -106,8 +106,8 @@
 	}
 }
 
-// abandonUnwritten ends the attempts of a closed request that are not completely written, so that they are not executed for
-// nothing.
+// abandonUnwritten ends the attempts of a closed request that are not completely written, so that no worker executes them
+// needlessly.
 func (t *Table) abandonUnwritten(request *Request) {
 	for _, attempt := range request.attempts {
 		if !attempt.HasEnded() && attempt.Stage < StageWritten {
@@ -116,7 +116,7 @@
 	}
 }
 
-// abandon ends an attempt at once, and has the transport notify its worker.
+// abandon ends an attempt immediately, and notifies its worker through the transport.
 func (t *Table) abandon(attempt *Attempt, reason Reason) {
 	t.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
 	t.transport.Abandon(attempt)
@@ -134,7 +134,7 @@
 		t.abandon(attempt, reason)
 		return
 	}
-	if attempt.become(attemptCancelling) {
+	if attempt.transitionTo(attemptCancelling) {
 		attempt.cancelReason = reason
 		t.transport.Cancel(attempt)
 	}
@@ -157,5 +157,5 @@
 		t.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: attempt.cancelReason})
 		return
 	}
-	attempt.become(attemptInFlight)
+	attempt.transitionTo(attemptInFlight)
 }
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// logFixture is a table whose log is read line by line.
+// logFixture is a table that logs into a buffer.
 type logFixture struct {
 	table  *Table
 	policy *modeltest.ScriptedPolicy
@@ -28,8 +28,8 @@
 	return f
 }
 
-// step steps after some time, and checks that one line with the text was logged above the debug level; none if it is
-// empty.
+// step runs a step after a duration, and checks that one line above the debug level was logged and contains the text, or none
+// if the text is empty.
 func (l *logFixture) step(t *testing.T, after time.Duration, want string) {
 	t.Helper()
 	l.now += after
@@ -46,8 +46,8 @@
 	l.log.Reset()
 }
 
-// A start with 10,000 endpoints logs one line, and so does a second in which many change; no change is lost between two
-// lines, and what changes nothing logs nothing.
+// Changes of the endpoint list are summarised in one line per second at most, also at a start with 10,000 endpoints. Each
+// change is counted in one line, and an update without changes logs nothing.
 func TestLogSummarisesEndpointChanges(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 10_000))
 	f.step(t, 0, `msg="endpoint list changed" added=10000 removed=0 first="s-0 s-1 s-2 s-3 s-4" listed=10000 ready=10000 revision=0`)
@@ -67,7 +67,7 @@
 	f.step(t, time.Second, "")
 }
 
-// The numbers of 4,000 endpoints of a list are logged for debugging, 100 to a line.
+// The numbers of the first 4,000 added endpoints of a list are logged at the debug level, 100 per line.
 func TestLogNumbersOfEndpoints(t *testing.T) {
 	logged := newLogFixture(endpointRange(0, 10_000)).log.String()
 	lines, complete := strings.Count(logged, "\n"), strings.Count(logged, " more=6000\n")
@@ -76,8 +76,8 @@
 	}
 }
 
-// What the policy says of a worker is logged with the endpoint's id.
-func TestLogNamesWorkersOfPolicyMessages(t *testing.T) {
+// Messages of the policy are logged with the endpoint IDs of the workers that they mention.
+func TestLogAddsEndpointIDsToPolicyMessages(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 2))
 	f.step(t, 0, `msg="endpoint list changed"`)
 	for text, endpoint := range map[string]string{
@@ -92,7 +92,7 @@
 	}
 }
 
-// An ejection is logged with the endpoint's id, or with the number of a worker that is not listed.
+// An ejection is logged with the endpoint ID of the worker, or with its number if the endpoint is not known.
 func TestLogWorkerEjected(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 2))
 	f.step(t, 0, `msg="endpoint list changed"`)
--- a/internal/requests/observer.go
+++ b/internal/requests/observer.go
@@ -13,16 +13,16 @@
 const (
 	RequestAdmitted  NotificationKind = iota // a request was admitted
 	RequestRejected                          // a request was rejected with Status; Request is nil if it could not be read
-	AttemptStarted                           // an attempt was handed to the transport
+	AttemptStarted                           // an attempt was passed to the transport
 	ResponseReceived                         // the worker has responded to the attempt, with Status
-	CallbackReceived                         // a callback was received; Attempt is nil if it is about none in flight
+	CallbackReceived                         // a callback was received; Attempt is nil if it matches no attempt in flight
 	AttemptEnded                             // an attempt that was started has ended; Err is nil if it was served
-	RequestEnded                             // a request was responded to, or its client has disconnected and its last attempt has ended
+	RequestEnded                             // a response was given, or the client disconnected and the last attempt has ended
 	AttemptWritten                           // the last byte of an attempt was written
 	RequestForgotten                         // a request was removed from the table: its ID is not used again
 )
 
-// Notification is one event of the table. Its pointers may be used for reading, until Observe returns.
+// Notification is one event of the table. What its pointers refer to is read-only, and may be used until Observe returns.
 type Notification struct {
 	Kind     NotificationKind
 	Request  *Request
@@ -55,7 +55,7 @@
 	t.observers.notify(notification)
 }
 
-// ReportResponse notifies the observers of the HTTP status that a worker responded to an attempt with.
+// ReportResponse notifies the observers of the HTTP status of a worker's response to an attempt.
 func (t *Table) ReportResponse(attempt *Attempt, status int) {
 	t.observers.notify(Notification{Kind: ResponseReceived, Request: attempt.Request, Attempt: attempt, Status: status})
 }
@@ -65,7 +65,7 @@
 	t.observers.notify(Notification{Kind: AttemptWritten, Request: attempt.Request, Attempt: attempt})
 }
 
-// observerList is the observers of a table, in the order in which they were added.
+// observerList holds the observers of a table, in the order in which they were added.
 type observerList struct {
 	observers []Observer
 	logger    *slog.Logger
@@ -74,7 +74,7 @@
 // add adds an observer, which is notified from now on.
 func (o *observerList) add(observer Observer) { o.observers = append(o.observers, observer) }
 
-// notify notifies each observer. One that panics is removed.
+// notify notifies each observer. An observer that panics is removed.
 func (o *observerList) notify(notification Notification) {
 	for i := 0; i < len(o.observers); i++ {
 		if o.notifyOne(o.observers[i], notification) {
--- a/internal/requests/outcome.go
+++ b/internal/requests/outcome.go
@@ -19,8 +19,8 @@
 	OutcomeTimedOut,
 }
 
-// isNotExecuted reports whether nothing was executed by an attempt with the outcome. The zero Outcome is that of a request without
-// attempts.
+// isNotExecuted reports whether an attempt with the outcome was certainly not executed. The zero Outcome means that the request
+// had no attempts.
 func (o Outcome) isNotExecuted() bool {
 	return o == "" || o == OutcomeRejected || o == OutcomeConnectFailed
 }
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -14,17 +14,17 @@
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
-// policyRunner runs the policy: it collects the events of the next step, and has the policy's timer.
+// policyRunner runs the policy: it collects the events for the next step, and keeps the policy's timer.
 type policyRunner struct {
 	newPolicy    func() Policy
 	policy       Policy
-	timer        time.Duration // when the policy wants to be woken; 0: not set
+	timer        time.Duration // when the policy is to run next at the latest; 0: not set
 	pending      []dispatch.Event
 	eventBuffer  []dispatch.Event  // the events of the previous step, reused for pending events
 	actionBuffer []dispatch.Action // reused from step to step
 }
 
-// policyPanic is a panic of the policy.
+// policyPanic is the value and the stack of a panic of the policy.
 type policyPanic struct {
 	cause any
 	stack []byte
@@ -42,7 +42,7 @@
 // discardEvents drops the pending events.
 func (p *policyRunner) discardEvents() { p.pending = p.pending[:0] }
 
-// deductWaitTime reduces the remaining time of the jobs that are pending by the time that their requests have waited.
+// deductWaitTime reduces the remaining time of the pending jobs by the time that their requests have waited.
 func (p *policyRunner) deductWaitTime(now time.Duration, requests *requestIndex) {
 	for i, event := range p.pending {
 		job, isJob := event.(dispatch.Job)
@@ -56,7 +56,7 @@
 	}
 }
 
-// setTimer has the policy woken at an instant, unless it is woken before.
+// setTimer sets the timer to an instant, unless it is set to an earlier one.
 func (p *policyRunner) setTimer(at time.Duration) {
 	if p.timer == 0 || at < p.timer {
 		p.timer = at
@@ -66,7 +66,7 @@
 // restoreTimer replaces the timer; 0 clears it.
 func (p *policyRunner) restoreTimer(at time.Duration) { p.timer = at }
 
-// fireTimer clears the timer and adds its event, if it is due.
+// fireTimer clears the timer and adds its event, if the timer is due.
 func (p *policyRunner) fireTimer(now time.Duration) {
 	if p.timer == 0 || p.timer > now {
 		return
--- a/internal/requests/policylog.go
+++ b/internal/requests/policylog.go
@@ -10,7 +10,7 @@
 	"valvecove/dispatch"
 )
 
-// policyLog logs what concerns the policy. It replaces the policy's numbers for workers by the IDs of their endpoints.
+// policyLog logs the messages and panics of the policy. It adds the IDs of the endpoints that the policy identifies by number.
 type policyLog struct {
 	logger    *slog.Logger
 	endpoints *endpointSet
@@ -39,13 +39,14 @@
 		return
 	}
 	attrs := []slog.Attr{slog.String("text", text)}
-	if ids := p.endpointsNamedIn(text); len(ids) > 0 {
+	if ids := p.endpointIDsIn(text); len(ids) > 0 {
 		attrs = append(attrs, slog.String("worker", strings.Join(ids, " ")))
 	}
 	p.logger.LogAttrs(context.Background(), slog.LevelInfo, "dispatcher", attrs...)
 }
 
-// logWorkerEjected logs an ejection with the ID of the worker's endpoint, or with the worker's number if the endpoint is forgotten.
+// logWorkerEjected logs an ejection with the ID of the worker's endpoint, or with the worker's number if the endpoint is
+// forgotten.
 func (p *policyLog) logWorkerEjected(ejected dispatch.WorkerEjected) {
 	worker := p.endpoints.endpoint(ejected.Worker).ID
 	if worker == "" {
@@ -55,8 +56,8 @@
 		"ejection_time", ejected.EjectionTime)
 }
 
-// endpointsNamedIn returns the endpoint IDs of the workers that occur in a text as "worker N", in order.
-func (p *policyLog) endpointsNamedIn(text string) []string {
+// endpointIDsIn returns the endpoint IDs of the workers that occur in a text as "worker N", in order.
+func (p *policyLog) endpointIDsIn(text string) []string {
 	var ids []string
 	for {
 		_, after, found := strings.Cut(text, "worker ")
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -17,8 +17,8 @@
 	Body           []byte `json:"Body"`
 }
 
-// Responder sends the response to a request to its client. The table calls exactly one of its methods, once, or none if the client
-// disconnects first.
+// Responder sends the response to a request to its client. The table calls exactly one of its methods, once, or none if the
+// client disconnects first.
 type Responder interface {
 	// RespondResult sends a worker's result.
 	RespondResult(result []byte)
@@ -64,8 +64,8 @@
 	return fmt.Sprintf("requestState(%d)", uint8(r))
 }
 
-// canBecome reports whether the transition from this state to the next one is valid.
-func (r requestState) canBecome(next requestState) bool {
+// canTransitionTo reports whether the transition from this state to the next one is valid.
+func (r requestState) canTransitionTo(next requestState) bool {
 	switch r {
 	case requestOpen:
 		return next == requestResponded || next == requestDisconnected
@@ -77,7 +77,7 @@
 
 // Request is a client's request. Its exported fields are set at admission, except FirstSentAt.
 type Request struct {
-	ID          uint64 // unique in this table, also across hot restarts
+	ID          uint64 // unique in this table and across hot restarts
 	CallID      string // the client's ID for it
 	Payload     Payload
 	Job         dispatch.Job
@@ -88,7 +88,7 @@
 	state           requestState
 	responder       Responder
 	response        Response
-	attempts        []*Attempt // by Attempt.Number
+	attempts        []*Attempt // indexed by Attempt.Number
 	inFlight        int        // attempts that have not ended
 	endedByCallback []string   // IDs of endpoints whose callback ended an attempt without a result
 	outcome         Outcome    // of the attempts so far; see mergeOutcome
@@ -100,8 +100,8 @@
 // Response returns the kind of response that was given.
 func (r *Request) Response() Response { return r.response }
 
-// Outcome returns how a closed request ended. A request that was closed while an attempt was in flight has timed out; one without
-// any started attempt counts as rejected.
+// Outcome returns how a closed request ended. A request that was closed while an attempt was in flight has timed out; a request
+// without any started attempt counts as rejected.
 func (r *Request) Outcome() Outcome {
 	switch {
 	case r.outcome == OutcomeServed:
@@ -117,17 +117,17 @@
 // Responder returns the responder that was given at admission.
 func (r *Request) Responder() Responder { return r.responder }
 
-// become makes the transition to a state, and reports whether it is valid. If it is not, nothing changes.
-func (r *Request) become(next requestState) bool {
-	if !r.state.canBecome(next) {
+// transitionTo changes the state, and reports whether the transition is valid. An invalid transition changes nothing.
+func (r *Request) transitionTo(next requestState) bool {
+	if !r.state.canTransitionTo(next) {
 		return false
 	}
 	r.state = next
 	return true
 }
 
-// mergeOutcome updates the outcome of the request by that of an attempt that has ended. The outcome of an attempt that is possibly
-// executed is not replaced by that of a later one that is not executed, and OutcomeServed is never replaced.
+// mergeOutcome updates the outcome of the request by the outcome of an attempt that has ended. An outcome of an attempt that is
+// possibly executed is not replaced by one of a later attempt that is not executed, and OutcomeServed is never replaced.
 func (r *Request) mergeOutcome(outcome Outcome) {
 	if r.outcome != OutcomeServed && (r.outcome.isNotExecuted() || !outcome.isNotExecuted()) {
 		r.outcome = outcome
--- a/internal/requests/requestindex.go
+++ b/internal/requests/requestindex.go
@@ -11,7 +11,7 @@
 
 // requestIndex holds the requests of a table, and finds them by ID and, while they are open, by call ID.
 type requestIndex struct {
-	lastID       uint64 // highest ID that was used, here or in the predecessor of a hot restart
+	lastID       uint64 // highest ID that this process or its predecessor in a hot restart has assigned
 	payloadBytes int    // of the bodies of all requests
 	byID         map[uint64]*Request
 	openByCallID map[string]*Request
@@ -27,7 +27,7 @@
 	return r.lastID
 }
 
-// reserveIDs has nextID skip the IDs up to lastID.
+// reserveIDs makes nextID skip the IDs up to lastID.
 func (r *requestIndex) reserveIDs(lastID uint64) { r.lastID = max(r.lastID, lastID) }
 
 // find returns the request with an ID, or nil.
@@ -69,8 +69,8 @@
 	return slices.SortedFunc(maps.Values(r.byID), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// resumedJobs returns the events by which a policy receives the open requests of another process, with their attempts.
-func (r *requestIndex) resumedJobs(now time.Duration) []dispatch.Event {
+// jobResumedEvents returns the events that pass the open requests of another process, with their attempts, to a policy.
+func (r *requestIndex) jobResumedEvents(now time.Duration) []dispatch.Event {
 	var events []dispatch.Event
 	for _, request := range r.inAdmissionOrder() {
 		if request.IsClosed() {
--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -7,33 +7,35 @@
 	"time"
 )
 
-// Discovery lists the start times of workers as Unix time, and the policy compares them with the process's clock, which continues
-// from the wall clock at the process's start. The wall clock may have been wrong then, by seconds or by an hour. The age of a
-// worker would be too high or negative as a result. The error is estimated from the lists alone: no worker starts after its start
-// is listed, so the least age of a worker at that time is an upper bound for how far the process's clock is ahead.
+// Discovery lists the start times of workers as Unix time, and the policy compares them with the process's clock, which starts
+// at the wall clock's time when the process starts, and is monotonic from then on. The wall clock may have been wrong at that
+// time, by seconds or by an hour, and the age of a worker would then be too high or negative. The error is estimated from the
+// lists alone: no worker starts after its start is listed, so the least age of a worker at that time is an upper bound for how
+// far the process's clock is ahead.
 
 const (
-	// promptNotice is a usual time between the start of a worker and the first list that contains it. A clock that is ahead by less
-	// is not corrected.
-	promptNotice = time.Second
+	// usualListingDelay is a usual time between the start of a worker and the first list that contains it. A clock that is
+	// ahead by less is not corrected.
+	usualListingDelay = time.Second
 
-	// longestSlowStart is an upper bound for the duration of a slow start. Of two workers that started further apart, one is warm.
-	longestSlowStart = time.Minute
+	// maxSlowStart is an upper bound for the duration of a slow start. Of two workers that started further apart, the older one
+	// is warm.
+	maxSlowStart = time.Minute
 
 	// maxClockError bounds the error of clocks. A start time with a greater error is invalid, and not used for the estimate.
 	maxClockError = 24 * time.Hour
 
-	// At most this part of the workers of a first list is assumed to be cold because the process's clock may be ahead: one in
-	// ten, or a single one of four or more. If more workers started together, they are assumed to be warm: if they were assumed
-	// to be cold, requests would be rejected that they can serve.
-	possiblyColdDivisor = 10
-	minFleetWithOne     = 4
+	// At most one in maxColdDivisor workers of a first list, or one worker of at least minFleetForOneCold, is assumed to be
+	// cold because the process's clock may be ahead. If more workers started together, they are assumed to be warm: if they
+	// were assumed to be cold, requests that they can serve would be rejected.
+	maxColdDivisor     = 10
+	minFleetForOneCold = 4
 )
 
-// Receipt contains the instants of the receipt of an endpoint list, by the process's clock.
+// Receipt contains the instants that belong to the receipt of an endpoint list, by the process's clock.
 type Receipt struct {
 	At         time.Duration // 0: not known; start times are used as listed
-	LastViewAt time.Duration // when the previous list was up to date; 0: there was none
+	LastViewAt time.Duration // when the previous list was last known to be current; 0: there was no list
 }
 
 // startTime is the start time of a worker.
@@ -47,14 +49,14 @@
 // prolonged.
 type startTimes struct {
 	byWorker map[uint64]startTime
-	// leastAge is the least age of a worker, by the process's clock, when its start was listed. The clock is ahead of those of the
-	// workers by at most this much; if it is negative, the clock is behind by at least its absolute value.
-	leastAge   time.Duration
-	hasAge     bool // leastAge is known
-	seemsAhead bool // a start was listed too late for a clock that is right: it precedes the previous list
-
-	receipt      Receipt // of the list that was observed last
-	startedAsOne bool    // see EndpointList.startedAsOne, of the same list
+	// leastAge is the least age of a worker, by the process's clock, when its start was listed. The clock is ahead of those of
+	// the workers by at most this much; if it is negative, the clock is behind by at least its absolute value.
+	leastAge    time.Duration
+	hasLeastAge bool // leastAge is known
+	seemsAhead  bool // a newly listed start precedes the previous list, which a correct clock would not show
+
+	receipt         Receipt // of the list that was observed last
+	startedTogether bool    // the result of EndpointList.startedTogether for that list
 }
 
 func newStartTimes() startTimes { return startTimes{byWorker: map[uint64]startTime{}} }
@@ -69,21 +71,21 @@
 	for _, endpoint := range list.Endpoints {
 		age := s.receipt.At - unixInstant(endpoint.StartedAtMs)
 		if endpoint.StartedAtMs > 0 && age >= -maxClockError {
-			s.observeAge(age)
+			s.updateLeastAge(age)
 		}
 	}
-	s.startedAsOne = list.startedAsOne(listedBefore)
+	s.startedTogether = list.startedTogether(listedBefore)
 }
 
-// observeAge updates leastAge by the age of a worker whose start was listed.
-func (s *startTimes) observeAge(age time.Duration) {
-	if !s.hasAge || age < s.leastAge {
-		s.leastAge, s.hasAge = age, true
+// updateLeastAge updates leastAge by the age of a worker whose start was listed.
+func (s *startTimes) updateLeastAge(age time.Duration) {
+	if !s.hasLeastAge || age < s.leastAge {
+		s.leastAge, s.hasLeastAge = age, true
 	}
 }
 
-// startedAt returns the start time of a worker by the process's clock. listedMs is the one in the list that was observed last. 0
-// means that it is not known; the worker is warm then.
+// startedAt returns the start time of a worker by the process's clock, or 0 if it is not known; the worker is then assumed to
+// be warm. listedMs is its start time in the list that was observed last.
 func (s *startTimes) startedAt(worker uint64, listedMs int64) time.Duration {
 	if listedMs <= 0 {
 		return 0
@@ -100,35 +102,35 @@
 	return at
 }
 
-// correction returns the difference to add to a start time that is listed for the first time: 0 if the process's clock may be
-// right.
+// correction returns the difference to add to a start time that is listed for the first time, or 0 if the process's clock may
+// be correct.
 func (s *startTimes) correction(listed time.Duration) time.Duration {
-	lastViewAt := s.receipt.LastViewAt
+	previousCurrentAt := s.receipt.LastViewAt
 	switch {
-	case s.leastAge < -promptNotice: // the process's clock is behind
+	case s.leastAge < -usualListingDelay: // the process's clock is behind
 		return s.leastAge
-	case s.leastAge <= promptNotice: // it is not ahead
+	case s.leastAge <= usualListingDelay: // the clock is not ahead
 		return 0
-	case lastViewAt == 0 && s.startedAsOne:
-		return 0
-	case lastViewAt > 0 && !s.seemsAhead && listed >= lastViewAt-promptNotice: // it started after the previous list
+	case previousCurrentAt == 0 && s.startedTogether:
 		return 0
+	case previousCurrentAt > 0 && !s.seemsAhead && listed >= previousCurrentAt-usualListingDelay:
+		return 0 // the worker started after the previous list
 	default: // the process's clock may be ahead by leastAge, which assumes that the newest worker started just now
-		s.seemsAhead = s.seemsAhead || lastViewAt > 0
+		s.seemsAhead = s.seemsAhead || previousCurrentAt > 0
 		return s.leastAge
 	}
 }
 
-// startedAsOne reports whether too many workers of the list started together with the newest one to be assumed cold; see
+// startedTogether reports whether too many workers of the list started together with the newest one to be assumed cold; see
 // possiblyColdDivisor. listedBefore is the number of workers that were listed before.
-func (e *EndpointList) startedAsOne(listedBefore int) bool {
+func (e *EndpointList) startedTogether(listedBefore int) bool {
 	newest := int64(0)
 	for i := range e.Endpoints {
 		newest = max(newest, e.Endpoints[i].StartedAtMs)
 	}
 	together := 0
 	for i := range e.Endpoints {
-		if e.Endpoints[i].StartedAtMs > newest-longestSlowStart.Milliseconds() {
+		if e.Endpoints[i].StartedAtMs > newest-maxSlowStart.Milliseconds() {
 			together++
 		}
 	}
@@ -136,7 +138,7 @@
 	if !e.Reset {
 		all = max(all, listedBefore)
 	}
-	return together > max(all/possiblyColdDivisor, min(1, all/minFleetWithOne))
+	return together > max(all/maxColdDivisor, min(1, all/minFleetForOneCold))
 }
 
 // snapshot returns the start times that differ from the listed ones, in order of the workers' numbers.
@@ -150,8 +152,8 @@
 	return starts
 }
 
-// restore replaces start times by those of another process, which observed the workers for longer, unless a later start was listed
-// here.
+// restore replaces start times by those of another process, which observed the workers for longer, unless a later start was
+// listed here.
 func (s *startTimes) restore(state State, numbers map[string]uint64) {
 	for _, start := range state.allStarts() {
 		worker, known := numbers[start.EndpointID]
@@ -160,7 +162,7 @@
 		}
 	}
 	if state.LeastAge != 0 {
-		s.observeAge(state.LeastAge)
+		s.updateLeastAge(state.LeastAge)
 	}
 }
 
@@ -180,7 +182,8 @@
 	return starts
 }
 
-// unixInstant returns the instant of a Unix time in milliseconds, by a clock that is right.
+// unixInstant returns the instant of a Unix time in milliseconds by a correct clock. It is limited to the range of
+// time.Duration.
 func unixInstant(ms int64) time.Duration {
 	const latest = math.MaxInt64 / int64(time.Millisecond)
 	return time.Duration(min(ms, latest)) * time.Millisecond
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -11,57 +11,57 @@
 	"valvecove/internal/modeltest"
 )
 
-// clockErrors are by how much the process's clock is ahead of the workers'.
+// clockErrors contains the differences by which the process's clock is ahead of the workers' clocks.
 var clockErrors = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// trueNow is an instant of the workers' clock.
-const trueNow = 1_764_633_600 * time.Second
+// initialInstant is the instant at which a test starts, by the workers' clock.
+const initialInstant = 1_764_633_600 * time.Second
 
-// startTimesFixture is a table whose process has a clock that is wrong, and the lists that it receives.
+// startTimesFixture is a table of a process with a wrong clock, and the endpoint lists that the process receives.
 type startTimesFixture struct {
-	table      *Table
-	clockAhead time.Duration
-	now        time.Duration // of the workers' clock
-	lastViewAt time.Duration // of the process's clock
+	table         *Table
+	clockAhead    time.Duration
+	now           time.Duration // by the workers' clock
+	listCurrentAt time.Duration // when the list was last current, by the process's clock
 }
 
 func newStartTimesFixture(clockAhead time.Duration) *startTimesFixture {
 	policy := &modeltest.ScriptedPolicy{}
 	table := newTestTable(policy, 0, newRecordingTransport())
-	return &startTimesFixture{table: table, clockAhead: clockAhead, now: trueNow}
+	return &startTimesFixture{table: table, clockAhead: clockAhead, now: initialInstant}
 }
 
-// wait lets time pass, and has the list be current at its end.
+// wait advances the time, and marks the list as current at the new time.
 func (s *startTimesFixture) wait(passed time.Duration) {
 	s.now += passed
-	s.lastViewAt = s.now + s.clockAhead
+	s.listCurrentAt = s.now + s.clockAhead
 }
 
 // receive applies a list.
 func (s *startTimesFixture) receive(isReset bool, endpoints ...Endpoint) {
-	receipt := Receipt{At: s.now + s.clockAhead, LastViewAt: s.lastViewAt}
+	receipt := Receipt{At: s.now + s.clockAhead, LastViewAt: s.listCurrentAt}
 	s.table.UpdateEndpoints(EndpointList{Reset: isReset, Endpoints: endpoints, Receipt: receipt})
 }
 
-// receiveFleet applies a list of ten workers that started long ago or at different times, except s-0.
+// receiveFleet applies a full list of newest and nine older workers: s-1 without a start time, the others started 24 h apart.
 func (s *startTimesFixture) receiveFleet(newest Endpoint) {
 	endpoints := []Endpoint{newest}
 	for n := 1; n < 10; n++ {
-		endpoints = append(endpoints, s.started(n, time.Duration(n-1)*24*time.Hour)) // the first of them long ago
+		endpoints = append(endpoints, s.started(n, time.Duration(n-1)*24*time.Hour))
 	}
-	endpoints[1].StartedAtMs = 0
+	endpoints[1].StartedAtMs = 0 // not known: the worker is assumed to be warm
 	s.receive(true, endpoints...)
 	s.wait(0)
 }
 
-// started is a worker that started some time ago.
+// started returns the endpoint of a worker that started the given time ago.
 func (s *startTimesFixture) started(number int, ago time.Duration) Endpoint {
 	return Endpoint{
 		ID: fmt.Sprint("s-", number), Addr: "10.0.0.1:80", Lifecycle: lifecycleUp, StartedAtMs: (s.now - ago).Milliseconds(),
 	}
 }
 
-// age is how old the policy takes a worker to be; negative: it is known as started long ago.
+// age returns the age of a worker by the start time that the policy has received, or -1 if it has received none.
 func (s *startTimesFixture) age(number int) time.Duration {
 	worker := s.table.endpoints.listed[hashID(fmt.Sprint("s-", number))]
 	if worker.BootAt == 0 {
@@ -70,17 +70,17 @@
 	return s.now + s.clockAhead - worker.BootAt
 }
 
-// expectAge checks how old a worker is taken to be.
+// expectAge checks that the age of a worker is in a range.
 func (s *startTimesFixture) expectAge(t *testing.T, what string, number int, least, most time.Duration) {
 	t.Helper()
 	if age := s.age(number); age < least || age > most {
-		t.Errorf("clock ahead by %v, %s: s-%d is taken to be %v old, expected %v to %v", s.clockAhead, what, number, age, least, most)
+		t.Errorf("clock ahead by %v, %s: the age of s-%d is %v, expected %v to %v", s.clockAhead, what, number, age, least, most)
 	}
 }
 
-// The age of a worker that is listed while the watch is open is never overestimated, and not underestimated by much. With a right
-// clock it is the listed one.
-func TestStartTimesListedByChange(t *testing.T) {
+// The age of a worker that an update lists while the watch is open is wrong by 200 ms at most. With a correct clock it is the
+// listed age.
+func TestStartTimesOfEndpointUpdates(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, 0))
@@ -98,8 +98,8 @@
 	}
 }
 
-// The first list may be all that a process knows: of ten workers, the one that has just started is cold.
-func TestStartTimesFirstList(t *testing.T) {
+// A process that has received only one list must treat the worker that has just started, one of ten, as cold.
+func TestStartTimesOfFirstList(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, 300*time.Millisecond))
@@ -112,8 +112,9 @@
 	}
 }
 
-// No worker starts later than it was first listed, so that its slow start is not prolonged.
-func TestStartTimesNoneIsHeldBackLong(t *testing.T) {
+// A converted start time is not later than the list that contained it first, so that the slow start of a worker is not
+// prolonged.
+func TestStartTimesDoNotProlongSlowStart(t *testing.T) {
 	for _, ahead := range clockErrors {
 		for _, ago := range []time.Duration{time.Millisecond, 2 * time.Second, time.Minute, time.Hour - time.Second, 2 * time.Hour} {
 			f := newStartTimesFixture(ahead)
@@ -129,8 +130,9 @@
 	}
 }
 
-// A fleet that has been started together counts as warm, unless our clock shows that it is not.
-func TestStartTimesFleetStartedTogether(t *testing.T) {
+// Workers that were started together hours ago are assumed to be warm with any error of the clock: if they were assumed to be
+// cold, requests that they can serve would be rejected.
+func TestStartTimesOfFleetStartedTogetherAreWarm(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		var endpoints []Endpoint
@@ -144,9 +146,9 @@
 	}
 }
 
-// What merely repeats a start changes nothing: a list after the watch was lost, a worker that begins to drain, one that comes
-// back after it was removed.
-func TestStartTimesRepeated(t *testing.T) {
+// A start that is listed again keeps its converted time: in a full list after the watch was lost, when the worker starts to
+// drain, and when it is listed again after its removal.
+func TestStartTimesListedAgainAreUnchanged(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, 0))
@@ -157,9 +159,9 @@
 		draining := joined
 		draining.Lifecycle = "draining"
 		for what, repeat := range map[string]func(){
-			"whole list": func() { f.receive(true, joined) },
-			"draining":   func() { f.receive(false, draining) },
-			"back": func() {
+			"full list": func() { f.receive(true, joined) },
+			"draining":  func() { f.receive(false, draining) },
+			"listed again": func() {
 				f.receive(false, Endpoint{ID: "s-10", Lifecycle: lifecycleRemoved})
 				f.wait(time.Second)
 				f.receive(false, joined)
@@ -169,26 +171,26 @@
 			f.now += 5 * time.Second // the watch was lost
 			repeat()
 			if at := f.table.endpoints.listed[hashID("s-10")].BootAt; at != before {
-				t.Errorf("clock ahead by %v, %s: started %v later", ahead, what, at-before)
+				t.Errorf("clock ahead by %v, %s: the start time has changed by %v", ahead, what, at-before)
 			}
 		}
 	}
 }
 
-// A start that can't be meant, however far in the future, shows nothing of the other workers.
-func TestStartTimesImpossible(t *testing.T) {
-	for _, startedAtMs := range []int64{math.MaxInt64, 1 << 62, (trueNow + 48*time.Hour).Milliseconds()} {
+// A start time that is invalid, because it is too far in the future, does not affect the start times of other workers.
+func TestStartTimesIgnoreInvalidStart(t *testing.T) {
+	for _, startedAtMs := range []int64{math.MaxInt64, 1 << 62, (initialInstant + 48*time.Hour).Milliseconds()} {
 		f := newStartTimesFixture(0)
 		f.receiveFleet(f.started(0, 300*time.Millisecond))
 		f.wait(time.Second)
 		f.receive(false, Endpoint{ID: "s-1", Lifecycle: lifecycleUp, StartedAtMs: startedAtMs}, f.started(2, 100*time.Millisecond))
-		f.expectAge(t, "beside an impossible one", 2, 100*time.Millisecond, 100*time.Millisecond)
-		f.expectAge(t, "impossible", 1, 0, 0)
+		f.expectAge(t, "listed with an invalid start", 2, 100*time.Millisecond, 100*time.Millisecond)
+		f.expectAge(t, "invalid start", 1, 0, 0)
 	}
 }
 
-// While the list can't be followed workers start, and are listed later. A clock that may be right is believed, and one that
-// is an hour ahead is not.
+// Workers that start during an outage of the watch are listed late. A clock error of seconds can't be distinguished from such a
+// delay then, and the listed times are used; an error of an hour is corrected.
 func TestStartTimesAfterOutage(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
@@ -198,7 +200,7 @@
 		f.receive(true, f.started(0, 6*time.Second), f.started(1, 7*time.Second))
 		most := 6 * time.Second
 		if ahead > 0 && ahead < 8*time.Second {
-			most += ahead // it can't be told from a right clock
+			most += ahead // it can't be distinguished from a correct clock
 		}
 		f.expectAge(t, "after an outage", 0, 0, most)
 		if ahead == 0 && (f.age(0) != 6*time.Second || f.age(1) != 7*time.Second) {
@@ -207,8 +209,8 @@
 	}
 }
 
-// Once a start was listed that shows our clock to be ahead, be it by some seconds, starts during an outage are converted to no
-// older than they are.
+// Once a listed start has shown that the process's clock is ahead, even by seconds only, the ages of workers that start during
+// an outage are not overestimated.
 func TestStartTimesAfterOutageWithClockShownAhead(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
@@ -223,7 +225,7 @@
 	}
 }
 
-// A change that is listed late while the watch is open prolongs a slow start by that delay at most.
+// If a start is listed late while the watch is open, the age of the worker is underestimated by the delay at most.
 func TestStartTimesListedLate(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
@@ -231,12 +233,13 @@
 		f.wait(time.Minute)
 		f.now += 500 * time.Millisecond
 		f.receive(false, f.started(0, 4*time.Second))
-		f.expectAge(t, "told 4 s late", 0, 0, 4*time.Second)
+		f.expectAge(t, "listed 4 s late", 0, 0, 4*time.Second)
 	}
 }
 
-// A process that takes over knows when workers started, by its own clock, as the one before did, and takes none for restarted.
-func TestStartTimesHandedOver(t *testing.T) {
+// The successor in a hot restart has the same start times as its predecessor, converted to its own clock, and treats no worker
+// as restarted.
+func TestStartTimesAreRestoredByTakeOver(t *testing.T) {
 	for _, ahead := range clockErrors {
 		for _, step := range clockErrors {
 			f, successor := newStartTimesFixture(ahead), newStartTimesFixture(ahead+step)
@@ -253,14 +256,14 @@
 			successor.receive(false, f.started(10, 100*time.Millisecond))
 			for _, n := range []int{0, 2, 10} {
 				if got, want := successor.age(n), f.age(n); got != want {
-					t.Errorf("clock ahead by %v, stepped by %v: s-%d is %v old, before %v", ahead, step, n, got, want)
+					t.Errorf("clock ahead by %v, stepped by %v: the age of s-%d is %v, expected %v as in the predecessor", ahead, step, n, got, want)
 				}
 			}
 		}
 	}
 }
 
-// loadedFleet is a table with its dispatcher under an even load, whose workers finish each job after 25 ms.
+// loadedFleet is a table with a dispatch.Dispatcher under a constant load. Workers finish each job after jobDuration.
 type loadedFleet struct {
 	*startTimesFixture
 	transport *recordingTransport
@@ -271,7 +274,7 @@
 
 const (
 	loadInterval = 2500 * time.Microsecond // between jobs
-	jobLength    = 25 * time.Millisecond
+	jobDuration  = 25 * time.Millisecond
 )
 
 func newLoadedFleet(clockAhead time.Duration) *loadedFleet {
@@ -286,11 +289,11 @@
 	transport := newRecordingTransport()
 	newPolicy := func() Policy { return dispatch.New(settings, 1) }
 	table := New(3, NameTable{Classes: []string{"a"}}, newPolicy, EndpointList{}, transport, slog.New(slog.DiscardHandler))
-	fixture := &startTimesFixture{table: table, clockAhead: clockAhead, now: trueNow}
+	fixture := &startTimesFixture{table: table, clockAhead: clockAhead, now: initialInstant}
 	return &loadedFleet{startTimesFixture: fixture, transport: transport, sent: map[string]int{}}
 }
 
-// run loads the fleet for a while.
+// run admits a job every loadInterval for a duration.
 func (l *loadedFleet) run(t *testing.T, length time.Duration) {
 	t.Helper()
 	for end := l.now + length; l.now < end; l.now += loadInterval {
@@ -299,7 +302,7 @@
 			l.table.EndAttempt(l.running[0], []byte("r"), nil)
 			l.running, l.finishAt = l.running[1:], l.finishAt[1:]
 		}
-		job := dispatch.Job{Remaining: 5 * time.Second, Hint: jobLength}
+		job := dispatch.Job{Remaining: 5 * time.Second, Hint: jobDuration}
 		arrival := Arrival{CallID: local.String(), Job: job, Responder: &countingResponder{}}
 		if _, err := l.table.Admit(local, arrival); err != nil {
 			t.Fatal(err)
@@ -307,18 +310,18 @@
 		l.table.Step(local)
 		for _, attempt := range l.transport.started {
 			l.sent[attempt.EndpointID]++
-			l.running, l.finishAt = append(l.running, attempt), append(l.finishAt, local+jobLength)
+			l.running, l.finishAt = append(l.running, attempt), append(l.finishAt, local+jobDuration)
 		}
 		l.transport.started = nil
 	}
 }
 
-// One of ten workers has just started: however wrong our clock is, it gets the part of an even share, over 4 s, that it gets
-// with a right clock.
-func TestStartTimesShareOfColdWorker(t *testing.T) {
-	for what, play := range map[string]func(l *loadedFleet){
+// One of ten workers has just started. Over 4 s it gets the same number of jobs with any error of the process's clock as with a
+// correct clock, and at most 75 % of an equal share.
+func TestStartTimesColdWorkerShareDoesNotDependOnClock(t *testing.T) {
+	for what, start := range map[string]func(l *loadedFleet){
 		"first list": func(l *loadedFleet) { l.receiveFleet(l.started(0, 0)) },
-		"change": func(l *loadedFleet) {
+		"update": func(l *loadedFleet) {
 			l.receiveFleet(l.started(0, 24*time.Hour))
 			l.run(t, 2*time.Second)
 			l.wait(0)
@@ -329,21 +332,21 @@
 		sent := map[time.Duration]int{}
 		for _, ahead := range clockErrors {
 			l := newLoadedFleet(ahead)
-			play(l)
+			start(l)
 			l.run(t, 4*time.Second)
 			all := 0
 			for _, jobs := range l.sent {
 				all += jobs
 			}
 			sent[ahead] = l.sent["s-0"]
-			t.Logf("%s, clock ahead by %v: %d of %d, %.2f of an even share", what, ahead, sent[ahead], all, 10*float64(sent[ahead])/float64(all))
+			t.Logf("%s, clock ahead by %v: %d of %d, %.2f of an equal share", what, ahead, sent[ahead], all, 10*float64(sent[ahead])/float64(all))
 			if sent[ahead] == 0 || 20*sent[ahead] > 15*all/10 {
 				t.Errorf("%s, clock ahead by %v: %d of %d jobs", what, ahead, sent[ahead], all)
 			}
 		}
 		for _, ahead := range clockErrors {
 			if sent[ahead] != sent[0] {
-				t.Errorf("%s, clock ahead by %v: %d jobs, %d with a right clock", what, ahead, sent[ahead], sent[0])
+				t.Errorf("%s, clock ahead by %v: %d jobs, %d with a correct clock", what, ahead, sent[ahead], sent[0])
 			}
 		}
 	}
--- a/internal/requests/state_test.go
+++ b/internal/requests/state_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A request leaves each state only for one that may follow, and a closed one is never open again.
+// A request makes valid state transitions only. A closed request is never reopened.
 func TestRequestStateTransitions(t *testing.T) {
 	states := []requestState{requestOpen, requestResponded, requestDisconnected, requestEnded}
 	allowed := map[requestState][]requestState{
@@ -17,14 +17,14 @@
 		for _, next := range states {
 			request := &Request{state: from}
 			isAllowed := slices.Contains(allowed[from], next)
-			if request.become(next) != isAllowed || (request.state == next) != (isAllowed || from == next) {
+			if request.transitionTo(next) != isAllowed || (request.state == next) != (isAllowed || from == next) {
 				t.Errorf("from %v to %v: now %v, allowed %v", from, next, request.state, isAllowed)
 			}
 		}
 	}
 }
 
-// An attempt leaves each state only for one that may follow, and one that has ended stays so.
+// An attempt makes valid state transitions only. An attempt that has ended makes none.
 func TestAttemptStateTransitions(t *testing.T) {
 	states := []attemptState{attemptCreated, attemptInFlight, attemptCancelling, attemptNotStarted, attemptEnded}
 	allowed := map[attemptState][]attemptState{
@@ -36,14 +36,14 @@
 		for _, next := range states {
 			attempt := &Attempt{state: from}
 			isAllowed := slices.Contains(allowed[from], next)
-			if attempt.become(next) != isAllowed || (attempt.state == next) != (isAllowed || from == next) {
+			if attempt.transitionTo(next) != isAllowed || (attempt.state == next) != (isAllowed || from == next) {
 				t.Errorf("from %v to %v: now %v, allowed %v", from, next, attempt.state, isAllowed)
 			}
 		}
 	}
 }
 
-// The booleans of the stored form stand for the states of requests and attempts.
+// The booleans of the stored form encode all states of requests and attempts.
 func TestSnapshotKeepsStates(t *testing.T) {
 	for _, state := range []requestState{requestOpen, requestResponded, requestDisconnected, requestEnded} {
 		stored := (&Request{state: state}).snapshot()
--- a/internal/requests/step.go
+++ b/internal/requests/step.go
@@ -6,7 +6,7 @@
 	"valvecove/dispatch"
 )
 
-// maxFlushSteps bounds the steps of FlushEvents: a policy could respond to each step with an action that leads to an event.
+// maxFlushSteps bounds the steps of FlushEvents: a policy could return an action that causes another event in each step.
 const maxFlushSteps = 16
 
 // NextStep returns by when Step has to be called. ok is false if no call is necessary until something happens.
@@ -24,13 +24,13 @@
 	return at, at > 0
 }
 
-// Wake has the next Step run the policy even if the table has no event for it. It is called when the state of the policy was
+// Wake makes the next Step run the policy even if no other event is pending. It is called after the state of the policy was
 // changed directly.
 func (t *Table) Wake() { t.policy.addEvent(dispatch.TimerFired{}) }
 
-// Step ends expired attempts, passes the pending events to the policy, and executes its actions in order. An event that results
-// from an action at once, such as a failed connection, is pending until the next Step. While requests wait for the endpoint list,
-// Step does nothing.
+// Step ends expired attempts, passes the pending events to the policy, and executes its actions in order. An event that an
+// action causes immediately, such as a failed connection, is pending until the next Step. While requests wait for the endpoint
+// list, Step does nothing.
 func (t *Table) Step(now time.Duration) {
 	if t.awaitUntil > now {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// FlushEvents runs Step until no event is pending, and reports whether none is. Pending events are not part of a snapshot, and
-// would be lost with a hot restart.
+// FlushEvents runs Step until no event is pending, maxFlushSteps times at most, and reports whether none is. Pending events are
+// not part of a snapshot, and would be lost in a hot restart.
 func (t *Table) FlushEvents(now time.Duration) bool {
 	for range maxFlushSteps {
 		if !t.policy.hasEvents() {
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -7,15 +7,15 @@
 	"valvecove/dispatch"
 )
 
-// Table is the table of requests and attempts of one scheduler. Each part of its state is owned by a type of its own; the methods
-// of the Table join them. Along the life of a request these are in admission.go, step.go, lifecycle.go, callback.go and
-// completion.go.
+// Table is the table of requests and attempts of one scheduler. Each part of its state is owned by a separate type, and the
+// methods of Table combine them. In the order of a request's life cycle these methods are in admission.go, step.go,
+// lifecycle.go, callback.go and completion.go.
 type Table struct {
-	// SendPeerMessage sends a message of the policy to another scheduler, by its number. It is set before the first Step; if it is nil,
-	// the messages are dropped.
+	// SendPeerMessage sends a message of the policy to another scheduler, by its number. It is set before the first Step; if it
+	// is nil, the messages are dropped.
 	SendPeerMessage func(to int, message dispatch.PeerMessage)
 
-	maxAttempts int // of a request
+	maxAttempts int // per request
 	transport   Transport
 	observers   observerList
 
@@ -25,12 +25,12 @@
 	policyLog  policyLog
 	endpoints  endpointSet
 	cordons    cordonSet
-	awaitUntil time.Duration // the policy waits for the endpoint list until then; 0: it doesn't
+	awaitUntil time.Duration // until when requests wait for the endpoint list; 0: they don't wait
 }
 
-// New returns a table without requests. maxAttempts bounds the attempts of a request. newPolicy returns a policy without any state;
-// it is called at once, and again after a panic of the policy. known is the endpoint list that the scheduler had last, and may be
-// empty. The logger is used for the messages of the policy and for a summary of the changes of the endpoint list.
+// New returns a table without requests. maxAttempts bounds the attempts of a request. newPolicy returns a policy without any
+// state; it is called at once, and again after a panic of the policy. known is the endpoint list that the scheduler used last,
+// and may be empty. The logger is used for the messages of the policy and for a summary of the changes of the endpoint list.
 func New(
 	maxAttempts int, names NameTable, newPolicy func() Policy, known EndpointList, transport Transport, logger *slog.Logger,
 ) *Table {
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -10,8 +10,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// A request gets one response or has lost its client, every Send gets one outcome, and whatever comes late, twice or
-// for nobody changes nothing.
+// A request gets one response, or none if its client disconnects first. Each Send gets one outcome. Events that are late,
+// repeated or about an unknown request have no effect.
 func FuzzTable(f *testing.F) { modeltest.Fuzz(f, runTableModel) }
 
 // modelRequest is the model's state of a request.
@@ -21,7 +21,7 @@
 	disconnected bool
 }
 
-// tableModel puts a table through random steps, and checks it against what it knows itself.
+// tableModel makes random steps with a table, and checks it against its own record of requests and attempts.
 type tableModel struct {
 	*modeltest.Steps
 	policy    *modeltest.ScriptedPolicy
@@ -45,13 +45,13 @@
 	model.expireAll()
 	model.checkResponses()
 	model.checkOutcomes()
-	model.Check(!model.transport.hasTwoAtOneWorker, "a worker had two attempts of a request at once")
+	model.Check(!model.transport.hasTwoAtOneWorker, "a worker had two attempts of a request in flight")
 	table := model.table
 	remaining := len(table.requests.byID) + len(table.requests.openByCallID) + len(table.attempts.byKey) + table.attempts.timeouts.Len()
 	model.Check(remaining == 0, "the table is not empty")
 }
 
-// step takes one random step, and reports whether the policy has panicked.
+// step makes one random step, and reports whether the policy has panicked.
 func (t *tableModel) step() (hasPanicked bool) {
 	if len(t.requests) == 0 {
 		t.Pick(14)
@@ -66,10 +66,10 @@
 		t.send(target)
 	case 4:
 		job := target.request.ID
-		t.act([]dispatch.Action{dispatch.Reject{Job: job}, dispatch.Fail{Job: job}}[t.Pick(2)])
+		t.scheduleAction([]dispatch.Action{dispatch.Reject{Job: job}, dispatch.Fail{Job: job}}[t.Pick(2)])
 		t.Record("reject or fail")
 	case 5:
-		t.act(dispatch.Cancel{Job: target.request.ID, Attempt: t.Pick(5)})
+		t.scheduleAction(dispatch.Cancel{Job: target.request.ID, Attempt: t.Pick(5)})
 		t.Record("cancel")
 	case 6:
 		target.disconnected = target.disconnected || target.responder.total() == 0
@@ -92,16 +92,18 @@
 	return false
 }
 
-// act has the policy take an action at its next step.
-func (t *tableModel) act(action dispatch.Action) { t.policy.Next = append(t.policy.Next, action) }
+// scheduleAction makes the policy return an action in its next step.
+func (t *tableModel) scheduleAction(action dispatch.Action) {
+	t.policy.Next = append(t.policy.Next, action)
+}
 
 func (t *tableModel) admit() {
 	responder := &countingResponder{}
 	arrival := Arrival{CallID: strconv.Itoa(len(t.requests)), Job: dispatch.Job{Remaining: time.Second}, Responder: responder}
 	request, err := t.table.Admit(t.now, arrival)
-	t.Check(err == nil, "a new call id was rejected: %v", err)
+	t.Check(err == nil, "a new call ID was rejected: %v", err)
 	_, err = t.table.Admit(t.now, arrival)
-	t.Check(errors.Is(err, ErrDuplicateCallID), "an open request's call id was admitted again")
+	t.Check(errors.Is(err, ErrDuplicateCallID), "the call ID of an open request was admitted again")
 	t.requests = append(t.requests, &modelRequest{request: request, responder: responder})
 	t.Record("admit")
 }
@@ -109,8 +111,8 @@
 func (t *tableModel) send(target *modelRequest) {
 	timeout := time.Duration(t.Pick(3)) * 300 * time.Millisecond
 	worker := hashID("s-" + strconv.Itoa(t.Pick(2)))
-	t.act(dispatch.Send{Job: target.request.ID, Worker: worker, AttemptTimeout: timeout})
-	t.table.DiscoveryFailed() // something to step for
+	t.scheduleAction(dispatch.Send{Job: target.request.ID, Worker: worker, AttemptTimeout: timeout})
+	t.table.DiscoveryFailed() // adds an event, so that Step runs the policy
 	before := len(t.transport.started)
 	t.table.Step(t.now)
 	if len(t.transport.started) > before {
@@ -118,7 +120,7 @@
 		if timeout > 0 {
 			until = min(until, t.now+timeout)
 		}
-		t.Check(t.transport.started[before].At == until, "attempt timeout not kept or not trimmed")
+		t.Check(t.transport.started[before].At == until, "the attempt does not expire at its timeout or at the deadline of its request")
 	}
 	t.Record("send")
 }
@@ -133,7 +135,7 @@
 	t.Record(state)
 }
 
-// endAttempt has the transport end an attempt, perhaps once more.
+// endAttempt makes the transport end an attempt, which may have ended before.
 func (t *tableModel) endAttempt() {
 	if len(t.transport.started) == 0 {
 		return
@@ -147,12 +149,12 @@
 	wasOpen := !attempt.HasEnded() && !request.IsClosed()
 	t.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
 	if reason == ReasonInvalidRequest && wasOpen {
-		t.Check(request.IsClosed() == (request.inFlight == 0), "invalid at its last worker, and not closed")
+		t.Check(request.IsClosed() == (request.inFlight == 0), "an invalid request without attempts in flight is not closed, or one with attempts in flight is")
 	}
 	t.Record("end " + attempt.Stage.String())
 }
 
-// accept has a worker accept an attempt, and perhaps the policy cancel it.
+// accept makes a worker accept an attempt, and the policy cancel it if cancel is set.
 func (t *tableModel) accept(cancel bool) {
 	if len(t.transport.started) == 0 {
 		return
@@ -161,14 +163,14 @@
 	if !attempt.HasEnded() {
 		attempt.Stage = StageAccepted
 		if cancel {
-			t.act(dispatch.Cancel{Job: attempt.Request.ID, Attempt: attempt.Number})
+			t.scheduleAction(dispatch.Cancel{Job: attempt.Request.ID, Attempt: attempt.Number})
 		}
 	}
 	t.Record("accept")
 }
 
-// panicPolicy has the policy panic at its next step, and reports whether it had one. A new policy knows no request:
-// each must have its response by the end of the step.
+// panicPolicy makes the policy panic if the next step runs it, and reports whether it did. The new policy has no requests, so
+// all requests must have their responses after that step.
 func (t *tableModel) panicPolicy() bool {
 	t.policy.Panic, t.policy.Next = true, nil
 	t.table.Step(t.now)
@@ -183,35 +185,35 @@
 	return true
 }
 
-// checkAttempts checks after each step that no attempt may be executed without need.
+// checkAttempts checks after each step that no attempt can be executed needlessly.
 func (t *tableModel) checkAttempts() {
 	for _, attempt := range t.transport.cancelling {
-		t.Check(attempt.Stage == StageAccepted, "an attempt that is %v is cancelled at its worker", attempt.Stage)
+		t.Check(attempt.Stage == StageAccepted, "an attempt in stage %v is cancelled at its worker", attempt.Stage)
 	}
 	for _, attempt := range t.transport.started {
 		request := attempt.Request
-		isGivenUp := attempt.HasEnded() && attempt.Stage >= StageAccepted &&
+		isAbandoned := attempt.HasEnded() && attempt.Stage >= StageAccepted &&
 			(attempt.result == dispatch.Cancelled || attempt.result == dispatch.TimedOut)
-		t.Check(!isGivenUp || t.transport.confirmed[attempt] || request.IsClosed() || t.now >= request.Deadline,
-			"request %d: an accepted attempt is given up, and its worker was not notified", request.ID)
+		t.Check(!isAbandoned || t.transport.confirmed[attempt] || request.IsClosed() || t.now >= request.Deadline,
+			"request %d: an accepted attempt was abandoned without a confirmation of its worker", request.ID)
 		t.Check(attempt.HasEnded() || !request.IsClosed() || attempt.Stage >= StageWritten,
-			"request %d is closed, and may still be sent", request.ID)
+			"request %d is closed, and an attempt of it is not written yet", request.ID)
 	}
 }
 
-// expireAll steps past every deadline: attempts expire, and the policy fails what is left.
+// expireAll runs steps after all deadlines: attempts expire, and the policy fails the remaining requests.
 func (t *tableModel) expireAll() {
 	for range 3 {
 		t.now += 2 * time.Second
 		for _, r := range t.requests {
-			t.act(dispatch.Fail{Job: r.request.ID})
+			t.scheduleAction(dispatch.Fail{Job: r.request.ID})
 		}
 		t.table.UpdateEndpoints(EndpointList{})
 		t.table.Step(t.now)
 	}
 }
 
-// checkResponses checks that each request got one response, or has lost its client and got none.
+// checkResponses checks that each request got one response, or none if its client disconnected first.
 func (t *tableModel) checkResponses() {
 	for _, r := range t.requests {
 		want := 1
@@ -222,7 +224,7 @@
 	}
 }
 
-// attemptID names an attempt by its request and number.
+// attemptID identifies an attempt by its request and number.
 type attemptID struct {
 	job    uint64
 	number int
@@ -246,25 +248,25 @@
 	return outcomes
 }
 
-// checkOutcomes checks what the policy has received against what the transport was asked for.
+// checkOutcomes checks the outcomes that the policy has received against the calls of the transport.
 func (t *tableModel) checkOutcomes() {
 	outcomes := t.outcomes()
 	for _, r := range t.requests {
 		for number := range r.request.attempts {
 			outcome, known := outcomes[attemptID{r.request.ID, number}]
 			t.Check(known, "no outcome for request %d attempt %d", r.request.ID, number)
-			t.Check(outcome.Result != dispatch.OK || outcome.Closed, "served, and not closed")
+			t.Check(outcome.Result != dispatch.OK || outcome.Closed, "an attempt was served, and its request is not closed")
 		}
 	}
 	for _, attempt := range t.transport.started {
 		outcome := outcomes[attemptID{attempt.Request.ID, attempt.Number}]
-		isGivenUp := outcome.Result == dispatch.TimedOut || outcome.Result == dispatch.Cancelled
+		isAbandoned := outcome.Result == dispatch.TimedOut || outcome.Result == dispatch.Cancelled
 		isUnwritten := outcome.Result == dispatch.NotSent && outcome.Closed && attempt.Stage < StageWritten
 		isNotified := t.transport.abandoned[attempt] || t.transport.confirmed[attempt]
-		t.Check(!isGivenUp || isNotified, "result %v, and the worker was not notified", outcome.Result)
-		t.Check(!isNotified || isGivenUp || isUnwritten,
+		t.Check(!isAbandoned || isNotified, "result %v, and the worker was not notified", outcome.Result)
+		t.Check(!isNotified || isAbandoned || isUnwritten,
 			"result %v, stage %v, and the worker was notified", outcome.Result, attempt.Stage)
 		t.Check(outcome.Result != dispatch.ConnectFailed || attempt.Stage < StageWritten,
-			"could not connect, though %v", attempt.Stage)
+			"result ConnectFailed in stage %v", attempt.Stage)
 	}
 }
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -6,9 +6,9 @@
 	"valvecove/dispatch"
 )
 
-// TakeOver restores a snapshot of another process, whose instants are those of this process's clock; see OnClock. The table must
-// have no requests. responders contains the responders of the open requests by ID: a request without one has lost its client's
-// connection, and its response is dropped.
+// TakeOver restores a snapshot of another process, whose instants are those of this process's clock; see OnClock. The table
+// must have no requests. responders contains the responders of the open requests by ID: the client of a request without a
+// responder is disconnected, and the response is dropped.
 //
 // newPolicy returns the policy that is restored from the same process, and is called after the observers were notified of the
 // requests. If it returns nil, the current policy is kept, and receives the requests and their attempts as events.
@@ -29,8 +29,8 @@
 	if policy != nil {
 		t.policy.replace(policy)
 	} else {
-		t.policy.restoreTimer(max(1, now)) // the current policy may have set a timer: it is woken too early rather than never
-		t.policy.addEvents(t.requests.resumedJobs(now))
+		t.policy.restoreTimer(max(1, now)) // the current policy may have set a timer: wake it too early rather than never
+		t.policy.addEvents(t.requests.jobResumedEvents(now))
 	}
 	t.resumeCancellations()
 }
@@ -47,7 +47,7 @@
 // restoreRequest adds a request of another process, and notifies the observers as if it had been admitted here.
 func (t *Table) restoreRequest(open *OpenRequest, responder Responder) {
 	if responder == nil {
-		responder = absentClient{}
+		responder = discardResponder{}
 	}
 	request := &Request{
 		ID:              open.ID,
@@ -108,9 +108,9 @@
 	}
 }
 
-// absentClient is the responder of a request whose client is disconnected. It drops the response.
-type absentClient struct{}
+// discardResponder drops the response to a request whose client is disconnected.
+type discardResponder struct{}
 
-func (absentClient) RespondResult([]byte)          {}
-func (absentClient) RespondRejected(time.Duration) {}
-func (absentClient) RespondFailed()                {}
+func (discardResponder) RespondResult([]byte)          {}
+func (discardResponder) RespondRejected(time.Duration) {}
+func (discardResponder) RespondFailed()                {}
--- a/internal/requests/transport.go
+++ b/internal/requests/transport.go
@@ -5,12 +5,12 @@
 // Transport connects the table to the workers and to discovery. Its methods do not block. They may call the table before they
 // return.
 type Transport interface {
-	// Start sends an attempt to its worker and updates its stage. It calls EndAttempt when the attempt ends, unless a callback has
-	// ended it.
+	// Start sends an attempt to its worker and updates its stage. It calls EndAttempt when the attempt ends, unless a callback
+	// has ended it.
 	Start(attempt *Attempt)
 	// Abandon notifies the worker that an attempt has ended here.
 	Abandon(attempt *Attempt)
-	// Cancel requests the worker to stop an attempt that was written, once the worker has accepted it. It calls CancelCompleted
+	// Cancel asks the worker to stop an attempt that was written, once the worker has accepted it. It calls CancelCompleted
 	// with the result, or CancelUnaccepted if the worker does not accept the attempt in time.
 	Cancel(attempt *Attempt)
 	// CheckHealth checks whether a worker can be connected to. It calls HealthChecked with the result.
