--- a/internal/http1/benchmark_test.go
+++ b/internal/http1/benchmark_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// What is parsed and written for each request on the serving path allocates nothing once the buffers have grown.
+// BenchmarkParseRequest and the other benchmarks of this file show whether parsing and writing allocate after the buffers have
+// grown.
 func BenchmarkParseRequest(b *testing.B) {
 	input := []byte("POST /a/1 HTTP/1.1\r\nHost: h\r\nX-Call-Id: q1\r\nX-Call-Class: a\r\nConnection: keep-alive\r\nContent-Length: 5\r\n\r\nhello")
 	var request Request
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -2,11 +2,11 @@
 
 import "bytes"
 
-// A chunked body may come in many chunks, each framed by a line of its own; what is received of it in all may not exceed this.
+// maxChunkedSize bounds the received bytes of a chunked body, including the framing of its chunks.
 const maxChunkedSize = 2*MaxBodySize + MaxHeaderSize
 
-// parseFraming reads the fields that bear on the connection and on how the body ends. Anything that two readers could
-// understand in two ways is rejected.
+// parseFraming reads the fields that determine the persistence of the connection and the framing of the body. Ambiguous framing
+// is rejected, as another recipient could interpret it differently.
 func (m *Message) parseFraming() error {
 	m.framing, m.contentLength = framingUnspecified, 0
 	isChunked := false
@@ -14,7 +14,7 @@
 		switch {
 		case field.hasName("Content-Length"):
 			length, ok := ParseDecimal(field.Value)
-			if !ok || m.framing == framingLength { // no usual client sends it twice, not even with the same value
+			if !ok || m.framing == framingLength { // no usual client repeats the field, not even with the same value
 				return badRequest("bad Content-Length")
 			}
 			m.framing, m.contentLength = framingLength, length
@@ -39,12 +39,13 @@
 	return nil
 }
 
-// parseConnectionOptions reads the comma-separated options of a Connection field; the last one of several holds.
+// parseConnectionOptions reads the comma-separated options of a Connection field. If close and keep-alive occur, the last one
+// applies.
 func (m *Message) parseConnectionOptions(options []byte) {
 	for len(options) > 0 {
 		var option []byte
 		option, options, _ = bytes.Cut(options, []byte(","))
-		option = trimBlanks(option)
+		option = trimWhitespace(option)
 		switch {
 		case equalFold(option, "close"):
 			m.KeepAlive = false
@@ -54,7 +55,7 @@
 	}
 }
 
-// parseBody takes the body at the start of input and returns how many bytes it took. A body without framing is empty.
+// parseBody parses the body at the start of input, and returns its length in bytes there. A body without framing is empty.
 func (m *Message) parseBody(input []byte) (size int, err error) {
 	if m.framing == framingChunked {
 		return m.parseChunkedBody(input)
@@ -66,7 +67,7 @@
 	return m.contentLength, nil
 }
 
-// parseChunkedBody reads a chunked body from its first byte, joining its chunks.
+// parseChunkedBody parses the chunked body at the start of input, and joins the data of its chunks.
 func (m *Message) parseChunkedBody(input []byte) (size int, err error) {
 	m.chunkedBody = m.chunkedBody[:0]
 	var decoder ChunkDecoder
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -3,29 +3,28 @@
 import "bytes"
 
 const (
-	maxChunkLineSize   = 256 // bytes of a line between chunks that has not ended yet
+	maxChunkLineSize   = 256 // bytes of an incomplete line between chunks
 	maxChunkSizeDigits = 7   // hexadecimal
 )
 
-// ChunkDecoder reads a chunked body piece by piece, as it arrives. Its zero value is at the body's first byte. A body of any
-// length takes no memory.
+// ChunkDecoder decodes a chunked body incrementally. Its zero value expects the first byte of the body. It buffers nothing.
 type ChunkDecoder struct {
 	state     chunkState
-	remaining int // bytes of the present chunk's data
+	remaining int // bytes of the current chunk's data
 }
 
-// chunkState says what comes next in a chunked body.
+// chunkState is the element of a chunked body that the decoder expects next.
 type chunkState int
 
 const (
-	chunkStateSize    chunkState = iota // the line with the next chunk's size
+	chunkStateSize    chunkState = iota // the line with the size of the next chunk
 	chunkStateData                      // the chunk's data
-	chunkStateDataEnd                   // the line end behind the data
+	chunkStateDataEnd                   // the line end after the data
 	chunkStateTrailer                   // a trailer field, or the blank line that ends the body
-	chunkStateDone                      // nothing: the body has ended
+	chunkStateDone                      // none: the body has ended
 )
 
-// String implements fmt.Stringer.
+// String returns the name of the state.
 func (s chunkState) String() string {
 	switch s {
 	case chunkStateSize:
@@ -45,9 +44,9 @@
 // IsDone reports whether the body's last byte has been consumed.
 func (d *ChunkDecoder) IsDone() bool { return d.state == chunkStateDone }
 
-// Next consumes one piece of the body from the start of input: some data, which lies in input, or a line of framing, which has
-// no data. Where consumed is 0 and the body is not done, more input is needed. After an error, which is a ParseError, the
-// decoder can't be used any more.
+// Next decodes the next part of the body from the start of input: either data, which is a slice of input, or a line of framing,
+// for which data is empty. If consumed is 0 and the body has not ended, more input is needed. After an error, which is a
+// ParseError, the decoder must not be used again.
 func (d *ChunkDecoder) Next(input []byte) (data []byte, consumed int, err error) {
 	if len(input) == 0 || d.state == chunkStateDone {
 		return nil, 0, nil
@@ -73,7 +72,7 @@
 	return nil, length + 1, nil
 }
 
-// consumeLine consumes a line between the data of two chunks.
+// consumeLine handles a line of framing: a chunk size, the line end after a chunk's data, or a trailer field.
 func (d *ChunkDecoder) consumeLine(line []byte) error {
 	switch d.state {
 	case chunkStateSize:
@@ -95,15 +94,15 @@
 		if len(line) == 0 {
 			d.state = chunkStateDone
 		}
-	case chunkStateData, chunkStateDone: // no line is read then
+	case chunkStateData, chunkStateDone: // Next reads no line in these states
 	}
 	return nil
 }
 
-// parseChunkSize reads the size in front of a chunk; extensions behind it are ignored.
+// parseChunkSize parses a chunk size. Chunk extensions are ignored.
 func parseChunkSize(line []byte) (int, error) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
-	digits = trimBlanks(digits)
+	digits = trimWhitespace(digits)
 	if len(digits) == 0 || len(digits) > maxChunkSizeDigits {
 		return 0, badRequest("bad chunk size")
 	}
@@ -118,7 +117,7 @@
 	return size, nil
 }
 
-// hexDigit returns the value of a hexadecimal digit, -1 if char is none.
+// hexDigit returns the value of a hexadecimal digit, or -1 if char is not one.
 func hexDigit(char byte) int {
 	switch {
 	case '0' <= char && char <= '9':
--- a/internal/http1/chunked_test.go
+++ b/internal/http1/chunked_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The decoder gives the same data whatever pieces the body arrives in, and stops at the body's end.
-func TestChunkDecoderInPieces(t *testing.T) {
+// The decoder returns the same data for any size of the received pieces, and consumes nothing after the end of the body.
+func TestChunkDecoderWithAnyPieceSize(t *testing.T) {
 	const body, behind, want = "3;name=value\r\nabc\r\nA\n0123456789\r\n00\r\nTrailer: 1\r\n\r\n", "GET /", "abc0123456789"
 	for pieceSize := 1; pieceSize <= len(body)+len(behind); pieceSize++ {
 		var decoder ChunkDecoder
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestChunkDecoderRejects(t *testing.T) {
+func TestChunkDecoderRejectsInvalidChunks(t *testing.T) {
 	for name, input := range map[string]string{
 		"no size":            "\r\n",
 		"no digit":           "g\r\n",
 		"sign":               "+1\r\n",
 		"too many digits":    "00000001\r\n",
-		"data behind chunk":  "1\r\nab\r\n",
+		"data after chunk":   "1\r\nab\r\n",
 		"line without end":   string(make([]byte, maxChunkLineSize+1)),
 		"blanks in the size": "1 1\r\n",
 		"no-break space":     "\u00a01\r\na\r\n0\r\n\r\n",
--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,11 +1,10 @@
 // Package http1 parses and writes the messages of HTTP/1.1 (RFC 9112) for connections that are served by an event loop.
 //
-// It owns the syntax and the framing of messages, and their limits: MaxHeaderSize and MaxBodySize. The parsers work on the
-// bytes that a connection has received so far: Request.Parse and Response.Parse take one message from their start or return
-// ErrIncomplete, and are then called again with more bytes. A body that does not end, such as a stream of events, is
-// read piece by piece with a ChunkDecoder. Framing that two readers could understand in two ways is rejected with a
-// ParseError, never guessed at.
+// It defines the syntax and the framing of messages, and their limits, MaxHeaderSize and MaxBodySize. The parsers read from the
+// bytes that a connection has received so far: Request.Parse and Response.Parse parse one message from their start, or return
+// ErrIncomplete and are called again with more bytes. A body without an end, such as a stream of events, is decoded
+// incrementally by a ChunkDecoder. Ambiguous framing is rejected with a ParseError.
 //
-// The package never touches a socket, a clock or a goroutine, does not know what a message is for, and imports nothing
-// of this module. Its types are not safe for concurrent use.
+// The package does no I/O, reads no clock, starts no goroutine, does not depend on the meaning of messages, and imports no
+// other package of this module. Its types are not safe for concurrent use.
 package http1
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// ErrIncomplete says that the bytes at hand end before the message does. The parser is to be called again with more.
+// ErrIncomplete is returned if the input ends before the message does. The parser is called again with more input.
 var ErrIncomplete = errors.New("message incomplete")
 
-// ParseError reports a message that breaks the protocol or exceeds a limit of this package. Where the next message begins
-// is not known, so the connection can't be read further.
+// ParseError reports a message that violates the protocol or exceeds a limit of this package. The start of the next message is
+// not known after it, so the connection can't be read further.
 type ParseError struct {
-	StatusCode int    // of the response that a server owes for it
-	Reason     string // what is wrong, in a few words that may be sent to the peer
+	StatusCode int    // of the response with which a server rejects the message
+	Reason     string // short description of the violation, which may be sent to the peer
 }
 
-// Error implements error.
+// Error returns the status code and the reason.
 func (e *ParseError) Error() string { return strconv.Itoa(e.StatusCode) + ": " + e.Reason }
 
 func badRequest(reason string) error {
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -2,16 +2,16 @@
 
 import "bytes"
 
-// lineEnding says how the lines of a header section may end.
+// lineEnding is the set of line endings that are accepted in a header section.
 type lineEnding int
 
 const (
-	lineEndingStrict  lineEnding = iota // a carriage return and a line feed
-	lineEndingLenient                   // or a line feed alone
+	lineEndingStrict  lineEnding = iota // CRLF
+	lineEndingLenient                   // CRLF, or LF alone
 )
 
-// parseHeaderSection reads a start line, which it returns, and the fields up to the blank line. size is the length of all of
-// that. The line ending is strict in requests: intermediaries differ in where a line with a bare line feed ends.
+// parseHeaderSection parses the header fields up to and including the blank line, and returns the start line before them. size
+// is the total length in bytes. Requests use lineEndingStrict, as intermediaries differ in whether a bare LF ends a line.
 func (m *Message) parseHeaderSection(input []byte, ending lineEnding) (startLine []byte, size int, err error) {
 	m.Fields, m.Body, m.framing = m.Fields[:0], nil, framingUnknown
 	for isFirst := true; ; isFirst = false {
@@ -35,7 +35,7 @@
 	}
 }
 
-// nextLine takes the line at an offset of a header section. size includes the line's end, line does not.
+// nextLine returns the line at an offset of a header section, without its line ending. size includes the line ending.
 func nextLine(input []byte, offset int, ending lineEnding) (line []byte, size int, err error) {
 	length := bytes.IndexByte(input[offset:], '\n')
 	if length < 0 && len(input) > MaxHeaderSize || offset+length >= MaxHeaderSize {
@@ -56,5 +56,5 @@
 	if !ok || !IsToken(name) || !isFieldValue(value) {
 		return Field{}, badRequest("not a header field")
 	}
-	return Field{Name: name, Value: trimBlanks(value)}, nil
+	return Field{Name: name, Value: trimWhitespace(value)}, nil
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -5,30 +5,30 @@
 // Limits of a message, in bytes.
 const (
 	MaxHeaderSize = 16 << 10 // of the start line and the header fields
-	MaxBodySize   = 64 << 10 // of the body, without what frames chunks
+	MaxBodySize   = 64 << 10 // of the body, without the framing of chunks
 )
 
-// Field is one header field. Its parts lie in the bytes that were parsed.
+// Field is one header field. Its slices refer to the parsed input.
 type Field struct{ Name, Value []byte }
 
-// hasName compares the name, whatever its case.
+// hasName reports whether the field has the name. The comparison ignores the case of ASCII letters.
 func (f Field) hasName(name string) bool { return equalFold(f.Name, name) }
 
-// Message is what a request and a response have in common. Its parts lie in the bytes that were parsed, but for a chunked
-// body, which lies in a buffer of the message's own. All of it is valid until these bytes are overwritten, or the message
-// is used to parse again; so a message that is used again and again allocates nothing.
+// Message contains the elements that requests and responses have in common. Its slices refer to the parsed input, except for a
+// chunked body, which is copied into a buffer of the message. They are valid until the input is overwritten or the message is
+// parsed into again. Reusing a message avoids allocations.
 type Message struct {
 	Fields    []Field
 	Body      []byte
-	KeepAlive bool // the sender lets the connection carry another message
+	KeepAlive bool // the sender allows another message on the connection
 
 	version       protocolVersion
 	framing       framing
-	contentLength int    // of framingLength
-	chunkedBody   []byte // the chunks' data, joined
+	contentLength int    // if framing is framingLength
+	chunkedBody   []byte // the joined data of the chunks; reused
 }
 
-// protocolVersion is the version of the protocol that a message names.
+// protocolVersion is the HTTP version in the start line of a message.
 type protocolVersion int
 
 const (
@@ -36,19 +36,19 @@
 	version10
 )
 
-// framing says how the end of a body is found.
+// framing is the method by which the end of a body is determined.
 type framing int
 
 const (
-	framingUnknown       framing = iota // the header is not complete
-	framingUnspecified                  // no header field says
-	framingLength                       // by Content-Length
-	framingChunked                      // by Transfer-Encoding
-	framingConnectionEnd                // the body of a response ends with the connection
+	framingUnknown        framing = iota // the header is not complete
+	framingUnspecified                   // no header field specifies it
+	framingLength                        // by Content-Length
+	framingChunked                       // by Transfer-Encoding
+	framingCloseDelimited                // by the end of the connection; responses only
 )
 
-// Get returns the value of the first field of a name, nil if there is none. The value of a field that is there but empty is
-// not nil.
+// Get returns the value of the first field with the name, or nil if there is none. The value of an empty field is empty but not
+// nil.
 func (m *Message) Get(name string) []byte {
 	for _, field := range m.Fields {
 		if field.hasName(name) {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Count returns how many fields of a name there are.
+// Count returns the number of fields with the name.
 func (m *Message) Count(name string) int {
 	count := 0
 	for _, field := range m.Fields {
@@ -69,11 +69,11 @@
 	return count
 }
 
-// IsChunked reports whether the body is framed by chunks. It is valid, too, after a parser returned ErrIncomplete; it is
-// false as long as the header is not complete.
+// IsChunked reports whether the body is chunked. It is also valid after a parser has returned ErrIncomplete, and is false while
+// the header is not complete.
 func (m *Message) IsChunked() bool { return m.framing == framingChunked }
 
-// parseVersion reads the protocol version, and what it says of the connection's persistence.
+// parseVersion parses the protocol version, and sets KeepAlive to the default of that version.
 func (m *Message) parseVersion(text []byte) error {
 	switch string(text) {
 	case "HTTP/1.1":
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// parser parses a message, a request or a response, and gives what the two have in common.
+// parser is the common interface of the parsers of requests and responses.
 type parser interface {
 	parse(input []byte) (size int, err error)
 	message() *Message
@@ -34,8 +34,8 @@
 	return &responseParser{}
 }
 
-// A message cut anywhere is incomplete until it is whole, and then what it would have been in one piece; no bytes make the
-// parsers panic or take more than there is.
+// A message that is received in parts is incomplete until its last byte, and then parsed as if it had been received at once. No
+// input makes the parsers panic or consume more bytes than it has.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"POST /a?x=1 HTTP/1.1\r\nContent-Length: 5\r\nX-Call-Id: q\r\n\r\nhelloGET /up HTTP/1.1\r\n\r\n",
@@ -53,35 +53,35 @@
 		whole := newParser(isRequest)
 		size, err := whole.parse(input)
 		if size > len(input) || err == nil && size == 0 || len(whole.message().Body) > MaxBodySize {
-			t.Fatalf("took %d of %d, body of %d, %v", size, len(input), len(whole.message().Body), err)
+			t.Fatalf("consumed %d of %d bytes, body of %d bytes, %v", size, len(input), len(whole.message().Body), err)
 		}
 		part := newParser(isRequest)
 		for length := range input {
-			checkPart(t, whole, part, input[:length], size, err)
+			checkPrefix(t, whole, part, input[:length], size, err)
 		}
 	})
 }
 
-// checkPart parses the start of an input that gave size and err as a whole.
-func checkPart(t *testing.T, whole, part parser, start []byte, size int, err error) {
+// checkPrefix parses a prefix of an input, and compares the result with that of the complete input, which is size and err.
+func checkPrefix(t *testing.T, whole, part parser, start []byte, size int, err error) {
 	t.Helper()
 	partSize, partErr := part.parse(start)
 	switch {
 	case err == nil && len(start) < size:
 		if !errors.Is(partErr, ErrIncomplete) {
-			t.Fatalf("%d of %d bytes: took %d, %v", len(start), size, partSize, partErr)
+			t.Fatalf("%d of %d bytes: consumed %d, %v", len(start), size, partSize, partErr)
 		}
 	case err == nil:
 		if partSize != size || !bytes.Equal(part.message().Body, whole.message().Body) || part.statusCode() != whole.statusCode() {
-			t.Fatalf("more bytes changed the message: took %d, then %d", size, partSize)
+			t.Fatalf("more input changed the message: consumed %d bytes, then %d", size, partSize)
 		}
 	case errors.Is(err, ErrIncomplete) && !errors.Is(partErr, ErrIncomplete):
-		t.Fatalf("incomplete as a whole, %v in part", partErr)
+		t.Fatalf("the complete input is an incomplete message, a prefix of it returns %v", partErr)
 	}
 }
 
-// Framing that two readers could understand in two ways, or that costs too much, is rejected and never guessed at.
-func TestRequestIsRejected(t *testing.T) {
+// Ambiguous framing, invalid syntax, and messages that exceed a limit are rejected with the given status code.
+func TestInvalidRequestIsRejected(t *testing.T) {
 	for text, want := range map[string]int{
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n":                  400,
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                  400,
@@ -114,8 +114,9 @@
 	}
 }
 
-// Words of the protocol are ASCII, in upper or lower case. A Kelvin sign is no k, and a long s no s, though Unicode folds them.
-func TestWordsAreFoldedInASCIIOnly(t *testing.T) {
+// Keywords of the protocol are compared with ASCII case folding only: the Kelvin sign must not match k, nor the long s match s,
+// as they do with Unicode case folding.
+func TestKeywordsAreFoldedInASCIIOnly(t *testing.T) {
 	for text, want := range map[string]error{
 		"POST / HTTP/1.1\r\nTransfer-Encoding: CHUNked\r\n\r\n0\r\n\r\n":      nil,
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chun\u212aed\r\n\r\n0\r\n\r\n": &ParseError{StatusNotImplemented, "transfer coding not supported"},
@@ -141,7 +142,7 @@
 	}
 }
 
-// keepsAlive parses a request of a version with a connection option.
+// keepsAlive returns KeepAlive of a request with a protocol version and a connection option.
 func keepsAlive(t *testing.T, version, option string) bool {
 	t.Helper()
 	var request Request
@@ -151,19 +152,20 @@
 	return request.KeepAlive
 }
 
-// A client that waits before it sends the body is known by the header alone.
-func TestExpectContinueWithoutBody(t *testing.T) {
+// ExpectContinue is known as soon as the header is complete, as the client sends the body only after the interim response.
+func TestExpectContinueIsKnownBeforeBody(t *testing.T) {
 	var request Request
 	const header = "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
 	if _, err := request.Parse([]byte(header)); !errors.Is(err, ErrIncomplete) || !request.ExpectContinue {
-		t.Errorf("header alone: %v, expects %v", err, request.ExpectContinue)
+		t.Errorf("header without body: %v, ExpectContinue is %v", err, request.ExpectContinue)
 	}
 	if _, err := request.Parse([]byte("POST / HTTP/1.1\r\n")); !errors.Is(err, ErrIncomplete) || request.ExpectContinue {
-		t.Errorf("the next request's first line: %v, expects %v", err, request.ExpectContinue)
+		t.Errorf("first line of the next request: %v, ExpectContinue is %v", err, request.ExpectContinue)
 	}
 }
 
-// A response without framing lasts as long as its connection; one of a status that has no body ends with its header.
+// The body of a response without framing ends with the connection. A response with a status that excludes a body ends with its
+// header.
 func TestResponseBodyEnd(t *testing.T) {
 	tests := []struct {
 		name, text      string
@@ -194,8 +196,9 @@
 	}
 }
 
-// Framing is known as soon as the header is complete, and is not that of the message before until then.
-func TestFramingBeforeBody(t *testing.T) {
+// The framing of a response is known as soon as its header is complete. Until then the framing of the previous message must not
+// be reported.
+func TestFramingIsKnownBeforeBody(t *testing.T) {
 	var response Response
 	for _, step := range []struct {
 		text                          string
@@ -214,7 +217,8 @@
 	}
 }
 
-// What frames a body may not outgrow it: a peer could send one byte a chunk, or extensions, without end.
+// The framing of a chunked body is bounded, as a peer could otherwise make the message grow without limit by chunks of one byte
+// or by chunk extensions.
 func TestChunkFramingIsBounded(t *testing.T) {
 	var request Request
 	const header, chunk = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "1;extension=value\r\nx\r\n"
@@ -228,14 +232,14 @@
 	}
 }
 
-// An empty value is there; a missing field is nil.
-func TestGetTellsEmptyFromMissing(t *testing.T) {
+// Get returns an empty value that is not nil for an empty field, and nil for a missing one.
+func TestGetDistinguishesEmptyFromMissing(t *testing.T) {
 	var request Request
 	if _, err := request.Parse([]byte("GET / HTTP/1.1\r\nX-Empty: \r\nx-EMPTY: 2\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	if value := request.Get("X-Empty"); value == nil || len(value) > 0 {
-		t.Errorf("the empty field: %q, nil %v", value, value == nil)
+		t.Errorf("the empty field: %q, is nil: %v", value, value == nil)
 	}
 	if count := request.Count("X-Empty"); count != 2 {
 		t.Errorf("%d fields, expected 2", count)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,24 +2,24 @@
 
 import "bytes"
 
-// maxBlankLineBytes is how many bytes of blank lines may come before a request (RFC 9112, 2.2). Without a bound a peer could
-// have any number of them buffered.
-const maxBlankLineBytes = 8
+// maxLeadingBlankLineBytes bounds the blank lines that are skipped before a request (RFC 9112, 2.2). Without a bound a peer
+// could make the server buffer any number of them.
+const maxLeadingBlankLineBytes = 8
 
 // Request is a parsed request.
 type Request struct {
 	Message
 	Method, Target []byte
-	// ExpectContinue is set if the client waits for an interim response before it sends the body. It is valid, too, after a
-	// call of Parse that returned ErrIncomplete.
+	// ExpectContinue is set if the client waits for an interim response before it sends the body. It is also valid after Parse
+	// has returned ErrIncomplete.
 	ExpectContinue bool
 }
 
-// Parse reads one request, with its body, from the start of input, and returns how many bytes it took. The error is
-// ErrIncomplete or a ParseError.
+// Parse parses one request, with its body, from the start of input, and returns its length in bytes. The error is ErrIncomplete
+// or a ParseError.
 func (r *Request) Parse(input []byte) (size int, err error) {
 	r.ExpectContinue = false
-	size = blankLineBytes(input)
+	size = leadingBlankLineBytes(input)
 	startLine, headerSize, err := r.parseHeaderSection(input[size:], lineEndingStrict)
 	if err != nil {
 		return 0, err
@@ -39,10 +39,10 @@
 	return size + bodySize, nil
 }
 
-// blankLineBytes counts the bytes of blank lines before a request that are passed over.
-func blankLineBytes(input []byte) int {
+// leadingBlankLineBytes returns the length of the blank lines before a request that are skipped.
+func leadingBlankLineBytes(input []byte) int {
 	count := 0
-	for count < min(maxBlankLineBytes, len(input)) && (input[count] == '\r' || input[count] == '\n') {
+	for count < min(maxLeadingBlankLineBytes, len(input)) && (input[count] == '\r' || input[count] == '\n') {
 		count++
 	}
 	return count
@@ -58,7 +58,7 @@
 	return r.parseVersion(version)
 }
 
-// parseExpect reads the Expect field; the last one of several holds.
+// parseExpect parses the Expect fields. If there are several, the last one applies.
 func (r *Request) parseExpect() {
 	for _, field := range r.Fields {
 		if field.hasName("Expect") {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -13,9 +13,9 @@
 	StatusCode int
 }
 
-// Parse reads one final response, with its body, from the start of input, and returns how many bytes it took. Interim
-// responses before it are passed over. connectionEnded says that the peer sends nothing more, which ends a body that has
-// no other framing. The error is ErrIncomplete or a ParseError.
+// Parse parses one final response, with its body, from the start of input, and returns the number of bytes that it consumed.
+// Interim responses before it are skipped. connectionEnded is set if the peer has closed the connection, which ends a body
+// without other framing. The error is ErrIncomplete or a ParseError.
 func (r *Response) Parse(input []byte, connectionEnded bool) (size int, err error) {
 	for {
 		headerSize, err := r.ParseHeader(input[size:])
@@ -31,8 +31,8 @@
 		return size, nil
 	}
 	if r.framing == framingUnspecified {
-		r.framing = framingConnectionEnd
-		return r.parseUnframedBody(input, size, connectionEnded)
+		r.framing = framingCloseDelimited
+		return r.parseCloseDelimitedBody(input, size, connectionEnded)
 	}
 	bodySize, err := r.parseBody(input[size:])
 	if err != nil {
@@ -41,8 +41,8 @@
 	return size + bodySize, nil
 }
 
-// parseUnframedBody takes all that follows the header as the body, once the connection has ended.
-func (r *Response) parseUnframedBody(input []byte, headerSize int, connectionEnded bool) (size int, err error) {
+// parseCloseDelimitedBody returns ErrIncomplete until the connection has ended. The body is then all input after the header.
+func (r *Response) parseCloseDelimitedBody(input []byte, headerSize int, connectionEnded bool) (size int, err error) {
 	r.KeepAlive = false
 	if !connectionEnded {
 		return 0, ErrIncomplete
@@ -54,13 +54,13 @@
 	return len(input), nil
 }
 
-// EndsWithConnection reports whether the body ends only with the connection. It is valid after a call of Parse, also of one
-// that returned ErrIncomplete; it is false as long as the header is not complete.
-func (r *Response) EndsWithConnection() bool { return r.framing == framingConnectionEnd }
+// EndsWithConnection reports whether the body is delimited by the end of the connection. It is valid after Parse, also if Parse
+// has returned ErrIncomplete, and is false while the header is not complete.
+func (r *Response) EndsWithConnection() bool { return r.framing == framingCloseDelimited }
 
-// ParseHeader reads the status line and the header fields of one response, be it an interim one, from the start of input, and
-// returns how many bytes they took. The body is left for the caller to read, as with a ChunkDecoder. The error is
-// ErrIncomplete or a ParseError.
+// ParseHeader parses the status line and the header fields of one final or interim response from the start of input, and
+// returns their length in bytes. The caller reads the body, for example with a ChunkDecoder. The error is ErrIncomplete or a
+// ParseError.
 func (r *Response) ParseHeader(input []byte) (size int, err error) {
 	startLine, size, err := r.parseHeaderSection(input, lineEndingLenient)
 	if err != nil {
@@ -89,5 +89,5 @@
 	return nil
 }
 
-// IsInterim reports whether another response to the same request follows.
+// IsInterim reports whether the response is an interim one: another response to the request follows.
 func (r *Response) IsInterim() bool { return r.StatusCode < firstFinalStatus }
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,6 +1,6 @@
 package http1
 
-// Status codes that this package writes, or that bear on how a message is read.
+// Status codes of responses that are written with this package, or that determine how a response is parsed.
 const (
 	StatusOK                          = 200
 	StatusAccepted                    = 202
@@ -22,10 +22,10 @@
 	StatusHTTPVersionNotSupported     = 505
 )
 
-// Status codes below this one are interim: another response follows.
+// firstFinalStatus is the lowest status code of a final response. Lower ones are of interim responses.
 const firstFinalStatus = 200
 
-// reasonPhrases has the reason phrases of status lines. Any other code has an empty one, which is valid.
+// reasonPhrases maps status codes to the reason phrases of status lines. Other codes get an empty phrase, which is valid.
 var reasonPhrases = map[int]string{
 	StatusOK:                          "OK",
 	StatusAccepted:                    "Accepted",
--- a/internal/http1/syntax.go
+++ b/internal/http1/syntax.go
@@ -1,9 +1,9 @@
 package http1
 
-// maxDecimalDigits keeps every number within an int of 32 bits.
+// maxDecimalDigits ensures that every number fits into an int of 32 bits.
 const maxDecimalDigits = 9
 
-// isTokenChar has the characters of a token: visible ASCII without the delimiters.
+// isTokenChar is the set of the characters of a token: visible ASCII without the delimiters.
 var isTokenChar = func() (table [256]bool) {
 	for char := '!'; char <= '~'; char++ {
 		table[char] = true
@@ -14,7 +14,7 @@
 	return table
 }()
 
-// IsToken reports whether text is a token (RFC 9110, 5.6.2), as a method and a field name are.
+// IsToken reports whether text is a token (RFC 9110, 5.6.2). Methods and field names are tokens.
 func IsToken(text []byte) bool {
 	for _, char := range text {
 		if !isTokenChar[char] {
@@ -24,8 +24,8 @@
 	return len(text) > 0
 }
 
-// equalFold reports whether text is the word, whatever the case of ASCII letters. Unlike bytes.EqualFold it does not fold other
-// characters: a Kelvin sign is no k (RFC 9110, 5.6.2: tokens are ASCII).
+// equalFold reports whether text and word are equal, ignoring the case of ASCII letters. bytes.EqualFold also folds other
+// characters, such as the Kelvin sign to k, which are not allowed in tokens (RFC 9110, 5.6.2).
 func equalFold(text []byte, word string) bool {
 	if len(text) != len(word) {
 		return false
@@ -45,8 +45,8 @@
 	return char
 }
 
-// IsVisible reports whether text has nothing but visible ASCII characters, so that it can stand in a request line or a field
-// as it is. The empty text has none that is not.
+// IsVisible reports whether text consists of visible ASCII characters only, so that it can be written to a request line or a
+// field without encoding. It is true for an empty text.
 func IsVisible(text []byte) bool {
 	for _, char := range text {
 		if char <= ' ' || char >= 0x7f {
@@ -56,7 +56,7 @@
 	return true
 }
 
-// isFieldValue reports whether text may be the value of a header field: it has no control characters but tabs.
+// isFieldValue reports whether text is valid as the value of a header field: it contains no control characters except tabs.
 func isFieldValue(text []byte) bool {
 	for _, char := range text {
 		if char < ' ' && char != '\t' || char == 0x7f {
@@ -66,7 +66,7 @@
 	return true
 }
 
-// ParseDecimal reads a whole number of one to nine decimal digits, and nothing else.
+// ParseDecimal parses an unsigned integer of one to nine decimal digits, without sign or whitespace.
 func ParseDecimal(text []byte) (value int, ok bool) {
 	if len(text) == 0 || len(text) > maxDecimalDigits {
 		return 0, false
@@ -80,16 +80,16 @@
 	return value, true
 }
 
-// trimBlanks cuts spaces and tabs off both ends. Unlike bytes.Trim it never returns nil for a value that is there but empty:
-// an empty value is malformed where a missing one may be right.
-func trimBlanks(text []byte) []byte {
-	for len(text) > 0 && isBlank(text[0]) {
+// trimWhitespace removes leading and trailing spaces and tabs. Unlike bytes.Trim it does not return nil for an empty result:
+// Get returns nil only for a missing field, which may be valid where an empty one is malformed.
+func trimWhitespace(text []byte) []byte {
+	for len(text) > 0 && isWhitespace(text[0]) {
 		text = text[1:]
 	}
-	for len(text) > 0 && isBlank(text[len(text)-1]) {
+	for len(text) > 0 && isWhitespace(text[len(text)-1]) {
 		text = text[:len(text)-1]
 	}
 	return text
 }
 
-func isBlank(char byte) bool { return char == ' ' || char == '\t' }
+func isWhitespace(char byte) bool { return char == ' ' || char == '\t' }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,12 +2,12 @@
 
 import "strconv"
 
-// ContinueResponse is the interim response that has a client send its body. Any client must skip one.
+// ContinueResponse is the interim response upon which a client sends its body. Any client must skip it if it does not expect
+// one.
 const ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// AppendResponse appends a response to buffer and returns the extended buffer. fields are further lines of its header, each with
-// its line end. The response says that the connection ends with it unless keepAlive is set. One of status 204 has no body,
-// whatever body holds.
+// AppendResponse appends a response to buffer and returns the extended buffer. fields contains additional header lines, each
+// with its line ending. Unless keepAlive is set, the response has the field Connection: close. With status 204 body is ignored.
 func AppendResponse(buffer []byte, statusCode int, fields string, body []byte, keepAlive bool) []byte {
 	buffer = append(buffer, "HTTP/1.1 "...)
 	buffer = strconv.AppendInt(buffer, int64(statusCode), 10)
--- a/internal/http1/write_test.go
+++ b/internal/http1/write_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The bytes of a response are fixed: the status line, the length, the caller's fields, and whether the connection ends.
+// A response consists of the status line, Content-Length, the fields of the caller, Connection: close unless kept alive, and
+// the body.
 func TestAppendResponse(t *testing.T) {
 	for _, test := range []struct {
 		statusCode int
