--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock is the one place where the scheduler reads the clocks of its machine. The wall clock is read once, when a
-// process starts; whatever happens after that is a span of the monotonic clock, which no step of the wall clock changes.
+// Package clock reads the clocks of the machine. No other package of the scheduler does so. The wall clock is read once, when
+// the process starts. Later instants are measured by the monotonic clock, so that steps of the wall clock do not affect them.
 //
-// It decides nothing: whoever needs an instant is handed a function, which tests replace by a clock of their own.
+// Other packages get the clock as a function, which tests replace.
 package clock
 
 import (
@@ -11,18 +11,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the wall clock's time together with a reading of the monotonic clock: differences of two of its results are
-// spans of the latter.
+// Now returns the time of the wall clock together with a reading of the monotonic clock. The difference of two results is
+// measured by the monotonic clock.
 func Now() time.Time { return time.Now() }
 
-// SinceEpoch returns a clock that counts time from the Unix epoch, so that any start time that discovery names is positive.
-// It reads the wall clock now, and follows the monotonic clock from here on. now is Now, or a test's double of it.
+// SinceEpoch returns a clock that returns the time since the Unix epoch, so that all start times listed by discovery are
+// positive. It reads the wall clock once, when SinceEpoch is called, and is monotonic from then on. now is Now, or a fake of it
+// in tests.
 func SinceEpoch(now func() time.Time) func() time.Duration {
 	origin := now()
 	return func() time.Duration { return time.Duration(origin.UnixNano()) + now().Sub(origin) }
 }
 
-// Monotonic returns CLOCK_MONOTONIC, which all processes of one boot of the machine share.
+// Monotonic returns the time of CLOCK_MONOTONIC, or 0 if it can't be read. All processes share that clock until the machine
+// reboots.
 func Monotonic() time.Duration {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &reading); err != nil {
@@ -31,23 +33,23 @@
 	return time.Duration(reading.Nano())
 }
 
-// Limits of Together.
 const (
-	maxTogetherTries  = 10
-	togetherPrecision = 100 * time.Microsecond
+	maxPairReadings = 10                     // readings of both clocks by Together
+	pairPrecision   = 100 * time.Microsecond // difference between the two instants at which Together stops reading again
 )
 
-// Together reads two clocks at one moment, as closely as the machine allows: a process may be held up between two readings,
-// so they are taken anew until monotonic, which is read before and after the other, shows that it was not.
+// Together returns readings of two clocks at nearly the same instant. The process may be paused between the readings, so they
+// are repeated, maxPairReadings times at most, until the readings of monotonic before and after the other clock differ by at
+// most pairPrecision. The pair of readings with the smallest difference is returned.
 func Together(clock, monotonic func() time.Duration) (clockReading, monotonicReading time.Duration) {
 	least := time.Duration(math.MaxInt64)
-	for range maxTogetherTries {
+	for range maxPairReadings {
 		before := monotonic()
 		reading := clock()
 		if passed := monotonic() - before; passed < least {
 			least, clockReading, monotonicReading = passed, reading, before+passed/2
 		}
-		if least <= togetherPrecision {
+		if least <= pairPrecision {
 			break
 		}
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// A clock since the epoch begins at the wall clock's time, and counts spans between readings from there on.
+// A clock of SinceEpoch starts at the time of the wall clock, and advances by the time between readings.
 func TestSinceEpoch(t *testing.T) {
 	origin := time.Now()
 	reading := origin
@@ -27,8 +27,8 @@
 	}
 }
 
-// The monotonic clock of the system is the one that Go's spans follow: a reading between two of the one is between them by
-// the other too.
+// CLOCK_MONOTONIC is the clock by which Go measures the difference of two times: readings that alternate between both are in
+// the same order on each.
 func TestMonotonic(t *testing.T) {
 	first, before, second, after := Monotonic(), Now(), Monotonic(), Now()
 	if first <= 0 || second < first || after.Before(before) {
@@ -36,14 +36,14 @@
 	}
 }
 
-// Two clocks are read at one moment, also by a process that is held up between readings a few times.
-func TestTogether(t *testing.T) {
-	for heldUp := range 9 {
+// If the process is paused between the readings of two clocks, they are read again until a pair without a pause was read.
+func TestClockPairIsReadAgainAfterPauses(t *testing.T) {
+	for pauses := range 9 {
 		now, readings := time.Duration(0), 0
 		monotonic := func() time.Duration {
 			readings++
 			now += time.Microsecond
-			if readings <= 2*heldUp {
+			if readings <= 2*pauses {
 				now += 150 * time.Millisecond
 			}
 			return now
@@ -51,20 +51,20 @@
 		clock := func() time.Duration { return now + time.Hour }
 		reading, at := Together(clock, monotonic)
 		if off := reading - at - time.Hour; off.Abs() > time.Microsecond {
-			t.Errorf("held up %d times: read %v apart", heldUp, off)
+			t.Errorf("%d pauses: the clocks were read %v apart", pauses, off)
 		}
 	}
 }
 
-// clockReaders are the functions that read a clock of the machine, by the path of their package.
+// clockReaders lists the functions that read a clock of the machine, by import path of their package.
 var clockReaders = map[string][]string{
 	"time":                  {"Now", "Since", "Until"},
 	"syscall":               {"Gettimeofday", "Time"},
 	"golang.org/x/sys/unix": {"ClockGettime", "Gettimeofday", "Time"},
 }
 
-// The packages of the deployed scheduler, and the decisions, read clocks here and nowhere else.
-func TestClocksAreReadHereOnly(t *testing.T) {
+// The packages of the deployed scheduler and the package dispatch read clocks by this package only.
+func TestClocksAreReadInThisPackageOnly(t *testing.T) {
 	const root = "../.."
 	var deploy struct {
 		Node []string `toml:"node"`
@@ -101,8 +101,8 @@
 	}
 }
 
-// Whatever name a package is imported by, and whether a function is called or passed on, its use is found.
-func TestClockReadings(t *testing.T) {
+// Uses of clock readers are found under any import name, and for functions that are called or used as a value.
+func TestClockReadingsAreFoundForAnyImportName(t *testing.T) {
 	const source = `package p
 import (
 	"fmt"
@@ -121,7 +121,7 @@
 	}
 }
 
-// clockReadings lists the places of a Go file at which a clock is read.
+// clockReadings returns the positions in a Go file at which a clock reader is used.
 func clockReadings(t *testing.T, path string, source []byte) (found []string) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	packages := map[string]string{} // paths by the names that they have in the file
+	packages := map[string]string{} // import paths by package name in the file
 	for _, imported := range file.Imports {
 		importPath := strings.Trim(imported.Path.Value, `"`)
 		name := importPath[strings.LastIndex(importPath, "/")+1:]
--- a/internal/deadline/queue.go
+++ b/internal/deadline/queue.go
@@ -1,5 +1,5 @@
-// Package deadline keeps items in the order of the instants at which they are due. It owns the order and nothing else:
-// it has no clock and no goroutine, and never calls what it holds.
+// Package deadline provides a priority queue of items in order of the instants at which they are due. It reads no clock, starts
+// no goroutine, and does not act on items that are due.
 package deadline
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Item is embedded in whatever a Queue holds. At must not change while a queue holds the item, and one queue at most
-// may hold it.
+// Item is embedded in the elements of a Queue. At must not change while the item is in a queue. An item may be in one queue at
+// most.
 type Item struct {
 	At       time.Duration // the instant at which the item is due, on its owner's clock
-	position int           // its index in the heap plus 1; 0 while no queue holds it
+	position int           // its index in the heap plus 1; 0: not in a queue
 }
 
 func (i *Item) item() *Item { return i }
@@ -19,27 +19,27 @@
 // element is a pointer to a struct that embeds an Item.
 type element interface{ item() *Item }
 
-// Queue holds items and gives the one that is due first. Of items that are due at one instant it may give any. The zero
-// value is an empty queue. A Queue is not safe for concurrent use.
+// Queue is a priority queue of items by due instant. The order of items with equal instants is undefined. The zero value is an
+// empty queue. A Queue is not safe for concurrent use.
 type Queue[T element] struct{ heap itemHeap[T] }
 
-// Len returns how many items the queue holds.
+// Len returns the number of items.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
 // First returns the item that is due first. The queue must not be empty.
 func (q *Queue[T]) First() T { return q.heap[0] }
 
-// Add puts an item in, in logarithmic time. No queue may hold it yet.
+// Add adds an item, which must not be in a queue, in logarithmic time.
 func (q *Queue[T]) Add(item T) { heap.Push(&q.heap, item) }
 
-// Remove takes an item out, in logarithmic time. It does nothing if no queue holds the item.
+// Remove removes an item in logarithmic time. It does nothing if the item is not in a queue.
 func (q *Queue[T]) Remove(item T) {
 	if position := item.item().position; position > 0 {
 		heap.Remove(&q.heap, position-1)
 	}
 }
 
-// itemHeap implements heap.Interface and keeps each item's position.
+// itemHeap implements heap.Interface and updates the position of each item.
 type itemHeap[T element] []T
 
 // Len returns the number of items.
@@ -67,7 +67,7 @@
 	var zero T
 	last := len(*h) - 1
 	item := (*h)[last]
-	(*h)[last] = zero // so that the heap does not keep the item from the garbage collector
+	(*h)[last] = zero // so that the garbage collector can free the item
 	*h = (*h)[:last]
 	item.item().position = 0
 	return item
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,52 +1,52 @@
-// Package limits divides the limits of a process, its descriptors and its memory, among the parts that use them: connections
-// to workers, connections of clients, and features. It knows nothing of those parts: they are given their shares when these
-// change, and keep within them.
+// Package limits divides the limits of a process on descriptors and memory among the connections to workers, the connections of
+// clients, and the features. It only computes the shares: the packages that use them are notified of changes, and enforce them.
 package limits
 
 import "valvecove/internal/config"
 
-// Numbers of connections that features may have open at once.
+// Maximum numbers of connections that are open at the same time, by feature.
 const (
 	MaxOperatorConnections = 16
 	MaxStatusConnections   = 8
 )
 
 const (
-	// ownDescriptors are the standard streams, epoll, eventfd, the clients' listener, the watch, and what the runtime opens.
+	// ownDescriptors is the number of descriptors for the standard streams, epoll, eventfd, the listener for clients, the watch
+	// of the endpoint list, and the Go runtime.
 	ownDescriptors = 24
 
-	listenerDescriptors = 2 // of a feature: its listener, and a connection accepted before another one is evicted for it
+	listenerDescriptors = 2 // per feature: its listener, and a connection that is accepted before another one is closed for it
 	metricsDescriptors  = 2 // a socket and a file
-	captureDescriptors  = 2 // two files, while one replaces the other
+	captureDescriptors  = 2 // two files while one replaces the other
 	gossipDescriptors   = 1 // a socket
 
-	workerConnectionDivisor = 6 // workers have 1/6 of all connections
+	workerConnectionDivisor = 6 // workers get 1/6 of all connections
 	minWorkerConnections    = 8
-	minHalvedConnections    = 16 // of a process that has half of the limits, however low these are
+	minHalvedConnections    = 16 // of a process with half of the limits, however low these are
 
-	callbackConnectionDivisor = 10 // 1/10 of the clients' connections is kept free of requests, for callbacks that end them
+	callbackConnectionDivisor = 10 // 1/10 of the clients' connections is reserved for callbacks, which end requests
 	minCallbackConnections    = 8
 
-	bufferMemoryDivisor = 6 // 1/6 of the memory is for buffers, and as much for payloads
+	bufferMemoryDivisor = 6 // 1/6 of the memory limit is for buffers, and another 1/6 for payloads
 	bytesPerMBShift     = 20
 )
 
-// Shares is how the limits of a process are divided.
+// Shares contains the shares of the limits of a process.
 type Shares struct {
-	OwnDescriptors     int // used whatever is connected
+	OwnDescriptors     int // used regardless of connections and features
 	FeatureDescriptors int
 	WorkerConnections  int
 	ClientConnections  int
-	OpenRequests       int // at once; see MaxRequests
-	BufferBytes        int // of client connections; payloads of open requests may take up as much again
+	OpenRequests       int // maximum number at the same time; see MaxRequests
+	BufferBytes        int // of client connections; the payloads of open requests may use the same amount again
 }
 
-// SharesOf returns the shares of a process with a configuration that has all of its limits to itself.
+// SharesOf returns the shares of a process that does not share the limits of the configuration with another process.
 func SharesOf(conf config.Config, ops config.Ops) Shares {
 	return NewBudget(conf.Limits, FeatureDescriptors(conf, ops)).Shares()
 }
 
-// FeatureDescriptors returns how many descriptors the features of a configuration use.
+// FeatureDescriptors returns the number of descriptors that the features of a configuration use.
 func FeatureDescriptors(conf config.Config, ops config.Ops) (count int) {
 	if conf.Management.IsValid() {
 		count += MaxOperatorConnections + listenerDescriptors
@@ -66,13 +66,13 @@
 	return count
 }
 
-// MaxRequests returns how many requests may be open at once with a limit on client connections. There are fewer than
-// connections, since the callbacks that end requests need connections too.
+// MaxRequests returns the maximum number of requests that are open at the same time, given a limit on client connections. It is
+// less than that limit, because the callbacks that end requests need connections too.
 func MaxRequests(clientConnections int) int {
 	return clientConnections - max(minCallbackConnections, clientConnections/callbackConnectionDivisor)
 }
 
-// Budget owns the limits of a process, and whether it has all of them or half. It is for one goroutine only.
+// Budget computes the shares of a process that uses all or half of its limits. It is not safe for concurrent use.
 type Budget struct {
 	limits             config.Limits
 	featureDescriptors int
@@ -80,22 +80,23 @@
 	onChange           func(shares Shares)
 }
 
-// NewBudget returns a budget with the full limits. featureDescriptors are reserved for features.
+// NewBudget returns a budget with the full limits. featureDescriptors is the number of descriptors that are reserved for
+// features.
 func NewBudget(limits config.Limits, featureDescriptors int) *Budget {
 	return &Budget{limits: limits, featureDescriptors: featureDescriptors, onChange: func(Shares) {}}
 }
 
-// OnChange sets what is called with the shares after each SetLimits and SetHalved.
-func (b *Budget) OnChange(act func(shares Shares)) { b.onChange = act }
+// OnChange sets the function that is called with the shares after each SetLimits and SetHalved.
+func (b *Budget) OnChange(onChange func(shares Shares)) { b.onChange = onChange }
 
-// SetLimits replaces the limits, as after a reload of the configuration. Features keep their descriptors.
+// SetLimits replaces the limits, for example after a reload of the configuration. The descriptors of features stay unchanged.
 func (b *Budget) SetLimits(limits config.Limits) {
 	b.limits = limits
 	b.onChange(b.Shares())
 }
 
-// SetHalved sets whether the process has half of the limits, because it shares them with another process beside it: during a
-// hot restart both count as one.
+// SetHalved sets whether the process has half of the limits, because it shares them with its predecessor or successor in a hot
+// restart.
 func (b *Budget) SetHalved(halved bool) {
 	b.isHalved = halved
 	b.onChange(b.Shares())
@@ -104,12 +105,12 @@
 // IsHalved reports whether the process has half of the limits.
 func (b *Budget) IsHalved() bool { return b.isHalved }
 
-// Shares returns the present shares.
+// Shares returns the current shares.
 func (b *Budget) Shares() Shares {
 	connections := b.limits.Sockets - ownDescriptors - b.featureDescriptors
 	bufferBytes := b.limits.MemoryMB << bytesPerMBShift / bufferMemoryDivisor
 	if b.isHalved {
-		// The other process has descriptors of its own and of its features besides.
+		// The other process also needs descriptors for itself and for its features.
 		connections = max(minHalvedConnections, (connections-ownDescriptors-b.featureDescriptors)/2)
 		bufferBytes /= 2
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/config"
 )
 
-// A process has all of its limits, or half of them, each process with descriptors of its own and of its features. However low
-// the limits are, workers and clients can connect.
+// The shares of a process with all or half of its limits leave descriptors for each process and its features. With low limits
+// workers and clients still get a minimum of connections.
 func TestShares(t *testing.T) {
 	tests := map[string]struct {
 		limits   config.Limits
@@ -16,9 +16,9 @@
 		halved   bool
 		want     Shares
 	}{
-		"whole": {config.Limits{Sockets: 1024, MemoryMB: 64}, 0, false, Shares{24, 0, 166, 834, 751, 11184810}},
-		"half":  {config.Limits{Sockets: 1024, MemoryMB: 64}, 0, true, Shares{24, 0, 81, 407, 367, 5592405}},
-		"low":   {config.Limits{Sockets: 64, MemoryMB: 16}, 30, false, Shares{24, 30, 8, 2, -6, 2796202}},
+		"full limits":        {config.Limits{Sockets: 1024, MemoryMB: 64}, 0, false, Shares{24, 0, 166, 834, 751, 11184810}},
+		"half of the limits": {config.Limits{Sockets: 1024, MemoryMB: 64}, 0, true, Shares{24, 0, 81, 407, 367, 5592405}},
+		"low limits":         {config.Limits{Sockets: 64, MemoryMB: 16}, 30, false, Shares{24, 30, 8, 2, -6, 2796202}},
 		"half of low limits": {
 			config.Limits{Sockets: 64, MemoryMB: 16},
 			30, true,
@@ -36,9 +36,9 @@
 	}
 }
 
-// Every change of the limits is reported, also one that leaves the shares as they were; a process that has half of its limits
-// keeps to half of the new ones.
-func TestChangesAreReported(t *testing.T) {
+// OnChange's function is called after each change of the limits, even if the shares stay the same. A process with half of its
+// limits gets half of the new ones.
+func TestOnChangeIsCalledForEachChange(t *testing.T) {
 	budget := NewBudget(config.Limits{Sockets: 1024, MemoryMB: 64}, 0)
 	var reported []int
 	budget.OnChange(func(shares Shares) { reported = append(reported, shares.ClientConnections) })
@@ -57,16 +57,16 @@
 	}
 }
 
-// Each feature that is on has its descriptors.
+// The descriptors of each enabled feature are counted.
 func TestFeatureDescriptors(t *testing.T) {
 	conf := config.Config{}
 	if count := FeatureDescriptors(conf, config.Ops{}); count != 0 {
-		t.Errorf("%d without a feature", count)
+		t.Errorf("%d descriptors without features, expected 0", count)
 	}
 	conf.Management = netip.MustParseAddrPort("127.0.0.1:1")
 	ops := config.Ops{Status: &config.Status{}, Metrics: &config.Metrics{}}
 	if count := FeatureDescriptors(conf, ops); count != 16+2+8+2+2 {
-		t.Errorf("%d with operators' calls, the status call and metrics", count)
+		t.Errorf("%d descriptors with management, status and metrics, expected 30", count)
 	}
 	if shares := SharesOf(conf, ops); shares.FeatureDescriptors != 30 {
 		t.Errorf("%+v", shares)
