--- a/internal/address/accesslists.go
+++ b/internal/address/accesslists.go
@@ -9,15 +9,16 @@
 	"valvecove/internal/config"
 )
 
-// AccessLists are the operators' lists of addresses. They don't change, and may be used by several goroutines.
+// AccessLists contains the allow list, the deny list and the trusted proxies of the configuration. It is immutable, and safe
+// for concurrent use.
 type AccessLists struct {
 	lists config.Addresses
 }
 
-// New returns the lists of a configuration.
+// New returns the access lists of a configuration.
 func New(lists config.Addresses) *AccessLists { return &AccessLists{lists} }
 
-// RejectionReason names the list by which an address may not connect. It is empty if the address may.
+// RejectionReason returns which list prevents an address from connecting, or an empty string if the address may connect.
 func (l *AccessLists) RejectionReason(address netip.Addr) string {
 	switch {
 	case contains(l.lists.Deny, address):
@@ -28,7 +29,7 @@
 	return ""
 }
 
-// Admits reports whether an address may connect. A rejection is logged.
+// Admits reports whether an address may connect, and logs a rejection.
 func (l *AccessLists) Admits(from netip.AddrPort, log *slog.Logger) bool {
 	reason := l.RejectionReason(from.Addr())
 	if reason == "" {
@@ -51,7 +52,8 @@
 	return contains(l.lists.TrustedProxies, address)
 }
 
-// contains takes IPv4 written as IPv6 for IPv4, and disregards the zone, which names an interface of this machine.
+// contains reports whether a prefix contains an address. IPv4-mapped IPv6 addresses are treated as IPv4. The zone, an interface
+// of this machine, is ignored.
 func contains(prefixes []netip.Prefix, address netip.Addr) bool {
 	address = address.Unmap().WithZone("")
 	return slices.ContainsFunc(prefixes, func(prefix netip.Prefix) bool { return prefix.Contains(address) })
--- a/internal/address/accesslists_test.go
+++ b/internal/address/accesslists_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/config"
 )
 
-// parsePrefixes reads ranges that are known to be valid.
+// parsePrefixes parses address ranges. It panics if one is not valid.
 func parsePrefixes(texts ...string) []netip.Prefix {
 	var prefixes []netip.Prefix
 	for _, text := range texts {
@@ -37,10 +37,10 @@
 			t.Errorf("%s: %q, expected %q", text, got, want)
 		}
 		if lists.TrustsProxy(addr) {
-			t.Errorf("%s is trusted", text)
+			t.Errorf("%s is a trusted proxy", text)
 		}
 	}
 	if !lists.TrustsProxy(netip.MustParseAddr("::ffff:10.20.0.9")) {
-		t.Error("a trusted proxy is not trusted")
+		t.Error("the IPv4-mapped address of a trusted proxy is not trusted")
 	}
 }
--- a/internal/address/doc.go
+++ b/internal/address/doc.go
@@ -1,3 +1,3 @@
-// Package address decides which addresses may connect, and reads the PROXY headers by which trusted proxies say for whom
-// they speak. It works on bytes and addresses that it is given; it neither reads from connections nor closes them.
+// Package address decides which addresses may connect, and parses the PROXY headers in which trusted proxies pass the addresses
+// of their clients. It does no I/O: it neither reads from connections nor closes them.
 package address
--- a/internal/address/proxybinary.go
+++ b/internal/address/proxybinary.go
@@ -5,25 +5,25 @@
 	"net/netip"
 )
 
-// The fixed part of a version 2 header: the signature, the version with the command, the family, and the length of what
-// follows.
+// The fixed part of a version 2 header: the signature, the version and command, the address family and transport, and the
+// length of the variable part.
 const (
-	binarySignature = "\r\n\r\n\x00\r\nQUIT\n"
-	commandOffset   = 12
-	familyOffset    = 13
-	lengthOffset    = 14
-	fixedBytes      = 16
-	// maxBinaryBytes is how many bytes may follow the fixed part.
-	maxBinaryBytes = 4096
+	binarySignature  = "\r\n\r\n\x00\r\nQUIT\n"
+	commandOffset    = 12
+	familyOffset     = 13
+	lengthOffset     = 14
+	fixedHeaderBytes = 16
+	// maxBinaryVariableBytes is the maximum length of the variable part, which contains the addresses and extensions.
+	maxBinaryVariableBytes = 4096
 )
 
-// Commands, with the version.
+// Values of the byte with the version and the command.
 const (
-	commandLocal = 0x20 // the proxy's own connection
+	commandLocal = 0x20 // the connection is the proxy's own, such as a health check
 	commandProxy = 0x21
 )
 
-// Families, with the transport.
+// Values of the byte with the address family and the transport.
 const (
 	familyUnspecified = 0x00
 	familyTCP4        = 0x11
@@ -36,32 +36,32 @@
 	portBytes = 2
 )
 
-// parseBinary reads version 2. data begins with its signature. What follows the addresses is skipped.
+// parseBinary parses a header of version 2. data begins with its signature. Extensions after the addresses are skipped.
 func parseBinary(data []byte) (client netip.AddrPort, size int, err error) {
 	if len(data) > commandOffset && data[commandOffset] != commandLocal && data[commandOffset] != commandProxy {
 		return netip.AddrPort{}, 0, ErrMalformed
 	}
-	if len(data) < fixedBytes {
+	if len(data) < fixedHeaderBytes {
 		return netip.AddrPort{}, 0, ErrIncomplete
 	}
-	namesClient := data[commandOffset] == commandProxy && data[familyOffset] != familyUnspecified
-	addressBytes := addressBytesOf(data[familyOffset])
+	hasClient := data[commandOffset] == commandProxy && data[familyOffset] != familyUnspecified
+	addressBytes := addressLength(data[familyOffset])
 	length := int(binary.BigEndian.Uint16(data[lengthOffset:]))
-	if length > maxBinaryBytes || namesClient && (addressBytes == 0 || length < 2*addressBytes+2*portBytes) {
+	if length > maxBinaryVariableBytes || hasClient && (addressBytes == 0 || length < 2*addressBytes+2*portBytes) {
 		return netip.AddrPort{}, 0, ErrMalformed
 	}
-	size = fixedBytes + length
+	size = fixedHeaderBytes + length
 	if len(data) < size {
 		return netip.AddrPort{}, 0, ErrIncomplete
 	}
-	if namesClient {
-		client = sourceAddress(data[fixedBytes:size], addressBytes)
+	if hasClient {
+		client = sourceAddress(data[fixedHeaderBytes:size], addressBytes)
 	}
 	return client, size, nil
 }
 
-// addressBytesOf returns the length of a family's addresses; 0 if the family is not supported.
-func addressBytesOf(family byte) int {
+// addressLength returns the length in bytes of an address of a family, or 0 if the family is not supported.
+func addressLength(family byte) int {
 	switch family {
 	case familyTCP4:
 		return ipv4Bytes
@@ -71,7 +71,7 @@
 	return 0
 }
 
-// sourceAddress reads the source from a block of source address, destination address, source port and destination port.
+// sourceAddress parses the source from the variable part: source address, destination address, source port, destination port.
 func sourceAddress(block []byte, addressBytes int) netip.AddrPort {
 	address, _ := netip.AddrFromSlice(block[:addressBytes])
 	port := binary.BigEndian.Uint16(block[2*addressBytes:])
--- a/internal/address/proxyheader.go
+++ b/internal/address/proxyheader.go
@@ -6,17 +6,17 @@
 	"net/netip"
 )
 
-// Errors of ParseHeader.
+// Errors of ParseHeader. After ErrUndecided and ErrIncomplete it is called again with more data.
 var (
 	ErrNoHeader   = errors.New("no PROXY header")
-	ErrUndecided  = errors.New("the start of a PROXY header, or of something else") // more bytes will tell
-	ErrIncomplete = errors.New("a PROXY header that is not whole yet")
+	ErrUndecided  = errors.New("too few bytes to recognize a PROXY header")
+	ErrIncomplete = errors.New("incomplete PROXY header")
 	ErrMalformed  = errors.New("malformed PROXY header")
 )
 
-// ParseHeader reads a PROXY header of version 1 or 2 from the start of data. size is its length in bytes; client is whom
-// the proxy speaks for, and is not valid where the header names nobody, as for the proxy's own connections. With an error
-// both are zero.
+// ParseHeader parses a PROXY header of version 1 or 2 from the start of data. size is its length in bytes. client is the
+// address of the proxy's client; it is not valid if the header has none, as on the proxy's own connections. With an error both
+// are zero.
 func ParseHeader(data []byte) (client netip.AddrPort, size int, err error) {
 	for _, version := range []struct {
 		signature string
--- a/internal/address/proxytext.go
+++ b/internal/address/proxytext.go
@@ -9,13 +9,13 @@
 
 const (
 	textSignature = "PROXY "
-	// maxTextBytes is the length of a version 1 header, its line end included.
-	maxTextBytes = 107
-	// textFields are those after the signature: the family, both addresses and both ports.
-	textFields = 5
+	// maxTextHeaderBytes is the maximum length of a version 1 header, including its line ending.
+	maxTextHeaderBytes = 107
+	// textFieldCount is the number of fields after the signature: the family, two addresses and two ports.
+	textFieldCount = 5
 )
 
-// parseText reads version 1, which is one line. data begins with its signature.
+// parseText parses a header of version 1, which is one line. data begins with its signature.
 func parseText(data []byte) (client netip.AddrPort, size int, err error) {
 	line, err := textLine(data)
 	if err != nil {
@@ -26,7 +26,7 @@
 	if fields[0] == "UNKNOWN" {
 		return netip.AddrPort{}, size, nil
 	}
-	if len(fields) != textFields || fields[0] != "TCP4" && fields[0] != "TCP6" {
+	if len(fields) != textFieldCount || fields[0] != "TCP4" && fields[0] != "TCP6" {
 		return netip.AddrPort{}, 0, ErrMalformed
 	}
 	isIPv4 := fields[0] == "TCP4"
@@ -38,11 +38,11 @@
 	return netip.AddrPortFrom(source.Addr().Unmap(), source.Port()), size, nil
 }
 
-// textLine returns the first line without the signature and the line end.
+// textLine returns the first line without the signature and the line ending.
 func textLine(data []byte) (string, error) {
-	end := bytes.IndexByte(data[:min(len(data), maxTextBytes)], '\n')
+	end := bytes.IndexByte(data[:min(len(data), maxTextHeaderBytes)], '\n')
 	switch {
-	case end < 0 && len(data) < maxTextBytes:
+	case end < 0 && len(data) < maxTextHeaderBytes:
 		return "", ErrIncomplete
 	case end < 0 || data[end-1] != '\r':
 		return "", ErrMalformed
@@ -50,7 +50,7 @@
 	return string(data[len(textSignature) : end-1]), nil
 }
 
-// parseTextAddress reads an address of a family without a zone, and a decimal port without sign or leading zeros.
+// parseTextAddress parses an address of the given family without a zone, and a decimal port without sign or leading zeros.
 func parseTextAddress(addressText, portText string, isIPv4 bool) (address netip.AddrPort, ok bool) {
 	addr, err := netip.ParseAddr(addressText)
 	if err != nil || addr.Is4() != isIPv4 || addr.Zone() != "" {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/config"
 )
 
-// The shares of a process with all or half of its limits leave descriptors for each process and its features. With low limits
-// workers and clients still get a minimum of connections.
+// The shares of a process with all or half of its limits leave descriptors for each process and its features. With the low
+// limits below workers and clients still get connections.
 func TestShares(t *testing.T) {
 	tests := map[string]struct {
 		limits   config.Limits
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -83,7 +83,7 @@
 	for text, endpoint := range map[string]string{
 		"worker 17, worker x, worker ": "",
 		"of none":                      "",
-		fmt.Sprintf("worker %d reset: set aside", hashID("s-1")):             ` worker=s-1`,
+		fmt.Sprintf("worker %d reset: ejected", hashID("s-1")):               ` worker=s-1`,
 		fmt.Sprintf("worker %d not worker %d", hashID("s-1"), hashID("s-0")): ` worker="s-1 s-0"`,
 	} {
 		f.policy.Next = append(f.policy.Next, dispatch.Log{Text: text})
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -29,8 +29,9 @@
 }
 
 // New returns a table without requests. maxAttempts bounds the attempts of a request. newPolicy returns a policy without any
-// state; it is called at once, and again after a panic of the policy. known is the endpoint list that the scheduler used last,
-// and may be empty. The logger is used for the messages of the policy and for a summary of the changes of the endpoint list.
+// state; it is called immediately, and again after a panic of the policy. known is the endpoint list that the scheduler used
+// last, and may be empty. The logger is used for the messages of the policy and for a summary of the changes of the endpoint
+// list.
 func New(
 	maxAttempts int, names NameTable, newPolicy func() Policy, known EndpointList, transport Transport, logger *slog.Logger,
 ) *Table {
