--- a/internal/requests/cordon.go
+++ b/internal/requests/cordon.go
@@ -33,7 +33,7 @@
 
 // Cordon prevents attempts from being started at an endpoint until Uncordon, regardless of the endpoint list. Attempts in
 // flight continue. known is false if the endpoint was never listed, and full is true if maxCordoned endpoints are cordoned; in
-// both cases nothing changes. A cordoned endpoint stays cordoned.
+// both cases nothing changes. Cordoning a cordoned endpoint has no effect.
 func (t *Table) Cordon(endpointID string) (known, full bool) {
 	worker, known := t.WorkerNumber(endpointID)
 	if !known || t.cordons.contains(worker) {
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -12,8 +12,8 @@
 	t.applyEndpoints(list, kind)
 }
 
-// DiscoveryFailed is called when a call to discovery has failed, or when the watch has ended. It ends the wait of AwaitEndpoints;
-// the list stays as it is.
+// DiscoveryFailed is called when a call to discovery has failed, or when the watch has ended. It ends the wait of
+// AwaitEndpoints; the list stays unchanged.
 func (t *Table) DiscoveryFailed() {
 	t.awaitUntil = 0
 	t.policy.addEvent(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
--- a/internal/requests/endpointlog.go
+++ b/internal/requests/endpointlog.go
@@ -21,7 +21,7 @@
 // endpointChanges counts the changes of the endpoint list since they were last logged.
 type endpointChanges struct {
 	added, removed int
-	firstAdded     []string      // IDs of the first added endpoints, at most maxAddedNamed
+	firstAdded     []string      // IDs of the first added endpoints, at most maxAddedLogged
 	loggedAt       time.Duration // 0: never
 }
 
--- a/internal/requests/endpointtable.go
+++ b/internal/requests/endpointtable.go
@@ -11,9 +11,9 @@
 // are forgotten.
 const maxRemovedEndpoints = 1 << 14
 
-// endpointTable holds all endpoints that were listed and are not forgotten, and assigns a number to each. The policy hashes these
-// numbers to assign workers to schedulers, so all schedulers must agree on them: a number depends on the endpoint's ID, and not on
-// the order of arrival.
+// endpointTable holds all endpoints that were listed and are not forgotten, and assigns a number to each. The policy hashes
+// these numbers to assign workers to schedulers, so all schedulers must agree on them: a number depends on the endpoint's ID,
+// and not on the order of arrival.
 type endpointTable struct {
 	numbers  map[string]uint64
 	byNumber map[uint64]Endpoint
--- a/internal/requests/snapshot.go
+++ b/internal/requests/snapshot.go
@@ -14,14 +14,14 @@
 	LastID      uint64        `json:"LastID"` // of the requests
 	PolicyTimer time.Duration `json:"Timer"`  // 0: none
 	Revision    int64         `json:"Generation"`
-	Endpoints   []Endpoint    `json:"Hosts"`  // all remembered ones
-	ListedIDs   []string      `json:"Listed"` // those in the endpoint list
+	Endpoints   []Endpoint    `json:"Hosts"`  // all remembered endpoints
+	ListedIDs   []string      `json:"Listed"` // IDs of the endpoints in the endpoint list
 	CordonedIDs []string      `json:"Out"`
 
 	// Builds that use start times as they are listed neither write nor read the following fields.
 
-	Starts   []WorkerStart `json:"Starts,omitempty"`   // those that differ from the listed time
-	LeastAge time.Duration `json:"LeastAge,omitempty"` // of a worker when its start was first listed, by the process's clock; 0: not known
+	Starts   []WorkerStart `json:"Starts,omitempty"`   // start times that differ from the listed ones
+	LeastAge time.Duration `json:"LeastAge,omitempty"` // see startTimes.leastAge; 0: not known
 }
 
 // WorkerStart is when a worker started.
@@ -31,8 +31,8 @@
 	At         time.Duration `json:"At"`     // by the process's clock
 }
 
-// OpenRequest is the serialisable state of a request that is open or has attempts in flight. The state of the request is encoded by
-// its booleans and Response.
+// OpenRequest is the serialisable form of a request that is open or has attempts in flight. The requestState is encoded by its
+// booleans.
 type OpenRequest struct {
 	ID              uint64        `json:"ID"`
 	CallID          string        `json:"Call"`
--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -122,7 +122,7 @@
 }
 
 // startedTogether reports whether too many workers of the list started together with the newest one to be assumed cold; see
-// possiblyColdDivisor. listedBefore is the number of workers that were listed before.
+// maxColdDivisor. listedBefore is the number of workers that were listed before.
 func (e *EndpointList) startedTogether(listedBefore int) bool {
 	newest := int64(0)
 	for i := range e.Endpoints {
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -241,7 +241,7 @@
 		id := attemptID{outcome.Job, outcome.Attempt}
 		_, isSecond := outcomes[id]
 		t.Check(!isSecond || outcome.Result == dispatch.NotSent, "two outcomes for request %d attempt %d", id.job, id.number)
-		if !isSecond { // a Send for a request that has ended has no number of its own
+		if !isSecond { // a Send for a request that has ended creates no attempt, so its outcome has number 0
 			outcomes[id] = outcome
 		}
 	}
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -6,9 +6,9 @@
 	"valvecove/dispatch"
 )
 
-// TakeOver restores a snapshot of another process, whose instants are those of this process's clock; see OnClock. The table
-// must have no requests. responders contains the responders of the open requests by ID: the client of a request without a
-// responder is disconnected, and the response is dropped.
+// TakeOver restores a snapshot of another process. Its instants must have been converted to this process's clock; see OnClock.
+// The table must have no requests. responders contains the responders of the open requests by ID: the client of a request
+// without a responder is disconnected, and the response is dropped.
 //
 // newPolicy returns the policy that is restored from the same process, and is called after the observers were notified of the
 // requests. If it returns nil, the current policy is kept, and receives the requests and their attempts as events.
