--- a/internal/requests/endpointlog.go
+++ b/internal/requests/endpointlog.go
@@ -13,7 +13,7 @@
 
 const (
 	changesLogInterval   = time.Second // minimum between two log lines about the endpoint list
-	maxAddedNamed        = 5           // endpoints in such a line
+	maxAddedLogged       = 5           // added endpoints named in such a line
 	numbersPerLine       = 100         // endpoints in a debug line with their numbers
 	maxNumberLinesLogged = 40          // such lines for one list; they must fit into the log's buffer
 )
@@ -21,11 +21,11 @@
 // endpointChanges counts the changes of the endpoint list since they were last logged.
 type endpointChanges struct {
 	added, removed int
-	firstAdded     []string      // IDs of the first added endpoints, at most maxAddedNamed
+	firstAdded     []string      // IDs of the first added endpoints, at most maxAddedLogged
 	loggedAt       time.Duration // 0: never
 }
 
-// countChanges counts the changes by a list that is not applied yet.
+// countChanges counts the changes that a list makes. It is called before the list is applied.
 func (e *endpointSet) countChanges(workers []dispatch.Worker, isFull bool) {
 	added, removed, kept := 0, 0, 0
 	for _, worker := range workers {
@@ -38,7 +38,7 @@
 			kept++
 		case !worker.Removed:
 			added++
-			e.changes.nameAdded(e.remembered.byNumber[worker.ID].ID)
+			e.changes.recordAdded(e.remembered.byNumber[worker.ID].ID)
 		}
 	}
 	if isFull {
@@ -51,9 +51,9 @@
 	}
 }
 
-// nameAdded stores the ID of an added endpoint, if it is one of the first.
-func (e *endpointChanges) nameAdded(id string) {
-	if len(e.firstAdded) < maxAddedNamed {
+// recordAdded stores the ID of an added endpoint, unless maxAddedLogged IDs are stored.
+func (e *endpointChanges) recordAdded(id string) {
+	if len(e.firstAdded) < maxAddedLogged {
 		e.firstAdded = append(e.firstAdded, id)
 	}
 }
