--- a/internal/worker/abandon_test.go
+++ b/internal/worker/abandon_test.go
@@ -36,8 +36,8 @@
 	return request
 }
 
-// expectNeverWhole checks that no worker receives a complete request, and that the connections are closed.
-func (f *fixture) expectNeverWhole() {
+// expectNeverComplete checks that no worker receives a complete request, and that the connections are closed.
+func (f *fixture) expectNeverComplete() {
 	f.tb.Helper()
 	for i, remote := range f.dialed {
 		for range 64 {
@@ -54,31 +54,31 @@
 	}
 }
 
-// A late callback about an earlier attempt at the same worker ends the attempt that is being sent. The rest of it is not written, so
-// the worker never receives all of it.
-func TestLateCallbackStopsTheSend(t *testing.T) {
+// A late callback about an earlier attempt at the same worker ends the attempt that is being sent. The rest of that is not
+// written, so the worker never receives all of it.
+func TestLateCallbackStopsWrite(t *testing.T) {
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			f.startSending(size)
 			known, err := f.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"})
 			if !known || err != nil {
-				t.Fatalf("the callback is known %v, %v", known, err)
+				t.Fatalf("the callback is known: %v, error %v", known, err)
 			}
-			f.expectNeverWhole()
+			f.expectNeverComplete()
 		})
 	}
 }
 
 // The rest of an attempt is not written once its request has ended, whether the connection is still connecting or the attempt is
 // partly written, and however the request has ended.
-func TestFinishedRequestIsNotSent(t *testing.T) {
+func TestEndedRequestIsNotWritten(t *testing.T) {
 	result := "r"
 	ends := map[string]func(f *fixture, request *requests.Request){
 		"client disconnected": func(f *fixture, request *requests.Request) { f.table.ClientDisconnected(request) },
 		"served by another attempt": func(f *fixture, _ *requests.Request) {
 			if known, err := f.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
-				t.Errorf("the callback is known %v, %v", known, err)
+				t.Errorf("the callback is known: %v, error %v", known, err)
 			}
 		},
 		"rejected": func(f *fixture, request *requests.Request) {
@@ -86,7 +86,7 @@
 			f.table.Wake()
 			f.table.Step(f.now)
 		},
-		"finished": func(f *fixture, _ *requests.Request) { f.table.CloseSince(0) },
+		"table closed": func(f *fixture, _ *requests.Request) { f.table.CloseSince(0) },
 	}
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
@@ -98,7 +98,7 @@
 				}})
 				f.runIterations()
 				end(f, f.startSending(size))
-				f.expectNeverWhole()
+				f.expectNeverComplete()
 			})
 		}
 	}
--- a/internal/worker/budget_test.go
+++ b/internal/worker/budget_test.go
@@ -9,21 +9,22 @@
 	"valvecove/internal/http1"
 )
 
-// The time that a worker is given is at most the time that remains to the client, plus budgetSlack. The process may be suspended once
-// for longestHold.
+// The time budget that a worker receives may exceed the time that remains until the client's deadline by at most budgetSlack. The
+// process may be suspended once, for maxSuspension.
 const (
-	budgetSlack = 150 * time.Millisecond
-	longestHold = 150 * time.Millisecond
-	longestWay  = 10 * time.Millisecond // transit from the client, and to the worker
+	budgetSlack    = 150 * time.Millisecond
+	maxSuspension  = 150 * time.Millisecond
+	maxNetworkTime = 10 * time.Millisecond // from the client and to the worker
 )
 
-// stallAfterReading suspends the process after the nth reading of its clock from now on. It returns the count of readings.
-func (f *fixture) stallAfterReading(nth int) (readings *int) {
+// suspendAfterReading simulates a suspension of the process after the nth reading of its clock from now on. It returns the count
+// of readings.
+func (f *fixture) suspendAfterReading(nth int) (readings *int) {
 	readings = new(int)
 	f.clock = func() time.Duration {
 		now := f.now
 		if *readings++; *readings == nth {
-			f.now += longestHold
+			f.now += maxSuspension
 		}
 		return now
 	}
@@ -31,23 +32,23 @@
 }
 
 // The time budget is within the slack wherever the process is suspended between the readings of its clock and the write.
-func TestBudgetHoldsThroughAStall(t *testing.T) {
+func TestBudgetAfterSuspension(t *testing.T) {
 	for nth := 1; ; nth++ {
 		f := newFixture(t)
 		opened := f.delayConnections()
 		request := f.sendAttempt(0)
 		f.now = request.Deadline - 400*time.Millisecond
 		(*opened)[0].release()
-		readings := f.stallAfterReading(nth)
+		readings := f.suspendAfterReading(nth)
 		f.runOnce()
-		if *readings < nth { // the iteration reads its clock fewer times
+		if *readings < nth { // the iteration reads the clock fewer than nth times
 			if nth < 4 {
 				t.Errorf("only %d readings were tried", nth-1)
 			}
 			return
 		}
 		(*opened)[0].Read(1 << 12)
-		if sent, remaining := (*opened)[0].budgetSent(t), request.Deadline-f.now-longestWay; sent > remaining+budgetSlack {
+		if sent, remaining := (*opened)[0].budgetSent(t), request.Deadline-f.now-maxNetworkTime; sent > remaining+budgetSlack {
 			t.Errorf("suspended after reading %d: budget %v, remaining %v", nth, sent, remaining)
 		} else if nth <= 2 && sent > remaining { // the clock is read again before the write
 			t.Errorf("suspended after reading %d, which is not the last: budget %v, remaining %v", nth, sent, remaining)
@@ -55,10 +56,10 @@
 	}
 }
 
-// A small request that does not fit into the socket's buffer is complete at the worker before its time budget is outdated, or never;
-// also if the socket becomes writable in the iteration in which the time is up.
-func TestBudgetOfASmallRequestThatWaits(t *testing.T) {
-	for _, late := range []time.Duration{smallWriteTimeout - time.Millisecond, smallWriteTimeout, smallWriteTimeout + 1, longestHold, time.Second} {
+// A small request that waits for space in the socket's buffer is completely written within smallWriteTimeout, while its time
+// budget is current, or never: also if the socket becomes writable in the iteration in which the timeout passes.
+func TestBudgetOfDelayedSmallRequest(t *testing.T) {
+	for _, late := range []time.Duration{smallWriteTimeout - time.Millisecond, smallWriteTimeout, smallWriteTimeout + 1, maxSuspension, time.Second} {
 		f := newFixture(t)
 		first := f.sendAttempt(0)
 		worker := f.dialed[0]
@@ -76,17 +77,17 @@
 		worker.Read(1 << 12)
 		var m http1.Request
 		_, err := m.Parse(worker.Received)
-		if whole := err == nil; whole != (late <= smallWriteTimeout) || len(f.dialed) != 1 {
-			t.Fatalf("%v late: complete %v, %d connections", late, whole, len(f.dialed))
-		} else if whole && worker.budgetSent(t) > request.Deadline-f.now-longestWay+budgetSlack-longestHold+smallWriteTimeout {
+		if isComplete := err == nil; isComplete != (late <= smallWriteTimeout) || len(f.dialed) != 1 {
+			t.Fatalf("%v late: complete %v, %d connections", late, isComplete, len(f.dialed))
+		} else if isComplete && worker.budgetSent(t) > request.Deadline-f.now-maxNetworkTime+budgetSlack-maxSuspension+smallWriteTimeout {
 			t.Errorf("%v late: budget %v, remaining %v", late, worker.budgetSent(t), request.Deadline-f.now)
 		}
 	}
 }
 
-// A large request whose connection was slow to connect is written within smallWriteTimeout, or never: a retry must arrive within its
-// deduplication window.
-func TestLargeRequestOnALateConnection(t *testing.T) {
+// A large request whose connection has used up the connect timeout is written within smallWriteTimeout, or never: a retry must
+// reach the worker within the deduplication window.
+func TestLargeRequestOnSlowConnection(t *testing.T) {
 	for _, late := range []time.Duration{smallWriteTimeout - 1, smallWriteTimeout} {
 		f := newFixture(t)
 		opened := f.delayConnections()
@@ -102,12 +103,12 @@
 		}
 		var m http1.Request
 		if _, err := m.Parse(remote.Received); (err == nil) != (late < smallWriteTimeout) {
-			t.Errorf("%v after its connection was up: parsed with %v", late, err)
+			t.Errorf("written until %v after its connection was established: parsed with %v", late, err)
 		}
 	}
 }
 
-// A worker is given at most the time that remains when the attempt is written, however late the connection is up.
+// The time budget is the time that remains when the attempt is written, less budgetMargin, however long connecting took.
 func TestBudgetIsRemainingTime(t *testing.T) {
 	f := newFixture(t)
 	opened := f.delayConnections()
@@ -122,7 +123,7 @@
 }
 
 // The time that has passed in the present iteration is subtracted from the budget.
-func TestBudgetInALongIteration(t *testing.T) {
+func TestBudgetInLongIteration(t *testing.T) {
 	f := newFixture(t)
 	opened := f.delayConnections()
 	request := f.sendAttempt(0)
@@ -142,23 +143,24 @@
 }
 
 // Nothing is written if no time remains.
-func TestNothingIsSentWithoutBudget(t *testing.T) {
+func TestAttemptWithoutBudgetIsNotWritten(t *testing.T) {
 	f := newFixture(t)
 	opened := f.delayConnections()
 	request := f.sendAttempt(0)
 	remote := (*opened)[0]
-	f.pool.byAttempt[f.table.InFlightAttempt(request.ID, 0)].setTimeout(time.Hour) // as if connecting took as long as a request
+	// As if the connect timeout were longer than the request's.
+	f.pool.byAttempt[f.table.InFlightAttempt(request.ID, 0)].setTimeout(time.Hour)
 	f.now = request.Deadline
 	remote.release()
 	f.runIterations()
 	if remote.Read(1 << 12); len(remote.Received) > 0 || !remote.Ended {
 		t.Errorf("%q was written, closed %v", remote.Received, remote.Ended)
 	}
-	f.expect("out of time", request, dispatch.TimedOut)
+	f.expect("at the deadline", request, dispatch.TimedOut)
 }
 
-// The time for writing a request in parts is subtracted from the budget.
-func TestBudgetOfARequestInParts(t *testing.T) {
+// The time for writing a request in parts is subtracted from its time budget.
+func TestBudgetOfRequestWrittenInParts(t *testing.T) {
 	f := newFixture(t)
 	request := f.sendAttempt(http1.MaxBodySize)
 	remote := f.dialed[0]
@@ -176,8 +178,8 @@
 	}
 }
 
-// A request that is not completely written within the time to connect ends as not executed.
-func TestRequestThatStaysInParts(t *testing.T) {
+// A request that is not completely written within the connect timeout ends as not executed.
+func TestRequestNotCompletedInTime(t *testing.T) {
 	f := newFixture(t)
 	request := f.sendAttempt(http1.MaxBodySize)
 	remote := f.dialed[0]
--- a/internal/worker/cancel.go
+++ b/internal/worker/cancel.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	maxCancelAttempts = 4 // connections on which a DELETE is sent
+	maxCancelAttempts = 4 // connections on which the DELETE of an attempt is tried
 	cancelRetryDelay  = 50 * time.Millisecond
-	acceptanceTimeout = 100 * time.Millisecond // a worker that has not accepted a written attempt by then is assumed not to
+	acceptanceTimeout = 100 * time.Millisecond // after this, a worker is assumed not to accept a written attempt
 )
 
-// Cancel sends a DELETE for an attempt, unless the attempt is being cancelled already. One that is written and not accepted is
-// given up to acceptanceTimeout to be accepted: the 202 may be on its way, and closing the connection would not cancel it then.
-// The result is passed to CancelCompleted of the table, or to CancelUnaccepted if the attempt is not accepted in time.
+// Cancel sends a DELETE for an attempt, unless the attempt is being cancelled already. For one that is written and not accepted
+// it first waits up to acceptanceTimeout: the 202 may be on its way, and closing the connection would not cancel it then. The
+// result is passed to CancelCompleted of the table, or to CancelUnaccepted if the attempt is not accepted in time.
 func (p *Pool) Cancel(attempt *requests.Attempt) {
 	if _, isCancelling := p.cancelAttempts[attempt]; isCancelling {
 		return
@@ -27,7 +27,7 @@
 	p.loop.StartTimer(acceptanceTimeout, p, func() { p.handleAcceptanceTimeout(attempt) })
 }
 
-// handleAcceptanceTimeout gives up a cancellation that still waits for its attempt to be accepted.
+// handleAcceptanceTimeout ends a cancellation whose attempt was not accepted in time.
 func (p *Pool) handleAcceptanceTimeout(attempt *requests.Attempt) {
 	if p.isCancelWaiting(attempt) && attempt.Stage < requests.StageAccepted {
 		delete(p.cancelAttempts, attempt)
@@ -59,13 +59,14 @@
 	p.startExchange(attempt.Worker, exchange{kind: exchangeCancel, attempt: attempt})
 }
 
-// handleCancelResult ends a cancellation by the result of its DELETE. Any response confirms the cancellation. A DELETE whose
-// connection was lost may not have reached the worker, and is sent again on another one. A worker that does not respond in time may
-// be partitioned and still execute the attempt, so nothing is confirmed, and the attempt ends by its timeout.
+// handleCancelResult ends a cancellation, or schedules another DELETE, by the result of its DELETE. Any response confirms the
+// cancellation. A DELETE whose connection was lost may not have reached the worker, and is sent again on another one. A worker
+// that does not respond in time may be partitioned and still execute the attempt, so nothing is confirmed, and the attempt ends
+// by its timeout.
 func (p *Pool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
 	isNotSent := failure != nil && failure.Reason == requests.ReasonNotSent
 	isLost := isNotSent || failure != nil && failure.Reason == requests.ReasonConnectionLost
-	if isNotSent { // for lack of local resources, which does not count as a use of a connection
+	if isNotSent { // for lack of local resources: it does not count as a try
 		p.cancelAttempts[attempt]--
 	}
 	isNeeded := !attempt.HasEnded() || failure != nil && failure.Stage >= requests.StageWritten
--- a/internal/worker/cancel_test.go
+++ b/internal/worker/cancel_test.go
@@ -7,8 +7,8 @@
 	"valvecove/dispatch"
 )
 
-// The attempt stays in flight while its DELETE waits for a connection or for a response: the policy learns of no end after which it
-// could start another attempt.
+// The attempt stays in flight while its DELETE waits for a connection or for a response. The policy receives no outcome yet,
+// after which it could start another attempt.
 func TestCancelWaitsForItsConnection(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
@@ -27,7 +27,7 @@
 	f.expect("confirmed", request, dispatch.Cancelled)
 }
 
-// A DELETE whose connection is not up in time is sent on another one.
+// A DELETE whose connection is not established in time is sent on another one.
 func TestCancelIsSentOnAnotherConnection(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
@@ -66,7 +66,7 @@
 	f.runIterations()
 	f.expect("written", request)
 	(*opened)[1].Read(1 << 12)
-	(*opened)[1].Close() // without a response: it may not have been received
+	(*opened)[1].Close() // without a response: the worker may not have received the DELETE
 	f.runIterations()
 	f.now += cancelRetryDelay
 	f.runIterations()
@@ -93,7 +93,7 @@
 	f.expect("no response yet", request)
 	f.now += cancelTimeout
 	f.runIterations()
-	f.expect("it may be partitioned, and execute it", request)
+	f.expect("no response in time", request)
 	f.now = request.Deadline
 	f.runIterations()
 	f.expect("at the deadline", request, dispatch.TimedOut)
@@ -111,13 +111,13 @@
 		f.now += cancelRetryDelay
 		f.runIterations()
 	}
-	f.expect("as before", request)
+	f.expect("after the last try", request)
 	if len(*opened) != maxCancelAttempts || f.pool.openCount != 0 || len(f.pool.cancelAttempts) != 0 {
 		t.Errorf("%d connections, %d open, %d cancellations", len(*opened), f.pool.openCount, len(f.pool.cancelAttempts))
 	}
-	f.runActions(dispatch.Cancel{Job: request.ID}) // cancelled again
+	f.runActions(dispatch.Cancel{Job: request.ID}) // a second cancellation
 	if len(*opened) != maxCancelAttempts+1 {
-		t.Error("it is not cancelled again")
+		t.Error("a second cancellation sends no DELETE")
 	}
 	f.now += 5 * time.Second
 	f.runIterations()
@@ -128,11 +128,11 @@
 func TestCancelWithoutDescriptor(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
-	most := f.pool.maxConnections
+	limit := f.pool.maxConnections
 	f.pool.SetMaxConnections(0)
 	f.runActions(dispatch.Cancel{Job: request.ID})
 	f.expect("at the limit of connections", request)
-	f.pool.SetMaxConnections(most)
+	f.pool.SetMaxConnections(limit)
 	f.now += cancelRetryDelay
 	if f.runIterations(); !f.dialed[len(f.dialed)-1].hasDelete(request) {
 		t.Error("nothing is written below the limit of connections")
@@ -143,7 +143,7 @@
 }
 
 // A DELETE is not written once the worker has reported the attempt as done.
-func TestCancelOfAnAttemptThatIsDone(t *testing.T) {
+func TestCancelOfCompletedAttempt(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
 	opened := f.delayConnections()
@@ -159,8 +159,8 @@
 	}
 }
 
-// A DELETE is written even if the attempt has timed out meanwhile: it may still be queued at the worker.
-func TestCancelUpToTheDeadline(t *testing.T) {
+// A DELETE is written even if the attempt has timed out meanwhile: the attempt may still be queued at the worker.
+func TestCancelAfterTimeout(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
 	f.now = request.Deadline - 10*time.Millisecond
@@ -176,7 +176,7 @@
 }
 
 // A DELETE is written even if the client has disconnected meanwhile.
-func TestCancelOfADisconnectedClient(t *testing.T) {
+func TestCancelAfterClientDisconnected(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
 	opened := f.delayConnections()
@@ -192,7 +192,8 @@
 	f.expect("confirmed", request, dispatch.Cancelled)
 }
 
-// An attempt that is cancelled before its connection is up ends with that connection, and nothing is written.
+// An attempt that is cancelled before its connection is established ends at once. The connection is closed, and nothing is
+// written.
 func TestAttemptAbandonedBeforeItIsWritten(t *testing.T) {
 	f := newFixture(t)
 	opened := f.delayConnections()
@@ -207,9 +208,9 @@
 	}
 }
 
-// An attempt that is written and not accepted may be accepted while its connection is closed. So it is cancelled by a DELETE once the
-// 202 is received, and ends with the response to that.
-func TestCancelOfAWrittenAttemptWaitsForItsAcceptance(t *testing.T) {
+// The worker may accept a written attempt while its connection is being closed. Its cancellation therefore waits for the 202 and
+// then sends a DELETE; the attempt ends with the response to the DELETE.
+func TestCancelOfWrittenAttemptWaitsForAcceptance(t *testing.T) {
 	f := newFixture(t)
 	request := f.sendAttempt(0)
 	f.runActions(dispatch.Cancel{Job: request.ID})
@@ -218,19 +219,20 @@
 	remote.Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 	f.runIterations()
 	f.expect("accepted", request)
-	deleting := f.dialed[len(f.dialed)-1]
-	if deleting.Read(1 << 12); !deleting.hasDelete(request) {
-		t.Fatalf("the worker got %q", deleting.Received)
+	last := f.dialed[len(f.dialed)-1]
+	if last.Read(1 << 12); !last.hasDelete(request) {
+		t.Fatalf("the worker got %q", last.Received)
 	}
-	f.respondDelete(deleting)
+	f.respondDelete(last)
 	f.expect("confirmed", request, dispatch.Cancelled)
 	if len(f.pool.cancelAttempts) != 0 {
 		t.Error("the cancellation is still kept")
 	}
 }
 
-// A worker that does not accept a written attempt in time is assumed not to: the attempt is cancelled by closing its connection.
-func TestCancelOfAWrittenAttemptThatIsNotAccepted(t *testing.T) {
+// A worker that does not accept a written attempt within acceptanceTimeout is assumed never to accept it: the attempt is
+// cancelled by closing its connection.
+func TestCancelOfUnacceptedAttempt(t *testing.T) {
 	f := newFixture(t)
 	request := f.sendAttempt(0)
 	f.runActions(dispatch.Cancel{Job: request.ID})
@@ -246,37 +248,37 @@
 	}
 }
 
-// A worker gets no second attempt of a request before the first one has ended or its cancellation is confirmed, whatever the policy
-// does.
-func TestOneAttemptAtOneWorker(t *testing.T) {
+// A worker is sent no second attempt of a request before the first one has ended or its cancellation is confirmed, even if the
+// policy asks for it.
+func TestNoConcurrentAttemptsAtOneWorker(t *testing.T) {
 	f := newFixture(t)
 	request := f.sendAttempt(0)
 	remote := f.dialed[0]
-	again := dispatch.Send{Job: request.ID, Worker: f.workerNumber()}
-	f.runActions(again)
+	secondSend := dispatch.Send{Job: request.ID, Worker: f.workerNumber()}
+	f.runActions(secondSend)
 	f.expect("before the 202", request, dispatch.NotSent)
 	remote.Read(1 << 12)
 	remote.Write([]byte(acceptedResponse))
 	f.runIterations()
-	f.runActions(again)
+	f.runActions(secondSend)
 	opened := f.delayConnections()
 	remote.Close()
-	f.runActions(dispatch.Cancel{Job: request.ID}, again)
-	f.expect("while it is cancelled", request, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
+	f.runActions(dispatch.Cancel{Job: request.ID}, secondSend)
+	f.expect("while it is being cancelled", request, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
 	if len(*opened) != 1 {
 		t.Fatalf("%d connections", len(*opened))
 	}
 	(*opened)[0].release()
 	f.runIterations()
 	(*opened)[0].Read(1 << 12)
-	f.runActions(again)
+	f.runActions(secondSend)
 	f.expect("no response yet", request, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
 	f.respondDelete((*opened)[0])
 	(*opened)[0].Close()
 	f.runIterations()
-	f.runActions(again)
+	f.runActions(secondSend)
 	f.expect("once it is cancelled", request, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.Cancelled)
 	if len(*opened) != 2 {
-		t.Errorf("%d connections: it is not sent again", len(*opened))
+		t.Errorf("%d connections, expected 2: the new attempt is not sent", len(*opened))
 	}
 }
--- a/internal/worker/connection.go
+++ b/internal/worker/connection.go
@@ -16,9 +16,9 @@
 type connectionState int
 
 const (
-	stateConnecting       connectionState = iota // not up yet, or not dialed yet
+	stateConnecting       connectionState = iota // not established or not dialed yet
 	stateIdle                                    // kept for another exchange
-	stateDelayed                                 // up, and its attempt is not written before a delay
+	stateDelayed                                 // established; the write of its attempt is delayed
 	stateAwaitingResponse                        // a request is written, or partly written
 	stateClosed
 )
@@ -39,8 +39,7 @@
 	return fmt.Sprintf("connectionState(%d)", int(c))
 }
 
-// Causes of the end of a connection, or why it can't be opened. Errors of system calls and of the HTTP parser are passed on as they
-// are.
+// Reasons why a connection ended or could not be opened. Errors of system calls and of the HTTP parser are passed on unchanged.
 var (
 	errNoDescriptor     = errors.New("no descriptor left for a worker connection")
 	errNoAddress        = errors.New("endpoint has no valid address")
@@ -52,7 +51,7 @@
 	errPanicked         = errors.New("panic")
 )
 
-// minDialBackoff is the time before the first retry of a dial that failed for lack of local resources. It doubles with each retry.
+// minDialBackoff is the delay before a dial that failed for lack of local resources is first retried. It doubles with each retry.
 const minDialBackoff = time.Millisecond
 
 // connection is a connection to a worker. It carries one exchange at a time.
@@ -62,16 +61,16 @@
 	endpoint    *endpointConnections
 	incarnation int // of the endpoint when the connection was opened
 	state       connectionState
-	timer       *eventloop.Timer // of the present state: a dial's retry, a timeout, or the end of a delay
+	timer       *eventloop.Timer // of the current state: a dial retry, a timeout, or the end of a delay
 
-	// The present exchange, or none.
+	// The current exchange, or none.
 	exchange       exchange
 	stage          requests.Stage
-	writeDeadline  time.Duration // what is not written by then is not written
-	idleBefore     time.Duration // how long the connection had been idle before; 0: it was new
-	delayedLocally bool          // the dial, or the first byte, was delayed for lack of local resources
+	writeDeadline  time.Duration // the rest of the request is not written after it
+	idleBefore     time.Duration // how long the connection was idle before the exchange; 0: it was new
+	delayedLocally bool          // the dial or the write was delayed for lack of local resources
 
-	lastKind    exchangeKind  // of the present exchange or, if there is none, of the last one
+	lastKind    exchangeKind  // of the current exchange or, if there is none, of the last one
 	idleSince   time.Duration // the end of the last exchange
 	idleElement *list.Element // in Pool.idle, while the connection is idle
 }
@@ -79,8 +78,8 @@
 // connect dials the worker.
 func (c *connection) connect() { c.dialWithBackoff(minDialBackoff) }
 
-// dialWithBackoff dials the worker. Where local resources are lacking it retries after the backoff, which says nothing about the
-// worker. Half of the time to connect is left for the connection itself.
+// dialWithBackoff dials the worker. If local resources are lacking it retries after the backoff, as that is no failure of the
+// worker. Retries use at most half of the connect timeout; the other half is left for establishing the connection.
 func (c *connection) dialWithBackoff(backoff time.Duration) {
 	if c.isObsolete() {
 		c.terminate(nil)
@@ -99,7 +98,7 @@
 	c.timer = c.pool.loop.StartTimer(backoff, c, func() { c.dialWithBackoff(2 * backoff) })
 }
 
-// connectDeadline returns by when the connection must be up, and the first byte of its exchange written.
+// connectDeadline returns the time by which the first byte of the exchange must be written.
 func (c *connection) connectDeadline() time.Duration {
 	return c.exchange.startedAt + c.pool.connectTimeout
 }
@@ -112,7 +111,7 @@
 	return errors.Is(err, errNoDescriptor) || eventloop.ClassOf(err).IsMomentary()
 }
 
-// isDelayConsequence reports whether a connection may have ended because its request was written too late.
+// isDelayConsequence reports whether the end of a connection may result from the late write of its request.
 func isDelayConsequence(cause error) bool {
 	return errors.Is(cause, errTimeout) || errors.Is(cause, errClosedByWorker)
 }
@@ -140,8 +139,9 @@
 	return nil
 }
 
-// isAlive reports whether an idle connection is still open and silent. The loop has no event yet for a close that happened after
-// the events of this iteration were gathered. A request that is written to a closed connection ends as possibly executed.
+// isAlive reports whether an idle connection is still open and has received nothing. It is checked before each reuse: the loop
+// has no event yet for a close after the events of this iteration were gathered, and an attempt that is written to a closed
+// connection ends as possibly executed.
 func (c *connection) isAlive() bool {
 	var b [1]byte
 	for {
@@ -158,7 +158,8 @@
 	c.timer = c.pool.loop.StartTimer(timeout, c, func() { c.terminate(errTimeout) })
 }
 
-// HandleEvents continues the exchange. An idle connection ends: it was closed, or received what no exchange waits for.
+// HandleEvents continues the exchange. Any event ends a connection that is idle or whose write is delayed: the worker has closed
+// it, or has sent data that no exchange waits for.
 func (c *connection) HandleEvents(events uint32) {
 	if c.state != stateClosed && c.isObsolete() {
 		c.terminate(nil)
@@ -176,7 +177,7 @@
 	}
 }
 
-// completeConnect writes the request once the connection is up.
+// completeConnect writes the request once the connection is established.
 func (c *connection) completeConnect(events uint32) {
 	if err := c.ConnectError(); err != nil {
 		c.terminate(err)
@@ -194,7 +195,7 @@
 // continueExchange writes what is left of the request and reads what was received of the response.
 func (c *connection) continueExchange(events uint32) {
 	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
-		if c.pool.loop.Clock() > c.writeDeadline { // events are handled before the timer of the same iteration
+		if c.pool.loop.Clock() > c.writeDeadline { // the timer of the same iteration runs after its events
 			c.terminate(errTimeout)
 			return
 		}
@@ -217,8 +218,8 @@
 	c.pool.addIdle(c)
 }
 
-// terminate closes the connection in any state; closing twice does nothing. The exchange, if there is one, fails with the stage
-// that it has reached. cause is nil if the connection is no longer needed.
+// terminate closes the connection, unless it is closed already. The exchange, if there is one, fails with the stage that it has
+// reached. cause is nil if the connection is no longer needed.
 func (c *connection) terminate(cause error) {
 	if c.state == stateClosed {
 		return
@@ -257,10 +258,10 @@
 	return isReused && isLost && len(c.Input()) == 0
 }
 
-// failureReason returns the reason why the exchange fails with a connection that ends by cause. ReasonNotSent says nothing about
-// the worker: the exchange was not written for lack of local resources, or is a health check that was sent on a connection that
-// had been dropped or got a stray response. Any other failure before the last byte is the worker's, whatever the errno: a
-// partitioned worker looks like that.
+// failureReason returns why the exchange of a connection that ends by cause has failed. ReasonNotSent is no failure of the
+// worker: the exchange was not completely written for lack of local resources, or is a health check on a connection that had been
+// dropped or received a stray response. Any other failure before the last byte is attributed to the worker, whatever the errno:
+// it may be partitioned.
 func (c *connection) failureReason(cause error, wasDropped bool) requests.Reason {
 	isWritten := c.stage >= requests.StageWritten
 	isHealthCheck := c.exchange.kind == exchangeHealthCheck
--- a/internal/worker/delay_test.go
+++ b/internal/worker/delay_test.go
@@ -36,7 +36,7 @@
 	f.expect("written", request)
 }
 
-// An attempt whose client turns out to have disconnected right before the write is not written.
+// An attempt is not written if the check right before the write finds that its client has disconnected.
 func TestAttemptEndedBeforeTheWriteIsNotWritten(t *testing.T) {
 	f := newFixture(t)
 	f.writeDelay = func(attempt *requests.Attempt) time.Duration {
--- a/internal/worker/dial_test.go
+++ b/internal/worker/dial_test.go
@@ -14,19 +14,19 @@
 	"valvecove/internal/eventloop/faultinjection"
 )
 
-// failDials lets the next dials fail with an errno of a call, times of them.
+// failDials makes the next dials, a number of times, fail with an errno of a call.
 func (f *fixture) failDials(times int, call eventloop.Call, errno unix.Errno) {
 	dial := f.dial
-	f.dial = func(at netip.AddrPort) (int, error) {
+	f.dial = func(address netip.AddrPort) (int, error) {
 		if times > 0 {
 			times--
 			return eventloop.NoDescriptor, fmt.Errorf("dial: %w", eventloop.NewCallError(call, errno))
 		}
-		return dial(at)
+		return dial(address)
 	}
 }
 
-// localShortages are the errors of a dial that show a lack of local resources.
+// localShortages are the errors of a dial that mean a lack of local resources.
 var localShortages = []struct {
 	call  eventloop.Call
 	errno unix.Errno
@@ -41,8 +41,8 @@
 	{eventloop.CallConnect, unix.ENOBUFS},
 }
 
-// An attempt waits while local resources are lacking for a moment, and is then sent.
-func TestDialWaitsOutAMomentaryShortage(t *testing.T) {
+// An attempt waits during a brief lack of local resources, and is then sent.
+func TestDialIsRetriedAfterShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
 			f := newFixture(t)
@@ -63,9 +63,9 @@
 	}
 }
 
-// An attempt that can't be sent for lack of local resources ends as not sent, in time for another one. Its dial is retried with a
-// growing backoff.
-func TestDialGivesUpALastingShortage(t *testing.T) {
+// An attempt that can't be sent for lack of local resources ends as not sent within the connect timeout, so that the policy can
+// start another one. Its dial is retried with exponential backoff.
+func TestDialFailsAfterLastingShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
 			f := newFixture(t)
@@ -87,14 +87,14 @@
 	}
 }
 
-// At the limit of connections an attempt waits, and is sent as soon as there is a free one.
-func TestDialWaitsForADescriptor(t *testing.T) {
+// At the limit of connections an attempt waits, and is sent once a connection may be opened.
+func TestDialWaitsForDescriptor(t *testing.T) {
 	f := newFixture(t)
-	most := f.pool.maxConnections
+	limit := f.pool.maxConnections
 	f.pool.SetMaxConnections(0)
 	request := f.sendAttempt(0)
 	f.expect("waiting", request)
-	f.pool.SetMaxConnections(most)
+	f.pool.SetMaxConnections(limit)
 	f.now += minDialBackoff
 	f.runIterations()
 	if len(f.dialed) != 1 {
@@ -103,8 +103,9 @@
 	f.expect("in flight", request)
 }
 
-// An error of the worker's side is reported at once as a failure to connect, whether connect returns it or SO_ERROR.
-func TestDialFailureOfTheWorker(t *testing.T) {
+// A connection error caused by the worker or the network is reported at once as a failure to connect, whether connect or SO_ERROR
+// returns it.
+func TestDialFailureOfWorker(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.EACCES} {
 		f := newFixture(t)
 		f.failDials(1, eventloop.CallConnect, errno)
@@ -113,12 +114,12 @@
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.ENETUNREACH} {
 		f := newFixture(t)
 		f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallGetOption}, Errnos: []unix.Errno{errno}})
-		f.expect("in progress, "+errno.Error(), f.sendAttempt(0), dispatch.ConnectFailed)
+		f.expect("SO_ERROR, "+errno.Error(), f.sendAttempt(0), dispatch.ConnectFailed)
 	}
 }
 
-// A DELETE that can't be sent for lack of local resources confirms nothing: the attempt stays in flight, and the DELETE is sent later.
-func TestCancelOutlastsAShortage(t *testing.T) {
+// While a DELETE can't be sent for lack of local resources, its attempt stays in flight. The DELETE is sent later.
+func TestCancelIsSentAfterShortage(t *testing.T) {
 	f := newFixture(t)
 	request := f.acceptedAttempt()
 	f.failDials(100, eventloop.CallSocket, unix.ENFILE)
@@ -129,12 +130,12 @@
 	}
 	f.expect("not sent yet", request)
 	if remote := f.dialed[len(f.dialed)-1]; !remote.hasDelete(request) {
-		t.Error("not sent once it can be")
+		t.Error("the DELETE is not sent after the shortage")
 	}
 }
 
 // An attempt that waits to dial is not transferred: it ends as not sent, and the policy may start it again.
-func TestWaitingDialsEndBeforeHandover(t *testing.T) {
+func TestWaitingDialsEndBeforeTransfer(t *testing.T) {
 	f := newFixture(t)
 	f.failDials(1, eventloop.CallSocket, unix.ENFILE)
 	request := f.sendAttempt(0)
--- a/internal/worker/drain_test.go
+++ b/internal/worker/drain_test.go
@@ -8,10 +8,10 @@
 	"valvecove/internal/requests"
 )
 
-// An attempt is not written if its worker was listed as draining or removed, or was cordoned, before the connection was up, however
-// short the time since: the process may be suspended before the write. The attempt ends as not sent.
-func TestConnectionComesUpAfterTheDrain(t *testing.T) {
-	const grace = 500 * time.Millisecond // of the settings
+// An attempt is not written if its worker was listed as draining or removed, or was cordoned, before the connection was
+// established, however shortly before: the process may be suspended before the write. The attempt ends as not sent.
+func TestConnectionEstablishedAfterDrain(t *testing.T) {
+	const connectTimeout = 500 * time.Millisecond
 	changes := map[string]func(f *fixture){
 		"drains": func(f *fixture) {
 			f.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "draining"}}})
@@ -24,9 +24,9 @@
 		"nothing":           func(*fixture) {},
 	}
 	for name, change := range changes {
-		for _, after := range []time.Duration{0, grace - longestHold} {
+		for _, after := range []time.Duration{0, connectTimeout - maxSuspension} {
 			f := newFixture(t)
-			f.pool.connectTimeout = grace
+			f.pool.connectTimeout = connectTimeout
 			opened := f.delayConnections()
 			request := f.sendAttempt(0)
 			change(f)
@@ -36,7 +36,7 @@
 			(*opened)[0].Read(1 << 12)
 			isSent := len((*opened)[0].Received) > 0
 			if isSent != (name == "nothing") {
-				t.Errorf("%s, %v before its connection was up: sent %v", name, after, isSent)
+				t.Errorf("%s, %v before its connection was established: sent %v", name, after, isSent)
 			}
 			if !isSent {
 				f.expect(name, request, dispatch.NotSent)
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/requests"
 )
 
-// responseGrace is how long a connection is kept after its attempt has expired, in case the response still arrives.
+// responseGrace is how long a connection is kept after the deadline of its attempt, in case the response still arrives.
 const responseGrace = time.Second
 
 // exchangeKind is the purpose of an exchange.
@@ -17,7 +17,7 @@
 const (
 	exchangeNone        exchangeKind = iota
 	exchangeAttempt                  // sends an attempt
-	exchangeHealthCheck              // asks the worker whether it is alive
+	exchangeHealthCheck              // checks that the worker is alive
 	exchangeCancel                   // cancels an attempt that the worker has accepted
 )
 
@@ -38,7 +38,7 @@
 // exchange is a request to a worker and its response.
 type exchange struct {
 	kind      exchangeKind
-	attempt   *requests.Attempt // that is sent or cancelled; nil for a health check
+	attempt   *requests.Attempt // the attempt that is sent or cancelled; nil for a health check
 	startedAt time.Duration
 }
 
@@ -61,17 +61,17 @@
 	}
 }
 
-// writeRequest writes the request of the exchange, unless it is too late for it or the write has to be delayed.
+// writeRequest writes the request of the exchange, unless no time remains for it or the write is delayed.
 func (c *connection) writeRequest() {
 	pool, loop := c.pool, c.pool.loop
 	buffer, timeout, ok := c.appendRequest(pool.writeBuffer[:0])
-	if !ok { // the request table ends the attempt at its deadline, and the connection with it
+	if !ok { // the request table ends the attempt at its deadline, which closes the connection
 		loop.StopTimer(c.timer)
 		return
 	}
 	pool.writeBuffer = buffer
 	c.writeDeadline = loop.Clock() + timeout
-	if c.delayWrite() { // after the last reading of the clock before the write
+	if c.delayWrite() { // checked last, so that the write follows at once
 		return
 	}
 	c.setTimeout(timeout)
@@ -82,19 +82,19 @@
 		return
 	}
 	if len(c.Output()) > 0 && c.IsOutputPaused() {
-		isUntouched := len(c.Output()) == len(buffer)
-		c.handleMemoryShortage(isUntouched, timeout)
+		nothingWritten := len(c.Output()) == len(buffer)
+		c.handleMemoryShortage(nothingWritten, timeout)
 		return
 	}
 	c.reportIfWritten()
 }
 
-// handleMemoryShortage handles a request that could not be written, or only in part, as the machine lacked memory. If it is
-// untouched, it is formatted again and written once there is memory: its time budget would be outdated. Else the rest is written
-// within the margin of its budget, unless the budget allows for writing in parts already.
-func (c *connection) handleMemoryShortage(isUntouched bool, timeout time.Duration) {
+// handleMemoryShortage handles a request that was not completely written because the kernel lacked memory. If nothing was
+// written, the request is formatted again when memory is available, as its time budget would be outdated by then. Otherwise the
+// rest must be written within budgetMargin, unless the time budget already allows for writing in parts.
+func (c *connection) handleMemoryShortage(nothingWritten bool, timeout time.Duration) {
 	c.delayedLocally = true
-	if isUntouched {
+	if nothingWritten {
 		c.TakeOutput()
 		c.state = stateConnecting
 		c.setStage(requests.StageNotConnected)
@@ -107,8 +107,8 @@
 	}
 }
 
-// delayWrite delays the write of an attempt if Config.WriteDelay says so. It reports whether the request must not be written now:
-// it is delayed, or the connection was closed as the attempt has ended.
+// delayWrite delays the write of an attempt by the time that Config.WriteDelay returns. It reports whether the request must not
+// be written now: it is delayed, or the attempt has ended and its connection is closed.
 func (c *connection) delayWrite() bool {
 	if c.exchange.kind != exchangeAttempt {
 		return false
@@ -139,7 +139,7 @@
 	c.writeRequest()
 }
 
-// reportIfWritten reports an attempt as written, once its last byte is. It is possibly executed from then on.
+// reportIfWritten reports an attempt as written once its last byte is. The worker may execute it from then on.
 func (c *connection) reportIfWritten() {
 	if len(c.Output()) > 0 || c.stage >= requests.StageWritten {
 		return
@@ -153,8 +153,8 @@
 }
 
 // isObsolete reports whether the rest of the request must not be written: its attempt has ended, for instance by a late callback
-// about an earlier attempt, or the attempt that it cancels was ended by its worker. Written on, an ended attempt could be executed
-// after its request is closed, and without the policy's knowledge.
+// about an earlier attempt, or the attempt that it cancels was ended by its worker. If the rest were written, the worker could
+// execute an ended attempt after its request is closed, without the policy's knowledge.
 func (c *connection) isObsolete() bool {
 	attempt := c.exchange.attempt
 	if attempt == nil || c.stage >= requests.StageWritten {
@@ -164,8 +164,7 @@
 	return isEndedAttempt || attempt.EndedByWorker()
 }
 
-// finishExchange ends the exchange and reports its result; failure is nil if it succeeded. An attempt that was accepted is not
-// ended here.
+// finishExchange ends the exchange and reports its result; failure is nil if it succeeded. An accepted attempt is not ended here.
 func (c *connection) finishExchange(failure *requests.AttemptError) {
 	finished := c.exchange
 	c.exchange = exchange{}
--- a/internal/worker/fault_test.go
+++ b/internal/worker/fault_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/eventloop/faultinjection"
 )
 
-// failTransfers lets reads and writes of one descriptor fail.
+// failTransfers makes reads and writes of one descriptor fail.
 func (f *fixture) failTransfers(fd int, errno unix.Errno) {
 	f.injectFaults(faultinjection.Rule{
 		Calls: []eventloop.Call{
@@ -24,7 +24,7 @@
 	})
 }
 
-// connectionErrnos are the errnos that a broken connection may show.
+// connectionErrnos are errnos that a read or write of a broken connection may return.
 var connectionErrnos = []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE}
 
 // A connection that breaks after the last byte was written ends its attempt as possibly executed, whatever the errno.
@@ -41,8 +41,8 @@
 	}
 }
 
-// A request that is written late for lack of memory has the time budget of the moment of the write.
-func TestRequestWrittenLateTellsTheTimeLeft(t *testing.T) {
+// The time budget of a request that is written late for lack of memory is the time that remains at the write.
+func TestBudgetOfRequestWrittenLate(t *testing.T) {
 	const late = 120 * time.Millisecond
 	f := newFixture(t)
 	injector := f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}})
@@ -66,7 +66,8 @@
 	}
 }
 
-func TestRequestNeverWrittenIsNoMarkAgainstItsWorker(t *testing.T) {
+// A request that is never written for lack of memory ends as not sent, which is no failure of its worker.
+func TestUnwrittenRequestEndsAsNotSent(t *testing.T) {
 	f := newFixture(t)
 	f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOMEM}})
 	request := f.sendAttempt(0)
@@ -77,9 +78,9 @@
 	f.expect("not sent in time", request, dispatch.NotSent)
 }
 
-// The rest of a small request, of which a part was written before memory was lacking, is written within the margin of its time budget,
-// or never. It is not executed then, and its end says nothing about the worker.
-func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
+// If memory is lacking after a part of a small request was written, the rest is written within budgetMargin or never. In the
+// latter case the request ends as not sent: the worker can't execute it, and did not fail.
+func TestPartlyWrittenRequestEndsAsNotSent(t *testing.T) {
 	f := newFixture(t)
 	f.injectFaults(
 		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Times: 1, MaxLength: 10},
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -20,8 +20,8 @@
 	"valvecove/internal/requests"
 )
 
-// fixture is a pool with an event loop, a request table and a scripted policy. The test holds the remote ends of its connections,
-// which it reads and writes between iterations, and the clock.
+// fixture is a pool with an event loop, a request table and a scripted policy. The test controls the clock, and the remote ends
+// of the connections, which it reads and writes between iterations.
 type fixture struct {
 	tb         testing.TB
 	loop       *eventloop.Loop
@@ -29,10 +29,10 @@
 	table      *requests.Table
 	policy     *modeltest.ScriptedPolicy
 	now        time.Duration
-	clock      func() time.Duration                                 // what the loop reads; returns now
+	clock      func() time.Duration                                 // the clock of the loop; returns now
 	dial       func(address netip.AddrPort) (socket int, err error) // opens a connection to a peer
-	writeDelay func(attempt *requests.Attempt) time.Duration        // none, unless a test sets it
-	dialed     []*peer                                              // remote ends of connections, in the order of their opening
+	writeDelay func(attempt *requests.Attempt) time.Duration        // returns 0 unless a test replaces it
+	dialed     []*peer                                              // remote ends of connections, in the order of their dials
 	requests   []*requests.Request                                  // of sendAttempt, in order
 
 	hasRelinquished bool // a successor owns the request table and the connections that were transferred
@@ -42,10 +42,10 @@
 type peer struct {
 	*eventlooptest.Peer
 	dialedAddress netip.AddrPort
-	filledBytes   int // in the send buffer of the loop's end, until release
+	filledBytes   int // bytes that FillSocket put into the send buffer of the loop's end; release reads them
 }
 
-// testTransport is the pool as the transport of a request table without discovery.
+// testTransport is the pool as the transport of a request table. It ignores Watch: there is no discovery.
 type testTransport struct{ *Pool }
 
 func (testTransport) Watch(int64) {}
@@ -81,7 +81,7 @@
 	return f
 }
 
-// openLoop makes the loop, which is closed at the end of the test.
+// openLoop creates the loop, which is closed at the end of the test.
 func (f *fixture) openLoop() {
 	loop, err := eventloop.New(eventloop.Config{
 		Clock: func() time.Duration { return f.clock() },
@@ -98,7 +98,7 @@
 	f.loop = loop
 }
 
-// nextStep returns when the request table is to step next, which it does not once a successor owns it.
+// nextStep returns the time of the next step of the request table. There is none once a successor owns the table.
 func (f *fixture) nextStep() (at time.Duration, ok bool) {
 	if f.hasRelinquished {
 		return 0, false
@@ -116,7 +116,7 @@
 	return injector
 }
 
-// socketPair returns a connection: a peer, and the descriptor for the loop.
+// socketPair returns both ends of a connection: the peer, and the descriptor for the loop.
 func (f *fixture) socketPair() (remote *peer, descriptor int) {
 	end, descriptor := eventlooptest.SocketPair(f.tb)
 	return &peer{Peer: end}, descriptor
@@ -129,7 +129,7 @@
 	}
 }
 
-// runIterations lets the loop do all that it can do now.
+// runIterations runs enough iterations of the loop to do all that is due now.
 func (f *fixture) runIterations() {
 	for range 4 {
 		f.runOnce()
@@ -147,14 +147,14 @@
 	return 0
 }
 
-// runActions lets the policy take actions in one step.
+// runActions has the policy return actions in one step.
 func (f *fixture) runActions(actions ...dispatch.Action) {
 	f.policy.Next = append(f.policy.Next, actions...)
 	f.table.Wake()
 	f.runIterations()
 }
 
-// sendAttempt admits a request with a payload of size bytes, and lets the policy send an attempt of it to the worker.
+// sendAttempt admits a request with a payload of size bytes, and has the policy send an attempt of it to the worker.
 func (f *fixture) sendAttempt(size int) *requests.Request {
 	f.tb.Helper()
 	request, err := f.table.Admit(f.now, requests.Arrival{
@@ -169,10 +169,11 @@
 	return request
 }
 
-// acceptedResponse accepts an attempt.
+// acceptedResponse is the response of a worker that accepts an attempt.
 const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// acceptedAttempt sends an attempt that the worker accepts, and then closes the connection, so that the next exchange opens another.
+// acceptedAttempt sends an attempt that the worker accepts. The worker then closes the connection, so the next exchange opens
+// another.
 func (f *fixture) acceptedAttempt() *requests.Request {
 	request := f.sendAttempt(0)
 	remote := f.dialed[len(f.dialed)-1]
@@ -239,7 +240,7 @@
 	return opened
 }
 
-// release reads what FillSocket has written, so that the connection can be written to.
+// release reads the bytes that FillSocket has written, so that the loop's end is writable again.
 func (p *peer) release() {
 	for b := make([]byte, 4096); p.filledBytes > 0; {
 		n, err := unix.Read(p.FD, b[:min(len(b), p.filledBytes)])
@@ -250,13 +251,13 @@
 	}
 }
 
-// budgetSent returns the time budget of the request that was received.
+// budgetSent returns the time budget in the request that was received.
 func (p *peer) budgetSent(t *testing.T) time.Duration {
 	t.Helper()
 	_, text, ok := strings.Cut(string(p.Received), "X-Budget-Ms: ")
 	text, _, _ = strings.Cut(text, "\r\n")
-	ms, good := http1.ParseDecimal([]byte(text))
-	if !ok || !good {
+	ms, isNumber := http1.ParseDecimal([]byte(text))
+	if !ok || !isNumber {
 		t.Fatalf("no budget in %.200q", p.Received)
 	}
 	return time.Duration(ms) * time.Millisecond
--- a/internal/worker/idle.go
+++ b/internal/worker/idle.go
@@ -7,29 +7,30 @@
 
 const (
 	idleCheckInterval = time.Second
-	// reuseDelay passes between two attempts on a connection, so that a second response to the first one is received before.
+	// reuseDelay is the minimum time between two attempts on a connection. A stray second response to the first one is then
+	// received before the second one is written.
 	reuseDelay = 10 * time.Millisecond
 )
 
 // Bounds and growth of Pool.maxReuseIdleTime.
 const (
 	minReuseLimit           = 20 * time.Millisecond // a connection that was idle for less is as reliable as a new one
-	maxReuseLimit           = time.Minute           // above it there is no limit
-	reuseLimitRaiseInterval = 10 * time.Second      // the limit doubles after this long without a lost connection
+	maxReuseLimit           = time.Minute           // a limit that grows beyond it is removed
+	reuseLimitRaiseInterval = 10 * time.Second      // the limit doubles after this time without a lost connection
 )
 
-// endpointConnections is the connections to one worker.
+// endpointConnections holds the idle connections to one worker, and how to reach it.
 type endpointConnections struct {
 	worker      uint64
 	id          string         // discovery's ID of the endpoint
-	address     netip.AddrPort // invalid: the worker has never been listed with an address that can be parsed
+	address     netip.AddrPort // invalid: the address that was listed last can't be parsed, or none was listed
 	startedAtMs int64
 	incarnation int           // counts the worker's processes and addresses; a connection to an earlier one is not reused
 	idle        []*connection // in the order in which they became idle
 }
 
-// updateEndpoint returns the connections to a worker with what discovery has listed last. If the worker's process or address has
-// changed, its idle connections are closed.
+// updateEndpoint updates and returns the endpoint of a worker by what discovery has listed last. If the worker's process or
+// address has changed, its idle connections are closed.
 func (p *Pool) updateEndpoint(worker uint64) *endpointConnections {
 	endpoint := p.endpoints[worker]
 	if endpoint == nil {
@@ -47,8 +48,8 @@
 	return endpoint
 }
 
-// claimIdle removes and returns the idle connection to a worker that was used last and may be used for an exchange of a kind; nil
-// if there is none. It closes the unusable ones that it finds.
+// claimIdle removes and returns the most recently used idle connection to a worker that is usable for an exchange of a kind; nil
+// if there is none. It closes the stale and dead ones that it finds.
 func (p *Pool) claimIdle(endpoint *endpointConnections, kind exchangeKind) *connection {
 	for i := len(endpoint.idle) - 1; i >= 0; i-- {
 		conn := endpoint.idle[i]
@@ -79,7 +80,7 @@
 	conn.endpoint.idle = append(conn.endpoint.idle, conn)
 }
 
-// removeIdle removes a connection from the idle ones, and does not close it.
+// removeIdle removes a connection from the idle ones without closing it.
 func (p *Pool) removeIdle(conn *connection) {
 	endpoint := conn.endpoint
 	p.idle.Remove(conn.idleElement)
@@ -101,7 +102,7 @@
 	return true
 }
 
-// closeExpired closes the idle connections that are stale, once and then periodically.
+// closeExpired closes stale idle connections, and runs again every idleCheckInterval.
 func (p *Pool) closeExpired() {
 	p.loop.StartTimer(idleCheckInterval, p, p.closeExpired)
 	p.raiseReuseLimit()
@@ -121,8 +122,8 @@
 }
 
 // lowerReuseLimit lowers maxReuseIdleTime after a connection that had been idle for idleTime was lost without a response. The
-// network or the worker may drop idle connections without notice. A request that is written to one of those is possibly executed,
-// so it is lost unless it is idempotent; a new connection costs far less.
+// network or the worker may drop idle connections without notice. A request that is written to such a connection may have been
+// executed, so it is lost unless it is idempotent. A new connection costs far less.
 func (p *Pool) lowerReuseLimit(idleTime time.Duration) {
 	if p.maxReuseIdleTime == 0 || idleTime < p.maxReuseIdleTime {
 		p.maxReuseIdleTime = max(idleTime/2, minReuseLimit)
@@ -130,7 +131,7 @@
 	p.maxReuseIdleTimeChangedAt = p.loop.Now()
 }
 
-// raiseReuseLimit doubles maxReuseIdleTime if no connection was lost after an idle time for reuseLimitRaiseInterval.
+// raiseReuseLimit doubles maxReuseIdleTime if no reused connection was lost for reuseLimitRaiseInterval.
 func (p *Pool) raiseReuseLimit() {
 	if p.maxReuseIdleTime == 0 || p.loop.Now()-p.maxReuseIdleTimeChangedAt < reuseLimitRaiseInterval {
 		return
--- a/internal/worker/idle_test.go
+++ b/internal/worker/idle_test.go
@@ -11,12 +11,12 @@
 	"valvecove/internal/requests"
 )
 
-// A health check that is lost with a reused connection says nothing about its worker. From then on connections that were idle for
-// about as long are not reused, until the limit has been raised again.
-func TestTrustInIdleConnections(t *testing.T) {
+// A health check that is lost with a reused connection is not reported as a failure of its worker. From then on, connections that
+// were idle for about as long are not reused, until the reuse limit has been raised again.
+func TestReuseLimitAfterLostConnection(t *testing.T) {
 	f := newFixture(t)
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	check := func(idle time.Duration, answer string, wantOpened int, want dispatch.Result) {
+	check := func(idle time.Duration, response string, wantOpened int, want dispatch.Result) {
 		t.Helper()
 		f.now += idle
 		f.policy.Next = append(f.policy.Next, dispatch.HealthCheck{Worker: f.workerNumber()})
@@ -26,10 +26,10 @@
 			t.Errorf("%d connections opened, expected %d", len(f.dialed), wantOpened)
 		}
 		p := f.dialed[len(f.dialed)-1]
-		if p.Read(1 << 10); answer == "" {
+		if p.Read(1 << 10); response == "" {
 			p.Close()
 		} else {
-			p.Write([]byte(answer))
+			p.Write([]byte(response))
 		}
 		f.runIterations()
 		if got, _ := f.policy.Received[len(f.policy.Received)-1].(dispatch.HealthChecked); got.Result != want {
@@ -49,11 +49,11 @@
 	}
 	check(0, ok, 4, dispatch.OK)
 	check(3*minReuseLimit, ok, 4, dispatch.OK)
-	check(reuseLimitRaiseInterval*100, "", 5, dispatch.ConnectionReset) // it was new
+	check(reuseLimitRaiseInterval*100, "", 5, dispatch.ConnectionReset) // on a new connection the loss is a failure of the worker
 }
 
-// A connection is not reused if its worker's process has been replaced, if it was idle for too long, or if the worker has closed it. An
-// accepted attempt is cancelled by a DELETE with its call ID.
+// A connection is not reused if its worker's process has been replaced, if it was idle for too long, or if the worker has closed
+// it. The DELETE of an accepted attempt, with its call ID, then uses a new connection.
 func TestIdleConnectionsExpire(t *testing.T) {
 	f := newFixture(t)
 	endpoint := requests.Endpoint{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up", StartedAtMs: 5}
@@ -95,7 +95,7 @@
 	if last.Read(1); !last.Ended {
 		t.Error("a connection was kept beyond the idle limit")
 	}
-	// Closed after the events of the iteration were gathered: nothing may be written to it.
+	// The worker closes the connection after the events of the iteration were gathered: nothing may be written to it.
 	idle, opened := send(), len(f.dialed)
 	idle.Close()
 	f.policy.Next = append(f.policy.Next, dispatch.HealthCheck{Worker: f.workerNumber()})
@@ -105,7 +105,7 @@
 	}
 }
 
-// poolFixture is a fixture with several workers, each with an address of its own, that respond to health checks at once.
+// poolFixture is a fixture with several workers at different addresses, which respond to health checks at once.
 type poolFixture struct {
 	*fixture
 	workers []uint64
@@ -163,7 +163,7 @@
 	return len(p.pool.endpoints[p.workers[worker]].idle)
 }
 
-// At the limit of connections, the one that has been idle longest is closed for a new one: workers that are in use keep theirs.
+// At the limit of connections, the one that has been idle longest is closed for a new one: workers in regular use keep theirs.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	const workers, inUse, capacity = 40, 3, 5
 	p := newPoolFixture(t, workers, capacity)
@@ -171,11 +171,11 @@
 		for worker := range inUse {
 			p.use(worker)
 		}
-		p.use(inUse + round) // another one each time
+		p.use(inUse + round) // another worker each time
 	}
 	for worker := range inUse {
 		if opened := p.opened[p.workers[worker]]; opened != 1 || p.idleCount(worker) != 1 {
-			t.Errorf("worker %d, in use all the time: %d connections opened, %d open", worker, opened, p.idleCount(worker))
+			t.Errorf("worker %d, in regular use: %d connections opened, %d open", worker, opened, p.idleCount(worker))
 		}
 	}
 	if pool := p.pool; pool.openCount != capacity || pool.idle.Len() != capacity {
--- a/internal/worker/model_test.go
+++ b/internal/worker/model_test.go
@@ -15,7 +15,7 @@
 	"valvecove/internal/requests"
 )
 
-// workerResponses are responses of a worker, and the result of an attempt that gets them; -1: it stays in flight.
+// workerResponses are responses of a worker, and the result of an attempt that receives them; -1: it stays in flight.
 var workerResponses = []struct {
 	text string
 	want dispatch.Result
@@ -33,16 +33,17 @@
 // sentAttempt is the model of an attempt.
 type sentAttempt struct {
 	peer        *peer
-	isWhole     bool // its last byte was received
+	isReceived  bool // the worker has received its last byte
 	accepted    bool
-	isKnown     bool // accepted, and sent by then: it can only be cancelled by a DELETE
-	isCancelled bool
-	want        dispatch.Result // its result, once settled
-	settled     bool
+	needsDelete bool            // the worker has accepted it while it was being sent: it can only be cancelled by a DELETE
+	isCancelled bool            // the worker has received its DELETE
+	want        dispatch.Result // the expected result, if isSettled
+	isSettled   bool
 }
 
-// A connection carries one request at a time. Each attempt has one outcome, which follows from how far it came. Nothing is sent twice.
-// An accepted attempt is cancelled by a DELETE only. All connections are idle in the end. Some connections are up late.
+// FuzzWorkerConnection checks that a connection carries one request at a time, that no attempt is sent twice, that each attempt
+// has one outcome, which follows from the stage that it has reached, that an accepted attempt is cancelled by a DELETE only, and
+// that all open connections are idle in the end. Some connections are established late.
 func FuzzWorkerConnection(f *testing.F) { modeltest.Fuzz(f, runWorkerConnection) }
 
 // workerModel is a worker with the attempts that were sent to it.
@@ -61,7 +62,7 @@
 	return m
 }
 
-// step lets the policy or the worker act once.
+// step has the policy or the worker act once.
 func (w *workerModel) step() {
 	if w.act(w.Pick(10)) {
 		w.runIterations()
@@ -104,7 +105,7 @@
 	case what < 6 && len(w.dialed) > 0:
 		if p := w.dialed[w.Pick(len(w.dialed))]; p.filledBytes > 0 {
 			p.release()
-			w.Record("up")
+			w.Record("connected")
 		} else {
 			w.actAsWorker(p)
 		}
@@ -149,7 +150,7 @@
 	if err == nil {
 		w.Check(n == len(p.Received), "a second request on a connection before the response to the first")
 		sent = w.attempts[string(request.Get("X-Call-Id"))]
-		w.recordWhole(p, sent, &request)
+		w.recordReceived(p, sent, &request)
 	}
 	switch act := w.Pick(8); {
 	case act < 4 && err == nil && !p.Closed && !p.Ended:
@@ -159,14 +160,14 @@
 	}
 }
 
-// recordWhole records that the last byte of an attempt was received; sent is nil for another kind of request.
-func (w *workerModel) recordWhole(p *peer, sent *sentAttempt, request *http1.Request) {
+// recordReceived records that the last byte of an attempt was received; sent is nil for another kind of request.
+func (w *workerModel) recordReceived(p *peer, sent *sentAttempt, request *http1.Request) {
 	if sent == nil || sent.peer == p {
 		return
 	}
 	w.Check(sent.peer == nil, "an attempt was sent twice")
-	sent.peer, sent.isWhole = p, true
-	w.Check(request.Get("X-Budget-Ms") != nil && string(request.Target) == "/a", "a request was changed")
+	sent.peer, sent.isReceived = p, true
+	w.Check(request.Get("X-Budget-Ms") != nil && string(request.Target) == "/a", "an attempt has no budget or the wrong target")
 }
 
 func (w *workerModel) respondAsWorker(p *peer, sent *sentAttempt, callID string) {
@@ -175,32 +176,32 @@
 	p.Received = nil
 	if sent != nil {
 		sent.accepted = response.want < 0
-		sent.isKnown = sent.isKnown || sent.accepted && w.isSending(callID)
-		sent.want, sent.settled = response.want, response.want >= 0
+		sent.needsDelete = sent.needsDelete || sent.accepted && w.isSending(callID)
+		sent.want, sent.isSettled = response.want, response.want >= 0
 	}
 	w.Record(response.text[:min(len(response.text), 14)])
 }
 
 func (w *workerModel) closeAsWorker(p *peer, sent *sentAttempt) {
 	p.Read(1 << 20)
-	if sent == nil && len(p.Received) > 0 { // what was received counts, though it was not read before
+	if sent == nil && len(p.Received) > 0 { // bytes that were received count even if the model had not read them
 		p.recordDelete(w.attempts)
 		var request http1.Request
 		if _, err := request.Parse(p.Received); err == nil && w.attempts[string(request.Get("X-Call-Id"))] != nil {
-			w.attempts[string(request.Get("X-Call-Id"))].isWhole = true
+			w.attempts[string(request.Get("X-Call-Id"))].isReceived = true
 		}
 	}
-	if sent != nil && !sent.settled {
-		sent.want, sent.settled = dispatch.ConnectionReset, true
+	if sent != nil && !sent.isSettled {
+		sent.want, sent.isSettled = dispatch.ConnectionReset, true
 	}
 	p.Close()
 	w.Record("close")
 }
 
-// recordDelete records the attempt of which a DELETE was received.
+// recordDelete records that the DELETE of an attempt was received, if the input is one.
 func (p *peer) recordDelete(attempts map[string]*sentAttempt) {
 	text, ok := strings.CutPrefix(string(p.Received), "DELETE /jobs/")
-	if id, _, whole := strings.Cut(text, " "); ok && whole {
+	if id, _, isComplete := strings.Cut(text, " "); ok && isComplete {
 		attempts[id].isCancelled = true
 	}
 }
@@ -215,7 +216,7 @@
 	return false
 }
 
-// checkOutcomes checks what the policy received against what the worker saw.
+// checkOutcomes compares the results that the policy received with what the worker received and sent.
 func (w *workerModel) checkOutcomes() {
 	results := map[uint64][]dispatch.Result{}
 	for _, e := range w.policy.Received {
@@ -239,14 +240,14 @@
 
 // checkOutcome checks the result that the policy received for an attempt.
 func (w *workerModel) checkOutcome(sent *sentAttempt, got dispatch.Result) {
-	w.Check(got != dispatch.Cancelled || !sent.isKnown || sent.isCancelled, "cancelled, and its worker is not notified")
+	w.Check(got != dispatch.Cancelled || !sent.needsDelete || sent.isCancelled, "ended as cancelled, without a DELETE to its worker")
 	switch {
 	case got == dispatch.TimedOut || got == dispatch.Cancelled: // at any time
 	case got == dispatch.ConnectFailed:
-		w.Check(!sent.isWhole, "failed to connect, though its last byte was received")
-	case sent.settled:
+		w.Check(!sent.isReceived, "ended as failed to connect, though its last byte was received")
+	case sent.isSettled:
 		w.Check(got == sent.want, "ended as %v, expected %v", got, sent.want)
 	default:
-		w.Check(got == dispatch.ConnectionReset && sent.isWhole && !sent.accepted, "ended as %v, complete %v, without a cause", got, sent.isWhole)
+		w.Check(got == dispatch.ConnectionReset && sent.isReceived && !sent.accepted, "ended as %v without a cause, completely received: %v", got, sent.isReceived)
 	}
 }
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -10,21 +10,21 @@
 	"valvecove/internal/requests"
 )
 
-// Config is what a Pool is made of. All fields but WorkerIdleTimeout are required.
+// Config configures a Pool. All fields but WorkerIdleTimeout are required.
 type Config struct {
 	Loop *eventloop.Loop
 	// Dial starts a non-blocking connection and returns its socket, which the pool owns.
 	Dial func(address netip.AddrPort) (socket int, err error)
-	// WriteDelay returns how long to wait before an attempt is written, 0 for not at all. It is called right before each write, so
-	// that the caller can find out whether the client of the request still waits; if not, it may end the attempt.
+	// WriteDelay returns how long to delay the write of an attempt; 0: it is written now. It is called right before each write,
+	// so that it can check whether the client of the request is still connected. If the client is not, it may end the attempt.
 	WriteDelay func(attempt *requests.Attempt) time.Duration
-	// HasRelinquished reports whether the successor of a hot restart owns the requests. No cancellation is repeated then.
+	// HasRelinquished reports whether the successor of a hot restart owns the requests. DELETEs are not retried then.
 	HasRelinquished func() bool
-	// MaxConnections is how many connections may be open at once; see SetMaxConnections.
+	// MaxConnections limits the connections that are open at once; see SetMaxConnections.
 	MaxConnections int
-	// ConnectTimeout is how long a connection may take from the start of its exchange to the first byte written.
+	// ConnectTimeout is how long a connection may take from the start of its exchange until its first byte is written.
 	ConnectTimeout time.Duration
-	// WorkerIdleTimeout is after how long workers close an idle connection; 0: never.
+	// WorkerIdleTimeout is the time after which workers close an idle connection; 0: never.
 	WorkerIdleTimeout time.Duration
 }
 
@@ -46,12 +46,12 @@
 	byAttempt      map[*requests.Attempt]*connection // of the attempts that no worker has accepted yet
 	cancelAttempts map[*requests.Attempt]int         // connections used so far to cancel an attempt, while it is being cancelled
 
-	idle                      list.List     // idle connections to all workers, the one that has been idle longest first
+	idle                      list.List     // idle connections to all workers, the longest idle first
 	maxReuseIdleTime          time.Duration // connections that were idle for longer are not reused; 0: no limit
-	maxReuseIdleTimeChangedAt time.Duration // when it was changed, or a lost connection confirmed it
+	maxReuseIdleTimeChangedAt time.Duration // when it was last changed, or confirmed by a lost connection
 
-	writeBuffer []byte         // reused for the bytes of a request, which are void after the write
-	response    http1.Response // reused for each response, which is void once it is handled
+	writeBuffer []byte         // reused to format each request; its content is not needed after the write
+	response    http1.Response // reused to parse each response; valid until that is handled
 }
 
 // New returns a pool without connections. SetTable must be called before the pool is used.
@@ -63,7 +63,7 @@
 		hasRelinquished: config.HasRelinquished,
 		maxConnections:  config.MaxConnections,
 		connectTimeout:  config.ConnectTimeout,
-		idleTimeout:     config.WorkerIdleTimeout * 3 / 4, // well before the worker closes it: a request that crosses that is lost
+		idleTimeout:     config.WorkerIdleTimeout * 3 / 4, // well before the worker: a request that crosses its close is lost
 		endpoints:       map[uint64]*endpointConnections{},
 		byAttempt:       map[*requests.Attempt]*connection{},
 		cancelAttempts:  map[*requests.Attempt]int{},
@@ -72,18 +72,18 @@
 	return pool
 }
 
-// SetTable sets the request table that the pool reports to. The table is made with the pool as its transport, so the pool exists
-// first.
+// SetTable sets the request table that the pool reports to. The table is created with the pool as its transport, so the pool is
+// created first.
 func (p *Pool) SetTable(table RequestTable) { p.table = table }
 
-// SetMaxConnections limits how many connections may be open at once. Where more are open they stay open; a new one is opened only
-// below the limit, if need be after the connection that has been idle longest is closed.
+// SetMaxConnections limits the connections that are open at once. Excess connections stay open. At or above the limit, the
+// connection that has been idle longest is closed for each new one; if none is idle, none is opened.
 func (p *Pool) SetMaxConnections(limit int) { p.maxConnections = limit }
 
 // HandleEvents does nothing: the pool owns timers of the loop and no descriptor.
 func (p *Pool) HandleEvents(uint32) {}
 
-// HandlePanic does nothing: the pool goes on after a panic in one of its timers.
+// HandlePanic does nothing: the pool keeps working after a panic in one of its timers.
 func (p *Pool) HandlePanic() {}
 
 // Start sends an attempt to its worker.
@@ -91,8 +91,8 @@
 	p.startExchange(attempt.Worker, exchange{kind: exchangeAttempt, attempt: attempt})
 }
 
-// Abandon notifies the worker that an attempt has ended here. Before the worker has accepted it, the connection is closed; after
-// that a DELETE is sent.
+// Abandon cancels at the worker an attempt that has ended in this process. Before the worker has accepted it, its connection is
+// closed; afterwards a DELETE is sent.
 func (p *Pool) Abandon(attempt *requests.Attempt) {
 	if conn := p.byAttempt[attempt]; conn != nil {
 		conn.terminate(nil)
@@ -115,7 +115,7 @@
 	}
 }
 
-// startExchange starts an exchange with a worker on the idle connection that was used last, or on a new one.
+// startExchange starts an exchange with a worker on its most recently used idle connection, or on a new one.
 func (p *Pool) startExchange(worker uint64, next exchange) {
 	endpoint := p.updateEndpoint(worker)
 	if conn := p.claimIdle(endpoint, next.kind); conn != nil {
@@ -129,8 +129,8 @@
 	p.loop.Protect(conn, conn.connect)
 }
 
-// HasWaitingDials reports whether an attempt waits for a connection that could not be dialed yet for lack of local resources. Such
-// an attempt can't be transferred to a successor.
+// HasWaitingDials reports whether an attempt waits for a connection that could not be dialed yet for lack of local resources. It
+// can't be transferred to a successor.
 func (p *Pool) HasWaitingDials() bool {
 	for _, conn := range p.byAttempt {
 		if conn.isWaitingToDial() {
@@ -140,8 +140,8 @@
 	return false
 }
 
-// EndWaitingDials ends the attempts that HasWaitingDials reports, as not sent. The policy may then start them again, here or in a
-// successor.
+// EndWaitingDials ends the attempts that HasWaitingDials reports, as not sent. The policy may then start them again, in this
+// process or in the successor.
 func (p *Pool) EndWaitingDials() {
 	for _, conn := range p.byAttempt {
 		if conn.isWaitingToDial() {
--- a/internal/worker/relinquish_test.go
+++ b/internal/worker/relinquish_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// Whenever a pool is relinquished, it keeps no connection that the successor owns: neither among the idle ones, nor of an attempt,
-// nor in the count of open ones. What else is in progress ends, however much time passes.
+// FuzzRelinquishedPool checks that a pool, whenever it is relinquished, keeps no connection that the successor owns: neither
+// among the idle ones, nor of an attempt, nor in the count of open ones. The exchanges that are not transferred end.
 func FuzzRelinquishedPool(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		model := newWorkerModel(s)
@@ -29,7 +29,7 @@
 func (w *workerModel) relinquish() {
 	w.pool.EndWaitingDials()
 	w.runIterations()
-	w.pool.EndWaitingDials() // of attempts that the policy has sent meanwhile
+	w.pool.EndWaitingDials() // for attempts that the policy has sent meanwhile
 	open := w.pool.openCount
 	transferred := len(w.pool.Snapshot())
 	w.pool.Relinquish()
@@ -37,7 +37,7 @@
 	w.Record("relinquish")
 	w.checkCollections()
 	isEmpty := w.pool.idle.Len() == 0 && len(w.pool.byAttempt) == 0
-	w.Check(isEmpty, "%d idle connections and %d of attempts are kept", w.pool.idle.Len(), len(w.pool.byAttempt))
+	w.Check(isEmpty, "%d idle connections and %d connections of attempts are kept", w.pool.idle.Len(), len(w.pool.byAttempt))
 	w.Check(w.pool.openCount == open-transferred, "%d connections open, %d before, %d transferred", w.pool.openCount, open, transferred)
 }
 
--- a/internal/worker/request.go
+++ b/internal/worker/request.go
@@ -14,18 +14,19 @@
 
 	// maxSingleWrite is the largest payload, in bytes, that is expected to fit into any socket's buffer at once.
 	maxSingleWrite = 4 << 10
-	// smallWriteTimeout is how long a payload of maxSingleWrite may wait for room in its socket's buffer. It also limits the rest
-	// of a request that a predecessor had begun to write, and a large payload whose connection has used up the time to connect. A
-	// retry must reach its worker within the deduplication window, which allows for this time.
+	// smallWriteTimeout limits the write of a payload of up to maxSingleWrite, which may wait for space in its socket's buffer.
+	// It also limits the write of the rest of a request that a predecessor had begun to write, and of a large payload whose
+	// connection has used up the connect timeout. The deduplication window, within which a retry must reach its worker, allows
+	// for this time.
 	smallWriteTimeout = 50 * time.Millisecond
-	// budgetMargin is subtracted from the time that a worker is given, for the time on the way from the client and to the worker.
+	// budgetMargin is subtracted from the time budget of an attempt, for the network latency from the client and to the worker.
 	budgetMargin = 20 * time.Millisecond
-	// maxClockAge is how old the reading of the clock may be by which the time budget of an attempt is computed.
+	// maxClockAge is how old the clock reading may be from which the time budget of an attempt is computed.
 	maxClockAge = 5 * time.Millisecond
 )
 
-// appendRequest appends the request of the exchange to a buffer. timeout is how long the exchange, or the write of an attempt, may
-// take from now on. ok is false if it is too late for the attempt.
+// appendRequest appends the request of the exchange to a buffer. timeout is how long the exchange, or the write of an attempt,
+// may take from now on. ok is false if no time remains for the attempt.
 func (c *connection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
 	attempt, address := c.exchange.attempt, c.endpoint.address.String()
 	switch c.exchange.kind {
@@ -42,8 +43,8 @@
 	return nil, 0, false
 }
 
-// appendAttempt appends the request of an attempt. Its time budget is what remains now, however late the connection is up. If the
-// process is suspended meanwhile, the request is formatted again.
+// appendAttempt appends the request of an attempt. Its time budget is the time that remains now, however long connecting took. If
+// formatting took more than maxClockAge, as when the process is suspended meanwhile, the request is formatted again.
 func (c *connection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
 	start, loop := len(buffer), c.pool.loop
 	for {
@@ -59,8 +60,8 @@
 	}
 }
 
-// appendAttemptWithin appends the request of an attempt that has the remaining time. A large payload may be written in parts: it may
-// take what is left of the time to connect, which is subtracted from the worker's time budget.
+// appendAttemptWithin appends the request of an attempt that has the remaining time. A large payload may be written in parts: the
+// write may take what is left of the connect timeout, which is subtracted from the worker's time budget.
 func (c *connection) appendAttemptWithin(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
 	payload := &attempt.Request.Payload
 	timeout = smallWriteTimeout
--- a/internal/worker/response.go
+++ b/internal/worker/response.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/requests"
 )
 
-// maxResponseSize is the largest response that is read, in bytes, with its interim responses and the framing of chunks.
+// maxResponseSize limits the bytes of a response, including interim responses and the framing of chunks.
 const maxResponseSize = 2 * (http1.MaxHeaderSize + http1.MaxBodySize)
 
 // readResponse reads what was received of the response, and ends the exchange once it is complete.
@@ -52,8 +52,8 @@
 	c.terminate(nil)
 }
 
-// isStrayResponse reports whether a successful response is a second one to the last exchange of the connection: attempts and health
-// checks succeed by different status codes. On a new connection there was no such exchange.
+// isStrayResponse reports whether a successful response is a second one to the previous exchange of the connection: attempts and
+// health checks succeed with different status codes. A new connection has no previous exchange.
 func (c *connection) isStrayResponse(statusCode int) bool {
 	if c.idleBefore == 0 || !isSuccess(statusCode) {
 		return false
@@ -68,10 +68,10 @@
 	}
 }
 
-// isSuccess reports whether a status code is one of success.
+// isSuccess reports whether a status code means success.
 func isSuccess(statusCode int) bool { return statusCode/100 == 2 }
 
-// handleResponse ends the exchange by the status code of the response. An attempt that was accepted stays in flight, without the
+// handleResponse ends the exchange according to the status code of the response. An accepted attempt stays in flight without the
 // connection.
 func (c *connection) handleResponse(response *http1.Response) {
 	failure := c.responseFailure(response)
@@ -96,7 +96,7 @@
 	c.pool.handleAccepted(attempt)
 }
 
-// statusError is the status code of a response that is none of success.
+// statusError is the status code of an unsuccessful response.
 type statusError int
 
 func (s statusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
--- a/internal/worker/response_test.go
+++ b/internal/worker/response_test.go
@@ -11,15 +11,15 @@
 	"valvecove/internal/requests"
 )
 
-// Whether an attempt is possibly executed follows from its last byte, also if the connection is reset at that moment.
-func TestResetAroundTheLastByte(t *testing.T) {
-	for name, x := range map[string]struct {
+// An attempt may have been executed if its last byte was written before the connection was reset; otherwise it was not.
+func TestResetAroundLastByte(t *testing.T) {
+	for name, test := range map[string]struct {
 		size int
-		far  func(f *fixture, request *requests.Request, remote *peer)
+		act  func(f *fixture, request *requests.Request, remote *peer)
 		want []dispatch.Result
 	}{
-		"before it": {http1.MaxBodySize, func(_ *fixture, _ *requests.Request, remote *peer) { remote.Read(4000); remote.Close() }, []dispatch.Result{dispatch.ConnectFailed}},
-		"after it":  {0, func(_ *fixture, _ *requests.Request, remote *peer) { remote.Read(4000); remote.Close() }, []dispatch.Result{dispatch.ConnectionReset}},
+		"before the last byte": {http1.MaxBodySize, func(_ *fixture, _ *requests.Request, remote *peer) { remote.Read(4000); remote.Close() }, []dispatch.Result{dispatch.ConnectFailed}},
+		"after the last byte":  {0, func(_ *fixture, _ *requests.Request, remote *peer) { remote.Read(4000); remote.Close() }, []dispatch.Result{dispatch.ConnectionReset}},
 		"within the response": {0, func(_ *fixture, _ *requests.Request, remote *peer) {
 			remote.Read(4000)
 			remote.Write([]byte(acceptedResponse[:20]))
@@ -40,10 +40,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			request := f.sendAttempt(x.size)
-			x.far(f, request, f.dialed[0])
+			request := f.sendAttempt(test.size)
+			test.act(f, request, f.dialed[0])
 			f.runIterations()
-			f.expect(name, request, x.want...)
+			f.expect(name, request, test.want...)
 			if f.pool.openCount != 0 {
 				t.Error("the connection is still open")
 			}
@@ -51,42 +51,43 @@
 	}
 }
 
-// A callback may be received before the 202, and twice. It counts once, and the connection becomes idle with the 202 as usual.
-func TestCallbackBeforeTheAcceptance(t *testing.T) {
+// A callback may be received before the 202, and twice. It is applied once, and the connection becomes idle with the 202 as
+// usual.
+func TestCallbackBeforeAcceptance(t *testing.T) {
 	for state, want := range map[string]dispatch.Result{"done": dispatch.OK, "returned": dispatch.WorkerFull, "failed": dispatch.Failed, "lost": dispatch.ConnectionReset} {
 		t.Run(state, func(t *testing.T) {
 			f := newFixture(t)
 			request := f.sendAttempt(0)
 			f.applyCallback(request, state)
 			f.applyCallback(request, state)
-			f.expect("called back twice", request, want)
+			f.expect("after two callbacks", request, want)
 			remote := f.dialed[0]
 			remote.Read(1 << 12)
 			remote.Received = nil
 			remote.Write([]byte(acceptedResponse))
 			f.runIterations()
-			f.expect("and accepted", request, want)
+			f.expect("after the 202", request, want)
 			f.now += reuseDelay
 			next := f.sendAttempt(0)
 			if remote.Read(1 << 12); len(f.dialed) != 1 || !strings.Contains(string(remote.Received), "X-Call-Id: "+next.CallID+"\r\n") {
 				t.Errorf("%d connections, the idle one got %q", len(f.dialed), remote.Received)
 			}
-			f.expect("of the next", next)
+			f.expect("next request", next)
 		})
 	}
 }
 
-// A second response to a request is never taken for the response to the next one, whenever it is received: the connection is closed, or
-// not reused for a while.
+// A second response to a request is never taken for the response to the next request, whenever it is received: the connection is
+// closed, or not reused until reuseDelay has passed.
 func TestStrayResponse(t *testing.T) {
 	const rejected = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-	for name, far := range map[string]func(f *fixture, remote *peer){
+	for name, respond := range map[string]func(f *fixture, remote *peer){
 		"right after the first": func(f *fixture, remote *peer) {
 			remote.Write([]byte(acceptedResponse + rejected))
 			f.runIterations()
 			f.now += reuseDelay
 		},
-		"half of one after it": func(f *fixture, remote *peer) {
+		"partial, right after the first": func(f *fixture, remote *peer) {
 			remote.Write([]byte(acceptedResponse + rejected[:5]))
 			f.runIterations()
 			f.now += reuseDelay
@@ -126,23 +127,23 @@
 			remote := f.dialed[0]
 			remote.Read(1 << 12)
 			remote.Received = nil
-			far(f, remote)
+			respond(f, remote)
 			next := f.sendAttempt(0)
 			if remote.Read(1 << 12); len(remote.Received) > 0 {
 				t.Errorf("the connection got %.60q", remote.Received)
 			}
-			f.expect("the first", request)
-			f.expect("the next", next)
+			f.expect("first request", request)
+			f.expect("next request", next)
 			if !remote.Ended {
 				t.Error("the connection is still open")
 			}
 			last := f.dialed[len(f.dialed)-1]
 			if last.Read(1 << 12); !strings.Contains(string(last.Received), "X-Call-Id: "+next.CallID+"\r\n") {
-				t.Errorf("the next was sent as %q", last.Received)
+				t.Errorf("the next request was sent as %q", last.Received)
 			}
 			last.Write([]byte("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"))
 			f.runIterations()
-			f.expect("the next by its own response", next, dispatch.Failed)
+			f.expect("next request, after its own response", next, dispatch.Failed)
 		})
 	}
 	// Attempts and health checks succeed by different status codes, so a second response to the other kind is recognised.
@@ -181,7 +182,8 @@
 	})
 }
 
-// A response that is cut off by the end of the connection is none. One without a length is complete with the end of the connection.
+// A response that is cut off by the end of the connection counts as none. One without a length is completed by the end of the
+// connection.
 func TestTruncatedResponse(t *testing.T) {
 	for text, want := range map[string][]dispatch.Result{
 		"":                                    {dispatch.ConnectionReset},
@@ -203,7 +205,7 @@
 		remote.Read(1 << 12)
 		remote.Write([]byte(text))
 		f.runIterations()
-		f.expect(fmt.Sprintf("%q, and no more yet", text), request)
+		f.expect(fmt.Sprintf("%q, still open", text), request)
 		remote.Close()
 		f.runIterations()
 		f.expect(fmt.Sprintf("%q, closed", text), request, want...)
@@ -213,48 +215,48 @@
 	}
 }
 
-// An endless response ends its connection at maxResponseSize, and other exchanges go on.
+// An endless response is cut off by closing its connection at maxResponseSize. Other exchanges are not affected.
 func TestEndlessResponse(t *testing.T) {
-	for name, x := range map[string]struct{ header, again string }{
-		"a status line":          {"", "HTTP/1.1 202 Accepted "},
-		"a head":                 {"HTTP/1.1 202 Accepted\r\n", "X: y\r\n"},
-		"interim responses":      {"", "HTTP/1.1 100 Continue\r\n\r\n"},
-		"a body until it closes": {"HTTP/1.1 202 Accepted\r\n\r\n", "0123456789abcdef"},
-		"chunks":                 {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"},
-		"trailers":               {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n"},
-		"a chunk's line":         {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n", "00000000"},
+	for name, test := range map[string]struct{ header, repeated string }{
+		"a status line":         {"", "HTTP/1.1 202 Accepted "},
+		"a header":              {"HTTP/1.1 202 Accepted\r\n", "X: y\r\n"},
+		"interim responses":     {"", "HTTP/1.1 100 Continue\r\n\r\n"},
+		"a body without length": {"HTTP/1.1 202 Accepted\r\n\r\n", "0123456789abcdef"},
+		"chunks":                {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"},
+		"trailers":              {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n"},
+		"a chunk size":          {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n", "00000000"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			request := f.sendAttempt(0)
 			remote := f.dialed[0]
 			remote.Read(1 << 12)
-			remote.Write([]byte(x.header))
-			k := f.pool.byAttempt[f.table.InFlightAttempt(request.ID, 0)]
-			piece, most := strings.Repeat(x.again, 4096/len(x.again)), 0
+			remote.Write([]byte(test.header))
+			conn := f.pool.byAttempt[f.table.InFlightAttempt(request.ID, 0)]
+			piece, maxBuffered := strings.Repeat(test.repeated, 4096/len(test.repeated)), 0
 			for n := 0; n < 4*maxResponseSize && !remote.Ended; n += len(piece) {
 				remote.Write([]byte(piece))
 				f.runIterations()
-				most = max(most, len(k.Input()))
+				maxBuffered = max(maxBuffered, len(conn.Input()))
 				remote.Read(1)
 			}
-			if !remote.Ended || most > maxResponseSize+64<<10 {
-				t.Fatalf("closed %v, %d bytes were buffered", remote.Ended, most)
+			if !remote.Ended || maxBuffered > maxResponseSize+64<<10 {
+				t.Fatalf("closed %v, %d bytes were buffered", remote.Ended, maxBuffered)
 			}
-			f.expect("endless", request, dispatch.ConnectionReset)
+			f.expect("endless response", request, dispatch.ConnectionReset)
 			next := f.sendAttempt(0)
 			last := f.dialed[len(f.dialed)-1]
 			last.Read(1 << 12)
 			last.Write([]byte("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"))
 			f.runIterations()
-			f.expect("the next", next, dispatch.WorkerFull)
+			f.expect("next request", next, dispatch.WorkerFull)
 		})
 	}
 }
 
-// A response before the last byte of its request is written ends the connection, so the worker never receives all of the attempt and
-// can't execute it.
-func TestResponseBeforeTheLastByte(t *testing.T) {
+// A response before the last byte of its request is written ends the connection, so the worker never receives all of the attempt
+// and can't execute it.
+func TestResponseBeforeLastByte(t *testing.T) {
 	for text, want := range map[string]dispatch.Result{
 		acceptedResponse: dispatch.ConnectFailed,
 		"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n":                 dispatch.ConnectFailed,
@@ -273,7 +275,7 @@
 		}
 		var m http1.Request
 		if _, err := m.Parse(remote.Received); err == nil || !remote.Ended {
-			t.Errorf("%.20q: the rest was received too, closed %v", text, remote.Ended)
+			t.Errorf("%.20q: the whole request was received, or the connection is open; closed %v", text, remote.Ended)
 		}
 		f.expect(fmt.Sprintf("%.12q", text), request, want)
 	}
--- a/internal/worker/table.go
+++ b/internal/worker/table.go
@@ -2,7 +2,7 @@
 
 import "valvecove/internal/requests"
 
-// RequestTable is what a pool needs of the request table that it serves. *requests.Table implements it.
+// RequestTable is the part of the request table that a pool uses. *requests.Table implements it.
 type RequestTable interface {
 	EndpointLookup
 	AttemptReporter
@@ -16,7 +16,7 @@
 	Endpoint(worker uint64) requests.Endpoint
 	// WorkerNumber returns the number of a worker by the ID of its endpoint.
 	WorkerNumber(endpointID string) (worker uint64, known bool)
-	// MayReceive reports whether an attempt may still be written to a worker: it is listed, and does not drain.
+	// MayReceive reports whether an attempt may still be written to a worker: whether the worker is listed and not draining.
 	MayReceive(worker uint64) bool
 }
 
@@ -24,9 +24,9 @@
 type AttemptReporter interface {
 	// InFlightAttempt returns an attempt in flight, nil if there is none.
 	InFlightAttempt(requestID uint64, number int) *requests.Attempt
-	// ReportWritten notes that the last byte of an attempt is written: it is possibly executed from now on.
+	// ReportWritten records that the last byte of an attempt was written: the worker may execute it from now on.
 	ReportWritten(attempt *requests.Attempt)
-	// ReportResponse notes the status of the response to an attempt.
+	// ReportResponse records the status of the response to an attempt.
 	ReportResponse(attempt *requests.Attempt, statusCode int)
 	// EndAttempt ends an attempt, with its result or with the failure.
 	EndAttempt(attempt *requests.Attempt, result []byte, failure *requests.AttemptError)
@@ -39,7 +39,7 @@
 
 // CancelReporter is notified of the results of cancellations.
 type CancelReporter interface {
-	// CancelUnaccepted ends an attempt whose cancellation was not sent, as the worker has not accepted the attempt in time.
+	// CancelUnaccepted ends an attempt whose DELETE was not sent because the worker did not accept the attempt in time.
 	CancelUnaccepted(attempt *requests.Attempt)
 	// CancelCompleted ends the cancellation of an attempt; confirmed reports whether the worker has confirmed it.
 	CancelCompleted(attempt *requests.Attempt, confirmed bool)
--- a/internal/worker/transfer.go
+++ b/internal/worker/transfer.go
@@ -14,8 +14,8 @@
 	Descriptor                  int // owned by the pool until Relinquish closes it
 }
 
-// Snapshot returns the connections that a successor needs: those that carry an attempt, and the idle ones. Nothing changes in the
-// pool. HasWaitingDials must be false, or else the attempts that it reports are missing.
+// Snapshot returns the connections that a successor needs: those that carry an attempt, and the idle ones. The pool does not
+// change. HasWaitingDials must be false: the attempts that it reports have no connection to transfer.
 func (p *Pool) Snapshot() []ConnectionSnapshot {
 	var snapshots []ConnectionSnapshot
 	for _, conn := range p.transferable() {
@@ -33,7 +33,7 @@
 	clear(p.byAttempt)
 }
 
-// relinquish closes the connection without an end of its exchange, which a successor continues.
+// relinquish closes the connection without ending its exchange, which the successor continues.
 func (c *connection) relinquish() {
 	c.leaveIdle()
 	c.state = stateClosed
@@ -72,8 +72,8 @@
 	return snapshot
 }
 
-// transferredState returns the state that a connection is transferred with. A successor asks again whether the write of an attempt
-// is delayed, so such a connection is transferred as one that is not up yet.
+// transferredState returns the state that a connection is transferred with. One whose write is delayed is transferred as
+// connecting: the successor decides again whether to delay the write.
 func transferredState(state connectionState) hotrestart.WorkerConnectionState {
 	switch state {
 	case stateIdle:
@@ -85,7 +85,7 @@
 	}
 }
 
-// restoredState returns the state of a connection that was transferred with a state.
+// restoredState returns the state of a restored connection from the one that it was transferred with.
 func restoredState(state hotrestart.WorkerConnectionState) connectionState {
 	switch state {
 	case hotrestart.WorkerConnecting:
@@ -97,8 +97,8 @@
 	}
 }
 
-// Restore adds a connection that a predecessor has transferred, and resumes its attempt. The pool owns the descriptor, and closes it
-// if the worker is unknown or the attempt is no longer in flight. The table must have its requests already. An attempt whose
+// Restore adds a connection that a predecessor has transferred, and resumes its attempt. The pool owns the descriptor, and closes
+// it if the worker is unknown or the attempt is no longer in flight. The requests must be in the table already. An attempt whose
 // connection can't be restored ends as lost.
 func (p *Pool) Restore(received hotrestart.ReceivedWorkerConnection) {
 	worker, isKnown := p.table.WorkerNumber(received.WorkerID)
--- a/internal/worker/transfer_test.go
+++ b/internal/worker/transfer_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/hotrestart"
 )
 
-// newPredecessorWithIdle returns a predecessor with an idle connection, and the remote end of that.
+// newPredecessorWithIdle returns a predecessor with an idle connection, and the remote end of the connection.
 func newPredecessorWithIdle(t *testing.T) (predecessor *fixture, remote *peer) {
 	t.Helper()
 	predecessor = newFixture(t)
@@ -24,7 +24,7 @@
 	return predecessor, remote
 }
 
-// transferIdle opens an idle connection in a predecessor, and returns what a successor receives of it.
+// transferIdle transfers an idle connection of a predecessor, and returns its remote end and what a successor receives.
 func transferIdle(t *testing.T) (remote *peer, received hotrestart.ReceivedWorkerConnection) {
 	t.Helper()
 	predecessor, remote := newPredecessorWithIdle(t)
@@ -40,8 +40,8 @@
 	return remote, hotrestart.ReceivedWorkerConnection{WorkerConnection: snapshots[0].WorkerConnection, Descriptor: descriptor}
 }
 
-// The idle connections that a successor owns are removed from the pool. Those that stayed listed would be closed as expired over
-// and over: a closed connection is not removed by terminate, so closeExpired would not return. The test therefore doesn't run it.
+// Idle connections that a successor owns are removed from the pool. If one stayed listed, closeExpired would not return once it
+// is stale: terminate doesn't remove a connection that is closed already. The test therefore doesn't run closeExpired.
 func TestRelinquishedPoolListsNoIdleConnection(t *testing.T) {
 	predecessor, _ := newPredecessorWithIdle(t)
 	endpoint := predecessor.pool.endpoints[predecessor.workerNumber()]
@@ -54,7 +54,7 @@
 	}
 }
 
-// An idle connection survives a hot restart, and is reused by the successor.
+// An idle connection survives a hot restart, and the successor reuses it.
 func TestRestoredIdleConnectionIsReused(t *testing.T) {
 	remote, received := transferIdle(t)
 	successor := newFixture(t)
@@ -66,7 +66,7 @@
 	}
 }
 
-// A connection that the successor has no use for is closed: its worker was never listed, or its attempt has ended.
+// The successor closes a connection whose worker was never listed or whose attempt has ended.
 func TestUnusableTransferredConnectionIsClosed(t *testing.T) {
 	for name, change := range map[string]func(*hotrestart.WorkerConnection){
 		"unknown worker":  func(c *hotrestart.WorkerConnection) { c.WorkerID = "s-9" },
