--- a/internal/client/accept_test.go
+++ b/internal/client/accept_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// Where 3 of 10 accepts fail momentarily, connections are accepted as fast as without: nearly all in the iteration in which they
-// arrive, all within a few milliseconds, and no idle connection is evicted for them.
-func TestMomentaryAcceptFailuresCostNothing(t *testing.T) {
+// If 3 of 10 accepts fail momentarily, connections are accepted as fast as without failures: nearly all in the iteration in which
+// they arrive, and all within 20 ms. No idle connection is evicted for them.
+func TestMomentaryAcceptFailures(t *testing.T) {
 	const clients = 400
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.ENETUNREACH, unix.EPROTO, unix.EINTR} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -45,15 +45,15 @@
 				f.awaitConnections(n+1, 20*time.Millisecond)
 			}
 			if injector.Injected(eventloop.CallAccept) < clients/4 || atOnce < clients*95/100 || f.listener.evicted.Len() != 0 {
-				t.Errorf("%d accepts failed, %d of %d connections were taken in at once, %d evicted",
+				t.Errorf("%d accepts failed, %d of %d connections were accepted at once, %d evicted",
 					injector.Injected(eventloop.CallAccept), atOnce, clients, f.listener.evicted.Len())
 			}
 		})
 	}
 }
 
-// While accepting fails, a waiting connection does not keep the loop busy, and only a lack of descriptors evicts an idle
-// connection. Once accepting works again, the waiting connection is accepted soon.
+// While accepting fails, a waiting connection does not keep the loop busy, and only a lack of descriptors of this process evicts
+// an idle connection. Once accepting works again, the waiting connection is accepted within MaxAcceptBackoff.
 func TestLastingAcceptFailure(t *testing.T) {
 	const idle = 3
 	evicting := []unix.Errno{unix.EMFILE}
@@ -64,14 +64,14 @@
 			for range idle {
 				f.connect()
 			}
-			f.runUntilQuiet()
+			f.runUntilIdle()
 			injector := f.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallAccept}, Errnos: []unix.Errno{errno}})
 			f.connect()
 			for range 1000 {
 				f.runOnce()
 				f.Time += time.Millisecond
 			}
-			// 25 pauses of up to 50 ms, and of each the tries of one event.
+			// There are about 25 pauses of up to 50 ms, each after the tries of one event.
 			if calls := injector.Calls(eventloop.CallAccept); calls > 32*eventloop.MaxAcceptAttempts {
 				t.Errorf("accept was called %d times in a second", calls)
 			}
@@ -79,11 +79,11 @@
 				t.Errorf("%d connections evicted", f.listener.evicted.Len())
 			}
 			injector.Clear()
-			accepted := injector.Calls(eventloop.CallAccept)
+			failed := injector.Calls(eventloop.CallAccept)
 			f.Time += eventloop.MaxAcceptBackoff
-			f.runUntilQuiet()
-			if injector.Calls(eventloop.CallAccept) == accepted || f.ReadyDescriptors() != 0 {
-				t.Error("the connection that waits is not accepted")
+			f.runUntilIdle()
+			if injector.Calls(eventloop.CallAccept) == failed || f.ReadyDescriptors() != 0 {
+				t.Error("the waiting connection is not accepted")
 			}
 		})
 	}
--- a/internal/client/arrivaltime.go
+++ b/internal/client/arrivaltime.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// inputArrivalResolution is the shortest time between two recorded arrivals: a client may send its input byte by byte.
+// inputArrivalResolution is the minimum time between two recorded arrivals. It limits their number for a client that sends its
+// input byte by byte.
 const inputArrivalResolution = 100 * time.Millisecond
 
 // inputArrival is the arrival of some bytes of a connection's input.
@@ -11,8 +12,8 @@
 	at    time.Duration
 }
 
-// recordInputArrival records the arrival of the end of the input. Bytes that arrive within inputArrivalResolution of earlier ones
-// count as arrived with them.
+// recordInputArrival records the arrival of the input that was added since the last call. Bytes that arrive within
+// inputArrivalResolution of the last recorded ones count as arrived with those.
 func (c *connection) recordInputArrival() {
 	added := len(c.Input())
 	for _, arrival := range c.inputArrivals {
@@ -40,7 +41,7 @@
 	return c.lastInputTime()
 }
 
-// lastInputTime returns when the end of the input arrived.
+// lastInputTime returns when the last byte of the input arrived.
 func (c *connection) lastInputTime() time.Duration {
 	if arrivedAt := c.InputCameAt(); arrivedAt > 0 {
 		return arrivedAt
--- a/internal/client/benchmark_test.go
+++ b/internal/client/benchmark_test.go
@@ -14,7 +14,7 @@
 // iteration that reads the request.
 func benchmarkConnection(b *testing.B, request func(n int) []byte, respond func(f *fixture, job uint64)) {
 	b.Helper()
-	// A fixture reports failures to a test, which a benchmark has not.
+	// A fixture reports failures to a *testing.T, which a benchmark doesn't have.
 	f := newFixture(&modeltest.Steps{T: &testing.T{}})
 	peer := f.openConnection()
 	received := make([]byte, 1<<12)
--- a/internal/client/closing_test.go
+++ b/internal/client/closing_test.go
@@ -19,7 +19,8 @@
 	"valvecove/internal/requests"
 )
 
-// connectSlowReader returns a client with a small receive buffer, so that responses wait in the kernel of the listener's side.
+// connectSlowReader returns a client with a small receive buffer, so that responses stay in the kernel's send buffer of the
+// listener.
 func (f *fixture) connectSlowReader() *eventlooptest.Peer {
 	_, sockaddr := eventloop.Sockaddr(f.listener.Addr())
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -38,7 +39,7 @@
 	return p
 }
 
-// readToEnd reads up to the end of the connection, in small parts. A reset is an error.
+// readToEnd reads until the end of the connection, in small parts. It returns an error if the connection is reset.
 func (f *fixture) readToEnd(p *eventlooptest.Peer) error {
 	b := make([]byte, 1<<10)
 	for range 100_000 {
@@ -65,16 +66,16 @@
 	f.RunIterations()
 	result := strings.Repeat("r", size)
 	if known, err := f.table.HandleCallback(requests.Callback{CallID: id, EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil {
-		f.T.Fatalf("the callback is known %v, %v", known, err)
+		f.T.Fatalf("the callback is known: %v, error %v", known, err)
 	}
 }
 
-// Whatever closes a connection, its last response arrives complete, even if it still waits in the kernel and a request crosses the
-// close. That request is not admitted: its client sends it again.
-func TestResponsesOutliveTheClose(t *testing.T) {
+// Whatever closes a connection, its last response arrives complete, even if it is still in the kernel's send buffer and another
+// request crosses the close. That request is not admitted; its client retries it.
+func TestLastResponseSurvivesClose(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
-		close   func(f *fixture, p *eventlooptest.Peer) // p has its answer, though unread
+		close   func(f *fixture, p *eventlooptest.Peer) // p has a response to read
 	}{
 		"eviction":                     {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.evict() }},
 		"listener closes":              {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.Close() }},
@@ -96,8 +97,8 @@
 	}
 }
 
-// closeWithUnreadResponse has a client's connection closed while a response waits with the kernel, and a request crosses the
-// close. It expects the response to get there, and the request not to be admitted.
+// closeWithUnreadResponse closes a client's connection while a response is in the kernel's send buffer and a request crosses the
+// close. It checks that the response arrives, and that the request is not admitted.
 func (f *fixture) closeWithUnreadResponse(request string, closeConnection func(f *fixture, p *eventlooptest.Peer)) {
 	const size = 60 << 10
 	p := f.connectSlowReader()
@@ -110,18 +111,18 @@
 		f.T.Fatal("no connection")
 	}
 	if !f.listener.HasSentAll() {
-		f.T.Fatal("a response waits to be sent")
+		f.T.Fatal("a response is not sent yet")
 	}
 	f.RunIterations()
 	closeConnection(f, p)
-	p.Write([]byte(requestOfSize(9, 0))) // nobody has read it when the connection is shut
+	p.Write([]byte(requestOfSize(9, 0))) // it is unread when the connection is shut down
 	f.RunIterations()
 	if err := f.readToEnd(p); err != nil {
 		f.T.Errorf("after %d bytes: %v", len(p.Received), err)
 	}
 	var m http1.Response
 	if _, err := m.Parse(p.Received, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
-		f.T.Errorf("of the response %d bytes arrived (%v)", len(p.Received), err)
+		f.T.Errorf("%d bytes of the response arrived (%v)", len(p.Received), err)
 	}
 	for _, e := range f.policy.Received {
 		if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
@@ -135,10 +136,10 @@
 	}
 }
 
-// A request that arrived before its connection is shut down is handled and has its response. One that arrives later finds the end of
-// the connection, and no reset.
-func TestRequestsThatCrossAClose(t *testing.T) {
-	for name, shut := range shutters() {
+// A request that arrived before its connection is shut down is handled and has its response. The client of one that arrives later
+// finds the end of the connection, and no reset.
+func TestRequestsThatCrossClose(t *testing.T) {
+	for name, shutDown := range shutdownCauses() {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(&modeltest.Steps{T: t})
 			f.listen()
@@ -147,7 +148,7 @@
 			f.Time += evictionGrace
 			f.RunIterations()
 			before.Write([]byte(numberedRequest(clientRequests[6].text, 1)))
-			shut(f)
+			shutDown(f)
 			after.Write([]byte(requestOfSize(2, 0)))
 			f.RunIterations()
 			if got := statuses(t, before); len(got) != 1 || got[0] != 200 {
@@ -160,14 +161,14 @@
 	}
 }
 
-// A request of which a part was read when its connection is closed gets a response. When the listener closes, or the connection was
-// silent before, the remainder may still arrive; when connections are evicted, the request is rejected.
-func TestHalfARequestAtTheClose(t *testing.T) {
+// A request that has arrived in part when its connection is shut down gets a response. It is rejected with 503 when the listener
+// closes or connections are evicted. On a connection that was silent until its timeout, the remainder may still arrive.
+func TestPartialRequestAtClose(t *testing.T) {
 	admitted, up := clientRequests[0].text, clientRequests[6].text
 	for name, c := range map[string]struct {
-		request string
-		shut    func(f *fixture)
-		want    int
+		request  string
+		shutDown func(f *fixture)
+		want     int
 	}{
 		"listener closes": {admitted, func(f *fixture) { f.listener.Close() }, 503},
 		"eviction": {admitted, func(f *fixture) {
@@ -184,20 +185,20 @@
 		for read, isRead := range map[string]bool{"read": true, "unread": false} {
 			for client, first := range map[string]string{"new": "", "known": numberedRequest(up, 1)} {
 				if name == "idle" && (isRead || first != "") {
-					continue // it had its time, or has as much anew
+					continue // one that was read has timed out, and one after another request has a timeout of its own
 				}
 				t.Run(name+", "+read+", "+client, func(t *testing.T) {
 					f := newFixture(&modeltest.Steps{T: t})
 					f.listen()
-					f.checkHalfRequest(first, numberedRequest(c.request, 2), isRead, c.shut, c.want)
+					f.checkPartialRequest(first, numberedRequest(c.request, 2), isRead, c.shutDown, c.want)
 				})
 			}
 		}
 	}
 }
 
-// checkHalfRequest has a client send a request in two halves, and its connection closed in between.
-func (f *fixture) checkHalfRequest(first, request string, isRead bool, shut func(f *fixture), want int) {
+// checkPartialRequest has a client send a request in two halves, and shuts its connection down in between.
+func (f *fixture) checkPartialRequest(first, request string, isRead bool, shutDown func(f *fixture), want int) {
 	p := f.connect()
 	p.Write([]byte(first))
 	f.RunIterations()
@@ -209,7 +210,7 @@
 	if isRead {
 		f.RunIterations()
 	}
-	shut(f)
+	shutDown(f)
 	p.Write([]byte(request[len(request)/2:]))
 	f.RunIterations()
 	if got := statuses(f.T, p); !slices.Equal(got, []int{want}) {
@@ -219,7 +220,7 @@
 
 // A listener that closes responds to each request that it has read, once, however many were pipelined. The last response has
 // Connection: close.
-func TestCloseRespondsToWhatWasRead(t *testing.T) {
+func TestCloseRespondsToReadRequests(t *testing.T) {
 	const requests = maxResponseSlots + 5
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
@@ -228,14 +229,14 @@
 	for n := range requests {
 		p.Write([]byte(requestOfSize(n, 0)))
 	}
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.listener.Close()
 	f.RunIterations()
 	for n := range maxResponseSlots {
 		f.policy.Next = append(f.policy.Next, dispatch.Fail{Job: uint64(n + 1)})
 	}
 	f.table.Wake()
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	got := statuses(t, p)
 	for n, status := range got {
 		if want := map[bool]int{true: 500, false: 503}[n < maxResponseSlots]; status != want {
@@ -245,17 +246,17 @@
 	if p.Read(1); len(got) != requests || !p.Ended || bytes.Count(p.Received, []byte("Connection: close")) != 1 {
 		t.Errorf("%d responses to %d requests, ended %v: %q", len(got), requests, p.Ended, p.Received)
 	}
-	if !f.isQuiet() {
-		t.Error("not quiet once every response is sent")
+	if !f.hasAnsweredAll() {
+		t.Error("a request is open, or a response is not sent")
 	}
 }
 
-// During a flood of idle connections, connections never use more descriptors than their limit, not even within an iteration. Each new
-// connection is accepted within a few iterations, so that a request, a callback and a readiness check are served.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+// During a flood of idle connections, connections never use more descriptors than their limit, not even within an iteration. New
+// connections are still accepted within a few iterations, so that a request, a callback and a readiness check are served.
+func TestFloodOfIdleConnections(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
-	c := f.listener
+	listener := f.listener
 	const connections = 64
 	f.listener.SetLimits(testLimits(connections))
 	request := f.connect()
@@ -267,10 +268,10 @@
 	iterations := func(n int) {
 		t.Helper()
 		for range n {
-			if held := f.descriptorsHeldInIteration(); held > connections {
-				t.Fatalf("%d descriptors used, %d allowed", held, connections)
+			if used := f.descriptorsUsedInIteration(); used > connections {
+				t.Fatalf("%d descriptors used, %d allowed", used, connections)
 			}
-			full = full || c.activeCount() >= c.maxConnections
+			full = full || listener.activeCount() >= listener.maxConnections
 		}
 	}
 	var idle []*eventlooptest.Peer
@@ -288,7 +289,7 @@
 		f.Time += evictionGrace / 4
 	}
 	if !full {
-		t.Fatalf("%d connections only", c.activeCount())
+		t.Fatalf("the limit was not reached: %d connections", listener.activeCount())
 	}
 	up, callback := f.connect(), f.connect()
 	up.Write([]byte(numberedRequest(clientRequests[6].text, 1)))
@@ -309,25 +310,26 @@
 	}
 }
 
-// descriptorsHeldInIteration runs an iteration and returns how many connections were open at any time in it.
-func (f *fixture) descriptorsHeldInIteration() int {
+// descriptorsUsedInIteration runs an iteration and returns how many connections were open at any time during it. Connections that
+// end in it count, as their descriptors are closed after those that it opens.
+func (f *fixture) descriptorsUsedInIteration() int {
 	connections := f.listener.connections
 	before := map[*connection]bool{}
-	for k := range connections {
-		before[k] = true
+	for conn := range connections {
+		before[conn] = true
 	}
 	f.runOnce()
-	held := len(before)
-	for k := range connections {
-		if !before[k] { // opened while those that ended in the same iteration were there still
-			held++
+	used := len(before)
+	for conn := range connections {
+		if !before[conn] {
+			used++
 		}
 	}
-	return held
+	return used
 }
 
-// A connection ends when its client reads nothing of a response for responseUnreadTimeout, but not when it reads slowly.
-func TestUnreadResponsesEndTheConnection(t *testing.T) {
+// A connection ends if its client reads nothing of a response for responseUnreadTimeout, but not if the client reads slowly.
+func TestUnreadResponsesEndConnection(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	var peers []*eventlooptest.Peer
 	for range 2 {
@@ -336,8 +338,8 @@
 			p.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
 			f.RunIterations()
 		}
-		if k := f.connection(fd); len(k.Output()) == 0 || len(k.Input()) > 0 {
-			t.Fatalf("%d bytes wait to be read, %d to be parsed", len(k.Output()), len(k.Input()))
+		if conn := f.connection(fd); len(conn.Output()) == 0 || len(conn.Input()) > 0 {
+			t.Fatalf("%d bytes wait to be sent, %d to be parsed", len(conn.Output()), len(conn.Input()))
 		}
 		peers = append(peers, p)
 	}
@@ -356,15 +358,15 @@
 	}
 }
 
-// shutters are the ways in which a connection without a request in flight is shut down.
-func shutters() map[string]func(f *fixture) {
+// shutdownCauses returns functions that shut down the connections without a request in flight, by the cause of the shutdown.
+func shutdownCauses() map[string]func(f *fixture) {
 	return map[string]func(f *fixture){
 		"listener closes": func(f *fixture) { f.listener.Close() },
 		"eviction": func(f *fixture) {
 			for f.listener.evict() {
 			}
 		},
-		"idle": func(f *fixture) { // before the iteration that has an event for what has come
+		"idle": func(f *fixture) { // before the iteration that has an event for the input
 			f.Time += requestReadTimeout + expiryInterval
 			f.UpdateNow()
 			f.listener.closeExpired()
@@ -372,9 +374,10 @@
 	}
 }
 
-// The largest request that arrived complete before its connection is shut down is handled, though it takes several reads.
-func TestLargeRequestBeforeAClose(t *testing.T) {
-	for name, shut := range shutters() {
+// A request of the largest size that arrived complete before its connection is shut down is handled, though it takes several
+// reads.
+func TestLargeRequestBeforeClose(t *testing.T) {
+	for name, shutDown := range shutdownCauses() {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(&modeltest.Steps{T: t})
 			f.listen()
@@ -386,7 +389,7 @@
 			if n, err := unix.Write(p.FD, []byte(request)); n != len(request) {
 				t.Fatalf("%d bytes written, %v", n, err)
 			}
-			shut(f)
+			shutDown(f)
 			f.RunIterations()
 			f.act(dispatch.Fail{Job: 1})
 			f.RunIterations()
@@ -398,8 +401,8 @@
 }
 
 // A request that was read in part when its connection is shut down is rejected, also if the remainder arrives later.
-func TestPartOfARequestBeforeAClose(t *testing.T) {
-	for name, shut := range shutters() {
+func TestPartialRequestBeforeClose(t *testing.T) {
+	for name, shutDown := range shutdownCauses() {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(&modeltest.Steps{T: t})
 			f.listen()
@@ -409,7 +412,7 @@
 			f.RunIterations()
 			f.Time += evictionGrace
 			f.RunIterations()
-			shut(f)
+			shutDown(f)
 			f.RunIterations()
 			p.Write([]byte(request[150:]))
 			f.RunIterations()
@@ -426,7 +429,7 @@
 
 // After a panic in the handling of a request, each request that was read has a response, on a new connection and on one with
 // requests in flight. The requests in flight end, and the loop continues.
-func TestPanicLeavesNoRequestUnanswered(t *testing.T) {
+func TestPanicLeavesNoRequestWithoutResponse(t *testing.T) {
 	for _, inFlight := range []int{0, 1, 3} {
 		f := newFixture(&modeltest.Steps{T: t})
 		f.listen()
@@ -436,7 +439,7 @@
 		}
 		f.RunIterations()
 		settings := f.listener.parser.settings
-		f.listener.parser.settings = nil // handling a request reads it
+		f.listener.parser.settings = nil // so that handling a request panics
 		p.Write([]byte(requestOfSize(9, 0)))
 		f.RunIterations()
 		f.listener.parser.settings = settings
--- a/internal/client/config.go
+++ b/internal/client/config.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/requests"
 )
 
-// RequestTable is what a Listener needs of the request table. *requests.Table implements it.
+// RequestTable is the part of the request table that a Listener uses. *requests.Table implements it.
 type RequestTable interface {
 	Admitter
 	CallbackHandler
@@ -44,7 +44,7 @@
 	TrustsProxy(address netip.Addr) bool
 }
 
-// Config is what a Listener is made of.
+// Config configures a Listener.
 type Config struct {
 	Loop          *eventloop.Loop
 	Table         RequestTable
@@ -60,5 +60,5 @@
 type Limits struct {
 	Connections int // open at once
 	Requests    int // open at once
-	BufferBytes int // of connections; payloads of open requests may take up as much again
+	BufferBytes int // of the buffers of connections; the same limit applies separately to the payloads of open requests
 }
--- a/internal/client/connection.go
+++ b/internal/client/connection.go
@@ -19,7 +19,7 @@
 const (
 	phaseReading   phase = iota // requests are read
 	phaseFinishing              // no further request is read; the connection ends with its last response
-	phaseLingering              // all responses are sent; what the peer still sends is discarded
+	phaseLingering              // all responses are sent; further input is discarded
 )
 
 func (p phase) String() string {
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("phase(%d)", int(p))
 }
 
-// requestHistory is the best request that a connection has had. It only advances.
+// requestHistory is the most useful kind of request that a connection has sent. It only advances.
 type requestHistory int
 
 const (
@@ -55,35 +55,35 @@
 	return fmt.Sprintf("requestHistory(%d)", int(h))
 }
 
-// connection is an accepted connection. Its requests are answered in the order in which they arrived.
+// connection is an accepted connection. It responds to requests in the order in which they arrived.
 type connection struct {
 	eventloop.Stream
 	listener       *Listener
 	phase          phase
 	history        requestHistory
-	slots          []*responseSlot // of requests whose response is not sent, in order of arrival
+	slots          []*responseSlot // of the requests whose response is not sent yet, in order of arrival
 	sendsCallbacks bool            // the last useful request was a callback: the peer is a worker
-	continueSent   bool            // for the request that is being read
+	continueSent   bool            // the interim response to the request that is being read
 
 	halfClosed      bool          // the peer has closed its sending side
-	halfCloseProbed bool          // the peer was probed since
-	probedAt        time.Duration // of the last probe
-	inputEnded      bool          // all that the peer sent before its end was read
+	halfCloseProbed bool          // probe was called since then
+	probedAt        time.Duration // the time of the last probe
+	inputEnded      bool          // everything that the peer sent before it closed its sending side was read
 	panicked        bool          // a handler panicked
-	inputOverrun    bool          // more was sent ahead of responses than is kept: further input is discarded
+	inputOverrun    bool          // more was sent ahead of responses than is buffered: further input is discarded
 
-	inputArrivals      []inputArrival // of the input that is not consumed
-	currentRequestSize int            // bytes at the start of the input that are the request being handled; 0: none is
-	currentArrival     time.Duration  // of the request being handled
+	inputArrivals      []inputArrival // of the unconsumed input
+	currentRequestSize int            // bytes of the request being handled, at the start of the input; 0: none
+	currentArrival     time.Duration  // when the request being handled arrived
 
 	lastActivity time.Duration // when a request last began or a transfer last progressed; see closeIfExpired
 	lingerStart  time.Duration
-	countedBytes int           // of the buffers, in the listener's count
+	countedBytes int           // size of the buffers, as included in Listener.bufferedBytes
 	currentList  *list.List    // one of the listener's lists, or nil
 	listElement  *list.Element // in currentList
 
 	clientAddress   netip.AddrPort
-	proxyAddress    netip.AddrPort // of the proxy that the client is connected to; not valid: none
+	proxyAddress    netip.AddrPort // of the proxy that forwards the client's connection; not valid: none
 	proxyHeaderDone bool           // a PROXY header was read, or there is none
 }
 
@@ -98,8 +98,9 @@
 // advanceHistory records a request.
 func (c *connection) advanceHistory(history requestHistory) { c.history = max(c.history, history) }
 
-// Priority puts the events of clients before those of workers: a disconnected client is known before its request is written to
-// a worker, and a worker's callback before the end of the connection that carried its attempt.
+// Priority has the events of clients handled before those of connections to workers: the disconnect of a client is noticed before
+// its request is written to a worker, and a worker's callback is applied before the end of the connection that carried its
+// attempt.
 func (c *connection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
 // HandlePanic ends the connection, with a response to each request that was read. A second panic ends it at once.
@@ -112,7 +113,7 @@
 	c.loop().Protect(c, c.failAll)
 }
 
-// HandleEvents sends what waits, reads input, and handles requests.
+// HandleEvents sends pending output, reads input, and handles requests.
 func (c *connection) HandleEvents(events uint32) {
 	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && c.phase != phaseLingering {
 		c.handleReset()
@@ -124,7 +125,7 @@
 			return
 		}
 	}
-	// EPOLLRDHUP is reported while input that was sent before the end is still unread.
+	// EPOLLRDHUP is reported even while input that was sent before the end is unread.
 	c.halfClosed = c.halfClosed || events&unix.EPOLLRDHUP != 0
 	if events&^unix.EPOLLOUT != 0 && !c.inputEnded {
 		if err := c.readInput(); err != nil {
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// discardInput reads input that is not handled. A connection that is closed over unread input is reset, and its last response
-// may be lost.
+// discardInput reads input that is not handled. Closing a connection with unread input would reset it, and its last response
+// might be lost.
 func (c *connection) discardInput() (ended bool, err error) {
 	n, ended, err := c.Discard()
 	if n > 0 {
@@ -171,8 +172,8 @@
 	return ended, err
 }
 
-// handleReset ends a connection that the peer has closed in both directions. No request in the remaining input is admitted, as
-// nobody waits for its response; callbacks are applied.
+// handleReset ends a connection that the peer has reset or closed in both directions. Requests in the remaining input are not
+// admitted, as no client waits for their responses; callbacks are applied.
 func (c *connection) handleReset() {
 	for c.isReading() && len(c.slots) == 0 && len(c.Input()) <= maxReadAhead {
 		before := len(c.Input())
@@ -195,9 +196,10 @@
 	c.terminate()
 }
 
-// probeHalfClosed probes, once, a client that has closed its sending side. A client that has closed the whole connection looks
-// the same until something is written: then it responds with a reset, while one that still waits skips the interim response, as
-// each client must. If the reset arrives in time, the connection ends before its request is sent to a worker.
+// probeHalfClosed probes, once, a client that has closed its sending side. A client that has closed the whole connection can't be
+// told apart until something is written to it: it then responds with a reset, while one that still waits for its response ignores
+// the interim response, as HTTP requires. If the reset arrives in time, the connection ends before its request is sent to a
+// worker.
 func (c *connection) probeHalfClosed() {
 	if c.halfCloseProbed {
 		return
@@ -205,6 +207,7 @@
 	c.probe()
 }
 
+// probe writes an interim response, to which a client that has closed the connection responds with a reset.
 func (c *connection) probe() {
 	c.halfCloseProbed = true
 	c.probedAt = c.loop().Clock()
@@ -213,8 +216,8 @@
 	}
 }
 
-// updateInputEvents sets the events that the connection waits for. Input is read up to the peer's end, which follows all that
-// the peer has sent. The event for that end is level-triggered, so it is not waited for again; one for a reset always is.
+// updateInputEvents requests the events for input that are still needed: EPOLLIN until the end of the input is read, and
+// EPOLLRDHUP until it was reported once, as it is level-triggered. A reset is always reported.
 func (c *connection) updateInputEvents() {
 	events := c.Events() &^ eventloop.StreamEvents
 	if !c.halfClosed {
@@ -234,8 +237,8 @@
 }
 
 // linger closes the sending side of the connection, and puts it on a list. Input is discarded until the peer closes its side or
-// the connection expires: closed over unread input, the connection would be reset, and the peer lose responses that it has not
-// read.
+// the connection expires: closing the connection with unread input would reset it, and the peer would lose responses that it has
+// not read.
 func (c *connection) linger(target *list.List) {
 	if c.phase != phaseLingering {
 		c.advancePhase(phaseLingering)
@@ -249,7 +252,7 @@
 	c.updateBufferedBytes()
 }
 
-// terminate closes the connection. Its open requests are abandoned.
+// terminate closes the connection. Its open requests are reported as abandoned by the client.
 func (c *connection) terminate() {
 	if !c.IsOpen() {
 		return
--- a/internal/client/connection_test.go
+++ b/internal/client/connection_test.go
@@ -17,14 +17,14 @@
 	"valvecove/internal/modeltest"
 )
 
-// clientRequest is a request, and what a client may expect of it.
+// clientRequest is a request, and the response that a client may expect.
 type clientRequest struct {
 	text   string
-	status int // 0: it is admitted, and waits
-	closes bool
+	status int  // 0: it is admitted, and the policy decides
+	closes bool // the connection ends after the response
 }
 
-// clientRequests are the requests of a client.
+// clientRequests are the requests that clients send in tests; # stands for a number.
 var clientRequests = []clientRequest{
 	{"POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: #\r\nX-Caller: t\r\nContent-Length: 5\r\n\r\nhello", 0, false},
 	{"POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: #\r\nX-Caller: t\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n0\r\n\r\n", 0, false},
@@ -46,18 +46,19 @@
 
 func numberedRequest(text string, n int) string { return strings.ReplaceAll(text, "#", fmt.Sprint(n)) }
 
-// A connection responds to each request exactly once and in order, whatever parts it arrives in and whichever is completed first.
-// It closes on malformed framing, and reports the disconnect of the client.
+// FuzzClientConnection checks that a connection responds to each request exactly once and in order, whatever parts the requests
+// arrive in and whichever is completed first, that it closes on malformed framing, and that it reports the disconnect of the
+// client.
 func FuzzClientConnection(f *testing.F) { modeltest.Fuzz(f, runClientConnection) }
 
 // clientModel is a client with one connection, and the responses that it expects.
 type clientModel struct {
 	*fixture
 	peer     *eventlooptest.Peer
-	unsent   string // of the request that is being written
+	unsent   string // the rest of the request that is being written
 	next     clientRequest
 	expected []expectedResponse
-	last     bool // the loop closes the connection once all is answered
+	last     bool // no further request is sent: the loop closes the connection after the last response
 }
 
 func runClientConnection(s *modeltest.Steps) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// act takes one step of the client or of the policy.
+// act has the client or the policy act once.
 func (m *clientModel) act(n, what int) {
 	switch {
 	case what < 3 && m.unsent == "" && !m.last && len(m.expected) < maxResponseSlots:
@@ -94,7 +95,7 @@
 	case what < 10 && len(m.expected) > 0:
 		m.respond()
 	case what == 10 && m.unsent == "" && !m.last && m.Pick(4) == 0:
-		m.peer.CloseWrite() // it still listens, so it is still owed its answers
+		m.peer.CloseWrite() // it still reads, and expects the responses
 		m.last = true
 		m.Record("half-close")
 	case what == 11 && m.Pick(6) == 0:
@@ -123,11 +124,11 @@
 		m.policy.Next = append(m.policy.Next, dispatch.Fail{Job: d.job})
 		d.status = 500
 	}
-	m.table.DiscoveryFailed() // something to step for
-	m.Record("answer")
+	m.table.DiscoveryFailed() // makes a step due
+	m.Record("respond")
 }
 
-// matchJobs expects that the jobs among events belong to the request that was written last.
+// matchJobs checks that the jobs among the events belong to the request that was written last.
 func (m *clientModel) matchJobs(events []dispatch.Event) {
 	for _, e := range events {
 		if j, ok := e.(dispatch.Job); ok {
@@ -161,7 +162,7 @@
 	job    uint64
 }
 
-// checkResponses expects the responses that are complete by now, in order, and returns the others.
+// checkResponses checks that the responses that are due have been received, in order, and returns those that are not due yet.
 func (f *fixture) checkResponses(p *eventlooptest.Peer, expected []expectedResponse) []expectedResponse {
 	for !p.Closed && len(p.Received) > 0 {
 		if strings.HasPrefix(string(p.Received), http1.ContinueResponse) {
@@ -179,8 +180,8 @@
 	return expected
 }
 
-// A connection on which a request is not begun, not completed, or malformed is closed in time. One that awaits a response, or is idle
-// after a useful request, stays open.
+// A connection on which no request is begun, or one is not completed or malformed, is closed after requestReadTimeout. One that
+// awaits a response, or is idle after a request with a response, stays open.
 func TestStalledConnectionsEnd(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	texts := map[string]string{
@@ -202,8 +203,8 @@
 	} {
 		p := peers[name]
 		p.Read(1 << 10)
-		lives := name == "waiting" || name == "idle"
-		if !strings.HasPrefix(string(p.Received), want) || p.Ended == lives || name == "again" && !strings.Contains(string(p.Received), " 408 ") {
+		staysOpen := name == "waiting" || name == "idle"
+		if !strings.HasPrefix(string(p.Received), want) || p.Ended == staysOpen || name == "again" && !strings.Contains(string(p.Received), " 408 ") {
 			t.Errorf("%s: got %q, ended %v", name, p.Received, p.Ended)
 		}
 	}
@@ -221,24 +222,24 @@
 	}
 }
 
-// A peer whose request was rejected while it still sends gets the response, and no reset: its input is discarded, for a limited time
-// and without buffering it.
+// A client whose request is rejected while it still sends receives the response, and no reset: its input is discarded, for a
+// limited time and without being buffered.
 func TestInputAfterRejectionIsDiscarded(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	p := f.openConnection()
 	p.Write([]byte("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"))
 	chunk := make([]byte, 4<<10)
-	for began := f.Time; f.Time-began < maxLingerTime-expiryInterval; f.Time += lingerIdleTimeout / 2 {
+	for start := f.Time; f.Time-start < maxLingerTime-expiryInterval; f.Time += lingerIdleTimeout / 2 {
 		f.RunIterations()
 		for range 20 {
 			if _, err := unix.Write(p.FD, chunk); err != nil {
-				t.Fatalf("closed after %v while the client sends: %v", f.Time-began, err)
+				t.Fatalf("closed after %v while the client sends: %v", f.Time-start, err)
 			}
 			f.RunIterations()
 		}
 	}
 	if p.Read(1 << 10); !strings.HasPrefix(string(p.Received), "HTTP/1.1 413 ") || f.listener.bufferedBytes > 2*eventloop.MaxIdleBuffer {
-		t.Errorf("got %q, %d bytes held", p.Received, f.listener.bufferedBytes)
+		t.Errorf("got %q, %d bytes buffered", p.Received, f.listener.bufferedBytes)
 	}
 	f.Time += lingerIdleTimeout + expiryInterval
 	if f.RunIterations(); len(f.listener.connections) != 0 {
@@ -246,11 +247,11 @@
 	}
 }
 
-// Partial requests and unread responses keep buffers within their limit, and an ordinary request is admitted.
-func TestBuffersStayWithinBudget(t *testing.T) {
+// Partial requests and unread responses don't exceed the limit of buffers, and another request is still admitted.
+func TestBuffersStayWithinLimit(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
-	c := f.listener
-	c.maxBufferedBytes = 300 << 10
+	listener := f.listener
+	listener.maxBufferedBytes = 300 << 10
 	for range 20 {
 		p := f.openConnection()
 		p.Write([]byte("POST /a HTTP/1.1\r\nContent-Length: 65000\r\n\r\n"))
@@ -264,8 +265,8 @@
 		nonReader.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
 		f.RunIterations()
 	}
-	if most := c.maxBufferedBytes + 6*http1.MaxBodySize; c.bufferedBytes > most {
-		t.Errorf("%d bytes held, %d allowed", c.bufferedBytes, most)
+	if limit := listener.maxBufferedBytes + 6*http1.MaxBodySize; listener.bufferedBytes > limit {
+		t.Errorf("%d bytes buffered, %d allowed", listener.bufferedBytes, limit)
 	}
 	ordinary := f.openConnection()
 	ordinary.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
@@ -273,16 +274,16 @@
 		t.Error("an ordinary request is not admitted")
 	}
 	sum := 0
-	for k := range c.connections {
-		sum += cap(k.Input()) + cap(k.Output())
+	for conn := range listener.connections {
+		sum += cap(conn.Input()) + cap(conn.Output())
 	}
-	if sum != c.bufferedBytes {
-		t.Errorf("%d bytes held, %d counted", sum, c.bufferedBytes)
+	if sum != listener.bufferedBytes {
+		t.Errorf("%d bytes buffered, %d counted", sum, listener.bufferedBytes)
 	}
 }
 
-// A panic ends its connection and no other.
-func TestPanicEndsItsConnection(t *testing.T) {
+// A panic in the handling of a connection ends that connection and no other.
+func TestPanicEndsOneConnection(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	good := f.openConnection()
 	bad, fd := f.openDescriptor(netip.AddrPort{})
@@ -322,7 +323,7 @@
 	f.table.DiscoveryFailed()
 	f.RunIterations()
 	for n := range peers {
-		if n == 1 { // new connections are spared for a time
+		if n == 1 { // new connections are not evicted within evictionGrace
 			f.Time += evictionGrace
 			f.RunIterations()
 		}
@@ -357,9 +358,9 @@
 	}
 }
 
-// Requests may not use every connection, since callbacks end them: a request over the limit is rejected, and
-// connections are left for callbacks.
-func TestCallbacksComeInWhenFull(t *testing.T) {
+// Requests may not use up all connections: they are completed by callbacks, which need connections too. A request above the limit
+// is rejected.
+func TestConnectionsAreReservedForCallbacks(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	var peers []*eventlooptest.Peer
 	for n := range f.listener.maxRequests + 1 {
@@ -370,14 +371,15 @@
 	}
 	last, first := peers[len(peers)-1], peers[0]
 	if last.Read(1 << 10); !strings.HasPrefix(string(last.Received), "HTTP/1.1 503 ") {
-		t.Errorf("one request too many got %q", last.Received)
+		t.Errorf("a request above the limit got %q", last.Received)
 	}
 	if first.Read(1); len(first.Received) > 0 || f.listener.maxRequests >= f.listener.maxConnections {
 		t.Errorf("a request in flight got %q", first.Received)
 	}
 }
 
-// Without descriptors the listener pauses and then accepts again: a connection that waits meanwhile is not lost.
+// While the process has no descriptor left the listener pauses, and then accepts again: a connection that waits meanwhile is not
+// lost.
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	if err := f.listener.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
@@ -399,12 +401,12 @@
 	_, sockaddr := eventloop.Sockaddr(f.listener.Addr())
 	connecting := unix.Connect(fd, sockaddr)
 	f.RunIterations()
-	held := len(f.listener.connections)
+	accepted := len(f.listener.connections)
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	if connecting != nil && !errors.Is(connecting, unix.EINPROGRESS) || held != 0 {
-		t.Fatalf("connecting: %v, %d connections without descriptors", connecting, held)
+	if connecting != nil && !errors.Is(connecting, unix.EINPROGRESS) || accepted != 0 {
+		t.Fatalf("connect: %v, %d connections accepted without descriptors", connecting, accepted)
 	}
 	f.Time += acceptRetryDelay
 	f.RunIterations()
--- a/internal/client/disconnect_test.go
+++ b/internal/client/disconnect_test.go
@@ -12,9 +12,9 @@
 	"valvecove/internal/modeltest"
 )
 
-// The policy has the disconnect of a client before the attempts of the same iteration begin, whatever the state of its requests and
-// whether the connection ends or is reset: no attempt of them begins, and the connection is closed.
-func TestClientGoneBeforeTheSends(t *testing.T) {
+// The policy receives the disconnect of a client before the attempts of the same iteration are started, whatever the state of the
+// client's requests and whether the connection ends or is reset. No attempt of them is started, and the connection is closed.
+func TestDisconnectBeforeSends(t *testing.T) {
 	many := func(n, size int) (text string) {
 		for i := range n {
 			text += requestOfSize(i, size)
@@ -22,52 +22,52 @@
 		return text
 	}
 	cases := map[string]struct {
-		before string // read, and admitted if complete, before the client disconnects
-		last   string // written in the moment in which it leaves
-		taken  int    // of before
+		before   string // read, and admitted if complete, before the client disconnects
+		last     string // written right before the client disconnects
+		admitted int    // requests of before
 	}{
-		"with its request, unread":           {"", requestOfSize(0, 0), 0},
-		"in its request":                     {requestOfSize(0, 50)[:100], "", 0},
-		"in its request, unread":             {"", requestOfSize(0, 50)[:100], 0},
-		"queued":                             {requestOfSize(0, 0), "", 1},
-		"queued, with another begun":         {requestOfSize(0, 0), requestOfSize(1, 50)[:100], 1},
-		"queued, with another unread":        {requestOfSize(0, 0), requestOfSize(1, 0), 1},
-		"all slots in use":                   {many(maxResponseSlots, 0), "", maxResponseSlots},
-		"all slots in use, and more unread":  {many(maxResponseSlots, 0), many(2*maxResponseSlots, 0)[len(many(maxResponseSlots, 0)):], maxResponseSlots},
-		"all slots in use, and much more":    {many(maxResponseSlots+12, 8<<10), "", maxResponseSlots},
-		"all slots in use, and far too much": {many(maxResponseSlots+12, 60<<10), "", maxResponseSlots},
-		"behind Connection: close":           {strings.Replace(requestOfSize(0, 0), "\r\n", "\r\nConnection: close\r\n", 1), requestOfSize(1, 0), 1},
+		"request unread":                        {"", requestOfSize(0, 0), 0},
+		"partial request":                       {requestOfSize(0, 50)[:100], "", 0},
+		"partial request, unread":               {"", requestOfSize(0, 50)[:100], 0},
+		"queued":                                {requestOfSize(0, 0), "", 1},
+		"queued, then a partial request":        {requestOfSize(0, 0), requestOfSize(1, 50)[:100], 1},
+		"queued, then an unread request":        {requestOfSize(0, 0), requestOfSize(1, 0), 1},
+		"all slots in use":                      {many(maxResponseSlots, 0), "", maxResponseSlots},
+		"all slots in use, more unread":         {many(maxResponseSlots, 0), many(2*maxResponseSlots, 0)[len(many(maxResponseSlots, 0)):], maxResponseSlots},
+		"all slots in use, more buffered":       {many(maxResponseSlots+12, 8<<10), "", maxResponseSlots},
+		"all slots in use, read-ahead exceeded": {many(maxResponseSlots+12, 60<<10), "", maxResponseSlots},
+		"after Connection: close":               {strings.Replace(requestOfSize(0, 0), "\r\n", "\r\nConnection: close\r\n", 1), requestOfSize(1, 0), 1},
 	}
 	for name, c := range cases {
-		for how, leave := range map[string]func(*eventlooptest.Peer){"end": (*eventlooptest.Peer).Close, "reset": (*eventlooptest.Peer).Reset} {
+		for how, disconnect := range map[string]func(*eventlooptest.Peer){"end": (*eventlooptest.Peer).Close, "reset": (*eventlooptest.Peer).Reset} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				f := newFixture(&modeltest.Steps{T: t})
 				f.listen()
-				f.leaveBeforeTheSends(c.before, c.last, c.taken, leave)
+				f.disconnectBeforeSends(c.before, c.last, c.admitted, disconnect)
 			})
 		}
 	}
 }
 
-// leaveBeforeTheSends has a client disconnect in the iteration in which the policy sends its requests. The client writes one text
-// before, of which a number of requests are admitted, and another one right before it disconnects.
-func (f *fixture) leaveBeforeTheSends(before, last string, admitted int, leave func(*eventlooptest.Peer)) {
+// disconnectBeforeSends has a client disconnect in the iteration in which the policy sends its requests. The client has written
+// the text before, of which a number of requests are admitted, and writes the text last right before it disconnects.
+func (f *fixture) disconnectBeforeSends(before, last string, admitted int, disconnect func(*eventlooptest.Peer)) {
 	p := f.connect()
 	f.RunIterations()
 	f.writeAll(p, []byte(before))
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	if open := f.table.OpenCount(); open != admitted {
 		f.T.Fatalf("%d requests admitted, expected %d", open, admitted)
 	}
 	p.Write([]byte(last))
-	leave(p)
+	disconnect(p)
 	for id := range uint64(admitted + 2*maxResponseSlots) {
 		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: id + 1, Worker: f.workerNumber()})
 	}
 	f.table.Wake()
 	f.runOnce()
 	if len(f.transport.started) != 0 || f.table.OpenCount() != 0 {
-		f.T.Errorf("%d attempts begun, %d requests open", len(f.transport.started), f.table.OpenCount())
+		f.T.Errorf("%d attempts started, %d requests open", len(f.transport.started), f.table.OpenCount())
 	}
 	jobs, disconnected := 0, 0
 	for _, e := range f.policy.Received {
@@ -85,8 +85,8 @@
 	}
 }
 
-// A callback that arrived before its connection was reset is applied; a request that did is not admitted.
-func TestCallbackBeforeAReset(t *testing.T) {
+// A callback that arrived before its connection was reset is applied. A request that did so is not admitted.
+func TestCallbackBeforeReset(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
 	client, worker := f.connect(), f.connect()
@@ -103,9 +103,9 @@
 	}
 }
 
-// A client that has closed its sending side gets the response to each request that it wrote, in order, also to those that were not
-// parsed or not read before, and then the end.
-func TestHalfClosedClientsAreAnswered(t *testing.T) {
+// A client that has closed its sending side receives the response to each request that it wrote, in order, also to those that
+// were not parsed or read before. The connection is then closed.
+func TestHalfClosedClientsGetResponses(t *testing.T) {
 	for _, size := range []int{0, 2 << 10, 8 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			f := newFixture(&modeltest.Steps{T: t})
@@ -115,8 +115,8 @@
 	}
 }
 
-// closeWriteAfterRequests has a client write more requests than are read ahead, with bodies of a size, and close its sending side. It
-// expects a response to each.
+// closeWriteAfterRequests has a client write more requests than are handled ahead of responses, with bodies of a size, and close
+// its sending side. It expects a response to each.
 func (f *fixture) closeWriteAfterRequests(size int) {
 	const requests = 3 * maxResponseSlots
 	p := f.connect()
@@ -125,13 +125,13 @@
 		f.writeAll(p, []byte(requestOfSize(n, size)))
 	}
 	p.CloseWrite()
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	for n := range requests {
 		if open := f.table.OpenCount(); open != min(maxResponseSlots, requests-n) {
 			f.T.Fatalf("%d requests open after %d responses", open, n)
 		}
 		f.act(dispatch.Reject{Job: uint64(n + 1)})
-		f.runUntilQuiet()
+		f.runUntilIdle()
 	}
 	got := statuses(f.T, p)
 	for _, status := range got {
@@ -145,8 +145,8 @@
 	}
 }
 
-// Of a client that sends more ahead of responses than is kept, input is still read: requests that were kept have responses, one more
-// is rejected, and the connection ends. Buffers stay bounded.
+// The input of a client that sends more ahead of responses than is buffered is still read. The buffered requests have responses,
+// one more is rejected, and the connection ends. Buffers stay bounded.
 func TestExcessReadAheadIsRejected(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
@@ -155,27 +155,28 @@
 	const size = 60 << 10
 	for n := range 3 * maxResponseSlots {
 		f.writeAll(p, []byte(requestOfSize(n, size)))
-		if f.runUntilQuiet(); f.listener.bufferedBytes > 2*maxReadAheadWithMemory {
-			held := f.listener.bufferedBytes
-			t.Fatalf("%d bytes buffered", held)
+		if f.runUntilIdle(); f.listener.bufferedBytes > 2*maxReadAheadWithMemory {
+			buffered := f.listener.bufferedBytes
+			t.Fatalf("%d bytes buffered", buffered)
 		}
 	}
-	answered := 0
-	for ; f.table.OpenCount() > 0; answered++ {
-		f.act(dispatch.Fail{Job: uint64(answered + 1)})
-		f.runUntilQuiet()
+	failed := 0
+	for ; f.table.OpenCount() > 0; failed++ {
+		f.act(dispatch.Fail{Job: uint64(failed + 1)})
+		f.runUntilIdle()
 	}
 	got := statuses(t, p)
-	if answered <= maxResponseSlots || len(got) != answered+1 || got[answered] != 503 || got[answered-1] != 500 {
-		t.Errorf("%d requests failed, the client got %v", answered, got)
+	if failed <= maxResponseSlots || len(got) != failed+1 || got[failed] != 503 || got[failed-1] != 500 {
+		t.Errorf("%d requests failed, the client got %v", failed, got)
 	}
 	if p.Read(1); !p.Ended {
 		t.Error("the connection stays open")
 	}
 }
 
-// A connection whose client has closed its sending side, but has responses to read, has no further events for that.
-func TestEndOfInputWakesTheLoopOnce(t *testing.T) {
+// A connection whose client has closed its sending side, but has responses to read, has no further events for the end of its
+// input.
+func TestEndOfInputWakesLoopOnce(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	p, fd := f.openDescriptor(netip.AddrPort{})
 	for range 40 {
@@ -184,17 +185,18 @@
 	}
 	p.CloseWrite()
 	f.RunIterations()
-	k := f.connection(fd)
-	if len(k.Output()) == 0 {
-		t.Fatal("nothing waits to be read")
+	conn := f.connection(fd)
+	if len(conn.Output()) == 0 {
+		t.Fatal("no response waits to be sent")
 	}
 	if n := f.ReadyDescriptors(); n != 0 {
-		t.Errorf("%d descriptors are ready, with nothing to be done", n)
+		t.Errorf("%d descriptors are ready, expected none", n)
 	}
 }
 
-// The time of a request counts from the arrival of its last byte, also if it waited for earlier requests on its connection.
-func TestTimeCountsFromArrival(t *testing.T) {
+// The timeout of a request counts from the arrival of its last byte, also if the request waited for earlier ones on its
+// connection.
+func TestTimeoutCountsFromArrival(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
 	p := f.connect()
@@ -204,18 +206,18 @@
 	}
 	late := requestOfSize(99, 0)
 	p.Write([]byte(late[:40]))
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.Time += time.Second
 	p.Write([]byte(late[40:]))
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.Time += time.Second
 	p.Write([]byte(requestOfSize(100, 0)))
 	for n := range 4 {
 		f.policy.Next = append(f.policy.Next, dispatch.Fail{Job: uint64(n + 1)})
 	}
 	f.table.Wake()
-	f.runUntilQuiet()
-	const all = 5 * time.Second // of the class
+	f.runUntilIdle()
+	const timeout = 5 * time.Second // ClientTimeout of the class
 	remaining := map[uint64]time.Duration{}
 	for _, e := range f.policy.Received {
 		if j, ok := e.(dispatch.Job); ok {
@@ -223,8 +225,8 @@
 		}
 	}
 	for id, want := range map[uint64]time.Duration{
-		1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
-		19: all - time.Second, 20: all,
+		1: timeout, 16: timeout, 17: timeout - 2*time.Second, 18: timeout - 2*time.Second,
+		19: timeout - time.Second, 20: timeout,
 	} {
 		if remaining[id] != want {
 			t.Errorf("request %d has %v left, expected %v", id, remaining[id], want)
@@ -232,8 +234,8 @@
 	}
 }
 
-// The disconnects of many clients are all handled before the attempts of the same iteration begin.
-func TestBurstOfClientsGone(t *testing.T) {
+// The disconnects of many clients are all handled before the attempts of the same iteration are started.
+func TestBurstOfDisconnects(t *testing.T) {
 	const clients = 400
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listener.SetLimits(testLimits(2 * clients))
@@ -252,6 +254,6 @@
 		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: uint64(n + 1), Worker: f.workerNumber()})
 	}
 	if f.runOnce(); len(f.transport.started) != 0 || f.table.OpenCount() != 0 {
-		t.Errorf("%d attempts begun, %d requests open", len(f.transport.started), f.table.OpenCount())
+		t.Errorf("%d attempts started, %d requests open", len(f.transport.started), f.table.OpenCount())
 	}
 }
--- a/internal/client/eviction.go
+++ b/internal/client/eviction.go
@@ -10,18 +10,19 @@
 // evictionGrace is how long a connection without a request, or after its last response, is not evicted.
 const evictionGrace = 250 * time.Millisecond
 
-// evict shuts down an idle connection for another one, and reports whether there was one. Input that has arrived is handled
-// first; a client sends later requests again on another connection. New connections, and those that had their last response,
-// are spared for evictionGrace: a request may be on its way. A partial request is rejected.
+// evict shuts down an idle connection to make room for another one, and reports whether it found one. Input that has arrived is
+// handled first; requests that arrive later are not, and the client retries them on another connection. New connections, and
+// those that received their last response, are not evicted within evictionGrace: a request may be on its way. A partial request
+// is rejected.
 func (l *Listener) evict() bool {
-	for _, candidates := range []*list.List{&l.rejectedOnly, &l.finished, &l.silent, &l.idle} {
+	for _, candidates := range []*list.List{&l.useless, &l.finished, &l.silent, &l.idle} {
 		hasGrace := candidates == &l.finished || candidates == &l.silent
 		for first := candidates.Front(); first != nil; first = candidates.Front() {
 			c := first.Value.(*connection)
 			if hasGrace && l.loop.Now()-c.lastActivity < evictionGrace {
 				break
 			}
-			c.finishIdle(&l.evicted)
+			c.shutDownIdle(&l.evicted)
 			if c.hasPartialRequest() {
 				c.rejectPartialRequest()
 			}
@@ -34,31 +35,32 @@
 	return false
 }
 
-// closeExcessEvicted closes evicted connections over their limit, the earliest evicted first.
+// closeExcessEvicted closes evicted connections above their limit, in the order of their eviction.
 func (l *Listener) closeExcessEvicted() {
 	for l.evicted.Len() > l.maxEvicted {
 		l.evicted.Front().Value.(*connection).terminate()
 	}
 }
 
-// Close ends connections without a request in flight, now and from here on; further requests are rejected. Connections of
-// workers stay open, and new ones are accepted: each callback may complete a request that a client waits for.
+// Close ends connections without a request in flight, and from then on each connection after its last response; further requests
+// are rejected. Connections of workers stay open, and new ones are accepted: a callback may complete a request that a client
+// waits for.
 func (l *Listener) Close() {
 	l.closing = true
 	var idle []*connection // collected first, as the end of one may change the lists
-	for _, candidates := range []*list.List{&l.rejectedOnly, &l.silent, &l.idle} {
+	for _, candidates := range []*list.List{&l.useless, &l.silent, &l.idle} {
 		for element := candidates.Front(); element != nil; element = element.Next() {
 			idle = append(idle, element.Value.(*connection))
 		}
 	}
 	for _, c := range idle {
 		if c.listElement != nil && !c.sendsCallbacks {
-			c.finishIdle(&l.finished)
+			c.shutDownIdle(&l.finished)
 		}
 	}
 }
 
-// closesAfterResponse reports whether the connection ends with the responses to the requests that were read.
+// closesAfterResponse reports whether the connection ends after the responses to the requests that were read.
 func (c *connection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
 
 // enterIdleList puts a connection without a request in flight on the list for its history.
@@ -67,13 +69,13 @@
 	case historyUsefulRequest:
 		c.enterList(&c.listener.idle)
 	case historyRequest:
-		c.enterList(&c.listener.rejectedOnly)
+		c.enterList(&c.listener.useless)
 	case historyNoRequest:
 		c.enterList(&c.listener.silent)
 	}
 }
 
-// enterList puts the connection last on a list, in place of the list that it is on.
+// enterList moves the connection from the list that it is on, if any, to the end of another one.
 func (c *connection) enterList(target *list.List) {
 	if !c.IsOpen() || c.currentList == target {
 		return
@@ -93,8 +95,8 @@
 	c.listElement = nil
 }
 
-// finishIdle handles the input that has arrived, and shuts the connection down unless that has begun a request.
-func (c *connection) finishIdle(target *list.List) {
+// shutDownIdle handles the input that has arrived, and shuts the connection down unless a request has begun.
+func (c *connection) shutDownIdle(target *list.List) {
 	element := c.listElement
 	c.loop().Protect(c, c.readAvailable)
 	if c.IsOpen() && element != nil && c.listElement == element && !c.hasPartialRequest() {
@@ -107,7 +109,7 @@
 	return c.IsOpen() && c.isReading() && c.proxyHeaderDone && len(c.slots) == 0 && len(c.Input()) > 0
 }
 
-// rejectPartialRequest rejects a request that was read in part, and evicts the connection if the response is sent at once.
+// rejectPartialRequest rejects a partially read request, and evicts the connection if the response is sent at once.
 func (c *connection) rejectPartialRequest() {
 	c.rejectInput(503, "no room for the connection\n")
 	if c.IsOpen() && len(c.slots) == 0 && len(c.Output()) == 0 {
--- a/internal/client/expiry.go
+++ b/internal/client/expiry.go
@@ -4,13 +4,13 @@
 
 const (
 	expiryInterval        = 250 * time.Millisecond
-	requestReadTimeout    = 2 * time.Second // from a request's first byte to its last; for the first request, from connecting
-	responseUnreadTimeout = 5 * time.Second // for a peer to read some of a response
+	requestReadTimeout    = 2 * time.Second // from a request's first byte to its last; for the first request, since connecting
+	responseUnreadTimeout = 5 * time.Second // for a peer to read any part of a response
 	lingerIdleTimeout     = time.Second     // without input after the last response
 	maxLingerTime         = 5 * time.Second // after the last response, whatever the peer sends
 )
 
-// closeExpired ends expired connections, every expiryInterval: each uses a descriptor, and may use a buffer.
+// closeExpired ends expired connections, which hold a descriptor and possibly buffers, and runs again every expiryInterval.
 func (l *Listener) closeExpired() {
 	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
 	for c := range l.connections {
@@ -22,22 +22,22 @@
 // useful request, has none.
 func (c *connection) closeIfExpired() {
 	now := c.loop().Now()
-	quiet := now - c.lastActivity
+	inactive := now - c.lastActivity
 	switch {
 	case c.phase == phaseLingering:
-		if quiet >= lingerIdleTimeout || now-c.lingerStart >= maxLingerTime {
+		if inactive >= lingerIdleTimeout || now-c.lingerStart >= maxLingerTime {
 			c.terminate()
 		}
 	case len(c.Output()) > 0:
-		if quiet >= responseUnreadTimeout {
+		if inactive >= responseUnreadTimeout {
 			c.terminate()
 		}
-	case len(c.slots) == 0 && quiet >= requestReadTimeout:
+	case len(c.slots) == 0 && inactive >= requestReadTimeout:
 		c.closeUnlessIdle()
 	}
 }
 
-// closeUnlessIdle ends a connection without a request in flight, unless it is idle after a request.
+// closeUnlessIdle ends a connection without a request in flight, unless it is idle between requests.
 func (c *connection) closeUnlessIdle() {
 	switch {
 	case len(c.Input()) > 0 && !c.proxyHeaderDone: // nothing is written: the input may be part of a PROXY header
@@ -46,6 +46,6 @@
 		c.rejectInput(408, "request not whole\n")
 	case len(c.Input()) == 0 && c.history == historyUsefulRequest:
 	case c.history == historyNoRequest:
-		c.finishIdle(&c.listener.finished)
+		c.shutDownIdle(&c.listener.finished)
 	}
 }
--- a/internal/client/fixture_test.go
+++ b/internal/client/fixture_test.go
@@ -23,7 +23,7 @@
 )
 
 // fixture is a client listener with an event loop, a request table, a scripted policy and a transport that records attempts. The
-// remote ends of its connections are sockets that the test reads and writes between iterations, on a clock that it moves.
+// test controls the clock, and reads and writes the remote ends of the connections between iterations.
 type fixture struct {
 	*modeltest.Steps
 	*eventlooptest.Loop
@@ -33,7 +33,7 @@
 	transport *recordingTransport
 }
 
-// recordingTransport records the attempts that it is given. None of them goes on by itself.
+// recordingTransport records the attempts that are started. They never progress.
 type recordingTransport struct {
 	started []*requests.Attempt
 }
@@ -48,7 +48,7 @@
 // newFixture returns a fixture with one worker, "s-0", and without access lists.
 func newFixture(steps *modeltest.Steps) *fixture { return newFixtureWith(steps, func(*Config) {}) }
 
-// newFixtureWith returns a fixture whose listener has a configuration that the caller has changed.
+// newFixtureWith returns a fixture whose listener's configuration is changed by a function.
 func newFixtureWith(steps *modeltest.Steps, change func(config *Config)) *fixture {
 	f := &fixture{Steps: steps, policy: &modeltest.ScriptedPolicy{}, transport: &recordingTransport{}}
 	f.Loop = eventlooptest.NewLoop(steps.T, eventloop.Hooks{
@@ -56,15 +56,15 @@
 		Step:              func(now time.Duration) { f.table.Step(now) },
 		DescriptorsClosed: func() { f.listener.HandleDescriptorsClosed() },
 	})
-	silent := slog.New(slog.DiscardHandler)
+	discard := slog.New(slog.DiscardHandler)
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
-	f.table = requests.New(6, names, func() requests.Policy { return f.policy }, endpoints, f.transport, silent)
+	f.table = requests.New(6, names, func() requests.Policy { return f.policy }, endpoints, f.transport, discard)
 	config := Config{
 		Loop:          f.Loop.Loop,
 		Table:         f.table,
-		Log:           silent,
-		ConnectionLog: silent,
+		Log:           discard,
+		ConnectionLog: discard,
 		Settings:      &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}},
 		Names:         names,
 		Limits:        testLimits(50),
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// openConnection returns the remote end of a connection, which is not a TCP connection.
+// openConnection returns the remote end of a connection on a Unix socket.
 func (f *fixture) openConnection() *eventlooptest.Peer { return f.openConnectionFrom(netip.AddrPort{}) }
 
 // openConnectionFrom is openConnection with a client's address.
@@ -107,14 +107,14 @@
 	return peer, fd
 }
 
-// listen accepts TCP connections: only these can end with a reset.
+// listen accepts TCP connections, which can end with a reset, unlike those of openConnection.
 func (f *fixture) listen() {
 	if err := f.listener.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		f.T.Fatal(err)
 	}
 }
 
-// connect returns the remote end of a TCP connection that is to be accepted.
+// connect returns the remote end of a new TCP connection to the listener.
 func (f *fixture) connect() *eventlooptest.Peer {
 	return eventlooptest.Connect(f.T, f.listener.Socket())
 }
@@ -129,7 +129,7 @@
 	return injector
 }
 
-// workerNumber is the number of the one worker.
+// workerNumber returns the number of the worker.
 func (f *fixture) workerNumber() uint64 {
 	for _, event := range f.policy.Received {
 		if list, ok := event.(dispatch.WorkerList); ok {
@@ -140,10 +140,10 @@
 	return 0
 }
 
-// isQuiet reports whether every request has its response, and every response is sent.
-func (f *fixture) isQuiet() bool { return f.table.OpenCount() == 0 && f.listener.HasSentAll() }
+// hasAnsweredAll reports whether no request is open, and every response is sent.
+func (f *fixture) hasAnsweredAll() bool { return f.table.OpenCount() == 0 && f.listener.HasSentAll() }
 
-// act has the policy take actions in the next step, and the step be due.
+// act has the policy return actions in the next step, and makes the step due.
 func (f *fixture) act(actions ...dispatch.Action) {
 	f.policy.Next = append(f.policy.Next, actions...)
 	f.table.Wake()
@@ -156,8 +156,8 @@
 	}
 }
 
-// runUntilQuiet runs the loop until no descriptor is ready.
-func (f *fixture) runUntilQuiet() {
+// runUntilIdle runs the loop until no descriptor is ready.
+func (f *fixture) runUntilIdle() {
 	for range 10_000 {
 		f.runOnce()
 		if f.ReadyDescriptors() == 0 {
@@ -168,12 +168,12 @@
 	f.T.Fatal("descriptors stay ready")
 }
 
-// writeAll writes all of b, with an iteration whenever the listener's side has to read first.
+// writeAll writes all of b, and runs an iteration whenever the socket buffer is full.
 func (f *fixture) writeAll(peer *eventlooptest.Peer, b []byte) {
 	for idle := 0; len(b) > 0 && idle < 100; {
 		n, err := unix.Write(peer.FD, b)
 		if err != nil && !errors.Is(err, unix.EAGAIN) {
-			f.T.Fatalf("%d bytes are not taken: %v", len(b), err)
+			f.T.Fatalf("%d bytes can't be written: %v", len(b), err)
 		}
 		if n <= 0 {
 			f.runOnce()
@@ -183,17 +183,17 @@
 		b, idle = b[n:], 0
 	}
 	if len(b) > 0 {
-		f.T.Fatalf("the loop reads no more: %d bytes are left", len(b))
+		f.T.Fatalf("the loop does not read: %d bytes are left", len(b))
 	}
 }
 
-// statuses returns the status of each response that a peer has received, without interim ones.
+// statuses returns the status codes of the responses that a peer has received, without interim ones.
 func statuses(t *testing.T, peer *eventlooptest.Peer) (statuses []int) {
 	t.Helper()
 	peer.Read(1 << 20)
 	unread := peer.Received
 	for len(unread) > 0 {
-		if following, is := bytes.CutPrefix(unread, []byte(http1.ContinueResponse)); is {
+		if following, isInterim := bytes.CutPrefix(unread, []byte(http1.ContinueResponse)); isInterim {
 			unread = following
 			continue
 		}
@@ -208,7 +208,7 @@
 	return statuses
 }
 
-// requestOfSize is request n with a body of a size in bytes.
+// requestOfSize returns request n with a body of a size in bytes.
 func requestOfSize(n, size int) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
 		n, size, strings.Repeat("x", size))
--- a/internal/client/input.go
+++ b/internal/client/input.go
@@ -8,15 +8,15 @@
 	"valvecove/internal/http1"
 )
 
-// Bytes that are read ahead of responses: a complete request and part of another one; more while buffers are within half of
-// their limit. Further input is discarded, so that the end of the client is noticed: requests that were kept have responses, one
-// more is rejected, and the connection ends.
+// Limits of the input, in bytes, that a connection buffers ahead of responses: a complete request and part of another one, or
+// more while the buffers of all connections are within half of their limit. Input beyond the limit is read and discarded, so that
+// the client's disconnect is noticed. The buffered requests get their responses, one more is rejected, and the connection ends.
 const (
 	maxReadAhead           = http1.MaxHeaderSize + http1.MaxBodySize
 	maxReadAheadWithMemory = 8 * maxReadAhead
 )
 
-// readRequests handles the complete requests in the input, and then updates the state of the connection.
+// readRequests handles the complete requests in the input, and updates the state of the connection.
 func (c *connection) readRequests() {
 	for c.canReadRequest() && c.readProxyHeader() {
 		if more := c.readRequest(); !more {
@@ -79,7 +79,8 @@
 	return true
 }
 
-// handlePartialRequest rejects a partial request that is not read further, or invites the client to send its body.
+// handlePartialRequest rejects a partial request that can't be buffered, or sends the interim response that the client expects
+// before the body.
 func (c *connection) handlePartialRequest(request *http1.Request) {
 	if c.history == historyUsefulRequest {
 		c.leaveList()
@@ -95,7 +96,7 @@
 	}
 }
 
-// finishOrEnterIdleList ends a connection without further requests, or puts one between requests on a list.
+// finishOrEnterIdleList ends a connection that has no further requests, or puts one that is between requests on its list.
 func (c *connection) finishOrEnterIdleList() {
 	switch {
 	case len(c.slots) > 0 || len(c.Output()) > 0:
@@ -113,7 +114,7 @@
 	c.updateBufferedBytes()
 }
 
-// rejectInput responds to input that is not read further. The connection ends with the response.
+// rejectInput rejects input that is malformed, incomplete or too large, and stops reading. The connection ends with the response.
 func (c *connection) rejectInput(statusCode int, reason string) {
 	c.leaveList()
 	c.listener.table.ReportRejection(nil, statusCode)
@@ -122,7 +123,7 @@
 
 func (c *connection) rejectOverrun() { c.rejectInput(503, "too much sent ahead of answers\n") }
 
-// exceedsReadAhead reports whether more input was read ahead of responses than is kept.
+// exceedsReadAhead reports whether more input was read ahead of responses than is buffered.
 func (c *connection) exceedsReadAhead() bool {
 	size := len(c.Input())
 	buffered, limit := c.listener.bufferedBytes, c.listener.maxBufferedBytes
--- a/internal/client/listener.go
+++ b/internal/client/listener.go
@@ -1,15 +1,15 @@
 // Package client serves the connections of clients, and of workers that send callbacks. It accepts them, parses requests and
-// admits them to the request table, responds in the order of the requests of a connection, and ends connections that have
-// expired or are evicted for others.
+// admits them to the request table, responds in the order of the requests of a connection, and ends connections that have expired
+// or are evicted to make room for others.
 //
 // It never decides which worker a request is sent to or whether it is retried: the request table and its policy do. All of it
 // runs on the goroutine of its event loop.
 //
 // # Files
 //
-//   - listener.go, config.go: the Listener with its limits, and the interfaces of what it needs
+//   - listener.go, config.go: the Listener with its limits, and the interfaces that it uses
 //   - connection.go: a connection: its phases, its events, and its end
-//   - input.go: splits what was read into requests, and bounds what is read ahead
+//   - input.go: splits the input into requests, and limits the input that is read ahead of responses
 //   - request.go, parse.go: handles one request; parses the fields of a job and rejects invalid ones
 //   - response.go: response slots, and responses in their order
 //   - presence.go: detects clients that have closed their connection, and delays attempts until that is known
@@ -33,8 +33,8 @@
 )
 
 const (
-	acceptRetryDelay         = 50 * time.Millisecond // while no connection can be evicted
-	maxAcceptsPerEvent       = 128                   // so that present connections are served during a flood of new ones
+	acceptRetryDelay         = 50 * time.Millisecond // before the next accept, while no connection can be evicted
+	maxAcceptsPerEvent       = 128                   // so that existing connections are served during a flood of new ones
 	evictedConnectionDivisor = 32                    // 1/32 of the connections may be evicted ones that are not closed yet
 )
 
@@ -45,11 +45,11 @@
 	accessLists     AccessLists // nil: off
 	log             *slog.Logger
 	connectionLog   *slog.Logger
-	acceptor        *eventloop.Acceptor // without a socket while another process serves
+	acceptor        *eventloop.Acceptor // has no socket while another process serves
 	parser          requestParser
 	request         http1.Request    // the last one that was parsed
 	writeBuffer     []byte           // for the response that is being written
-	rejectedArrival requests.Arrival // while it is reported
+	rejectedArrival requests.Arrival // copy for the table, while it is reported; see reportRejection
 
 	connections      map[*connection]struct{}
 	limits           Limits
@@ -57,16 +57,16 @@
 	maxEvicted       int
 	maxRequests      int // open at once
 	bufferedBytes    int // in the buffers of connections
-	maxBufferedBytes int // also of payloads of open requests
+	maxBufferedBytes int // limits bufferedBytes and, separately, the payloads of open requests
 
-	// Connections without a request in flight are on one of these lists, in the order in which they joined it. They are evicted
-	// list by list, in this order, the longest on its list first.
-	rejectedOnly list.List // had only error responses
-	finished     list.List // had their last response
-	silent       list.List // have sent no request
-	idle         list.List // had a request admitted, or a callback applied
+	// Connections without a request in flight are on one of these lists, in the order in which they were added to it. They are
+	// evicted list by list, in the order below, the first of each list first.
+	useless  list.List // sent only readiness checks and rejected requests
+	finished list.List // received their last response
+	silent   list.List // sent no request
+	idle     list.List // had a request admitted, or a callback applied
 
-	evicted list.List // shut down for others, and not closed yet
+	evicted list.List // shut down to make room, and not closed yet
 
 	draining bool // not ready, but requests are admitted
 	closing  bool // no request is admitted
@@ -89,15 +89,15 @@
 	return listener
 }
 
-// Listen opens a socket for clients to connect to, at an address, with socket options such as SO_REUSEPORT.
+// Listen opens a listening socket for clients at an address, with socket options such as SO_REUSEPORT.
 func (l *Listener) Listen(at netip.AddrPort, options ...int) error {
 	return l.acceptor.Listen(at, l, options...)
 }
 
-// AddSocket accepts clients at a socket that listens already. On an error the caller owns the socket.
+// AddSocket accepts clients at a socket that is listening already. On an error the caller owns the socket.
 func (l *Listener) AddSocket(fd int) error { return l.acceptor.Add(fd, l) }
 
-// Socket returns the listening socket, which stays the listener's, or eventloop.NoDescriptor.
+// Socket returns the listening socket, which the listener still owns, or eventloop.NoDescriptor.
 func (l *Listener) Socket() int { return l.acceptor.FD() }
 
 // CloseSocket closes the listening socket. Connections stay open.
@@ -113,7 +113,7 @@
 // IsDraining reports whether Drain was called.
 func (l *Listener) IsDraining() bool { return l.draining }
 
-// SetLimits replaces the limits. Where there are more connections than these allow, idle ones are evicted.
+// SetLimits replaces the limits. If more connections are open than allowed, idle ones are evicted.
 func (l *Listener) SetLimits(limits Limits) {
 	l.limits = limits
 	l.maxEvicted = limits.Connections / evictedConnectionDivisor
@@ -126,16 +126,16 @@
 	l.HandleDescriptorsClosed()
 }
 
-// Limits returns the present limits.
+// Limits returns the current limits.
 func (l *Listener) Limits() Limits { return l.limits }
 
-// ConnectionCount returns how many connections are open, including those that are ending.
+// ConnectionCount returns how many connections are open, including those that are being closed.
 func (l *Listener) ConnectionCount() int { return len(l.connections) }
 
 // activeCount returns how many connections are open and not evicted.
 func (l *Listener) activeCount() int { return len(l.connections) - l.evicted.Len() }
 
-// HasSentAll reports whether no response waits to be sent.
+// HasSentAll reports whether all responses are sent.
 func (l *Listener) HasSentAll() bool {
 	for c := range l.connections {
 		if len(c.Output()) > 0 {
@@ -145,8 +145,8 @@
 	return true
 }
 
-// HandleEvents accepts connections. At the limit an idle connection is evicted for each; where none is idle, new connections
-// wait in the backlog of the kernel: a request that was sent on a connection rejected here would be lost.
+// HandleEvents accepts connections. At the limit an idle connection is evicted for each new one. If none is idle, new connections
+// wait in the kernel's backlog: closing them would lose the requests that were sent on them.
 func (l *Listener) HandleEvents(uint32) {
 	for range maxAcceptsPerEvent {
 		if l.activeCount() >= l.maxConnections && !l.evict() {
@@ -154,7 +154,7 @@
 			return
 		}
 		if len(l.connections)+l.loop.ClosingCount() >= l.maxConnections+l.maxEvicted {
-			return // the descriptors removed in this iteration are closed before the next event
+			return // descriptors that were removed in this iteration are closed before the next event
 		}
 		if more := l.acceptOne(); !more {
 			return
@@ -162,8 +162,8 @@
 	}
 }
 
-// acceptOne accepts a connection. more is false if none waits, or none can be accepted now. Only a lack of descriptors of this
-// process is mended by an eviction.
+// acceptOne accepts a connection. more is false if none waits, or none can be accepted now. If this process has no descriptor
+// left, it evicts an idle connection; no other failure is remedied by that.
 func (l *Listener) acceptOne() (more bool) {
 	socket, from, result := l.acceptor.Accept()
 	if result == eventloop.AcceptNoDescriptor {
@@ -178,7 +178,7 @@
 	return true
 }
 
-// admitsAddress reports whether an address may connect. The socket of a rejected address is closed, unread.
+// admitsAddress reports whether an address may connect. The socket of a rejected address is closed without reading from it.
 func (l *Listener) admitsAddress(socket int, from netip.AddrPort) bool {
 	if l.accessLists == nil {
 		return true
@@ -192,7 +192,7 @@
 	return false
 }
 
-// AddConnection serves an accepted socket, which it owns from here on.
+// AddConnection serves an accepted socket, which the listener owns from then on.
 func (l *Listener) AddConnection(socket int, from netip.AddrPort) {
 	conn := &connection{
 		listener:        l,
@@ -213,7 +213,7 @@
 // HandlePanic does nothing: the listener continues.
 func (l *Listener) HandlePanic() {}
 
-// HandleDescriptorsClosed resumes accepting if a connection is below the limit. The caller calls it whenever descriptors were
+// HandleDescriptorsClosed resumes accepting if the connections are below their limit. It must be called whenever descriptors were
 // closed.
 func (l *Listener) HandleDescriptorsClosed() {
 	if l.activeCount() < l.maxConnections {
--- a/internal/client/log.go
+++ b/internal/client/log.go
@@ -19,7 +19,7 @@
 }
 
 // isLogEnabled reports whether events of the connection and its requests are logged: with access lists, unless the level is off
-// or the logger's budget is used up. Callers check it before they build attributes.
+// or the logger's rate limit is exceeded. Callers check it before they build attributes.
 func (c *connection) isLogEnabled(level slog.Level) bool {
 	return c.listener.accessLists != nil && c.listener.connectionLog.Enabled(context.Background(), level)
 }
--- a/internal/client/parse.go
+++ b/internal/client/parse.go
@@ -14,7 +14,7 @@
 const (
 	maxCallIDSize         = 128 // bytes
 	maxIdempotencyKeySize = 256 // bytes
-	maxRequestNumber      = 1e9 // of costs, slots and memory that a request names
+	maxRequestNumber      = 1e9 // limit of the cost, the slots and the memory that a request states
 )
 
 // uniqueFields may occur once in a request. If one occurred twice, this parser and the worker might use different values.
@@ -29,7 +29,7 @@
 	reason     string
 }
 
-// requestParser makes arrivals of HTTP requests.
+// requestParser converts HTTP requests to arrivals.
 type requestParser struct {
 	settings *dispatch.Settings
 	classes  map[string]int // indexes by name
@@ -48,7 +48,7 @@
 	return indexes
 }
 
-// findClass returns the class of a request, which both its path and a field name.
+// findClass returns the class of a request, which its path and its X-Call-Class field must both name.
 func (p *requestParser) findClass(request *http1.Request, pathClass []byte) (int, *rejection) {
 	name := request.Get("X-Call-Class")
 	class, known := p.classes[string(name)]
@@ -106,7 +106,7 @@
 	return len(key) <= maxIdempotencyKeySize && http1.IsVisible(key)
 }
 
-// parseJob returns what the dispatcher needs of a request, without the key.
+// parseJob returns the job of a request, without its key.
 func (p *requestParser) parseJob(request *http1.Request, class int) (dispatch.Job, *rejection) {
 	tenant, known := p.tenants[string(request.Get("X-Caller"))]
 	if !known && len(p.tenants) > 0 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// jobKey returns the hash of the last element of a path, which is the same for jobs on the same data, or 0 without a path.
+// jobKey returns the hash of the last element of a path, or 0 without a path. Jobs on the same data have the same key.
 func jobKey(pathRest []byte) uint64 {
 	if len(pathRest) == 0 {
 		return 0
--- a/internal/client/proxy.go
+++ b/internal/client/proxy.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/address"
 )
 
-// Reasons to close a connection for its PROXY header.
+// Reasons to close a connection because of its PROXY header.
 var (
 	errUntrustedProxy    = errors.New("PROXY header from an address that is not trusted")
 	errSecondProxyHeader = errors.New("more than one PROXY header")
@@ -39,8 +39,8 @@
 	return true
 }
 
-// setProxiedClient records that the peer is a proxy, and the client that its header names. The header of a connection of the
-// proxy's own names none.
+// setProxiedClient records that the peer is a proxy, and the client that its header names. The header of a connection that the
+// proxy has opened for itself names none.
 func (c *connection) setProxiedClient(client netip.AddrPort) {
 	c.proxyAddress = c.clientAddress
 	if client.IsValid() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// closeForProxyHeader ends the connection for a header that is not allowed or, by the parser's error, malformed.
+// closeForProxyHeader ends the connection because its header is not allowed, or is malformed according to parseError.
 func (c *connection) closeForProxyHeader(parseError error) {
 	reason := parseError
 	if parseError == nil || errors.Is(parseError, address.ErrIncomplete) {
--- a/internal/client/proxy_test.go
+++ b/internal/client/proxy_test.go
@@ -17,14 +17,14 @@
 
 const proxyAddr, v2Start = "10.20.0.9:40000", "\r\n\r\n\x00\r\nQUIT\n"
 
-// starts are first bytes of a connection, the client address that they give a connection of a trusted proxy (none: the connection is
-// closed), and whether they are a PROXY header.
-var starts = []struct {
+// connectionStarts are the first bytes of a connection, the client address that results on a connection of a trusted proxy
+// (empty: the connection is closed), and whether they are a PROXY header.
+var connectionStarts = []struct {
 	text, client string
 	header       bool
 }{
 	{"", proxyAddr, false},
-	{"\r\n", proxyAddr, false}, // as a version 2 header begins
+	{"\r\n", proxyAddr, false}, // the first bytes of a version 2 header, and no more of it
 	{"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n", "203.0.113.7:51514", true},
 	{"PROXY TCP6 2001:db8::7 2001:db8::1 51514 9000\r\n", "[2001:db8::7]:51514", true},
 	{"PROXY UNKNOWN\r\n", proxyAddr, true},
@@ -35,14 +35,14 @@
 	{"PROXY UNKNOWN\r\nPROXY UNKNOWN\r\n", "", true},
 }
 
-// The client of a connection is the one that a trusted proxy's header names, whatever parts the header arrives in, and requests follow
-// the header. A header that is untrusted, malformed, or not complete in time ends the connection with nothing written. Each log line
-// names the client.
+// FuzzProxyHeader checks that the client of a connection is the one that a trusted proxy's header names, whatever parts the
+// header arrives in, and that the requests after the header are served. A header that is untrusted, malformed, or not complete in
+// time ends the connection with nothing written. Each log line names the client.
 func FuzzProxyHeader(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		var log bytes.Buffer
 		f := newProxyFixture(s, &log)
-		start := starts[s.Pick(len(starts))]
+		start := connectionStarts[s.Pick(len(connectionStarts))]
 		from, trusted := proxyAddr, s.Pick(3) > 0
 		if !trusted {
 			from = "192.0.2.1:40000"
@@ -54,13 +54,13 @@
 		s.Record(fmt.Sprintf("from %s, %q", from, unsent))
 		isRejected := start.header && (!trusted || start.client == "")
 		unsent = f.writeParts(p, unsent)
-		requestBytes := 2*len(request) - len(unsent) // bytes of requests that were sent; negative: not even the header was
+		requestBytes := 2*len(request) - len(unsent) // bytes of requests that were sent; negative: the header is incomplete
 		complete, answered := max(0, requestBytes)/len(request), countOK(p)
 		s.Check(!isRejected || len(p.Received) == 0 && (unsent != "" || p.Ended), "rejected, but got %q, ended %v", p.Received, p.Ended)
 		s.Check(isRejected || requestBytes < 0 || answered == complete && !p.Ended, "%d responses, expected %d", answered, complete)
 		if complete == 0 { // a partial request times out
 			f.Time = max(f.Time, openedAt+requestReadTimeout+expiryInterval)
-			f.expectGivenUp(p, isRejected || requestBytes < 0)
+			f.runUntilTimeout(p, isRejected || requestBytes < 0)
 		}
 		addresses := " client=" + from
 		if start.header && !isRejected {
@@ -83,7 +83,7 @@
 		if answered > 0 && line != "" {
 			s.Check(strings.HasSuffix(line, addresses), "%q is not about%s", line, addresses)
 		}
-		s.Check(line == "" || isRejected && strings.Contains(line, " client=") || answered > 0, "%q of a connection that was not rejected and sent no request", line)
+		s.Check(line == "" || isRejected && strings.Contains(line, " client=") || answered > 0, "%q logged about a connection that was not rejected and sent no request", line)
 	}
 }
 
@@ -96,7 +96,7 @@
 	})
 }
 
-// writeParts writes a text in parts while there are steps, and returns what is not written.
+// writeParts writes a text in parts while there are steps, and returns the part that is not written.
 func (f *fixture) writeParts(p *eventlooptest.Peer, unsent string) string {
 	for f.More() && unsent != "" {
 		n := min(len(unsent), 1+f.Pick(60))
@@ -109,9 +109,10 @@
 	return unsent
 }
 
-// expectGivenUp runs the loop. If must is set it expects that the connection has ended with nothing written.
-func (f *fixture) expectGivenUp(p *eventlooptest.Peer, must bool) {
+// runUntilTimeout runs the loop at the timeout of a partial request. If mustEnd is set it checks that the connection has ended
+// with nothing written.
+func (f *fixture) runUntilTimeout(p *eventlooptest.Peer, mustEnd bool) {
 	f.RunIterations()
 	countOK(p)
-	f.Check(!must || p.Ended && len(p.Received) == 0, "partial header: got %q, ended %v", p.Received, p.Ended)
+	f.Check(!mustEnd || p.Ended && len(p.Received) == 0, "partial header: got %q, ended %v", p.Received, p.Ended)
 }
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -10,16 +10,16 @@
 	"valvecove/internal/requests"
 )
 
-// Paths that are no class's.
+// Paths that belong to no class.
 const (
 	pathReadiness = "/up"
 	pathCallbacks = "/v1/job-events"
 )
 
-// overloadRetryAfter is the Retry-After of requests that are rejected because too many are open.
+// overloadRetryAfter is the Retry-After of requests that are rejected at a limit, unless the settings allow less.
 const overloadRetryAfter = time.Second
 
-// handleRequest responds to a request, or admits it.
+// handleRequest responds to a request, or admits it to the request table.
 func (c *connection) handleRequest(request *http1.Request, slot *responseSlot) {
 	path, _, _ := bytes.Cut(request.Target, []byte("?"))
 	switch string(path) {
@@ -86,7 +86,7 @@
 	if c.rejectOverload(slot, &arrival) {
 		return
 	}
-	if waited := c.loop().Now() - c.currentArrival; waited > 0 { // the client's time began when it sent the request
+	if waited := c.loop().Now() - c.currentArrival; waited > 0 { // the client's timeout began when it sent the request
 		arrival.Job.Remaining = max(arrival.Job.Remaining-waited, time.Millisecond)
 	}
 	arrival.Responder = slot
--- a/internal/client/response.go
+++ b/internal/client/response.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	maxResponseSlots = 16                    // requests of a connection that are read ahead of responses
-	maxUnreadOutput  = http1.MaxBodySize     // bytes of responses that wait to be sent, above which no request is read
+	maxResponseSlots = 16                    // requests of a connection that are handled ahead of responses
+	maxUnreadOutput  = http1.MaxBodySize     // bytes of responses; while more wait to be sent, no request is handled
 	maxWriteBuffer   = 4 * http1.MaxBodySize // bytes; a larger write buffer is not kept
 )
 
-// responseSlot is the place of a request in the order of a connection's responses (HTTP pipelining). It is the responder of an
+// responseSlot holds the place of a request in the order of a connection's responses (HTTP pipelining). It is the responder of an
 // admitted request.
 type responseSlot struct {
 	connection *connection
-	request    *requests.Request // while it is open; nil: it was not admitted, or has its response
+	request    *requests.Request // while it is open; nil: it was not admitted, or its response is set
 	keepAlive  bool              // the request allows the connection to stay open
 	isComplete bool              // the response, in the fields below, is set
 	statusCode int
@@ -49,7 +49,7 @@
 // respond responds to a request that is not admitted.
 func (s *responseSlot) respond(statusCode int, body string) { s.complete(statusCode, []byte(body), 0) }
 
-// complete sets the response, and sends the responses that are next in order.
+// complete sets the response, and sends the responses that are due in order.
 func (s *responseSlot) complete(statusCode int, body []byte, retryAfter time.Duration) {
 	conn := s.connection
 	if s.request != nil && conn.isLogEnabled(slog.LevelInfo) {
@@ -80,7 +80,7 @@
 	c.listener.table.ClientDisconnected(request)
 }
 
-// failAll responds to all requests that were read, also to the one whose handling panicked, and ends the connection.
+// failAll responds to all requests that were read, including the one whose handling panicked, and ends the connection.
 func (c *connection) failAll() {
 	if !c.IsOpen() || c.phase == phaseLingering {
 		c.terminate()
@@ -112,7 +112,7 @@
 	c.readRequests()
 }
 
-// sendResponses sends the complete responses at the head of the order.
+// sendResponses sends the responses that are complete, in order, up to the first one that is not.
 func (c *connection) sendResponses() {
 	for c.IsOpen() && len(c.slots) > 0 && c.slots[0].isComplete {
 		slot := c.slots[0]
@@ -132,7 +132,7 @@
 	}
 	c.updateBufferedBytes()
 	if c.IsOpen() && (len(c.slots) == 0 || len(c.Input()) > 0) {
-		c.loop().StartTimer(0, c, c.readRequests) // input that has arrived meanwhile is not handled within a step
+		c.loop().StartTimer(0, c, c.readRequests) // buffered input is handled by a timer, as this may run within a step
 	}
 }
 
--- a/internal/client/stalled_test.go
+++ b/internal/client/stalled_test.go
@@ -13,14 +13,14 @@
 	"valvecove/internal/modeltest"
 )
 
-// A client that stops in the middle of a request gets an error or the end of its connection within this time, by the protocol. Behind
-// a request in flight the time counts from its response.
 const (
+	// stalledClientLimit is the time within which, by the protocol, a client that stops in the middle of a request gets an error
+	// or the end of its connection. After a request in flight the time counts from the response to that.
 	stalledClientLimit = 3 * time.Second
-	stalledClientStep  = 50 * time.Millisecond
+	stalledClientStep  = 50 * time.Millisecond // between two checks
 )
 
-// stalledRequests are partial requests, by where they stop.
+// stalledRequests are partial requests, by the place at which they stop.
 var stalledRequests = map[string]string{
 	"method":        "PO",
 	"target":        "POST /a",
@@ -39,8 +39,8 @@
 	"PROXY, method": "PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\nPO",
 }
 
-// A client that stops in the middle of a request gets an error or the end of its connection in time: on a new connection, on one that
-// was idle after a response, and behind a request in flight, whose response it gets first.
+// A client that stops in the middle of a request gets an error or the end of its connection within stalledClientLimit: on a new
+// connection, on one that was idle after a response, and after a request in flight, whose response it gets first.
 func TestStalledRequestsEndInTime(t *testing.T) {
 	for where, text := range stalledRequests {
 		for name, stall := range map[string]func(f *fixture, p *eventlooptest.Peer, text string){
@@ -48,19 +48,19 @@
 			"in pieces": func(f *fixture, p *eventlooptest.Peer, text string) {
 				for piece := range strings.SplitAfterSeq(text, "\n") {
 					f.writeAll(p, []byte(piece))
-					f.runUntilQuiet()
+					f.runUntilIdle()
 				}
 			},
 			"idle before":      stallAfterIdle,
-			"behind a request": stallBehindRequest,
+			"after a request":  stallAfterRequest,
 			"after a response": stallAfterResponse,
-			"amid the shutdown": func(f *fixture, p *eventlooptest.Peer, text string) {
+			"during shutdown": func(f *fixture, p *eventlooptest.Peer, text string) {
 				f.writeAll(p, []byte(text))
 				f.listener.Drain()
 				f.listener.Close()
 			},
 		} {
-			if strings.HasPrefix(where, "PROXY") && (name == "behind a request" || name == "after a response") {
+			if strings.HasPrefix(where, "PROXY") && (name == "after a request" || name == "after a response") {
 				continue // a PROXY header comes first on its connection
 			}
 			t.Run(where+", "+name, func(t *testing.T) {
@@ -77,28 +77,28 @@
 // stallAfterIdle stalls on a connection that was silent for nearly requestReadTimeout.
 func stallAfterIdle(f *fixture, p *eventlooptest.Peer, text string) {
 	f.Time += requestReadTimeout - time.Millisecond
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.writeAll(p, []byte(text))
 }
 
 // stallAfterResponse stalls on a connection that was idle after a useful request.
 func stallAfterResponse(f *fixture, p *eventlooptest.Peer, text string) {
-	stallBehindRequest(f, p, "")
+	stallAfterRequest(f, p, "")
 	f.Time += time.Hour
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.writeAll(p, []byte(text))
 }
 
-// stallBehindRequest stalls while a request is in flight, which then fails.
-func stallBehindRequest(f *fixture, p *eventlooptest.Peer, text string) {
+// stallAfterRequest stalls while a request is in flight, which then fails.
+func stallAfterRequest(f *fixture, p *eventlooptest.Peer, text string) {
 	f.writeAll(p, []byte(requestOfSize(1, 0)))
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.writeAll(p, []byte(text))
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.Time += 4 * time.Second
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	f.act(dispatch.Fail{Job: 1})
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	p.Read(1 << 10)
 	if !strings.Contains(string(p.Received), "HTTP/1.1 500 ") || strings.Contains(string(p.Received), " 408 ") || p.Ended {
 		f.T.Fatalf("the request in flight got %q, ended %v", p.Received, p.Ended)
@@ -106,23 +106,24 @@
 	p.Received = nil
 }
 
-// expectEndInTime expects an error or the end of a connection in time, and no open connection some time later.
+// expectEndInTime expects an error response or the end of a connection within stalledClientLimit, and no open connection after
+// maxLingerTime.
 func (f *fixture) expectEndInTime(p *eventlooptest.Peer) {
 	f.T.Helper()
 	stalledAt := f.Time
-	answered := func() bool {
-		f.runUntilQuiet()
+	hasEnded := func() bool {
+		f.runUntilIdle()
 		p.Read(1 << 12)
 		text := strings.ReplaceAll(string(p.Received), http1.ContinueResponse, "")
 		return p.Ended || strings.HasPrefix(text, "HTTP/1.1 4") || strings.HasPrefix(text, "HTTP/1.1 5")
 	}
-	for !answered() {
+	for !hasEnded() {
 		if f.Time += stalledClientStep; f.Time-stalledAt > stalledClientLimit {
-			f.T.Fatalf("%v after it stopped the client has %q, ended %v", f.Time-stalledAt, p.Received, p.Ended)
+			f.T.Fatalf("%v after it stopped, the client has received %q, ended %v", f.Time-stalledAt, p.Received, p.Ended)
 		}
 	}
 	f.Time += maxLingerTime + expiryInterval
-	f.runUntilQuiet()
+	f.runUntilIdle()
 	if connections := len(f.listener.connections); connections != 0 {
 		f.T.Errorf("%d connections are left", connections)
 	}
--- a/internal/client/transfer.go
+++ b/internal/client/transfer.go
@@ -16,7 +16,7 @@
 	Descriptor int // owned by the connection until Relinquish
 }
 
-// Snapshot returns the connections that are transferred to a successor: all but lingering ones. Buffers are not copied.
+// Snapshot returns the connections that are transferred to a successor: all but lingering ones. It shares their buffers.
 func (l *Listener) Snapshot() []ConnectionSnapshot {
 	var snapshots []ConnectionSnapshot
 	for c := range l.connections {
@@ -152,7 +152,7 @@
 	conn.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
 	events := uint32(eventloop.StreamEvents)
 	if conn.halfClosed {
-		events = 0 // its end is known; HandleInput waits for what is left to be read
+		events = 0 // EPOLLRDHUP was reported already; HandleInput requests the events for the remaining input
 	}
 	var err error
 	if conn.Stream, err = l.loop.OpenStream(received.Descriptor, events, conn); err != nil {
