--- a/internal/management/calls.go
+++ b/internal/management/calls.go
@@ -67,7 +67,7 @@
 	return workerID, action, true
 }
 
-// checkMethod reports whether a call has the allowed method. If not, the call is answered.
+// checkMethod reports whether a call has the allowed method. If not, it responds to the call.
 func (o *operatorConnection) checkMethod(method, allowed string) bool {
 	if method != allowed {
 		o.respond(http1.StatusMethodNotAllowed, "Allow: "+allowed+"\r\n", []byte(allowed+" only\n"))
@@ -89,7 +89,8 @@
 	o.respond(http1.StatusOK, plainText, operators.metricsText)
 }
 
-// respondCordons responds with the cordoned workers, and whether they are stored. Only the process that owns the requests knows.
+// respondCordons responds with the cordoned workers, and whether they are stored. Only the process that owns the requests has
+// this information.
 func (o *operatorConnection) respondCordons() {
 	cordons := o.operators.config.Cordons
 	switch {
--- a/internal/management/cordons.go
+++ b/internal/management/cordons.go
@@ -23,20 +23,20 @@
 	SetCordoned(workerIDs []string)
 }
 
-// Role says which part this process has in a hot restart. Cordons are applied by the process that owns the requests.
+// Role is the role of this process in a hot restart. Cordons are applied by the process that owns the requests.
 type Role interface {
 	// HasRelinquished reports whether a successor owns the requests.
 	HasRelinquished() bool
 	// IsStandby reports whether a predecessor owns the requests.
 	IsStandby() bool
-	// ForwardCordon forwards a call to the process that owns the requests. respond is called with its answer, or with an error
-	// if that process can't be reached. It is called only if HasRelinquished or IsStandby is true.
+	// ForwardCordon forwards a call to the process that owns the requests. respond is called with its response, or with an error
+	// if that process can't be reached. ForwardCordon is called only if HasRelinquished or IsStandby is true.
 	ForwardCordon(workerID string, cordoned bool, respond RespondFunc)
 	// CordonsChanged notifies a successor in standby, if there is one, of the cordoned workers.
 	CordonsChanged()
 }
 
-// RespondFunc receives the answer to a cordon call: an HTTP status code and a line of text. It is called once.
+// RespondFunc receives the response to a cordon call: an HTTP status code and a line of text. It is called once.
 type RespondFunc = func(statusCode int, message string)
 
 // CordonsConfig configures Cordons.
@@ -46,7 +46,7 @@
 	Store *hotrestart.CordonStore // nil: cordons are not stored
 	Log   *slog.Logger
 
-	// LoadFile returns the cordoned workers that are stored.
+	// LoadFile reads the stored cordoned workers.
 	LoadFile func() (workerIDs []string, err error)
 }
 
@@ -56,13 +56,13 @@
 	config CordonsConfig
 }
 
-// NewCordons returns Cordons that has none. Restore loads those that an earlier process has stored.
+// NewCordons returns Cordons that changes no worker yet. Restore loads the cordons that an earlier process has stored.
 func NewCordons(loop *eventloop.Loop, config CordonsConfig) *Cordons {
 	return &Cordons{loop: loop, config: config}
 }
 
-// Restore cordons the workers that an earlier process had cordoned, when this process starts. An error of the file is logged, and no
-// worker is cordoned: operators can cordon again.
+// Restore cordons the workers that an earlier process had cordoned, when this process starts. If the file can't be read, the
+// error is logged and no worker is cordoned: operators can cordon them again.
 func (c *Cordons) Restore() {
 	workerIDs, err := c.config.LoadFile()
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Reload replaces the cordoned workers by those that are stored. After an error of the file, which is logged, they stay as they are.
+// Reload replaces the cordoned workers by the stored ones. If the file can't be read, the error is logged and nothing changes.
 func (c *Cordons) Reload() {
 	workerIDs, err := c.config.LoadFile()
 	if err != nil {
@@ -99,22 +99,23 @@
 	}
 }
 
-// OwnFile makes this process the one that writes the file of cordoned workers.
+// OwnFile is called once no other process writes the file of cordoned workers. It removes the temporary files of killed
+// processes.
 func (c *Cordons) OwnFile() {
 	if c.config.Store != nil {
 		c.config.Store.RemoveStrayFiles()
 	}
 }
 
-// Store stores the cordoned workers. A successor calls it after a take-over: its predecessor may have failed to.
+// Store stores the cordoned workers. A successor calls it after a takeover: its predecessor may have failed to store them.
 func (c *Cordons) Store() {
 	if c.config.Store != nil {
 		c.config.Store.Keep(c.config.Table.Cordoned())
 	}
 }
 
-// Fence stops writing the file, for a successor to write it. It returns false if a write is in progress: the caller tries again
-// later.
+// Fence stops writing the file, so that a successor can write it. It returns false if a write is in progress; the caller then
+// retries.
 func (c *Cordons) Fence() bool { return c.config.Store == nil || c.config.Store.Fence() }
 
 // Unfence resumes writing the file, after a successor has failed to take over.
@@ -156,12 +157,12 @@
 			report.LastError = state.LastError.Error()
 		}
 	}
-	text, _ := jsoniter.ConfigDefault.Marshal(report) // of strings and numbers: it can't fail
+	text, _ := jsoniter.ConfigDefault.Marshal(report) // strings and numbers can't fail to marshal
 	return append(text, '\n')
 }
 
-// Set cordons or uncordons a worker, here or in the process that owns the requests. respond is called once the change is in effect
-// and stored, or has failed.
+// Set cordons or uncordons a worker, in this process or in the one that owns the requests. respond is called once the change is
+// in effect and stored, or has failed.
 func (c *Cordons) Set(workerID string, cordoned bool, respond RespondFunc) {
 	if c.config.Role.HasRelinquished() || c.config.Role.IsStandby() {
 		c.config.Role.ForwardCordon(workerID, cordoned, respond)
@@ -197,7 +198,7 @@
 		return
 	}
 	c.config.Store.Save(c.config.Table.Cordoned(), func(err error) {
-		if err != nil { // the store tries again
+		if err != nil { // the store retries
 			respond(http1.StatusServiceUnavailable, "not kept: "+err.Error())
 			return
 		}
@@ -205,7 +206,7 @@
 	})
 }
 
-// Apply carries out a call that the other process has forwarded. send is called with the result.
+// Apply carries out a cordon call that the other process has forwarded. send is called with the result.
 func (c *Cordons) Apply(call hotrestart.SetCordon, send func(hotrestart.CordonResult)) {
 	c.Set(call.WorkerID, call.Cordoned, func(statusCode int, message string) {
 		send(hotrestart.CordonResult{Sequence: call.Sequence, StatusCode: statusCode, Message: message})
--- a/internal/management/cordons_test.go
+++ b/internal/management/cordons_test.go
@@ -13,9 +13,9 @@
 	"valvecove/internal/modeltest"
 )
 
-// A cordon that the disk does not take is answered with 503, holds, is shown by the call, the metric and one line of the log,
-// and is stored once the disk takes it, whatever the number of tries.
-func TestUnstoredCordonIsShownUntilStored(t *testing.T) {
+// A cordon that can't be written to disk gets a response with 503, but stays in effect. The cordons call, the metric and one log
+// line report it until it is stored, however often the write is retried.
+func TestUnstoredCordonIsReportedUntilStored(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	disk := filesystemtest.New(nil)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC, filesystemtest.Write))
@@ -33,7 +33,7 @@
 	since := f.Now() - f.store.State().UnsavedFrom
 	want := fmt.Sprintf(`200 {"out":["s-0"],"kept":false,"not_kept_ms":%d,"error":"cordoned workers in `, since.Milliseconds())
 	if got := f.callUntilAnswered("GET /v1/worker-nodes HTTP/1.1"); !strings.HasPrefix(got, want) || !strings.Contains(got, syscall.ENOSPC.Error()) {
-		t.Errorf("while it is not kept: %q, expected %s", got, want)
+		t.Errorf("while it is not stored: %q, expected %s", got, want)
 	}
 	if got := f.callUntilAnswered("GET /v1/metrics HTTP/1.1"); !strings.Contains(got, "edge_proxy.hosts_out_not_kept=1") {
 		t.Errorf("metrics: %q", got)
@@ -41,10 +41,10 @@
 	disk.SetFault(nil)
 	f.awaitStored()
 	if got, err := hotrestart.LoadCordonFile(disk, "/state"); err != nil || !slices.Equal(got, []string{"s-0"}) {
-		t.Errorf("kept %v, %v", got, err)
+		t.Errorf("stored %v, error %v", got, err)
 	}
 	if got := f.callUntilAnswered("GET /v1/worker-nodes HTTP/1.1"); got != `200 {"out":["s-0"],"kept":true}` {
-		t.Errorf("once it is kept: %q", got)
+		t.Errorf("once it is stored: %q", got)
 	}
 	if got := f.callUntilAnswered("GET /v1/metrics HTTP/1.1"); !strings.Contains(got, "edge_proxy.hosts_out_not_kept=0") {
 		t.Errorf("metrics: %q", got)
@@ -55,7 +55,7 @@
 	}
 }
 
-// awaitStored moves the clock on and runs the loop until the cordoned workers are stored.
+// awaitStored advances the clock and runs the loop until the cordoned workers are stored.
 func (f *fixture) awaitStored() {
 	for tries := 0; !f.store.State().Stored; tries++ {
 		if tries > 100 {
@@ -87,7 +87,7 @@
 	}
 }
 
-// A file that can't be read cordons no worker at the start, and changes nothing later.
+// If the file can't be read, no worker is cordoned at the start of a process, and a reload changes nothing.
 func TestUnreadableCordonFile(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.table.Cordon("s-0")
--- a/internal/management/fixture_test.go
+++ b/internal/management/fixture_test.go
@@ -26,7 +26,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// fixture is a request table with one worker, s-0, and the operators' calls on an event loop.
+// fixture is a request table with one worker, s-0, and the server of the operators' calls, on an event loop.
 type fixture struct {
 	*modeltest.Steps
 	*eventlooptest.Loop
@@ -59,7 +59,7 @@
 	return f
 }
 
-// setPolicy makes the request table anew, with another policy.
+// setPolicy replaces the request table by one with another policy.
 func (f *fixture) setPolicy(policy requests.Policy) {
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
@@ -68,7 +68,7 @@
 	f.table = requests.New(6, names, newPolicy, endpoints, noTransport{}, slog.New(slog.DiscardHandler))
 }
 
-// setCordons makes the cordons anew, for the present table. Without a store they are not stored.
+// setCordons replaces the cordons, for the current table. Without a store they are not stored.
 func (f *fixture) setCordons(files filesystem.FileSystem, store *hotrestart.CordonStore, stateDir string) {
 	f.store = store
 	f.cordons = NewCordons(f.Loop.Loop, CordonsConfig{
@@ -83,7 +83,7 @@
 	}
 }
 
-// storeCordonsOn has the cordoned workers stored on a file system.
+// storeCordonsOn replaces the cordons by ones that are stored on a file system.
 func (f *fixture) storeCordonsOn(files filesystem.FileSystem, stateDir string) {
 	store := hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files:        files,
@@ -130,12 +130,12 @@
 	}
 }
 
-// testRole is a role in a hot restart that the test sets.
+// testRole is a Role whose values the test sets.
 type testRole struct {
 	hasRelinquished bool
 	isStandby       bool
 	forwarded       []string // IDs of workers
-	changes         int
+	changes         int      // calls of CordonsChanged
 }
 
 func (t *testRole) HasRelinquished() bool { return t.hasRelinquished }
@@ -147,7 +147,7 @@
 	respond(http1.StatusOK, "forwarded")
 }
 
-// noTransport makes no attempts.
+// noTransport is a transport that does nothing.
 type noTransport struct{}
 
 func (noTransport) Start(*requests.Attempt)     {}
@@ -164,7 +164,7 @@
 	return peer
 }
 
-// callOperator makes one call and returns the status and the body of its response.
+// callOperator makes one call and returns the status code and the body of its response.
 func (f *fixture) callOperator(text string) string {
 	peer := f.connectOperator()
 	peer.Write([]byte(text))
@@ -173,7 +173,8 @@
 	return statusAndBody(string(peer.Received))
 }
 
-// callUntilAnswered makes one call, whose response may wait for the disk. text is the request without the end of its header.
+// callUntilAnswered makes one call, and waits for its response, which may depend on a write to disk. text is the request without
+// the end of its header.
 func (f *fixture) callUntilAnswered(text string) string {
 	peer := f.connectOperator()
 	peer.Write([]byte(text + "\r\n\r\n"))
@@ -186,15 +187,16 @@
 	return statusAndBody(string(peer.Received))
 }
 
+// statusAndBody returns the status code and the body of a response that closes the connection.
 func statusAndBody(response string) string {
 	header, body, _ := strings.Cut(response, "\r\n\r\n")
 	if !strings.Contains(header, "\r\nConnection: close") {
-		return "no close in " + response
+		return "no Connection: close in " + response
 	}
 	return strings.Split(header, " ")[1] + " " + strings.TrimSpace(body)
 }
 
-// newStatusFixture returns a fixture with a status call that has one request, "a".
+// newStatusFixture returns a fixture that also serves the status call, with one request, "a".
 func newStatusFixture(steps *modeltest.Steps) *fixture {
 	f := newFixture(steps)
 	table := status.New(config.Status{Retention: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, f.Now)
@@ -210,14 +212,14 @@
 	return f
 }
 
-// connectStatus connects to the status call.
+// connectStatus connects to the address of the status call.
 func (f *fixture) connectStatus() *eventlooptest.Peer {
 	peer, descriptor := eventlooptest.SocketPair(f.T)
 	f.status.addConnection(descriptor)
 	return peer
 }
 
-// readToEnd reads up to the end of the connection, a little at a time. It returns an error if the connection is reset.
+// readToEnd reads until the end of the connection, in small parts. It returns an error if the connection is reset.
 func (f *fixture) readToEnd(t *testing.T, peer *eventlooptest.Peer) error {
 	t.Helper()
 	buffer := make([]byte, 1<<10)
--- a/internal/management/listener.go
+++ b/internal/management/listener.go
@@ -15,13 +15,13 @@
 // expiryInterval is the time between two checks for expired connections.
 const expiryInterval = 250 * time.Millisecond
 
-// listener accepts connections and keeps them in the order in which they are evicted. It is embedded by the listener of a kind of
-// connection.
+// listener accepts connections and keeps them in the order in which they are closed for others. It is embedded in Operators and
+// Status.
 type listener struct {
 	loop        *eventloop.Loop
 	acceptor    *eventloop.Acceptor
-	connections list.List     // of handlers
-	request     http1.Request // scratch buffer of the connections
+	connections list.List     // the handlers of the connections
+	request     http1.Request // scratch buffer of the connections, for parsing
 }
 
 // newListener returns a listener without a socket.
@@ -32,7 +32,7 @@
 // Addr returns the address that the listener listens at.
 func (l *listener) Addr() netip.AddrPort { return l.acceptor.Addr() }
 
-// HandlePanic does nothing: the listener remains in use.
+// HandlePanic does nothing: the listener keeps working.
 func (l *listener) HandlePanic() {}
 
 // acceptAll accepts at most maxConnections connections, and passes each socket to add, which owns it. isAllowed reports whether
@@ -51,8 +51,8 @@
 	}
 }
 
-// open opens a connection on a socket, which the connection owns from then on. handler is what embeds the connection. It reports
-// whether that succeeded; if not, the socket is closed.
+// open opens a connection on a socket, which the connection owns from then on. handler is the value that embeds the connection.
+// It reports whether opening succeeded; if not, the socket is closed.
 func (l *listener) open(socket int, c *connection, handler eventloop.Handler) bool {
 	c.listener = l
 	c.lastActivity = l.loop.Now()
@@ -74,14 +74,14 @@
 	}
 }
 
-// connection is the part that is common to all kinds of connections.
+// connection is the part that is common to both kinds of connections.
 type connection struct {
 	eventloop.Stream
 	listener       *listener
 	element        *list.Element // of listener.connections
-	lastActivity   time.Duration // when the present phase began
+	lastActivity   time.Duration // when the current phase began
 	isLastResponse bool          // no further request is read: the connection ends after the response that is being sent
-	hasInputEnded  bool          // the peer sends no more
+	hasInputEnded  bool          // the peer has closed its sending side, and all input was read
 }
 
 // HandlePanic ends the connection.
@@ -94,8 +94,8 @@
 	}
 }
 
-// transfer sends queued output and reads input. hasEnded reports that the peer sends no more; it remains true from then on, as no
-// further events are requested. If ok is false the connection has ended.
+// transfer sends queued output and reads input. hasEnded reports that the end of the input was read; it stays true, as no further
+// input events are requested then. If ok is false the connection is closed.
 func (c *connection) transfer(events uint32) (hasEnded, ok bool) {
 	var err error
 	if events&unix.EPOLLOUT != 0 {
@@ -119,7 +119,7 @@
 	return c.hasInputEnded, err == nil
 }
 
-// sendResponse sends a response. fields are whole header lines. Without keepAlive it is the last response of the connection.
+// sendResponse sends a response. fields are complete header lines. Without keepAlive it is the last response of the connection.
 func (c *connection) sendResponse(statusCode int, fields string, body []byte, keepAlive bool) {
 	c.isLastResponse = !keepAlive
 	if c.Send(http1.AppendResponse(nil, statusCode, fields, body, keepAlive)) != nil {
--- a/internal/management/operators.go
+++ b/internal/management/operators.go
@@ -21,7 +21,7 @@
 	operatorConnectionTimeout = 3 * time.Second        // for the caller to read the response
 )
 
-// Scheduler is what the operators' calls report of the scheduler.
+// Scheduler is the state of the scheduler that the operators' calls report.
 type Scheduler interface {
 	// NotReadyReason returns why this process is not ready to serve; an empty string if it is.
 	NotReadyReason() string
@@ -37,15 +37,15 @@
 	Log       *slog.Logger
 }
 
-// Operators serves the operators' calls at the management address. Its events have the highest priority, so that an operator gets a
-// response however busy the scheduler is.
+// Operators serves the operators' calls at the management address. Its events have the highest priority, so that an operator gets
+// a response even if the scheduler is overloaded.
 type Operators struct {
-	listener    // the oldest connection first
+	listener    // connections in order of their opening, the oldest first
 	config      OperatorsConfig
 	metricsText []byte // scratch buffer of the metrics call
 }
 
-// ServeOperators serves the operators' calls from now on.
+// ServeOperators starts to serve the operators' calls at an address.
 func ServeOperators(loop *eventloop.Loop, address netip.AddrPort, config OperatorsConfig) (*Operators, error) {
 	operators := &Operators{listener: newListener(loop, config.Log), config: config}
 	if err := operators.acceptor.Listen(address, operators); err != nil {
@@ -63,7 +63,7 @@
 	o.acceptAll(limits.MaxOperatorConnections, nil, o.addConnection)
 }
 
-// addConnection serves a socket, which it owns.
+// addConnection serves a socket, which it owns. At the limit of connections, another one is closed.
 func (o *Operators) addConnection(socket int) {
 	if o.connections.Len() >= limits.MaxOperatorConnections {
 		o.evict()
@@ -75,8 +75,8 @@
 	}
 }
 
-// evict ends the oldest connection whose call is not pending, or the oldest of all if every call is: a caller that stalls never
-// keeps out another.
+// evict closes the oldest connection whose call is not pending, or the oldest one if all calls are, so that a stalled caller
+// never blocks another.
 func (o *Operators) evict() {
 	evicted := o.connections.Front().Value.(*operatorConnection)
 	for element := o.connections.Front(); element != nil; element = element.Next() {
@@ -88,19 +88,19 @@
 	evicted.terminate()
 }
 
-// closeExpired ends, at each expiryInterval, the connections whose call, result or end is late.
+// closeExpired ends the calls and the connections that have exceeded a time limit, and runs again every expiryInterval.
 func (o *Operators) closeExpired() {
 	o.loop.StartTimer(expiryInterval, o, o.closeExpired)
 	o.forEach(func(handler any) { handler.(*operatorConnection).closeIfExpired() })
 }
 
-// callState is the progress of an operator's call. It only ever advances.
+// callState is the progress of an operator's call. It only advances.
 type callState int
 
 const (
 	callReading  callState = iota
-	callPending            // it was read, and is being carried out
-	callAnswered           // its response was sent, or is being sent
+	callPending            // the call was read, and is being carried out
+	callAnswered           // the response was sent, or is being sent
 )
 
 func (c callState) String() string {
--- a/internal/management/status.go
+++ b/internal/management/status.go
@@ -31,11 +31,11 @@
 
 // Status serves the status call.
 type Status struct {
-	listener // the connection that has been idle longest first
+	listener // connections in order of their last activity, the earliest first
 	config   StatusConfig
 }
 
-// ServeStatus serves the status call from now on.
+// ServeStatus starts to serve the status call at an address.
 func ServeStatus(loop *eventloop.Loop, address netip.AddrPort, config StatusConfig) (*Status, error) {
 	server := &Status{listener: newListener(loop, config.Log), config: config}
 	if err := server.acceptor.Listen(address, server); err != nil {
@@ -50,7 +50,7 @@
 	s.acceptAll(limits.MaxStatusConnections, s.config.IsAllowed, s.addConnection)
 }
 
-// addConnection serves a socket, which it owns. If there are too many connections, the one that has been idle longest is ended.
+// addConnection serves a socket, which it owns. At the limit of connections, the one that has been idle longest is closed.
 func (s *Status) addConnection(socket int) {
 	if s.connections.Len() >= limits.MaxStatusConnections {
 		s.connections.Front().Value.(*statusConnection).terminate()
@@ -59,13 +59,14 @@
 	s.open(socket, &c.connection, c)
 }
 
-// closeExpired ends, at each expiryInterval, the connections that are idle, and those whose request or response is late.
+// closeExpired ends the connections that are idle, or whose request or response takes too long, and runs again every
+// expiryInterval.
 func (s *Status) closeExpired() {
 	s.loop.StartTimer(expiryInterval, s, s.closeExpired)
 	s.forEach(func(handler any) { handler.(*statusConnection).closeIfExpired() })
 }
 
-// statusConnection answers requests in the order in which they arrive.
+// statusConnection responds to requests in the order in which they arrive.
 type statusConnection struct {
 	connection
 	status *Status
@@ -98,7 +99,7 @@
 	}
 }
 
-// readRequest answers the first request of the input. more is false if the input holds no complete request.
+// readRequest responds to the first request of the input. more is false if the input holds no complete request.
 func (s *statusConnection) readRequest() (more bool) {
 	request := &s.status.request
 	size, err := request.Parse(s.Input())
@@ -144,7 +145,7 @@
 	s.sendResponse(statusCode, fields, body, keepAlive)
 }
 
-// recordActivity restarts the connection's time limits.
+// recordActivity restarts the connection's time limits, and makes it the last one to be closed for others.
 func (s *statusConnection) recordActivity() {
 	s.lastActivity = s.status.loop.Now()
 	s.status.connections.MoveToBack(s.element)
--- a/internal/management/status_test.go
+++ b/internal/management/status_test.go
@@ -12,25 +12,25 @@
 	"valvecove/internal/modeltest"
 )
 
-// statusCall is what may be asked at the status call.
+// statusCall is a request at the address of the status call, and its expected response.
 type statusCall struct {
 	text, want string
-	closes     bool
+	closes     bool // the connection ends after the response
 }
 
 // statusModel is a client of the status call with one connection.
 type statusModel struct {
 	*fixture
-	peer   *eventlooptest.Peer
-	call   statusCall // the last one
-	unsent string     // of it
-	want   string     // all that is to come
-	quiet  time.Duration
-	last   bool // the connection ends with what is to come
+	peer         *eventlooptest.Peer
+	call         statusCall // the last one
+	unsent       string     // the rest of call
+	want         string     // all responses expected so far
+	lastActivity time.Duration
+	isLast       bool // the connection ends after the expected responses
 }
 
-// A status connection answers each request, in whatever pieces it comes, once and in order; one who asks for something else
-// gets an error; connections are few, and one on which nothing goes on ends.
+// FuzzStatusConnection checks that a status connection responds to each request once and in order, whatever parts it arrives in,
+// that other requests get an error, and that an inactive connection is closed in time.
 func FuzzStatusConnection(f *testing.F) {
 	calls := []statusCall{
 		{"GET /status/a HTTP/1.1\r\n\r\n", `200 {"id":"a","class":"a","state":"waiting"}`, false},
@@ -45,7 +45,7 @@
 		f := newStatusFixture(s)
 		m := &statusModel{fixture: f, peer: f.connectStatus(), call: calls[0]}
 		f.RunIterations()
-		m.quiet = f.Time
+		m.lastActivity = f.Time
 		for s.More() && !m.peer.Ended {
 			m.act(calls)
 			f.RunIterations()
@@ -57,7 +57,7 @@
 
 func (s *statusModel) act(calls []statusCall) {
 	switch what := s.Pick(8); {
-	case what < 2 && s.unsent == "" && !s.last:
+	case what < 2 && s.unsent == "" && !s.isLast:
 		s.call = calls[s.Pick(len(calls))]
 		s.unsent = s.call.text
 	case what < 6 && s.unsent != "":
@@ -72,17 +72,17 @@
 	size := min(len(s.unsent), 1+s.Pick(40))
 	s.peer.Write([]byte(s.unsent[:size]))
 	if len(s.unsent) == len(s.call.text) {
-		s.quiet = s.Time
+		s.lastActivity = s.Time
 	}
 	s.unsent = s.unsent[size:]
 	if s.unsent == "" {
-		s.quiet, s.last = s.Time, s.call.closes
+		s.lastActivity, s.isLast = s.Time, s.call.closes
 		s.want += s.call.want + "\n"
 	}
 	s.Record(fmt.Sprint("write ", size, " of ", s.call.text))
 }
 
-// check expects all responses that are due, and the connection's end in time.
+// check checks that all responses that are due have been received, and that the connection is closed in time.
 func (s *statusModel) check() {
 	got := ""
 	for _, part := range strings.Split(string(s.peer.Received), "HTTP/1.1 ")[1:] {
@@ -90,19 +90,20 @@
 		got += header[:4] + body
 	}
 	s.Check(got == s.want, "got %q, expected %q", got, s.want)
-	isBegun := s.unsent != "" && len(s.unsent) < len(s.call.text)
+	isPartial := s.unsent != "" && len(s.unsent) < len(s.call.text)
 	limit := statusIdleTimeout
-	if s.last || isBegun {
+	if s.isLast || isPartial {
 		limit = statusRequestTimeout
 	}
-	age := s.Time - s.quiet
+	age := s.Time - s.lastActivity
 	ended := s.peer.Ended
-	s.Check(!ended || s.last || age >= limit, "ended after %v", age)
-	s.Check(ended || age < limit+expiryInterval, "still there after %v", age)
-	s.Check(!ended || s.status.connections.Len() == 0 || s.last, "a connection is left")
+	s.Check(!ended || s.isLast || age >= limit, "closed after %v", age)
+	s.Check(ended || age < limit+expiryInterval, "still open after %v", age)
+	s.Check(!ended || s.status.connections.Len() == 0 || s.isLast, "a closed connection is still listed")
 }
 
-// A crowd at the status call takes a few descriptors, and the one who asks gets an answer all the same.
+// The number of status connections is limited. The one that has been idle longest is closed for a new one, and a new caller is
+// served.
 func TestStatusConnectionsAreLimited(t *testing.T) {
 	f := newStatusFixture(&modeltest.Steps{T: t})
 	first := f.connectStatus()
@@ -111,39 +112,39 @@
 		f.RunIterations()
 	}
 	if first.Read(1); f.status.connections.Len() != limits.MaxStatusConnections || !first.Ended {
-		t.Errorf("%d connections, the quietest ended: %v", f.status.connections.Len(), first.Ended)
+		t.Errorf("%d connections, the first one closed: %v", f.status.connections.Len(), first.Ended)
 	}
 	p := f.connectStatus()
 	p.Write([]byte("GET /status/a HTTP/1.1\r\n\r\n"))
 	f.RunIterations()
 	if p.Read(1 << 10); !strings.HasPrefix(string(p.Received), "HTTP/1.1 200 ") {
-		t.Errorf("in a crowd: %q", p.Received)
+		t.Errorf("at the limit of connections: %q", p.Received)
 	}
 }
 
-// A connection whose peer has closed its side, and whose responses are not read yet, does not keep the loop busy, and ends with the
-// last response.
-func TestManagementConnectionsEndOnce(t *testing.T) {
+// A connection whose peer has closed its sending side, and has not read its responses yet, does not keep the loop busy. It ends
+// after the last response.
+func TestHalfClosedStatusConnection(t *testing.T) {
 	f := newStatusFixture(&modeltest.Steps{T: t})
 	p := f.connectStatus()
 	for range 40 {
 		p.Write([]byte(strings.Repeat("GET /status/a HTTP/1.1\r\n\r\n", 20)))
 		f.RunIterations()
 	}
-	k := f.status.connections.Front().Value.(*statusConnection)
-	if p.CloseWrite(); len(k.Output()) == 0 {
-		t.Fatal("nothing waits to be read")
+	conn := f.status.connections.Front().Value.(*statusConnection)
+	if p.CloseWrite(); len(conn.Output()) == 0 {
+		t.Fatal("no response waits to be sent")
 	}
-	for range 100 { // up to where nobody reads on
+	for range 100 { // until no more can be sent, as the peer does not read
 		f.RunIterations()
 	}
 	if n := f.ReadyDescriptors(); n != 0 {
-		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
+		t.Errorf("%d descriptors are ready, expected none", n)
 	}
 	if err := f.readToEnd(t, p); err != nil || f.status.connections.Len() != 0 {
-		t.Errorf("read to the end: %v, %d connections left", err, f.status.connections.Len())
+		t.Errorf("read to the end: error %v, %d connections left", err, f.status.connections.Len())
 	}
 	if n := bytes.Count(p.Received, []byte("HTTP/1.1 200 ")); n != 800 {
-		t.Errorf("%d answers to 800 requests", n)
+		t.Errorf("%d responses to 800 requests", n)
 	}
 }
