--- a/internal/client/arrivaltime.go
+++ b/internal/client/arrivaltime.go
@@ -43,7 +43,7 @@
 
 // lastInputTime returns when the last byte of the input arrived.
 func (c *connection) lastInputTime() time.Duration {
-	if arrivedAt := c.InputCameAt(); arrivedAt > 0 {
+	if arrivedAt := c.InputArrivedAt(); arrivedAt > 0 {
 		return arrivedAt
 	}
 	return c.loop().Now() // the input was read by a predecessor
--- a/internal/eventloop/acceptor.go
+++ b/internal/eventloop/acceptor.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of what an Acceptor does while accepting fails.
+// Limits for an Acceptor while accepting fails.
 const (
-	MaxAcceptAttempts = 8                     // of one call of Accept, without a pause between them
+	MaxAcceptAttempts = 8                     // accepts in one call of Accept, without a pause between them
 	MaxAcceptBackoff  = 50 * time.Millisecond // the longest pause
 
-	minAcceptBackoff  = time.Millisecond // the first pause; each further one is twice as long
-	acceptLogInterval = time.Second      // between two log lines about failed accepts
+	minAcceptBackoff  = time.Millisecond // the first pause; it doubles with each further one
+	acceptLogInterval = time.Second      // minimum time between two log lines about failed accepts
 )
 
 // Acceptor accepts the connections of a listening socket. After a failure it pauses, with exponential backoff: the socket's
 // event is level-triggered, so a connection that can't be accepted would otherwise keep the loop busy.
 //
-// It is for the loop's goroutine only. The handler that the socket was added with calls Accept.
+// It is used on the loop's goroutine only. The socket's handler calls Accept.
 type Acceptor struct {
 	loop   *Loop
 	log    *slog.Logger
@@ -39,9 +39,9 @@
 // The outcomes of Accept.
 const (
 	Accepted           AcceptResult = iota
-	AcceptPending                   // no connection waits
+	AcceptPending                   // no connection is waiting
 	AcceptFailed                    // the acceptor has paused
-	AcceptNoDescriptor              // the acceptor has paused; closing a descriptor of this process helps
+	AcceptNoDescriptor              // the acceptor has paused; this process has no descriptor left
 )
 
 // NewAcceptor returns an acceptor without a socket.
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Add uses a socket that listens already, whose events go to the owner. On an error the caller owns the socket.
+// Add uses a socket that is listening already, whose events go to the owner. On an error the caller owns the socket.
 func (a *Acceptor) Add(fd int, owner Handler) error {
 	if err := a.loop.Add(fd, unix.EPOLLIN, owner); err != nil {
 		return err
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// FD returns the listening socket, which is the acceptor's, or NoDescriptor.
+// FD returns the listening socket, which the acceptor owns, or NoDescriptor.
 func (a *Acceptor) FD() int { return a.fd }
 
 // Addr returns the address that the socket listens at; without a socket it is not valid.
@@ -86,8 +86,8 @@
 	a.fd = NoDescriptor
 }
 
-// Accept accepts a connection; the caller owns its socket. A failure of the connection itself, or a momentary lack of a
-// resource of the machine, is retried at once, MaxAcceptAttempts times in all. After any other failure the acceptor pauses.
+// Accept accepts a connection; the caller owns its socket. After a failure of the connection itself, or a lack of a system
+// resource, it retries at once, with at most MaxAcceptAttempts accepts. After any other failure the acceptor pauses.
 func (a *Acceptor) Accept() (socket int, from netip.AddrPort, result AcceptResult) {
 	for attempt := 1; ; attempt++ {
 		socket, sockaddr, err := a.loop.Syscalls().Accept4(a.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -111,7 +111,7 @@
 	}
 }
 
-// handleFailure pauses, and logs at most one line per acceptLogInterval.
+// handleFailure pauses accepting, and logs at most one line per acceptLogInterval.
 func (a *Acceptor) handleFailure(err error) {
 	a.failures++
 	a.backoff = min(max(minAcceptBackoff, 2*a.backoff), MaxAcceptBackoff)
@@ -123,7 +123,7 @@
 	}
 }
 
-// Pause stops the socket's events until the delay has passed or Resume is called. While paused it has no effect.
+// Pause stops the socket's events until the delay has passed or Resume is called. It does nothing during a pause.
 func (a *Acceptor) Pause(delay time.Duration) {
 	if a.paused {
 		return
--- a/internal/eventloop/acceptor_test.go
+++ b/internal/eventloop/acceptor_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptingOwner accepts one connection at each event.
+// acceptingOwner accepts one connection per event.
 type acceptingOwner struct {
 	acceptor *Acceptor
 	events   int
@@ -28,7 +28,7 @@
 
 func (o *acceptingOwner) HandlePanic() {}
 
-// listenAndConnect returns the owner of an acceptor at whose socket a connection waits.
+// listenAndConnect returns the owner of an acceptor with a waiting connection.
 func listenAndConnect(l *testLoop) *acceptingOwner {
 	l.t.Helper()
 	owner := &acceptingOwner{acceptor: NewAcceptor(l.Loop, l.Loop.log)}
@@ -48,8 +48,8 @@
 	return owner
 }
 
-// A momentary failure is retried at once; after MaxAcceptAttempts of them the acceptor pauses, for longer each time, and goes
-// on by itself once accepting works again.
+// A momentary failure is retried at once. After MaxAcceptAttempts failures the acceptor pauses, longer each time. It accepts
+// again by itself once accepting works.
 func TestAcceptorPausesAfterFailures(t *testing.T) {
 	l := newTestLoop(t)
 	owner := listenAndConnect(l)
@@ -68,7 +68,7 @@
 	l.runFor(minAcceptBackoff)
 	l.run()
 	if owner.events != 2 {
-		t.Fatal("the second pause is as short as the first")
+		t.Fatal("the second pause is not longer than the first")
 	}
 	l.runFor(minAcceptBackoff)
 	l.run()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Without a descriptor to be had nothing is retried, and Resume ends the pause.
+// If the process has no descriptor left, the acceptor pauses without a retry. Resume ends the pause.
 func TestAcceptorResumes(t *testing.T) {
 	l := newTestLoop(t)
 	owner := listenAndConnect(l)
@@ -94,7 +94,7 @@
 		t.Errorf("the connection is not accepted: %v", owner.results)
 	}
 	if _, _, result := owner.acceptor.Accept(); result != AcceptPending {
-		t.Errorf("without a connection that waits: %v", result)
+		t.Errorf("without a waiting connection: %v", result)
 	}
 }
 
--- a/internal/eventloop/errorclass.go
+++ b/internal/eventloop/errorclass.go
@@ -8,27 +8,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrorClass says what to do about a system call that has failed.
+// ErrorClass is the kind of a failed system call's error, by how it is to be handled.
 type ErrorClass int
 
 // The classes of errors.
 const (
-	// ErrorRetry is of a call to be made again at once, so many times at most: it was interrupted, or, of an accept, what has
-	// failed is the connection that was to be accepted.
+	// ErrorRetry means that the call may be retried at once, a limited number of times: it was interrupted or, for accept(2), the
+	// connection that was to be accepted has failed.
 	ErrorRetry ErrorClass = iota
-	// ErrorPending is of a call that is in progress, or has nothing to do yet: there will be an event for it.
+	// ErrorPending means that the call is in progress or would block: there will be an event for it.
 	ErrorPending
-	// ErrorNoDescriptor is of a call to be made again later: this process has no descriptor left. Closing one of its own helps.
+	// ErrorNoDescriptor means that this process has no descriptor left. The call may be retried once it has closed one.
 	ErrorNoDescriptor
-	// ErrorNoResource is of a call to be made again later: the system has no descriptor, memory, buffer, local port or route
-	// left. Nothing that this process closes is sure to help.
+	// ErrorNoResource means that the system has no descriptor, memory, buffer, local port or route left. The call may be retried
+	// later; closing descriptors of this process does not necessarily help.
 	ErrorNoResource
-	// ErrorAddressInUse is of an address that another socket has. It is for the caller to say whether that may pass.
+	// ErrorAddressInUse means that another socket uses the address. The caller decides whether to retry.
 	ErrorAddressInUse
-	// ErrorConnectionLost is of a connection that has failed or ended, however that shows.
+	// ErrorConnectionLost means that the connection has failed or ended, whatever the errno.
 	ErrorConnectionLost
-	// ErrorUnusable is of something that will not work however often it is tried: a descriptor that is none, or an address that
-	// makes no sense.
+	// ErrorUnusable means that a retry would fail too, as for an invalid descriptor or address.
 	ErrorUnusable
 )
 
@@ -52,40 +51,40 @@
 	return fmt.Sprintf("ErrorClass(%d)", int(c))
 }
 
-// IsShortage reports whether something is lacking at this machine that may be there again in a moment.
+// IsShortage reports whether this machine lacks a resource that may soon be available again.
 func (c ErrorClass) IsShortage() bool { return c == ErrorNoDescriptor || c == ErrorNoResource }
 
-// IsMomentary reports whether the same call may succeed in a moment, without an event for it.
+// IsMomentary reports whether the call may soon succeed if it is retried, without an event for it.
 func (c ErrorClass) IsMomentary() bool { return c == ErrorRetry || c.IsShortage() }
 
-// classifiedErrors are the errors that do not belong to a call's default class.
+// classifiedErrors are errors of a class.
 type classifiedErrors struct {
 	class  ErrorClass
 	errnos []unix.Errno
 }
 
-// Errors that mean the same of every call.
+// commonErrors are the errors that have the same class for every call, unless the rules of the call differ.
 var commonErrors = []classifiedErrors{
 	{ErrorRetry, []unix.Errno{unix.EINTR}},
 	{ErrorNoDescriptor, []unix.Errno{unix.EMFILE}},
 	{ErrorNoResource, []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}},
 }
 
-// errorRules say of a kind of call what its errors mean, where that differs from commonErrors.
+// errorRules are the classes of the errors of a kind of call. They take precedence over commonErrors.
 type errorRules struct {
-	otherwise ErrorClass
-	errors    []classifiedErrors
+	defaultClass ErrorClass // of errors that are in neither list
+	errors       []classifiedErrors
 }
 
 var (
-	// accept(2) hands on network errors of the new connection, any of them: all but these are of that one.
+	// accept(2) returns network errors of the new connection: all errors but these concern only that connection.
 	acceptErrors = errorRules{ErrorRetry, []classifiedErrors{
 		{ErrorPending, []unix.Errno{unix.EAGAIN}},
 		{ErrorNoResource, []unix.Errno{unix.ENOSR}},
 		{ErrorUnusable, []unix.Errno{unix.EBADF, unix.EFAULT, unix.EINVAL, unix.ENOTSOCK}},
 	}}
-	// The kernel has EAGAIN where it finds no local port or no room in its tables. A network that is out of reach at once is so
-	// by this machine's own routes, whatever the peer: a host that is unreachable at once is that host alone.
+	// The kernel returns EAGAIN if it has no local port or no space in its routing tables. An immediate ENETUNREACH results from
+	// this machine's own routes, whatever the peer. An immediate EHOSTUNREACH concerns that peer only.
 	connectErrors = errorRules{ErrorUnusable, []classifiedErrors{
 		{ErrorPending, []unix.Errno{unix.EINTR, unix.EINPROGRESS, unix.EALREADY, unix.EISCONN}},
 		{ErrorNoResource, []unix.Errno{unix.EAGAIN, unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN}},
@@ -98,17 +97,18 @@
 		{ErrorAddressInUse, []unix.Errno{unix.EADDRINUSE}},
 		{ErrorNoResource, []unix.Errno{unix.EAGAIN, unix.EADDRNOTAVAIL}},
 	}}
-	// A broken connection shows as whatever the network met last.
+	// A broken connection is reported with the last error of the network, whichever that is.
 	transferErrors = errorRules{ErrorConnectionLost, []classifiedErrors{
 		{ErrorPending, []unix.Errno{unix.EAGAIN}},
-		{ErrorNoResource, []unix.Errno{unix.ETOOMANYREFS}}, // descriptors on their way
+		{ErrorNoResource, []unix.Errno{unix.ETOOMANYREFS}}, // too many descriptors in flight
 		{ErrorUnusable, []unix.Errno{unix.EBADF, unix.EFAULT, unix.EINVAL, unix.ENOTSOCK}},
 	}}
 	waitErrors  = errorRules{ErrorUnusable, []classifiedErrors{{ErrorNoResource, []unix.Errno{unix.EAGAIN}}}}
 	epollErrors = errorRules{ErrorUnusable, []classifiedErrors{{ErrorNoResource, []unix.Errno{unix.ENOSPC}}}}
-	otherErrors = errorRules{otherwise: ErrorUnusable}
+	otherErrors = errorRules{defaultClass: ErrorUnusable}
 )
 
+// rulesFor returns the rules for the errors of a call.
 func rulesFor(call Call) *errorRules {
 	switch call {
 	case CallAccept:
@@ -130,9 +130,9 @@
 
 // Classify returns the class of the error of a call, which may be wrapped. An error that is not an errno is ErrorUnusable.
 //
-// SO_ERROR of a connect that was in progress is not an error of the call, but of the network: a first packet was sent, and was not
-// answered, or a router reported that the peer can't be reached. It is attributed to the peer, whichever errno it is: a peer that is
-// cut off looks the same.
+// It is not meant for SO_ERROR of a connect that was in progress. That is an error of the network, not of the call: the first
+// packet got no reply, or a router reported that the peer can't be reached. It is attributed to the peer, whatever the errno, as
+// a partitioned peer causes the same errors.
 func Classify(call Call, err error) ErrorClass {
 	var errno unix.Errno
 	if !errors.As(err, &errno) {
@@ -146,10 +146,10 @@
 			}
 		}
 	}
-	return rules.otherwise
+	return rules.defaultClass
 }
 
-// CallError says which call an error is of. Its text is that of the error.
+// CallError is an error with the system call that has failed. Its text is that of the error.
 type CallError struct {
 	Call Call
 	Err  error
@@ -168,7 +168,7 @@
 	return &CallError{Call: call, Err: err}
 }
 
-// ClassOf classifies an error that says which call it is of. Any other, and nil, is ErrorUnusable.
+// ClassOf returns the class of an error that wraps a CallError. Any other error, and nil, is ErrorUnusable.
 func ClassOf(err error) ErrorClass {
 	var failed *CallError
 	if !errors.As(err, &failed) {
--- a/internal/eventloop/errorclass_test.go
+++ b/internal/eventloop/errorclass_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// documentedErrors are the errors that the man pages of Linux name for a kind of call, and what they mean here.
+// documentedErrors are the errors that the Linux man pages document for a kind of call, and their classes.
 var documentedErrors = []struct {
 	call   Call
 	page   string
@@ -36,7 +36,7 @@
 		unix.EHOSTUNREACH: ErrorRetry,
 		unix.EOPNOTSUPP:   ErrorRetry,
 		unix.ENETUNREACH:  ErrorRetry,
-		// Errors that various kernels return besides.
+		// Other errors that various kernels return.
 		unix.ENOSR:           ErrorNoResource,
 		unix.ESOCKTNOSUPPORT: ErrorRetry,
 		unix.EPROTONOSUPPORT: ErrorRetry,
@@ -85,15 +85,15 @@
 		unix.EADDRINUSE:      ErrorNoResource, // no local port for this peer
 		unix.EADDRNOTAVAIL:   ErrorNoResource, // no local port at all
 		unix.EAFNOSUPPORT:    ErrorUnusable,
-		unix.EAGAIN:          ErrorNoResource, // no room in the routing cache; of a Unix socket, a full backlog
+		unix.EAGAIN:          ErrorNoResource, // no space in the routing cache; for a Unix socket, a full backlog
 		unix.EALREADY:        ErrorPending,
 		unix.EBADF:           ErrorUnusable,
 		unix.ECONNREFUSED:    ErrorConnectionLost,
 		unix.EFAULT:          ErrorUnusable,
 		unix.EINPROGRESS:     ErrorPending,
-		unix.EINTR:           ErrorPending, // it goes on, as after EINPROGRESS
+		unix.EINTR:           ErrorPending, // it continues, as after EINPROGRESS
 		unix.EISCONN:         ErrorPending,
-		unix.ENETUNREACH:     ErrorNoResource, // no route at this machine
+		unix.ENETUNREACH:     ErrorNoResource, // this machine has no route
 		unix.ENETDOWN:        ErrorNoResource,
 		unix.ENOTSOCK:        ErrorUnusable,
 		unix.EPROTOTYPE:      ErrorUnusable,
@@ -109,7 +109,7 @@
 		unix.ENOMEM:          ErrorNoResource,
 		unix.ENFILE:          ErrorNoResource,
 		unix.EMFILE:          ErrorNoDescriptor,
-		unix.ENOENT:          ErrorUnusable, // of a Unix socket: nobody has been there
+		unix.ENOENT:          ErrorUnusable, // for a Unix socket: its file does not exist
 		unix.EOPNOTSUPP:      ErrorUnusable,
 		unix.ENOPROTOOPT:     ErrorUnusable,
 		unix.ENOPKG:          ErrorUnusable,
@@ -167,14 +167,14 @@
 		unix.ENETUNREACH:  ErrorConnectionLost,
 		unix.EHOSTDOWN:    ErrorConnectionLost,
 		unix.ENETDOWN:     ErrorConnectionLost,
-		unix.ETOOMANYREFS: ErrorNoResource, // unix(7): descriptors that are on their way
+		unix.ETOOMANYREFS: ErrorNoResource, // unix(7): too many descriptors in flight
 	}},
 	{CallEpollWait, "epoll_wait(2)", map[unix.Errno]ErrorClass{
 		unix.EBADF: ErrorUnusable, unix.EFAULT: ErrorUnusable, unix.EINTR: ErrorRetry, unix.EINVAL: ErrorUnusable,
 	}},
 	{CallPoll, "poll(2)", map[unix.Errno]ErrorClass{
 		unix.EFAULT: ErrorUnusable, unix.EINTR: ErrorRetry, unix.EINVAL: ErrorUnusable, unix.ENOMEM: ErrorNoResource,
-		unix.EAGAIN: ErrorNoResource, // of other systems, named in the notes
+		unix.EAGAIN: ErrorNoResource, // on other systems, according to the notes
 	}},
 	{CallEpollCreate, "epoll_create(2)", map[unix.Errno]ErrorClass{
 		unix.EINVAL: ErrorUnusable, unix.EMFILE: ErrorNoDescriptor, unix.ENFILE: ErrorNoResource, unix.ENOMEM: ErrorNoResource,
@@ -197,12 +197,12 @@
 			}
 		}
 	}
-	if class := Classify(CallRead, errors.New("none of the kernel's")); class != ErrorUnusable {
-		t.Errorf("an error that is none of the kernel's: %v", class)
+	if class := Classify(CallRead, errors.New("not an errno")); class != ErrorUnusable {
+		t.Errorf("an error that is not an errno: %v", class)
 	}
 }
 
-// The calls that read, those that write and those that wait have the same errors.
+// All calls that read have the same error classes, and so have all calls that write.
 func TestRelatedCallsShareErrorClasses(t *testing.T) {
 	related := map[Call][]Call{
 		CallRead:  {CallReceive, CallReceiveMessage},
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestOnlyShortagesPass(t *testing.T) {
+func TestShortageClasses(t *testing.T) {
 	for class := ErrorRetry; class <= ErrorUnusable; class++ {
 		if want := class == ErrorNoDescriptor || class == ErrorNoResource; class.IsShortage() != want {
 			t.Errorf("%v is a shortage: %v", class, class.IsShortage())
--- a/internal/eventloop/eventlooptest/datagram.go
+++ b/internal/eventloop/eventlooptest/datagram.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/eventloop"
 )
 
-// OpenDatagramSocket opens a non-blocking UDP socket at a free port of the address. The caller closes it.
+// OpenDatagramSocket opens a non-blocking UDP socket at a free port of an IP address. The caller closes it.
 func OpenDatagramSocket(tb testing.TB, ip string) (descriptor int, address netip.AddrPort) {
 	tb.Helper()
 	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -27,7 +27,7 @@
 	return descriptor, eventloop.AddrPort(bound)
 }
 
-// FreeDatagramAddress returns an address whose UDP port nobody uses.
+// FreeDatagramAddress returns an address with an unused UDP port.
 func FreeDatagramAddress(tb testing.TB, ip string) netip.AddrPort {
 	tb.Helper()
 	descriptor, address := OpenDatagramSocket(tb, ip)
--- a/internal/eventloop/eventlooptest/loop.go
+++ b/internal/eventloop/eventlooptest/loop.go
@@ -1,5 +1,5 @@
-// Package eventlooptest runs an event loop on a clock that a test moves, and gives it connections whose remote ends the test
-// reads and writes. It is for tests alone.
+// Package eventlooptest runs an event loop on a clock that the test controls, and provides connections whose remote ends the test
+// reads and writes. It is for tests only.
 package eventlooptest
 
 import (
@@ -12,13 +12,13 @@
 	"valvecove/internal/eventloop"
 )
 
-// startTime is the time of a new loop: as Unix time does, it leaves room for earlier times.
+// startTime is the time of a new loop. It is not zero, so that tests can use earlier times.
 const startTime = 1000 * time.Hour
 
-// iterations is how many iterations RunIterations runs: enough for what one event leads to.
+// iterations is the number of iterations that RunIterations runs: enough to handle all consequences of one event.
 const iterations = 4
 
-// Loop is an event loop whose clock is Time.
+// Loop is an event loop whose clock returns Time.
 type Loop struct {
 	*eventloop.Loop
 	Time time.Duration
@@ -26,7 +26,7 @@
 	tb testing.TB
 }
 
-// NewLoop returns a loop with the hooks. It is closed at the end of the test.
+// NewLoop returns a loop with hooks. It is closed at the end of the test.
 func NewLoop(tb testing.TB, hooks eventloop.Hooks) *Loop {
 	tb.Helper()
 	loop := &Loop{Time: startTime, tb: tb}
@@ -43,7 +43,7 @@
 	return loop
 }
 
-// RunIterations runs the loop, without waiting, until it has done all that can be done now.
+// RunIterations runs enough iterations, without waiting, to do all that is due now.
 func (l *Loop) RunIterations() {
 	l.tb.Helper()
 	for range iterations {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Advance moves the clock on and runs the loop.
+// Advance advances the clock and runs the loop.
 func (l *Loop) Advance(span time.Duration) {
 	l.tb.Helper()
 	l.Time += span
--- a/internal/eventloop/eventlooptest/peer.go
+++ b/internal/eventloop/eventlooptest/peer.go
@@ -10,19 +10,19 @@
 	"valvecove/internal/eventloop"
 )
 
-// sendBufferSize is that of a loop's end of a connection, in bytes: small, so that long messages are sent in parts.
+// sendBufferSize is the size in bytes of the send buffer of the loop's end. It is small, so that long messages are sent in parts.
 const sendBufferSize = 8 << 10
 
 // Peer is the remote end of a connection. Its methods do not block.
 type Peer struct {
 	FD       int
-	Received []byte // by Read, all of it
+	Received []byte // everything that Read has read
 	Ended    bool   // Read has found that the loop's end was closed
 	Closed   bool   // Close was called
 }
 
-// SocketPair returns the remote end of a connection, which is closed at the end of the test, and the descriptor of the loop's end,
-// which the caller owns.
+// SocketPair returns the remote end of a connection, which is closed at the end of the test, and the descriptor of the loop's
+// end, which the caller owns.
 func SocketPair(tb testing.TB) (peer *Peer, descriptor int) {
 	tb.Helper()
 	descriptors, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -89,14 +89,14 @@
 	}
 }
 
-// Write writes what the socket has room for. The loop may have closed its end.
+// Write writes as much as fits into the socket's buffer. Errors are ignored: the loop may have closed its end.
 func (p *Peer) Write(content []byte) {
 	if !p.Closed {
 		_, _ = unix.Write(p.FD, content)
 	}
 }
 
-// FillSocket fills a socket's send buffer, so that it is not ready to be written to. It returns the number of bytes.
+// FillSocket fills a socket's send buffer, so that the socket is not writable. It returns the number of bytes written.
 func FillSocket(descriptor int) (size int) {
 	buffer := make([]byte, 512)
 	for {
--- a/internal/eventloop/faultinjection/faultinjection.go
+++ b/internal/eventloop/faultinjection/faultinjection.go
@@ -1,5 +1,6 @@
-// Package faultinjection has system calls of an event loop fail, fall short or take long, as a test's rules say. Which calls
-// are hit is drawn from a seed: the same calls in the same order are hit in the same way. It is for tests alone.
+// Package faultinjection injects faults into the system calls of an event loop, by the rules of a test: calls fail, transfer
+// fewer bytes, or take long. Random choices follow from a seed, so the same sequence of calls gets the same faults. It is for
+// tests only.
 package faultinjection
 
 import (
@@ -13,72 +14,73 @@
 	"valvecove/internal/eventloop"
 )
 
-// Rule says which calls are hit, and how. A call is hit by the first rule that applies to it.
+// Rule describes a fault and the calls that it is injected into. The first rule that applies to a call is used.
 type Rule struct {
-	Calls       []eventloop.Call          // of these kinds; none: of all
-	Descriptor  func(descriptor int) bool // for descriptors of which this is true; nil: for all
-	From, Until time.Duration             // by the injector's clock, Until not included; 0: without limit
-	Skip        int                       // so many that would be hit are let be first
-	Times       int                       // so many are hit, and no more; 0: without limit
-	Share       float64                   // of those that are left, drawn by chance; 0: all of them
-
-	Errnos    []unix.Errno // the call fails with one of these, drawn by chance; none: it does not fail
-	MaxLength int          // reads and writes take a length drawn from 1 to this; 0: the whole
-	Stall     func()       // called before the call is made, to move the test's clock on; nil: nothing is
+	Calls       []eventloop.Call          // the kinds of calls that the rule applies to; empty: all
+	Descriptor  func(descriptor int) bool // reports whether the rule applies to a descriptor; nil: to all
+	From, Until time.Duration             // when the rule applies, by the injector's clock, Until excluded; 0: no limit
+	Skip        int                       // number of matching calls without a fault before the first one with a fault
+	Times       int                       // maximum number of calls with a fault; 0: no limit
+	Share       float64                   // probability that the rule applies to a matching call; 0: it always applies
+
+	Errnos    []unix.Errno // the call fails with one of these, chosen at random; empty: it does not fail
+	MaxLength int          // reads and writes transfer at most a random length from 1 to this; 0: no limit
+	Stall     func()       // called before the call, to advance the test's clock; nil: none
 }
 
-// Injector holds the rules, and counts what was injected. It may be used from several goroutines.
+// Injector applies rules, and counts the calls and the injected faults. It may be used from several goroutines.
 type Injector struct {
 	mutex    sync.Mutex
 	rng      *rand.Rand
 	clock    func() time.Duration
-	rules    []*appliedRule
+	rules    []*ruleState
 	calls    [eventloop.NumCalls]int
 	injected [eventloop.NumCalls]int
 }
 
-type appliedRule struct {
+// ruleState is a rule with the numbers of calls that it has skipped and injected a fault into.
+type ruleState struct {
 	Rule
-	skipped, hit int
+	skipped, injected int
 }
 
-// New returns an injector that has no rules yet. The clock is that of the rules' times; nil: no rule has one.
+// New returns an injector without rules. The clock is that of From and Until; it may be nil if no rule uses these.
 func New(seed uint64, clock func() time.Duration) *Injector {
 	return &Injector{rng: rand.New(rand.NewPCG(seed, 0)), clock: clock}
 }
 
-// Add adds a rule, behind those that are there.
+// Add adds a rule after the existing ones.
 func (i *Injector) Add(rule Rule) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.rules = append(i.rules, &appliedRule{Rule: rule})
+	i.rules = append(i.rules, &ruleState{Rule: rule})
 }
 
-// Clear drops all rules. The counts stay.
+// Clear removes all rules. The counts are kept.
 func (i *Injector) Clear() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.rules = nil
 }
 
-// Syscalls returns system calls that the rules apply to.
+// Syscalls returns system calls into which the injector injects faults.
 func (i *Injector) Syscalls() eventloop.Syscalls { return eventloop.Syscalls{Interceptor: i.Intercept} }
 
-// Calls returns how many calls of a kind there were.
+// Calls returns the number of calls of a kind.
 func (i *Injector) Calls(call eventloop.Call) int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.calls[call]
 }
 
-// Injected returns how many calls of a kind were hit.
+// Injected returns the number of calls of a kind with an injected fault.
 func (i *Injector) Injected(call eventloop.Call) int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.injected[call]
 }
 
-// TotalInjected returns how many calls were hit.
+// TotalInjected returns the number of calls with an injected fault.
 func (i *Injector) TotalInjected() (total int) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -88,16 +90,17 @@
 	return total
 }
 
-// Intercept is the eventloop.Interceptor.
+// Intercept implements eventloop.Interceptor.
 func (i *Injector) Intercept(call eventloop.Call, descriptor int) eventloop.Injection {
-	injection, stall := i.draw(call, descriptor)
-	if stall != nil { // the test's own, which may call this injector
+	injection, stall := i.inject(call, descriptor)
+	if stall != nil { // not called under the mutex, as it may call the injector
 		stall()
 	}
 	return injection
 }
 
-func (i *Injector) draw(call eventloop.Call, descriptor int) (injection eventloop.Injection, stall func()) {
+// inject returns the fault for a call and the Stall of its rule, if any.
+func (i *Injector) inject(call eventloop.Call, descriptor int) (injection eventloop.Injection, stall func()) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.calls[call]++
@@ -117,20 +120,20 @@
 	return injection, nil
 }
 
-// applies reports whether a rule hits a call, and keeps account of that.
-func (i *Injector) applies(rule *appliedRule, call eventloop.Call, descriptor int) bool {
+// applies reports whether a rule applies to a call, and updates the counts of the rule.
+func (i *Injector) applies(rule *ruleState, call eventloop.Call, descriptor int) bool {
 	switch {
 	case len(rule.Calls) > 0 && !slices.Contains(rule.Calls, call),
 		rule.Descriptor != nil && !rule.Descriptor(descriptor),
 		rule.From > 0 && i.clock() < rule.From,
 		rule.Until > 0 && i.clock() >= rule.Until,
-		rule.Times > 0 && rule.hit >= rule.Times,
+		rule.Times > 0 && rule.injected >= rule.Times,
 		rule.Share > 0 && i.rng.Float64() >= rule.Share:
 		return false
 	case rule.skipped < rule.Skip:
 		rule.skipped++
 		return false
 	}
-	rule.hit++
+	rule.injected++
 	return true
 }
--- a/internal/eventloop/faultinjection/faultinjection_test.go
+++ b/internal/eventloop/faultinjection/faultinjection_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/eventloop"
 )
 
-func TestRuleChoosesCalls(t *testing.T) {
+func TestRuleSelectsCalls(t *testing.T) {
 	now := time.Duration(0)
 	i := New(1, func() time.Duration { return now })
 	i.Add(Rule{
@@ -20,45 +20,45 @@
 		Skip: 1, Times: 2,
 		Errnos: []unix.Errno{unix.ECONNRESET},
 	})
-	var hit []int
+	var failed []int
 	for n := range 8 {
 		i.Intercept(eventloop.CallWrite, 7)
 		i.Intercept(eventloop.CallRead, 8)
 		if i.Intercept(eventloop.CallRead, 7).Errno == unix.ECONNRESET {
-			hit = append(hit, n)
+			failed = append(failed, n)
 		}
 		now += 250 * time.Millisecond
 	}
-	if !slices.Equal(hit, []int{5, 6}) {
-		t.Errorf("hit %v", hit)
+	if !slices.Equal(failed, []int{5, 6}) {
+		t.Errorf("failed %v", failed)
 	}
 	if i.Calls(eventloop.CallRead) != 16 || i.Injected(eventloop.CallRead) != 2 || i.TotalInjected() != 2 {
-		t.Errorf("%d calls, %d hit, %d of all kinds", i.Calls(eventloop.CallRead), i.Injected(eventloop.CallRead), i.TotalInjected())
+		t.Errorf("%d calls, %d with a fault, %d of all kinds", i.Calls(eventloop.CallRead), i.Injected(eventloop.CallRead), i.TotalInjected())
 	}
 }
 
-func TestShareIsDrawnFromTheSeed(t *testing.T) {
+func TestShareFollowsSeed(t *testing.T) {
 	const calls = 10_000
-	draw := func(seed uint64) (hits []bool, count int) {
+	inject := func(seed uint64) (failed []bool, count int) {
 		i := New(seed, nil)
 		i.Add(Rule{Share: 0.3, Errnos: []unix.Errno{unix.ENFILE, unix.EINTR}})
 		for range calls {
-			hits = append(hits, i.Intercept(eventloop.CallAccept, 3).Errno != 0)
+			failed = append(failed, i.Intercept(eventloop.CallAccept, 3).Errno != 0)
 		}
-		return hits, i.TotalInjected()
+		return failed, i.TotalInjected()
 	}
-	first, count := draw(1)
-	again, _ := draw(1)
-	other, _ := draw(2)
+	first, count := inject(1)
+	again, _ := inject(1)
+	other, _ := inject(2)
 	if !slices.Equal(first, again) || slices.Equal(first, other) {
-		t.Error("the draw does not follow the seed")
+		t.Error("the faults do not follow the seed")
 	}
 	if count < calls/4 || count > calls*7/20 {
-		t.Errorf("%d of %d hit", count, calls)
+		t.Errorf("%d of %d calls with a fault", count, calls)
 	}
 }
 
-func TestReadsAndWritesFallShort(t *testing.T) {
+func TestReadsAndWritesAreShortened(t *testing.T) {
 	i := New(1, nil)
 	i.Add(Rule{Calls: []eventloop.Call{eventloop.CallRead, eventloop.CallWrite}, MaxLength: 3})
 	syscalls := i.Syscalls()
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestStallRunsBeforeTheCall(t *testing.T) {
+func TestStallRunsBeforeCall(t *testing.T) {
 	now := time.Duration(0)
 	i := New(1, nil)
 	i.Add(Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Stall: func() { now += 150 * time.Millisecond }})
@@ -88,6 +88,6 @@
 	}
 	i.Clear()
 	if i.Intercept(eventloop.CallWrite, 3); now != 150*time.Millisecond || i.Injected(eventloop.CallWrite) != 1 {
-		t.Error("a rule that was dropped applies")
+		t.Error("a removed rule applies")
 	}
 }
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -10,31 +10,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is one descriptor's side of the loop.
+// Handler handles the events of a descriptor.
 type Handler interface {
 	// HandleEvents handles events, as epoll_ctl(2) names them.
 	HandleEvents(events uint32)
-	// HandlePanic ends the handler after a panic: it removes its descriptor, and reports to its program what that ends.
+	// HandlePanic ends the handler after a panic: it removes its descriptor, and reports the end of what the descriptor carried.
 	HandlePanic()
 }
 
-// Prioritized is a handler whose events are not handed out with PriorityNormal.
+// Prioritized is a handler with a priority other than PriorityNormal.
 type Prioritized interface {
 	Handler
 	// Priority is read when the handler is added.
 	Priority() Priority
 }
 
-// Described is a handler that says whom a line of the log is about.
+// Described is a handler that identifies itself in log lines.
 type Described interface {
 	Handler
+	// LogAttributes returns attributes for log lines about the handler.
 	LogAttributes() []slog.Attr
 }
 
-// Priority says when in an iteration a handler has its events.
+// Priority is the order in which the handlers of an iteration's events are called.
 type Priority int
 
-// The priorities, the first handed out first.
+// The priorities, the highest first.
 const (
 	PriorityUrgent Priority = iota
 	PriorityHigh
@@ -54,23 +55,23 @@
 	return fmt.Sprintf("Priority(%d)", int(p))
 }
 
-// registration is what the loop keeps of a descriptor; it is zero where there is none.
+// registration is the loop's state of a descriptor; the zero value stands for a descriptor that it does not own.
 type registration struct {
 	handler  Handler
 	priority Priority
-	events   uint32        // that are waited for
-	added    bool          // epoll has the descriptor
-	retry    *Timer        // while epoll_ctl fails for the events
-	backoff  time.Duration // before it
+	events   uint32        // requested from epoll
+	added    bool          // the descriptor was added to epoll
+	retry    *Timer        // of a failed epoll_ctl(2); nil: it has not failed
+	backoff  time.Duration // delay of the last retry
 }
 
-// Pauses before epoll_ctl is retried for the events of a descriptor.
+// Bounds of the backoff before a failed epoll_ctl(2) is retried.
 const (
 	minInterestBackoff = time.Millisecond
 	maxInterestBackoff = 50 * time.Millisecond
 )
 
-// Protect calls act and contains a panic: it is logged, and ends the handler that it happened in.
+// Protect calls act and recovers from a panic, which is logged and ends the handler.
 func (l *Loop) Protect(handler Handler, act func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -78,25 +79,25 @@
 			if described, ok := handler.(Described); ok {
 				attrs = append(attrs, described.LogAttributes()...)
 			}
-			l.log.LogAttrs(context.Background(), slog.LevelError, "panic in a connection, which ends", attrs...)
+			l.log.LogAttrs(context.Background(), slog.LevelError, "panic in a connection, closing it", attrs...)
 			handler.HandlePanic()
 		}
 	}()
 	act()
 }
 
-// Add has the handler called for events of a descriptor. On success the loop owns the descriptor, else the caller does.
+// Add registers a handler for events of a descriptor. On success the loop owns the descriptor; on an error the caller does.
 func (l *Loop) Add(descriptor int, events uint32, handler Handler) error {
 	l.register(descriptor, events, handler)
-	if err := l.tellInterest(descriptor); err != nil {
+	if err := l.setInterest(descriptor); err != nil {
 		l.handlers[descriptor] = registration{}
 		return err
 	}
 	return nil
 }
 
-// addEventually is Add, but that a descriptor that epoll lacks memory for is added later, as soon as it can be: of a connection
-// that was accepted, its peer may have sent a request already.
+// addEventually is Add, except that it retries later if epoll lacks memory: the peer of an accepted connection may have sent a
+// request already.
 func (l *Loop) addEventually(descriptor int, events uint32, handler Handler) error {
 	err := l.Add(descriptor, events, handler)
 	if !ClassOf(err).IsMomentary() {
@@ -118,8 +119,8 @@
 	l.handlers[descriptor] = registration{handler: handler, priority: priority, events: events}
 }
 
-// Modify changes which events of a descriptor the loop waits for. Of one that the loop does not have, it does nothing. Where
-// epoll can't be told for a moment, it is as soon as it can.
+// Modify changes the events that the loop waits for on a descriptor. It does nothing for a descriptor that the loop does not own.
+// If epoll_ctl(2) fails momentarily, it is retried with backoff.
 func (l *Loop) Modify(fd int, events uint32) {
 	if !l.has(fd) {
 		return
@@ -130,16 +131,17 @@
 	}
 }
 
+// updateInterest is setInterest with a retry after a momentary failure.
 func (l *Loop) updateInterest(descriptor int) {
-	if ClassOf(l.tellInterest(descriptor)).IsMomentary() {
+	if ClassOf(l.setInterest(descriptor)).IsMomentary() {
 		l.retryInterest(descriptor)
 		return
 	}
 	l.handlers[descriptor].backoff = 0
 }
 
-// tellInterest tells epoll what is waited for.
-func (l *Loop) tellInterest(descriptor int) error {
+// setInterest requests the events of a descriptor from epoll.
+func (l *Loop) setInterest(descriptor int) error {
 	registered := &l.handlers[descriptor]
 	operation := unix.EPOLL_CTL_MOD
 	if !registered.added {
@@ -167,8 +169,8 @@
 	return fd >= 0 && fd < len(l.handlers) && l.handlers[fd].handler != nil
 }
 
-// Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that the loop does not have, it
-// does nothing.
+// Remove closes a descriptor: at once, or after dispatching if events are being dispatched. It does nothing for a descriptor that
+// the loop does not own.
 func (l *Loop) Remove(descriptor int) {
 	if !l.has(descriptor) {
 		return
@@ -176,7 +178,7 @@
 	l.StopTimer(l.handlers[descriptor].retry)
 	l.handlers[descriptor] = registration{}
 	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, descriptor, nil)
-	if l.gathering {
+	if l.dispatching {
 		l.closing = append(l.closing, descriptor)
 		return
 	}
@@ -187,8 +189,8 @@
 // ClosingCount returns how many descriptors were removed in this iteration and are not closed yet.
 func (l *Loop) ClosingCount() int { return len(l.closing) }
 
-// closeRemoved closes the descriptors that were removed while events were handed out: what is opened from here on, by timers
-// and by the step, finds them free.
+// closeRemoved closes the descriptors that were removed while events were dispatched. Timers and the step can then open others in
+// their place.
 func (l *Loop) closeRemoved() {
 	for _, fd := range l.closing {
 		_ = l.syscalls.Close(fd)
--- a/internal/eventloop/interest_fault_test.go
+++ b/internal/eventloop/interest_fault_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// failTimes has the next calls of a kind fail, so many of them, and counts all of that kind.
+// failTimes makes a number of the next calls of a kind fail, and returns a counter of all calls of the kind.
 func (l *testLoop) failTimes(times int, kind Call, errno unix.Errno) (count *int) {
 	count = new(int)
 	l.Syscalls().Interceptor = func(call Call, _ int) (injection Injection) {
@@ -21,8 +21,8 @@
 	return count
 }
 
-// What a descriptor waits for is not forgotten where epoll has no memory for it: what waits to be sent is sent.
-func TestModifyIsMadeAgain(t *testing.T) {
+// A change of the requested events for which epoll lacks memory is retried, so buffered output is sent.
+func TestModifyIsRetried(t *testing.T) {
 	l := newTestLoop(t)
 	owner, peer := openFaultStream(l)
 	const failures = 6
@@ -43,19 +43,19 @@
 		t.Errorf("received %d of %d bytes, events %x: %v", received, size, owner.Events(), owner.err)
 	}
 	if *count < failures+2 || *count > 2*failures {
-		t.Errorf("epoll was told %d times", *count)
+		t.Errorf("epoll_ctl was called %d times", *count)
 	}
 }
 
-// A connection that epoll has no memory for is served as soon as it has; one that was closed by then is left alone.
-func TestStreamIsAddedOnceEpollHasRoom(t *testing.T) {
+// A connection for which epoll lacks memory is added later. If it is closed before, the retry is stopped.
+func TestAddingStreamIsRetried(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOSPC} {
 		l := newTestLoop(t)
 		l.failTimes(5, CallEpollControl, errno)
 		owner, peer := openFaultStream(l)
 		writeAll(t, peer, []byte("in"))
 		if l.runFor(time.Millisecond); len(owner.Input()) != 0 {
-			t.Fatal("it was added though epoll failed")
+			t.Fatal("input was read though epoll_ctl has failed")
 		}
 		if l.runFor(maxInterestBackoff * 2); string(owner.Input()) != "in" {
 			t.Errorf("%v: read %q", errno, owner.Input())
@@ -68,7 +68,7 @@
 	}
 }
 
-// Add itself tells: a start has its own way to go on trying.
+// Add returns the error instead of retrying: the start of the program has a retry of its own.
 func TestAddFailsWithEpoll(t *testing.T) {
 	l := newTestLoop(t)
 	l.failTimes(1, CallEpollControl, unix.ENOMEM)
@@ -81,6 +81,7 @@
 	}
 }
 
+// testSocketPair returns the two ends of a connection; the second is closed at the end of the test.
 func testSocketPair(t *testing.T) [2]int {
 	t.Helper()
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -91,13 +92,13 @@
 	return ends
 }
 
-func TestWakeOutlastsInterruptions(t *testing.T) {
+func TestWakeAfterInterruptions(t *testing.T) {
 	l := newTestLoop(t)
 	l.failTimes(3, CallWrite, unix.EINTR)
 	posted := false
 	l.Post(func() { posted = true })
 	if l.runFor(time.Millisecond); !posted {
-		t.Error("what was posted is not called")
+		t.Error("the posted function is not called")
 	}
 	l.failTimes(3, CallRead, unix.EINTR)
 	l.Wake()
@@ -106,7 +107,8 @@
 	}
 }
 
-// By close(2) the descriptor is closed also where it fails: closed again, it might be another's by then.
+// According to close(2) the descriptor is closed even if the call is interrupted. A retry might close a descriptor that was
+// opened meanwhile.
 func TestInterruptedCloseIsNotRepeated(t *testing.T) {
 	l := newTestLoop(t)
 	owner, _ := openFaultStream(l)
@@ -118,17 +120,17 @@
 	}
 }
 
-// A wait that is interrupted does not keep what is due from being done.
+// After an interrupted wait, timers and steps that are due still run.
 func TestInterruptedWait(t *testing.T) {
 	l := newTestLoop(t)
 	l.failTimes(1, CallEpollWait, unix.EINTR)
 	l.After(0, l.record("timer"))
-	l.stepsAt = l.time
+	l.nextStepAt = l.time
 	l.run("timer", "step")
 }
 
-// An option that the machine has no memory for is set once it has.
-func TestOptionIsSetOnceItCanBe(t *testing.T) {
+// Setting an option is retried if the kernel lacks memory for it.
+func TestSettingOptionIsRetried(t *testing.T) {
 	l := newTestLoop(t)
 	l.failTimes(maxOptionTries-1, CallSetOption, unix.ENOBUFS)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,8 +1,8 @@
-// Package eventloop runs the handlers of non-blocking descriptors on one goroutine. It waits with epoll(7), hands out
-// events in the order of their handlers' priorities, runs timers, and buffers what streams read and write.
+// Package eventloop runs the handlers of non-blocking descriptors on one goroutine. It waits with epoll(7), dispatches events in
+// the order of their handlers' priorities, runs timers, and buffers the input and output of streams.
 //
-// It owns the epoll descriptor, the timers, and every descriptor from Add to Remove. It never blocks but in epoll, starts no
-// goroutine, and knows nothing of what the descriptors carry.
+// It owns the epoll descriptor, the timers, and every descriptor from Add to Remove. It blocks only in epoll_wait(2), starts no
+// goroutine, and does not depend on the protocols of the descriptors.
 package eventloop
 
 import (
@@ -18,57 +18,58 @@
 )
 
 const (
-	minEvents       = 1024     // gathered in one iteration, if as many are ready
-	maxWait         = 60_000   // milliseconds; the longest sleep while something is due
+	minEvents       = 1024     // minimum number of events that one iteration can handle
+	maxWait         = 60_000   // milliseconds; the longest wait while a timer or a step is due at some time
 	readBufferSize  = 64 << 10 // bytes
-	noTimeout       = -1       // of epoll_wait(2)
+	noTimeout       = -1       // epoll_wait(2) waits without limit
 	timeoutRounding = time.Millisecond - 1
 )
 
-// Hooks are what the program that a loop serves has called. Any of them may be nil.
+// Hooks are functions of the program that the loop calls. Any of them may be nil.
 type Hooks struct {
-	// NextStep returns when Step is due next; ok is false while only an event can make it due.
+	// NextStep returns when Step is due next; ok is false if only an event can make it due.
 	NextStep func() (at time.Duration, ok bool)
 	// Step is called at the end of an iteration, after events and timers, if it is due.
 	Step func(now time.Duration)
-	// DescriptorsClosed is called whenever descriptors were closed, and can be opened again.
+	// DescriptorsClosed is called whenever descriptors were closed, so that others can be opened.
 	DescriptorsClosed func()
 	// Woken is called in the iteration after a call of Wake.
 	Woken func()
 }
 
-// Config is what a loop is made of.
+// Config configures a loop.
 type Config struct {
 	Clock     func() time.Duration // monotonic
-	MaxEvents int                  // gathered in one iteration; at least 1024 are
-	Log       *slog.Logger         // panics of handlers
+	MaxEvents int                  // handled in one iteration; values below minEvents count as minEvents
+	Log       *slog.Logger         // for panics of handlers
 	Hooks     Hooks
 	Syscalls  Syscalls
 }
 
-// Loop is an event loop. Everything runs on the goroutine that calls Run, but for Wake and Post, which any may call.
+// Loop is an event loop. Its methods are called on the goroutine that calls Run, except for Wake and Post, which any goroutine
+// may call.
 type Loop struct {
-	syscalls   Syscalls
-	epoll      int
-	wakeFD     int
-	clock      func() time.Duration
-	now        time.Duration // of the present iteration
-	log        *slog.Logger
-	hooks      Hooks
-	handlers   []registration    // by descriptor
-	events     []unix.EpollEvent // as many as there may be descriptors: an iteration gathers all that is ready
-	gathering  bool              // the iteration's events are being handed out
-	pending    []unix.EpollEvent // that waited when PendingEvents last looked
-	pendingAt  time.Duration     // when that was
-	closing    []int             // closed once they are, so that no event of this iteration meets a reused descriptor
-	timers     deadline.Queue[*Timer]
-	afterStep  []func() // at the end of the present iteration
-	readBuffer []byte
-	posted     []func() // by other goroutines, for the loop to call
-	posting    sync.Mutex
+	syscalls    Syscalls
+	epoll       int
+	wakeFD      int
+	clock       func() time.Duration
+	now         time.Duration // of the current iteration
+	log         *slog.Logger
+	hooks       Hooks
+	handlers    []registration    // by descriptor
+	events      []unix.EpollEvent // large enough for all descriptors, so that an iteration gets all that are ready
+	dispatching bool              // the events of the iteration are being handled
+	pending     []unix.EpollEvent // events that PendingEvents has found last
+	pendingAt   time.Duration     // when it found them
+	closing     []int             // removed descriptors; closed after dispatching, so that no event is handled for a reused one
+	timers      deadline.Queue[*Timer]
+	afterStep   []func() // called at the end of the current iteration
+	readBuffer  []byte
+	posted      []func()   // see Post
+	postMutex   sync.Mutex // guards posted
 }
 
-// New returns a loop that has nothing to do yet.
+// New returns a loop without handlers and timers.
 func New(config Config) (*Loop, error) {
 	loop := &Loop{
 		syscalls:   config.Syscalls,
@@ -85,7 +86,7 @@
 	return loop, nil
 }
 
-// open opens the loop's own descriptors, or none.
+// open opens the loop's own descriptors. On an error none is open.
 func (l *Loop) open() (err error) {
 	if l.epoll, err = l.syscalls.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return fmt.Errorf("epoll: %w", NewCallError(CallEpollCreate, err))
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// CloseDescriptors closes all descriptors that the loop has, and its own. It is for a loop that ends before its process does.
+// CloseDescriptors closes all descriptors that the loop owns, and its own. It is for a loop that ends before its process does.
 func (l *Loop) CloseDescriptors() {
 	for fd, registered := range l.handlers {
 		if registered.handler != nil {
@@ -113,25 +114,25 @@
 	_ = l.syscalls.Close(l.epoll)
 }
 
-// Syscalls returns what makes the loop's system calls, for the connections on it.
+// Syscalls returns the system calls of the loop, for use by its connections.
 func (l *Loop) Syscalls() *Syscalls { return &l.syscalls }
 
-// EpollFD returns the epoll descriptor, which is itself ready to be read while an event waits to be handed out.
+// EpollFD returns the epoll descriptor, which is itself readable while an event is pending.
 func (l *Loop) EpollFD() int { return l.epoll }
 
-// Now returns the time of the present iteration, by the loop's clock.
+// Now returns the time at which the current iteration began, by the loop's clock.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Clock reads the loop's clock, which goes on during an iteration.
+// Clock reads the loop's clock, which advances during an iteration.
 func (l *Loop) Clock() time.Duration { return l.clock() }
 
-// UpdateNow sets the time of the present iteration to what the clock says.
+// UpdateNow sets the time of the current iteration to that of the clock.
 func (l *Loop) UpdateNow() { l.now = l.clock() }
 
-// ReadBuffer returns the buffer that all reads share; its content is void with the next read.
+// ReadBuffer returns the buffer that all reads share. Its content is valid until the next read.
 func (l *Loop) ReadBuffer() []byte { return l.readBuffer }
 
-// Run runs iterations until done returns true at the end of one. An error means that epoll has failed.
+// Run runs iterations until done returns true after one. It returns an error if epoll fails.
 func (l *Loop) Run(done func() bool) error {
 	for {
 		if err := l.RunOnce(l.timeout()); err != nil || done() {
@@ -140,11 +141,11 @@
 	}
 }
 
-// RunOnce runs one iteration: it waits for so many milliseconds at most, or without limit if that is negative, handles what
-// is ready and what is due, steps, and does what was left for after the step.
+// RunOnce runs one iteration: it waits for events, for timeoutMillis at most or without limit if that is negative, handles them,
+// runs the timers that are due, steps if that is due, and calls the functions of AfterStep.
 func (l *Loop) RunOnce(timeoutMillis int) error {
 	n, err := l.syscalls.EpollWait(l.epoll, l.events, timeoutMillis)
-	if err != nil && !Classify(CallEpollWait, err).IsMomentary() { // else what is due is done all the same
+	if err != nil && !Classify(CallEpollWait, err).IsMomentary() { // timers and steps still run after a momentary error
 		return fmt.Errorf("epoll wait: %w", NewCallError(CallEpollWait, err))
 	}
 	l.UpdateNow()
@@ -158,11 +159,12 @@
 	return nil
 }
 
-// PendingEvents returns the events of a descriptor that wait for the next iteration, as they were no longer ago than a span.
+// PendingEvents returns the events of a descriptor that are pending for the next iteration. They were gathered at most maxAge
+// ago.
 func (l *Loop) PendingEvents(descriptor int, maxAge time.Duration) (events uint32) {
 	if now := l.clock(); l.pendingAt <= l.now || now-l.pendingAt > maxAge {
 		l.pending = slices.Grow(l.pending[:0], len(l.events))[:len(l.events)]
-		n, _ := l.syscalls.EpollWait(l.epoll, l.pending, 0) // where it fails, the next iteration learns of them
+		n, _ := l.syscalls.EpollWait(l.epoll, l.pending, 0) // if it fails, the next iteration gets the events
 		l.pending, l.pendingAt = l.pending[:max(n, 0)], now
 	}
 	for _, event := range l.pending {
@@ -173,12 +175,12 @@
 	return events
 }
 
-// AfterStep has act called at the end of the present iteration, after Step, or without it if none is due. It is to be called
-// during an iteration, by the loop's goroutine.
+// AfterStep calls act at the end of the current iteration, after Step if that is due. It must be called during an iteration, on
+// the loop's goroutine.
 func (l *Loop) AfterStep(act func()) { l.afterStep = append(l.afterStep, act) }
 
 func (l *Loop) runAfterStep() {
-	for len(l.afterStep) > 0 { // an act may add another
+	for len(l.afterStep) > 0 { // act may call AfterStep
 		act := l.afterStep[0]
 		l.afterStep = l.afterStep[1:]
 		l.Protect((*waker)(l), act)
@@ -186,9 +188,9 @@
 	l.afterStep = nil
 }
 
-// dispatch hands out events, to handlers of one priority after those of another.
+// dispatch has the events handled, in the order of the priorities of their handlers.
 func (l *Loop) dispatch(events []unix.EpollEvent) {
-	l.gathering = true
+	l.dispatching = true
 	for priority := range numPriorities {
 		for i := range events {
 			event := &events[i]
@@ -198,7 +200,7 @@
 			}
 		}
 	}
-	l.gathering = false
+	l.dispatching = false
 }
 
 func (l *Loop) nextStep() (at time.Duration, ok bool) {
@@ -208,7 +210,8 @@
 	return l.hooks.NextStep()
 }
 
-// timeout returns how long the loop may sleep, in milliseconds. It rounds up: what is due is not due earlier.
+// timeout returns how long the loop may wait for events, in milliseconds. It rounds up, so that the loop does not wake before a
+// timer is due.
 func (l *Loop) timeout() int {
 	next, ok := l.nextStep()
 	if l.timers.Len() > 0 && (!ok || l.timers.First().At < next) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,27 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// testLoop is a loop on a clock of the test's own, with its log.
+// testLoop is a loop whose clock the test controls, with its log.
 type testLoop struct {
 	*Loop
-	t       *testing.T
-	time    time.Duration
-	closed  int // calls of DescriptorsClosed
-	log     bytes.Buffer
-	calls   []string // in the order of their making
-	stepsAt time.Duration
+	t          *testing.T
+	time       time.Duration
+	closed     int // calls of DescriptorsClosed
+	log        bytes.Buffer
+	calls      []string      // recorded by the functions of record, in order
+	nextStepAt time.Duration // when a step is due; negative: never
 }
 
 func newTestLoop(t *testing.T) *testLoop {
 	t.Helper()
-	test := &testLoop{t: t, time: time.Hour, stepsAt: -1}
+	test := &testLoop{t: t, time: time.Hour, nextStepAt: -1}
 	var err error
 	test.Loop, err = New(Config{
 		Clock: func() time.Duration { return test.time },
 		Log:   slog.New(slog.NewTextHandler(&test.log, nil)),
 		Hooks: Hooks{
-			NextStep:          func() (time.Duration, bool) { return test.stepsAt, test.stepsAt >= 0 },
-			Step:              func(time.Duration) { test.stepsAt = -1; test.record("step")() },
+			NextStep:          func() (time.Duration, bool) { return test.nextStepAt, test.nextStepAt >= 0 },
+			Step:              func(time.Duration) { test.nextStepAt = -1; test.record("step")() },
 			DescriptorsClosed: func() { test.closed++ },
 			Woken:             test.record("woken"),
 		},
@@ -44,7 +44,7 @@
 	return test
 }
 
-// record returns a function that records a call.
+// record returns a function that records a call of itself under a name.
 func (l *testLoop) record(name string) func() {
 	return func() { l.calls = append(l.calls, name) }
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// socketPair returns the two ends of a connection; the first is closed with the test.
+// socketPair returns the two ends of a connection; the first is closed at the end of the test.
 func (l *testLoop) socketPair() (peer, fd int) {
 	l.t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -86,7 +86,7 @@
 
 func (h *testHandler) LogAttributes() []slog.Attr { return []slog.Attr{slog.String("of", "handler")} }
 
-// addReady adds a handler that has an event waiting.
+// addReady adds a handler that has a pending event.
 func (l *testLoop) addReady(priority Priority, handle func()) *testHandler {
 	l.t.Helper()
 	peer, fd := l.socketPair()
@@ -100,35 +100,38 @@
 	return handler
 }
 
+// isDescriptorOpen reports whether a descriptor of this process is open.
 func isDescriptorOpen(fd int) bool {
 	_, err := unix.FcntlInt(uintptr(fd), unix.F_GETFD, 0)
 	return !errors.Is(err, unix.EBADF)
 }
 
-func TestEventsAreHandedOutByPriorityBeforeTimersAndStep(t *testing.T) {
+// An iteration handles events in the order of their priorities, then runs timers, and then steps.
+func TestOrderWithinIteration(t *testing.T) {
 	l := newTestLoop(t)
 	l.addReady(PriorityNormal, l.record("normal"))
 	l.addReady(PriorityHigh, l.record("high"))
 	l.addReady(PriorityUrgent, l.record("urgent"))
 	l.After(0, l.record("timer"))
-	l.stepsAt = l.time
+	l.nextStepAt = l.time
 	l.run("urgent", "high", "normal", "timer", "step")
 }
 
-// Acts are called after the step, and at the end of the same iteration if none is due. A panic ends only the act.
+// Functions of AfterStep are called after the step, or at the end of the same iteration if no step is due. A panic in one does
+// not affect the others.
 func TestAfterStep(t *testing.T) {
 	l := newTestLoop(t)
-	l.stepsAt = l.time
+	l.nextStepAt = l.time
 	first := l.addReady(PriorityUrgent, nil)
 	first.handle = func() {
 		l.AfterStep(func() { l.AfterStep(l.record("added")) })
-		l.AfterStep(func() { panic("of an act") })
-		l.AfterStep(l.record("act"))
+		l.AfterStep(func() { panic("after the step") })
+		l.AfterStep(l.record("after step"))
 		l.Remove(first.fd)
 	}
 	l.addReady(PriorityNormal, l.record("normal"))
-	l.run("normal", "step", "act", "added")
-	if !strings.Contains(l.log.String(), "of an act") {
+	l.run("normal", "step", "after step", "added")
+	if !strings.Contains(l.log.String(), "after the step") {
 		t.Errorf("log: %s", l.log.String())
 	}
 
@@ -143,7 +146,7 @@
 
 func TestStepWaitsUntilItIsDue(t *testing.T) {
 	l := newTestLoop(t)
-	l.stepsAt = l.time + 2
+	l.nextStepAt = l.time + 2
 	l.time++
 	l.run()
 	l.time++
@@ -168,7 +171,8 @@
 	l.run("third")
 }
 
-func TestTimeoutIsRoundedUpToWhatIsDueNext(t *testing.T) {
+// The loop waits until the next timer or step is due, rounded up to milliseconds, and at most for maxWait.
+func TestTimeoutOfWait(t *testing.T) {
 	l := newTestLoop(t)
 	expect := func(want int) {
 		t.Helper()
@@ -179,7 +183,7 @@
 	expect(noTimeout)
 	l.After(2*time.Hour, func() {})
 	expect(maxWait)
-	l.stepsAt = l.time + time.Millisecond + 1
+	l.nextStepAt = l.time + time.Millisecond + 1
 	expect(2)
 	l.After(time.Microsecond, func() {})
 	expect(1)
@@ -187,7 +191,7 @@
 	expect(0)
 }
 
-func TestPanicEndsItsHandlerOnly(t *testing.T) {
+func TestPanicEndsOnlyItsHandler(t *testing.T) {
 	l := newTestLoop(t)
 	broken := l.addReady(PriorityUrgent, func() { panic("scripted") })
 	l.addReady(PriorityNormal, l.record("other"))
@@ -195,7 +199,7 @@
 	if isDescriptorOpen(broken.fd) {
 		t.Error("the descriptor of the handler that panicked is open")
 	}
-	for _, part := range []string{`msg="panic in a connection, which ends"`, "panic=scripted", "of=handler", "stack="} {
+	for _, part := range []string{`msg="panic in a connection, closing it"`, "panic=scripted", "of=handler", "stack="} {
 		if !strings.Contains(l.log.String(), part) {
 			t.Errorf("no %s in %s", part, l.log.String())
 		}
@@ -208,16 +212,16 @@
 	}
 }
 
-// A descriptor that is removed while events are handed out is closed once all are: its number can't be taken by another
-// connection, which would get the events of the one before.
-func TestDescriptorsRemovedInAnIterationAreClosedAfterItsEvents(t *testing.T) {
+// A descriptor that is removed while events are dispatched is closed after all of them. Otherwise its number could be reused by
+// another connection, which would get the remaining events of the removed one.
+func TestRemovedDescriptorIsClosedAfterDispatch(t *testing.T) {
 	l := newTestLoop(t)
 	late := l.addReady(PriorityNormal, l.record("removed"))
 	l.addReady(PriorityUrgent, func() {
 		l.Remove(late.fd)
 		l.Remove(late.fd)
 		if !isDescriptorOpen(late.fd) || l.ClosingCount() != 1 {
-			t.Errorf("open %v, %d closing, while events are handed out", isDescriptorOpen(late.fd), l.ClosingCount())
+			t.Errorf("open %v, %d closing, while events are dispatched", isDescriptorOpen(late.fd), l.ClosingCount())
 		}
 	})
 	l.After(0, func() {
@@ -233,7 +237,7 @@
 	}
 }
 
-func TestWakeAndPostReachTheLoopFromOtherGoroutines(t *testing.T) {
+func TestWakeAndPost(t *testing.T) {
 	l := newTestLoop(t)
 	go l.Post(func() { l.record("posted")() })
 	if err := l.Run(func() bool { return len(l.calls) > 0 }); err != nil {
@@ -247,7 +251,7 @@
 	l.run("woken")
 }
 
-func TestEpollFDIsReadyWhileEventsWait(t *testing.T) {
+func TestEpollFDIsReadableWhileEventsArePending(t *testing.T) {
 	l := newTestLoop(t)
 	isReady := func() bool {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(l.EpollFD()), Events: unix.POLLIN}}, 0)
@@ -257,10 +261,10 @@
 		return n > 0
 	}
 	if isReady() {
-		t.Error("ready with no event")
+		t.Error("readable without an event")
 	}
 	l.Wake()
 	if !isReady() {
-		t.Error("not ready with an event")
+		t.Error("not readable with an event")
 	}
 }
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	socketBufferSize = 64 << 10 // bytes, the kernel's, by accepted socket: it would hold megabytes
+	socketBufferSize = 64 << 10 // bytes, of an accepted socket in each direction; the kernel's default would grow to megabytes
 	listenBacklog    = 4096     // connections
-	maxOptionTries   = 8        // of one option, while the machine lacks something for it
+	maxOptionTries   = 8        // tries to set an option, while the kernel lacks resources for it
 )
 
-// Sockaddr returns an address as the kernel has it, and its family; an IPv4 address written as IPv6 is IPv4.
+// Sockaddr converts an address to the kernel's form, and returns its family. An IPv4-mapped IPv6 address becomes an IPv4 address.
 func Sockaddr(address netip.AddrPort) (family int, sockaddr unix.Sockaddr) {
 	if ip := address.Addr().Unmap(); ip.Is4() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
@@ -21,7 +21,7 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
 }
 
-// AddrPort is the reverse of Sockaddr; of an address that is not an IP address it returns the zero value.
+// AddrPort is the reverse of Sockaddr. It returns the zero value for an address that is not an IP address.
 func AddrPort(sockaddr unix.Sockaddr) netip.AddrPort {
 	switch sockaddr := sockaddr.(type) {
 	case *unix.SockaddrInet4:
@@ -42,8 +42,9 @@
 	return fd, sockaddr, nil
 }
 
-// Dial starts a connection, and does not wait for it: one that is interrupted goes on, as any that is in progress. The caller
-// owns the socket; see Stream.ConnectError. An error says by its class whether it is this machine's or the peer's.
+// Dial starts to connect and does not wait until the connection is established. An interrupted connect(2) continues like any
+// that is in progress. The caller owns the socket; see Stream.ConnectError. The class of an error distinguishes a lack of local
+// resources from a failure of the peer.
 func (l *Loop) Dial(address netip.AddrPort) (fd int, err error) {
 	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
@@ -56,8 +57,8 @@
 	return fd, nil
 }
 
-// Listen opens a socket whose connections the owner accepts, and adds it. Options are of the socket, as SO_REUSEPORT, which
-// lets another process listen there too.
+// Listen opens a listening socket and adds it to the loop, with its owner as the handler. Options are enabled socket options such
+// as SO_REUSEPORT, with which another process may listen at the address too.
 func (l *Loop) Listen(address netip.AddrPort, owner Handler, options ...int) (fd int, err error) {
 	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return fd, nil
 }
 
-// setOption sets an option that a socket can do without, such as one of another family.
+// setOption sets an option that a socket can do without. Momentary errors are retried; others are ignored, as the option may not
+// exist for the socket's family.
 func (l *Loop) setOption(descriptor, level, option, value int) {
 	for range maxOptionTries {
 		err := l.syscalls.SetsockoptInt(descriptor, level, option, value)
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -6,41 +6,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// StreamEvents are the events that a stream is opened with: input, and the peer's end.
+// StreamEvents are the input events of a stream: input is available, or the peer has closed its sending side.
 const StreamEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 
-// MaxIdleBuffer is how many bytes of a buffer an idle stream may keep.
+// MaxIdleBuffer is the size, in bytes, above which a buffer is freed when it is empty.
 const MaxIdleBuffer = 4 << 10
 
-// maxDiscards is how many reads one call of Discard makes, so that other streams are served too.
+// maxDiscards limits the reads of one call of Discard, so that other streams are served too.
 const maxDiscards = 16
 
 const (
-	maxTransferTries = 16                    // of one read or write that is interrupted each time
-	minTransferPause = time.Millisecond      // after the machine lacked memory for a read or a write; it doubles while that lasts
-	maxTransferPause = 50 * time.Millisecond // the longest
-	transferNothing  = -1                    // of a read or write: there is nothing to be had, or no room, now
+	maxTransferTries = 16                    // of a read or write that is interrupted each time
+	minTransferPause = time.Millisecond      // after the kernel lacked memory for a read or write; doubles with each failure
+	maxTransferPause = 50 * time.Millisecond // limit of the doubling
+	transferPending  = -1                    // length of a read or write that has to wait
 )
 
-// Stream is a non-blocking socket with what was read and is not consumed yet, and what was not sent yet. The zero value is a
-// closed one. It is not copied once it is in use.
+// Stream is a non-blocking socket with buffers for unconsumed input and unsent output. The zero value is a closed stream. A
+// stream must not be copied once it is in use.
 type Stream struct {
 	loop   *Loop
 	fd     int
 	input  []byte
 	output []byte
-	events uint32 // that are waited for
+	events uint32 // requested by the owner; some may be paused
 	open   bool
 
-	paused uint32        // events of these are not waited for now: the machine lacked memory for what they stand for
-	resume *Timer        // while any are paused
-	pause  time.Duration // the last one, since a read or write went well; 0: there was none
+	paused    uint32        // events that are not requested for now, as the kernel lacked memory for a read or write
+	resume    *Timer        // ends the pause; nil: no event is paused
+	lastPause time.Duration // 0: the last read or write succeeded
 
-	inputHeldSince time.Duration // the machine lacked memory to read what had come; 0: it did not
-	inputCameAt    time.Duration // what was read last; 0: nothing was read
+	inputPendingSince time.Duration // when a read of available input first failed for lack of memory; 0: none is pending
+	inputArrivedAt    time.Duration // see InputArrivedAt
 }
 
-// OpenStream makes a stream of a socket and adds it, with its owner as the handler. On an error the caller owns the socket.
+// OpenStream adds a socket to the loop as a stream, with its owner as the handler. On an error the caller owns the socket.
 func (l *Loop) OpenStream(fd int, events uint32, owner Handler) (Stream, error) {
 	l.setOption(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := l.addEventually(fd, events, owner); err != nil {
@@ -49,39 +49,39 @@
 	return Stream{loop: l, fd: fd, events: events, open: true}, nil
 }
 
-// IsOpen reports whether the stream was opened and not closed since.
+// IsOpen reports whether the stream is open.
 func (s *Stream) IsOpen() bool { return s.open }
 
-// FD returns the socket; it is the stream's.
+// FD returns the socket, which the stream owns.
 func (s *Stream) FD() int { return s.fd }
 
-// Input returns what was read and is not consumed yet. It is void with the next call that reads or consumes.
+// Input returns the input that was read and not consumed. It is valid until the next call that reads or consumes.
 func (s *Stream) Input() []byte { return s.input }
 
-// Output returns what waits to be sent.
+// Output returns the output that is not sent yet.
 func (s *Stream) Output() []byte { return s.output }
 
-// BufferSize returns how many bytes of memory the buffers take up.
+// BufferSize returns the size of the buffers in bytes.
 func (s *Stream) BufferSize() int { return cap(s.input) + cap(s.output) }
 
-// SetBuffers gives the stream what another process had read and not sent. It does not wait for room to write; see
+// SetBuffers sets the input that another process has read, and the output that it has not sent. It does not request EPOLLOUT; see
 // UpdateEvents.
 func (s *Stream) SetBuffers(input, output []byte) { s.input, s.output = input, output }
 
-// AppendInput adds bytes that were read from the socket by other means than Fill.
+// AppendInput appends bytes that were read from the socket by other means than Fill.
 func (s *Stream) AppendInput(b []byte) { s.input = append(s.input, b...) }
 
-// TakeOutput returns what waits to be sent, which the caller sends instead.
+// TakeOutput removes and returns the output that is not sent yet.
 func (s *Stream) TakeOutput() []byte {
 	output := s.output
 	s.output = nil
 	return output
 }
 
-// DropInput drops all that was read.
+// DropInput drops the buffered input.
 func (s *Stream) DropInput() { s.input = nil }
 
-// ConnectError returns how a connection that was started came out, once it can be written to.
+// ConnectError returns the pending error of the socket (SO_ERROR), such as that of a failed connection attempt, or nil.
 func (s *Stream) ConnectError() error {
 	code, err := s.loop.syscalls.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -90,8 +90,8 @@
 	return err
 }
 
-// Fill reads what has come, at most one read buffer of it. ended reports that no more will come. Where the machine lacks memory
-// for it, it is read later.
+// Fill reads available input, at most the size of the read buffer. ended reports that the end of the input was read. If the
+// kernel lacks memory for the read, the input is read later.
 func (s *Stream) Fill() (ended bool, err error) {
 	n, err := s.transfer(CallRead, func() (int, error) { return s.loop.syscalls.Read(s.fd, s.loop.readBuffer) })
 	switch {
@@ -101,16 +101,16 @@
 		return true, nil
 	case n > 0:
 		s.AppendInput(s.loop.readBuffer[:n])
-		s.inputCameAt = s.loop.now
-		if s.inputHeldSince > 0 {
-			s.inputCameAt, s.inputHeldSince = s.inputHeldSince, 0
+		s.inputArrivedAt = s.loop.now
+		if s.inputPendingSince > 0 {
+			s.inputArrivedAt, s.inputPendingSince = s.inputPendingSince, 0
 		}
 	}
-	return false, nil // level-triggered: there is another event for the rest
+	return false, nil // events are level-triggered: there is another one for the remaining input
 }
 
-// Discard reads what has come without keeping it, so much at most that other streams are served too. For TCP the kernel does
-// not even copy it. n counts the bytes; ended reports that no more will come.
+// Discard reads and drops available input, with a limit so that other streams are served too. For TCP the kernel does not even
+// copy the bytes. n is their number; ended reports that the end of the input was read.
 func (s *Stream) Discard() (n int, ended bool, err error) {
 	for range maxDiscards {
 		got, err := s.transfer(CallReceive, func() (int, error) {
@@ -119,7 +119,7 @@
 		switch {
 		case err != nil:
 			return n, true, err
-		case got == transferNothing:
+		case got == transferPending:
 			return n, false, nil
 		case got == 0:
 			return n, true, nil
@@ -129,31 +129,31 @@
 	return n, false, nil
 }
 
-// transfer makes a call that reads or writes. It returns transferNothing if that has to wait: for an event, or, where the
-// machine lacks memory, for a while, in which there are no events for such calls: they would be there again at once. Any other
-// error is the end of the connection, whichever errno it is.
+// transfer makes a call that reads or writes. It returns transferPending if the call has to wait for an event, or for the end of
+// a pause because the kernel lacks memory. The events for such calls are paused meanwhile: they are level-triggered, and would
+// keep the loop busy. Any other error ends the connection, whatever the errno.
 func (s *Stream) transfer(call Call, act func() (int, error)) (n int, err error) {
 	for range maxTransferTries {
 		if n, err = act(); err == nil {
-			s.pause = 0
+			s.lastPause = 0
 			return n, nil
 		}
 		switch class := Classify(call, err); {
 		case class == ErrorRetry:
 			continue
 		case class == ErrorPending:
-			return transferNothing, nil
+			return transferPending, nil
 		case class.IsShortage():
 			s.pauseFor(call)
-			return transferNothing, nil
+			return transferPending, nil
 		}
-		return transferNothing, err
+		return transferPending, err
 	}
 	s.pauseFor(call)
-	return transferNothing, nil
+	return transferPending, nil
 }
 
-// pauseFor waits for no events for a kind of call for a while, which is longer each time that it is needed again.
+// pauseFor pauses the events for a kind of call, with exponential backoff.
 func (s *Stream) pauseFor(call Call) {
 	events := uint32(StreamEvents)
 	if call == CallWrite {
@@ -163,20 +163,20 @@
 		return
 	}
 	s.paused |= events
-	if call == CallRead && s.inputHeldSince == 0 {
-		s.inputHeldSince = s.loop.now
+	if call == CallRead && s.inputPendingSince == 0 {
+		s.inputPendingSince = s.loop.now
 	}
 	if s.resume == nil {
-		s.pause = min(max(minTransferPause, 2*s.pause), maxTransferPause)
-		s.resume = s.loop.After(s.pause, s.endPause)
+		s.lastPause = min(max(minTransferPause, 2*s.lastPause), maxTransferPause)
+		s.resume = s.loop.After(s.lastPause, s.endPause)
 	}
 	s.updateInterest()
 }
 
-// PauseInput waits for no input for a while, after the machine lacked memory to read it by other means than Fill.
+// PauseInput pauses input events after the kernel lacked memory for a read by other means than Fill.
 func (s *Stream) PauseInput() { s.pauseFor(CallRead) }
 
-// IsOutputPaused reports whether the machine has just lacked memory for a write.
+// IsOutputPaused reports whether writes are paused because the kernel lacked memory for one.
 func (s *Stream) IsOutputPaused() bool { return s.paused&unix.EPOLLOUT != 0 }
 
 func (s *Stream) endPause() {
@@ -184,8 +184,8 @@
 	s.updateInterest()
 }
 
-// updateInterest tells epoll what is waited for. While some events are paused, those that can't be left out, for an error and
-// the end of both sides, come only once.
+// updateInterest requests the stream's events from epoll, without the paused ones. EPOLLERR and EPOLLHUP can't be excluded, so
+// while events are paused they are edge-triggered: they are reported only once.
 func (s *Stream) updateInterest() {
 	if s.paused == 0 {
 		s.loop.Modify(s.fd, s.events)
@@ -194,14 +194,14 @@
 	s.loop.Modify(s.fd, s.events&^s.paused|unix.EPOLLET)
 }
 
-// InputCameAt returns when what Fill read last may have come: in the iteration in which it was read, or, where the machine lacked
-// memory for that, in the first one in which it did; 0: nothing was read.
-func (s *Stream) InputCameAt() time.Duration { return s.inputCameAt }
+// InputArrivedAt returns when the input that Fill has read last arrived: the time of the iteration in which it was read or, if
+// the kernel lacked memory for the read, in which reading it first failed; 0: nothing was read.
+func (s *Stream) InputArrivedAt() time.Duration { return s.inputArrivedAt }
 
 // Consume drops the first n bytes of the input.
 func (s *Stream) Consume(n int) { s.input = dropFront(s.input, n) }
 
-// Send writes b after what is already waiting.
+// Send writes b after the output that is not sent yet. What the socket does not accept is buffered.
 func (s *Stream) Send(b []byte) error {
 	if len(s.output) == 0 {
 		n, err := s.write(b)
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// Flush writes what waits.
+// Flush writes buffered output.
 func (s *Stream) Flush() error {
 	n, err := s.write(s.output)
 	s.output = dropFront(s.output, n)
@@ -223,7 +223,7 @@
 	return err
 }
 
-// dropFront drops the first n bytes of a buffer, and a large buffer that is empty then.
+// dropFront drops the first n bytes of a buffer. A buffer larger than MaxIdleBuffer that is then empty is freed.
 func dropFront(buffer []byte, n int) []byte {
 	remaining := copy(buffer, buffer[n:])
 	if remaining == 0 && cap(buffer) > MaxIdleBuffer {
@@ -232,12 +232,12 @@
 	return buffer[:remaining]
 }
 
-// write returns how many bytes the socket has taken.
+// write returns the number of bytes that the socket has accepted.
 func (s *Stream) write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
 		n, err := s.transfer(CallWrite, func() (int, error) { return s.loop.syscalls.Write(s.fd, b[done:]) })
-		if err != nil || n == transferNothing {
+		if err != nil || n == transferPending {
 			return done, err
 		}
 		done += n
@@ -245,7 +245,7 @@
 	return done, nil
 }
 
-// UpdateEvents waits for room to write only while something waits to be written.
+// UpdateEvents requests EPOLLOUT only while output is buffered.
 func (s *Stream) UpdateEvents() {
 	events := s.events &^ unix.EPOLLOUT
 	if len(s.output) > 0 {
@@ -254,10 +254,10 @@
 	s.SetEvents(events)
 }
 
-// Events returns the events that the stream waits for.
+// Events returns the events that the owner has requested.
 func (s *Stream) Events() uint32 { return s.events }
 
-// SetEvents changes them.
+// SetEvents changes the requested events.
 func (s *Stream) SetEvents(events uint32) {
 	if events != s.events && s.open {
 		s.events = events
@@ -265,7 +265,7 @@
 	}
 }
 
-// CloseWrite ends what this side sends; the peer may still send.
+// CloseWrite closes the sending side of the connection; the peer may still send.
 func (s *Stream) CloseWrite() { _ = s.loop.syscalls.Shutdown(s.fd, unix.SHUT_WR) }
 
 // Close closes the socket and drops the buffers. Closing twice does nothing.
--- a/internal/eventloop/stream_fault_test.go
+++ b/internal/eventloop/stream_fault_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// failCalls has calls of some kinds fail with an errno from now on, and returns their number so far.
+// failCalls makes calls of some kinds fail with an errno from now on, and returns a counter of these calls.
 func (l *testLoop) failCalls(errno unix.Errno, kinds ...Call) (count *int) {
 	count = new(int)
 	l.Syscalls().Interceptor = func(call Call, _ int) (injection Injection) {
@@ -24,7 +24,7 @@
 	return count
 }
 
-// runFor runs iterations, a millisecond apart.
+// runFor runs iterations for a time, one per millisecond.
 func (l *testLoop) runFor(span time.Duration) {
 	l.t.Helper()
 	for range span / time.Millisecond {
@@ -35,7 +35,7 @@
 	}
 }
 
-// faultOwner owns a stream, fills and flushes it by its events, and keeps the first error.
+// faultOwner owns a stream, calls Fill and Flush according to its events, and joins the errors.
 type faultOwner struct {
 	Stream
 	events int
@@ -67,11 +67,13 @@
 	return owner, ends[1]
 }
 
-// maxCallsASecond is how often a read or write is tried in a second in which each fails: the pauses grow to 50 ms.
-const maxCallsASecond = 40
+// maxCallsPerSecond limits the reads or writes that are tried in a second in which each fails: the pauses between them grow to 50
+// ms.
+const maxCallsPerSecond = 40
 
-// Without memory a read or write is made later, and nothing is lost; the loop is not kept busy, whatever else epoll tells.
-func TestStreamOutlastsAShortage(t *testing.T) {
+// While the kernel lacks memory, reads and writes are retried later and nothing is lost. The loop is not kept busy, also if the
+// peer closes its sending side meanwhile.
+func TestStreamRetriesAfterShortage(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOBUFS, unix.ENOMEM} {
 		for _, ended := range []bool{false, true} {
 			l := newTestLoop(t)
@@ -85,7 +87,7 @@
 				_ = unix.Shutdown(peer, unix.SHUT_WR)
 			}
 			l.runFor(time.Second)
-			if owner.err != nil || owner.ended || *count > 2*maxCallsASecond || owner.events > 4*maxCallsASecond {
+			if owner.err != nil || owner.ended || *count > 2*maxCallsPerSecond || owner.events > 4*maxCallsPerSecond {
 				t.Errorf("%v: %v, ended %v, %d calls and %d events in a second", errno, owner.err, owner.ended, *count, owner.events)
 			}
 			l.Syscalls().Interceptor = nil
@@ -97,15 +99,15 @@
 	}
 }
 
-// An end both ways that comes while reading is held back does not keep the loop busy either.
-func TestStreamOutlastsAShortageAtItsEnd(t *testing.T) {
+// If the connection is closed in both directions while reads are paused, its events do not keep the loop busy.
+func TestStreamClosedByPeerDuringShortage(t *testing.T) {
 	l := newTestLoop(t)
 	owner, peer := openFaultStream(l)
 	count := l.failCalls(unix.ENOMEM, CallRead)
 	writeAll(t, peer, []byte("in"))
 	_ = unix.Shutdown(peer, unix.SHUT_RDWR)
 	l.runFor(time.Second)
-	if owner.ended || *count > 2*maxCallsASecond || owner.events > 4*maxCallsASecond {
+	if owner.ended || *count > 2*maxCallsPerSecond || owner.events > 4*maxCallsPerSecond {
 		t.Errorf("ended %v, %d calls and %d events in a second", owner.ended, *count, owner.events)
 	}
 	l.Syscalls().Interceptor = nil
@@ -115,8 +117,8 @@
 	}
 }
 
-// A call that is interrupted is made again at once; one that always is does not hold up the loop.
-func TestStreamOutlastsInterruptions(t *testing.T) {
+// An interrupted call is retried at once. One that is interrupted each time does not block the loop.
+func TestStreamRetriesInterruptedCalls(t *testing.T) {
 	l := newTestLoop(t)
 	owner, peer := openFaultStream(l)
 	writeAll(t, peer, []byte("in"))
@@ -128,7 +130,7 @@
 		t.Errorf("discarded %d, ended %v, %v", n, ended, err)
 	}
 	if err := owner.Send([]byte("out")); err != nil || len(owner.Output()) != 3 {
-		t.Errorf("%d bytes wait: %v", len(owner.Output()), err)
+		t.Errorf("%d bytes of output: %v", len(owner.Output()), err)
 	}
 	l.Syscalls().Interceptor = nil
 	l.runFor(maxTransferPause)
@@ -137,7 +139,7 @@
 	}
 }
 
-// A connection that has broken is one whichever errno says so.
+// A broken connection ends its stream, whatever the errno.
 func TestStreamEndsWithAnyErrno(t *testing.T) {
 	for _, errno := range []unix.Errno{
 		unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE, unix.ENETDOWN, unix.EHOSTDOWN, unix.EIO,
@@ -157,12 +159,12 @@
 	}
 }
 
-// Short reads and writes lose nothing and come in order.
-func TestStreamTakesShortTransfers(t *testing.T) {
+// Short reads and writes lose no bytes and keep their order.
+func TestStreamWithShortTransfers(t *testing.T) {
 	l := newTestLoop(t)
 	owner, peer := openFaultStream(l)
 	l.Syscalls().Interceptor = func(Call, int) Injection { return Injection{MaxLength: 3} }
-	text := []byte("a text that goes in parts")
+	text := []byte("a text sent in many parts")
 	writeAll(t, peer, text)
 	if err := owner.Send(text); err != nil {
 		t.Fatal(err)
@@ -173,8 +175,8 @@
 	}
 }
 
-// A stream that is closed while it is held back leaves nothing to be called.
-func TestStreamClosedDuringAShortage(t *testing.T) {
+// Closing a stream during a pause stops the timer that ends the pause.
+func TestStreamClosedDuringShortage(t *testing.T) {
 	l := newTestLoop(t)
 	owner, peer := openFaultStream(l)
 	l.failCalls(unix.ENOMEM, CallRead)
@@ -186,21 +188,21 @@
 	}
 }
 
-// What could not be read when it came counts as come then.
-func TestStreamTellsWhenDelayedInputCame(t *testing.T) {
+// Input that could not be read when it arrived counts as arrived then, not when it was read.
+func TestArrivalTimeOfDelayedInput(t *testing.T) {
 	l := newTestLoop(t)
 	owner, peer := openFaultStream(l)
 	l.failCalls(unix.ENOMEM, CallRead)
 	writeAll(t, peer, []byte("late"))
 	l.runFor(time.Millisecond)
-	cameAt := l.Now()
+	arrivedAt := l.Now()
 	l.runFor(30 * time.Millisecond)
 	l.Syscalls().Interceptor = nil
-	if l.runFor(maxTransferPause); string(owner.Input()) != "late" || owner.InputCameAt() != cameAt {
-		t.Errorf("read %q, which came at %v, expected %v", owner.Input(), owner.InputCameAt(), cameAt)
+	if l.runFor(maxTransferPause); string(owner.Input()) != "late" || owner.InputArrivedAt() != arrivedAt {
+		t.Errorf("read %q, arrival time %v, expected %v", owner.Input(), owner.InputArrivedAt(), arrivedAt)
 	}
 	writeAll(t, peer, []byte("!"))
-	if l.runFor(time.Millisecond); owner.InputCameAt() != l.Now() {
-		t.Errorf("what was read at once came at %v, expected %v", owner.InputCameAt(), l.Now())
+	if l.runFor(time.Millisecond); owner.InputArrivedAt() != l.Now() {
+		t.Errorf("arrival time of input that was read at once %v, expected %v", owner.InputArrivedAt(), l.Now())
 	}
 }
--- a/internal/eventloop/stream_test.go
+++ b/internal/eventloop/stream_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// streamOwner has a stream that a test drives by hand.
+// streamOwner ignores events: the test calls the methods of its stream.
 type streamOwner struct{ Stream }
 
 func (o *streamOwner) HandleEvents(uint32) {}
@@ -27,6 +27,7 @@
 	return owner, peer
 }
 
+// writeAll writes b, which must fit into the socket's buffer.
 func writeAll(t *testing.T, fd int, b []byte) {
 	t.Helper()
 	if n, err := unix.Write(fd, b); n != len(b) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// readAvailable reads until nothing more is there.
+// readAvailable reads all available bytes.
 func readAvailable(t *testing.T, fd int) (received []byte) {
 	t.Helper()
 	b := make([]byte, 64<<10)
@@ -73,7 +74,7 @@
 	}
 }
 
-func TestStreamDropsALargeBufferOnceItIsEmpty(t *testing.T) {
+func TestStreamFreesLargeEmptyBuffer(t *testing.T) {
 	l := newTestLoop(t)
 	stream, peer := openTestStream(l)
 	writeAll(t, peer, make([]byte, 4*MaxIdleBuffer))
@@ -81,11 +82,11 @@
 		t.Fatalf("%d bytes of buffers: %v", stream.BufferSize(), err)
 	}
 	if stream.Consume(len(stream.Input())); stream.BufferSize() != 0 {
-		t.Errorf("%d bytes of buffers, and nothing in them", stream.BufferSize())
+		t.Errorf("%d bytes of empty buffers", stream.BufferSize())
 	}
 }
 
-func TestStreamWaitsForRoomOnlyWhileOutputWaits(t *testing.T) {
+func TestStreamRequestsWritableOnlyWhileOutputIsBuffered(t *testing.T) {
 	l := newTestLoop(t)
 	stream, peer := openTestStream(l)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 64<<10)
@@ -108,7 +109,7 @@
 	}
 }
 
-func TestStreamDiscardsWithoutKeeping(t *testing.T) {
+func TestStreamDiscardsWithoutBuffering(t *testing.T) {
 	l := newTestLoop(t)
 	stream, peer := openTestStream(l)
 	writeAll(t, peer, make([]byte, 1000))
@@ -137,7 +138,7 @@
 	}
 }
 
-func TestAddressesSurviveTheKernelsForm(t *testing.T) {
+func TestAddressesAreConvertedBothWays(t *testing.T) {
 	for given, want := range map[string]string{
 		"127.0.0.1:80":          "127.0.0.1:80",
 		"[::1]:443":             "[::1]:443",
@@ -145,7 +146,7 @@
 	} {
 		_, sockaddr := Sockaddr(netip.MustParseAddrPort(given))
 		if got := AddrPort(sockaddr).String(); got != want {
-			t.Errorf("%s comes back as %s", given, got)
+			t.Errorf("%s is converted to %s", given, got)
 		}
 	}
 	if got := AddrPort(&unix.SockaddrUnix{}); got.IsValid() {
@@ -153,13 +154,13 @@
 	}
 }
 
-func TestDialReachesAListener(t *testing.T) {
+func TestDialReachesListener(t *testing.T) {
 	for _, errno := range []unix.Errno{0, unix.EINTR} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) { testDial(t, errno) })
 	}
 }
 
-// testDial dials a listener; connect fails with an errno, but for 0.
+// testDial dials a listener; connect fails with an errno unless that is 0.
 func testDial(t *testing.T, connectErrno unix.Errno) {
 	t.Helper()
 	l := newTestLoop(t)
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -48,22 +48,22 @@
 	return callNames[c]
 }
 
-// Injection is what an interceptor has become of a system call. The zero value has it made as it is.
+// Injection is a fault that an interceptor injects into a system call. The zero value injects none.
 type Injection struct {
-	Errno     unix.Errno // the call fails with it; 0: it does not
-	MaxLength int        // how many bytes a read or a write takes at most; 0: as many as it is given
+	Errno     unix.Errno // the call fails with it; 0: it does not fail
+	MaxLength int        // limit of the bytes that a read or write transfers; 0: none
 }
 
-// Interceptor is called before each system call, with the descriptor that it is for, which is NoDescriptor if it is
-// for none. It may be called from several goroutines.
+// Interceptor is called before each system call with its descriptor, or NoDescriptor if it has none. It may be called from
+// several goroutines.
 type Interceptor func(call Call, descriptor int) Injection
 
-// NoDescriptor is in place of the descriptor of a call that has none.
+// NoDescriptor stands for a descriptor where there is none.
 const NoDescriptor = -1
 
-// Syscalls makes the system calls of a loop and of the connections on it. The zero value makes them of the kernel.
+// Syscalls makes the system calls of a loop and of the connections on it. The zero value makes them without injecting faults.
 type Syscalls struct {
-	Interceptor Interceptor // of tests; nil in service
+	Interceptor Interceptor // set by tests only
 }
 
 func (s *Syscalls) intercept(call Call, descriptor int) Injection {
@@ -73,7 +73,7 @@
 	return s.Interceptor(call, descriptor)
 }
 
-// fail returns the error that a call is to fail with, if it is to.
+// fail returns the error that is injected into a call, or nil.
 func (s *Syscalls) fail(call Call, descriptor int) error {
 	if injected := s.intercept(call, descriptor); injected.Errno != 0 {
 		return injected.Errno
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// limit shortens a buffer to what is taken of it.
+// limit shortens a buffer to MaxLength.
 func (i Injection) limit(buffer []byte) []byte {
 	if i.MaxLength > 0 && len(buffer) > i.MaxLength {
 		return buffer[:i.MaxLength]
@@ -121,7 +121,7 @@
 	return unix.Listen(fd, backlog)
 }
 
-// Connect is connect(2). One that is interrupted goes on all the same, as the kernel's does.
+// Connect is connect(2). As in the kernel, one that an injected EINTR interrupts still continues.
 func (s *Syscalls) Connect(fd int, address unix.Sockaddr) error {
 	injected := s.intercept(CallConnect, fd)
 	if injected.Errno != 0 && injected.Errno != unix.EINTR {
@@ -206,7 +206,7 @@
 	return unix.Shutdown(fd, how)
 }
 
-// Close is close(2). The descriptor is closed also where it fails, as the kernel's is.
+// Close is close(2). As in the kernel, the descriptor is closed even if the call fails.
 func (s *Syscalls) Close(fd int) error {
 	injected := s.fail(CallClose, fd)
 	if err := unix.Close(fd); err != nil {
@@ -215,7 +215,7 @@
 	return injected
 }
 
-// SetsockoptInt is setsockopt(2) of an option that is a number.
+// SetsockoptInt is setsockopt(2) for an integer option.
 func (s *Syscalls) SetsockoptInt(fd, level, option, value int) error {
 	if err := s.fail(CallSetOption, fd); err != nil {
 		return err
@@ -223,7 +223,7 @@
 	return unix.SetsockoptInt(fd, level, option, value)
 }
 
-// GetsockoptInt is getsockopt(2) of an option that is a number.
+// GetsockoptInt is getsockopt(2) for an integer option.
 func (s *Syscalls) GetsockoptInt(fd, level, option int) (value int, err error) {
 	if err := s.fail(CallGetOption, fd); err != nil {
 		return 0, err
@@ -231,7 +231,7 @@
 	return unix.GetsockoptInt(fd, level, option)
 }
 
-// GetsockoptUcred is getsockopt(2) of an option that is a process's credentials.
+// GetsockoptUcred is getsockopt(2) for the credentials of a process.
 func (s *Syscalls) GetsockoptUcred(fd, level, option int) (*unix.Ucred, error) {
 	if err := s.fail(CallGetOption, fd); err != nil {
 		return nil, err
@@ -279,7 +279,7 @@
 	return unix.Eventfd(initial, flags)
 }
 
-// Poll is poll(2) of one descriptor.
+// Poll is poll(2) for one descriptor.
 func (s *Syscalls) Poll(polled *unix.PollFd, timeoutMillis int) (n int, err error) {
 	if err := s.fail(CallPoll, int(polled.Fd)); err != nil {
 		return -1, err
--- a/internal/eventloop/wake.go
+++ b/internal/eventloop/wake.go
@@ -1,37 +1,37 @@
 package eventloop
 
-// Post has the loop call act soon. It may be called from any goroutine.
+// Post calls act on the loop's goroutine in its next iteration. It may be called from any goroutine.
 func (l *Loop) Post(act func()) {
-	l.posting.Lock()
+	l.postMutex.Lock()
 	l.posted = append(l.posted, act)
-	l.posting.Unlock()
+	l.postMutex.Unlock()
 	l.Wake()
 }
 
-// Wake has the loop call its hook Woken soon. It may be called from any goroutine.
+// Wake has the loop call its hook Woken in its next iteration. It may be called from any goroutine.
 func (l *Loop) Wake() {
 	for range maxWakeTries {
 		_, err := l.syscalls.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
-		if Classify(CallWrite, err) != ErrorRetry { // else it was interrupted; its counter being full wakes the loop as well
+		if Classify(CallWrite, err) != ErrorRetry { // written, or EAGAIN: the counter is full, which wakes the loop as well
 			return
 		}
 	}
 }
 
-// maxWakeTries bounds how often a wake that is interrupted is made again.
+// maxWakeTries limits the tries of a write that is interrupted each time.
 const maxWakeTries = 1000
 
-// waker is the handler of the descriptor that wakes the loop, and the owner of timers and acts that have no other.
+// waker is the handler of the descriptor that wakes the loop, and the owner of timers and functions that have no other.
 type waker Loop
 
-// HandleEvents calls what was posted, and the hook.
+// HandleEvents calls the posted functions, and the hook Woken.
 func (w *waker) HandleEvents(uint32) {
 	var count [8]byte
 	_, _ = w.syscalls.Read(w.wakeFD, count[:])
-	w.posting.Lock()
+	w.postMutex.Lock()
 	posted := w.posted
 	w.posted = nil
-	w.posting.Unlock()
+	w.postMutex.Unlock()
 	for _, act := range posted {
 		act()
 	}
@@ -40,5 +40,5 @@
 	}
 }
 
-// HandlePanic has nothing to end.
+// HandlePanic does nothing: the loop keeps working.
 func (w *waker) HandlePanic() {}
