--- a/internal/worker/budget_test.go
+++ b/internal/worker/budget_test.go
@@ -192,7 +192,7 @@
 	}
 	var m http1.Request
 	if _, err := m.Parse(remote.Received); err == nil || !remote.Ended {
-		t.Errorf("the rest was received too, closed %v", remote.Ended)
+		t.Errorf("the whole request was received, or the connection is open; closed %v", remote.Ended)
 	}
 	f.expect("never complete", request, dispatch.ConnectFailed)
 }
