--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -36,14 +36,14 @@
 // newJob returns the entry of a job, with its predictions and its objective.
 func (d *Dispatcher) newJob(arrival Job, age time.Duration) *jobInfo {
 	job := &jobInfo{Job: arrival, class: &d.settings.Classes[arrival.Class], heapIndex: -1}
-	job.Slots = max(1, finite(arrival.Slots))
+	job.Slots = max(1, finiteOrZero(arrival.Slots))
 	job.Hint = max(0, arrival.Hint)
-	job.demand = max(job.Slots, finite(arrival.Memory))
+	job.demand = max(job.Slots, finiteOrZero(arrival.Memory))
 	job.arrivedAt = d.now - age
 	job.deadline = d.now + max(arrival.Remaining, 0)
 	job.work = d.workload.expectedWork(job)
 	job.objectiveAt = d.objectiveOf(job, age)
-	job.longChance = d.workload.longScore(job)
+	job.longProbability = d.workload.longProbability(job)
 	return job
 }
 
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -60,7 +60,7 @@
 }
 
 // Incident: the most valuable jobs were rejected unsent on a hint known to be rough while a worker was idle.
-func TestJobJustOutOfReachIsOfferedAFreeWorker(t *testing.T) {
+func TestJobLikelyToBeLateIsSentToIdleWorker(t *testing.T) {
 	cases := []struct {
 		name      string
 		remaining time.Duration
@@ -89,7 +89,7 @@
 	set.TenantQuota = []float64{2, 0}
 	s := newHarness(t, set)
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.d.fleet.byID[1].slots.limit = 1
 	for id := uint64(10); id < 20; id++ {
 		j := s.job(id, 1, 100*ms)
@@ -133,7 +133,7 @@
 // A dispatcher that had no worker when it last looked, as at its start, knows the fleet's best speed as soon as a list
 // brings one. Else it would expect workers to be fifty times too slow, and reject jobs with all workers idle until its next
 // round of maintenance.
-func TestFirstListIsKnownAtOnce(t *testing.T) {
+func TestFirstListUpdatesMaxSpeedAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].LatencyObjective = 80 * ms
 	s := newHarness(t, set)
@@ -153,7 +153,7 @@
 
 // However many workers there are, however good hints are, and whether starts are notified or not: a fleet that is under half
 // full rejects nothing, serves each client as fast as it works, and spreads what it does.
-func TestIdleFleetRejectsNothing(t *testing.T) {
+func TestLightlyLoadedFleetRejectsNothing(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{10, 90, 600} {
 		for _, hint := range []float64{1, 1.0 / 30, 30} {
--- a/dispatch/arrivals.go
+++ b/dispatch/arrivals.go
@@ -32,8 +32,8 @@
 	return cost / (a.meanCost + divisionGuard)
 }
 
-// urgency returns the part of the paper's tau after which a job of a priority weight is promoted: less than 1 for one
+// tauFraction returns the part of the paper's tau after which a job of a priority weight is promoted: less than 1 for one
 // above the mean, so that under overload capacity goes to what has most utility.
-func (a *arrivalStatistics) urgency(weight float64) float64 {
+func (a *arrivalStatistics) tauFraction(weight float64) float64 {
 	return min(1, (a.meanWeight+divisionGuard)/(max(weight, 0)+divisionGuard))
 }
--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -14,7 +14,7 @@
 	started        bool
 	ended          bool
 	orphaned       bool          // the worker's process has ended: the attempt uses no slots there any more
-	limitBound     bool          // the concurrency limit bound the worker when it was sent
+	sentAtLimit    bool          // the concurrency limit bound the worker when it was sent
 	connectionIdle time.Duration // how long its connection had been idle; 0: a new one
 	result         Result
 	lease          *leaseInfo    // nil: none
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -12,7 +12,7 @@
 func (d *Dispatcher) send(job *jobInfo, worker *workerInfo) *attemptInfo {
 	attempt := d.newAttempt(job, worker, d.now)
 	d.addAttempt(attempt)
-	attempt.limitBound = worker.slots.used+1 > worker.slots.limit
+	attempt.sentAtLimit = worker.slots.used+1 > worker.slots.limit
 	d.slowStart.handleSent(attempt, d.now)
 	d.chargeHedge(attempt)
 	d.outliers.handleSent(worker, d.now)
@@ -22,7 +22,7 @@
 		d.emit(CloseIdleConnections{Worker: worker.ID})
 	}
 	d.emit(Send{Job: job.ID, Worker: worker.ID})
-	d.setTimer(&attempt.timer, d.dueAt(attempt))
+	d.setTimer(&attempt.timer, d.overdueAt(attempt))
 	return attempt
 }
 
@@ -39,7 +39,7 @@
 	d.observeStartDelay(attempt)
 	worker.slots.running += job.Slots
 	d.observeSlots(worker, worker.slots.running)
-	d.setTimer(&attempt.timer, d.dueAt(attempt))
+	d.setTimer(&attempt.timer, d.overdueAt(attempt))
 	if !job.closed {
 		d.queue.remove(job) // no further attempt is needed
 		d.leases.client.withdraw(job)
@@ -82,9 +82,9 @@
 	attempt.worker.activity.progressAt = d.now
 }
 
-// mayBeDropped reports whether the worker may drop an attempt as a repetition: no start is notified then,
+// mayBeDeduplicated reports whether the worker may drop an attempt as a repetition: no start is notified then,
 // as the attempt waits for the result of the run of an earlier one.
-func (a *attemptInfo) mayBeDropped() bool {
+func (a *attemptInfo) mayBeDeduplicated() bool {
 	return a.job.class.Idempotency == IdempotentWithKey &&
 		slices.ContainsFunc(a.job.attempts[:a.number], (*attemptInfo).possiblyExecuted)
 }
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -154,7 +154,7 @@
 				latest = age
 			}
 		}
-		if latest+set.ConnectTimeout+longestHold+inParts >= window {
+		if latest+set.ConnectTimeout+maxProcessStall+inParts >= window {
 			t.Errorf("window %v: chosen %v after the first attempt", window, latest)
 		}
 		if least := window/2 - set.ConnectTimeout; latest < least { // the margin is no greater than it has to be
@@ -226,7 +226,7 @@
 		s := newHarness(t, testSettings())
 		s.workers(2)
 		s.d.backOff(s.d.fleet.byID[2], 200*ms)
-		s.busy(1)
+		s.startOnWorker1(1)
 		s.d.fleet.byID[1].slots.limit = 5
 		s.d.fleet.markDirty(s.d.fleet.byID[1])
 		s.step(s.job(2, 0, 300*ms))
@@ -256,7 +256,7 @@
 		set.Classes[0].LatencyObjective = 4 * time.Second
 		s := newHarness(t, set)
 		s.workers(2)
-		s.busy(1)
+		s.startOnWorker1(1)
 		for range 6 {
 			s.wait(400 * ms)
 			if notifies {
@@ -282,7 +282,7 @@
 
 // Found by randomised search: with hedging off, a job that ran for too long was cancelled in order to be sent to another worker, and
 // rejected at the same instant, as its objective had passed. Now it goes on.
-func TestRunningJobPastItsObjectiveIsNotGivenUp(t *testing.T) {
+func TestRunningJobPastItsObjectiveIsNotCancelled(t *testing.T) {
 	set := testSettings()
 	set.Hedging = false
 	s := newHarness(t, set)
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -15,11 +15,11 @@
 		}
 	}
 	expectLimit(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	expectLimit(2) // a prompt start of an attempt that the limit had bound
-	s.busy(2)
+	s.startOnWorker1(2)
 	expectLimit(3)
-	s.busy(3)
+	s.startOnWorker1(3)
 	expectLimit(4)
 	s.now += ms
 	s.step(s.done(1, 0, 1, ConnectionReset), s.done(2, 0, 1, ConnectionReset), s.done(3, 0, 1, ConnectionReset))
@@ -29,7 +29,7 @@
 func TestLateStartDecreasesLimit(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.step(s.job(2, 1, 300*ms))
 	s.wait(400 * ms)
 	s.step(Started{Job: 2, Worker: 1})
@@ -89,7 +89,7 @@
 func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.wait(300 * ms)
 	o := s.done(1, 0, 1, OK)
 	o.Report = []float64{0}
@@ -116,7 +116,7 @@
 	w := s.d.fleet.byID[1]
 	w.slots.limit = 9
 	for id := uint64(1); id <= 4; id++ {
-		s.busy(id)
+		s.startOnWorker1(id)
 	}
 	for late := range uint64(minLateOverflows) {
 		if w.backoff.until, w.slots.limit = 0, 9; s.d.maxSlots(w) < 9 {
@@ -163,7 +163,7 @@
 // Found by randomised search: five of 351 workers hung. The jobs in flight there were more than half of all that ran, which looked like a
 // fleet whose queues are full, and for a second nothing was sent to the other workers. Now one job is sent all the same, and
 // the next once that has started.
-func TestFewFaultyWorkersDoNotStopTheFleet(t *testing.T) {
+func TestFewHungWorkersDoNotStopDispatch(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(20)
 	for id := uint64(1); id <= 4; id++ {
@@ -226,7 +226,7 @@
 // Found by randomised search: hedges of jobs with a key were dropped as repetitions by the cells that had the first attempts, and no start was
 // notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all other
 // workers were idle.
-func TestDeduplicatedAttemptIsNoSignOfAQueue(t *testing.T) {
+func TestDeduplicatedAttemptDoesNotIndicateAQueue(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
 	s := newHarness(t, set)
--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -11,16 +11,16 @@
 
 // codec writes values to bytes, or reads them: the same calls in the same order serve both ways.
 type codec struct {
-	b            []byte // written so far, or left to read
-	writing      bool
-	withLeases   bool
-	invalid      bool          // the bytes read are no valid snapshot
-	now          time.Duration // instants are stored relative to it
-	clockAhead   time.Duration // by which the reader's clock is ahead of the writer's
-	jobs         []*jobInfo    // by their place in the snapshot
-	jobPlaces    map[*jobInfo]int
-	workers      []*workerInfo
-	workerPlaces map[*workerInfo]int
+	b             []byte // written so far, or left to read
+	writing       bool
+	withLeases    bool
+	invalid       bool          // the bytes read are no valid snapshot
+	now           time.Duration // instants are stored relative to it
+	clockAhead    time.Duration // by which the reader's clock is ahead of the writer's
+	jobs          []*jobInfo    // by their place in the snapshot
+	jobIndexes    map[*jobInfo]int
+	workers       []*workerInfo
+	workerIndexes map[*workerInfo]int
 }
 
 // check marks the bytes as invalid unless a condition on the values read is met.
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -70,31 +70,31 @@
 	return w.Ready && now >= w.backoff.until && hasSlot
 }
 
-// rejects reports whether the worker has rejected this demand, or a smaller one, while idle.
-func (w *workerInfo) rejects(demand float64) bool {
+// hasRejected reports whether the worker has rejected this demand, or a smaller one, while idle.
+func (w *workerInfo) hasRejected(demand float64) bool {
 	return w.rejectedDemand > 0 && demand >= w.rejectedDemand
 }
 
 // hasCapacity reports whether a worker can start a job now, as far as is known.
 func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
-	if worker.rejects(job.demand) || d.reservation.excludes(job, worker) {
+	if worker.hasRejected(job.demand) || d.reservation.excludes(job, worker) {
 		return false
 	}
 	isIdle := worker.slots.used <= 0 // an idle worker may be sent a job of any demand
 	if !isIdle && !worker.slots.fits(job.demand, d.maxSlots(worker)) {
 		return false
 	}
-	if worker.showsQueue(d.starts.promptStart(job.class), d.now) {
+	if worker.hasLateStart(d.starts.promptStart(job.class), d.now) {
 		return false
 	}
 	free, fresh := worker.reportedFreeSlots(d.now)
 	return !fresh || free >= min(job.demand, 1)
 }
 
-// showsQueue reports whether an attempt that has not started in time shows a queue at the worker.
-func (w *workerInfo) showsQueue(promptStart, now time.Duration) bool {
+// hasLateStart reports whether an attempt that has not started in time shows a queue at the worker.
+func (w *workerInfo) hasLateStart(promptStart, now time.Duration) bool {
 	return slices.ContainsFunc(w.inFlight, func(attempt *attemptInfo) bool {
-		return !attempt.started && now-attempt.sentAt > promptStart && !attempt.mayBeDropped()
+		return !attempt.started && now-attempt.sentAt > promptStart && !attempt.mayBeDeduplicated()
 	})
 }
 
@@ -113,7 +113,7 @@
 	d.fleet.markDirty(worker)
 	if isPrompt {
 		worker.backoff.delay = 0
-		if attempt.limitBound {
+		if attempt.sentAtLimit {
 			worker.slots.increase(attempt.job.demand)
 		}
 		return
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -324,9 +324,9 @@
 	}
 	p.step(p.list(ListCached))
 	p.after(20*ms, func() { p.step(p.list(ListFull)) })
-	p.later(p.arrival)
+	p.afterRandomGap(p.arrival)
 	if c.faults {
-		p.after(time.Second, p.fault)
+		p.after(time.Second, p.injectFault)
 	}
 	if c.cold {
 		p.after(time.Second, p.restart)
@@ -335,7 +335,7 @@
 		p.after(2*time.Second, p.cordon)
 	}
 	if c.handover {
-		p.after(3*time.Second, p.takeOver)
+		p.after(3*time.Second, p.handOver)
 	}
 	for len(p.events) > 0 {
 		x := heap.Pop(&p.events).(scheduledAction)
@@ -351,8 +351,8 @@
 	heap.Push(&p.events, scheduledAction{p.now + d, p.seq, do})
 }
 
-// later does something after the random time between two jobs, and never past the end.
-func (p *decisionRun) later(do func()) {
+// afterRandomGap does something after the random time between two jobs, and never past the end.
+func (p *decisionRun) afterRandomGap(do func()) {
 	gap := time.Duration(p.rng.ExpFloat64() / p.rate * float64(time.Second))
 	if p.idle && p.rng.IntN(150) == 0 {
 		gap += time.Duration(p.rng.IntN(6000)) * ms
@@ -391,7 +391,7 @@
 		case Cancel:
 			p.cancel(p.jobs[a.Job].attempts[a.Attempt])
 		case HealthCheck:
-			p.probe(a.Worker)
+			p.checkHealth(a.Worker)
 		case CloseIdleConnections:
 			p.fleet[a.Worker-1].endedAt = 0
 		case SetTimer:
@@ -463,7 +463,7 @@
 	if p.rng.IntN(60) == 0 {
 		p.after(time.Duration(p.rng.IntN(500))*ms, func() { p.disconnect(job) })
 	}
-	p.later(p.arrival)
+	p.afterRandomGap(p.arrival)
 }
 
 func (p *decisionRun) disconnect(j *simulatedJob) {
@@ -546,14 +546,14 @@
 	default:
 		p.after(2*ms, func() {
 			w.queue = append(w.queue, a)
-			p.serve(w)
+			p.startQueued(w)
 		})
 		p.after(j.Remaining+100*ms, func() { p.finish(a, TimedOut) })
 	}
 }
 
-// serve starts what is queued at a worker while it has slots.
-func (p *decisionRun) serve(w *simulatedWorker) {
+// startQueued starts what is queued at a worker while it has slots.
+func (p *decisionRun) startQueued(w *simulatedWorker) {
 	for !w.hung && w.running < p.slots && len(w.queue) > 0 {
 		a := w.queue[0]
 		w.queue = w.queue[1:]
@@ -594,9 +594,9 @@
 	notifyEnd := func() { p.after(2*ms, func() { p.finish(a, OK) }) }
 	if p.single {
 		notifyEnd()
-		p.serve(w)
+		p.startQueued(w)
 	} else {
-		p.serve(w)
+		p.startQueued(w)
 		notifyEnd()
 	}
 }
@@ -641,7 +641,7 @@
 	p.after(3*ms, func() { p.finish(a, Cancelled) })
 }
 
-func (p *decisionRun) probe(id uint64) {
+func (p *decisionRun) checkHealth(id uint64) {
 	w := p.fleet[id-1]
 	result, delay := OK, 2*ms
 	switch {
@@ -661,8 +661,8 @@
 	})
 }
 
-// fault gives a worker a fault for a while.
-func (p *decisionRun) fault() {
+// injectFault gives a worker a fault for a while.
+func (p *decisionRun) injectFault() {
 	if p.now > p.end {
 		return
 	}
@@ -673,7 +673,7 @@
 		w.hung = true
 		p.after(span, func() {
 			w.hung = false
-			p.serve(w)
+			p.startQueued(w)
 		})
 	case 1:
 		w.failing = true
@@ -682,7 +682,7 @@
 		w.broken = true
 		p.after(span, func() { w.broken = false })
 	}
-	p.after(time.Duration(300+p.rng.IntN(1500))*ms, p.fault)
+	p.after(time.Duration(300+p.rng.IntN(1500))*ms, p.injectFault)
 }
 
 // restart has a worker drain, go away or restart. What it ran is lost.
@@ -732,8 +732,8 @@
 	p.after(time.Duration(1000+p.rng.IntN(3000))*ms, p.cordon)
 }
 
-// takeOver changes the number of dispatchers, and applies the estimates of another one.
-func (p *decisionRun) takeOver() {
+// handOver changes the number of dispatchers, and applies the estimates of another one.
+func (p *decisionRun) handOver() {
 	if p.now > p.end {
 		return
 	}
@@ -748,5 +748,5 @@
 		d.RecallKeyWork(key, work)
 	}
 	p.d = d
-	p.after(time.Duration(3000+p.rng.IntN(3000))*ms, p.takeOver)
+	p.after(time.Duration(3000+p.rng.IntN(3000))*ms, p.handOver)
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -53,7 +53,7 @@
 func (d *Dispatcher) Step(now time.Duration, events []Event, dst []Action) []Action {
 	d.now = max(now, d.now)
 	d.actions = dst
-	d.slowStart.begin(d.now)
+	d.slowStart.recordFirstStep(d.now)
 	for _, event := range events {
 		d.handleEvent(event)
 	}
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -66,7 +66,7 @@
 		set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 		s := newHarness(t, set)
 		s.workers(1)
-		s.busy(1)
+		s.startOnWorker1(1)
 		s.step(Cordoned{Worker: 1}, Cordoned{Worker: 1})
 		s.wait(3 * time.Second)
 		if isListed {
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -10,22 +10,22 @@
 // fleet simulates workers on which every job takes the same time, with the dispatcher that sends them jobs. Its events are in
 // queues by kind, so that the simulation costs little beside the dispatcher.
 type fleet struct {
-	d           *Dispatcher
-	now         time.Duration
-	run         time.Duration // of a job
-	noise       float64       // runs vary evenly by this fraction
-	rng         *rand.Rand
-	hint        float64      // as a multiple of the run time
-	notice      bool         // starts are notified
-	events      [3]eventLine // starts, ends, and the rest: each in order of time, or nearly
-	acts        []Action
-	lastID      uint64
-	jobs        map[uint64]*fleetJob
-	at          map[uint64]int // jobs by worker
-	maxAtWorker int
-	done        int
-	rejected    int
-	delay       time.Duration
+	d              *Dispatcher
+	now            time.Duration
+	run            time.Duration // of a job
+	noise          float64       // runs vary evenly by this fraction
+	rng            *rand.Rand
+	hint           float64       // as a multiple of the run time
+	notifiesStarts bool          // starts are notified
+	events         [3]eventQueue // starts, ends, and the rest: each in order of time, or nearly
+	actions        []Action
+	lastID         uint64
+	jobs           map[uint64]*fleetJob
+	jobsAt         map[uint64]int // jobs by worker
+	maxAtWorker    int
+	done           int
+	rejected       int
+	delay          time.Duration
 }
 
 type fleetJob struct {
@@ -33,15 +33,15 @@
 	closed         bool
 }
 
-type eventLine struct {
+type eventQueue struct {
 	events []scheduledEvent
 	first  int
 }
 
 func newFleet(nodes int, set Settings) *fleet {
 	f := &fleet{
-		d: New(set, 1), rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, run: 20 * ms, hint: 1, notice: set.StartNotifications, jobs: map[uint64]*fleetJob{},
-		at: map[uint64]int{}, delay: 200 * time.Microsecond,
+		d: New(set, 1), rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, run: 20 * ms, hint: 1, notifiesStarts: set.StartNotifications, jobs: map[uint64]*fleetJob{},
+		jobsAt: map[uint64]int{}, delay: 200 * time.Microsecond,
 	}
 	list := WorkerList{Kind: ListFull}
 	for id := range nodes {
@@ -63,17 +63,17 @@
 }
 
 func (f *fleet) step(events ...Event) {
-	f.acts = f.d.Step(f.now, events, f.acts[:0])
-	for _, a := range f.acts {
+	f.actions = f.d.Step(f.now, events, f.actions[:0])
+	for _, a := range f.actions {
 		switch a := a.(type) {
 		case Send:
 			j := f.jobs[a.Job]
 			n := j.sent
 			j.sent++
 			j.inFlight++
-			f.at[a.Worker]++
-			f.maxAtWorker = max(f.maxAtWorker, f.at[a.Worker])
-			if f.notice {
+			f.jobsAt[a.Worker]++
+			f.maxAtWorker = max(f.maxAtWorker, f.jobsAt[a.Worker])
+			if f.notifiesStarts {
 				f.later(0, 2*f.delay, Started{Job: a.Job, Attempt: n, Worker: a.Worker})
 			}
 			run := time.Duration(float64(f.run) * (1 + f.noise*(2*f.rng.Float64()-1)))
@@ -92,7 +92,7 @@
 
 // next advances to the next event and notifies the dispatcher of it. If it is the end of a job its worker is returned.
 func (f *fleet) next() (worker uint64) {
-	var q *eventLine
+	var q *eventQueue
 	for i := range f.events {
 		if o := &f.events[i]; o.first < len(o.events) && (q == nil || o.events[o.first].at < q.events[q.first].at) {
 			q = o
@@ -109,7 +109,7 @@
 	}
 	f.now = max(f.now, e.at)
 	if o, ok := e.event.(Outcome); ok {
-		f.at[o.Worker]--
+		f.jobsAt[o.Worker]--
 		if j := f.jobs[o.Job]; !j.closed {
 			f.done++
 			worker = o.Worker
@@ -144,11 +144,11 @@
 				f.job()
 			}
 			for range 20 * inFlight {
-				f.pass()
+				f.replaceOneJob()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.pass()
+				f.replaceOneJob()
 			}
 			b.ReportMetric(float64(f.rejected)/float64(max(1, f.done+f.rejected)), "refused/job")
 		})
@@ -162,11 +162,11 @@
 				f.job()
 			}
 			for range 4000 {
-				f.pass()
+				f.replaceOneJob()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.pass()
+				f.replaceOneJob()
 			}
 		})
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-// pass has one job end, and another arrive in its place.
-func (f *fleet) pass() {
+// replaceOneJob has one job end, and another arrive in its place.
+func (f *fleet) replaceOneJob() {
 	for n := f.done; n == f.done; {
 		f.next()
 	}
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -29,10 +29,10 @@
 	return set
 }
 
-// goldenScene returns a dispatcher with estimates of sizes, kinds and workers, and with jobs of all classes: some run,
+// goldenScenario returns a dispatcher with estimates of sizes, kinds and workers, and with jobs of all classes: some run,
 // some have not started, many wait, and one of them has a worker reserved; one worker is cordoned, one drains, one warms up,
 // and two are backed off from.
-func goldenScene(t *testing.T) *harness {
+func goldenScenario(t *testing.T) *harness {
 	t.Helper()
 	s := newHarness(t, goldenSettings())
 	list := WorkerList{Kind: ListFull, Revision: 42}
@@ -99,7 +99,7 @@
 // A dispatcher that was led to the same state writes the bytes that the build before has written. The state follows from
 // figures in floating point, so this holds on the architecture that the service runs on.
 func TestGoldenSnapshotIsWritten(t *testing.T) {
-	s := goldenScene(t)
+	s := goldenScenario(t)
 	storedform.CheckGolden(t, goldenSnapshot, s.d.Snapshot(nil))
 	storedform.CheckGolden(t, goldenModel, s.d.ModelSnapshot(4000, nil))
 }
@@ -141,8 +141,8 @@
 	if got != want {
 		t.Errorf("%+v, expected %+v", got, want)
 	}
-	if want := (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}); d.sharing != want {
-		t.Errorf("shared by %+v, expected %+v", d.sharing, want)
+	if want := (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}); d.latestReplicas != want {
+		t.Errorf("shared by %+v, expected %+v", d.latestReplicas, want)
 	}
 	if d.reservation.worker == nil || d.reservation.worker.ID != 1<<40 || d.reservation.job.ID != 11 || d.reservation.job.Slots != 2 {
 		t.Errorf("reserved %+v for %+v", d.reservation.worker, d.reservation.job)
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -130,8 +130,8 @@
 	return Outcome{Job: id, Attempt: attempt, Worker: worker, Result: r, Closed: r == OK}
 }
 
-// busy fills worker 1 with job id and notifies of its prompt start.
-func (s *harness) busy(id uint64) {
+// startOnWorker1 fills worker 1 with job id and notifies of its prompt start.
+func (s *harness) startOnWorker1(id uint64) {
 	s.step(s.job(id, 0, 300*ms))
 	if got := taken[Send](s); len(got) != 1 || got[0].Worker != 1 {
 		s.t.Fatalf("expected job %d to go to worker 1, got %v", id, got)
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -12,9 +12,9 @@
 	hedgeSlackDivisor     = 3    // an unstarted job is hedged after its slack divided by this
 )
 
-// dueAt returns when an attempt is overdue: once started, when it should have ended; before, when
+// overdueAt returns when an attempt is overdue: once started, when it should have ended; before, when
 // waiting further endangers its job's objective.
-func (d *Dispatcher) dueAt(a *attemptInfo) time.Duration {
+func (d *Dispatcher) overdueAt(a *attemptInfo) time.Duration {
 	if a.started {
 		return a.startedAt + d.workload.maxPlausibleRun(a)
 	}
@@ -64,7 +64,7 @@
 
 // retryElsewhere hedges a job that is stuck on one worker or, where hedging is off, cancels its attempt.
 func (d *Dispatcher) retryElsewhere(job *jobInfo) {
-	hasAttemptsLeft := !d.isAtLimit(job) && len(job.attempts) < max(2, d.settings.AttemptLimit-1)
+	hasAttemptsLeft := !d.isAtAttemptLimit(job) && len(job.attempts) < max(2, d.settings.AttemptLimit-1)
 	if job.closed || job.inFlight > 1 || !hasAttemptsLeft || job.class.Idempotency == NonIdempotent {
 		return
 	}
--- a/dispatch/jobqueue.go
+++ b/dispatch/jobqueue.go
@@ -31,9 +31,9 @@
 	}
 	for i := range queue.demandClasses {
 		class := &queue.demandClasses[i]
-		class.byScore.less = leavesBefore
+		class.byScore.less = lessByScore
 		class.byScore.moved = func(job *jobInfo, index int) { job.heapIndex = index }
-		class.byPromotion.less = promotedBefore
+		class.byPromotion.less = lessByPromotion
 	}
 	return queue
 }
@@ -105,7 +105,7 @@
 func (c *demandClass) firstByPromotion() *jobInfo {
 	for !c.byPromotion.empty() {
 		job := c.byPromotion.first()
-		if !job.losesPromotion() {
+		if !job.hasStalePromotion() {
 			return job
 		}
 		c.byPromotion.pop()
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -9,22 +9,22 @@
 type priorityLevel int
 
 const (
-	levelFull        priorityLevel = iota
-	levelOverQuota                 // its tenant is over quota
-	levelUnreachable               // no worker could meet its objective any more
+	priorityFull        priorityLevel = iota
+	priorityOverQuota                 // its tenant is over quota
+	priorityUnreachable               // no worker could meet its objective any more
 )
 
 // jobInfo is a job that is owed a final answer, or whose attempts are still in flight.
 type jobInfo struct {
 	Job
-	class       *Class
-	demand      float64 // slots, or memory where that is more
-	work        float64 // expected seconds on a worker of speed 1
-	longChance  float64 // of running long: the paper's score
-	arrivedAt   time.Duration
-	deadline    time.Duration
-	objectiveAt time.Duration // an answer by then has its full utility
-	priority    priorityLevel
+	class           *Class
+	demand          float64 // slots, or memory where that is more
+	work            float64 // expected seconds on a worker of speed 1
+	longProbability float64 // of running long: the paper's score
+	arrivedAt       time.Duration
+	deadline        time.Duration
+	objectiveAt     time.Duration // an answer by then has its full utility
+	priority        priorityLevel
 
 	closed       bool // it has had its final answer, or needs none
 	streaming    bool // its response has begun
@@ -48,7 +48,7 @@
 }
 
 // isDeprioritized reports whether a job leaves the queue after those that may have their full utility.
-func (j *jobInfo) isDeprioritized() bool { return j.priority != levelFull }
+func (j *jobInfo) isDeprioritized() bool { return j.priority != priorityFull }
 
 // isQueued reports whether a job is in the queue.
 func (j *jobInfo) isQueued() bool { return j.heapIndex >= 0 }
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -71,7 +71,7 @@
 
 // learnWeights makes one step of gradient ascent on the logistic model.
 func (m *workloadModel) learnWeights(job *jobInfo, isLong bool) {
-	gradient := -m.longScore(job)
+	gradient := -m.longProbability(job)
 	if isLong {
 		gradient++
 	}
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -217,7 +217,7 @@
 		Class:      job.Class,
 		Demand:     job.demand,
 		Work:       l.jobs.warmUpWork(job),
-		LongChance: job.longChance,
+		LongChance: job.longProbability,
 		Demoted:    job.isDeprioritized(),
 		PromoteIn:  job.promoteAt - now,
 		Excluded:   excluded[max(0, len(excluded)-MaxExcluded):],
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -120,5 +120,5 @@
 // seconds on a standard core, times slots.
 func (w *workerSlots) warmUpWork(now, window time.Duration, work float64) float64 {
 	w.leasedWork.expire(window, now)
-	return w.leasedWork.plus(work, window, now)
+	return w.leasedWork.sumWith(work, window, now)
 }
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -13,26 +13,26 @@
 // leaseSectionVersion begins the section on leases.
 const leaseSectionVersion = 1
 
-// walk writes or reads the section on leases.
-func (l *leaseExchange) walk(codec *codec) {
+// serialize writes or reads the section on leases.
+func (l *leaseExchange) serialize(codec *codec) {
 	version := leaseSectionVersion
 	codec.int(&version)
 	codec.check(version == leaseSectionVersion)
-	l.client.walk(codec)
+	l.client.serialize(codec)
 	for _, job := range codec.jobs {
-		job.leases.walk(codec, job, &l.client)
+		job.leases.serialize(codec, job, &l.client)
 	}
-	l.coordinator.walkMembers(codec)
-	l.coordinator.walk(codec)
-	l.client.walkReadyZones(codec)
-	l.directory.walk(codec)
+	l.coordinator.serializeMembers(codec)
+	l.coordinator.serialize(codec)
+	l.client.serializeReadyZones(codec)
+	l.directory.serialize(codec)
 	if !codec.writing && !l.settings.UsesLeases() {
 		l.dropAll()
 	}
 }
 
-// walk writes or reads the dispatchers that are skipped.
-func (p *peerDirectory) walk(codec *codec) {
+// serialize writes or reads the dispatchers that are skipped.
+func (p *peerDirectory) serialize(codec *codec) {
 	for _, until := range []map[int]time.Duration{p.avoidedUntil, p.distrustedUntil} {
 		sortedMap(codec, until, func(dispatcher *int, until *time.Duration) {
 			codec.int(dispatcher)
@@ -41,8 +41,8 @@
 	}
 }
 
-// walk writes or reads the leases that the dispatcher has or has requested.
-func (l *leaseClient) walk(codec *codec) {
+// serialize writes or reads the leases that the dispatcher has or has requested.
+func (l *leaseClient) serialize(codec *codec) {
 	codec.leaseID(&l.lastID)
 	codec.instant(&l.reportAt)
 	var leases []*leaseInfo
@@ -50,8 +50,8 @@
 		leases = l.where(func(*leaseInfo) bool { return true })
 	}
 	list(codec, &leases, func(lease **leaseInfo) {
-		l.walkReference(codec, lease)
-		(*lease).walk(codec)
+		l.serializeReference(codec, lease)
+		(*lease).serialize(codec)
 	})
 	codec.check(len(leases) == len(l.byID)) // else a timer belongs to none of them, or an ID occurs twice
 	shardMap(codec, l.freeSlots, func(free *int) { codec.int(free) })
@@ -62,13 +62,13 @@
 	})
 }
 
-func (l *leaseClient) walkReadyZones(codec *codec) {
+func (l *leaseClient) serializeReadyZones(codec *codec) {
 	list(codec, &l.readyZones, func(zone *int) { codec.int(zone) })
 }
 
-// walkReference writes or reads a reference to a lease. One that is read may precede the lease itself, which
+// serializeReference writes or reads a reference to a lease. One that is read may precede the lease itself, which
 // is then filled in later.
-func (l *leaseClient) walkReference(codec *codec, lease **leaseInfo) {
+func (l *leaseClient) serializeReference(codec *codec, lease **leaseInfo) {
 	var id LeaseID
 	if codec.writing {
 		id = (*lease).id
@@ -86,8 +86,8 @@
 	*lease = known
 }
 
-// walk writes or reads a lease, with a reference to the job that waits for it or to the attempt that uses it.
-func (l *leaseInfo) walk(codec *codec) {
+// serialize writes or reads a lease, with a reference to the job that waits for it or to the attempt that uses it.
+func (l *leaseInfo) serialize(codec *codec) {
 	codec.shard(&l.shard)
 	codec.int(&l.peer)
 	codec.int(&l.requestAttempts)
@@ -105,22 +105,22 @@
 	l.attempt.lease = l
 }
 
-// walk writes or reads the leases of a job.
-func (j *jobLeases) walk(codec *codec, job *jobInfo, client *leaseClient) {
+// serialize writes or reads the leases of a job.
+func (j *jobLeases) serialize(codec *codec, job *jobInfo, client *leaseClient) {
 	codec.flags(&j.isDisabled)
 	list(codec, &j.unusableWorkers, func(worker *uint64) { codec.uint(worker) })
 	if len(j.unusableWorkers) == 0 {
 		j.unusableWorkers = nil
 	}
 	list(codec, &j.requested, func(lease **leaseInfo) {
-		client.walkReference(codec, lease)
+		client.serializeReference(codec, lease)
 		codec.check((*lease).job == job)
 	})
 }
 
-// walkMembers writes or reads whether the shards' workers have been determined since the list last changed.
+// serializeMembers writes or reads whether the shards' workers have been determined since the list last changed.
 // Determining them discards the counts of free slots, so that it comes before these.
-func (l *leaseCoordinator) walkMembers(codec *codec) {
+func (l *leaseCoordinator) serializeMembers(codec *codec) {
 	isKnown := l.members != nil
 	codec.flags(&isKnown)
 	if !codec.writing && isKnown {
@@ -128,8 +128,8 @@
 	}
 }
 
-// walk writes or reads the granted leases, the waiting requests and what is counted of both.
-func (l *leaseCoordinator) walk(codec *codec) {
+// serialize writes or reads the granted leases, the waiting requests and what is counted of both.
+func (l *leaseCoordinator) serialize(codec *codec) {
 	codec.instant(&l.since)
 	codec.flags(&l.nothingFreed)
 	sortedMap(codec, l.slots, func(worker *uint64, slots **workerSlots) {
@@ -137,13 +137,13 @@
 			*slots = &workerSlots{}
 		}
 		codec.uint(worker)
-		(*slots).walk(codec)
+		(*slots).serialize(codec)
 	})
 	list(codec, &l.grants, func(lease **grantedLease) {
 		if !codec.writing {
 			*lease = &grantedLease{position: len(l.leases)}
 		}
-		(*lease).walk(codec)
+		(*lease).serialize(codec)
 		l.leases[(*lease).key] = *lease
 	})
 	codec.check(len(l.leases) == len(l.grants)) // else a key occurs twice
@@ -151,7 +151,7 @@
 		if !codec.writing {
 			*waiting = &waitingRequest{}
 		}
-		(*waiting).walk(codec)
+		(*waiting).serialize(codec)
 		codec.check((*waiting).request.Class >= 0 && (*waiting).request.Class < len(l.settings.Classes))
 		l.waitingByKey[(*waiting).key] = *waiting
 	})
@@ -168,36 +168,36 @@
 	})
 }
 
-func (w *workerSlots) walk(codec *codec) {
+func (w *workerSlots) serialize(codec *codec) {
 	codec.float(&w.limit, &w.used, &w.running)
 	codec.instant(&w.decreasedAt, &w.suspendedUntil)
 	codec.duration(&w.suspension)
 	codec.int(&w.failures)
 	codec.int(&w.lastFailedPeer)
 	codec.int(&w.leases)
-	w.leasedWork.walk(codec)
+	w.leasedWork.serialize(codec)
 }
 
-func (g *grantedLease) walk(codec *codec) {
-	g.key.walk(codec)
+func (g *grantedLease) serialize(codec *codec) {
+	g.key.serialize(codec)
 	codec.uint(&g.worker)
 	codec.float(&g.demand)
 	codec.instant(&g.grantedAt, &g.reportedAt)
 	codec.flags(&g.isLimitBound, &g.isStarted)
 }
 
-func (w *waitingRequest) walk(codec *codec) {
-	w.key.walk(codec)
+func (w *waitingRequest) serialize(codec *codec) {
+	w.key.serialize(codec)
 	codec.instant(&w.receivedAt, &w.promoteAt, &w.repeatedAt)
-	w.request.walk(codec)
+	w.request.serialize(codec)
 }
 
-func (l *leaseKey) walk(codec *codec) {
+func (l *leaseKey) serialize(codec *codec) {
 	codec.int(&l.peer)
 	codec.leaseID(&l.id)
 }
 
-func (l *LeaseRequest) walk(codec *codec) {
+func (l *LeaseRequest) serialize(codec *codec) {
 	codec.leaseID(&l.ID)
 	codec.shard(&l.Shard)
 	codec.int(&l.Class)
@@ -220,12 +220,12 @@
 }
 
 // shardMap writes or reads a map by shard, in the order of the shards.
-func shardMap[V any](c *codec, entries map[Shard]V, walkValue func(value *V)) {
+func shardMap[V any](c *codec, entries map[Shard]V, serializeValue func(value *V)) {
 	shards := slices.SortedFunc(maps.Keys(entries), compareShards)
 	list(c, &shards, func(shard *Shard) {
 		c.shard(shard)
 		value := entries[*shard]
-		walkValue(&value)
+		serializeValue(&value)
 		if !c.writing {
 			entries[*shard] = value
 		}
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -13,7 +13,7 @@
 	rng         *rand.Rand
 	now         time.Duration
 	dispatchers [2]*Dispatcher
-	beside      [2]*restoredBeside
+	beside      [2]*restoredCopy
 	events      [2][]Event
 	jobs        uint64
 	observed    map[string]int // kinds of state that snapshots have had
@@ -30,7 +30,7 @@
 	pair := &leasingPair{rng: rand.New(rand.NewPCG(seed, 4)), now: 2 * time.Hour, observed: map[string]int{}}
 	for index := range pair.dispatchers {
 		pair.dispatchers[index] = New(leasingSettings(index), seed+uint64(index))
-		pair.beside[index] = &restoredBeside{
+		pair.beside[index] = &restoredCopy{
 			t: t, rng: rand.New(rand.NewPCG(seed, 5)), interval: 1 + int(seed%3)*10, clockAhead: clockAhead,
 		}
 	}
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -20,7 +20,7 @@
 
 // model refers to the estimates of a dispatcher, except those of single jobs and keys.
 type model struct {
-	figures   []*float64 // in the order of the snapshot
+	values    []*float64 // in the order of the snapshot
 	durations []*time.Duration
 	kinds     map[int]*machineInfo
 	zoneBusy  map[int]float64
@@ -39,8 +39,8 @@
 
 // model refers to the estimates of a dispatcher, except those of workers.
 func (d *Dispatcher) model() model {
-	learnt := model{
-		figures: []*float64{
+	estimates := model{
+		values: []*float64{
 			&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
 			&d.workload.meanAbsoluteLogError,
 		},
@@ -50,41 +50,41 @@
 	}
 	for class := range d.workload.sizeCorrection {
 		for bucket := range d.workload.sizeCorrection[class] {
-			learnt.figures = append(learnt.figures, &d.workload.sizeCorrection[class][bucket])
+			estimates.values = append(estimates.values, &d.workload.sizeCorrection[class][bucket])
 		}
 	}
 	for _, part := range [][]float64{d.workload.overrunRatio, d.workload.weights} {
 		for i := range part {
-			learnt.figures = append(learnt.figures, &part[i])
+			estimates.values = append(estimates.values, &part[i])
 		}
 	}
 	for class := range d.objectives.firstTryTimeouts {
-		learnt.durations = append(learnt.durations, &d.objectives.firstTryTimeouts[class])
+		estimates.durations = append(estimates.durations, &d.objectives.firstTryTimeouts[class])
 	}
-	return learnt
+	return estimates
 }
 
 // ModelSnapshot appends the estimates of this dispatcher to b: of the sizes of jobs, of kinds of machines and of workers. It
 // takes up size bytes or little more; of too many workers those are left out of which least is known. The event ModelUpdate
 // applies it to another dispatcher.
 func (d *Dispatcher) ModelSnapshot(size int, b []byte) []byte {
-	learnt := d.model()
+	estimates := d.model()
 	from := len(b)
 	writer := &codec{b: b, writing: true}
-	writer.model(&learnt)
+	writer.model(&estimates)
 	for _, w := range d.fleet.workers {
-		known := workerModel{
+		entry := workerModel{
 			id:          w.ID,
 			speedOffset: int(math.Round((w.speed.log - w.machine.logSpeed) * speedSteps)),
 			runs:        int(min(w.speed.samples, maxModelRuns)),
 			limit:       int(min(w.slots.limit, maxModelLimit)),
 		}
-		if w.listed && (known.runs > 0 || known.limit > 1) {
-			learnt.workers = append(learnt.workers, known)
+		if w.listed && (entry.runs > 0 || entry.limit > 1) {
+			estimates.workers = append(estimates.workers, entry)
 		}
 	}
-	learnt.keepBest(max(0, size-(len(writer.b)-from)) / workerBytes)
-	writer.workerModels(&learnt)
+	estimates.keepBest(max(0, size-(len(writer.b)-from)) / workerBytes)
+	writer.workerModels(&estimates)
 	return writer.b
 }
 
@@ -111,25 +111,25 @@
 	})
 }
 
-func (c *codec) model(learnt *model) {
+func (c *codec) model(estimates *model) {
 	version := modelVersion
 	c.int(&version)
-	fixedList(c, learnt.figures, func(x **float64) { c.float(*x) })
-	fixedList(c, learnt.durations, func(x **time.Duration) { c.duration(*x) })
-	sortedMap(c, learnt.kinds, func(kind *int, k **machineInfo) {
+	fixedList(c, estimates.values, func(x **float64) { c.float(*x) })
+	fixedList(c, estimates.durations, func(x **time.Duration) { c.duration(*x) })
+	sortedMap(c, estimates.kinds, func(kind *int, k **machineInfo) {
 		c.machine(kind, k)
 		c.check(isPlausible((*k).samples) && isPlausible((*k).maxSlots) && math.Abs((*k).logSpeed) <= maxModelLog)
 	})
-	sortedMap(c, learnt.zoneBusy, func(zone *int, chance *float64) {
+	sortedMap(c, estimates.zoneBusy, func(zone *int, chance *float64) {
 		c.int(zone)
 		c.float(chance)
 		c.check(isPlausible(*chance))
 	})
 	c.check(version == modelVersion)
-	for _, x := range learnt.figures {
+	for _, x := range estimates.values {
 		c.check(isPlausible(*x))
 	}
-	for _, x := range learnt.durations {
+	for _, x := range estimates.durations {
 		c.check(*x >= 0 && *x <= maxModelSpan)
 	}
 }
@@ -165,28 +165,28 @@
 // handleModelUpdate applies a model of another dispatcher. An invalid one changes nothing.
 func (d *Dispatcher) handleModelUpdate(update ModelUpdate) {
 	reader := New(d.settings, 0)
-	learnt := reader.model()
+	estimates := reader.model()
 	c := &codec{b: update.Snapshot}
-	c.model(&learnt)
-	c.workerModels(&learnt)
+	c.model(&estimates)
+	c.workerModels(&estimates)
 	if c.invalid || len(c.b) > 0 || !reader.hasPlausibleModel() {
 		return
 	}
 	own := d.model()
-	for i, x := range learnt.figures {
-		*own.figures[i] = *x
+	for i, x := range estimates.values {
+		*own.values[i] = *x
 	}
-	for i, x := range learnt.durations {
+	for i, x := range estimates.durations {
 		*own.durations[i] = *x
 	}
-	for kind, k := range learnt.kinds {
+	for kind, k := range estimates.kinds {
 		*d.workload.machineKind(kind) = *k
 	}
-	for zone, chance := range learnt.zoneBusy {
+	for zone, chance := range estimates.zoneBusy {
 		d.fleet.zoneBusy[zone] = chance
 	}
-	for i := range learnt.workers {
-		d.applyWorkerModel(&learnt.workers[i], update)
+	for i := range estimates.workers {
+		d.applyWorkerModel(&estimates.workers[i], update)
 	}
 }
 
@@ -203,6 +203,6 @@
 		worker.speed.samples = float64(known.runs)
 		worker.speed.observedAt = d.now
 	}
-	worker.slots.limit = max(worker.slots.limit, math.Floor(min(float64(known.limit), maxModelLimit)*clamp(finite(update.LoadShare), 1)))
+	worker.slots.limit = max(worker.slots.limit, math.Floor(min(float64(known.limit), maxModelLimit)*clamp(finiteOrZero(update.LoadShare), 1)))
 	d.fleet.markDirty(worker)
 }
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -30,9 +30,9 @@
 	return o.firstTryTimeouts[class]
 }
 
-// explore reports whether a job is attempted although its objective is thought unreachable. What rejects
+// tryExplore reports whether a job is attempted although its objective is thought unreachable. What rejects
 // jobs must not prevent the correction of its own estimates.
-func (o *objectives) explore(isAllowed bool) bool {
+func (o *objectives) tryExplore(isAllowed bool) bool {
 	o.exploration.tokens += explorationsPerRejection
 	if isAllowed && o.exploration.has(1) {
 		o.exploration.take(1)
@@ -64,11 +64,11 @@
 		return
 	}
 	hasNoUtility := d.lateHasNoUtility(job)
-	isLoweredForGood := job.priority == levelUnreachable && !hasNoUtility
+	isLoweredForGood := job.priority == priorityUnreachable && !hasNoUtility
 	if isLoweredForGood {
 		return
 	}
-	if hasNoUtility && d.mayReject(job) && d.isObjectiveUnreachable(job) && !d.explores(job) {
+	if hasNoUtility && d.mayReject(job) && d.isObjectiveUnreachable(job) && !d.tryExplore(job) {
 		d.finish(job)
 		return
 	}
@@ -80,8 +80,8 @@
 
 // lowerPriority gives a queued job the priority of those whose objective is unreachable.
 func (d *Dispatcher) lowerPriority(job *jobInfo) {
-	isLowered := job.priority != levelUnreachable
-	job.priority = levelUnreachable
+	isLowered := job.priority != priorityUnreachable
+	job.priority = priorityUnreachable
 	d.queue.reorder(job)
 	if isLowered {
 		d.leases.client.repeatRequests(d.now, job)
@@ -91,14 +91,14 @@
 // isObjectiveUnreachable reports whether a job would be late even if it ran as much shorter than expected
 // as the error of predictions allows.
 func (d *Dispatcher) isObjectiveUnreachable(job *jobInfo) bool {
-	isLoweredInQueue := job.priority == levelUnreachable && job.inFlight == 0
+	isLoweredInQueue := job.priority == priorityUnreachable && job.inFlight == 0
 	return isLoweredInQueue || d.now+d.workload.fastestRun(job, unreachableDeviations) > job.objectiveAt
 }
 
-// explores reports whether a job is attempted although its objective is thought unreachable. One whose
+// tryExplore reports whether a job is attempted although its objective is thought unreachable. One whose
 // priority is lowered already is not, and none is while no worker is idle.
-func (d *Dispatcher) explores(job *jobInfo) bool {
-	return d.objectives.explore(job.priority != levelUnreachable && d.fleet.available.idleCount > 0)
+func (d *Dispatcher) tryExplore(job *jobInfo) bool {
+	return d.objectives.tryExplore(job.priority != priorityUnreachable && d.fleet.available.idleCount > 0)
 }
 
 // lateHasNoUtility reports whether a late answer has less utility than its miss costs under the miss
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -57,7 +57,7 @@
 
 // Workers may drop a job with very little remaining time without a notification. That shows no queue: such jobs leave a
 // worker's limit unchanged, and jobs that have time are sent as before. A job that had time and stays silent does show one.
-func TestDroppedJobWithLittleTimeTellsNothing(t *testing.T) {
+func TestDroppedJobWithLittleTimeKeepsLimit(t *testing.T) {
 	const limit = 8
 	for _, remaining := range []time.Duration{ms, 2 * ms, 5 * ms} {
 		for class := range testSettings().Classes {
@@ -156,7 +156,7 @@
 }
 
 // A process that was stalled updates no estimates of workers from that time, and ejects none.
-func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
+func TestOwnStallsChangeNoWorkerEstimates(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
 	before := f.d.fleet.workers[3].speed.log
--- a/dispatch/overdue.go
+++ b/dispatch/overdue.go
@@ -9,10 +9,10 @@
 // handleOverdue acts on an attempt that has not started or ended when it should have, also if its job
 // has ended.
 func (d *Dispatcher) handleOverdue(attempt *attemptInfo) {
-	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDropped() {
+	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDeduplicated() {
 		return
 	}
-	if d.stalls.isEnding(d.now) { // its notification may have arrived meanwhile, and not have been read yet
+	if d.stalls.justEnded(d.now) { // its notification may have arrived meanwhile, and not have been read yet
 		d.setTimer(&attempt.timer, d.now+min(d.stalls.length, maintenanceInterval))
 		return
 	}
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -31,7 +31,7 @@
 	score         float64     // of the best candidate so far
 	totalWeight   float64     // of the candidates with that score
 	worker        *workerInfo // drawn among them by weight
-	isInformed    bool        // its load is known as well as a health check could show it
+	isLoadKnown   bool        // its load is known as well as a health check could show it
 	warmingUp     *workerInfo // a worker in slow start whose ticket the job has drawn
 	scanned       int
 	suitable      int  // of those scanned: they could be sent the job
@@ -55,7 +55,7 @@
 		return nil, selected.lacksCapacity && selected.scanned < maxScanned
 	case selected.warmingUp != nil: // it is sent only jobs that could be sent elsewhere now
 		return selected.warmingUp, false
-	case d.now < job.checksUntil && !selected.isInformed: // workers checked for the job may still answer
+	case d.now < job.checksUntil && !selected.isLoadKnown: // workers checked for the job may still answer
 		return nil, false
 	}
 	return selected.worker, false
@@ -145,7 +145,7 @@
 	selected.totalWeight += weight
 	if d.rng.Float64()*selected.totalWeight < weight {
 		selected.worker = worker
-		selected.isInformed = isFresh || len(d.settings.ReportFields) == 0 && !worker.awaitsCheck()
+		selected.isLoadKnown = isFresh || len(d.settings.ReportFields) == 0 && !worker.awaitsCheck()
 	}
 }
 
@@ -153,7 +153,7 @@
 // and whether its load report is fresh. minScore is the least score of its level.
 func (d *Dispatcher) scoreWorker(worker *workerInfo, minScore float64) (score, weight float64, isFresh bool) {
 	score = minScore - math.Floor(worker.slots.used) + worker.slots.used
-	weight = cmp.Or(finite(worker.Size), 1) * worker.speed.factor
+	weight = cmp.Or(finiteOrZero(worker.Size), 1) * worker.speed.factor
 	hasIdleConnection := len(worker.inFlight) < worker.connections.open
 	if !hasIdleConnection {
 		score += d.settings.HandshakeCost / handshakeCostPerSlot
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -58,14 +58,14 @@
 }
 
 // A job of many slots that has been queued for over tau is sent at some time, though small jobs would take each free slot.
-func TestLargeJobIsNotBackfilledForEver(t *testing.T) {
+func TestLargeJobIsSentEventually(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.d.fleet.byID[1].slots.limit = 4
 	big := s.job(1, 1, 2*time.Second)
 	big.Slots = 4
 	next := uint64(100)
-	s.busy(99)
+	s.startOnWorker1(99)
 	s.step(big)
 	for s.now < time.Hour+4*time.Second {
 		s.step(s.job(next, 0, 100*ms))
@@ -152,7 +152,7 @@
 
 // Found by randomised search: a worker was reserved for a large job that waited for a faster one, and was idle for seconds while small
 // jobs were queued.
-func TestNoTooSlowWorkerIsReserved(t *testing.T) {
+func TestTooSlowWorkerIsNotReserved(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 1, 300*ms)) // non-idempotent: never hedged
--- a/dispatch/prediction.go
+++ b/dispatch/prediction.go
@@ -27,8 +27,8 @@
 	maxLogKindSpeedError  = 1.0 // log, of one run against the speed of its worker's kind
 )
 
-// longScore returns the paper's score of a job: its chance of running long.
-func (m *workloadModel) longScore(job *jobInfo) float64 {
+// longProbability returns the paper's score of a job: its chance of running long.
+func (m *workloadModel) longProbability(job *jobInfo) float64 {
 	hint, slots := m.features(job)
 	sum := m.weights[job.Class] + m.weights[m.hintWeight()]*hint + m.weights[m.slotsWeight()]*slots
 	return 1 / (1 + math.Exp(-sum))
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -13,11 +13,11 @@
 		j.work = d.workload.expectedWork(j)
 		return j
 	}
-	if d.workload.longScore(mk(0, 100*ms)) >= d.workload.longScore(mk(0, 200*ms)) {
+	if d.workload.longProbability(mk(0, 100*ms)) >= d.workload.longProbability(mk(0, 200*ms)) {
 		t.Fatal("untrained, a longer hint does not raise the chance of running long")
 	}
 	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
-		if p := d.workload.longScore(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
+		if p := d.workload.longProbability(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
 			t.Fatalf("hint %v gives chance %v", hint, p)
 		}
 	}
@@ -27,7 +27,7 @@
 	keyed.Key = 5
 	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
 	other := mk(0, 0)
-	if keyed.work = d.workload.expectedWork(keyed); d.workload.longScore(keyed) <= d.workload.longScore(other) {
+	if keyed.work = d.workload.expectedWork(keyed); d.workload.longProbability(keyed) <= d.workload.longProbability(other) {
 		t.Fatal("a key that ran long does not raise the chance of running long")
 	}
 	for range 300 {
@@ -36,7 +36,7 @@
 			d.learnFromRun(a, run)
 		}
 	}
-	if d.workload.longScore(mk(0, 0)) >= d.workload.longScore(mk(1, 0)) {
+	if d.workload.longProbability(mk(0, 0)) >= d.workload.longProbability(mk(1, 0)) {
 		t.Fatal("without hints the class that runs long is not ranked as long")
 	}
 }
@@ -98,7 +98,7 @@
 }
 
 // Jobs that take ten times as long for a while miss their objectives; once they no longer do, service is back within a second.
-func TestCostStepIsFollowed(t *testing.T) {
+func TestServiceRecoversAfterLongerRuns(t *testing.T) {
 	t.Parallel()
 	f := newFleet(50, scaleSettings())
 	f.serve(100, 2*time.Second)
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -47,7 +47,7 @@
 // used them all.
 // Before there were preferences the busiest worker had 1.15 times the mean here, and 0.20 of the attempts waited for a slot where
 // the load was 0.56.
-func TestDispatchersTogetherUseAllWorkersAlike(t *testing.T) {
+func TestPreferencesLoadAllWorkersEvenly(t *testing.T) {
 	even := func(int) float64 { return 40 }
 	uneven := func(index int) float64 { return []float64{12, 20, 28, 36, 104}[index%5] }
 	for _, c := range []struct {
@@ -124,11 +124,11 @@
 		fresh := New(d.settings, 1)
 		fresh.Step(time.Hour, []Event{wholeList(workers)}, nil)
 		for id, worker := range workers {
-			place, size := d.fleet.byID[id].index.preference, sizes[worker.Kind]
-			if want := fresh.fleet.byID[id].index.preference; place != want {
-				t.Fatalf("worker %d has place %d, and %d by the whole list", id, place, want)
+			position, size := d.fleet.byID[id].index.preference, sizes[worker.Kind]
+			if want := fresh.fleet.byID[id].index.preference; position != want {
+				t.Fatalf("worker %d has place %d, and %d by the whole list", id, position, want)
 			}
-			if at, want := dispatchers[0].fleet.byID[id].index.preference, index*size/len(dispatchers); place == 0 && at != want {
+			if at, want := dispatchers[0].fleet.byID[id].index.preference, index*size/len(dispatchers); position == 0 && at != want {
 				t.Fatalf("dispatcher %d begins at place %d of %d, expected %d", index, at, size, want)
 			}
 		}
@@ -143,7 +143,7 @@
 }
 
 // If none of the preferred workers is suitable, the job is sent to another.
-func TestOtherWorkersAreFoundWhereNoPreferredOneWillDo(t *testing.T) {
+func TestFallbackIfNoPreferredWorkerIsSuitable(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.workers(400)
 	slow := preferredOf(h.d)
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -13,18 +13,18 @@
 	maxSkippedPerCycle = 12  // jobs that fit no worker; a dispatch cycle ends with the last of them
 )
 
-// leavesBefore is the order of queued jobs: first those that may have their full utility, by their chance
+// lessByScore is the order of queued jobs: first those that may have their full utility, by their chance
 // of running long.
-func leavesBefore(a, b *jobInfo) bool {
+func lessByScore(a, b *jobInfo) bool {
 	if a.skipCount == b.skipCount && a.isDeprioritized() != b.isDeprioritized() {
 		return b.isDeprioritized()
 	}
-	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.longChance, b.longChance),
+	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.longProbability, b.longProbability),
 		cmp.Compare(a.arrivedAt, b.arrivedAt)) < 0
 }
 
-// promotedBefore is the order of jobs queued for longer than tau.
-func promotedBefore(a, b *jobInfo) bool {
+// lessByPromotion is the order of jobs queued for longer than tau.
+func lessByPromotion(a, b *jobInfo) bool {
 	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
 }
 
@@ -37,10 +37,10 @@
 		if class.blocked || class.byScore.empty() {
 			continue
 		}
-		if job := class.byScore.first(); first == nil || leavesBefore(job, first) {
+		if job := class.byScore.first(); first == nil || lessByScore(job, first) {
 			first = job
 		}
-		if job := class.firstByPromotion(); job != nil && (oldest == nil || promotedBefore(job, oldest)) {
+		if job := class.firstByPromotion(); job != nil && (oldest == nil || lessByPromotion(job, oldest)) {
 			oldest = job
 		}
 	}
@@ -50,9 +50,9 @@
 	return first
 }
 
-// losesPromotion reports whether a job's place by promotion is void: it has left, or its priority is
+// hasStalePromotion reports whether a job's place by promotion is void: it has left, or its priority is
 // lowered.
-func (j *jobInfo) losesPromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
+func (j *jobInfo) hasStalePromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
 
 // enqueue queues a job that is owed an answer and whose response has not begun, if it is not queued.
 func (d *Dispatcher) enqueue(job *jobInfo) {
@@ -63,8 +63,8 @@
 	job.demandClass = demandClassOf(d.queue.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
 	if !job.inPromotions {
-		urgency := d.arrivals.urgency(job.class.PriorityWeight)
-		job.promoteAt = job.arrivedAt + seconds(tauFactor*d.workload.meanShortSojourn*urgency)
+		tauFraction := d.arrivals.tauFraction(job.class.PriorityWeight)
+		job.promoteAt = job.arrivedAt + seconds(tauFactor*d.workload.meanShortSojourn*tauFraction)
 		d.queue.pushPromotion(job)
 	}
 	d.leases.client.requestFirst(d.now, job)
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -21,7 +21,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, testSettings())
 			s.workers(1)
-			s.busy(1)
+			s.startOnWorker1(1)
 			s.d.fleet.byID[1].slots.limit = 1
 			s.d.workload.meanShortSojourn = c.mu
 			for n, h := range c.hints {
@@ -42,7 +42,7 @@
 func TestJobPastItsObjectiveIsDemoted(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.d.fleet.byID[1].slots.limit = 1
 	s.step(s.job(10, 1, 100*ms))
 	s.wait(2 * time.Second)
@@ -59,7 +59,7 @@
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 8, 1
 	s := newHarness(t, set)
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.d.fleet.byID[1].slots.limit, s.d.workload.meanShortSojourn = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
 	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
 	s.wait(200 * ms)
@@ -70,10 +70,10 @@
 }
 
 // Jobs deferred in each pass over the queue once left an entry each time in the heap by promotion.
-func TestQueuedJobsLeaveNoTrace(t *testing.T) {
+func TestQueuedJobsLeaveNoStaleEntries(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.d.fleet.byID[1].slots.limit = 1
 	for id := uint64(10); id < 20; id++ {
 		s.step(s.job(id, 0, 100*ms))
@@ -125,7 +125,7 @@
 }
 
 // A class that only one worker in a hundred may run, and more of it than those can take, blocks nothing else.
-func TestBoundClassBlocksNothingElse(t *testing.T) {
+func TestRestrictedClassBlocksNoOtherClass(t *testing.T) {
 	set := scaleSettings()
 	set.HealthChecks = false
 	bound := set.Classes[0]
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -55,14 +55,14 @@
 // chargeQuota lowers the priority of a job whose tenant is over this dispatcher's share of its quota.
 func (d *Dispatcher) chargeQuota(job *jobInfo) {
 	if !d.quotas.charge(job.Tenant, d.quotaShare(), d.now) {
-		job.priority = levelOverQuota
+		job.priority = priorityOverQuota
 	}
 }
 
 // quotaShare returns this dispatcher's share of each tenant's quota.
 func (d *Dispatcher) quotaShare() float64 {
-	if d.sharing.QuotaShare > 0 {
-		return d.sharing.QuotaShare
+	if d.latestReplicas.QuotaShare > 0 {
+		return d.latestReplicas.QuotaShare
 	}
-	return 1 / float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas)))
+	return 1 / float64(max(1, cmp.Or(d.latestReplicas.Replicas, d.settings.Replicas)))
 }
--- a/dispatch/replicas.go
+++ b/dispatch/replicas.go
@@ -8,8 +8,8 @@
 
 // replicaGroup returns the latest place that this dispatcher was notified of, or else that of the settings.
 func (d *Dispatcher) replicaGroup() replicaGroup {
-	if d.sharing.Replicas > 0 {
-		return replicaGroup{index: d.sharing.ReplicaIndex, count: d.sharing.Replicas}
+	if d.latestReplicas.Replicas > 0 {
+		return replicaGroup{index: d.latestReplicas.ReplicaIndex, count: d.latestReplicas.Replicas}
 	}
 	return replicaGroup{index: d.settings.ReplicaIndex, count: max(1, d.settings.Replicas)}
 }
@@ -17,10 +17,10 @@
 // handleReplicasChanged replaces the number of dispatchers, this one's index among them and its share of the quotas.
 // Figures out of their bounds are raised to the least allowed.
 func (d *Dispatcher) handleReplicasChanged(event ReplicasChanged) {
-	d.sharing = ReplicasChanged{
+	d.latestReplicas = ReplicasChanged{
 		Replicas:     max(1, event.Replicas),
 		ReplicaIndex: max(0, event.ReplicaIndex),
-		QuotaShare:   clamp(finite(event.QuotaShare), 1),
+		QuotaShare:   clamp(finiteOrZero(event.QuotaShare), 1),
 	}
 	d.fleet.rings.changed = true
 	d.updatePreferences()
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -52,7 +52,7 @@
 		worker.slots.running += job.Slots
 		d.observeSlots(worker, worker.slots.running)
 	}
-	d.setTimer(&attempt.timer, d.dueAt(attempt))
+	d.setTimer(&attempt.timer, d.overdueAt(attempt))
 }
 
 // newUnlistedWorker returns the worker of a past attempt that is in no list. It is known as long as the attempt is in
--- a/dispatch/resume_test.go
+++ b/dispatch/resume_test.go
@@ -86,7 +86,7 @@
 func TestResumedJobKeepsItsQueuePosition(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.d.fleet.byID[1].slots.limit = 1
 	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2}}})
 	s.d.workload.meanShortSojourn = 0.1 // tau 0.3 s
@@ -149,7 +149,7 @@
 	s.step(ReplicasChanged{Replicas: -1, ReplicaIndex: -1, QuotaShare: math.NaN()})
 	check(Worker{}, 0, 1, 1)
 	again, err := Restore(set, s.d.Snapshot(nil))
-	if err != nil || again.sharing != s.d.sharing {
-		t.Errorf("%v, restored as %+v", err, again.sharing)
+	if err != nil || again.latestReplicas != s.d.latestReplicas {
+		t.Errorf("%v, restored as %+v", err, again.latestReplicas)
 	}
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -27,7 +27,7 @@
 // mayAttempt reports whether a worker may be sent a job, for the first time or again. No other function
 // decides this.
 func (d *Dispatcher) mayAttempt(j *jobInfo, w *workerInfo) bool {
-	if j.closed || j.streaming || d.now >= j.deadline || d.isAtLimit(j) ||
+	if j.closed || j.streaming || d.now >= j.deadline || d.isAtAttemptLimit(j) ||
 		j.inFlight > 0 && !d.settings.Hedging {
 		return false
 	}
@@ -57,7 +57,7 @@
 		!slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
 }
 
-func (d *Dispatcher) isAtLimit(j *jobInfo) bool {
+func (d *Dispatcher) isAtAttemptLimit(j *jobInfo) bool {
 	return len(j.attempts) >= max(1, d.settings.AttemptLimit)
 }
 
@@ -89,7 +89,7 @@
 func (d *Dispatcher) requeue(j *jobInfo) {
 	switch {
 	case j.heapIndex >= 0 || j.inFlight > 0:
-	case d.isAtLimit(j) || j.class.Idempotency == NonIdempotent && !d.mayReject(j):
+	case d.isAtAttemptLimit(j) || j.class.Idempotency == NonIdempotent && !d.mayReject(j):
 		d.finish(j)
 	default:
 		d.enqueue(j)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -16,7 +16,7 @@
 	ready        map[uint64]Worker
 	listed       map[uint64]Worker // as it was last listed
 	everListed   map[uint64]bool
-	probing      map[uint64]bool
+	checking     map[uint64]bool
 	cordoned     map[uint64]bool // by the operators
 	disconnected map[uint64]bool // clients gone in this batch: what was decided before that is disregarded
 	timers       []time.Duration
@@ -42,7 +42,7 @@
 func newRuleChecker(set Settings) *ruleChecker {
 	return &ruleChecker{
 		set: set, jobs: map[uint64]*observedJob{}, ready: map[uint64]Worker{}, listed: map[uint64]Worker{}, everListed: map[uint64]bool{},
-		probing: map[uint64]bool{}, cordoned: map[uint64]bool{}, disconnected: map[uint64]bool{},
+		checking: map[uint64]bool{}, cordoned: map[uint64]bool{}, disconnected: map[uint64]bool{},
 	}
 }
 
@@ -70,7 +70,7 @@
 			r.jobs[e.Job].closed = true
 			r.disconnected[e.Job] = true
 		case HealthChecked:
-			r.probing[e.Worker] = false
+			r.checking[e.Worker] = false
 		case Cordoned:
 			r.cordoned[e.Worker] = true
 		case Uncordoned:
@@ -131,7 +131,7 @@
 			if !r.set.HealthChecks || !r.everListed[a.Worker] {
 				r.violation("health check of worker %d", a.Worker)
 			}
-			r.probing[a.Worker] = true
+			r.checking[a.Worker] = true
 		case SetTimer:
 			if a.After <= 0 {
 				r.violation("timer of %v", a.After)
@@ -219,8 +219,8 @@
 	}
 }
 
-// longestHold is how long a process may be held up between reading its clock and writing.
-const longestHold = 150 * ms
+// maxProcessStall is how long a process may be held up between reading its clock and writing.
+const maxProcessStall = 150 * ms
 
 // mayFollow reports whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection, and for
 // this process.
@@ -230,7 +230,7 @@
 	}
 	same := c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && earlier.worker.Zone == w.Zone ||
 		c.DeduplicationScope == ScopeCell && earlier.worker.Cell == w.Cell
-	return c.Idempotency != NonIdempotent && same && r.now-earlier.sentAt+r.set.ConnectTimeout+longestHold <= c.DeduplicationWindow
+	return c.Idempotency != NonIdempotent && same && r.now-earlier.sentAt+r.set.ConnectTimeout+maxProcessStall <= c.DeduplicationWindow
 }
 
 // randomSettings draws widely, beyond what any known deployment has.
@@ -277,15 +277,15 @@
 }
 
 // observedRandomRun shows each step's events to someone before the dispatcher gets them, and its actions after that.
-func observedRandomRun(seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action)) (*ruleChecker, *Dispatcher, []Action) {
-	return observedRandomRunFrom(0, seed, steps, beside)
+func observedRandomRun(seed uint64, steps int, observe func(*Dispatcher, time.Duration, []Event, []Action)) (*ruleChecker, *Dispatcher, []Action) {
+	return observedRandomRunFrom(0, seed, steps, observe)
 }
 
 // observedRandomRunFrom is observedRandomRun on a clock that begins at start.
 func observedRandomRunFrom(
-	start time.Duration, seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action),
+	start time.Duration, seed uint64, steps int, observe func(*Dispatcher, time.Duration, []Event, []Action),
 ) (*ruleChecker, *Dispatcher, []Action) {
-	return randomRunWith(start, seed, steps, beside, func(*Settings) {}, func() []Event { return nil })
+	return randomRunWith(start, seed, steps, observe, func(*Settings) {}, func() []Event { return nil })
 }
 
 // changedRandomRun is randomRun under settings that are changed, with more events in each step.
@@ -294,7 +294,7 @@
 }
 
 func randomRunWith(
-	start time.Duration, seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action),
+	start time.Duration, seed uint64, steps int, observe func(*Dispatcher, time.Duration, []Event, []Action),
 	change func(*Settings), more func() []Event,
 ) (*ruleChecker, *Dispatcher, []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -344,9 +344,9 @@
 		events = append(events, randomOutcomes(rng, r)...)
 		events = append(events, more()...)
 		r.observe(events)
-		beside(d, r.now, events, nil)
+		observe(d, r.now, events, nil)
 		actions := d.Step(r.now, events, []Action{})
-		beside(d, r.now, events, actions)
+		observe(d, r.now, events, actions)
 		r.check(actions)
 		log = append(log, actions...)
 	}
@@ -417,7 +417,7 @@
 		}
 	}
 	for id := uint64(1); id < 9; id++ {
-		if r.probing[id] && rng.IntN(3) == 0 {
+		if r.checking[id] && rng.IntN(3) == 0 {
 			events = append(events, HealthChecked{Worker: id, Result: Result(rng.IntN(8)), Report: []float64{1, rng.Float64()}})
 		}
 	}
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -20,17 +20,17 @@
 // slowStart bounds and distributes what warming workers are sent. It reads the settings and the
 // estimates of its dispatcher, and draws from its random source.
 type slowStart struct {
-	settings *Settings
-	rng      *rand.Rand
-	workload *workloadModel
-	arrivals *arrivalStatistics
-	beganAt  time.Duration // the first step: what this dispatcher sent before is unknown; 0: no step yet
+	settings    *Settings
+	rng         *rand.Rand
+	workload    *workloadModel
+	arrivals    *arrivalStatistics
+	firstStepAt time.Duration // the first step: what this dispatcher sent before is unknown; 0: no step yet
 }
 
-// begin notes the first step. Later calls change nothing.
-func (s *slowStart) begin(now time.Duration) {
-	if s.beganAt == 0 {
-		s.beganAt = now
+// recordFirstStep notes the first step. Later calls change nothing.
+func (s *slowStart) recordFirstStep(now time.Duration) {
+	if s.firstStepAt == 0 {
+		s.firstStepAt = now
 	}
 }
 
@@ -57,8 +57,8 @@
 	*w = slices.DeleteFunc(*w, func(s workSample) bool { return now-s.at > span })
 }
 
-// plus returns a work plus that of all samples within a span.
-func (w *workWindow) plus(work float64, span, now time.Duration) float64 {
+// sumWith returns a work plus that of all samples within a span.
+func (w *workWindow) sumWith(work float64, span, now time.Duration) float64 {
 	for _, s := range *w {
 		if now-s.at <= span {
 			work += s.work
@@ -79,7 +79,7 @@
 	window := s.settings.OverloadWindow
 	worker.slowStart.sent.expire(window, now)
 	cost := s.workload.warmUpCost(job)
-	work := worker.slowStart.sent.plus(cost, window, now)
+	work := worker.slowStart.sent.sumWith(cost, window, now)
 	budget := s.budget(worker, now)
 	rank, assignees := group.assigneeRank(worker)
 	// Equal parts for many dispatchers would hold no job: all dispatchers choose the same few of them
@@ -89,7 +89,7 @@
 	// all may where the budget holds such a job from each.
 	allMayTry := worker.uncordonedAt > 0 && cost*float64(group.count) <= budget
 	mayTry := rank < chosen || allMayTry
-	return mayTry && now-s.beganAt > window && work <= budget/float64(chosen)
+	return mayTry && now-s.firstStepAt > window && work <= budget/float64(chosen)
 }
 
 // allowsLease reports whether a job may be sent to a worker on a lease. It bounds what this
@@ -99,7 +99,7 @@
 	if worker.warmUpShare(s.settings, now) >= 1 {
 		return true
 	}
-	work := worker.slowStart.sent.plus(s.workload.warmUpCost(job), s.settings.OverloadWindow, now)
+	work := worker.slowStart.sent.sumWith(s.workload.warmUpCost(job), s.settings.OverloadWindow, now)
 	return work <= s.budget(worker, now)
 }
 
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -32,12 +32,12 @@
 }
 
 // A worker whose connections broke and that answers again is treated as warming up before any list says that it restarted.
-func TestWorkerBackUnannouncedWarmsUp(t *testing.T) {
+func TestReturningWorkerWarmsUpWithoutListUpdate(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	s := newHarness(t, set)
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.step(s.done(1, 0, 1, ConnectionReset))
 	s.wait(6 * time.Second)
 	s.step(HealthChecked{Worker: 1, Result: OK})
@@ -64,13 +64,13 @@
 // budgetChecker sums independently what warming workers of three slots are sent. Runs take exactly as long as hinted.
 type budgetChecker struct {
 	*harness
-	rng     *rand.Rand
-	boot    map[uint64]time.Duration // of the warming workers
-	spent   map[uint64][]workSample
-	running map[uint64]float64
-	slots   float64 // the most that the dispatcher could see a worker run at once
-	ends    []scheduledEvent
-	checked int // sends to warming workers
+	rng      *rand.Rand
+	boot     map[uint64]time.Duration // of the warming workers
+	sentWork map[uint64][]workSample
+	running  map[uint64]float64
+	slots    float64 // the most that the dispatcher could see a worker run at once
+	ends     []scheduledEvent
+	checked  int // sends to warming workers
 }
 
 func newBudgetChecker(t *testing.T, seed uint64) *budgetChecker {
@@ -79,7 +79,7 @@
 	set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
 	c := &budgetChecker{
 		harness: newHarness(t, set), rng: rand.New(rand.NewPCG(seed, 2)), boot: map[uint64]time.Duration{},
-		spent: map[uint64][]workSample{}, running: map[uint64]float64{}, slots: 3,
+		sentWork: map[uint64][]workSample{}, running: map[uint64]float64{}, slots: 3,
 	}
 	list := WorkerList{Kind: ListFull}
 	for id := uint64(1); id <= 6; id++ {
@@ -120,8 +120,8 @@
 	if !warmsUp || age >= c.d.settings.WarmUp {
 		return
 	}
-	c.spent[send.Worker] = append(c.spent[send.Worker], workSample{c.now, j.Hint.Seconds()})
-	sum := workWithin(c.spent[send.Worker], c.now, c.d.settings.OverloadWindow)
+	c.sentWork[send.Worker] = append(c.sentWork[send.Worker], workSample{c.now, j.Hint.Seconds()})
+	sum := workWithin(c.sentWork[send.Worker], c.now, c.d.settings.OverloadWindow)
 	share := 0.1 + 0.9*max(0, age).Seconds()/20
 	if most := 3 * c.slots * share * 2 / 3; sum > most {
 		c.t.Fatalf("worker %d, %v old, was sent %.2f s of work, our part is %.2f", send.Worker, age, sum, most)
@@ -153,16 +153,16 @@
 
 // manyDispatchers share one warming worker. Each restarts at random, without any state.
 type manyDispatchers struct {
-	t     *testing.T
-	set   Settings
-	rng   *rand.Rand
-	all   []*Dispatcher
-	list  WorkerList
-	start time.Duration
-	spent []workSample
-	ends  []runEnd
-	sent  int
-	jobs  uint64
+	t        *testing.T
+	set      Settings
+	rng      *rand.Rand
+	all      []*Dispatcher
+	list     WorkerList
+	start    time.Duration
+	sentWork []workSample
+	ends     []runEnd
+	sent     int
+	jobs     uint64
 }
 
 type runEnd struct {
@@ -180,13 +180,13 @@
 	m.set.Replicas, m.set.WarmUp, m.set.WarmUpCapacity, m.set.OverloadFactor, m.set.OverloadWindow = replicas, 20*time.Second, 0.12, 3, 2*time.Second
 	m.list = WorkerList{Kind: ListFull, Workers: []Worker{{ID: 77, Ready: true, BootAt: m.start}}}
 	for i := range m.all {
-		m.begin(i)
+		m.restart(i)
 		m.all[i].Step(m.start-time.Minute, nil, nil)
 	}
 	return m
 }
 
-func (m *manyDispatchers) begin(i int) {
+func (m *manyDispatchers) restart(i int) {
 	own := m.set
 	own.ReplicaIndex = i
 	m.all[i] = New(own, uint64(i))
@@ -206,7 +206,7 @@
 func (m *manyDispatchers) arrive(now time.Duration) {
 	i := m.rng.IntN(len(m.all))
 	if m.rng.IntN(1500) < len(m.all) {
-		m.begin(i)
+		m.restart(i)
 	}
 	m.jobs++
 	id := m.jobs
@@ -217,14 +217,14 @@
 			continue // a job queued from before ends soon without it
 		}
 		// The run takes twice its hint.
-		m.spent = append(m.spent, workSample{now, 2 * hint.Seconds()})
+		m.sentWork = append(m.sentWork, workSample{now, 2 * hint.Seconds()})
 		m.sent++
 		m.all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
 		m.ends = append(m.ends, runEnd{now + 2*hint, i, id})
 	}
 	// One core of speed 1, the least that the dispatchers can have seen, runs the work.
 	share := 0.12 + 0.88*(now-m.start).Seconds()/20
-	if sum, most := workWithin(m.spent, now, m.set.OverloadWindow), 3*share*2; sum > most {
+	if sum, most := workWithin(m.sentWork, now, m.set.OverloadWindow), 3*share*2; sum > most {
 		m.t.Fatalf("%d dispatchers: %.2f s of work within a window at %v, %.2f allowed", len(m.all), sum, now-m.start, most)
 	}
 }
@@ -249,18 +249,18 @@
 
 // lottery simulates a fleet with some warming workers under hundreds of dispatchers. The other workers are overloaded.
 type lottery struct {
-	t       *testing.T
-	set     Settings
-	rng     *rand.Rand
-	start   time.Duration
-	list    WorkerList
-	all     []*Dispatcher
-	numbers []map[uint64]int // by dispatcher: the attempts of its jobs
-	runs    []lotteryRun
-	free    []time.Duration // by slot of each worker: when it becomes free
-	sent    []int           // by worker
-	spent   [][]time.Duration
-	jobs    uint64
+	t        *testing.T
+	set      Settings
+	rng      *rand.Rand
+	start    time.Duration
+	list     WorkerList
+	all      []*Dispatcher
+	attempts []map[uint64]int // by dispatcher: the attempts of its jobs
+	runs     []lotteryRun
+	free     []time.Duration // by slot of each worker: when it becomes free
+	sent     []int           // by worker
+	sentAt   [][]time.Duration
+	jobs     uint64
 }
 
 // lotteryRun is the start or the end of a run.
@@ -269,7 +269,7 @@
 	dispatcher int
 	worker     uint64
 	job        uint64
-	number     int
+	attempt    int
 	isEnd      bool
 }
 
@@ -285,8 +285,8 @@
 	workers := lotteryWarm + lotteryWarming + 1 // their ids count from 1
 	l := &lottery{
 		t: t, set: testSettings(), rng: rand.New(rand.NewPCG(5, 6)), start: time.Hour, list: WorkerList{Kind: ListFull},
-		all: make([]*Dispatcher, replicas), numbers: make([]map[uint64]int, replicas),
-		free: make([]time.Duration, workers*lotterySlots), sent: make([]int, workers), spent: make([][]time.Duration, workers),
+		all: make([]*Dispatcher, replicas), attempts: make([]map[uint64]int, replicas),
+		free: make([]time.Duration, workers*lotterySlots), sent: make([]int, workers), sentAt: make([][]time.Duration, workers),
 	}
 	l.set.Replicas, l.set.WarmUp, l.set.WarmUpCapacity, l.set.OverloadFactor, l.set.OverloadWindow = replicas, 8*time.Second, capacity, 3, 2*time.Second
 	for id := range uint64(lotteryWarm + lotteryWarming) {
@@ -297,13 +297,13 @@
 		l.list.Workers = append(l.list.Workers, w)
 	}
 	for i := range l.all {
-		l.begin(i)
-		l.numbers[i] = map[uint64]int{}
+		l.restartDispatcher(i)
+		l.attempts[i] = map[uint64]int{}
 	}
 	return l
 }
 
-func (l *lottery) begin(i int) {
+func (l *lottery) restartDispatcher(i int) {
 	own := l.set
 	own.ReplicaIndex = i
 	l.all[i] = New(own, uint64(i))
@@ -317,11 +317,11 @@
 		if !ok {
 			continue
 		}
-		number := l.numbers[i][s.Job]
-		l.numbers[i][s.Job]++
+		number := l.attempts[i][s.Job]
+		l.attempts[i][s.Job]++
 		l.sent[s.Worker]++
 		if s.Worker > lotteryWarm {
-			l.spent[s.Worker] = append(l.spent[s.Worker], now)
+			l.sentAt[s.Worker] = append(l.sentAt[s.Worker], now)
 		}
 		slots := l.free[int(s.Worker)*lotterySlots:][:lotterySlots]
 		first := slices.Index(slots, slices.Min(slots))
@@ -341,17 +341,17 @@
 		case r.at > now:
 			l.runs = append(l.runs, r)
 		case r.isEnd:
-			l.step(r.dispatcher, now, Outcome{Job: r.job, Attempt: r.number, Worker: r.worker, Result: OK, Closed: true})
+			l.step(r.dispatcher, now, Outcome{Job: r.job, Attempt: r.attempt, Worker: r.worker, Result: OK, Closed: true})
 		default:
-			l.step(r.dispatcher, now, Started{Job: r.job, Attempt: r.number, Worker: r.worker})
+			l.step(r.dispatcher, now, Started{Job: r.job, Attempt: r.attempt, Worker: r.worker})
 		}
 	}
 }
 
-// restart has a dispatcher restart now and then, without any state.
-func (l *lottery) restart() {
+// restartAtRandom has a dispatcher restart now and then, without any state.
+func (l *lottery) restartAtRandom() {
 	if i := l.rng.IntN(len(l.all)); l.rng.IntN(30*300) < len(l.all) {
-		l.begin(i)
+		l.restartDispatcher(i)
 		l.runs = slices.DeleteFunc(l.runs, func(r lotteryRun) bool { return r.dispatcher == i })
 	}
 }
@@ -367,18 +367,18 @@
 
 // checkBudgets checks what each warming worker has been sent within a window, against what would overload it.
 func (l *lottery) checkBudgets(now time.Duration) {
-	for w := range l.spent {
-		l.spent[w] = slices.DeleteFunc(l.spent[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
+	for w := range l.sentAt {
+		l.sentAt[w] = slices.DeleteFunc(l.sentAt[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
 		share := l.set.WarmUpCapacity + (1-l.set.WarmUpCapacity)*(now-l.start).Seconds()/l.set.WarmUp.Seconds()
 		budget := l.set.OverloadFactor * share * lotterySlots / lotteryRunTime.Seconds() * l.set.OverloadWindow.Seconds()
-		if n := float64(len(l.spent[w])); n > fallsAt(budget) {
+		if n := float64(len(l.sentAt[w])); n > overloadThreshold(budget) {
 			l.t.Fatalf("%d dispatchers: worker %d got %v jobs within a window at %v, of %.0f", len(l.all), w, n, now-l.start, budget)
 		}
 	}
 }
 
-// fallsAt returns how many jobs of mean work overload a cold worker within a window in which n are allowed.
-func fallsAt(n float64) float64 {
+// overloadThreshold returns how many jobs of mean work overload a cold worker within a window in which n are allowed.
+func overloadThreshold(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -396,7 +396,7 @@
 			offered := 1.4 * lotteryWarm * lotterySlots / lotteryRunTime.Seconds()
 			for now := l.start; now < l.start+l.set.WarmUp; now += 10 * time.Millisecond {
 				l.advance(now)
-				l.restart()
+				l.restartAtRandom()
 				l.arrive(now, offered/100)
 				l.checkBudgets(now)
 			}
@@ -440,7 +440,7 @@
 			}
 		}
 		budget := set.OverloadFactor * set.WarmUpCapacity * set.OverloadWindow.Seconds() / run.Seconds()
-		if float64(sent) > fallsAt(budget) || sent == 0 {
+		if float64(sent) > overloadThreshold(budget) || sent == 0 {
 			t.Errorf("%d dispatchers sent %d jobs at once, of %.0f", replicas, sent, budget)
 		}
 	}
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -28,7 +28,7 @@
 }
 
 func (d *Dispatcher) write(codec *codec) []byte {
-	d.walk(codec)
+	d.serialize(codec)
 	return codec.b
 }
 
@@ -58,38 +58,38 @@
 		}
 	}()
 	d = New(settings, 0)
-	d.walk(c)
+	d.serialize(c)
 	if c.invalid || len(c.b) > 0 {
 		return nil, ErrInvalidSnapshot
 	}
 	return d, nil
 }
 
-// walk writes or reads the whole state.
-func (d *Dispatcher) walk(codec *codec) {
+// serialize writes or reads the whole state.
+func (d *Dispatcher) serialize(codec *codec) {
 	codec.clockReading(&d.now)
 	codec.now = d.now
 	codec.random(d.source)
-	d.walkFigures(codec)
-	d.walkTables(codec)
-	d.cordons.walk(codec)
-	d.walkPopulation(codec)
-	d.workload.walkKeys(codec)
-	d.idleConnections.outcomes.walk(codec)
-	d.walkIndex(codec)
-	d.queue.walk(codec)
-	d.walkTimers(codec)
-	d.starts.unstarted.walk(codec)
-	d.reservation.walk(codec)
+	d.serializeScalars(codec)
+	d.serializeTables(codec)
+	d.cordons.serialize(codec)
+	d.serializeWorkersAndJobs(codec)
+	d.workload.serializeKeys(codec)
+	d.idleConnections.outcomes.serialize(codec)
+	d.serializeIndex(codec)
+	d.queue.serialize(codec)
+	d.serializeTimers(codec)
+	d.starts.unstarted.serialize(codec)
+	d.reservation.serialize(codec)
 	if codec.withLeases {
-		d.leases.walk(codec)
+		d.leases.serialize(codec)
 	}
 }
 
-// walkFigures writes or reads the single figures of all types.
-func (d *Dispatcher) walkFigures(codec *codec) {
+// serializeScalars writes or reads the single figures of all types.
+func (d *Dispatcher) serializeScalars(codec *codec) {
 	codec.instant(
-		&d.slowStart.beganAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
+		&d.slowStart.firstStepAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
 		&d.idleConnections.maxIdleSetAt, &d.stalls.endedAt, &d.starts.lastSentAt,
 	)
 	codec.duration(
@@ -102,14 +102,14 @@
 		&d.hedges.tokens, &d.checks.tokens.tokens, &d.objectives.exploration.tokens, &d.starts.lateCount,
 	)
 	codec.flags(&d.outliers.silencePanic, &d.outliers.failurePanic)
-	d.subscription.state.walk(codec)
-	codec.int(&d.sharing.Replicas)
-	codec.int(&d.sharing.ReplicaIndex)
-	codec.float(&d.sharing.QuotaShare)
+	d.subscription.state.serialize(codec)
+	codec.int(&d.latestReplicas.Replicas)
+	codec.int(&d.latestReplicas.ReplicaIndex)
+	codec.float(&d.latestReplicas.QuotaShare)
 }
 
-// walkTables writes or reads the figures by class, tenant, kind and zone.
-func (d *Dispatcher) walkTables(codec *codec) {
+// serializeTables writes or reads the figures by class, tenant, kind and zone.
+func (d *Dispatcher) serializeTables(codec *codec) {
 	fixedList(codec, d.workload.sizeCorrection, func(logs *[slotBuckets]float64) {
 		codec.float(&logs[0], &logs[1], &logs[2], &logs[3])
 	})
@@ -126,8 +126,8 @@
 	})
 }
 
-// walk writes or reads a state as two flags, of which at most one is set.
-func (s *subscriptionState) walk(codec *codec) {
+// serialize writes or reads a state as two flags, of which at most one is set.
+func (s *subscriptionState) serialize(codec *codec) {
 	isRequested := *s == subscribing
 	isAnswered := *s == subscribed
 	codec.flags(&isRequested, &isAnswered)
@@ -141,8 +141,8 @@
 	}
 }
 
-// walk writes or reads which workers are cordoned.
-func (c *cordons) walk(codec *codec) {
+// serialize writes or reads which workers are cordoned.
+func (c *cordons) serialize(codec *codec) {
 	sortedMap(codec, c.since, func(worker *uint64, since *time.Duration) {
 		codec.uint(worker)
 		codec.clockReading(since)
@@ -150,13 +150,13 @@
 	codec.flags(&c.coverFleet)
 }
 
-// walk writes or reads the outcomes on idle connections.
-func (h *idleHistory) walk(codec *codec) {
+// serialize writes or reads the outcomes on idle connections.
+func (h *idleHistory) serialize(codec *codec) {
 	fixedList(codec, h[:], func(outcomes *idleOutcomes) { codec.float(&outcomes.succeeded, &outcomes.failed) })
 }
 
-// walkKeys writes or reads the work by key, of the keys of the open jobs.
-func (m *workloadModel) walkKeys(codec *codec) {
+// serializeKeys writes or reads the work by key, of the keys of the open jobs.
+func (m *workloadModel) serializeKeys(codec *codec) {
 	known := map[uint64]float64{}
 	for _, job := range codec.jobs {
 		if work, ok := m.keyWork[job.Key]; ok {
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -16,7 +16,7 @@
 		f.Add(seed, seed%5)
 	}
 	f.Fuzz(func(t *testing.T, seed, often uint64) {
-		r := &restoredBeside{t: t, rng: rand.New(rand.NewPCG(seed, 2)), interval: 1 + 10*int(often%5)}
+		r := &restoredCopy{t: t, rng: rand.New(rand.NewPCG(seed, 2)), interval: 1 + 10*int(often%5)}
 		_, _, observed := observedRandomRun(seed, 400, r.observe)
 		if _, _, undisturbed := randomRun(seed, 400); !reflect.DeepEqual(observed, undisturbed) {
 			t.Fatal("one of which snapshots were taken acted otherwise")
@@ -29,14 +29,14 @@
 func TestRestoreOnClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		for seed := range uint64(10) {
-			r := &restoredBeside{t: t, rng: rand.New(rand.NewPCG(seed, 3)), interval: 11, clockAhead: ahead}
+			r := &restoredCopy{t: t, rng: rand.New(rand.NewPCG(seed, 3)), interval: 11, clockAhead: ahead}
 			observedRandomRunFrom(2*time.Hour, seed, 400, r.observe)
 		}
 	}
 }
 
-// restoredBeside has a restored dispatcher run beside the one whose snapshot it was made from.
-type restoredBeside struct {
+// restoredCopy has a restored dispatcher run beside the one whose snapshot it was made from.
+type restoredCopy struct {
 	t          *testing.T
 	rng        *rand.Rand
 	interval   int           // of snapshots, in steps on average
@@ -46,9 +46,9 @@
 }
 
 // observe sees each step twice, before it with its events alone, and after it with its actions.
-func (r *restoredBeside) observe(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
+func (r *restoredCopy) observe(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
 	if actions != nil {
-		if got := r.restored.Step(now+r.clockAhead, r.onItsClock(events), []Action{}); !reflect.DeepEqual(got, actions) {
+		if got := r.restored.Step(now+r.clockAhead, r.convertTimes(events), []Action{}); !reflect.DeepEqual(got, actions) {
 			r.t.Fatalf("step %d: %v, expected %v", r.step, got, actions)
 		}
 		r.step++
@@ -66,7 +66,7 @@
 	}
 }
 
-func (r *restoredBeside) restore(d *Dispatcher) {
+func (r *restoredCopy) restore(d *Dispatcher) {
 	snapshot, restore := (*Dispatcher).Snapshot, RestoreOnClock
 	if d.settings.UsesLeases() {
 		snapshot, restore = (*Dispatcher).SnapshotWithLeases, restoreWithLeasesOnClock
@@ -89,8 +89,8 @@
 	return read(settings, &codec{b: b, withLeases: true, clockAhead: clockAhead})
 }
 
-// onItsClock returns events with their instants as the restored one's clock has them.
-func (r *restoredBeside) onItsClock(events []Event) []Event {
+// convertTimes returns events with their instants as the restored one's clock has them.
+func (r *restoredCopy) convertTimes(events []Event) []Event {
 	events = slices.Clone(events)
 	for i, event := range events {
 		list, ok := event.(WorkerList)
--- a/dispatch/snapshotjobs.go
+++ b/dispatch/snapshotjobs.go
@@ -7,13 +7,13 @@
 
 // The parts of a snapshot on jobs, attempts, and what refers to them.
 
-// walkPopulation writes or reads the workers and jobs with their attempts: first how many workers and which jobs there are, then
+// serializeWorkersAndJobs writes or reads the workers and jobs with their attempts: first how many workers and which jobs there are, then
 // the rest, as each refers to others.
-func (d *Dispatcher) walkPopulation(codec *codec) {
-	codec.workerPlaces = map[*workerInfo]int{}
-	codec.jobPlaces = map[*jobInfo]int{}
+func (d *Dispatcher) serializeWorkersAndJobs(codec *codec) {
+	codec.workerIndexes = map[*workerInfo]int{}
+	codec.jobIndexes = map[*jobInfo]int{}
 	for i, worker := range d.fleet.workers {
-		codec.workerPlaces[worker] = i
+		codec.workerIndexes[worker] = i
 	}
 	list(codec, &d.fleet.workers, func(worker **workerInfo) {
 		if !codec.writing {
@@ -21,48 +21,48 @@
 		}
 	})
 	codec.workers = d.fleet.workers
-	d.walkJobs(codec)
+	d.serializeJobs(codec)
 	for _, job := range codec.jobs {
 		list(codec, &job.attempts, func(attempt **attemptInfo) {
 			if !codec.writing {
 				*attempt = &attemptInfo{job: job}
 				(*attempt).timer = timer{purpose: attemptOverdue, attempt: *attempt}
 			}
-			(*attempt).walk(codec)
+			(*attempt).serialize(codec)
 		})
 	}
-	d.walkWorkers(codec)
+	d.serializeWorkers(codec)
 }
 
-// walkJobs writes or reads the jobs, without their attempts.
-func (d *Dispatcher) walkJobs(codec *codec) {
+// serializeJobs writes or reads the jobs, without their attempts.
+func (d *Dispatcher) serializeJobs(codec *codec) {
 	for _, id := range slices.Sorted(maps.Keys(d.jobs)) {
-		codec.jobPlaces[d.jobs[id]] = len(codec.jobs)
+		codec.jobIndexes[d.jobs[id]] = len(codec.jobs)
 		codec.jobs = append(codec.jobs, d.jobs[id])
 	}
 	list(codec, &codec.jobs, func(job **jobInfo) {
 		if codec.writing {
-			(*job).walk(codec, d.settings.Classes)
+			(*job).serialize(codec, d.settings.Classes)
 			return
 		}
 		*job = &jobInfo{heapIndex: -1}
 		(*job).bindTimers()
-		(*job).walk(codec, d.settings.Classes)
+		(*job).serialize(codec, d.settings.Classes)
 		d.jobs[(*job).ID] = *job
 	})
 }
 
-// walk writes or reads a job without its attempts and leases.
-func (j *jobInfo) walk(codec *codec, classes []Class) {
+// serialize writes or reads a job without its attempts and leases.
+func (j *jobInfo) serialize(codec *codec, classes []Class) {
 	codec.uint(&j.ID)
 	codec.int(&j.Class)
 	codec.int(&j.Tenant)
 	codec.uint(&j.Key)
 	codec.duration(&j.Remaining, &j.Hint)
-	codec.float(&j.Slots, &j.Memory, &j.demand, &j.longChance, &j.work, &j.lotteryDraw)
+	codec.float(&j.Slots, &j.Memory, &j.demand, &j.longProbability, &j.work, &j.lotteryDraw)
 	codec.instant(&j.arrivedAt, &j.deadline, &j.objectiveAt, &j.promoteAt, &j.checksUntil)
 	isDeprioritized := j.isDeprioritized()
-	isUnreachable := j.priority == levelUnreachable
+	isUnreachable := j.priority == priorityUnreachable
 	codec.flags(&j.Retry, &isDeprioritized, &isUnreachable, &j.closed, &j.streaming, &j.inPromotions, &j.recheckOnEnd)
 	j.priority = priorityLevelOf(isDeprioritized, isUnreachable)
 	codec.int(&j.inFlight)
@@ -78,28 +78,28 @@
 func priorityLevelOf(isDeprioritized, isUnreachable bool) priorityLevel {
 	switch {
 	case isUnreachable:
-		return levelUnreachable
+		return priorityUnreachable
 	case isDeprioritized:
-		return levelOverQuota
+		return priorityOverQuota
 	default:
-		return levelFull
+		return priorityFull
 	}
 }
 
-// walk writes or reads an attempt.
-func (a *attemptInfo) walk(codec *codec) {
+// serialize writes or reads an attempt.
+func (a *attemptInfo) serialize(codec *codec) {
 	codec.int(&a.number)
 	codec.worker(&a.worker)
 	codec.int(&a.zone)
 	codec.int(&a.cell)
 	codec.instant(&a.sentAt, &a.startedAt, &a.progressAt)
-	codec.flags(&a.started, &a.ended, &a.limitBound, &a.orphaned)
+	codec.flags(&a.started, &a.ended, &a.sentAtLimit, &a.orphaned)
 	codec.duration(&a.connectionIdle, &a.expectedRun)
 	codec.int((*int)(&a.result))
 }
 
-// walk writes or reads the queued jobs. The order within each heap is kept, as jobs of equal rank leave by it.
-func (q *jobQueue) walk(codec *codec) {
+// serialize writes or reads the queued jobs. The order within each heap is kept, as jobs of equal rank leave by it.
+func (q *jobQueue) serialize(codec *codec) {
 	fixedList(codec, q.demandClasses, func(class *demandClass) {
 		list(codec, &class.byScore.items, func(job **jobInfo) { codec.job(job) })
 		list(codec, &class.byPromotion.items, func(job **jobInfo) {
@@ -120,8 +120,8 @@
 	}
 }
 
-// walk writes or reads the attempts that have not started.
-func (s *startTracker) walk(codec *codec) {
+// serialize writes or reads the attempts that have not started.
+func (s *startTracker) serialize(codec *codec) {
 	for class := range s.pending {
 		pending := s.pending[class][s.first[class]:]
 		list(codec, &pending, func(attempt **attemptInfo) { codec.attempt(attempt) })
@@ -131,8 +131,8 @@
 	list(codec, &s.late, func(attempt **attemptInfo) { codec.attempt(attempt) })
 }
 
-// walk writes or reads the reservation, if there is one.
-func (r *reservation) walk(codec *codec) {
+// serialize writes or reads the reservation, if there is one.
+func (r *reservation) serialize(codec *codec) {
 	isReserved := r.worker != nil
 	codec.flags(&isReserved)
 	if isReserved {
@@ -143,16 +143,16 @@
 
 // job writes or reads a reference to a job. One that is forgotten is read as a closed job.
 func (c *codec) job(job **jobInfo) {
-	place := -1
-	if at, ok := c.jobPlaces[*job]; ok {
-		place = at
+	index := -1
+	if at, ok := c.jobIndexes[*job]; ok {
+		index = at
 	}
-	c.int(&place)
+	c.int(&index)
 	if c.writing {
 		return
 	}
-	if place >= 0 && place < len(c.jobs) {
-		*job = c.jobs[place]
+	if index >= 0 && index < len(c.jobs) {
+		*job = c.jobs[index]
 		return
 	}
 	*job = &jobInfo{heapIndex: -1, closed: true, class: &Class{}}
--- a/dispatch/snapshottimers.go
+++ b/dispatch/snapshottimers.go
@@ -25,16 +25,16 @@
 	c.b = c.b[randomStateSize:]
 }
 
-// walkTimers writes or reads the timers that are set. The order within the heap is kept, as timers of one instant fire by it.
-func (d *Dispatcher) walkTimers(codec *codec) {
+// serializeTimers writes or reads the timers that are set. The order within the heap is kept, as timers of one instant fire by it.
+func (d *Dispatcher) serializeTimers(codec *codec) {
 	if codec.writing {
 		stored := d.timers.stored(codec.withLeases)
-		list(codec, &stored, func(t **timer) { d.walkTimer(codec, t) })
+		list(codec, &stored, func(t **timer) { d.serializeTimer(codec, t) })
 		return
 	}
 	d.maintenance.heapIndex = 0 // New has set it
 	timers := &d.timers.heap.items
-	list(codec, timers, func(t **timer) { d.walkTimer(codec, t) })
+	list(codec, timers, func(t **timer) { d.serializeTimer(codec, t) })
 	for i, t := range *timers {
 		codec.check(t.heapIndex == 0) // else it occurs twice
 		t.heapIndex = i + 1
@@ -57,8 +57,8 @@
 	return others.items
 }
 
-// walkTimer writes or reads a reference to a timer, by what it is part of, and its time.
-func (d *Dispatcher) walkTimer(codec *codec, t **timer) {
+// serializeTimer writes or reads a reference to a timer, by what it is part of, and its time.
+func (d *Dispatcher) serializeTimer(codec *codec, t **timer) {
 	stored := timer{}
 	if codec.writing {
 		stored = **t
@@ -74,13 +74,13 @@
 		codec.worker(&stored.worker)
 	case leaseOverdue:
 		codec.check(codec.withLeases)
-		d.leases.client.walkReference(codec, &stored.lease)
+		d.leases.client.serializeReference(codec, &stored.lease)
 	case runMaintenance:
 	}
 	if codec.writing {
 		return
 	}
-	*t = d.timerLike(&stored)
+	*t = d.resolveTimer(&stored)
 	codec.check(*t != nil)
 	if *t == nil {
 		*t = &timer{}
@@ -88,9 +88,9 @@
 	(*t).at = stored.at
 }
 
-// timerLike returns the timer with the same purpose as another one and of the same job, attempt, worker or lease; nil if the
+// resolveTimer returns the timer with the same purpose as another one and of the same job, attempt, worker or lease; nil if the
 // purpose is unknown.
-func (d *Dispatcher) timerLike(other *timer) *timer {
+func (d *Dispatcher) resolveTimer(other *timer) *timer {
 	switch other.purpose {
 	case reviewQueue:
 		return &other.job.checksTimer
--- a/dispatch/snapshotworkers.go
+++ b/dispatch/snapshotworkers.go
@@ -2,10 +2,10 @@
 
 // The parts of a snapshot on workers and what refers to them.
 
-// walkWorkers writes or reads all workers, of which it is known how many there are.
-func (d *Dispatcher) walkWorkers(codec *codec) {
+// serializeWorkers writes or reads all workers, of which it is known how many there are.
+func (d *Dispatcher) serializeWorkers(codec *codec) {
 	for i, worker := range d.fleet.workers {
-		worker.walk(codec)
+		worker.serialize(codec)
 		if codec.writing {
 			continue
 		}
@@ -16,8 +16,8 @@
 	}
 }
 
-// walk writes or reads a worker.
-func (w *workerInfo) walk(codec *codec) {
+// serialize writes or reads a worker.
+func (w *workerInfo) serialize(codec *codec) {
 	codec.uint(&w.ID)
 	codec.int(&w.Kind)
 	codec.int(&w.Cell)
@@ -44,11 +44,11 @@
 	codec.int(&w.connections.open)
 	codec.int(&w.orphans)
 	list(codec, &w.inFlight, func(attempt **attemptInfo) { codec.attempt(attempt) })
-	w.slowStart.sent.walk(codec)
+	w.slowStart.sent.serialize(codec)
 }
 
-// walk writes or reads the work sent to a worker in slow start.
-func (w *workWindow) walk(codec *codec) {
+// serialize writes or reads the work sent to a worker in slow start.
+func (w *workWindow) serialize(codec *codec) {
 	list(codec, (*[]workSample)(w), func(sample *workSample) {
 		codec.instant(&sample.at)
 		codec.float(&sample.work)
@@ -65,9 +65,9 @@
 	c.int(&(*machine).lateOverflows)
 }
 
-// walkIndex writes or reads the workers that may have capacity, in the order of the index: random draws select by it.
-func (d *Dispatcher) walkIndex(codec *codec) {
-	d.fleet.available.walk(codec)
+// serializeIndex writes or reads the workers that may have capacity, in the order of the index: random draws select by it.
+func (d *Dispatcher) serializeIndex(codec *codec) {
+	d.fleet.available.serialize(codec)
 	list(codec, &d.fleet.dirty, func(worker **workerInfo) { codec.worker(worker) })
 	if codec.writing {
 		return
@@ -78,8 +78,8 @@
 	d.updatePreferences()
 }
 
-// walk writes or reads the buckets of the index with their workers.
-func (w *workerIndex) walk(codec *codec) {
+// serialize writes or reads the buckets of the index with their workers.
+func (w *workerIndex) serialize(codec *codec) {
 	list(codec, &w.buckets, func(entry **bucket) {
 		if !codec.writing {
 			*entry = &bucket{}
@@ -91,13 +91,13 @@
 			list(codec, level, func(worker **workerInfo) { codec.worker(worker) })
 		})
 		if !codec.writing {
-			w.place(codec, *entry)
+			w.setPositions(codec, *entry)
 		}
 	})
 }
 
-// place notes with the workers of a bucket that was read where the index has them.
-func (w *workerIndex) place(codec *codec, entry *bucket) {
+// setPositions notes with the workers of a bucket that was read where the index has them.
+func (w *workerIndex) setPositions(codec *codec, entry *bucket) {
 	for level, workers := range entry.levels {
 		for slot, worker := range workers {
 			codec.check(worker.index.bucket == nil) // else it occurs twice
@@ -111,16 +111,16 @@
 
 // worker writes or reads a reference to a worker. One that is forgotten is read as a worker without an ID.
 func (c *codec) worker(worker **workerInfo) {
-	place := -1
-	if at, ok := c.workerPlaces[*worker]; ok {
-		place = at
+	index := -1
+	if at, ok := c.workerIndexes[*worker]; ok {
+		index = at
 	}
-	c.int(&place)
+	c.int(&index)
 	if c.writing {
 		return
 	}
-	if place >= 0 && place < len(c.workers) {
-		*worker = c.workers[place]
+	if index >= 0 && index < len(c.workers) {
+		*worker = c.workers[index]
 		return
 	}
 	*worker = &workerInfo{}
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// isEnding reports whether the latest stall was noticed at this instant: events that occurred meanwhile may not
+// justEnded reports whether the latest stall was noticed at this instant: events that occurred meanwhile may not
 // have been read yet.
-func (s *stallDetector) isEnding(now time.Duration) bool { return s.endedAt == now }
+func (s *stallDetector) justEnded(now time.Duration) bool { return s.endedAt == now }
 
 // spans reports whether this process was stalled while an attempt was in flight.
 func (s *stallDetector) spans(attempt *attemptInfo) bool {
--- a/dispatch/startmonitor.go
+++ b/dispatch/startmonitor.go
@@ -7,16 +7,16 @@
 import "time"
 
 const (
-	promptStartDivisor     = 4   // of the objective: within this, and a round trip, a start is prompt
-	lostAfterMeanLateDelay = 3   // after so many of these an unstarted attempt is taken for lost
-	lateDelayWindow        = 10  // late starts that their mean delay follows
-	maxLateFraction        = 0.5 // late attempts, as a fraction of the other slots in use
-	manyReplicas           = 8   // with more dispatchers than these most have little work each
+	promptStartDivisor      = 4   // of the objective: within this, and a round trip, a start is prompt
+	lostAfterMeanLateDelays = 3   // after so many of these an unstarted attempt is taken for lost
+	lateDelayWindow         = 10  // late starts that their mean delay follows
+	maxLateFraction         = 0.5 // late attempts, as a fraction of the other slots in use
+	manyReplicas            = 8   // with more dispatchers than these most have little work each
 )
 
 // What is assumed before any start has been observed.
 const (
-	lateStartsPerObjective = 3                // mean late delays in the mean objective
+	lateDelaysPerObjective = 3                // mean late delays in the mean objective
 	startDelaysPerConnect  = 4                // least start delays in the connect timeout
 	minInitialStartDelay   = time.Millisecond // the least delay is assumed to be no less
 )
@@ -35,7 +35,7 @@
 func newStartMonitor(settings *Settings) startMonitor {
 	return startMonitor{
 		unstarted:     newStartTracker(len(settings.Classes)),
-		meanLateDelay: seconds(meanObjective(settings.Classes) / lateStartsPerObjective),
+		meanLateDelay: seconds(meanObjective(settings.Classes) / lateDelaysPerObjective),
 		minDelay:      max(settings.ConnectTimeout/startDelaysPerConnect, minInitialStartDelay),
 	}
 }
@@ -63,7 +63,7 @@
 }
 
 // lostAfter returns the delay from which on an unstarted attempt is taken for lost.
-func (s *startMonitor) lostAfter() time.Duration { return lostAfterMeanLateDelay * s.meanLateDelay }
+func (s *startMonitor) lostAfter() time.Duration { return lostAfterMeanLateDelays * s.meanLateDelay }
 
 func (s *startMonitor) useSlots(slots float64)     { s.usedSlots += slots }
 func (s *startMonitor) releaseSlots(slots float64) { s.usedSlots = max(0, s.usedSlots-slots) }
@@ -85,7 +85,7 @@
 	s.lateCount = 0
 	for _, a := range s.unstarted.late {
 		isLatest := a.number == len(a.job.attempts)-1
-		if a.job.heapIndex < 0 && !a.job.closed && isLatest && !a.mayBeDropped() {
+		if a.job.heapIndex < 0 && !a.job.closed && isLatest && !a.mayBeDeduplicated() {
 			s.lateCount++
 		}
 	}
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -7,12 +7,12 @@
 
 // Dispatcher is one dispatcher; see Step. It is used on one goroutine.
 type Dispatcher struct {
-	settings Settings
-	sharing  ReplicasChanged // in place of the settings' figures; Replicas 0: not notified
-	rng      *rand.Rand
-	source   *rand.PCG     // of rng: all of its state
-	now      time.Duration // of this step
-	actions  []Action      // of this step
+	settings       Settings
+	latestReplicas ReplicasChanged // in place of the settings' figures; Replicas 0: not notified
+	rng            *rand.Rand
+	source         *rand.PCG     // of rng: all of its state
+	now            time.Duration // of this step
+	actions        []Action      // of this step
 
 	timers      timerQueue
 	maintenance timer
