--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// Action is an instruction to the caller of Dispatcher.Step. Actions are carried out in the order in which they are returned.
+// Action is an instruction to the caller of Dispatcher.Step. Actions are carried out in the order in which
+// they are returned.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send starts an attempt. The attempts of a job are numbered from 0, in the order of their Sends. If AttemptTimeout is
-	// 0, the attempt has no timeout but the client's.
+	// Send starts an attempt. The attempts of a job are numbered from 0, in the order of their Sends. If
+	// AttemptTimeout is 0, the attempt has no timeout but the client's.
 	Send struct {
 		Job            uint64
 		Worker         uint64
 		AttemptTimeout time.Duration
 	}
-	// Reject answers a job finally: it was not executed, or may be executed again. The client may repeat it.
+	// Reject is the final answer to a job that was not executed or may safely be executed again. The client
+	// may retry it.
 	Reject struct {
 		Job        uint64
-		RetryAfter time.Duration // earliest time for a repetition, as advice; 0: none
+		RetryAfter time.Duration // advised delay before a retry; 0: none
 	}
-	// Fail answers a job finally as possibly executed.
+	// Fail is the final answer to a job that was possibly executed.
 	Fail struct{ Job uint64 }
-	// Cancel withdraws one attempt. Its Outcome is still expected.
+	// Cancel cancels one attempt. Its Outcome is still expected.
 	Cancel struct {
 		Job     uint64
 		Attempt int
@@ -30,7 +32,7 @@
 	HealthCheck struct{ Worker uint64 }
 	// CloseIdleConnections closes the idle connections to a worker.
 	CloseIdleConnections struct{ Worker uint64 }
-	// SetTimer requests a TimerFired after a span. It replaces the timer set before.
+	// SetTimer requests a TimerFired after a duration. It replaces the timer set before.
 	SetTimer struct{ After time.Duration }
 	// Subscribe requests the list of workers and its updates. WorkerList is the answer.
 	Subscribe struct{}
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -1,8 +1,7 @@
 package dispatch
 
-// Admission, by the design's sentence: each dispatcher holds unsent jobs in a min-heap, each stamped with
-// arrival time and a score. This file makes a job's entry with its predictions, and gives it its final
-// answer.
+// Admission creates a job's entry with its predictions, and gives the job its final answer. The design says:
+// each dispatcher holds unsent jobs in a min-heap, each stamped with arrival time and a score.
 
 import "time"
 
@@ -16,8 +15,8 @@
 	d.enqueue(job)
 }
 
-// admit adds a job to those that are open. age is the time since its first arrival, at this or another
-// dispatcher. It returns nil if the id is already in use or the class is unknown.
+// admit adds a job to the open jobs. age is the time since its first arrival, at this or another dispatcher.
+// It returns nil if the ID is already in use or the class is unknown.
 func (d *Dispatcher) admit(arrival Job, age time.Duration) *jobInfo {
 	isKnownClass := arrival.Class >= 0 && arrival.Class < len(d.settings.Classes)
 	if d.jobs[arrival.ID] != nil || !isKnownClass {
@@ -47,8 +46,8 @@
 	return job
 }
 
-// finish gives a job its final answer, unless its response has begun: a rejection if its client may send it
-// again without harm, else a failure.
+// finish gives a job its final answer, unless it is closed or its response has begun. The answer is a
+// rejection if the client may safely retry, else a failure.
 func (d *Dispatcher) finish(job *jobInfo) {
 	if job.closed || job.streaming {
 		return
--- a/dispatch/arrivals.go
+++ b/dispatch/arrivals.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// divisionGuard keeps a quotient of two figures finite where the divisor may be 0.
+// divisionGuard is added to a divisor that may be 0, to keep the quotient finite.
 const divisionGuard = 1e-9
 
 // arrivalStatistics are means over the jobs that have arrived.
@@ -10,7 +10,7 @@
 	meanCost   float64 // work times slots, in seconds
 }
 
-// newArrivalStatistics assumes as many jobs of each class.
+// newArrivalStatistics returns the statistics before the first job, with the mean weight of all classes.
 func newArrivalStatistics(classes []Class) arrivalStatistics {
 	statistics := arrivalStatistics{}
 	for i := range classes {
@@ -19,7 +19,7 @@
 	return statistics
 }
 
-// observe updates the means by a job. The first ones count in full towards the mean cost.
+// observe updates the means with a job. The mean cost of the first jobs is their plain average.
 func (a *arrivalStatistics) observe(weight, cost float64) {
 	a.count++
 	costGain := max(slowMeanGain, 1/a.count)
@@ -32,8 +32,9 @@
 	return cost / (a.meanCost + divisionGuard)
 }
 
-// tauFraction returns the part of the paper's tau after which a job of a priority weight is promoted: less than 1 for one
-// above the mean, so that under overload capacity goes to what has most utility.
+// tauFraction returns the fraction of the paper's tau after which a job of a priority weight is promoted. It
+// is less than 1 for weights above the mean, so that under overload capacity goes to the jobs of most
+// utility.
 func (a *arrivalStatistics) tauFraction(weight float64) float64 {
 	return min(1, (a.meanWeight+divisionGuard)/(max(weight, 0)+divisionGuard))
 }
--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -14,12 +14,12 @@
 	started        bool
 	ended          bool
 	orphaned       bool          // the worker's process has ended: the attempt uses no slots there any more
-	sentAtLimit    bool          // the concurrency limit bound the worker when it was sent
+	sentAtLimit    bool          // the worker was at its concurrency limit when it was sent
 	connectionIdle time.Duration // how long its connection had been idle; 0: a new one
 	result         Result
 	lease          *leaseInfo    // nil: none
 	expectedRun    time.Duration // on this worker
-	timer          timer         // when it should have started, or ended
+	timer          timer         // fires when it should have started, or ended
 }
 
 // newAttempt returns the next attempt of a job, sent to a worker at an instant. It is not yet in flight.
@@ -39,7 +39,7 @@
 	return attempt
 }
 
-// addAttempt counts an attempt that is in flight at its job and its worker.
+// addAttempt adds an attempt in flight to its job and its worker.
 func (d *Dispatcher) addAttempt(attempt *attemptInfo) {
 	job, worker := attempt.job, attempt.worker
 	job.attempts = append(job.attempts, attempt)
@@ -52,7 +52,7 @@
 	}
 }
 
-// endAttempt updates an attempt, its job and its worker by the attempt's outcome.
+// endAttempt updates an attempt, its job and its worker with the attempt's outcome.
 func (d *Dispatcher) endAttempt(attempt *attemptInfo, outcome Outcome) {
 	job, worker := attempt.job, attempt.worker
 	attempt.ended = true
@@ -69,7 +69,7 @@
 	}
 	d.cancelTimer(&attempt.timer)
 	d.fleet.markDirty(worker)
-	// The report is older than the end that it arrives with: it does not count the slots that this releases.
+	// The report was made before the attempt ended: it does not count the slots that the attempt releases.
 	d.applyReport(worker, outcome.Report)
 	if attempt.started && !attempt.orphaned {
 		worker.report.freeSlots += job.demand
@@ -98,8 +98,8 @@
 	}
 }
 
-// TimeUntilOverdue returns how much longer an attempt may take before it is overdue by what was expected of its job. ok
-// is false if it is not in flight.
+// TimeUntilOverdue returns how much longer an attempt may run before it exceeds its longest plausible run
+// time. ok is false if it is not in flight.
 func (d *Dispatcher) TimeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool) {
 	j := d.jobs[job]
 	if j == nil || attempt < 0 || attempt >= len(j.attempts) || j.attempts[attempt].ended {
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Attempts: sending a job to a worker, and what the start of an attempt changes. By the design room
-// grows when a job starts promptly, by the notification of its start.
+// Attempts: sending a job to a worker, and the state that changes when an attempt starts. In the design a
+// worker's room grows when the start notification of a job arrives promptly.
 
 import (
 	"slices"
@@ -26,9 +26,9 @@
 	return attempt
 }
 
-// handleStarted processes the start of an attempt. Other attempts of the job, and those of jobs that
-// are closed, are not cancelled: a worker goes on with what is cancelled but notifies of nothing, and
-// its slots would count as free.
+// handleStarted processes the start of an attempt. It cancels neither other attempts of the job nor attempts
+// of closed jobs: a worker goes on with a cancelled attempt but sends no more notifications, so that its
+// slots would wrongly count as free.
 func (d *Dispatcher) handleStarted(attempt *attemptInfo) {
 	if attempt == nil || attempt.started {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// markStarted updates an attempt and its worker by the attempt's start.
+// markStarted records the start of an attempt with the attempt and its worker.
 func (d *Dispatcher) markStarted(attempt *attemptInfo) {
 	attempt.started = true
 	attempt.startedAt = d.now
@@ -56,8 +56,8 @@
 	d.starts.handleStarted(attempt.sentAt)
 }
 
-// observeStartDelay updates the start delays and the worker's limit by the start of an attempt. A late
-// start shows nothing if this process was stalled meanwhile.
+// observeStartDelay updates the start delays and the worker's limit when an attempt starts. If this process
+// stalled while the attempt was in flight, a late start changes neither the limit nor the mean late delay.
 func (d *Dispatcher) observeStartDelay(attempt *attemptInfo) {
 	delay := d.now - attempt.sentAt
 	isPrompt := delay <= d.starts.promptStart(attempt.job.class)
@@ -72,7 +72,8 @@
 	}
 }
 
-// handleProgressed processes the progress of an attempt. The notification of its start may have been lost.
+// handleProgressed processes a progress notification of an attempt, which also implies its start: the start
+// notification may have been lost.
 func (d *Dispatcher) handleProgressed(attempt *attemptInfo) {
 	if attempt == nil {
 		return
@@ -82,15 +83,15 @@
 	attempt.worker.activity.progressAt = d.now
 }
 
-// mayBeDeduplicated reports whether the worker may drop an attempt as a repetition: no start is notified then,
-// as the attempt waits for the result of the run of an earlier one.
+// mayBeDeduplicated reports whether the worker may drop an attempt as a duplicate of an earlier one. It then
+// sends no start notification, as the attempt waits for the result of the earlier one's run.
 func (a *attemptInfo) mayBeDeduplicated() bool {
 	return a.job.class.Idempotency == IdempotentWithKey &&
 		slices.ContainsFunc(a.job.attempts[:a.number], (*attemptInfo).possiblyExecuted)
 }
 
-// silentAt returns the instant at which a running attempt has been silent for too long: for one and a half
-// intervals of progress notifications.
+// silentAt returns when a running attempt counts as silent: one and a half intervals of progress
+// notifications after its latest notification.
 func (a *attemptInfo) silentAt(settings *Settings) time.Duration {
 	return a.progressAt + settings.ProgressInterval*3/2
 }
--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// codec writes values to bytes, or reads them: the same calls in the same order serve both ways.
+// codec writes values to bytes or reads them from bytes. The same calls in the same order do both.
 type codec struct {
-	b             []byte // written so far, or left to read
+	b             []byte // bytes written so far, or left to read
 	writing       bool
 	withLeases    bool
-	invalid       bool          // the bytes read are no valid snapshot
-	now           time.Duration // instants are stored relative to it
+	invalid       bool          // the bytes read are not a valid snapshot
+	now           time.Duration // points in time are stored relative to it
 	clockAhead    time.Duration // by which the reader's clock is ahead of the writer's
-	jobs          []*jobInfo    // by their place in the snapshot
+	jobs          []*jobInfo    // by their index in the snapshot
 	jobIndexes    map[*jobInfo]int
 	workers       []*workerInfo
 	workerIndexes map[*workerInfo]int
@@ -73,7 +73,7 @@
 	}
 }
 
-// instant handles instants, relative to now. 0, which stands for none, is stored as a value of its own.
+// instant writes or reads points in time, relative to now. 0, which means none, is stored as MaxInt64.
 func (c *codec) instant(xs ...*time.Duration) {
 	for _, x := range xs {
 		v := int64(*x - c.now)
@@ -89,7 +89,7 @@
 	}
 }
 
-// clockReading handles an instant of the writer's clock, which becomes one of the reader's.
+// clockReading writes or reads a point in time of the writer's clock, and converts it to the reader's clock.
 func (c *codec) clockReading(x *time.Duration) {
 	c.duration(x)
 	if !c.writing {
@@ -108,7 +108,7 @@
 	}
 }
 
-// size handles a length. One that is read is at most the number of bytes left.
+// size writes or reads a length. A length that is read is at most the number of bytes left.
 func (c *codec) size(n int) int {
 	c.int(&n)
 	if !c.writing && (n < 0 || n > len(c.b)) {
@@ -118,7 +118,7 @@
 	return n
 }
 
-// list handles a slice of any length.
+// list writes or reads a slice of any length.
 func list[T any](c *codec, xs *[]T, item func(x *T)) {
 	n := c.size(len(*xs))
 	if !c.writing {
@@ -129,7 +129,7 @@
 	}
 }
 
-// fixedList handles a slice whose length follows from the settings.
+// fixedList writes or reads a slice whose length follows from the settings.
 func fixedList[T any](c *codec, xs []T, item func(x *T)) {
 	if n := c.size(len(xs)); n != len(xs) {
 		c.invalid = true
@@ -140,7 +140,7 @@
 	}
 }
 
-// sortedMap handles a map in the order of its keys.
+// sortedMap writes or reads a map in the order of its keys.
 func sortedMap[K cmp.Ordered, V any](c *codec, entries map[K]V, entry func(k *K, v *V)) {
 	keys := slices.Sorted(maps.Keys(entries))
 	n := c.size(len(keys))
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Concurrency limits, by the design's sentence: each worker starts with room for one job; room grows by
-// one when a job starts promptly, and halves on a rejection or failure. Halves are rounded down, and
-// one is the least. In addition a limit falls by one on a late start.
+// Concurrency limits. The design says: each worker starts with room for one job; room grows by one when a
+// job starts promptly, and halves on a rejection or failure. A halved limit is rounded down, and is at least
+// one. Beyond the design, a limit falls by one on a late start.
 
 import (
 	"math"
@@ -15,9 +15,9 @@
 	maxBackoff = 8 * time.Second
 )
 
-// slotLimit counts the slots in use at a worker against a concurrency limit, which follows the outcomes of
-// attempts there. A dispatcher has one for its own slots, and a coordinator of leases one for those of all
-// dispatchers.
+// slotLimit counts the slots in use at a worker against a concurrency limit that adapts to the outcomes of
+// attempts there. For each worker, a dispatcher has one for its own slots, and a lease coordinator one for
+// those of all dispatchers.
 type slotLimit struct {
 	used        float64 // by attempts in flight
 	running     float64 // by attempts that have started
@@ -28,28 +28,28 @@
 // newSlotLimit returns the limit of a worker without observations.
 func newSlotLimit() slotLimit { return slotLimit{limit: 1} }
 
-// fits reports whether a further demand is within the limit and a bound.
+// fits reports whether the slots in use plus an additional demand are within both the limit and a bound.
 func (s *slotLimit) fits(demand, bound float64) bool { return s.used+demand <= min(s.limit, bound) }
 
-// increase answers the prompt start of an attempt that the limit had bound.
+// increase raises the limit after the prompt start of an attempt that was sent at the limit.
 func (s *slotLimit) increase(demand float64) {
 	s.limit = max(s.limit, s.running+demand) + 1
 }
 
-// decrease answers a late start.
+// decrease lowers the limit by one after a late start.
 func (s *slotLimit) decrease(now time.Duration) {
 	s.decreasedAt = now
 	s.limit = max(1, s.limit-1)
 }
 
-// halve answers a rejection or failure.
+// halve halves the limit after a rejection or failure.
 func (s *slotLimit) halve(now time.Duration) {
 	s.decreasedAt = now
 	s.limit = max(1, math.Floor(s.limit/2))
 }
 
-// predatesDecrease reports whether an attempt was sent before the latest decrease: its outcome is due to
-// the same event, and changes nothing.
+// predatesDecrease reports whether an attempt was sent before the latest decrease. Its outcome counts as
+// part of the same event, and does not lower the limit again.
 func (s *slotLimit) predatesDecrease(sentAt time.Duration) bool { return sentAt < s.decreasedAt }
 
 // backoffState is how long a worker is sent nothing after a rejection.
@@ -58,13 +58,14 @@
 	until time.Duration
 }
 
-// extend begins a backoff of at least the given delay, and of twice the latest one.
+// extend begins a backoff of minDelay or twice the latest delay, whichever is longer, up to maxBackoff.
 func (b *backoffState) extend(minDelay, now time.Duration) {
 	b.delay = min(max(minDelay, 2*b.delay), maxBackoff)
 	b.until = now + b.delay
 }
 
-// mayHaveCapacity reports whether a selection needs to see the worker.
+// mayHaveCapacity reports whether the worker belongs in the index of available workers: it is ready, not
+// in backoff, and either idle or at least one slot below its limit.
 func (w *workerInfo) mayHaveCapacity(now time.Duration) bool {
 	hasSlot := w.slots.used == 0 || w.slots.used+1 <= w.slots.limit
 	return w.Ready && now >= w.backoff.until && hasSlot
@@ -75,7 +76,7 @@
 	return w.rejectedDemand > 0 && demand >= w.rejectedDemand
 }
 
-// hasCapacity reports whether a worker can start a job now, as far as is known.
+// hasCapacity reports whether a worker can start a job now, as far as this dispatcher knows.
 func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
 	if worker.hasRejected(job.demand) || d.reservation.excludes(job, worker) {
 		return false
@@ -91,22 +92,23 @@
 	return !fresh || free >= min(job.demand, 1)
 }
 
-// hasLateStart reports whether an attempt that has not started in time shows a queue at the worker.
+// hasLateStart reports whether an attempt at the worker has not started in time, which indicates a queue
+// there.
 func (w *workerInfo) hasLateStart(promptStart, now time.Duration) bool {
 	return slices.ContainsFunc(w.inFlight, func(attempt *attemptInfo) bool {
 		return !attempt.started && now-attempt.sentAt > promptStart && !attempt.mayBeDeduplicated()
 	})
 }
 
-// maxSlots returns the bound on the slots of a worker that its kind of machine sets; infinity if none
-// is known.
+// maxSlots returns the bound on a worker's slots that follows from its machine kind; infinity if none is
+// known.
 func (d *Dispatcher) maxSlots(worker *workerInfo) float64 {
 	return d.workload.machineKind(worker.Kind).slotBound()
 }
 
-// adjustLimit answers the start of an attempt, or that it is late. The design names no answer to a late
-// start; without one a limit that has grown too far would stay, and the worker's own queue would block
-// short jobs behind long ones.
+// adjustLimit updates a worker's limit when an attempt starts, or when its start is overdue. The design does
+// not cover late starts. If they did not lower the limit, a limit that has grown too far would stay, and
+// short jobs would queue behind long ones at the worker.
 func (d *Dispatcher) adjustLimit(attempt *attemptInfo, isPrompt bool) {
 	worker := attempt.worker
 	d.fleet.observeBusy(worker.Zone, !isPrompt)
@@ -122,15 +124,15 @@
 		return
 	}
 	d.workload.machineKind(worker.Kind).observeLateStart(worker.slots.running)
-	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt
-	// waited.
+	// With one slot for each of several dispatchers the worker can still have a queue: back off for as long
+	// as this attempt waited.
 	if worker.slots.limit <= 1 && d.settings.Replicas > 1 {
 		worker.backoff.extend(d.now-attempt.sentAt, d.now)
 	}
 	worker.slots.decrease(d.now)
 }
 
-// halveLimit answers a rejection or failure.
+// halveLimit halves a worker's limit after a rejection or failure of an attempt there.
 func (d *Dispatcher) halveLimit(attempt *attemptInfo) {
 	worker := attempt.worker
 	if worker.slots.predatesDecrease(attempt.sentAt) {
@@ -140,14 +142,16 @@
 	d.fleet.markDirty(worker)
 }
 
-// backOff sends nothing to a worker for a while, longer each time until an attempt starts promptly there.
+// backOff stops sending to a worker for at least minDelay. The delay doubles each time, until an attempt
+// starts promptly there.
 func (d *Dispatcher) backOff(worker *workerInfo, minDelay time.Duration) {
 	worker.backoff.extend(minDelay, d.now)
 	d.fleet.markDirty(worker)
 }
 
-// isBackedUp reports whether no more jobs may be sent in this cycle but one now and then; see
-// startMonitor. Many dispatchers with little work each do not bound themselves.
+// isBackedUp reports whether no further job may be sent in this cycle; startMonitor.isBackedUp says when a
+// single job is sent nevertheless. With many dispatchers, which have little work each, there is no such
+// bound.
 func (d *Dispatcher) isBackedUp() bool {
 	return d.settings.Replicas <= manyReplicas && d.starts.isBackedUp(d.now)
 }
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Idle connections: for how long a connection may have been idle to be reused for an attempt. A
-// connection that was dropped unnoticed loses the attempt, which was then possibly executed. The design
-// does not cover this.
+// Idle connections: how long a connection may have been idle and still be reused for an attempt. If the
+// connection was dropped without notice, the attempt is lost and counts as possibly executed. The design does
+// not cover this.
 
 import (
 	"math/bits"
@@ -12,26 +12,26 @@
 const (
 	idleBuckets              = 20               // of idle times
 	idleOutcomeDecayTime     = 10 * time.Second // time constant of the decay of counted outcomes
-	maxIdleDoublingInterval  = 10 * time.Second // a bound on idle times is doubled each time this has passed
-	minIdleFailures          = 1.5              // that set a bound: two recent ones, less their decay
-	nonIdempotentIdleDivisor = 4                // of the bound, for jobs that are not idempotent
+	maxIdleDoublingInterval  = 10 * time.Second // the bound on idle times doubles after each interval
+	minIdleFailures          = 1.5              // more than these set a bound: two recent ones, less decay
+	nonIdempotentIdleDivisor = 4                // divides the bound for classes that are not Idempotent
 )
 
-// connectionHistory bounds the idle time of connections by how attempts on idle connections have fared.
+// connectionHistory bounds the idle time of connections from the outcomes of attempts on idle connections.
 type connectionHistory struct {
 	maxIdle      time.Duration // connections idle for longer are closed before use; 0: no bound
 	maxIdleSetAt time.Duration
 	outcomes     idleHistory
 }
 
-// connectionState is what is known of the connections to a worker.
+// connectionState describes this dispatcher's connections to a worker.
 type connectionState struct {
-	open       int           // connections of this dispatcher, idle or in use
+	open       int           // connections, idle or in use
 	lastUsedAt time.Duration // the latest end of an attempt
 }
 
-// idleHistory counts the outcomes of attempts by how long their connections had been idle. Bucket n is
-// from 2^n to 2^(n+1) milliseconds.
+// idleHistory counts the outcomes of attempts by how long their connections had been idle. Bucket n covers
+// idle times from 2^n to 2^(n+1) milliseconds.
 type idleHistory [idleBuckets]idleOutcomes
 
 // idleOutcomes are decaying counts.
@@ -45,7 +45,7 @@
 	}
 }
 
-// sumFrom returns the sum over a bucket and all of longer idle times.
+// sumFrom returns the sum over a bucket and all buckets of longer idle times.
 func (h *idleHistory) sumFrom(bucket int) idleOutcomes {
 	var sum idleOutcomes
 	for _, counts := range h[bucket:] {
@@ -70,10 +70,10 @@
 // minIdleOf returns the least idle time of a bucket.
 func minIdleOf(bucket int) time.Duration { return time.Millisecond << bucket }
 
-// observe counts the outcome of an attempt on a connection that had been idle; idle 0 is a new
-// connection, and not counted. A failure bounds idle times by the longest one from which on there were
-// at least two recent failures, and more than successes: then the connections are at fault and not the
-// workers, as the workers of one silent rack have only a part of the idle connections.
+// observe counts the outcome of an attempt on a connection that had been idle. An idle time of 0 means a new
+// connection, which is not counted. On a failure, the bound becomes the longest idle time from which on there
+// were at least two recent failures, and more failures than successes. Then the connections are at fault and
+// not the workers: if one rack of workers becomes silent, it has only a part of the idle connections.
 func (c *connectionHistory) observe(idle time.Duration, success bool, now time.Duration) {
 	if idle == 0 {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// decay reduces the counts by one maintenance interval, and doubles the bound when it is due.
+// decay reduces the counts by the decay of one maintenance interval, and doubles the bound when that is due.
 func (c *connectionHistory) decay(now time.Duration) {
 	c.outcomes.decay(1 - maintenanceInterval.Seconds()/idleOutcomeDecayTime.Seconds())
 	if c.maxIdle > 0 && now-c.maxIdleSetAt > maxIdleDoublingInterval {
@@ -111,10 +111,10 @@
 	return c.maxIdle <= 0 || idle <= maxIdle
 }
 
-// prepare determines the connection of a new attempt, which counts as in flight already: a new one if
-// none is idle, else an idle one. Idle connections close by themselves after idleTimeout; 0: never.
-// closeIdle reports that they have been idle for too long: they have to be closed first, and a new one
-// is opened.
+// prepare determines the connection of a new attempt, which counts as in flight already: an idle one, or a
+// new one if none is idle. Idle connections close by themselves after idleTimeout; 0: never. closeIdle
+// reports that the idle ones have been idle for too long: the caller must close them first, and the attempt
+// opens a new one.
 func (c *connectionHistory) prepare(
 	attempt *attemptInfo, idleTimeout, now time.Duration,
 ) (closeIdle bool) {
--- a/dispatch/cordon.go
+++ b/dispatch/cordon.go
@@ -1,11 +1,12 @@
 package dispatch
 
-// Cordons: workers that operators keep new jobs from. The design does not cover them; its "ready
-// worker" is one that is ready by the list and not cordoned.
+// Cordons: operators can exclude workers from new jobs. The design does not cover cordons. What it calls a
+// "ready worker" is one that is listed as ready and not cordoned.
 
 import "time"
 
-// uncordonedIdleDelay is how long an uncordoned worker must be idle before it is sent late jobs too.
+// uncordonedIdleDelay is how long after its cordon has ended a worker that has been sent nothing may also be
+// sent jobs that will be late there.
 const uncordonedIdleDelay = 2 * time.Second
 
 // cordons are the workers that operators have cordoned, listed or not.
@@ -16,14 +17,14 @@
 
 func newCordons() cordons { return cordons{since: map[uint64]time.Duration{}} }
 
-// add cordons a worker. One that is cordoned already keeps its instant.
+// add cordons a worker. One that is cordoned already keeps its earlier time.
 func (c *cordons) add(worker uint64, now time.Duration) {
 	if !c.contains(worker) {
 		c.since[worker] = now
 	}
 }
 
-// remove uncordons a worker, and returns since when it was cordoned. ok is false if it was not.
+// remove uncordons a worker, and returns the time since which it was cordoned. ok is false if it was not.
 func (c *cordons) remove(worker uint64) (since time.Duration, ok bool) {
 	since, ok = c.since[worker]
 	delete(c.since, worker)
@@ -53,8 +54,9 @@
 	d.cordons.updateCoverage(d.fleet.workers)
 }
 
-// handleUncordoned ends a cordon. The worker counts as restarted: it warms up, and its attempts in
-// flight are given up.
+// handleUncordoned ends a cordon. The worker counts as restarted now, unless it is listed with a start after
+// the cordon began: it warms up, its attempts in flight use no slots any more, and their jobs are retried
+// elsewhere.
 func (d *Dispatcher) handleUncordoned(id uint64) {
 	since, wasCordoned := d.cordons.remove(id)
 	d.cordons.updateCoverage(d.fleet.workers)
@@ -74,8 +76,9 @@
 	d.fleet.markDirty(worker)
 }
 
-// acceptsLate reports whether a worker may be sent a job although it would be late there: an idempotent
-// job may try a worker that was uncordoned and has been sent nothing since.
+// acceptsLate reports whether a worker may be sent a job although the job would be late there. That holds for
+// idempotent jobs, and for workers that have been sent nothing for uncordonedIdleDelay after their cordon
+// ended.
 func (w *workerInfo) acceptsLate(job *jobInfo, now time.Duration) bool {
 	isIdle := w.uncordonedAt > 0 && now-w.uncordonedAt > uncordonedIdleDelay
 	return isIdle && job.class.Idempotency == Idempotent
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// What a new dispatcher assumes before it has observed anything.
+// The initial estimates of a new dispatcher.
 const (
 	initialLogError   = 0.35 // mean absolute log error of runs
-	initialHintWeight = 1.0  // of the logistic model: a longer hint is more likely a long run
+	initialHintWeight = 1.0  // of the logistic model; positive: a longer hint means a longer run
 	minInitialSojourn = 1e-3 // seconds
 )
 
-// New returns a dispatcher that knows nothing but its settings. The seed determines all its random draws.
+// New returns a dispatcher without workers, jobs or observations. The seed determines all its random draws.
 func New(settings Settings, seed uint64) *Dispatcher {
 	source := rand.NewPCG(seed, 0)
 	dispatcher := &Dispatcher{
@@ -30,7 +30,9 @@
 		arrivals:   newArrivalStatistics(settings.Classes),
 		workload:   newWorkloadModel(settings.Classes),
 	}
-	dispatcher.leases = newLeaseExchange(&dispatcher.settings, dispatcher.rng, &dispatcher.timers, &leaseAdapter{dispatcher})
+	dispatcher.leases = newLeaseExchange(
+		&dispatcher.settings, dispatcher.rng, &dispatcher.timers, &leaseAdapter{dispatcher},
+	)
 	dispatcher.slowStart = slowStart{
 		settings: &dispatcher.settings,
 		rng:      dispatcher.rng,
@@ -48,8 +50,9 @@
 	return dispatcher
 }
 
-// Step applies the events that occurred at now, in their order, and returns dst with the resulting actions appended, which
-// the caller carries out in order. It keeps neither slice. An instant before that of the last step counts as that one.
+// Step applies the events that occurred at now, in their order, and returns dst with the resulting actions
+// appended, which the caller carries out in order. It keeps neither slice. If now is before the time of the
+// last step, that time is used instead.
 func (d *Dispatcher) Step(now time.Duration, events []Event, dst []Action) []Action {
 	d.now = max(now, d.now)
 	d.actions = dst
@@ -116,7 +119,7 @@
 	}
 }
 
-// handleTimer does what a timer is for. A dispatch cycle follows any.
+// handleTimer acts on a timer that has fired. A dispatch cycle follows in every case.
 func (d *Dispatcher) handleTimer(fired *timer) {
 	switch fired.purpose {
 	case reviewQueue:
@@ -135,7 +138,8 @@
 	}
 }
 
-// sample draws which of n items to use: from a first one count items, all of them if there are limit or fewer, else size.
+// sample selects which of n items to use: count items from the index from on, modulo n. These are all items
+// if n is at most limit, else size items from a random index on.
 func (d *Dispatcher) sample(n, limit, size int) (from, count int) {
 	if n > limit {
 		return d.rng.IntN(n), size
@@ -143,7 +147,7 @@
 	return 0, n
 }
 
-// jitter draws a time from 0 to longest, both included.
+// jitter returns a random duration from 0 to longest, both included.
 func (d *Dispatcher) jitter(longest time.Duration) time.Duration {
 	return time.Duration(d.rng.Int64N(int64(longest) + 1))
 }
--- a/dispatch/ejection.go
+++ b/dispatch/ejection.go
@@ -10,9 +10,9 @@
 
 // The reasons of ejections.
 const (
-	EjectedForSilence     EjectionReason = iota // it gave no sign of life after it was sent an attempt
+	EjectedForSilence     EjectionReason = iota // no response or notification after it was sent an attempt
 	EjectedForFailures                          // attempts there failed in a row
-	EjectedAsUnreachable                        // connections to it failed in a row, or one broke after a start
+	EjectedAsUnreachable                        // connections failed in a row, or one broke after a start
 	EjectedForHealthCheck                       // it failed a health check
 )
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// WorkerEjected notifies that a worker is sent nothing but recovery probes until one of them, or any other sign of life,
-// shows that it works.
+// WorkerEjected reports that a worker is sent nothing but recovery probes until one of them, or any other
+// response or notification, shows that it works.
 type WorkerEjected struct {
 	Worker       uint64
 	Reason       EjectionReason
@@ -42,7 +42,7 @@
 
 func (WorkerEjected) action() {}
 
-// Text returns the event as one line, in the form that the simulator's wire protocol keeps.
+// Text returns the event as one line of the simulator's wire protocol, whose wording must not change.
 func (w WorkerEjected) Text() string {
 	predicates := [...]string{
 		EjectedForSilence:     "silent",
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -15,9 +15,10 @@
 	Cell    int           `json:"Cell"`
 	Zone    int           `json:"Zone"`
 	BootAt  time.Duration `json:"BootAt"` // latest start of its process; 0: long ago
-	// Assignees is the number of dispatchers that may send the worker jobs while it warms up, and AssigneeRank the rank
-	// of this one among them, from 0. If jobs are large, only those with the lowest ranks may. A dispatcher whose rank is
-	// Assignees or more may not. If Assignees is 0, all dispatchers may, ranked by the worker's ID.
+	// Assignees is the number of dispatchers that may send the worker jobs while it warms up, and
+	// AssigneeRank the rank of this one among them, from 0. If jobs are large, only those with the lowest
+	// ranks may. A dispatcher whose rank is Assignees or more may not. If Assignees is 0, all dispatchers
+	// may, ranked by the worker's ID.
 	AssigneeRank int `json:"Rank"`
 	Assignees    int `json:"Of"`
 }
@@ -29,7 +30,7 @@
 const (
 	ListDelta       ListKind = iota // the entries that have changed
 	ListFull                        // every worker
-	ListCached                      // every worker by an earlier list, which may be outdated
+	ListCached                      // every worker of an earlier list, which may be outdated
 	ListUnavailable                 // no entries: a request failed, or the watch was disconnected
 )
 
@@ -50,14 +51,14 @@
 
 // The events.
 type (
-	// WorkerList has the workers that have changed, or all of them.
+	// WorkerList contains the workers that have changed, or all of them.
 	WorkerList struct {
 		Kind     ListKind
 		Workers  []Worker
 		Revision int64 // of the list; 0: unknown
 	}
-	// Job is a new job. It is owed exactly one final answer, within Remaining. Captures and hot restarts store it under
-	// the names in the tags.
+	// Job is a new job. It must get exactly one final answer, within Remaining. Captures and hot restarts
+	// store it under the names in the tags.
 	Job struct {
 		ID        uint64        `json:"ID"`
 		Class     int           `json:"Class"`  // index into Settings.Classes
@@ -69,8 +70,8 @@
 		Memory    float64       `json:"Memory"` // in units of one slot's memory
 		Retry     bool          `json:"Retry"`  // the client has sent it before
 	}
-	// Outcome ends an attempt. Closed: the job has had its final answer. Report is the worker's load report, with the
-	// figures of Settings.ReportFields in their order. It is older than the end of the attempt.
+	// Outcome ends an attempt. Closed: the job has had its final answer. Report is the worker's load report,
+	// with the values of Settings.ReportFields in their order. It was made before the attempt ended.
 	Outcome struct {
 		Job     uint64
 		Attempt int
@@ -92,8 +93,8 @@
 		Worker  uint64
 		Share   float64
 	}
-	// ResponseStarted says that the response of an attempt is being sent to the client. From then on the job has no
-	// deadline and gets no other answer.
+	// ResponseStarted says that the response of an attempt is being sent to the client. From then on the job
+	// has no deadline and gets no other answer.
 	ResponseStarted struct {
 		Job     uint64
 		Attempt int
@@ -107,35 +108,39 @@
 		Result Result
 		Report []float64
 	}
-	// TimerFired says that the span of the last SetTimer has passed.
+	// TimerFired says that the duration of the last SetTimer has passed.
 	TimerFired struct{}
-	// JobResumed is a job that another dispatcher has admitted, or this one under another ID. Its further attempts are
-	// numbered after Attempts. Those of Attempts that have not ended are in flight: their Outcomes have their indexes.
+	// JobResumed is a job that another dispatcher has admitted, or this one under another ID. Its further
+	// attempts are numbered after Attempts. Those of Attempts that have not ended are in flight: their
+	// Outcomes refer to them by their indexes in Attempts.
 	JobResumed struct {
 		Job          Job
 		Age          time.Duration // since its first arrival
 		QuotaCharged bool          // to its tenant; implied if there are Attempts
 		Attempts     []PastAttempt
 	}
-	// ReplicasChanged replaces Settings.Replicas and Settings.ReplicaIndex. QuotaShare is this dispatcher's share of each
-	// tenant's quota; 0: an equal share.
+	// ReplicasChanged replaces Settings.Replicas and Settings.ReplicaIndex. QuotaShare is this dispatcher's
+	// share of each tenant's quota; 0: an equal share.
 	ReplicasChanged struct {
 		Replicas, ReplicaIndex int
 		QuotaShare             float64
 	}
-	// Cordoned keeps new attempts from a worker until Uncordoned, whatever lists say. It may precede the worker's entry.
+	// Cordoned stops new attempts at a worker until Uncordoned, whatever lists say. It may precede the
+	// worker's entry.
 	Cordoned struct{ Worker uint64 }
-	// Uncordoned reverses any number of Cordoned. The worker's process counts as started now.
+	// Uncordoned ends the cordon of a worker, however often that was cordoned. The worker's process counts as
+	// started now.
 	Uncordoned struct{ Worker uint64 }
-	// ModelUpdate has the estimates that another dispatcher had Age ago, as written by Dispatcher.ModelSnapshot. It is for
-	// a dispatcher without observations of its own, which has the list of workers and gets LoadShare of the other's load.
-	// A snapshot that is malformed, or of other classes, is ignored.
+	// ModelUpdate contains the estimates that another dispatcher had Age ago, as written by
+	// Dispatcher.ModelSnapshot. It is for a dispatcher without observations of its own, which has the list of
+	// workers and gets the share LoadShare of the other's load. A snapshot that is malformed, or for other
+	// classes, is ignored.
 	ModelUpdate struct {
 		Snapshot  []byte
 		Age       time.Duration
 		LoadShare float64
 	}
-	// PeerMessageReceived is a message of another dispatcher.
+	// PeerMessageReceived is a message from another dispatcher.
 	PeerMessageReceived struct {
 		From    int // its Settings.ReplicaIndex
 		Message PeerMessage
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// busyGain is the weight of the latest sample in workerFleet.zoneBusy: it follows the last ten or so.
+// busyGain is the weight of the latest sample in workerFleet.zoneBusy, which averages over about ten samples.
 const busyGain = 0.1
 
 // workerFleet holds the workers that are listed or have attempts in flight, and the indexes over them.
 type workerFleet struct {
 	byID      map[uint64]*workerInfo
-	workers   []*workerInfo // all workers: they are never iterated over by the map, whose order is random
+	workers   []*workerInfo // the workers of byID, for iteration: the order of the map is random
 	available workerIndex   // those that may have capacity
 	rings     preferenceRings
 	dirty     []*workerInfo   // to be reindexed before the next choice
@@ -19,7 +19,7 @@
 	return workerFleet{byID: map[uint64]*workerInfo{}, zoneBusy: map[int]float64{}}
 }
 
-// add adds a worker under an id that is not in use.
+// add adds a worker under an ID that is not in use.
 func (f *workerFleet) add(id uint64, worker *workerInfo) {
 	worker.position = len(f.workers)
 	worker.timer = timer{purpose: workerAvailable, worker: worker}
@@ -30,7 +30,7 @@
 // contains reports whether a worker is part of the fleet, and not one that has been removed since.
 func (f *workerFleet) contains(worker *workerInfo) bool { return f.byID[worker.ID] == worker }
 
-// remove removes a worker of the fleet. The last of all workers takes its position.
+// remove removes a worker of the fleet. The last element of workers takes its position.
 func (f *workerFleet) remove(worker *workerInfo) {
 	delete(f.byID, worker.ID)
 	f.available.remove(worker)
@@ -41,7 +41,7 @@
 	f.workers = f.workers[:len(f.workers)-1]
 }
 
-// markDirty has a worker reindexed before the next choice.
+// markDirty marks a worker to be reindexed before the next choice.
 func (f *workerFleet) markDirty(worker *workerInfo) {
 	if !worker.index.dirty {
 		worker.index.dirty = true
@@ -60,8 +60,8 @@
 	return ready
 }
 
-// observeBusy updates the estimate of a zone by whether one of its workers had no free slot. It is kept by zone, as
-// there are too few samples of each worker.
+// observeBusy updates the estimate of a zone with whether one of its workers had no free slot. There is one
+// estimate for each zone, as there are too few samples of each worker.
 func (f *workerFleet) observeBusy(zone int, busy bool) {
 	f.zoneBusy[zone] *= 1 - busyGain
 	if busy {
@@ -76,7 +76,7 @@
 	}
 }
 
-// fleetSummary counts the ready workers.
+// fleetSummary has statistics of the ready workers.
 type fleetSummary struct {
 	ready, ejected, failing int
 	logSpeeds               float64 // sum
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Health checks of workers before a choice, where settings allow them. The design chooses among the
-// workers able to start the job now; a check's load report shows whether one is. It does not cover
-// checks themselves.
+// Health checks of workers before one is chosen, if the settings allow them. The design chooses among the
+// workers able to start the job now; the load report that answers a health check shows whether a worker is.
+// The design does not cover the checks themselves.
 
 import (
 	"math/rand/v2"
@@ -10,20 +10,20 @@
 )
 
 const (
-	healthCheckBudget   = 0.006                  // fraction of the result that health checks may cost
-	checksPerJob        = 3                      // workers checked for a job, at most
-	checkSampleSize     = 8                      // workers drawn to choose one of them
+	healthCheckBudget   = 0.006                  // fraction of the total utility that checks may cost
+	checksPerJob        = 3                      // at most
+	checkSampleSize     = 8                      // workers sampled to choose one of them
 	minCheckInterval    = 100 * time.Millisecond // between two checks of a worker
-	checkTimeoutDivisor = 16                     // of the objective: a job waits for this, and a round trip
+	checkTimeoutDivisor = 16                     // a job waits for its objective / this, plus a round trip
 )
 
-// healthChecker holds the budget of health checks and their fastest answer, and chooses the workers to
-// check.
+// healthChecker holds the token budget of health checks and their shortest response time, and chooses the
+// workers to check.
 type healthChecker struct {
 	settings *Settings
 	rng      *rand.Rand
 	tokens   tokenBucket   // one for each check that may be sent
-	minDelay time.Duration // least delay of any answer
+	minDelay time.Duration // shortest response time
 }
 
 // checkState is the latest health check of a worker.
@@ -32,15 +32,16 @@
 	startedAt  time.Duration
 }
 
-// addTokens adds the tokens that one job brings: as many as their budget allows at the cost of a check. No
-// more are saved up than there are workers.
+// addTokens adds the tokens for one arriving job: as many checks as the budget pays for, up to checksPerJob.
+// The bucket holds at most one token for each worker.
 func (h *healthChecker) addTokens(workers int) {
 	affordable := healthCheckBudget / max(h.settings.HealthCheckCost, divisionGuard)
 	earned := min(checksPerJob, affordable)
 	h.tokens.add(earned, float64(workers))
 }
 
-// requestChecks checks a few workers for a new job, which then waits for a moment for their reports.
+// requestChecks sends health checks to a few workers for a new job, which then waits briefly for their load
+// reports.
 func (d *Dispatcher) requestChecks(job *jobInfo) {
 	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checks.tokens.has(1); n++ {
 		worker := d.checks.choose(job, &d.fleet, d.now)
@@ -55,9 +56,8 @@
 	}
 }
 
-// candidates returns the workers that one to be checked is drawn from, in dst if that is large enough.
-// In a large fleet these are preferred workers: a check of any other opens a connection, and its report
-// is not used.
+// candidates returns the workers to sample from, in dst if that is large enough. In a large fleet these are
+// preferred workers: a check of any other would open a connection, and its load report would not be used.
 func (h *healthChecker) candidates(dst []*workerInfo, fleet *workerFleet) []*workerInfo {
 	if !fleet.available.isOrdered() {
 		return fleet.workers
@@ -69,9 +69,9 @@
 	return appendPreferred(dst, bucket.levels[0], fleet.available.preferredCount(bucket))
 }
 
-// choose returns the worker whose latest check is the oldest, of some drawn at random, so that not all
-// dispatchers check the same ones. Those of other zones are drawn by how much busier this dispatcher's own
-// is. It returns nil if none is due.
+// choose samples workers at random, so that not all dispatchers check the same ones, and returns the one
+// whose latest check is the oldest. Workers of another zone are considered with a probability that rises with
+// the load of the dispatcher's own zone and falls with that of the other. It returns nil if no check is due.
 func (h *healthChecker) choose(job *jobInfo, fleet *workerFleet, now time.Duration) (oldest *workerInfo) {
 	zoneBusy, own := fleet.zoneBusy, h.settings.Zone
 	var buffer [preferredWorkers]*workerInfo
@@ -94,7 +94,7 @@
 	return w.Ready && !w.check.inProgress && now-w.check.startedAt >= minCheckInterval
 }
 
-// awaitsCheck reports whether a worker is being checked and has given no sign of life since.
+// awaitsCheck reports whether a worker is being checked and has sent no response or notification since.
 func (w *workerInfo) awaitsCheck() bool {
 	return w.check.inProgress && w.activity.aliveAt < w.check.startedAt
 }
@@ -111,7 +111,7 @@
 		d.checks.minDelay = min(d.checks.minDelay, d.now-worker.check.startedAt)
 		d.markAlive(worker)
 		d.applyReport(worker, event.Report)
-	case WorkerFull, NotSent: // says nothing of the worker's health
+	case WorkerFull, NotSent: // no evidence about the worker's health
 	default:
 		d.eject(worker, EjectedForHealthCheck)
 	}
--- a/dispatch/heap.go
+++ b/dispatch/heap.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// minHeap is a binary heap ordered by less. moved, if set, is called with the index of each item that moves, and with -1 for
-// one that is removed. It stands in for container/heap, which allocates for each item that is pushed or popped.
+// minHeap is a binary heap ordered by less. moved, if set, is called with the index of each item that moves,
+// and with -1 for one that is removed. It replaces container/heap, which allocates for each item that is
+// pushed or popped.
 type minHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
--- a/dispatch/index.go
+++ b/dispatch/index.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// workerIndex finds the workers that may have capacity without a scan of all of them. It decides nothing: what it
-// holds and the scores by which it is searched are set by its callers.
+// workerIndex finds the workers that may have capacity without a scan of all of them. Its callers decide
+// which workers it holds, and by which scores it is searched.
 type workerIndex struct {
 	buckets     []*bucket // in the order in which they were first used
 	idleCount   int       // workers in the first levels of the steady buckets
@@ -13,10 +13,10 @@
 // bucket holds the workers that share a key, by this dispatcher's slots in use there.
 type bucket struct {
 	bucketKey
-	levels    [][]*workerInfo // by slots in use, rounded down; the last one holds those with maxLevels-1 and more
+	levels    [][]*workerInfo // by slots in use, rounded down; the last one also holds those with more
 	size      int             // workers in all levels
 	nextLevel int             // of the selection in progress
-	baseScore float64         // of each worker in that selection, beyond its slots in use; infinite: excluded
+	baseScore float64         // added to each worker's slots in use in that selection; infinite: excluded
 }
 
 type bucketKey struct {
@@ -24,23 +24,24 @@
 	warmingUp, ejected bool
 }
 
-// indexEntry is the place of a worker in the index, and in the orders by which the index is searched.
+// indexEntry is the position of a worker in the index, and in the orders by which the index is searched.
 type indexEntry struct {
 	dirty       bool    // the worker is in workerFleet.dirty, to be reindexed
 	bucket      *bucket // nil: it is not in the index
-	level, slot int     // its place in the bucket
-	preference  int     // its place, from 0, in the order in which this dispatcher prefers equal workers
+	level, slot int     // its position in the bucket
+	preference  int     // its position, from 0, in the order in which this dispatcher prefers equal workers
 	onRing      bool    // it is in the preference rings
 }
 
 const maxLevels = 64
 
-// isSteady reports whether a bucket's workers are neither warming up nor ejected. The tickets of those that are warming
-// up, and the recovery probes of the ejected, are distributed over all of them.
+// isSteady reports whether a bucket's workers are neither warming up nor ejected. Preferences apply to steady
+// workers alone: lottery tickets are distributed over all warming workers, and recovery probes over all
+// ejected ones.
 func (b bucketKey) isSteady() bool { return !b.warmingUp && !b.ejected }
 
-// isOrdered reports whether there are more steady workers than one selection scans. Each of their levels is then a heap
-// by preference.
+// isOrdered reports whether there are more steady workers than are scanned whole. Each of their levels is
+// then a heap by preference.
 func (w *workerIndex) isOrdered() bool { return w.steadyCount > maxLevelScan }
 
 // bucket returns the bucket of a key, and makes it if there is none.
@@ -55,7 +56,7 @@
 	return added
 }
 
-// insert puts a worker into the level of its slots in use, and removes it from any other.
+// insert moves a worker to the level of its slots in use.
 func (w *workerIndex) insert(worker *workerInfo, key bucketKey) {
 	entry := &worker.index
 	level := min(int(worker.slots.used), maxLevels-1)
@@ -82,7 +83,7 @@
 	}
 }
 
-// remove removes a worker if it is there. The last worker of its level takes its place.
+// remove removes a worker if it is in the index. The last worker of its level moves to the free position.
 func (w *workerIndex) remove(worker *workerInfo) {
 	entry := &worker.index
 	if entry.bucket == nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// rebuildHeaps makes heaps of all levels of steady workers, where they are ordered. Call it after preferences have
-// changed.
+// rebuildHeaps makes heaps of all levels of steady workers if the index is ordered. Call it after preferences
+// have changed.
 func (w *workerIndex) rebuildHeaps() {
 	if !w.isOrdered() {
 		return
@@ -127,7 +128,7 @@
 	}
 }
 
-// count adds a number to the counts that a worker's entry is part of.
+// count adds a number to the counts that include a worker's entry.
 func (w *workerIndex) count(entry *indexEntry, number int) {
 	entry.bucket.size += number
 	if !entry.bucket.isSteady() {
@@ -139,14 +140,15 @@
 	}
 }
 
-// preferredCount returns how many of a bucket's workers are scanned first: its part of preferredWorkers, by its size.
+// preferredCount returns how many of a bucket's workers are scanned first: its part of preferredWorkers in
+// proportion to its size, rounded up.
 func (w *workerIndex) preferredCount(b *bucket) int {
 	return (preferredWorkers*b.size + w.steadyCount - 1) / w.steadyCount
 }
 
-// nextLevel returns the level with the lowest score of those that the selection in progress has not returned yet, with
-// its bucket, and the least score of its workers. It returns nil if none is left. Set nextLevel and baseScore of each
-// bucket before the first call.
+// nextLevel returns the level with the lowest score that the selection in progress has not returned yet, with
+// its bucket and the least score of its workers. It returns nil if none is left. Set nextLevel and baseScore
+// of each bucket before the first call.
 func (w *workerIndex) nextLevel() (best *bucket, level []*workerInfo, score float64) {
 	score = math.Inf(1)
 	for _, b := range w.buckets {
--- a/dispatch/jobqueue.go
+++ b/dispatch/jobqueue.go
@@ -3,24 +3,24 @@
 import "slices"
 
 const (
-	slotBuckets            = 4 // 1; 2 and 3; 4 to 7; more
+	slotBuckets            = 4 // 1 slot; 2 and 3; 4 to 7; 8 and more
 	demandClassesPerClass  = 2 * slotBuckets
-	demandClassesPerBucket = 2 // of jobs that may go wherever their class may, and of restricted ones
+	demandClassesPerBucket = 2 // one for jobs that only their class restricts, one for the others
 )
 
-// jobQueue holds queued jobs by demand class: those that the same workers can start share one, so that where one of them
-// finds no capacity, the others need not be tried.
+// jobQueue holds queued jobs by demand class. Jobs that the same workers can start share a demand class: if
+// there is no capacity for one of them, the others need not be tried.
 type jobQueue struct {
 	demandClasses   []demandClass
 	length          int
-	placementGroups []int      // by class: the first one whose jobs may go to the same workers
+	placementGroups []int      // by class: the first class whose jobs may go to the same workers
 	skipped         []*jobInfo // in this dispatch cycle: they fit no worker
 }
 
 // demandClass holds the queued jobs that the same workers can start, in two orders.
 type demandClass struct {
-	byScore     minHeap[*jobInfo] // by leavesBefore
-	byPromotion minHeap[*jobInfo] // by promotedBefore; may hold jobs that have left
+	byScore     minHeap[*jobInfo] // by lessByScore
+	byPromotion minHeap[*jobInfo] // by lessByPromotion; may hold jobs that are not queued any more
 	blocked     bool              // no worker has capacity for one, in this dispatch cycle
 }
 
@@ -38,8 +38,8 @@
 	return queue
 }
 
-// demandClassOf returns the index of the demand class of jobs of a placement group and a bucket of slots. restricted are jobs
-// whose attempts restrict them further than their class does.
+// demandClassOf returns the index of the demand class of jobs of a placement group and a bucket of slots.
+// restricted is set for jobs that are restricted further than by their class, as by earlier attempts.
 func demandClassOf(group, bucket int, restricted bool) int {
 	index := (group*slotBuckets + bucket) * demandClassesPerBucket
 	if restricted {
@@ -48,7 +48,8 @@
 	return index
 }
 
-// isRestrictedDemandClass reports whether the jobs of a demand class are restricted further than by their class.
+// isRestrictedDemandClass reports whether the jobs of a demand class are restricted further than by their
+// class.
 func isRestrictedDemandClass(index int) bool { return index%demandClassesPerBucket == 1 }
 
 // placementGroups returns for each class the first one whose jobs may go to the same kinds and zones.
@@ -71,7 +72,8 @@
 	q.length++
 }
 
-// pushPromotion adds a job to the order of promotion of its demand class. Its entry stays there when the job leaves.
+// pushPromotion adds a job to the order of promotion of its demand class. The entry stays when the job is
+// removed from the queue.
 func (q *jobQueue) pushPromotion(job *jobInfo) {
 	job.inPromotions = true
 	q.demandClasses[job.demandClass].byPromotion.push(job)
@@ -91,7 +93,7 @@
 	q.skipped = append(q.skipped, job)
 }
 
-// reorder moves a queued job to its place after its priority has changed.
+// reorder moves a queued job to its new position after its priority has changed.
 func (q *jobQueue) reorder(job *jobInfo) { q.demandClasses[job.demandClass].byScore.fix(job.heapIndex) }
 
 // unblock begins a dispatch cycle: all demand classes are tried.
@@ -101,7 +103,7 @@
 	}
 }
 
-// firstByPromotion returns the first job by promotion, nil if there is none. It drops void entries.
+// firstByPromotion returns the first job by promotion, nil if there is none. It removes stale entries.
 func (c *demandClass) firstByPromotion() *jobInfo {
 	for !c.byPromotion.empty() {
 		job := c.byPromotion.first()
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// priorityLevel says what utility a job's answer may still have. Jobs of later levels leave the queue after those of the first.
+// priorityLevel says whether a job's answer may still have its full utility. Jobs of the other levels are
+// dispatched after those of priorityFull.
 type priorityLevel int
 
 const (
@@ -14,7 +15,7 @@
 	priorityUnreachable               // no worker could meet its objective any more
 )
 
-// jobInfo is a job that is owed a final answer, or whose attempts are still in flight.
+// jobInfo is the state of a job that has had no final answer yet, or whose attempts are still in flight.
 type jobInfo struct {
 	Job
 	class           *Class
@@ -28,14 +29,14 @@
 
 	closed       bool // it has had its final answer, or needs none
 	streaming    bool // its response has begun
-	recheckOnEnd bool // it was in flight when its objective passed, and is looked at again when an attempt ends
+	recheckOnEnd bool // it was in flight when its objective passed, and is rechecked when an attempt ends
 	inPromotions bool // it has an entry in byPromotion of its demand class
 	attempts     []*attemptInfo
 	inFlight     int // attempts
 
 	demandClass int           // index in the queue
 	heapIndex   int           // in byScore of its demand class; -1: it is not queued
-	promoteAt   time.Duration // when it has been queued for tau
+	promoteAt   time.Duration // when it will have been queued for its fraction of tau
 	skipCount   int           // dispatch cycles that ended because it and others fitted no worker
 
 	leases jobLeases
@@ -47,7 +48,7 @@
 	checksTimer    timer
 }
 
-// isDeprioritized reports whether a job leaves the queue after those that may have their full utility.
+// isDeprioritized reports whether a job is dispatched after those that may have their full utility.
 func (j *jobInfo) isDeprioritized() bool { return j.priority != priorityFull }
 
 // isQueued reports whether a job is in the queue.
@@ -68,8 +69,8 @@
 	return false
 }
 
-// closeJob ends a job that has had its final answer, or needs none. It is forgotten once nothing is in flight. A nil job is
-// ignored.
+// closeJob closes a job that has had its final answer, or needs none. The job is removed once none of its
+// attempts is in flight. A nil job is ignored.
 func (d *Dispatcher) closeJob(job *jobInfo) {
 	if job == nil {
 		return
@@ -85,7 +86,7 @@
 	}
 }
 
-// prepareDispatch updates what a dispatch cycle depends on.
+// prepareDispatch updates the state that a dispatch cycle depends on.
 func (d *Dispatcher) prepareDispatch() {
 	for _, worker := range d.fleet.dirty {
 		d.reindex(worker)
@@ -102,7 +103,8 @@
 	d.queue.unblock()
 }
 
-// finishQueued answers all queued jobs that have nothing in flight: there is no worker to send them to.
+// finishQueued empties the queue, as there is no worker to send jobs to, and answers those of its jobs that
+// have nothing in flight.
 func (d *Dispatcher) finishQueued() {
 	for i := range d.queue.demandClasses {
 		for queued := &d.queue.demandClasses[i].byScore; !queued.empty(); {
@@ -116,8 +118,8 @@
 	}
 }
 
-// handleResponseStarted notes that the response to a job has begun: nothing else can be sent to its client. A nil attempt is
-// ignored.
+// handleResponseStarted records that the response to a job has begun: no other answer can be sent to its
+// client. A nil attempt is ignored.
 func (d *Dispatcher) handleResponseStarted(attempt *attemptInfo) {
 	if attempt != nil {
 		attempt.job.streaming = true
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Learning from finished runs, for the design's model: "long means past a cut we choose"; mu_short is
-// "short jobs' mean hold-plus-run time", averaged over a long window. The sizes of jobs and the speeds of
-// workers that predictions rest on are estimated here too. Logs are natural.
+// Learning from finished runs. In the design's model "long means past a cut we choose", and mu_short is
+// "short jobs' mean hold-plus-run time"; that mean covers a long window. The sizes of jobs and the speeds of
+// workers, which predictions use, are estimated here too. Logarithms (logs) are natural.
 
 const (
-	maxMeanLogSpeed = 0.3 // of the fleet's workers: what exceeds it counts as size of the jobs
-	maxLogRescale   = 0.1 // at a time, as jobs in flight keep the sizes that they were admitted with
+	maxMeanLogSpeed = 0.3 // of the fleet's workers: the excess is moved to the sizes of jobs
+	maxLogRescale   = 0.1 // per maintenance interval, as jobs in flight keep the sizes of their admission
 )
 
-// learnFromRun learns from a finished run. Sizes are corrected slowly and speeds quickly, so that a slow
-// spell is attributed to the worker. Runs on warming workers say nothing about either.
+// learnFromRun updates the estimates from a finished run. Sizes are corrected slowly and speeds quickly, so
+// that a temporary slowdown is attributed to the worker. Runs on warming workers change neither.
 func (d *Dispatcher) learnFromRun(attempt *attemptInfo, run time.Duration) {
 	if d.stalls.spans(attempt) {
 		return
@@ -26,12 +26,12 @@
 		return
 	}
 	runLog := math.Log(max(run.Seconds(), minWorkSeconds))
-	// Expected by what is known now: else each of many attempts in flight would correct the same error
-	// again.
+	// Use the present estimate, not the one from when the job was sent: otherwise each of many attempts in
+	// flight would correct the same error again.
 	expectedLog := math.Log(d.workload.expectedWork(job))
 	d.workload.observeError(expectedLog - runLog - worker.speed.log)
 	d.learnSpeed(worker, expectedLog-runLog)
-	workLog := runLog + worker.speed.log // as this run shows it
+	workLog := runLog + worker.speed.log // the job's work as observed in this run
 	d.workload.learnWeights(job, workLog > d.workload.longWorkThreshold)
 	d.workload.rememberKey(job.Key, math.Exp(workLog))
 	d.workload.correctSize(job, workLog-expectedLog)
@@ -41,26 +41,28 @@
 	d.workload.moveThreshold(workLog)
 }
 
-// observeError updates the mean error by that of a run against the expected one, as a difference of logs.
+// observeError updates the mean absolute error with that of one run: the difference between the logs of the
+// expected and the actual run time.
 func (m *workloadModel) observeError(logError float64) {
 	bounded := min(math.Abs(logError), maxLogFeature)
 	m.meanAbsoluteLogError += slowMeanGain * (bounded - m.meanAbsoluteLogError)
 }
 
-// correctSize corrects the size of jobs like this one by the error of its expected work, a difference of
-// logs.
+// correctSize corrects the size estimate of jobs of the same class and slot bucket by the error of a job's
+// expected work, a difference of logs.
 func (m *workloadModel) correctSize(job *jobInfo, logError float64) {
 	m.sizeCorrection[job.Class][slotBucket(job)] += sizeCorrectionGain * clamp(logError, maxLogSizeError)
 }
 
-// observeShortSojourn updates the paper's mu_short by the sojourn of a short job.
+// observeShortSojourn updates the paper's mu_short with the sojourn time of a short job: the time from its
+// arrival to its end.
 func (m *workloadModel) observeShortSojourn(sojourn time.Duration) {
 	bounded := min(sojourn.Seconds(), maxSojournMultiple*m.meanShortSojourn)
 	m.meanShortSojourn += slowMeanGain * (bounded - m.meanShortSojourn)
 }
 
-// moveThreshold moves the threshold between short and long by one run. The steps up and down balance where
-// longRunShare of the runs lie beyond it.
+// moveThreshold adjusts the threshold between short and long jobs after one run. Steps up and down balance
+// when longRunShare of the runs lie beyond the threshold.
 func (m *workloadModel) moveThreshold(workLog float64) {
 	step := longThresholdStep
 	if workLog < m.longWorkThreshold {
@@ -82,7 +84,7 @@
 	m.weights[m.slotsWeight()] += logisticLearningRate * gradient * slots
 }
 
-// learnSpeed updates the speeds of a worker and of its kind by the log speed observed in a run.
+// learnSpeed updates the speeds of a worker and of its machine kind with the log speed observed in a run.
 func (d *Dispatcher) learnSpeed(worker *workerInfo, logSpeed float64) {
 	kind := d.workload.machineKind(worker.Kind)
 	kind.samples++
@@ -91,7 +93,8 @@
 	worker.speed.observe(logSpeed, d.now)
 }
 
-// rescaleSpeeds subtracts a shift from the logs of all speeds and all sizes: expected runs stay the same.
+// rescaleSpeeds subtracts a shift from the logs of all speeds and all sizes, which leaves expected run times
+// unchanged.
 func (d *Dispatcher) rescaleSpeeds(shift float64) {
 	for _, worker := range d.fleet.workers {
 		worker.speed.set(worker.speed.log - shift)
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// Maintenance, at a fixed interval: the list of workers is requested again where it is due, leases are
-// reported and expire, estimates decay, and figures of the whole fleet are updated. The design does not
-// mention it.
+// Maintenance runs at a fixed interval: it requests the list of workers if that is due, reports and expires
+// leases, decays estimates, and updates statistics of the whole fleet. The design does not mention it.
 
 const maintenanceInterval = 250 * time.Millisecond
 
-// maintain does what is due at each interval.
+// maintain runs one round of maintenance and sets the timer for the next.
 func (d *Dispatcher) maintain() {
 	d.setTimer(&d.maintenance, d.now+maintenanceInterval)
 	d.requestWorkers()
@@ -23,14 +22,14 @@
 	if fleet.ready > 0 {
 		d.workload.maxLogSpeed = fleet.maxLogSpeed
 	}
-	// Runs show only the quotient of size and speed: the two must not drift together.
+	// Run times show only the quotient of size and speed: keep the two from drifting together.
 	if mean := fleet.logSpeeds / float64(max(1, fleet.ready)); math.Abs(mean) > maxMeanLogSpeed {
 		d.rescaleSpeeds(clamp(mean-clamp(mean, maxMeanLogSpeed), maxLogRescale))
 	}
 }
 
-// decayEstimates moves the estimates of overruns, connections, zones and speeds towards their defaults, by
-// one interval.
+// decayEstimates moves the estimates of overruns, connections, zones and speeds towards their defaults by
+// the decay of one interval.
 func (d *Dispatcher) decayEstimates() {
 	d.workload.decayOverruns(maintenanceInterval)
 	d.idleConnections.decay(d.now)
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -8,14 +8,14 @@
 
 const (
 	modelVersion  = 1   // of the bytes of ModelSnapshot
-	speedSteps    = 64  // that a worker's speed is stored in, in one unit of its log
-	maxModelLimit = 256 // concurrency limit of a worker that a model holds, at most
-	maxModelRuns  = 3   // that a worker's speed counts as estimated from, at most
-	maxModelLog   = 20  // absolute value of a figure that is a logarithm, at most
-	maxModelValue = 1e9 // absolute value of any figure, at most
+	speedSteps    = 64  // steps per unit in which the log of a worker's speed is stored
+	maxModelLimit = 256 // greatest concurrency limit of a worker in a model
+	maxModelRuns  = 3   // most runs that a worker's speed counts as estimated from
+	maxModelLog   = 20  // greatest absolute value of a logarithm
+	maxModelValue = 1e9 // greatest absolute value of any number
 	maxModelSpan  = 1e6 * time.Second
-	maxSpeedShift = 8.0 // log of a worker's speed against its kind's, at most
-	workerBytes   = 14  // that a worker takes up in a snapshot, at most
+	maxSpeedShift = 8.0 // greatest log of a worker's speed relative to its kind's
+	workerBytes   = 14  // most bytes of a worker in a snapshot
 )
 
 // model refers to the estimates of a dispatcher, except those of single jobs and keys.
@@ -34,15 +34,15 @@
 	limit       int
 }
 
-// rank orders workers by how much is known of them.
+// rank orders workers by how much has been observed of them.
 func (m *workerModel) rank() int { return m.runs*(maxModelLimit+1) + m.limit }
 
 // model refers to the estimates of a dispatcher, except those of workers.
 func (d *Dispatcher) model() model {
 	estimates := model{
 		values: []*float64{
-			&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
-			&d.workload.meanAbsoluteLogError,
+			&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight,
+			&d.arrivals.meanCost, &d.workload.meanAbsoluteLogError,
 		},
 		durations: []*time.Duration{&d.starts.meanLateDelay, &d.starts.minDelay, &d.checks.minDelay},
 		kinds:     d.workload.kinds,
@@ -64,9 +64,9 @@
 	return estimates
 }
 
-// ModelSnapshot appends the estimates of this dispatcher to b: of the sizes of jobs, of kinds of machines and of workers. It
-// takes up size bytes or little more; of too many workers those are left out of which least is known. The event ModelUpdate
-// applies it to another dispatcher.
+// ModelSnapshot appends the estimates of this dispatcher to b: of the sizes of jobs, of machine kinds and of
+// workers. It takes up about size bytes: if there are too many workers, those with the fewest observations
+// are left out. The event ModelUpdate applies it to another dispatcher.
 func (d *Dispatcher) ModelSnapshot(size int, b []byte) []byte {
 	estimates := d.model()
 	from := len(b)
@@ -88,8 +88,8 @@
 	return writer.b
 }
 
-// keepBest keeps at most count workers, those of which most is known. It counts them by rank, as sorting thousands would take
-// milliseconds.
+// keepBest keeps at most count workers, those with the most observations. It counts them by rank, as sorting
+// thousands would take milliseconds.
 func (m *model) keepBest(count int) {
 	if len(m.workers) <= count {
 		return
@@ -118,7 +118,8 @@
 	fixedList(c, estimates.durations, func(x **time.Duration) { c.duration(*x) })
 	sortedMap(c, estimates.kinds, func(kind *int, k **machineInfo) {
 		c.machine(kind, k)
-		c.check(isPlausible((*k).samples) && isPlausible((*k).maxSlots) && math.Abs((*k).logSpeed) <= maxModelLog)
+		c.check(isPlausible((*k).samples) && isPlausible((*k).maxSlots) &&
+			math.Abs((*k).logSpeed) <= maxModelLog)
 	})
 	sortedMap(c, estimates.zoneBusy, func(zone *int, chance *float64) {
 		c.int(zone)
@@ -143,10 +144,10 @@
 	})
 }
 
-// isPlausible reports whether a figure may be an estimate of a dispatcher.
+// isPlausible reports whether a number may be an estimate of a dispatcher.
 func isPlausible(x float64) bool { return math.Abs(x) <= maxModelValue }
 
-// hasPlausibleModel reports whether all figures are such as a dispatcher could have estimated itself.
+// hasPlausibleModel reports whether all values are such as a dispatcher could have estimated itself.
 func (d *Dispatcher) hasPlausibleModel() bool {
 	logs := append([]float64{d.workload.longWorkThreshold}, d.workload.weights...)
 	for _, corrections := range d.workload.sizeCorrection {
@@ -157,12 +158,13 @@
 	if slices.ContainsFunc(logs, isWide) || slices.ContainsFunc(d.workload.overrunRatio, isBelowOne) {
 		return false
 	}
-	hasPlausibleError := d.workload.meanAbsoluteLogError > 0 && d.workload.meanAbsoluteLogError <= maxLogFeature
+	hasPlausibleError := d.workload.meanAbsoluteLogError > 0 &&
+		d.workload.meanAbsoluteLogError <= maxLogFeature
 	return hasPlausibleError && d.workload.meanShortSojourn > 0 && d.arrivals.meanCost >= 0 &&
 		d.starts.meanLateDelay > 0 && d.starts.minDelay > 0 && d.checks.minDelay > 0
 }
 
-// handleModelUpdate applies a model of another dispatcher. An invalid one changes nothing.
+// handleModelUpdate applies the model of another dispatcher. An invalid model changes nothing.
 func (d *Dispatcher) handleModelUpdate(update ModelUpdate) {
 	reader := New(d.settings, 0)
 	estimates := reader.model()
@@ -190,8 +192,8 @@
 	}
 }
 
-// applyWorkerModel applies the part of a model about a worker of which nothing is known here. Its speed has decayed by the
-// model's age, and its limit is this dispatcher's share of the load.
+// applyWorkerModel applies the part of a model about a worker, unless this dispatcher has observed runs there
+// itself. The worker's speed is decayed by the model's age, and its limit scaled by the share of the load.
 func (d *Dispatcher) applyWorkerModel(known *workerModel, update ModelUpdate) {
 	worker := d.fleet.byID[known.id]
 	if worker == nil || worker.speed.samples > 0 || known.runs < 0 || known.runs > maxModelRuns {
@@ -199,10 +201,12 @@
 	}
 	if known.runs > 0 {
 		kept := math.Exp(-max(0, update.Age).Seconds() / speedDecayTime.Seconds())
-		worker.speed.set(worker.machine.logSpeed + clamp(float64(known.speedOffset)/speedSteps, maxSpeedShift)*kept)
+		worker.speed.set(worker.machine.logSpeed +
+			clamp(float64(known.speedOffset)/speedSteps, maxSpeedShift)*kept)
 		worker.speed.samples = float64(known.runs)
 		worker.speed.observedAt = d.now
 	}
-	worker.slots.limit = max(worker.slots.limit, math.Floor(min(float64(known.limit), maxModelLimit)*clamp(finiteOrZero(update.LoadShare), 1)))
+	worker.slots.limit = max(worker.slots.limit,
+		math.Floor(min(float64(known.limit), maxModelLimit)*clamp(finiteOrZero(update.LoadShare), 1)))
 	d.fleet.markDirty(worker)
 }
--- a/dispatch/numbers.go
+++ b/dispatch/numbers.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxSeconds and maxFigure bound what is computed and what is read. A Duration holds far more than maxSeconds.
+// maxSeconds bounds computed durations, in seconds; a Duration holds far more. maxInput bounds the numbers
+// of the input.
 const (
 	maxSeconds = 1e6
 	maxInput   = 1e9
@@ -19,7 +20,8 @@
 // clamp bounds x to between -limit and limit.
 func clamp(x, limit float64) float64 { return min(max(x, -limit), limit) }
 
-// finiteOrZero returns a figure of the input, or 0, as if it were missing, for one that is not a number, negative or over maxFigure.
+// finiteOrZero returns a number of the input. If it is not a number, negative or over maxInput, it returns 0,
+// as for a missing one.
 func finiteOrZero(x float64) float64 {
 	if math.IsNaN(x) || x > maxInput || x < 0 {
 		return 0
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -1,21 +1,21 @@
 package dispatch
 
-// Latency objectives. A job that can't meet its objective any more loses priority, so that it leaves the
-// queue after those that can, or is rejected in time where a late answer has no utility. The design does
-// not mention objectives; a rejection is an answer without an attempt.
+// Latency objectives. A job that can no longer meet its objective loses priority: it is dispatched after the
+// jobs that can or, if a late answer has no utility, is rejected early. The design does not mention
+// objectives; such a rejection is an answer without an attempt.
 
 import "time"
 
 const (
-	missCostSlope            = 4   // the utility of the tail falls to 0 over so many miss budgets
-	explorationsPerRejection = 0.2 // attempts at a job whose objective is thought unreachable
+	missCostSlope            = 4   // the utility of the tail falls to 0 over this many miss budgets
+	explorationsPerRejection = 0.2 // attempts at jobs whose objective is estimated to be unreachable
 	maxExplorationTokens     = 4.0
 	objectiveRecheckInterval = 50 * time.Millisecond // of a queued job that is late
 )
 
-// objectives are what the latency objectives of jobs depend on besides the settings.
+// objectives is the state that the latency objectives of jobs depend on besides the settings.
 type objectives struct {
-	firstTryTimeouts []time.Duration // by class: the longest remaining time seen, which first tries have
+	firstTryTimeouts []time.Duration // by class: longest remaining time seen, taken as that of first tries
 	exploration      tokenBucket     // admits jobs whose predicted completion misses their objective
 }
 
@@ -23,15 +23,15 @@
 	return objectives{firstTryTimeouts: make([]time.Duration, len(classes))}
 }
 
-// firstTryTimeout returns the remaining time of a first try of a class, updated by that of a job at its
-// arrival.
+// firstTryTimeout returns the estimated remaining time of a first try of a class at its arrival, after an
+// update with that of a job.
 func (o *objectives) firstTryTimeout(class int, remaining, maxTimeout time.Duration) time.Duration {
 	o.firstTryTimeouts[class] = max(o.firstTryTimeouts[class], min(remaining, maxTimeout))
 	return o.firstTryTimeouts[class]
 }
 
-// tryExplore reports whether a job is attempted although its objective is thought unreachable. What rejects
-// jobs must not prevent the correction of its own estimates.
+// tryExplore reports whether a job is attempted although its objective is estimated to be unreachable, and
+// then takes a token. Without such attempts, estimates that reject all jobs would never be corrected.
 func (o *objectives) tryExplore(isAllowed bool) bool {
 	o.exploration.tokens += explorationsPerRejection
 	if isAllowed && o.exploration.has(1) {
@@ -42,9 +42,9 @@
 	return false
 }
 
-// objectiveOf returns the instant until which a job's answer has its full utility. A client's retry has the
-// objective of its first try, which had the longest remaining time seen of its class. age is the time since
-// the job's first arrival.
+// objectiveOf returns the time until which a job's answer has its full utility. A client's retry keeps the
+// objective of its first try, whose arrival is inferred from the longest remaining time seen for the class.
+// age is the time since the job's first arrival.
 func (d *Dispatcher) objectiveOf(job *jobInfo, age time.Duration) time.Duration {
 	firstTryTimeout := d.objectives.firstTryTimeout(job.Class, job.Remaining+age, job.class.ClientTimeout)
 	elapsed := max(0, firstTryTimeout-max(job.Remaining, 0))
@@ -53,11 +53,11 @@
 	return min(firstTryAt+job.class.LatencyObjective+stretch, job.deadline)
 }
 
-// handleObjectivePassed acts when no worker could meet an unstarted job's objective any more. It lowers the
-// job's priority, or rejects it in time where a late answer has no utility.
+// handleObjectivePassed runs when no worker can meet an unstarted job's objective any more. It lowers the
+// job's priority, or rejects the job early if a late answer has no utility.
 func (d *Dispatcher) handleObjectivePassed(job *jobInfo) {
-	// What runs, or is in flight for one of many dispatchers, is not rejected: its client would only send
-	// it again.
+	// A running job is not rejected, nor is one in flight if there are many dispatchers: its client would
+	// only retry it.
 	isInFlightForMany := d.settings.Replicas > manyReplicas && job.inFlight > 0
 	job.recheckOnEnd = isInFlightForMany || job.isRunning()
 	if job.closed || job.recheckOnEnd {
@@ -88,21 +88,21 @@
 	}
 }
 
-// isObjectiveUnreachable reports whether a job would be late even if it ran as much shorter than expected
-// as the error of predictions allows.
+// isObjectiveUnreachable reports whether a job would be late even if its run took as much less time than
+// expected as the prediction error allows.
 func (d *Dispatcher) isObjectiveUnreachable(job *jobInfo) bool {
 	isLoweredInQueue := job.priority == priorityUnreachable && job.inFlight == 0
 	return isLoweredInQueue || d.now+d.workload.fastestRun(job, unreachableDeviations) > job.objectiveAt
 }
 
-// tryExplore reports whether a job is attempted although its objective is thought unreachable. One whose
-// priority is lowered already is not, and none is while no worker is idle.
+// tryExplore reports whether a job is attempted although its objective is estimated to be unreachable. A job
+// whose priority is lowered already is not attempted, and no job is while no worker is idle.
 func (d *Dispatcher) tryExplore(job *jobInfo) bool {
 	return d.objectives.tryExplore(job.priority != priorityUnreachable && d.fleet.available.idleCount > 0)
 }
 
-// lateHasNoUtility reports whether a late answer has less utility than its miss costs under the miss
-// budget.
+// lateHasNoUtility reports whether a late answer has no utility, or no more than its miss costs under the
+// miss budget.
 func (d *Dispatcher) lateHasNoUtility(job *jobInfo) bool {
 	tailShare, lateValue := d.settings.TailShare, job.class.LateValue
 	if lateValue <= 0 {
@@ -112,8 +112,8 @@
 	return tailShare > 0 && utility <= tailShare
 }
 
-// canMeetObjective reports whether a job would meet its objective on a worker. A job whose priority is
-// lowered need not.
+// canMeetObjective reports whether a job would meet its objective on a worker, or need not: because its
+// priority is lowered, or because the worker accepts late jobs.
 func (d *Dispatcher) canMeetObjective(j *jobInfo, w *workerInfo) bool {
 	return j.isDeprioritized() || w.acceptsLate(j, d.now) || d.now+d.expectedRun(j, w) <= j.objectiveAt
 }
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Outlier ejection: silent, failing and unreachable workers are sent nothing but recovery probes. The
-// design covers the ordinary path alone, and counts every ready worker as able to start a job; this
-// file defines which are not.
+// Outlier ejection: silent, failing and unreachable workers are sent nothing but recovery probes. The design
+// covers only operation without faults and counts every ready worker as able to start a job; this file
+// defines the exceptions.
 
 import (
 	"math/rand/v2"
@@ -12,18 +12,18 @@
 const (
 	minEjectionTime        = 500 * time.Millisecond // doubles with each failed recovery probe
 	maxEjectionTime        = 8 * time.Second
-	recoveryProbeInterval  = 500 * time.Millisecond // between recovery probes, over the fleet
-	maxConsecutiveFailures = 1                      // of attempts or connections, that eject no worker
+	recoveryProbeInterval  = 500 * time.Millisecond // between two recovery probes, to whichever workers
+	maxConsecutiveFailures = 1                      // of attempts or connections: one more ejects the worker
 )
 
-// outlierDetector holds what outlier ejection needs besides the state of each worker.
+// outlierDetector is the state of outlier ejection for the whole fleet.
 type outlierDetector struct {
-	nextProbeAt  time.Duration // no ejected worker gets a recovery probe before
+	nextProbeAt  time.Duration // earliest time of the next recovery probe to any worker
 	silencePanic bool          // most ready workers are ejected: ejections for silence alone are disregarded
 	failurePanic bool          // all ready workers are failing: ejections of failing workers are disregarded
 }
 
-// outlierState is what outlier ejection keeps of a worker.
+// outlierState is the state of outlier ejection for one worker.
 type outlierState struct {
 	ejectionTime       time.Duration // mean time until the first recovery probe; 0: not ejected
 	ejectedUntil       time.Duration
@@ -33,9 +33,9 @@
 	connectionLost     bool // its connections were reset, and it has not answered since
 }
 
-// isEjected reports whether a worker is to be avoided. Beyond the panic thresholds the load or this
-// process is at fault: where most workers are ejected silence shows nothing of one worker, and failures
-// show nothing where all are failing.
+// isEjected reports whether a worker is to be avoided. Beyond a panic threshold the cause is rather the load
+// or this process: silence is no evidence against a worker if most workers are ejected, nor are failures if
+// all ready workers are failing.
 func (o *outlierDetector) isEjected(worker *workerInfo) bool {
 	switch {
 	case worker.outlier.ejectionTime <= 0:
@@ -53,8 +53,8 @@
 	o.failurePanic = failing == ready
 }
 
-// handleSent counts an attempt as a recovery probe if its worker is ejected. Probes are limited over
-// the fleet, as otherwise the empty workers of a zone that has failed would attract all jobs.
+// handleSent counts an attempt as a recovery probe if its worker is ejected. The rate of probes is limited
+// for the whole fleet, as otherwise the idle workers of a zone that has failed would attract all jobs.
 func (o *outlierDetector) handleSent(worker *workerInfo, now time.Duration) {
 	if o.isEjected(worker) {
 		o.nextProbeAt = now + recoveryProbeInterval
@@ -67,8 +67,8 @@
 	return now >= max(worker.outlier.ejectedUntil, o.nextProbeAt) && len(worker.inFlight) == 0
 }
 
-// eject begins an ejection of about twice the latest ejection time, drawn at random. It returns false
-// if the worker is still ejected: nothing is drawn then.
+// eject begins an ejection of about twice the latest ejection time, with jitter. If the worker is still
+// ejected it returns false and draws no random number.
 func (o *outlierState) eject(now time.Duration, rng *rand.Rand) bool {
 	if now < o.ejectedUntil {
 		return false
@@ -95,7 +95,7 @@
 	return isProbe && d.outliers.mayProbe(worker, d.now)
 }
 
-// eject ejects a worker, and has the operators notified.
+// eject ejects a worker, unless it is still ejected, and emits WorkerEjected to notify the operators.
 func (d *Dispatcher) eject(worker *workerInfo, reason EjectionReason) {
 	worker.outlier.failing = worker.outlier.failing || reason != EjectedForSilence
 	if !worker.outlier.eject(d.now, d.rng) {
@@ -106,12 +106,12 @@
 	d.emit(WorkerEjected{Worker: worker.ID, Reason: reason, EjectionTime: worker.outlier.ejectionTime})
 }
 
-// markAlive updates a worker that has given a sign of life.
+// markAlive records a response or notification from a worker, which may end its ejection.
 func (d *Dispatcher) markAlive(worker *workerInfo) {
 	worker.activity.aliveAt = d.now
 	worker.outlier.connectionFailures = 0
-	// A worker that was lost and answers again has most likely restarted, though no list has notified
-	// of it yet.
+	// A worker whose connections were reset and that answers again has most likely restarted, even if no
+	// list shows that yet.
 	if worker.outlier.connectionLost {
 		worker.outlier.connectionLost = false
 		worker.slowStart.restartedAt = d.now
--- a/dispatch/overdue.go
+++ b/dispatch/overdue.go
@@ -1,25 +1,25 @@
 package dispatch
 
-// Overdue attempts: those that have not started or ended when they should have. The design does not
-// cover them beyond a timeout; the limit of the worker falls, its speed is corrected, and the job is
-// tried elsewhere.
+// Overdue attempts: those that have not started or ended when they should have. The design covers them only
+// by a timeout. Here the worker's limit or its estimated speed is lowered, and the job may be retried
+// elsewhere.
 
 import "math"
 
-// handleOverdue acts on an attempt that has not started or ended when it should have, also if its job
-// has ended.
+// handleOverdue acts on an attempt that has not started or ended when it should have, even if its job is
+// closed already.
 func (d *Dispatcher) handleOverdue(attempt *attemptInfo) {
 	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDeduplicated() {
 		return
 	}
-	if d.stalls.justEnded(d.now) { // its notification may have arrived meanwhile, and not have been read yet
+	if d.stalls.justEnded(d.now) { // its notification may have arrived during the stall and be still unread
 		d.setTimer(&attempt.timer, d.now+min(d.stalls.length, maintenanceInterval))
 		return
 	}
 	switch run := d.now - attempt.startedAt; {
 	case !attempt.started:
 		d.handleLateStart(attempt)
-	case run < d.workload.maxPlausibleRun(attempt): // it started, or the error of runs grew, since
+	case run < d.workload.maxPlausibleRun(attempt): // it has started since, or the error has grown
 		return
 	default:
 		d.workload.observeOverrun(attempt.job.Class, run.Seconds(), attempt.expectedRun.Seconds())
@@ -33,8 +33,9 @@
 	}
 }
 
-// handleLateStart acts on an attempt that has not started in time. Once it counts as
-// lost, the fault is attributed to its connection or, if the worker has been silent since, to the worker.
+// handleLateStart acts on an attempt that has not started in time. Once the attempt counts as lost, that
+// counts as a failure of its connection, if the connection had been idle, and the worker is ejected if it has
+// been silent since.
 func (d *Dispatcher) handleLateStart(attempt *attemptInfo) {
 	worker := attempt.worker
 	if lostAt := attempt.sentAt + d.starts.lostAfter(); d.now < lostAt {
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// The picker, by the design's sentence: the ready worker with the fewest of this dispatcher's slots in
-// use, random among ties, among those able to start the job now. Each worker has a score in slots in
-// use, the lowest is chosen, and what else speaks against a worker adds to its score.
+// The picker chooses the worker for a job. The design says: the ready worker with the fewest of this
+// dispatcher's slots in use, random among ties, among those able to start the job now. A worker's score is
+// its slots in use plus penalties in the same unit, and the lowest score is chosen.
 
 import (
 	"cmp"
@@ -14,15 +14,15 @@
 const (
 	busyZonePenalty      = 3.0    // times the probability in its zone that a worker has no free slot
 	retriedWorkerPenalty = 1000.0 // for a worker that was sent the job before: it is chosen last
-	uncordonedBonus      = 0.5    // off for an uncordoned worker: among equals it is chosen first
+	uncordonedBonus      = 0.5    // subtracted for an uncordoned worker: among equals it is chosen first
 	crossZoneCostPerSlot = 0.05   // Settings.CrossZoneCost that counts as one slot
 	handshakeCostPerSlot = 0.2    // Settings.HandshakeCost that counts as one slot
 )
 
 // Bounds of one selection, in workers.
 const (
-	maxLevelScan = 48  // a level of the index with no more than these is scanned whole
-	levelSample  = 16  // scanned of a larger level, from a random one on
+	maxLevelScan = 48  // a level of the index with at most this many is scanned whole
+	levelSample  = 16  // scanned of a larger level, from a random position on
 	maxScanned   = 256 // in all
 )
 
@@ -31,14 +31,14 @@
 	score         float64     // of the best candidate so far
 	totalWeight   float64     // of the candidates with that score
 	worker        *workerInfo // drawn among them by weight
-	isLoadKnown   bool        // its load is known as well as a health check could show it
+	isLoadKnown   bool        // a health check would show no more about its load
 	warmingUp     *workerInfo // a worker in slow start whose ticket the job has drawn
 	scanned       int
-	suitable      int  // of those scanned: they could be sent the job
+	suitable      int  // scanned workers that could be sent the job
 	lacksCapacity bool // all that were scanned lack capacity
 }
 
-// chooseWorker returns the worker that a job is sent to now, or nil. lacksCapacity reports that all
+// chooseWorker returns the worker that a job is to be sent to now, or nil. lacksCapacity reports that all
 // available workers were scanned and each lacks capacity: no job with the same demand can be sent now.
 func (d *Dispatcher) chooseWorker(job *jobInfo) (worker *workerInfo, lacksCapacity bool) {
 	selected := selection{score: math.Inf(1), lacksCapacity: true}
@@ -53,7 +53,7 @@
 	switch {
 	case selected.worker == nil:
 		return nil, selected.lacksCapacity && selected.scanned < maxScanned
-	case selected.warmingUp != nil: // it is sent only jobs that could be sent elsewhere now
+	case selected.warmingUp != nil: // it gets only jobs that could be sent to another worker now
 		return selected.warmingUp, false
 	case d.now < job.checksUntil && !selected.isLoadKnown: // workers checked for the job may still answer
 		return nil, false
@@ -61,8 +61,9 @@
 	return selected.worker, false
 }
 
-// scanLevel evaluates the workers of a level of the index, or of a large one those that this dispatcher
-// prefers and, if none of them is suitable, a sample.
+// scanLevel evaluates the workers of a level of the index. If levels are ordered by preference, it evaluates
+// the preferred workers first, and others only if none of them is suitable. Of a large level it evaluates a
+// sample.
 func (d *Dispatcher) scanLevel(
 	selected *selection, job *jobInfo, bucket *bucket, level []*workerInfo, minScore float64,
 ) {
@@ -78,7 +79,7 @@
 }
 
 // scanPreferred evaluates the workers of a level that this dispatcher prefers, and reports whether one is
-// suitable. It evaluates one more for each earlier attempt, in place of the worker that had it.
+// suitable. For each earlier attempt it evaluates one worker more, to replace the one that had the attempt.
 func (d *Dispatcher) scanPreferred(
 	selected *selection, job *jobInfo, bucket *bucket, level []*workerInfo, minScore float64,
 ) bool {
@@ -112,8 +113,8 @@
 	}
 }
 
-// evaluateCandidate compares a worker with the best candidate so far: by its score, then whether it can
-// be sent the job, then by a draw among equals.
+// evaluateCandidate compares a worker with the best candidate so far: by score, then by whether the worker
+// can be sent the job, then by a weighted random draw among equals.
 func (d *Dispatcher) evaluateCandidate(
 	selected *selection, job *jobInfo, worker *workerInfo, minScore float64,
 ) {
@@ -149,8 +150,8 @@
 	}
 }
 
-// scoreWorker returns the score of a worker, its weight among equals, which follows its size and speed,
-// and whether its load report is fresh. minScore is the least score of its level.
+// scoreWorker returns the score of a worker, its weight among equals, which is proportional to its size and
+// speed, and whether its load report is fresh. minScore is the least score of its level.
 func (d *Dispatcher) scoreWorker(worker *workerInfo, minScore float64) (score, weight float64, isFresh bool) {
 	score = minScore - math.Floor(worker.slots.used) + worker.slots.used
 	weight = cmp.Or(finiteOrZero(worker.Size), 1) * worker.speed.factor
@@ -170,8 +171,8 @@
 	return score, weight, isFresh
 }
 
-// allows reports whether the jobs of a class may be sent to workers of a kind and zone. It binds each
-// attempt, whatever else has failed or is full.
+// allows reports whether the jobs of a class may be sent to workers of a kind and zone. Every attempt is
+// subject to it, even if all allowed workers have failed or are full.
 func (c *Class) allows(kind, zone int) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) && c.allowsZone(zone)
 }
--- a/dispatch/preference.go
+++ b/dispatch/preference.go
@@ -1,22 +1,22 @@
 package dispatch
 
-// The order in which a dispatcher prefers workers of a large fleet that are equal by their scores. The
-// design draws among ties; drawn from a large fleet, nearly each job would open a connection. The
-// listed workers of one zone and kind are on a ring, ordered by a hash of their ids that is the same
-// for all dispatchers. Each dispatcher prefers them from a start of its own on, and these starts are at
-// equal distances, counted in workers: so all dispatchers together prefer all workers alike.
+// The order in which a dispatcher prefers workers of a large fleet that have equal scores. The design breaks
+// ties at random; in a large fleet nearly every job would then open a new connection. The listed workers of
+// one zone and kind form a ring, ordered by a hash of their IDs that is the same for all dispatchers. Each
+// dispatcher prefers workers from a starting point of its own onwards. The starting points are spaced evenly,
+// counted in workers, so that all dispatchers together prefer all workers equally.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// preferredWorkers is how many equal workers are scanned first. A dispatcher has connections to about
-// these, and to those beyond them that its jobs keep busy. Fewer would distribute the load less evenly
-// where one dispatcher has several times the traffic of another.
+// preferredWorkers is how many workers of equal score are scanned first. A dispatcher has connections to
+// about this many workers, and to those beyond them that its jobs keep busy. A smaller number would
+// distribute the load less evenly if one dispatcher has several times the traffic of another.
 const preferredWorkers = 24
 
-// preferenceRings are the listed workers, ring by ring.
+// preferenceRings holds the listed workers, ring by ring.
 type preferenceRings struct {
 	sorted  []*workerInfo // by zone, kind and hash
 	added   []*workerInfo // not in sorted yet
@@ -30,7 +30,7 @@
 
 func ringHash(worker uint64) uint32 { return uint32(worker * hashFactor >> 32) }
 
-// update adds a worker that has become listed, or notes that one is not listed any more.
+// update adds a worker that has become listed. If a worker is not listed any more, the next merge removes it.
 func (p *preferenceRings) update(worker *workerInfo) {
 	if worker.listed == worker.index.onRing {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// reset has all rings sorted anew with the next merge, as a worker has changed its zone or kind.
+// reset makes the next merge sort all rings again. Call it when a worker has changed its zone or kind.
 func (p *preferenceRings) reset() {
 	p.added = append(p.added, p.sorted...)
 	p.sorted = nil
@@ -73,7 +73,7 @@
 }
 
 // updatePreferences sets the order of preference of all listed workers after a change of the rings, for one
-// dispatcher of a group. A fleet that a selection can scan whole has none.
+// dispatcher of a group. A fleet that is small enough to be scanned whole has no such order.
 func (f *workerFleet) updatePreferences(group replicaGroup) {
 	if !f.rings.changed {
 		return
@@ -96,14 +96,14 @@
 	f.available.rebuildHeaps()
 }
 
-// updatePreferences sets the order of preference after a list, or after a change of this dispatcher's
-// index.
+// updatePreferences sets the order of preference after a new list, or after this dispatcher's index or the
+// number of dispatchers has changed.
 func (d *Dispatcher) updatePreferences() { d.fleet.updatePreferences(d.replicaGroup()) }
 
 // appendPreferred appends up to count of the most preferred workers of a level that is a heap, in order.
 func appendPreferred(dst, level []*workerInfo, count int) []*workerInfo {
 	var buffer [preferredWorkers + 2]heapEntry
-	frontier := insertEntry(buffer[:0], level, 0) // each of these may be next; the last one is
+	frontier := insertEntry(buffer[:0], level, 0) // candidates for the next worker, the best one last
 	for len(dst) < count && len(frontier) > 0 {
 		next := frontier[len(frontier)-1]
 		frontier = frontier[:len(frontier)-1]
@@ -120,7 +120,7 @@
 
 func (h heapEntry) slot() int { return int(uint32(h)) }
 
-// insertEntry inserts a worker into entries that are sorted, the most preferred last.
+// insertEntry inserts a worker into sorted entries, of which the last one is the most preferred.
 func insertEntry(entries []heapEntry, level []*workerInfo, slot int) []heapEntry {
 	entry := heapEntry(level[slot].index.preference)<<32 | heapEntry(slot)
 	entries = append(entries, entry)
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// The queue, by the paper's and the design's sentence: at each release jobs held over tau = 3 x mu_short
-// leave first, oldest first; otherwise the lowest score leaves, ties to the oldest.
+// The order in which queued jobs are dispatched. The paper and the design say: at each release jobs held over
+// tau = 3 x mu_short leave first, oldest first; otherwise the lowest score leaves, ties to the oldest.
 
 import (
 	"cmp"
@@ -9,12 +9,12 @@
 )
 
 const (
-	tauFactor          = 3.0 // tau is so many mean sojourns of short jobs, as in the paper
-	maxSkippedPerCycle = 12  // jobs that fit no worker; a dispatch cycle ends with the last of them
+	tauFactor          = 3.0 // tau is this many mean sojourns of short jobs, as in the paper
+	maxSkippedPerCycle = 12  // a dispatch cycle ends after this many jobs that fit no worker
 )
 
-// lessByScore is the order of queued jobs: first those that may have their full utility, by their chance
-// of running long.
+// lessByScore orders queued jobs by skip count, then those first that may still have their full utility, then
+// by probability of running long, then by arrival.
 func lessByScore(a, b *jobInfo) bool {
 	if a.skipCount == b.skipCount && a.isDeprioritized() != b.isDeprioritized() {
 		return b.isDeprioritized()
@@ -23,13 +23,13 @@
 		cmp.Compare(a.arrivedAt, b.arrivedAt)) < 0
 }
 
-// lessByPromotion is the order of jobs queued for longer than tau.
+// lessByPromotion orders jobs by skip count, then by when they will have been queued for longer than tau.
 func lessByPromotion(a, b *jobInfo) bool {
 	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
 }
 
-// next returns the job to leave next, nil if there is none: the oldest queued for longer than tau, else the
-// first by score. Jobs of blocked demand classes stay.
+// next returns the job to dispatch next, nil if there is none: the first by promotion if it has been queued
+// for longer than tau, else the first by score. Jobs of blocked demand classes are left out.
 func (q *jobQueue) next(now time.Duration) *jobInfo {
 	var first, oldest *jobInfo
 	for i := range q.demandClasses {
@@ -50,11 +50,11 @@
 	return first
 }
 
-// hasStalePromotion reports whether a job's place by promotion is void: it has left, or its priority is
-// lowered.
+// hasStalePromotion reports whether a job's entry in the order of promotion is void: the job is not queued
+// any more, or its priority is lowered.
 func (j *jobInfo) hasStalePromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
 
-// enqueue queues a job that is owed an answer and whose response has not begun, if it is not queued.
+// enqueue queues a job, unless it is queued already, is closed, or its response has begun.
 func (d *Dispatcher) enqueue(job *jobInfo) {
 	if job.heapIndex >= 0 || job.closed || job.streaming {
 		return
@@ -86,9 +86,9 @@
 	d.requeueSkipped()
 }
 
-// dispatchReserved dispatches the job for which a worker is reserved once it can start there, whatever
-// leaves before it: other jobs of its demand class can't be sent there and, if they fit no other worker,
-// would block the class.
+// dispatchReserved dispatches the job for which a worker is reserved as soon as it can start there, ahead of
+// the jobs queued before it. Other jobs of its demand class cannot be sent to that worker and, if they fit no
+// other, would block the class.
 func (d *Dispatcher) dispatchReserved() {
 	job, worker := d.reservation.job, d.reservation.worker
 	if !d.reservation.isActive() || job.heapIndex < 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// requeueSkipped queues the jobs that fitted no worker again. If they ended the cycle, the next one tries
-// other jobs first, as these may fit.
+// requeueSkipped queues the jobs that fitted no worker again. If there were so many that they ended the
+// cycle, the next cycle tries other jobs first, as these may fit.
 func (d *Dispatcher) requeueSkipped() {
 	haveEndedCycle := len(d.queue.skipped) == maxSkippedPerCycle
 	for i, job := range d.queue.skipped {
@@ -116,7 +116,7 @@
 // dispatchJob sends a job to the worker chosen for it. One that fits no worker is skipped; where only
 // capacity is missing, no other job of its demand class is tried in this cycle.
 func (d *Dispatcher) dispatchJob(job *jobInfo) {
-	// The few workers assigned to this dispatcher have little capacity for long jobs while some are late.
+	// The few workers assigned to this dispatcher have little capacity for long jobs while attempts are late.
 	if d.starts.lateCount > 0 && d.isSharded() && !d.workload.isShort(job) {
 		d.queue.skip(job)
 		return
@@ -141,8 +141,8 @@
 	}
 }
 
-// skipAwaitingLease skips a job that awaits a lease, and the other jobs of its demand class, which do so
-// too. Only among jobs that were sent before there are such as leave without one.
+// skipAwaitingLease skips a job that awaits a lease. The other jobs of an unrestricted demand class await one
+// too, so the class is blocked. A restricted class may hold jobs that are sent without a lease.
 func (d *Dispatcher) skipAwaitingLease(job *jobInfo) {
 	if isRestrictedDemandClass(job.demandClass) {
 		d.queue.skip(job)
@@ -151,8 +151,8 @@
 	}
 }
 
-// isSharded reports whether each worker is assigned to a few dispatchers, so that the delays of this one's
-// jobs show how much capacity a worker has.
+// isSharded reports whether each worker is assigned to a few dispatchers. Then the start delays of this
+// dispatcher's jobs show how much capacity its workers have.
 func (d *Dispatcher) isSharded() bool {
 	return len(d.fleet.workers) > 0 && d.fleet.workers[0].Assignees > 1
 }
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Quotas of tenants, shared between dispatchers. The design does not mention them: a job over its tenant's
-// quota leaves the queue after the others.
+// Tenant quotas, shared between dispatchers. A job over its tenant's quota is dispatched after the others.
+// The design does not mention quotas.
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 	refilledAt    []time.Duration // by tenant
 }
 
-// newTenantQuotas returns quotas of which one second's worth may be used at once.
+// newTenantQuotas returns quotas whose buckets hold the tokens of one second.
 func newTenantQuotas(jobsPerSecond []float64) tenantQuotas {
 	quotas := tenantQuotas{
 		jobsPerSecond: jobsPerSecond,
@@ -33,8 +33,8 @@
 	return quotas
 }
 
-// charge takes a job off a tenant's quota, of which this dispatcher has a share. It reports whether the job
-// is within it. An unknown tenant has no limit.
+// charge charges a job to this dispatcher's share of a tenant's quota, and reports whether the job is within
+// that share. An unknown tenant has no limit.
 func (q *tenantQuotas) charge(tenant int, share float64, now time.Duration) (withinQuota bool) {
 	isKnown := tenant >= 0 && tenant < len(q.buckets)
 	if !isKnown || q.jobsPerSecond[tenant] <= 0 {
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Reservations. By the paper and the design jobs held for over tau leave first, the oldest first. A
-// large one that fits nowhere would never leave while smaller jobs take each slot that becomes free: a
-// worker is reserved for it. The design does not cover this.
+// Reservations. In the paper and the design, jobs held for over tau leave first, the oldest first. A large
+// job that fits nowhere would never leave while smaller jobs take each slot that becomes free, so a worker is
+// reserved for it. The design does not cover this.
 
 // reservation keeps a worker free for one large job. At most one is held at a time.
 type reservation struct {
@@ -10,7 +10,7 @@
 	job    *jobInfo
 }
 
-// isActive reports whether a worker is reserved that can still be sent jobs.
+// isActive reports whether a worker is reserved and still ready.
 func (r *reservation) isActive() bool { return r.worker != nil && r.worker.Ready }
 
 // excludes reports whether a worker is reserved for another job.
@@ -18,7 +18,7 @@
 	return worker == r.worker && job != r.job
 }
 
-// propose reserves a worker if it has less left to finish than the one reserved so far.
+// propose reserves a worker if it has less remaining load than the one reserved so far.
 func (r *reservation) propose(worker *workerInfo) {
 	if r.worker == nil || worker.remainingLoad() < r.worker.remainingLoad() {
 		r.worker = worker
@@ -32,9 +32,9 @@
 	}
 }
 
-// reserveWorker reserves the worker with the least left to finish, of all or of a sample, for a large
-// job that has been queued for over tau and fits nowhere. The job is not sent before it fits: it would
-// block the worker's own queue.
+// reserveWorker reserves the worker with the least remaining load, of all or of a sample, for a large job
+// that has been queued for over tau and fits nowhere. The job is not sent before it fits, as it would block
+// the worker's own queue.
 func (d *Dispatcher) reserveWorker(job *jobInfo) {
 	if d.reservation.isActive() {
 		return
@@ -59,5 +59,5 @@
 	return job.isDeprioritized() || d.now+d.expectedRun(job, worker) <= job.objectiveAt
 }
 
-// remainingLoad is the load of this dispatcher's attempts on a worker, in slots at speed 1.
+// remainingLoad returns this dispatcher's slots in use at a worker, divided by the worker's speed.
 func (w *workerInfo) remainingLoad() float64 { return w.slots.used / w.speed.factor }
--- a/dispatch/results.go
+++ b/dispatch/results.go
@@ -1,10 +1,10 @@
 package dispatch
 
-// Results of attempts: what the end of an attempt shows of its worker. By the design room halves on
-// "full" (not accepted) or failure (error, timeout or reset), and without notifications of starts it
-// grows when a job ends within its class's objective.
+// Results of attempts, and what they show about the worker. In the design room halves on "full" (not
+// accepted) or failure (error, timeout or reset), and without start notifications it grows when a job ends
+// within its class's objective.
 
-// handleResult updates what is known of a worker by the end of an attempt there.
+// handleResult updates the state of a worker from the result of an attempt there.
 func (d *Dispatcher) handleResult(attempt *attemptInfo) {
 	worker := attempt.worker
 	switch attempt.result {
@@ -24,7 +24,7 @@
 		d.handleConnectionFailure(attempt)
 	case TimedOut:
 		hadTime := attempt.job.deadline-attempt.sentAt >= d.starts.promptStart(attempt.job.class)
-		if hadTime { // else the timeout shows no queue
+		if hadTime { // a timeout after less time does not indicate a queue
 			d.halveLimit(attempt)
 		}
 	}
@@ -39,8 +39,8 @@
 	if d.settings.StartNotifications {
 		return
 	}
-	// Without notifications of starts an end within the objective counts as a prompt start, by the size
-	// as estimated now: with hints that are too low all would look late.
+	// Without start notifications, an end within the objective counts as a prompt start. The objective uses
+	// the present estimate of the work: with hints that are too low, all attempts would look late.
 	stretch := seconds(job.class.ObjectiveStretch * d.workload.expectedWork(job) / worker.speed.factor)
 	d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
 }
@@ -56,8 +56,8 @@
 	}
 }
 
-// handleConnectionFailure attributes a failure to the connection, if it was idle before, then once to
-// the network, and only then to the worker.
+// handleConnectionFailure attributes a failure before the start of the attempt to the connection, if that had
+// been idle, and otherwise the first time to the network. All other failures are attributed to the worker.
 func (d *Dispatcher) handleConnectionFailure(attempt *attemptInfo) {
 	worker := attempt.worker
 	worker.connections.open = len(worker.inFlight)
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -5,8 +5,8 @@
 // unknownKind is the machine kind of an unlisted worker.
 const unknownKind = -1
 
-// handleJobResumed admits a job of another dispatcher, with its attempts so far, and queues it unless one is in flight.
-// A job whose ID is in use is ignored.
+// handleJobResumed admits a job of another dispatcher, with its attempts so far, and queues it unless one of
+// them is in flight. A job whose ID is in use is ignored.
 func (d *Dispatcher) handleJobResumed(event JobResumed) {
 	job := d.admit(event.Job, max(0, event.Age))
 	if job == nil {
@@ -21,8 +21,8 @@
 	d.requeue(job)
 }
 
-// adoptAttempt adds an attempt that another dispatcher has sent to a job. The other dispatcher received its notifications
-// so far: the times after which it counts as late or lost begin now.
+// adoptAttempt adds an attempt that another dispatcher has sent to a job. That dispatcher received the
+// notifications so far, so the times after which the attempt counts as late or lost begin now.
 func (d *Dispatcher) adoptAttempt(job *jobInfo, past PastAttempt) {
 	worker := d.fleet.byID[past.Worker]
 	if worker == nil {
@@ -55,8 +55,8 @@
 	d.setTimer(&attempt.timer, d.overdueAt(attempt))
 }
 
-// newUnlistedWorker returns the worker of a past attempt that is in no list. It is known as long as the attempt is in
-// flight, and matches no cell or zone.
+// newUnlistedWorker returns the worker of a past attempt that is in no list. It is kept as long as the
+// attempt is in flight, and matches no cell or zone.
 func (d *Dispatcher) newUnlistedWorker(past PastAttempt) *workerInfo {
 	machine := d.workload.machineKind(unknownKind)
 	worker := &workerInfo{
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Retries: when a worker may be sent a job, for the first time or again, and what follows from the end
-// of an attempt. The design does not mention them; they follow from the idempotency of a job's class.
+// Retries: whether a worker may be sent a job, for the first time or again, and what happens to the job after
+// an attempt has ended. The design does not mention retries; the rules follow from the idempotency of the
+// job's class.
 
-// windowMarginDivisor: a deduplication window divided by this is left for delays, or repeatMargin if it
-// is more.
+// windowMarginDivisor sets the margin for delays at the end of a deduplication window: the window divided by
+// this, or the connect timeout plus repeatMargin if that is longer.
 const windowMarginDivisor = 20
 
-// repeatMargin is the longest time between the choice of a worker and the arrival of the last byte
-// there, besides connecting: a stall of the process of 150 ms, 50 ms for a request that is written in
-// parts, and transmission.
+// repeatMargin is the longest time from the choice of a worker to the arrival of the request's last byte
+// there, without the time to connect: 150 ms for a stall of the process, 50 ms for a request that is written
+// in parts, and the rest for transmission.
 const repeatMargin = 210 * time.Millisecond
 
-// provesNotExecuted are the results of attempts that ran nothing.
+// provesNotExecuted marks the results which prove that an attempt was not executed.
 var provesNotExecuted = [...]bool{WorkerFull: true, ConnectFailed: true, NotSent: true}
 
 func (a *attemptInfo) possiblyExecuted() bool {
@@ -49,8 +50,7 @@
 	return d.now-a.sentAt < class.DeduplicationWindow-margin
 }
 
-// mayReject reports whether a job may be rejected: that promises the client that sending it again is
-// harmless.
+// mayReject reports whether a job may be rejected. A rejection promises the client that a retry is safe.
 func (d *Dispatcher) mayReject(j *jobInfo) bool {
 	return j.class.Idempotency == Idempotent ||
 		j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope == ScopeAll ||
@@ -69,7 +69,7 @@
 	}
 	job := attempt.job
 	d.endAttempt(attempt, outcome)
-	if !attempt.orphaned { // else the result is of a process that has ended, not of the present one
+	if !attempt.orphaned { // else the result is that of an earlier process of the worker
 		d.handleResult(attempt)
 	}
 	d.forgetWorker(attempt.worker)
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -8,11 +8,11 @@
 // The idempotency of a class of jobs.
 const (
 	NonIdempotent     Idempotency = iota // must never be executed twice
-	IdempotentWithKey                    // repeats are dropped by a group of workers for a while
+	IdempotentWithKey                    // repeats are dropped by a group of workers for a limited time
 	Idempotent                           // may be repeated freely
 )
 
-// DeduplicationScope names the workers that share knowledge of the keys that they have executed.
+// DeduplicationScope says which workers share their records of executed keys.
 type DeduplicationScope int
 
 // The scopes of deduplication.
@@ -22,7 +22,7 @@
 	ScopeAll
 )
 
-// ReportField is the meaning of one figure of a load report.
+// ReportField is the meaning of one number of a load report.
 type ReportField int
 
 // The fields of a load report that decisions use; others are ReportFieldOther.
@@ -33,18 +33,18 @@
 
 // Class describes one class of jobs.
 type Class struct {
-	// LatencyObjective and ObjectiveStretch: an answer within LatencyObjective + ObjectiveStretch x the job's own work
-	// has its full utility.
+	// LatencyObjective and ObjectiveStretch: an answer within LatencyObjective + ObjectiveStretch x the job's
+	// own work has its full utility.
 	LatencyObjective time.Duration
 	ObjectiveStretch float64
 	// ClientTimeout is how long a client waits in total, over all its retries.
 	ClientTimeout time.Duration
 	Idempotency   Idempotency
-	// DeduplicationScope and DeduplicationWindow: where, and for how long, a repeat with the same key is dropped.
-	// They are for classes that are IdempotentWithKey.
+	// DeduplicationScope and DeduplicationWindow: where, and for how long, a repeat with the same key is
+	// dropped. They are for classes that are IdempotentWithKey.
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration
-	// LateValue is the part of the utility, from 0 to 1, that a late answer has.
+	// LateValue is the fraction of the utility, from 0 to 1, that a late answer has.
 	LateValue float64
 	// PriorityWeight is the utility of an answer, relative to other classes.
 	PriorityWeight float64
@@ -53,54 +53,59 @@
 	Zones []int
 }
 
-// Settings are what a dispatcher knows at start-up. It keeps the slices, which must not change afterwards.
+// Settings configure a dispatcher. It keeps the slices, which must not change afterwards.
 type Settings struct {
-	// Replicas counts the dispatchers that share the workers, this one included; ReplicaIndex is its number among
-	// them, from 0.
+	// Replicas is the number of dispatchers that share the workers, this one included; ReplicaIndex is its
+	// index among them, from 0.
 	Replicas     int
 	ReplicaIndex int
 	Zone         int
 	// ZoneCount is how many zones workers may be in; 0: unknown.
 	ZoneCount int
-	// PeerMessages allows SendPeerMessage. PeerCost is the fraction of the total utility that is lost by 256 bytes of messages for each job, and
-	// PeerBudget the share that messages may cost; 0: the default.
+	// PeerMessages allows SendPeerMessage. PeerCost is the fraction of the total utility that is lost by 256
+	// bytes of messages for each job, and PeerBudget the fraction that messages may cost; 0: the default.
 	PeerMessages bool
 	PeerCost     float64
 	PeerBudget   float64
 	Classes      []Class
-	// TenantQuota is by tenant the jobs a second within its quota, over all dispatchers; 0: no limit.
+	// TenantQuota is the quota of each tenant in jobs per second, over all dispatchers; 0: no limit.
 	TenantQuota []float64
 	// MustSubscribe: the list of workers has to be requested, by Subscribe.
 	MustSubscribe bool
 	// AttemptLimit bounds the attempts of a job; less than 1 counts as 1.
 	AttemptLimit int
-	// Hedging allows a second attempt while one is in flight, Cancellation allows Cancel, HealthChecks HealthCheck.
+	// Hedging allows a second attempt while one is in flight, Cancellation allows Cancel, HealthChecks
+	// HealthCheck.
 	Hedging      bool
 	Cancellation bool
 	HealthChecks bool
-	// StartNotifications: workers notify of starts. Otherwise an attempt counts as started when it is sent.
+	// StartNotifications: workers send start notifications. Otherwise an attempt counts as started when it
+	// is sent.
 	StartNotifications bool
 	// ProgressInterval is how often workers notify of progress; 0: never.
 	ProgressInterval time.Duration
 	// MaxRetryAfter bounds Reject.RetryAfter; 0: clients ignore it.
 	MaxRetryAfter time.Duration
-	// ReportFields are the meanings of the figures of a load report, in its order.
+	// ReportFields are the meanings of the numbers of a load report, in its order.
 	ReportFields []ReportField
-	// The costs are the fractions of the total utility that are lost by one health check for each job, when each job crosses
-	// zones once, and when each opens a connection.
+	// The costs are the fractions of the total utility that are lost by one health check for each job, when
+	// each job crosses zones once, and when each opens a connection.
 	HealthCheckCost float64
 	CrossZoneCost   float64
 	HandshakeCost   float64
-	// TailShare is the fraction of the total utility that counts in full only while the share of misses is up to MissBudget.
+	// TailShare is the fraction of the total utility that counts in full only while the fraction of misses is
+	// at most MissBudget.
 	TailShare  float64
 	MissBudget float64
 	// ConnectTimeout bounds the time that a connection takes to open.
 	ConnectTimeout time.Duration
-	// ConnIdleTimeout is when an idle connection closes; 0: never.
+	// ConnIdleTimeout is how long a connection may be idle before it closes; 0: without limit.
 	ConnIdleTimeout time.Duration
-	// PollInterval is the longest interval between two requests for the list. The backoff of requests follows from it.
+	// PollInterval is the longest interval between two requests for the list. The backoff of requests follows
+	// from it.
 	PollInterval time.Duration
-	// WarmUp is how long a worker warms up from its start, from WarmUpCapacity, a share of its capacity, to all of it.
+	// WarmUp is how long a worker warms up after its start. Meanwhile its capacity grows from the fraction
+	// WarmUpCapacity to all of it.
 	WarmUp         time.Duration
 	WarmUpCapacity float64
 	// OverloadFactor is the multiple of its present capacity that overloads a warming worker if it lasts for
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Slow start: how much work a worker that warms up may be sent within Settings.OverloadWindow, by all
-// dispatchers together. The design counts every ready worker as able to start a job; the platform's
-// rule on recovering workers bounds what these are sent.
+// Slow start bounds how much work all dispatchers together may send a warming worker within
+// Settings.OverloadWindow. The design counts every ready worker as able to start a job; the platform's rule
+// on recovering workers limits what those are sent.
 
 import (
 	"math"
@@ -12,22 +12,22 @@
 )
 
 const (
-	warmUpBudgetFraction = 0.4  // of the budget is used, as the sizes of jobs have heavy tails
-	meanJobsPerAssignee  = 2.0  // that the part of a budget of one assignee holds
-	minWarmUpShare       = 0.01 // of its full capacity, that a worker has at least
+	warmUpBudgetFraction = 0.4  // of the allowed work, as the sizes of jobs are heavy-tailed
+	meanJobsPerAssignee  = 2.0  // jobs of mean cost that one assignee's part of a budget holds
+	minWarmUpShare       = 0.01 // of its full capacity: a worker is never assumed to have less
 )
 
-// slowStart bounds and distributes what warming workers are sent. It reads the settings and the
-// estimates of its dispatcher, and draws from its random source.
+// slowStart bounds and distributes what warming workers are sent. It reads the settings and the estimates of
+// its dispatcher, and draws from the dispatcher's random source.
 type slowStart struct {
 	settings    *Settings
 	rng         *rand.Rand
 	workload    *workloadModel
 	arrivals    *arrivalStatistics
-	firstStepAt time.Duration // the first step: what this dispatcher sent before is unknown; 0: no step yet
+	firstStepAt time.Duration // the first step; work sent before it is unknown; 0: no step yet
 }
 
-// recordFirstStep notes the first step. Later calls change nothing.
+// recordFirstStep records the time of the first step. Later calls change nothing.
 func (s *slowStart) recordFirstStep(now time.Duration) {
 	if s.firstStepAt == 0 {
 		s.firstStepAt = now
@@ -36,9 +36,9 @@
 
 // slowStartState is the slow start of a worker.
 type slowStartState struct {
-	restartedAt time.Duration // its start if later than BootAt: it answered after a loss, or was uncordoned
+	restartedAt time.Duration // inferred restart: it answered after a connection loss, or was uncordoned
 	sent        workWindow    // while warming up
-	ticketStart float64       // a draw within ticketWidth above this is the worker's
+	ticketStart float64       // draws from this up to ticketStart+ticketWidth select the worker
 	ticketWidth float64       // 0: the worker does not take part in the lottery
 }
 
@@ -57,7 +57,7 @@
 	*w = slices.DeleteFunc(*w, func(s workSample) bool { return now-s.at > span })
 }
 
-// sumWith returns a work plus that of all samples within a span.
+// sumWith returns the given work plus that of all samples within a span.
 func (w *workWindow) sumWith(work float64, span, now time.Duration) float64 {
 	for _, s := range *w {
 		if now-s.at <= span {
@@ -67,10 +67,10 @@
 	return work
 }
 
-// allows reports whether a worker may be sent a job by its slow start: what is sent to a warming
-// worker, rejected jobs too, stays within the part of the worker's budget that this dispatcher of a
-// group has. A new dispatcher sends warming workers nothing for one window, as it may have sent them
-// work before.
+// allows reports whether slow start permits sending a job to a worker. What this dispatcher sends a warming
+// worker, including jobs that the worker rejects, stays within the dispatcher's part of the worker's budget.
+// A new dispatcher sends warming workers nothing for one window, as it may have sent them work before it
+// restarted.
 func (s *slowStart) allows(job *jobInfo, worker *workerInfo, group replicaGroup, now time.Duration) bool {
 	if worker.warmUpShare(s.settings, now) >= 1 {
 		worker.slowStart.sent = nil
@@ -82,19 +82,19 @@
 	work := worker.slowStart.sent.sumWith(cost, window, now)
 	budget := s.budget(worker, now)
 	rank, assignees := group.assigneeRank(worker)
-	// Equal parts for many dispatchers would hold no job: all dispatchers choose the same few of them
-	// for a worker.
+	// Divided equally among many dispatchers, a part would be too small for any job: for each worker all
+	// dispatchers choose the same few of them.
 	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*s.arrivals.meanCost+divisionGuard))))
-	// A cordon ends at all dispatchers at once, and none can see whether others have tried the worker:
-	// all may where the budget holds such a job from each.
+	// A cordon ends at all dispatchers at once, and none can see whether others have sent the worker a job:
+	// all may do so if the budget holds such a job from each.
 	allMayTry := worker.uncordonedAt > 0 && cost*float64(group.count) <= budget
 	mayTry := rank < chosen || allMayTry
 	return mayTry && now-s.firstStepAt > window && work <= budget/float64(chosen)
 }
 
-// allowsLease reports whether a job may be sent to a worker on a lease. It bounds what this
-// dispatcher sends a warming worker on leases and without, whatever its coordinator grants, to the
-// budget of all dispatchers.
+// allowsLease reports whether slow start permits sending a job to a worker on a lease. Whatever the
+// coordinator grants, it bounds all that this dispatcher sends a warming worker, with and without leases, to
+// the budget of all dispatchers.
 func (s *slowStart) allowsLease(job *jobInfo, worker *workerInfo, now time.Duration) bool {
 	if worker.warmUpShare(s.settings, now) >= 1 {
 		return true
@@ -103,10 +103,11 @@
 	return work <= s.budget(worker, now)
 }
 
-// assignTickets gives each warming worker its tickets of the lottery that jobs draw in, an interval of
-// the numbers from 0 to 1. Its width is the worker's part of an even distribution of jobs, or less
-// where its budget allows less. Only jobs that could be sent elsewhere draw: so the sum over
-// dispatchers that do not see each other follows what the rest of the fleet is sent.
+// assignTickets gives each warming worker its lottery tickets: an interval of the numbers from 0 to 1. A job
+// whose random draw lies in the interval goes to the worker. The width is the worker's part of an even
+// distribution of jobs, or less if its budget allows less. Only jobs that could be sent to another worker
+// draw, so that the total over dispatchers, which do not see each other, is proportional to what the rest of
+// the fleet is sent.
 func (s *slowStart) assignTickets(fleet *workerFleet, now time.Duration) {
 	start, ready := 0.0, fleet.countReady()
 	for _, worker := range fleet.workers {
@@ -122,8 +123,8 @@
 }
 
 // drawsTicketOf reports whether a job has drawn a ticket of a warming worker. The greater the job's cost,
-// the fewer tickets count; a job that would use up the worker's whole budget has no chance. A job draws
-// once.
+// the fewer of the tickets count; a job that costs more than the worker's whole budget never wins. A job
+// draws only once.
 func (s *slowStart) drawsTicketOf(worker *workerInfo, job *jobInfo, now time.Duration) bool {
 	cost := s.workload.warmUpCost(job)
 	tickets := &worker.slowStart
@@ -150,8 +151,8 @@
 // warmUpStart returns the instant from which a worker warms up.
 func (w *workerInfo) warmUpStart() time.Duration { return max(w.BootAt, w.slowStart.restartedAt) }
 
-// warmUpShare returns the least fraction of its full capacity that a worker has, by the time since its
-// start; 1 if it has warmed up.
+// warmUpShare returns the fraction of its full capacity that a worker has at least, which follows from the
+// time since its start; 1 if it has warmed up.
 func (w *workerInfo) warmUpShare(settings *Settings, now time.Duration) float64 {
 	start := w.warmUpStart()
 	if start <= 0 || settings.WarmUp <= 0 || now-start >= settings.WarmUp {
@@ -171,13 +172,13 @@
 	return warmUpBudgetFraction * s.settings.OverloadFactor * capacity * s.settings.OverloadWindow.Seconds()
 }
 
-// warmUpCost returns what a job counts against such a budget.
+// warmUpCost returns the cost of a job against the budget of a warming worker.
 func (m *workloadModel) warmUpCost(job *jobInfo) float64 {
 	return job.work * job.Slots * m.overrunRatio[job.Class]
 }
 
-// assigneeRank returns the place, from 0, of a dispatcher among those that may send jobs to a warming
-// worker. All dispatchers compute the same order.
+// assigneeRank returns the rank, from 0, of a dispatcher among those that may send jobs to a warming worker,
+// and their number. All dispatchers compute the same order.
 func (r replicaGroup) assigneeRank(worker *workerInfo) (rank, assignees int) {
 	if worker.Assignees > 0 {
 		return max(0, worker.AssigneeRank), worker.Assignees
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -5,16 +5,19 @@
 	"time"
 )
 
-// A snapshot holds the whole state, bit by bit: given the same events, a restored dispatcher returns the same actions, except
-// about leases: it has none, and requests them anew. SnapshotWithLeases stores them too. Three things are left out, as no action
-// depends on them. Jobs that are closed with nothing in flight are stored only as entries of heaps. A timer of an attempt that has
-// ended is stored with its time alone. Of the work by key only that of the open jobs' keys is stored, with the number of the other
-// keys: see RecallKeyWork.
+// A snapshot holds the whole state exactly: given the same events, a restored dispatcher returns the same
+// actions. The exception is leases: a restored dispatcher has none, and requests them again.
+// SnapshotWithLeases stores them too.
 //
-// Each type writes and reads its own part, by a method walk on a codec: the same calls serve both. Dispatcher.walk has the order
-// of the parts, which is part of the form.
+// Three things are stored only in part, as no action depends on the rest. Jobs that are closed with nothing
+// in flight are stored only as entries of heaps. A timer of an attempt that has ended is stored with its time
+// alone. Of the work by key only that of the open jobs' keys is stored, with the number of the other keys:
+// see RecallKeyWork.
+//
+// Each type has a method serialize that both writes and reads its part, depending on the codec.
+// Dispatcher.serialize determines the order of the parts, which is part of the format.
 
-// ErrInvalidSnapshot is the error of Restore for bytes that are no snapshot for the settings.
+// ErrInvalidSnapshot is the error of Restore for bytes that are not a snapshot for the settings.
 var ErrInvalidSnapshot = errors.New("not a snapshot for these settings")
 
 // Snapshot appends the state between two steps to b, without leases.
@@ -32,12 +35,12 @@
 	return codec.b
 }
 
-// Restore returns a dispatcher with the state of a snapshot. The settings may differ from those under which it was taken, except
-// for the number of classes and tenants. The error is ErrInvalidSnapshot.
+// Restore returns a dispatcher with the state of a snapshot. The settings may differ from those under which
+// it was taken, except for the number of classes and tenants. The error is ErrInvalidSnapshot.
 func Restore(settings Settings, b []byte) (*Dispatcher, error) { return RestoreOnClock(settings, b, 0) }
 
-// RestoreOnClock is Restore for a process whose clock is ahead, by clockAhead, of that of the process that took the snapshot: all
-// instants are shifted by it. It is negative for a clock that is behind.
+// RestoreOnClock is Restore for a process whose clock is ahead, by clockAhead, of that of the process that
+// took the snapshot: all points in time are shifted by it. It is negative for a clock that is behind.
 func RestoreOnClock(settings Settings, b []byte, clockAhead time.Duration) (*Dispatcher, error) {
 	d, err := read(settings, &codec{b: b, clockAhead: clockAhead})
 	if err == nil {
@@ -53,7 +56,7 @@
 
 func read(settings Settings, c *codec) (d *Dispatcher, err error) {
 	defer func() {
-		if recover() != nil { // no bytes may end the process
+		if recover() != nil { // malformed bytes must not end the process
 			d, err = nil, ErrInvalidSnapshot
 		}
 	}()
@@ -86,7 +89,7 @@
 	}
 }
 
-// serializeScalars writes or reads the single figures of all types.
+// serializeScalars writes or reads the scalar values of all types.
 func (d *Dispatcher) serializeScalars(codec *codec) {
 	codec.instant(
 		&d.slowStart.firstStepAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
@@ -97,8 +100,9 @@
 		&d.idleConnections.maxIdle, &d.checks.minDelay, &d.stalls.length,
 	)
 	codec.float(
-		&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
-		&d.arrivals.count, &d.workload.meanAbsoluteLogError, &d.workload.maxLogSpeed, &d.starts.usedSlots,
+		&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight,
+		&d.arrivals.meanCost, &d.arrivals.count, &d.workload.meanAbsoluteLogError, &d.workload.maxLogSpeed,
+		&d.starts.usedSlots,
 		&d.hedges.tokens, &d.checks.tokens.tokens, &d.objectives.exploration.tokens, &d.starts.lateCount,
 	)
 	codec.flags(&d.outliers.silencePanic, &d.outliers.failurePanic)
@@ -108,7 +112,7 @@
 	codec.float(&d.latestReplicas.QuotaShare)
 }
 
-// serializeTables writes or reads the figures by class, tenant, kind and zone.
+// serializeTables writes or reads the values by class, tenant, machine kind and zone.
 func (d *Dispatcher) serializeTables(codec *codec) {
 	fixedList(codec, d.workload.sizeCorrection, func(logs *[slotBuckets]float64) {
 		codec.float(&logs[0], &logs[1], &logs[2], &logs[3])
@@ -152,10 +156,12 @@
 
 // serialize writes or reads the outcomes on idle connections.
 func (h *idleHistory) serialize(codec *codec) {
-	fixedList(codec, h[:], func(outcomes *idleOutcomes) { codec.float(&outcomes.succeeded, &outcomes.failed) })
+	fixedList(codec, h[:], func(outcomes *idleOutcomes) {
+		codec.float(&outcomes.succeeded, &outcomes.failed)
+	})
 }
 
-// serializeKeys writes or reads the work by key, of the keys of the open jobs.
+// serializeKeys writes or reads the work by key, for the keys of the open jobs.
 func (m *workloadModel) serializeKeys(codec *codec) {
 	known := map[uint64]float64{}
 	for _, job := range codec.jobs {
--- a/dispatch/snapshotjobs.go
+++ b/dispatch/snapshotjobs.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// The parts of a snapshot on jobs, attempts, and what refers to them.
+// The parts of a snapshot for jobs, attempts, and what refers to them.
 
-// serializeWorkersAndJobs writes or reads the workers and jobs with their attempts: first how many workers and which jobs there are, then
-// the rest, as each refers to others.
+// serializeWorkersAndJobs writes or reads the workers and jobs with their attempts. As these refer to each
+// other, the number of workers and the jobs come first, then the rest.
 func (d *Dispatcher) serializeWorkersAndJobs(codec *codec) {
 	codec.workerIndexes = map[*workerInfo]int{}
 	codec.jobIndexes = map[*jobInfo]int{}
@@ -63,7 +63,9 @@
 	codec.instant(&j.arrivedAt, &j.deadline, &j.objectiveAt, &j.promoteAt, &j.checksUntil)
 	isDeprioritized := j.isDeprioritized()
 	isUnreachable := j.priority == priorityUnreachable
-	codec.flags(&j.Retry, &isDeprioritized, &isUnreachable, &j.closed, &j.streaming, &j.inPromotions, &j.recheckOnEnd)
+	codec.flags(
+		&j.Retry, &isDeprioritized, &isUnreachable, &j.closed, &j.streaming, &j.inPromotions, &j.recheckOnEnd,
+	)
 	j.priority = priorityLevelOf(isDeprioritized, isUnreachable)
 	codec.int(&j.inFlight)
 	codec.int(&j.skipCount)
@@ -74,7 +76,7 @@
 	j.class = &classes[j.Class]
 }
 
-// priorityLevelOf returns the priority that two flags stand for.
+// priorityLevelOf returns the priority that two flags encode.
 func priorityLevelOf(isDeprioritized, isUnreachable bool) priorityLevel {
 	switch {
 	case isUnreachable:
@@ -98,7 +100,8 @@
 	codec.int((*int)(&a.result))
 }
 
-// serialize writes or reads the queued jobs. The order within each heap is kept, as jobs of equal rank leave by it.
+// serialize writes or reads the queued jobs. The order within each heap is kept, as it decides between equal
+// jobs.
 func (q *jobQueue) serialize(codec *codec) {
 	fixedList(codec, q.demandClasses, func(class *demandClass) {
 		list(codec, &class.byScore.items, func(job **jobInfo) { codec.job(job) })
@@ -141,7 +144,7 @@
 	}
 }
 
-// job writes or reads a reference to a job. One that is forgotten is read as a closed job.
+// job writes or reads a reference to a job. One to a job that has been removed is read as a closed job.
 func (c *codec) job(job **jobInfo) {
 	index := -1
 	if at, ok := c.jobIndexes[*job]; ok {
@@ -159,7 +162,8 @@
 	(*job).bindTimers()
 }
 
-// attempt writes or reads a reference to an attempt. One that has ended is read as an ended attempt without a worker.
+// attempt writes or reads a reference to an attempt. One to an attempt that has ended is read as an ended
+// attempt without a worker.
 func (c *codec) attempt(attempt **attemptInfo) {
 	var job *jobInfo
 	number := -1
--- a/dispatch/snapshottimers.go
+++ b/dispatch/snapshottimers.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The parts of a snapshot on timers and the random generator.
+// The parts of a snapshot for timers and the random generator.
 
 // randomStateSize is the number of bytes of the random generator's state.
 const randomStateSize = 20
@@ -25,7 +25,8 @@
 	c.b = c.b[randomStateSize:]
 }
 
-// serializeTimers writes or reads the timers that are set. The order within the heap is kept, as timers of one instant fire by it.
+// serializeTimers writes or reads the timers that are set. The order within the heap is kept, as it decides
+// in which order timers with the same time fire.
 func (d *Dispatcher) serializeTimers(codec *codec) {
 	if codec.writing {
 		stored := d.timers.stored(codec.withLeases)
@@ -57,7 +58,8 @@
 	return others.items
 }
 
-// serializeTimer writes or reads a reference to a timer, by what it is part of, and its time.
+// serializeTimer writes or reads the time of a timer, and a reference to it: its purpose and the object that
+// it belongs to.
 func (d *Dispatcher) serializeTimer(codec *codec, t **timer) {
 	stored := timer{}
 	if codec.writing {
@@ -88,8 +90,8 @@
 	(*t).at = stored.at
 }
 
-// resolveTimer returns the timer with the same purpose as another one and of the same job, attempt, worker or lease; nil if the
-// purpose is unknown.
+// resolveTimer returns the timer with the same purpose as another one and of the same job, attempt, worker or
+// lease; nil if the purpose is unknown.
 func (d *Dispatcher) resolveTimer(other *timer) *timer {
 	switch other.purpose {
 	case reviewQueue:
--- a/dispatch/snapshotworkers.go
+++ b/dispatch/snapshotworkers.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// The parts of a snapshot on workers and what refers to them.
+// The parts of a snapshot for workers and what refers to them.
 
-// serializeWorkers writes or reads all workers, of which it is known how many there are.
+// serializeWorkers writes or reads all workers. Their number has been written or read before.
 func (d *Dispatcher) serializeWorkers(codec *codec) {
 	for i, worker := range d.fleet.workers {
 		worker.serialize(codec)
@@ -65,7 +65,8 @@
 	c.int(&(*machine).lateOverflows)
 }
 
-// serializeIndex writes or reads the workers that may have capacity, in the order of the index: random draws select by it.
+// serializeIndex writes or reads the workers that may have capacity, in the order of the index: random draws
+// select by position.
 func (d *Dispatcher) serializeIndex(codec *codec) {
 	d.fleet.available.serialize(codec)
 	list(codec, &d.fleet.dirty, func(worker **workerInfo) { codec.worker(worker) })
@@ -96,7 +97,7 @@
 	})
 }
 
-// setPositions notes with the workers of a bucket that was read where the index has them.
+// setPositions sets the index entries of the workers of a bucket that was read.
 func (w *workerIndex) setPositions(codec *codec, entry *bucket) {
 	for level, workers := range entry.levels {
 		for slot, worker := range workers {
@@ -109,7 +110,8 @@
 	}
 }
 
-// worker writes or reads a reference to a worker. One that is forgotten is read as a worker without an ID.
+// worker writes or reads a reference to a worker. One to a worker that has been removed is read as a worker
+// without an ID.
 func (c *codec) worker(worker **workerInfo) {
 	index := -1
 	if at, ok := c.workerIndexes[*worker]; ok {
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minStall is the least delay of the caller's timer that shows that this process was stalled. What was measured
-// meanwhile says nothing of workers.
+// minStall is the least delay of the caller's timer that counts as a stall of this process. Measurements
+// taken during a stall say nothing about workers.
 const minStall = 20 * time.Millisecond
 
 // stallDetector detects stalls of this process by how late the caller's timer fires.
@@ -12,7 +12,8 @@
 	length  time.Duration
 }
 
-// handleTimer measures a stall when the caller's timer fires that was due at an instant; 0: none was set.
+// handleTimer checks for a stall when the caller's timer fires. dueAt is when the timer was due; 0: none was
+// set.
 func (s *stallDetector) handleTimer(dueAt, now time.Duration) {
 	if late := now - dueAt; dueAt > 0 && late > minStall {
 		s.endedAt = now
@@ -20,8 +21,8 @@
 	}
 }
 
-// justEnded reports whether the latest stall was noticed at this instant: events that occurred meanwhile may not
-// have been read yet.
+// justEnded reports whether the latest stall was noticed in this step: events that occurred during the stall
+// may not have been read yet.
 func (s *stallDetector) justEnded(now time.Duration) bool { return s.endedAt == now }
 
 // spans reports whether this process was stalled while an attempt was in flight.
--- a/dispatch/starttracker.go
+++ b/dispatch/starttracker.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// startTracker holds the attempts that have not started, and those of them that are late. It decides nothing.
+// startTracker holds the attempts that have not started, and those of them that are late. Its caller decides
+// which are late.
 type startTracker struct {
 	pending [][]*attemptInfo // by class, oldest first; may hold attempts that have started or ended
 	first   []int            // by class: the first used element of pending
@@ -24,7 +25,8 @@
 	s.pending[class] = pending
 }
 
-// update moves the attempts that are late to the late ones, and removes from these the ones that are over.
+// update moves the attempts that are late from pending to late, and then removes from late those for which
+// isOver holds.
 func (s *startTracker) update(isLate func(class int, a *attemptInfo) bool, isOver func(a *attemptInfo) bool) {
 	for class := range s.pending {
 		s.moveLate(class, isLate)
@@ -32,8 +34,8 @@
 	s.late = slices.DeleteFunc(s.late, isOver)
 }
 
-// moveLate moves the late attempts of a class, and removes those that have started or ended before the first
-// that is not late.
+// moveLate moves the late attempts of a class to late. It stops at the first one that is neither late nor
+// started nor ended, and removes all before that from pending.
 func (s *startTracker) moveLate(class int, isLate func(class int, a *attemptInfo) bool) {
 	pending, i := s.pending[class], s.first[class]
 	for ; i < len(pending); i++ {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Dispatcher is one dispatcher; see Step. It is used on one goroutine.
+// Dispatcher holds the state of one dispatcher; see Step. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings       Settings
-	latestReplicas ReplicasChanged // in place of the settings' figures; Replicas 0: not notified
+	latestReplicas ReplicasChanged // overrides the settings; Replicas 0: none was received
 	rng            *rand.Rand
 	source         *rand.PCG     // of rng: all of its state
 	now            time.Duration // of this step
--- a/dispatch/subscription.go
+++ b/dispatch/subscription.go
@@ -1,14 +1,14 @@
 package dispatch
 
-// The subscription to the list of workers: when it is requested, and how long after a failure it is again.
-// The design does not mention it.
+// The subscription to the list of workers: when the list is requested, and how long after a failure it is
+// requested again. The design does not mention it.
 
 import "time"
 
 const (
 	minBackoffPollDivisor = 20 // the shortest backoff of a subscription is the poll interval divided by this
 	maxBackoffPollDivisor = 4  // and the longest is the poll interval divided by this
-	replicasPerBackoff    = 4  // for each of so many dispatchers the shortest backoff counts once more
+	replicasPerBackoff    = 4  // the shortest backoff is multiplied by the number of dispatchers / this
 )
 
 // subscriptionState is the state of the watch on the list of workers.
@@ -23,7 +23,7 @@
 // endpointSubscription says when the list of workers is requested.
 type endpointSubscription struct {
 	state   subscriptionState
-	retryAt time.Duration // not requested before; 0: at once
+	retryAt time.Duration // earliest time of the next request; 0: at once
 	backoff time.Duration // before the last retry; 0: the last request succeeded
 }
 
@@ -32,15 +32,15 @@
 	return s.state == unsubscribed && now >= s.retryAt
 }
 
-// succeed notes a list from the watch. It may not have been requested here: whoever has the watch has
-// requested it again.
+// succeed records that the watch has delivered a list. This dispatcher may not have requested it: the caller,
+// which holds the watch, may have renewed the watch itself.
 func (s *endpointSubscription) succeed() {
 	s.state = subscribed
 	s.backoff = 0
 }
 
-// fail notes that the watch has ended or could not begin. A watch that breaks does not lengthen the backoff
-// of the one after it.
+// fail records that the watch has ended or could not begin. Only a failed request lengthens an existing
+// backoff; the end of a watch does not.
 func (s *endpointSubscription) fail(minBackoff, maxBackoff time.Duration) {
 	if s.state == subscribing || s.backoff == 0 {
 		s.backoff = min(max(minBackoff, 2*s.backoff), maxBackoff)
@@ -48,7 +48,7 @@
 	s.state = unsubscribed
 }
 
-// requestWorkers requests the list of workers where the platform wants that and it is due.
+// requestWorkers requests the list of workers if the platform requires that and a request is due.
 func (d *Dispatcher) requestWorkers() {
 	if d.settings.MustSubscribe && d.subscription.isDue(d.now) {
 		d.subscription.state = subscribing
@@ -74,8 +74,8 @@
 	d.applyList(list)
 }
 
-// minSubscribeBackoff returns the shortest backoff. It grows with the number of dispatchers, so that the
-// requests of many that start at once are spread: one service answers all.
+// minSubscribeBackoff returns the shortest backoff. It grows with the number of dispatchers, to spread the
+// requests of many that start at once: one service answers all of them.
 func (d *Dispatcher) minSubscribeBackoff() time.Duration {
 	shortest := d.settings.PollInterval / minBackoffPollDivisor
 	spread := shortest * time.Duration(max(1, d.settings.Replicas/replicasPerBackoff))
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// timer is an instant at which the dispatcher acts without an event. Each is part of what it concerns, and is set once at a
-// time.
+// timer is a point in time at which the dispatcher acts without an event. Each timer is a field of the object
+// that it belongs to, and is set at most once at a time.
 type timer struct {
 	at        time.Duration
 	heapIndex int // in the heap, plus one; 0: not set
@@ -18,7 +18,7 @@
 type timerPurpose int
 
 const (
-	reviewQueue timerPurpose = iota // nothing but the dispatch cycle that ends each step
+	reviewQueue timerPurpose = iota // only runs the dispatch cycle that ends each step
 	runMaintenance
 	jobDeadline
 	jobObjective
@@ -27,7 +27,8 @@
 	leaseOverdue
 )
 
-// timerQueue holds the timers that are set, and the one timer of the caller that stands for the first of them.
+// timerQueue holds the timers that are set. The caller has a single timer, which is set for the first of
+// them.
 type timerQueue struct {
 	heap     minHeap[*timer]
 	callerAt time.Duration // when the caller's timer is due; 0: it has none
@@ -40,7 +41,7 @@
 	}}
 }
 
-// set sets a timer, or moves one that is set, to an instant after now.
+// set sets a timer, or moves one that is set. It fires after now even if at is earlier.
 func (q *timerQueue) set(t *timer, at, now time.Duration) {
 	t.at = max(at, now+1)
 	if t.heapIndex > 0 {
@@ -65,14 +66,15 @@
 	return q.heap.pop()
 }
 
-// dropCallerTimer forgets the caller's timer once it is due.
+// dropCallerTimer clears the caller's timer once it is due.
 func (q *timerQueue) dropCallerTimer(now time.Duration) {
 	if q.callerAt <= now {
 		q.callerAt = 0
 	}
 }
 
-// nextCallerTimer reports whether the caller has to set its timer, and to which instant. The queue must not be empty.
+// nextCallerTimer reports whether the caller has to set its timer, and to which time. The queue must not be
+// empty.
 func (q *timerQueue) nextCallerTimer() (at time.Duration, ok bool) {
 	next := q.heap.first().at
 	if q.callerAt != 0 && next >= q.callerAt {
--- a/dispatch/workerinfo.go
+++ b/dispatch/workerinfo.go
@@ -17,10 +17,10 @@
 	listed         bool          // by the latest list
 	listedReady    bool          // by the list; Ready is false for cordoned workers too
 	position       int           // in workerFleet.workers
-	rejectedDemand float64       // it has rejected a job of this demand while idle; 0: none
+	rejectedDemand float64       // demand of a job that it has rejected while idle; 0: none
 	uncordonedAt   time.Duration // 0: never, or it has been sent a job since
 	inFlight       []*attemptInfo
-	orphans        int   // attempts in flight whose worker process is gone
+	orphans        int   // attempts in flight whose worker process has ended
 	timer          timer // fires when the worker may have capacity again without any event, or has warmed up
 
 	index       indexEntry
@@ -35,7 +35,7 @@
 	slowStart   slowStartState
 }
 
-// relativeSpeed is the estimated speed of a worker against a standard core.
+// relativeSpeed is the estimated speed of a worker relative to a standard core.
 type relativeSpeed struct {
 	log        float64       // natural logarithm of the speed
 	factor     float64       // the speed itself: exp(log)
@@ -54,7 +54,7 @@
 	r.factor = math.Exp(log)
 }
 
-// observe updates the speed by the log speed observed in a run.
+// observe updates the speed with the log speed observed in a run.
 func (r *relativeSpeed) observe(logSpeed float64, now time.Duration) {
 	r.samples++
 	gain := max(minSpeedGain, 1/(r.samples+2))
@@ -62,7 +62,8 @@
 	r.observedAt = now
 }
 
-// decay moves the speed towards that of the worker's kind by a time that has passed. One without samples is set to it.
+// decay moves the speed towards that of the worker's kind by the decay of the elapsed time. A speed without
+// samples is set to that of the kind.
 func (r *relativeSpeed) decay(kindLogSpeed float64, elapsed, now time.Duration) {
 	log := r.log
 	if r.observedAt == 0 {
@@ -75,18 +76,18 @@
 	}
 }
 
-// workerActivity is when a worker has last shown that it is alive, and that it progresses.
+// workerActivity says when a worker has last shown that it is alive, and that it makes progress.
 type workerActivity struct {
 	aliveAt    time.Duration // the latest response or notification of any kind
 	progressAt time.Duration // the latest start, progress or successful end of an attempt
 }
 
-// newWorkerInfo returns a worker of a kind of machine, without any observation.
+// newWorkerInfo returns a worker of a machine kind, without any observation.
 func newWorkerInfo(kind *machineInfo) *workerInfo {
 	return &workerInfo{machine: kind, slots: newSlotLimit(), speed: newRelativeSpeed(kind.logSpeed)}
 }
 
-// resetProcess clears what is known of the worker's process. Its backoff stays.
+// resetProcess clears the observations of the worker's process. The backoff is kept.
 func (w *workerInfo) resetProcess() {
 	w.slots.limit = 1
 	w.rejectedDemand = 0
@@ -98,7 +99,7 @@
 	w.speed.observedAt = 0
 }
 
-// clearFaults clears what is known of the worker's process, and all that keeps jobs from it.
+// clearFaults clears the observations of the worker's process, and all state that keeps jobs from it.
 func (w *workerInfo) clearFaults() {
 	w.resetProcess()
 	w.outlier.failing = false
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// applyList applies the entries of a list. A worker that is removed from the list is forgotten once nothing of this
-// dispatcher is in flight there.
+// applyList applies the entries of a list. The state of a worker that is removed from the list is kept until
+// no attempt of this dispatcher is in flight there.
 func (d *Dispatcher) applyList(list WorkerList) {
 	isDelta := list.Kind == ListDelta
 	if !isDelta {
@@ -25,7 +25,7 @@
 
 // removeUnlisted removes the workers that are not on a full list.
 func (d *Dispatcher) removeUnlisted() {
-	for i := len(d.fleet.workers) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of a removed one
+	for i := len(d.fleet.workers) - 1; i >= 0; i-- { // backwards, as the last worker replaces a removed one
 		worker := d.fleet.workers[i]
 		if worker.listed {
 			continue
@@ -38,8 +38,8 @@
 	}
 }
 
-// applyEntry applies one entry of a list, and returns its worker. It returns nil if the entry removes a worker that is
-// not known.
+// applyEntry applies one entry of a list, and returns its worker. It returns nil if the entry removes a
+// worker that is not known.
 func (d *Dispatcher) applyEntry(entry Worker) *workerInfo {
 	worker := d.fleet.byID[entry.ID]
 	switch {
@@ -48,7 +48,7 @@
 	case worker == nil:
 		worker = newWorkerInfo(d.workload.machineKind(entry.Kind))
 		d.addWorker(entry.ID, worker)
-	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: the state of the old one is void
+	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: reset the state of the old one
 		worker.resetProcess()
 		worker.slowStart.restartedAt = 0
 	}
@@ -64,19 +64,20 @@
 	d.fleet.rings.update(worker)
 	d.fleet.markDirty(worker)
 	if worker.Ready {
-		// At once: a job whose objective seems unreachable is rejected.
+		// Without waiting for maintenance, as jobs whose objective seems unreachable are rejected.
 		d.workload.maxLogSpeed = max(d.workload.maxLogSpeed, worker.speed.log)
 	}
 	return worker
 }
 
-// addWorker adds a worker under an id that is not in use.
+// addWorker adds a worker under an ID that is not in use.
 func (d *Dispatcher) addWorker(id uint64, worker *workerInfo) {
 	d.fleet.add(id, worker)
 	d.leases.coordinator.forgetMembers()
 }
 
-// forgetWorker removes a worker that is not listed any more, once nothing of this dispatcher is in flight there.
+// forgetWorker removes a worker that is not listed any more, unless an attempt of this dispatcher is in
+// flight there.
 func (d *Dispatcher) forgetWorker(worker *workerInfo) {
 	if worker.listed || len(worker.inFlight)+worker.orphans > 0 || !d.fleet.contains(worker) {
 		return
@@ -86,8 +87,8 @@
 	d.cancelTimer(&worker.timer)
 }
 
-// reindex updates the place of a worker in the index of available workers, and sets its timer if it becomes available
-// without any event.
+// reindex updates the position of a worker in the index of available workers, and sets its timer if it will
+// become available without any event.
 func (d *Dispatcher) reindex(worker *workerInfo) {
 	worker.index.dirty = false
 	warmingUp := worker.warmUpShare(&d.settings, d.now) < 1
@@ -112,8 +113,8 @@
 	}
 }
 
-// orphanAttempts releases the slots of the attempts at a worker whose process has ended, and returns the attempts. They
-// stay in flight until their outcomes arrive.
+// orphanAttempts releases the slots of the attempts at a worker whose process has ended, and returns the
+// attempts. They stay in flight until their outcomes arrive.
 func (d *Dispatcher) orphanAttempts(worker *workerInfo) []*attemptInfo {
 	orphans := worker.inFlight
 	for _, attempt := range orphans {
@@ -129,7 +130,8 @@
 	return orphans
 }
 
-// AvoidedWorkers returns the number of listed workers that this dispatcher avoids now, as cordoned or as ejected.
+// AvoidedWorkers returns the number of listed workers that this dispatcher avoids now because they are
+// cordoned or ejected.
 func (d *Dispatcher) AvoidedWorkers() int {
 	avoided := 0
 	for _, w := range d.fleet.workers {
@@ -141,7 +143,8 @@
 	return avoided
 }
 
-// AvailableSlots returns how many slots the workers have free for jobs of this dispatcher, as far as is known.
+// AvailableSlots returns how many slots the workers have free for jobs of this dispatcher, as far as it
+// knows.
 func (d *Dispatcher) AvailableSlots() float64 {
 	slots := 0.0
 	for _, w := range d.fleet.workers {
