--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A job that runs when its objective passes is checked again when that run fails: out of reach of its objective it is rejected
-// then, and not at its deadline, seconds later.
+// A job that is running when its objective passes is rechecked when the run fails. As it can no longer meet its objective, it is
+// rejected then, and not seconds later at its deadline.
 func TestJobWhoseRunFailsPastItsObjectiveIsAnsweredAtOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -21,7 +21,7 @@
 	s.step(s.done(1, 0, 1, Failed))
 	s.wait(2 * ms)
 	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
-		t.Fatalf("its run has failed past its objective: %v, expected a rejection", got)
+		t.Fatalf("its run failed after its objective had passed: rejections %v, expected one", got)
 	}
 }
 
@@ -35,7 +35,7 @@
 		{"no worker is known", 0, 2 * time.Second, 2 * time.Second},
 		{"the deadline was short at arrival", 1, ms, ms},
 		{"the deadline had passed at arrival", 1, 0, ms},
-		{"no outcome ever comes", 1, time.Second, time.Second},
+		{"no outcome arrives", 1, time.Second, time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 			s.step(j)
 			s.wait(c.wait)
 			if got := taken[Reject](s); len(got) != 1 {
-				t.Fatalf("%d final answers by the deadline", len(got))
+				t.Fatalf("%d rejections by the deadline, expected 1", len(got))
 			}
 			s.wait(10 * time.Second)
 			for _, a := range s.take() {
@@ -59,15 +59,16 @@
 	}
 }
 
-// Incident: the most valuable jobs were rejected unsent on a hint known to be rough while a worker was idle.
+// Guards against an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, because of
+// hints that are only rough.
 func TestJobLikelyToBeLateIsSentToIdleWorker(t *testing.T) {
 	cases := []struct {
 		name      string
 		remaining time.Duration
 		sent      int
 	}{
-		{"within the noise of hints", 1800 * ms, 1},
-		{"far beyond it", 500 * ms, 0},
+		{"late within the error of hints", 1800 * ms, 1},
+		{"late far beyond that", 500 * ms, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,11 +108,12 @@
 		}
 	}
 	if demoted == 0 || s.d.jobs[50].isDeprioritized() {
-		t.Fatalf("%d jobs over their tenant's quota, one of a tenant without a quota demoted: %v", demoted, s.d.jobs[50].isDeprioritized())
+		t.Fatalf("%d jobs over quota demoted, expected some; job of a tenant without a quota demoted: %v", demoted, s.d.jobs[50].isDeprioritized())
 	}
 }
 
-// Our part of a tenant's quota may be less than one job among hundreds of dispatchers: a few jobs are within it.
+// With hundreds of dispatchers, one dispatcher's share of a tenant's quota may be less than one job a second. A few jobs at once
+// are within it nevertheless.
 func TestSmallQuotaShareAdmitsWholeJobs(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.TenantQuota = 400, []float64{100}
@@ -126,13 +128,12 @@
 		}
 	}
 	if within < 2 || within > 15 {
-		t.Fatalf("%d of 20 jobs at once are within a quarter of a job a second", within)
+		t.Fatalf("%d of 20 jobs at once are within a share of a quarter of a job a second, expected 2 to 15", within)
 	}
 }
 
-// A dispatcher that had no worker when it last looked, as at its start, knows the fleet's best speed as soon as a list
-// brings one. Else it would expect workers to be fifty times too slow, and reject jobs with all workers idle until its next
-// round of maintenance.
+// A dispatcher without workers, as at its start, updates the fleet's greatest speed as soon as a list has one. Otherwise it would
+// expect workers to be fifty times too slow, and reject jobs with all workers idle until its next maintenance.
 func TestFirstListUpdatesMaxSpeedAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].LatencyObjective = 80 * ms
@@ -146,13 +147,13 @@
 	s.wait(5 * ms)
 	for _, a := range s.take() {
 		if r, ok := a.(Reject); ok {
-			t.Fatalf("job %d was rejected with workers idle", r.Job)
+			t.Fatalf("job %d was rejected while workers were idle", r.Job)
 		}
 	}
 }
 
-// However many workers there are, however good hints are, and whether starts are notified or not: a fleet that is under half
-// full rejects nothing, serves each client as fast as it works, and spreads what it does.
+// A fleet that is less than half full rejects nothing, serves each client without delay, and distributes jobs evenly. This holds
+// for any number of workers, for wrong hints, and with or without start notifications.
 func TestLightlyLoadedFleetRejectsNothing(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{10, 90, 600} {
@@ -171,8 +172,8 @@
 				}
 				even := float64(served) / float64(nodes)
 				if float64(served) < 0.98*possible || f.rejected > 0 || float64(most) > 1.6*even+4 {
-					t.Errorf("%d nodes, hints x %.2f, notices %v: %.3f of what is possible, %d rejected, the busiest has %.2f times "+
-						"its even part", nodes, hint, notice, float64(served)/possible, f.rejected, float64(most)/even)
+					t.Errorf("%d workers, hints x %.2f, start notifications %v: served %.3f of the possible, %d rejected, busiest has %.2f "+
+						"times the mean", nodes, hint, notice, float64(served)/possible, f.rejected, float64(most)/even)
 				}
 			}
 		}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Incident: moving a job at the first sign of a late start withdrew one attempt in six.
+// Guards against an incident: jobs were moved to another worker as soon as their start was late, so that one attempt in six was
+// cancelled.
 func TestUnstartedJobIsHedgedOnlyWhenItsObjectiveIsAtRisk(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -19,20 +20,21 @@
 		t.Fatalf("expected one hedge on the other worker, got %v", moved)
 	}
 	s.step(Started{Job: 1, Attempt: 1, Worker: moved[0].Worker})
-	// Incident: the waiting attempt was cancelled and forgotten, while the worker went on with it. The next job was queued behind it.
+	// Guards against an incident: the waiting attempt was cancelled and no longer counted, while the worker went on with it. The
+	// next job was queued behind it.
 	s.step(s.done(1, 1, moved[0].Worker, OK), s.job(2, 0, 600*ms), s.job(3, 0, 600*ms))
 	for _, a := range s.take() {
 		if c, ok := a.(Cancel); ok {
 			t.Fatalf("cancelled %v", c)
 		}
 		if next, ok := a.(Send); ok && next.Worker == first {
-			t.Fatalf("job %d was sent behind an attempt that waits", next.Job)
+			t.Fatalf("job %d was sent to a worker at which an attempt waits", next.Job)
 		}
 	}
 	s.step(Started{Job: 1, Worker: first}, s.done(1, 0, first, OK))
 	s.wait(2 * time.Second)
 	if next := taken[Send](s); len(next) == 0 || next[0].Worker != first {
-		t.Fatalf("nothing was sent to a worker that is free again: %v", next)
+		t.Fatalf("sent %v, expected a send to the worker that is free again", next)
 	}
 }
 
@@ -53,7 +55,7 @@
 		}
 	}
 	if sends != 1 || fails != 1 || rejections != 0 {
-		t.Fatalf("%d sends, %d failures, %d refusals; expected 1, 1, 0", sends, fails, rejections)
+		t.Fatalf("%d sends, %d failures, %d rejections; expected 1, 1, 0", sends, fails, rejections)
 	}
 }
 
@@ -76,7 +78,8 @@
 	}
 }
 
-// The retry rules, all of them: may the job be sent to a worker of the same cell, of the same zone, of another; be rejected?
+// Checks all retry rules: whether the job may be sent to a worker of the same cell, of the same zone and of another zone, and
+// whether it may be rejected.
 func TestRetryRules(t *testing.T) {
 	type answer struct{ cell, zone, other, reject bool }
 	all, none := answer{true, true, true, true}, answer{}
@@ -132,14 +135,14 @@
 			}
 			d.settings.Hedging = false
 			if j.inFlight > 0 && d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}) {
-				t.Fatal("hedged where that is not allowed")
+				t.Fatal("may be hedged with hedging off")
 			}
 		})
 	}
 }
 
-// A repetition reaches its worker within the deduplication window even if it is chosen at the last instant: opening the
-// connection may take its whole timeout, the process may stall, and the request may be written in parts.
+// A repeated attempt reaches its worker within the deduplication window even if the worker is chosen as late as allowed: opening
+// the connection may take its whole timeout, the process may stall, and the request may be written in parts.
 func TestRepeatArrivesWithinItsWindow(t *testing.T) {
 	const inParts = 50 * ms
 	for _, window := range []time.Duration{500 * ms, time.Second, 2 * time.Second, 20 * time.Second} {
@@ -155,16 +158,16 @@
 			}
 		}
 		if latest+set.ConnectTimeout+maxProcessStall+inParts >= window {
-			t.Errorf("window %v: chosen %v after the first attempt", window, latest)
+			t.Errorf("window %v: a repeat is allowed up to %v after the first attempt, which is too late", window, latest)
 		}
 		if least := window/2 - set.ConnectTimeout; latest < least { // the margin is no greater than it has to be
-			t.Errorf("window %v: given up after %v", window, latest)
+			t.Errorf("window %v: a repeat is allowed only up to %v after the first attempt", window, latest)
 		}
 	}
 }
 
-// One of many dispatchers does not reject a job that is in flight and unstarted after its objective has passed: it runs all
-// the same, and its client would retry at another. It is closed at its deadline, or when its attempt has ended.
+// With many dispatchers, a job that is in flight and unstarted when its objective passes is not rejected: the worker would run it
+// anyway, and its client would retry at another dispatcher. It is closed at its deadline, or when its attempt has ended.
 func TestManyReplicasKeepAttemptsInFlight(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		set := testSettings()
@@ -174,7 +177,7 @@
 		s.step(s.job(1, 2, 300*ms))
 		s.wait(1500 * ms)
 		if n := len(taken[Reject](s)); n > 0 {
-			t.Fatalf("rejected %d times while it waits", n)
+			t.Fatalf("rejected %d times while in flight", n)
 		}
 		if full {
 			s.step(Outcome{Job: 1, Worker: 1, Result: WorkerFull})
@@ -183,13 +186,13 @@
 			s.wait(4 * time.Second)
 		}
 		if n := len(taken[Reject](s)); n != 1 {
-			t.Fatalf("rejected by its worker %v: rejected %d times", full, n)
+			t.Fatalf("rejected by its worker: %v; rejected by the dispatcher %d times, expected once", full, n)
 		}
 	}
 }
 
-// With many dispatchers a short idempotent job is hedged when its start is late, also if its worker progresses with other jobs:
-// no dispatcher sees what the others have queued there. A long one is not, and a non-idempotent one never is.
+// With many dispatchers, a short idempotent job is hedged when its start is late even if its worker makes progress with other
+// jobs, as no dispatcher sees what the others have queued there. A long job is not hedged then, and a non-idempotent one never.
 func TestShortJobsAreHedgedWithManyReplicas(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -204,7 +207,7 @@
 		w := taken[Send](s)[0].Worker
 		s.step(s.job(2, c.class, c.hint))
 		other := taken[Send](s)
-		for range 8 { // the worker of the first progresses with other jobs
+		for range 8 { // the worker of job 1 makes progress with other jobs
 			s.step(Progressed{Job: 2, Worker: other[0].Worker, Share: 0.1})
 			s.d.fleet.byID[w].activity.progressAt = s.d.now
 			s.wait(50 * ms)
@@ -214,13 +217,13 @@
 			hedged = hedged || a.Job == 1
 		}
 		if hedged != c.hedged {
-			t.Errorf("class %d, %v of work: hedged %v", c.class, c.hint, hedged)
+			t.Errorf("class %d, %v of work: hedged %v, expected the opposite", c.class, c.hint, hedged)
 		}
 	}
 }
 
-// A job that waits at a worker which progresses with other jobs is queued there, not lost: it is not hedged, however late.
-// It is sent to another worker only if its own has shown no progress since.
+// A job that waits at a worker which makes progress with other jobs is queued there, not lost: it is not hedged, however late it
+// is. It is sent to another worker only if its own has shown no progress since.
 func TestAttemptQueuedAtABusyWorkerIsNotHedged(t *testing.T) {
 	for _, works := range []bool{true, false} {
 		s := newHarness(t, testSettings())
@@ -243,12 +246,12 @@
 			}
 		}
 		if (hedges == 0) != works {
-			t.Errorf("its worker gets on %v: %d hedges", works, hedges)
+			t.Errorf("its worker makes progress: %v; %d hedges", works, hedges)
 		}
 	}
 }
 
-// A run that takes longer than expected and notifies of its progress is only long; one that becomes silent is hedged.
+// A run that takes longer than expected is not hedged while the worker notifies of its progress; it is once that stops.
 func TestLongRunIsNotHedged(t *testing.T) {
 	for _, notifies := range []bool{true, false} {
 		set := testSettings()
@@ -264,24 +267,24 @@
 			}
 		}
 		if hedges := len(taken[Send](s)); (hedges == 0) != notifies {
-			t.Errorf("it notifies of its progress %v: %d hedges", notifies, hedges)
+			t.Errorf("progress notifications: %v; %d hedges", notifies, hedges)
 		}
 	}
 }
 
-// The hedges saved up by many dispatchers together are no more than those of a few: otherwise they would add to an overload.
+// The hedge tokens of many dispatchers are bounded in total, as their hedges would otherwise add to an overload.
 func TestHedgeTokensOfManyReplicas(t *testing.T) {
 	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
 		set.Replicas = of
 		if d := New(set, 1); d.hedges.tokens != want || d.maxHedgeTokens() != want {
-			t.Errorf("of %d: %v hedges at first, %v saved up, expected %v", of, d.hedges.tokens, d.maxHedgeTokens(), want)
+			t.Errorf("%d dispatchers: %v tokens at first, at most %v, expected %v", of, d.hedges.tokens, d.maxHedgeTokens(), want)
 		}
 	}
 }
 
-// Found by randomised search: with hedging off, a job that ran for too long was cancelled in order to be sent to another worker, and
-// rejected at the same instant, as its objective had passed. Now it goes on.
+// Found by randomised search: with hedging off, a job that ran for too long was cancelled in order to be sent to another worker,
+// and rejected at the same time, as its objective had passed. It has to run on.
 func TestRunningJobPastItsObjectiveIsNotCancelled(t *testing.T) {
 	set := testSettings()
 	set.Hedging = false
@@ -293,6 +296,6 @@
 	s.step(Started{Job: 1, Worker: at})
 	s.wait(4 * time.Second)
 	if cancels, rejections := taken[Cancel](s), taken[Reject](s); len(cancels)+len(rejections) > 0 {
-		t.Fatalf("%v, %v: it was running", cancels, rejections)
+		t.Fatalf("cancelled %v, rejected %v, though it was running", cancels, rejections)
 	}
 }
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -23,7 +23,7 @@
 	expectLimit(4)
 	s.now += ms
 	s.step(s.done(1, 0, 1, ConnectionReset), s.done(2, 0, 1, ConnectionReset), s.done(3, 0, 1, ConnectionReset))
-	expectLimit(2) // one crash with three attempts in flight is one event
+	expectLimit(2) // one crash with three attempts in flight halves the limit once
 }
 
 func TestLateStartDecreasesLimit(t *testing.T) {
@@ -38,7 +38,8 @@
 	}
 }
 
-// Incident: the prompt start followed a mean of start delays. The mean rose with the queues, so that no start counted as late.
+// Guards against an incident: the bound of a prompt start was based on the mean start delay. The mean rose with the queues, so
+// that no start counted as late.
 func TestPromptStartBoundDoesNotRiseWithDelays(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -55,7 +56,7 @@
 	}
 }
 
-// Incident: with many dispatchers a limit of one each is still a long queue at the worker.
+// Guards against an incident: a limit of one at each of many dispatchers still allowed a long queue at the worker.
 func TestBackoffAfterLateStartAtLimitOfOne(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 2
@@ -72,7 +73,7 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// A worker that does not start an attempt in time has a queue.
+// A worker that does not start an attempt in time has a queue, and is sent nothing more.
 func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -84,8 +85,8 @@
 	expectJobs(t, taken[Send](s))
 }
 
-// Incident: the load report of an outcome is older than the outcome. The slot that was released counted as used, and the worker
-// was sent nothing.
+// Guards against an incident: the load report of an outcome is older than the outcome. The slot that was released counted as
+// used, and the worker was sent nothing.
 func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -108,8 +109,8 @@
 	expectJobs(t, taken[Send](s), 1)
 }
 
-// An attempt that is sent just as another one ends starts promptly, though no slot was free when it was sent: the limit
-// grew past what the worker can run, and jobs waited behind long ones.
+// An attempt that is sent just when another one ends starts promptly, although no slot was free when it was sent. The limit
+// thereby grew past the slots of the worker, and jobs were queued behind long ones.
 func TestLimitIsBoundedByObservedSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -120,7 +121,7 @@
 	}
 	for late := range uint64(minLateOverflows) {
 		if w.backoff.until, w.slots.limit = 0, 9; s.d.maxSlots(w) < 9 {
-			t.Fatalf("the limit ends at %v before anything was late", s.d.maxSlots(w))
+			t.Fatalf("the limit is bounded by %v before enough starts were late", s.d.maxSlots(w))
 		}
 		s.step(s.job(10+late, 1, 20*ms))
 		expectJobs(t, taken[Send](s), 10+late)
@@ -128,12 +129,12 @@
 		s.step(s.done(10+late, 0, 1, TimedOut))
 	}
 	if got := s.d.maxSlots(w); got != 4 {
-		t.Fatalf("the limit ends at %v, with four seen running", got)
+		t.Fatalf("the limit is bounded by %v, expected 4, the most seen running", got)
 	}
 }
 
-// While many jobs of the dispatcher wait at workers no more are sent. Those whose objective is unreachable are rejected where
-// late answers have no utility.
+// While many jobs of the dispatcher wait at workers, no more are sent. If late answers have no utility, those whose objective
+// becomes unreachable are rejected.
 func TestJobsDoNotQueueAtWorkers(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(30)
@@ -142,7 +143,7 @@
 		s.wait(35 * ms)
 	}
 	if n := len(taken[Send](s)); n > 6 {
-		t.Fatalf("%d jobs left though none started", n)
+		t.Fatalf("%d jobs were sent though none started", n)
 	}
 	s = newHarness(t, testSettings())
 	s.workers(1)
@@ -160,9 +161,9 @@
 	}
 }
 
-// Found by randomised search: five of 351 workers hung. The jobs in flight there were more than half of all that ran, which looked like a
-// fleet whose queues are full, and for a second nothing was sent to the other workers. Now one job is sent all the same, and
-// the next once that has started.
+// Found by randomised search: five of 351 workers hung. The jobs in flight there were more than half of all that ran. That looked
+// like a fleet whose queues are full, and for a second nothing was sent to the other workers. One job has to be sent
+// nevertheless, and the next once that has started.
 func TestFewHungWorkersDoNotStopDispatch(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(20)
@@ -180,8 +181,8 @@
 	expectJobs(t, taken[Send](s), 6)
 }
 
-// Found by randomised search: without notifications of starts, an answer later than the objective by the hint counted as late. With hints that
-// were too low all did, and the backoff of each worker grew each time.
+// Found by randomised search: without start notifications, an answer later than the objective computed from the hint counted as
+// late. With hints that were too low all did, and the backoff of each worker grew each time.
 func TestLowHintsCauseNoBackoff(t *testing.T) {
 	set := scaleSettings()
 	set.StartNotifications = false
@@ -199,7 +200,8 @@
 	}
 }
 
-// Found by randomised search: a first job of two slots left a worker with a limit of two, and nothing more was sent there until it ended.
+// Found by randomised search: after a first job of two slots a worker had a limit of two, and nothing more was sent there until
+// that job ended.
 func TestLimitGrowsBeyondRunningSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -210,7 +212,8 @@
 	expectJobs(t, taken[Send](s), 1, 2)
 }
 
-// Found by randomised search: one job of four slots that waited at a worker stopped all dispatch, as if most attempts in flight were waiting.
+// Found by randomised search: one job of four slots that waited at a worker stopped all dispatch, as if most attempts in flight
+// were waiting.
 func TestLateWideJobCountsOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(10)
@@ -223,9 +226,9 @@
 	expectJobs(t, taken[Send](s), 3, 4)
 }
 
-// Found by randomised search: hedges of jobs with a key were dropped as repetitions by the cells that had the first attempts, and no start was
-// notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all other
-// workers were idle.
+// Found by randomised search: hedges of jobs with a key were dropped as duplicates in the cells that had the first attempts, and
+// no start was notified. Each hedge looked like a queue, and its worker was sent nothing more: in a cell with one hung worker,
+// all other workers were idle.
 func TestDeduplicatedAttemptDoesNotIndicateAQueue(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
@@ -237,17 +240,17 @@
 	s.wait(600 * ms)
 	sends := taken[Send](s)
 	if len(sends) != 1 || sends[0].Worker == hung {
-		t.Fatalf("%v: expected a hedge at the other worker", sends)
+		t.Fatalf("sent %v, expected a hedge to the other worker", sends)
 	}
 	s.wait(600 * ms)
 	s.step(s.job(2, 0, 20*ms))
 	if sends := taken[Send](s); len(sends) != 1 || sends[0].Worker == hung {
-		t.Fatalf("%v: expected the other worker to be sent job 2 as well", sends)
+		t.Fatalf("sent %v, expected job 2 to go to the other worker as well", sends)
 	}
 }
 
-// Found by randomised search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start, though no other
-// dispatcher's jobs can have delayed it.
+// Found by randomised search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start,
+// though no other dispatcher's jobs can have delayed the start.
 func TestSingleDispatcherNeverBacksOff(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const decisionsFile = "testdata/decisions.txt"
 
@@ -38,9 +38,9 @@
 	return sequences
 }
 
-// TestDecisionsUnchanged feeds the dispatcher long sequences of events and compares a hash of all its actions, and of
-// its snapshots every so often, with the one that an earlier build left in testdata/decisions.txt. A change of the code
-// that is meant to change no decision keeps every line. The figures beside each hash show what a sequence covers.
+// TestDecisionsUnchanged feeds long sequences of events to the dispatcher, and compares a hash of all its actions and of regular
+// snapshots with the one that an earlier build wrote to testdata/decisions.txt. A change that is not meant to change decisions
+// must keep every line. The counts after each hash show what the sequence covers.
 func TestDecisionsUnchanged(t *testing.T) {
 	t.Parallel()
 	sequences := decisionSequences()
@@ -71,7 +71,7 @@
 	}
 }
 
-// randomDecisions is the hash of a random run, whose events come from no model of a fleet.
+// randomDecisions returns the hash of a run with random events that follow no model of a fleet.
 func randomDecisions(seed uint64) *decisionHash {
 	h := newDecisionHash()
 	steps := 0
@@ -87,7 +87,7 @@
 	return h
 }
 
-// decisionHash is a hash of actions and snapshots. It names no Go type or field, so that a rename leaves it as it is.
+// decisionHash is a hash of actions and snapshots. It contains no names of Go types or fields, so that renames do not change it.
 type decisionHash struct {
 	sum    hash.Hash
 	counts map[string]int
@@ -153,22 +153,22 @@
 	return b.String()
 }
 
-// decisionCase is one simulated service of a dispatcher: its settings and its workload, and the faults of its fleet.
+// decisionCase is a simulation of a dispatcher: its settings and workload, and the faults of its fleet.
 type decisionCase struct {
 	name     string
 	set      Settings
 	workers  int
 	slots    int
 	rate     float64 // jobs a second
-	noise    float64 // of run times, as a part of them
+	noise    float64 // greatest relative error of hints
 	span     time.Duration
-	cold     bool // workers start, and restart, while it lasts
+	cold     bool // workers start and restart during the run
 	faults   bool // workers fail, hang, break connections and reject
 	cordons  bool
 	handover bool // jobs and estimates come from another dispatcher
 	assigned bool // the list says which dispatchers may use a warming worker
-	single   bool // every job takes one slot, and a run's end is notified before the next start
-	idle     bool // pauses in which connections go idle, and some of these break
+	single   bool // every job takes one slot, and the end of a run is notified before the start of the next
+	idle     bool // there are pauses in which connections are idle, and some of these break
 }
 
 func decisionSettings(replicas int) Settings {
@@ -239,7 +239,7 @@
 	}
 }
 
-// decisionRun simulates the fleet of a case: workers with slots and a queue, each job's run drawn beforehand.
+// decisionRun simulates the fleet of a case: workers with slots and a queue, and jobs whose run times are drawn on arrival.
 type decisionRun struct {
 	*decisionCase
 	t       *testing.T
@@ -286,7 +286,7 @@
 	runs        bool
 }
 
-// scheduledAction is something that happens at an instant; those of one instant happen in the order in which they were set.
+// scheduledAction is run at a point in time. Those with the same time are run in the order in which they were scheduled.
 type scheduledAction struct {
 	at  time.Duration
 	seq int
@@ -351,7 +351,7 @@
 	heap.Push(&p.events, scheduledAction{p.now + d, p.seq, do})
 }
 
-// afterRandomGap does something after the random time between two jobs, and never past the end.
+// afterRandomGap schedules an action after the random interval between two jobs, unless that is past the end.
 func (p *decisionRun) afterRandomGap(do func()) {
 	gap := time.Duration(p.rng.ExpFloat64() / p.rate * float64(time.Second))
 	if p.idle && p.rng.IntN(150) == 0 {
@@ -412,7 +412,7 @@
 		if p.timer == at {
 			p.timer = 0
 			if p.rng.IntN(200) == 0 {
-				p.now += 45 * ms // the process itself is late
+				p.now += 45 * ms // the process was stalled
 			}
 			p.step(TimerFired{})
 		}
@@ -444,7 +444,7 @@
 		hint = 0
 	}
 	if p.rng.IntN(40) == 0 {
-		run *= 6 // far heavier than hinted
+		run *= 6 // far more work than its hint says
 	}
 	j := Job{
 		ID: p.lastID, Class: class, Tenant: p.rng.IntN(3), Key: uint64(p.rng.IntN(40)), Hint: hint, Slots: slots,
@@ -496,10 +496,10 @@
 	p.step(e)
 }
 
-// unlistedWorkers is where the ids of workers begin that no list names.
+// unlistedWorkers is the least ID of workers that are in no list.
 const unlistedWorkers = 9000
 
-// pastAttempt draws an attempt that another dispatcher has made at a worker, at times one that is not listed.
+// pastAttempt draws an attempt that another dispatcher has made at a worker, sometimes at one that is not listed.
 func (p *decisionRun) pastAttempt(j *simulatedJob, w *simulatedWorker) PastAttempt {
 	past := PastAttempt{
 		Worker: w.ID, SentAgo: time.Duration(p.rng.IntN(300)) * ms, Ended: p.rng.IntN(2) == 0, Result: Result(p.rng.IntN(8)),
@@ -531,7 +531,7 @@
 	}
 	j.attempts = append(j.attempts, a)
 	switch {
-	case p.idle && w.endedAt > 0 && p.now-w.endedAt > 300*ms && p.rng.IntN(4) > 0: // dropped unseen on the way
+	case p.idle && w.endedAt > 0 && p.now-w.endedAt > 300*ms && p.rng.IntN(4) > 0: // the connection was dropped without notice
 		p.after(time.Duration(20+p.rng.IntN(100))*ms, func() { p.finish(a, ConnectionReset) })
 	case w.broken:
 		result := ConnectFailed
@@ -552,7 +552,7 @@
 	}
 }
 
-// startQueued starts what is queued at a worker while it has slots.
+// startQueued starts the attempts queued at a worker while it has free slots.
 func (p *decisionRun) startQueued(w *simulatedWorker) {
 	for !w.hung && w.running < p.slots && len(w.queue) > 0 {
 		a := w.queue[0]
@@ -563,7 +563,7 @@
 	}
 }
 
-// start has an attempt run at its worker.
+// start starts the run of an attempt at its worker.
 func (p *decisionRun) start(a *simulatedAttempt, w *simulatedWorker) {
 	a.runs = true
 	w.running++
@@ -588,7 +588,7 @@
 	})
 }
 
-// endRun has a run end, and the next one start.
+// endRun ends a run and starts the next one.
 func (p *decisionRun) endRun(a *simulatedAttempt, w *simulatedWorker) {
 	w.running--
 	notifyEnd := func() { p.after(2*ms, func() { p.finish(a, OK) }) }
@@ -601,7 +601,7 @@
 	}
 }
 
-// warmUpShare is the part of its speed that a worker has so long after its start.
+// warmUpShare returns the fraction of its speed that a worker has, by the time since its start.
 func (p *decisionRun) warmUpShare(w *simulatedWorker) float64 {
 	if w.BootAt == 0 || p.now-w.BootAt > p.set.WarmUp {
 		return 1
@@ -661,7 +661,7 @@
 	})
 }
 
-// injectFault gives a worker a fault for a while.
+// injectFault makes a worker hang, fail or break connections for a random time, and schedules the next fault.
 func (p *decisionRun) injectFault() {
 	if p.now > p.end {
 		return
@@ -685,7 +685,7 @@
 	p.after(time.Duration(300+p.rng.IntN(1500))*ms, p.injectFault)
 }
 
-// restart has a worker drain, go away or restart. What it ran is lost.
+// restart drains or removes a worker, and lists it as restarted later. Its attempts are lost.
 func (p *decisionRun) restart() {
 	if p.now > p.end {
 		return
@@ -711,7 +711,7 @@
 	p.after(time.Duration(700+p.rng.IntN(1500))*ms, p.restart)
 }
 
-// cordon cordons workers, at times all of them, and uncordons them.
+// cordon cordons one worker, or sometimes all of them, and uncordons them later.
 func (p *decisionRun) cordon() {
 	if p.now > p.end {
 		return
@@ -732,7 +732,7 @@
 	p.after(time.Duration(1000+p.rng.IntN(3000))*ms, p.cordon)
 }
 
-// handOver changes the number of dispatchers, and applies the estimates of another one.
+// handOver changes the number of dispatchers, applies a model, and replaces the dispatcher by one restored from its snapshot.
 func (p *decisionRun) handOver() {
 	if p.now > p.end {
 		return
@@ -744,7 +744,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	for key, work := range p.d.workload.keyWork { // their order decides nothing
+	for key, work := range p.d.workload.keyWork { // in any order, as it has no effect
 		d.RecallKeyWork(key, work)
 	}
 	p.d = d
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -11,7 +11,7 @@
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 0, 100*ms))
-	s.step(s.job(1, 0, 100*ms)) // the id is open
+	s.step(s.job(1, 0, 100*ms)) // the ID is in use
 	s.step(Job{ID: 2, Class: 99}, Job{ID: 3, Class: -1}, Job{
 		ID: 4, Class: 0, Tenant: -5, Remaining: -time.Hour, Hint: -1,
 		Slots: nan, Memory: math.Inf(1),
@@ -26,7 +26,7 @@
 		{ID: 9, Removed: true},
 	}})
 	if len(s.d.fleet.workers) != 2 {
-		t.Fatalf("%d workers known, expected 2", len(s.d.fleet.workers))
+		t.Fatalf("%d workers in the fleet, expected 2", len(s.d.fleet.workers))
 	}
 	s.now -= time.Minute // the clock steps back
 	s.step()
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -38,14 +38,14 @@
 		}
 	}
 	if len(at) < 5 || len(at) > 60 {
-		t.Fatalf("%d calls in 40 s", len(at))
+		t.Fatalf("%d subscription requests in 40 s, expected 5 to 60", len(at))
 	}
 	if a, b := at[1]-at[0], at[4]-at[3]; b <= a {
-		t.Fatalf("waits do not grow: first %v, fourth %v", a, b)
+		t.Fatalf("the backoff does not grow: first %v, fourth %v", a, b)
 	}
 }
 
-// A list that arrives without a new request is from a watch that is still open: no second one is requested.
+// A list that arrives without a new request comes from a watch that is still open: no second watch is requested.
 func TestUnsolicitedList(t *testing.T) {
 	set := testSettings()
 	set.MustSubscribe = true
@@ -54,12 +54,12 @@
 	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
 	taken[Subscribe](s)
 	if s.wait(10 * time.Second); len(taken[Subscribe](s)) > 0 {
-		t.Error("requested beside the watch that goes on")
+		t.Error("requested a watch though one is open")
 	}
 }
 
-// An uncordoned worker warms up from that instant on, unless the list has a later start, and the attempts that were in flight
-// there use none of its slots: otherwise it would stay unused until they have timed out.
+// An uncordoned worker warms up from that time on, unless it is listed with a start during the cordon. The attempts that were in
+// flight there use none of its slots any more: otherwise it would stay unused until they have timed out.
 func TestUncordonedWorkerWarmsUpAndIsUsed(t *testing.T) {
 	for _, isListed := range []bool{false, true} {
 		set := testSettings()
@@ -77,9 +77,9 @@
 		s.step(Uncordoned{Worker: 1})
 		share := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now)
 		if isListed && (share < 0.35 || share > 0.37) || !isListed && share > 0.21 {
-			t.Errorf("its start is listed: %v; taken to have %v of its capacity", isListed, share)
+			t.Errorf("its start is listed: %v; assumed to have %v of its capacity", isListed, share)
 		}
-		s.wait(3 * time.Second) // past the window in which what was sent before is unknown
+		s.wait(3 * time.Second) // past the first window, in which earlier work is unknown
 		s.step(s.job(7, 0, 10*ms))
 		expectJobs(t, taken[Send](s), 7)
 	}
@@ -97,8 +97,8 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// An uncordoned worker is used soon, also by a dispatcher that is not among the assignees of its warm-up budget, and by a job that
-// would be late there if no other arrives.
+// An uncordoned worker is soon sent a job, even by a dispatcher that is not among the assignees of its warm-up budget. If no
+// other job arrives, that may be one that will be late there.
 func TestUncordonedWorkerIsNotLeftIdle(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -120,8 +120,8 @@
 	}
 }
 
-// Many dispatchers that start together with a cached list, or lose it together, do not all request it at once: the service answers
-// in turn, and all of them would wait too long. A few dispatchers do, and so does one without any list.
+// Many dispatchers that start together with a cached list do not all request a new one at once: the service answers them in turn,
+// and all of them would wait too long. A few dispatchers do so at once, and so does one without any list.
 func TestManyReplicasSubscribeAtDifferentTimes(t *testing.T) {
 	for _, c := range []struct {
 		of, soon int // dispatchers, and how many of 40 subscribe within half a second at most
@@ -138,7 +138,7 @@
 			soon += len(taken[Subscribe](s))
 		}
 		if soon > c.soon || c.soon == 40 && soon < 40 {
-			t.Errorf("of %d, %d listed: %d of 40 subscribe within half a second", c.of, len(c.list), soon)
+			t.Errorf("%d dispatchers, %d workers listed: %d of 40 subscribe within half a second", c.of, len(c.list), soon)
 		}
 	}
 }
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// fleet simulates workers on which every job takes the same time, with the dispatcher that sends them jobs. Its events are in
-// queues by kind, so that the simulation costs little beside the dispatcher.
+// fleet simulates a dispatcher and workers on which every job takes the same time. Its events are in one queue for each kind, so
+// that the simulation takes little time compared with the dispatcher.
 type fleet struct {
 	d              *Dispatcher
 	now            time.Duration
 	run            time.Duration // of a job
-	noise          float64       // runs vary evenly by this fraction
+	noise          float64       // run times vary uniformly by up to this fraction
 	rng            *rand.Rand
 	hint           float64       // as a multiple of the run time
 	notifiesStarts bool          // starts are notified
-	events         [3]eventQueue // starts, ends, and the rest: each in order of time, or nearly
+	events         [3]eventQueue // starts, ends, and the rest: each approximately in order of time
 	actions        []Action
 	lastID         uint64
 	jobs           map[uint64]*fleetJob
@@ -90,7 +90,7 @@
 	}
 }
 
-// next advances to the next event and notifies the dispatcher of it. If it is the end of a job its worker is returned.
+// next advances to the next event and passes it to the dispatcher. If it is the end of a job, next returns the job's worker.
 func (f *fleet) next() (worker uint64) {
 	var q *eventQueue
 	for i := range f.events {
@@ -134,7 +134,7 @@
 	f.step(Job{ID: f.lastID, Class: 0, Remaining: 5 * time.Second, Hint: time.Duration(float64(f.run) * f.hint), Slots: 1})
 }
 
-// BenchmarkStep measures the whole life of one job: arrival, dispatch, start and end. A tenth of the fleet's slots are in use.
+// BenchmarkStep measures the events of one job: arrival, dispatch, start and end. A tenth of the fleet's slots are in use.
 func BenchmarkStep(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// BenchmarkDelta measures the change of one worker of many.
+// BenchmarkDelta measures a list that changes one worker.
 func BenchmarkDelta(b *testing.B) {
 	for _, nodes := range []int{10, 10000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// replaceOneJob has one job end, and another arrive in its place.
+// replaceOneJob advances until a job has ended, and adds a new one in its place.
 func (f *fleet) replaceOneJob() {
 	for n := f.done; n == f.done; {
 		f.next()
@@ -194,8 +194,8 @@
 	f.job()
 }
 
-// serve runs a number of clients for a time. Each waits for its answer and sends the next job at once, or 10 ms later after a
-// rejection. Counts begin after the first second.
+// serve simulates a number of clients for a time. Each waits for its answer and sends the next job at once, or 10 ms later after
+// a rejection. The results exclude the first second.
 func (f *fleet) serve(clients int, length time.Duration) (served int, perWorker map[uint64]int) {
 	perWorker = map[uint64]int{}
 	end, from := f.now+length, f.now+time.Second
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -10,9 +10,9 @@
 	"valvecove/internal/storedform"
 )
 
-// The golden files of a dispatcher: a snapshot, as a hot restart and a capture carry it, and a model snapshot of form 1. They are never
-// written anew: see storedform.Golden. A snapshot has no number of its own; the frames of a hand-over have one, and a
-// snapshot in another form comes with another number there.
+// The golden files of a dispatcher: a snapshot, as hot restarts and captures contain it, and a model snapshot of version 1. They
+// are never rewritten: see storedform.Golden. A snapshot has no version number of its own. The frames of a hot restart have one,
+// which changes with the format of the snapshot.
 const (
 	goldenSnapshot = "dispatcher.snapshot"
 	goldenModel    = "lesson.form1"
@@ -29,9 +29,9 @@
 	return set
 }
 
-// goldenScenario returns a dispatcher with estimates of sizes, kinds and workers, and with jobs of all classes: some run,
-// some have not started, many wait, and one of them has a worker reserved; one worker is cordoned, one drains, one warms up,
-// and two are backed off from.
+// goldenScenario returns a dispatcher with estimates of sizes, machine kinds and workers, and with jobs of all classes: some run,
+// some have not started, many are queued, and one of these has a worker reserved. One worker is cordoned, one drains, one warms
+// up, and two are in backoff.
 func goldenScenario(t *testing.T) *harness {
 	t.Helper()
 	s := newHarness(t, goldenSettings())
@@ -52,7 +52,7 @@
 		return j
 	}
 	id := uint64(0)
-	for ; id < 120; id++ { // these run to their end, and estimates follow them
+	for ; id < 120; id++ { // these run to their end and update the estimates
 		s.step(job(id+1, int(id%3)))
 		for _, a := range taken[Send](s) {
 			span := time.Duration(15+a.Job*7%40) * ms * time.Duration(1+a.Worker>>40%3)
@@ -76,7 +76,7 @@
 		ID: 9 << 40, Kind: 1, Ready: true, Zone: 1, Cell: 4, Size: 4,
 		BootAt: s.now - 100*ms,
 	}}})
-	for ; id < 150; id++ { // of these some start, and nothing ends
+	for ; id < 150; id++ { // some of these start, and none ends
 		s.step(job(id+1, int(id%3)))
 		for i, a := range taken[Send](s) {
 			if (int(a.Job)+i)%3 > 0 {
@@ -96,15 +96,15 @@
 	return s
 }
 
-// A dispatcher that was led to the same state writes the bytes that the build before has written. The state follows from
-// figures in floating point, so this holds on the architecture that the service runs on.
+// A dispatcher that gets the same events writes the same bytes as the earlier build. The state depends on floating-point
+// arithmetic, so this holds only on the architecture that the service runs on.
 func TestGoldenSnapshotIsWritten(t *testing.T) {
 	s := goldenScenario(t)
 	storedform.CheckGolden(t, goldenSnapshot, s.d.Snapshot(nil))
 	storedform.CheckGolden(t, goldenModel, s.d.ModelSnapshot(4000, nil))
 }
 
-// A snapshot of a build before is read, bit by bit, and what is restored goes on from it.
+// A snapshot of an earlier build is read without loss, and the restored dispatcher continues from it.
 func TestGoldenSnapshotIsRead(t *testing.T) {
 	state := storedform.Golden(t, goldenSnapshot)
 	d, err := Restore(goldenSettings(), state)
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if again := d.Snapshot(nil); !bytes.Equal(again, state) {
-		t.Error("restored, it has another snapshot")
+		t.Error("the restored dispatcher has another snapshot")
 	}
 	checkGoldenState(t, d)
 	checkGoldenJobs(t, d)
@@ -120,11 +120,11 @@
 	storedform.CheckGolden(t, goldenModel, d.ModelSnapshot(4000, nil))
 	acts := d.Step(d.now+ms, []Event{Outcome{Job: 121, Worker: 6 << 40, Result: OK, Closed: true}}, nil)
 	if want := []Action{Send{Job: 144, Worker: 6 << 40}, Send{Job: 124, Worker: 6 << 40}}; !slices.Equal(acts, want) {
-		t.Errorf("it goes on with %+v, expected %+v", acts, want)
+		t.Errorf("the next actions are %+v, expected %+v", acts, want)
 	}
 }
 
-// checkGoldenState checks what the golden snapshot says of the whole dispatcher.
+// checkGoldenState checks the state of the golden snapshot that concerns the whole dispatcher.
 func checkGoldenState(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	type figures struct {
@@ -142,14 +142,14 @@
 		t.Errorf("%+v, expected %+v", got, want)
 	}
 	if want := (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}); d.latestReplicas != want {
-		t.Errorf("shared by %+v, expected %+v", d.latestReplicas, want)
+		t.Errorf("latest replicas %+v, expected %+v", d.latestReplicas, want)
 	}
 	if d.reservation.worker == nil || d.reservation.worker.ID != 1<<40 || d.reservation.job.ID != 11 || d.reservation.job.Slots != 2 {
 		t.Errorf("reserved %+v for %+v", d.reservation.worker, d.reservation.job)
 	}
 }
 
-// checkGoldenJobs checks what the golden snapshot says of jobs and attempts.
+// checkGoldenJobs checks the jobs and attempts of the golden snapshot.
 func checkGoldenJobs(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	if started, unstarted, ended := countAttempts(d); started != 5 || unstarted != 4 || ended != 5 {
@@ -165,7 +165,7 @@
 	}
 }
 
-// checkGoldenWorkers checks what the golden snapshot says of workers.
+// checkGoldenWorkers checks the workers of the golden snapshot.
 func checkGoldenWorkers(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	type figures struct {
@@ -186,7 +186,7 @@
 	} {
 		w := d.fleet.byID[uint64(i+1)<<40]
 		if w == nil {
-			t.Errorf("worker %d is not known", i+1)
+			t.Errorf("worker %d is missing", i+1)
 			continue
 		}
 		got := figures{
@@ -216,7 +216,7 @@
 	return started, unstarted, ended
 }
 
-// A model snapshot of an earlier build has the estimates of that build.
+// A model snapshot of an earlier build is read with the estimates of that build.
 func TestGoldenModelIsRead(t *testing.T) {
 	source, err := Restore(goldenSettings(), storedform.Golden(t, goldenSnapshot))
 	if err != nil {
@@ -231,7 +231,7 @@
 	d.Step(time.Hour, []Event{ModelUpdate{Snapshot: storedform.Golden(t, goldenModel), LoadShare: 1}}, nil)
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.settings.Classes[0]}
 	if got, want := d.workload.expectedWork(j), source.workload.expectedWork(j); got != want || got == New(goldenSettings(), 1).workload.expectedWork(j) {
-		t.Errorf("it expects %v, the source of its model %v", got, want)
+		t.Errorf("expected work %v, the dispatcher that the model is from has %v", got, want)
 	}
 	if *d.workload.kinds[0] != *source.workload.kinds[0] || *d.workload.kinds[1] != *source.workload.kinds[1] || d.workload.kinds[1].samples != 47 || d.workload.kinds[1].maxSlots != 5 {
 		t.Errorf("kinds %+v, %+v", d.workload.kinds[0], d.workload.kinds[1])
@@ -247,5 +247,5 @@
 	}
 }
 
-// Jobs and workers stand in captures, and jobs in what is handed over, under the names in their tags.
+// Captures store jobs and workers, and hot restarts store jobs, under the names in their tags.
 func TestStoredTypesAreTagged(t *testing.T) { storedform.CheckTags(t, Job{}, Worker{}) }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// harness drives one dispatcher: time, events scheduled for later, and the actions not looked at yet.
+// harness drives one dispatcher. It has the time, the events scheduled for later, and the actions not yet taken by the test.
 type harness struct {
 	t       *testing.T
 	d       *Dispatcher
@@ -46,7 +46,7 @@
 	return &harness{t: t, d: New(set, 1), now: time.Hour, jobs: map[uint64]*harnessJob{}}
 }
 
-// workers lists n warm ready workers, 1 to n.
+// workers lists n ready workers, with IDs 1 to n, that have warmed up.
 func (s *harness) workers(n int) {
 	list := WorkerList{Kind: ListFull}
 	for id := range n {
@@ -77,7 +77,7 @@
 	s.events = append(s.events, scheduledEvent{s.now + d, e})
 }
 
-// wait lets time pass, with timers and scheduled events.
+// wait advances the time, and delivers timers and scheduled events when they are due.
 func (s *harness) wait(d time.Duration) {
 	for end := s.now + d; ; {
 		slices.SortStableFunc(s.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
@@ -130,7 +130,7 @@
 	return Outcome{Job: id, Attempt: attempt, Worker: worker, Result: r, Closed: r == OK}
 }
 
-// startOnWorker1 fills worker 1 with job id and notifies of its prompt start.
+// startOnWorker1 sends a job, which must go to worker 1, and notifies of its prompt start.
 func (s *harness) startOnWorker1(id uint64) {
 	s.step(s.job(id, 0, 300*ms))
 	if got := taken[Send](s); len(got) != 1 || got[0].Worker != 1 {
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -17,9 +17,9 @@
 		if sent := taken[Send](s); len(sent) != 1 {
 			t.Fatalf("limit %d: sent %v", limit, sent)
 		}
-		s.wait(time.Second) // without a word of the worker
+		s.wait(time.Second) // no notification from the worker
 		if cancelled := taken[Cancel](s); (len(cancelled) > 0) != wantCancelled {
-			t.Errorf("limit %d: cancelled %v, expected %v", limit, cancelled, wantCancelled)
+			t.Errorf("limit %d: cancelled %v, expected a cancellation: %v", limit, cancelled, wantCancelled)
 		}
 	}
 }
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A dispatcher with the model of another expects what that one does, knows its slow workers, and has its share of the limits. A
-// model snapshot keeps to its size, and one that is cut off is ignored.
+// A dispatcher that applies the model of another one expects the same run times, has the same speeds of workers, and gets its
+// share of the limits. A model snapshot keeps to its size, and a truncated one is ignored.
 func TestModelUpdate(t *testing.T) {
 	set := testSettings()
 	s := newHarness(t, set)
@@ -43,7 +43,7 @@
 	d := fresh(ModelUpdate{Snapshot: snapshot, LoadShare: 0.5})
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
 	if got, want := d.workload.expectedWork(j), s.d.workload.expectedWork(j); got != want {
-		t.Errorf("it expects %v, the source of its model %v", got, want)
+		t.Errorf("expected work %v, the dispatcher that the model is from has %v", got, want)
 	}
 	for id, w := range s.d.fleet.byID {
 		x := d.fleet.byID[id]
@@ -53,12 +53,12 @@
 	}
 	for n := range snapshot {
 		if d := fresh(ModelUpdate{Snapshot: snapshot[:n], LoadShare: 1}); !reflect.DeepEqual(d.workload.sizeCorrection, New(set, 1).workload.sizeCorrection) || len(d.workload.kinds) > 2 {
-			t.Fatalf("%d bytes of %d were taken over", n, len(snapshot))
+			t.Fatalf("a model truncated to %d of %d bytes was applied", n, len(snapshot))
 		}
 	}
 }
 
-// No bytes make a dispatcher panic, nor leave it with figures that are none.
+// No bytes make a dispatcher panic, or leave it with numbers that are infinite, NaN or out of range.
 func FuzzModelUpdate(f *testing.F) {
 	_, d, _ := randomRun(5, 300)
 	whole := d.ModelSnapshot(1000, nil)
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// A worker is not ejected for one broken connection, nor for a health check that was lost on a stale connection. It is for two
-// in a row, or for one that breaks after a job has started on it.
+// A worker is not ejected for one broken connection, nor for a health check that was lost on a stale connection. It is ejected
+// for two broken connections in a row, or for one that breaks after a job has started on it.
 func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
 	for _, c := range []struct {
 		outcomes func(s *harness)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Workers may drop a job with very little remaining time without a notification. That shows no queue: such jobs leave a
-// worker's limit unchanged, and jobs that have time are sent as before. A job that had time and stays silent does show one.
+// Workers may drop a job with very little remaining time without a notification. That does not indicate a queue: the worker's
+// limit is unchanged, and other jobs are sent as before. A job with enough time that gets no notification does indicate one.
 func TestDroppedJobWithLittleTimeKeepsLimit(t *testing.T) {
 	const limit = 8
 	for _, remaining := range []time.Duration{ms, 2 * ms, 5 * ms} {
@@ -74,20 +74,21 @@
 				s.step(Outcome{Job: id, Worker: 1, Result: TimedOut, Closed: true})
 			}
 			if w := s.d.fleet.byID[1]; sent == 0 || w.slots.limit != limit || w.outlier.ejectionTime > 0 || w.backoff.until > s.now {
-				t.Errorf("%v left, class %d: %d sent, limit %v, ejected for %v, backed off %v",
+				t.Errorf("%v remaining, class %d: %d sent, limit %v, ejected for %v, in backoff %v",
 					remaining, class, sent, w.slots.limit, w.outlier.ejectionTime, w.backoff.until > s.now)
 			}
 			s.step(s.job(100, class, 0))
 			s.wait(5 * time.Second)
 			s.step(Outcome{Job: 100, Worker: 1, Result: TimedOut, Closed: true})
 			if s.d.fleet.byID[1].slots.limit >= limit {
-				t.Errorf("class %d: a job that was silent for all its time left the limit at %v", class, s.d.fleet.byID[1].slots.limit)
+				t.Errorf("class %d: limit %v after a job without notifications until its timeout", class, s.d.fleet.byID[1].slots.limit)
 			}
 		}
 	}
 }
 
-// Incident: most workers were ejected for late starts, so that the dead ones counted as healthy too and attracted all jobs.
+// Guards against an incident: most workers were ejected for late starts, so that ejections were disregarded. The failed workers
+// then counted as healthy too and attracted all jobs.
 func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
@@ -104,8 +105,8 @@
 	}
 }
 
-// Connections were dropped unnoticed while idle: after two jobs without an answer on idle connections the other idle ones are
-// closed before use.
+// If connections are dropped without notice while idle, then after two jobs without an answer on idle connections the other idle
+// ones are closed before use.
 func TestIdleConnectionsThatLoseRequestsAreClosed(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(3)
@@ -142,7 +143,8 @@
 	}
 }
 
-// If a part of the fleet becomes silent at once, idle connections are not at fault, as those to the other workers succeed.
+// If a part of the fleet becomes silent at once, idle connections are not considered the cause, as attempts on those to the other
+// workers succeed.
 func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
@@ -151,11 +153,11 @@
 		f.d.idleConnections.observe(a.connectionIdle, false, f.d.now)
 	}
 	if f.d.idleConnections.maxIdle != 0 {
-		t.Fatalf("connections are trusted for %v", f.d.idleConnections.maxIdle)
+		t.Fatalf("idle connections are bounded to %v, expected no bound", f.d.idleConnections.maxIdle)
 	}
 }
 
-// A process that was stalled updates no estimates of workers from that time, and ejects none.
+// After a stall of this process, measurements from the time of the stall neither change estimates of workers nor eject them.
 func TestOwnStallsChangeNoWorkerEstimates(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
@@ -175,7 +177,7 @@
 	}
 }
 
-// The simulator's wire protocol has one line for each ejection: its text does not follow the reasons' names in the log.
+// The simulator's wire protocol has one line for each ejection. Its text is independent of the reasons' names in the log.
 func TestWorkerEjectedText(t *testing.T) {
 	for reason, want := range map[EjectionReason]string{
 		EjectedForSilence:     "worker 7 silent: set aside for about 500ms",
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -18,7 +18,7 @@
 		used[a.Worker] = true
 	}
 	if len(used) != 3 {
-		t.Fatalf("three jobs went to %d workers", len(used))
+		t.Fatalf("three jobs went to %d workers, expected 3", len(used))
 	}
 }
 
@@ -36,7 +36,7 @@
 		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.fleet.byID[slow], expectedRun: 500 * ms}, 2500*ms)
 	}
 	if before >= 0 {
-		t.Fatal("a run far too long did not show before it ended")
+		t.Fatal("an overlong run did not lower the worker's speed before it ended")
 	}
 	tried := map[uint64]int{}
 	for id := uint64(10); id < 40; id++ {
@@ -53,11 +53,11 @@
 	}
 	s.wait(time.Minute)
 	if math.Abs(s.d.fleet.byID[slow].speed.log-s.d.workload.machineKind(0).logSpeed) > 0.1 {
-		t.Fatal("a minute without observations has not brought the slow worker back")
+		t.Fatal("after a minute without observations the slow worker's speed has not decayed to that of its kind")
 	}
 }
 
-// A job of many slots that has been queued for over tau is sent at some time, though small jobs would take each free slot.
+// A job of many slots that has been queued for over tau is sent eventually, though small jobs would take each free slot.
 func TestLargeJobIsSentEventually(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -85,8 +85,9 @@
 	t.Fatal("the large job was never sent")
 }
 
-// Incident: a job of four slots, over tau, was sent to a worker with capacity for one. It waited at the head of
-// that worker's queue and blocked all behind it. Now a worker is reserved for it, and other jobs are sent elsewhere meanwhile.
+// Guards against an incident: a job of four slots, queued for over tau, was sent to a worker with capacity for one. It waited at
+// the head of that worker's queue and blocked all behind it. A worker has to be reserved for it, and other jobs are sent to other
+// workers meanwhile.
 func TestLargeJobWaitsForCapacity(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -117,7 +118,7 @@
 	}
 }
 
-// A dispatcher whose zone has more traffic than its workers can start sends jobs to another zone, though crossing has a cost.
+// A dispatcher whose zone has more traffic than its workers can start sends jobs to another zone, though that has a cost.
 func TestBusyZoneIsAvoided(t *testing.T) {
 	set := testSettings()
 	set.CrossZoneCost = 0.05
@@ -129,7 +130,7 @@
 	s.step(list)
 	s.step(s.job(1, 0, 100*ms))
 	if w := taken[Send](s)[0].Worker; w%2 != 1 {
-		t.Fatalf("a zone without faults was left for worker %d", w)
+		t.Fatalf("the job went to worker %d of another zone though its own has free workers", w)
 	}
 	crossed := 0
 	for id := uint64(2); id < 30; id++ {
@@ -146,12 +147,12 @@
 		s.wait(100 * ms)
 	}
 	if crossed < 10 {
-		t.Fatalf("%d jobs left a zone that rejected all work", crossed)
+		t.Fatalf("%d jobs were sent to the other zone, expected 10 or more, as the own zone rejects all", crossed)
 	}
 }
 
-// Found by randomised search: a worker was reserved for a large job that waited for a faster one, and was idle for seconds while small
-// jobs were queued.
+// Found by randomised search: a worker too slow for a large job was reserved for it, and was idle for seconds while small jobs
+// were queued and the large one waited for a faster worker.
 func TestTooSlowWorkerIsNotReserved(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -166,19 +167,20 @@
 	expectJobs(t, taken[Send](s), 3)
 }
 
-// A class restricted to kinds or zones is sent to no other workers, and its jobs are closed in time if there are none.
+// Jobs of a class that is restricted to machine kinds or zones are sent to no other workers, and are answered in time if there is
+// no such worker.
 func TestPlacement(t *testing.T) {
 	cases := []struct {
 		name         string
 		kinds, zones []int
 		open         []uint64
 	}{
-		{"free", nil, nil, []uint64{1, 2, 3, 4}},
+		{"no restriction", nil, nil, []uint64{1, 2, 3, 4}},
 		{"one kind", []int{1}, nil, []uint64{3, 4}},
 		{"one zone", nil, []int{1}, []uint64{2, 4}},
-		{"both", []int{0, 2}, []int{1, 3}, []uint64{2}},
-		{"what does not exist", []int{9}, nil, nil},
-		{"nothing", []int{}, nil, nil},
+		{"kinds and zones", []int{0, 2}, []int{1, 3}, []uint64{2}},
+		{"a kind without workers", []int{9}, nil, nil},
+		{"no kind", []int{}, nil, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -208,10 +210,10 @@
 			}
 			slices.Sort(used)
 			if used = slices.Compact(used); !slices.Equal(used, c.open) {
-				t.Fatalf("workers %v were used, %v are open", used, c.open)
+				t.Fatalf("workers %v were used, %v are allowed", used, c.open)
 			}
 			if ended != 8 {
-				t.Fatalf("%d of 8 jobs were closed", ended)
+				t.Fatalf("%d of 8 jobs were answered", ended)
 			}
 		})
 	}
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -14,11 +14,11 @@
 		return j
 	}
 	if d.workload.longProbability(mk(0, 100*ms)) >= d.workload.longProbability(mk(0, 200*ms)) {
-		t.Fatal("untrained, a longer hint does not raise the chance of running long")
+		t.Fatal("before any run, a longer hint does not raise the probability of a long run")
 	}
 	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
 		if p := d.workload.longProbability(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
-			t.Fatalf("hint %v gives chance %v", hint, p)
+			t.Fatalf("hint %v gives probability %v", hint, p)
 		}
 	}
 	d.now = time.Hour
@@ -28,7 +28,7 @@
 	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
 	other := mk(0, 0)
 	if keyed.work = d.workload.expectedWork(keyed); d.workload.longProbability(keyed) <= d.workload.longProbability(other) {
-		t.Fatal("a key that ran long does not raise the chance of running long")
+		t.Fatal("a long run with the same key does not raise the probability of a long run")
 	}
 	for range 300 {
 		for class, run := range []time.Duration{100 * ms, 2 * time.Second} {
@@ -37,13 +37,13 @@
 		}
 	}
 	if d.workload.longProbability(mk(0, 0)) >= d.workload.longProbability(mk(1, 0)) {
-		t.Fatal("without hints the class that runs long is not ranked as long")
+		t.Fatal("without hints, the class with long runs does not have the higher probability of a long run")
 	}
 }
 
-// The gain of learning does not grow with what is in flight: from 1 job to 10,000, with runs that vary, the estimates of speeds
-// and work stay near the truth. Corrected against what was expected when they were sent, each of n jobs corrects the same error,
-// a gain of n x sizeRate, and from some 60 jobs on estimates swung over factors of thousands.
+// The estimates of speeds and work stay near the true values for 1 to 10,000 jobs in flight with varying run times. If runs were
+// compared with what was expected when they were sent, each of n jobs in flight would correct the same error, a gain of
+// n x sizeCorrectionGain: from some 60 jobs on, estimates oscillated over factors of thousands.
 func TestLearningIsStableWhateverIsInFlight(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -68,7 +68,7 @@
 			mean += w.speed.log / float64(len(f.d.fleet.workers))
 			deviation := math.Log(f.d.workload.expectedWork(j)) - w.speed.log - math.Log(f.run.Seconds())
 			if w.speed.samples >= 5 && math.Abs(deviation) > 1 {
-				t.Fatalf("%+v: a run is expected to take %.2f times its time", c, math.Exp(deviation))
+				t.Fatalf("%+v: a run is expected to take %.2f times its actual time", c, math.Exp(deviation))
 			}
 		}
 		if c.length > 8*time.Second && math.Abs(mean) > maxMeanLogSpeed+0.1 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// An estimate does not prevent its own correction: where all workers are thought far too slow for any objective, some jobs go all
-// the same, and within a second all do.
+// A wrong estimate does not prevent its own correction: if all workers are estimated to be far too slow for any objective, some
+// jobs are sent nevertheless, and within a second all are.
 func TestWrongEstimateIsCorrected(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{5, 300} {
@@ -92,12 +92,13 @@
 		}
 		f.serve(nodes, time.Second)
 		if served, _ := f.serve(nodes, 2*time.Second); float64(served) < 0.95*float64(nodes)/(f.run+2*f.delay).Seconds() {
-			t.Errorf("%d workers, expected to be 400 times too slow: %d served in a second, and %d rejected", nodes, served, f.rejected)
+			t.Errorf("%d workers, estimated to be 400 times too slow: %d served in a second, and %d rejected", nodes, served, f.rejected)
 		}
 	}
 }
 
-// Jobs that take ten times as long for a while miss their objectives; once they no longer do, service is back within a second.
+// Jobs that take ten times as long for some time miss their objectives. Within a second after run times are normal again, nearly
+// all jobs are served.
 func TestServiceRecoversAfterLongerRuns(t *testing.T) {
 	t.Parallel()
 	f := newFleet(50, scaleSettings())
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// sharedSettings are those of schedulers that have no load reports, and connections that are closed after a minute.
+// sharedSettings returns settings without load reports, and with connections that close after being idle for a minute.
 func sharedSettings() Settings {
 	settings := testSettings()
 	settings.ReportFields, settings.ConnIdleTimeout = nil, time.Minute
 	return settings
 }
 
-// The connections of a dispatcher are as many as its traffic needs, whatever the size of the fleet.
+// The number of a dispatcher's connections follows from its traffic, not from the size of the fleet.
 func TestConnectionsFollowTheTraffic(t *testing.T) {
-	const rate, busyAtOnce = 40, 12 // 2.4 in the mean
+	const rate, busyAtOnce = 40, 12 // jobs per second, and at most in flight; the mean in flight is 2.4
 	for _, workers := range []int{60, 200, 3200} {
 		for _, kinds := range []int{1, 4} {
 			fleet := newSharedFleet(1, workers, kinds, 4, 60*ms, sharedSettings())
@@ -43,10 +43,9 @@
 	}
 }
 
-// Dispatchers that prefer some workers each use all workers alike together, and collide at a worker less often than if each
-// used them all.
-// Before there were preferences the busiest worker had 1.15 times the mean here, and 0.20 of the attempts waited for a slot where
-// the load was 0.56.
+// Dispatchers that each prefer some workers together load all workers evenly, and send jobs to the same worker at the same time
+// less often than if each used all workers. Before there were preferences, the busiest worker had 1.15 times the mean here, and
+// 0.20 of the attempts waited for a slot at a load of 0.56.
 func TestPreferencesLoadAllWorkersEvenly(t *testing.T) {
 	even := func(int) float64 { return 40 }
 	uneven := func(index int) float64 { return []float64{12, 20, 28, 36, 104}[index%5] }
@@ -70,8 +69,8 @@
 	}
 }
 
-// The place of each worker in the order follows from the latest list alone, not from earlier ones, and dispatchers begin at
-// equal distances.
+// The position of each worker in the order depends on the latest list alone, not on earlier ones, and the dispatchers' starting
+// points are evenly spaced.
 func TestPreferencesFollowFromTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	settings := testSettings()
@@ -112,8 +111,8 @@
 	return list
 }
 
-// checkPreferences compares the order of each dispatcher with that of a new one that is given the whole list, and where in the
-// first one's order it begins.
+// checkPreferences compares the order of each dispatcher with that of a new one that gets the whole list. It also checks at which
+// position in the first dispatcher's order each one begins.
 func checkPreferences(t *testing.T, dispatchers []*Dispatcher, workers map[uint64]Worker) {
 	t.Helper()
 	sizes := map[int]int{}
@@ -126,23 +125,23 @@
 		for id, worker := range workers {
 			position, size := d.fleet.byID[id].index.preference, sizes[worker.Kind]
 			if want := fresh.fleet.byID[id].index.preference; position != want {
-				t.Fatalf("worker %d has place %d, and %d by the whole list", id, position, want)
+				t.Fatalf("worker %d has position %d, expected %d as after a full list", id, position, want)
 			}
 			if at, want := dispatchers[0].fleet.byID[id].index.preference, index*size/len(dispatchers); position == 0 && at != want {
-				t.Fatalf("dispatcher %d begins at place %d of %d, expected %d", index, at, size, want)
+				t.Fatalf("dispatcher %d begins at position %d of %d, expected %d", index, at, size, want)
 			}
 		}
 	}
 }
 
-// preferredOf are the workers that a dispatcher prefers most.
+// preferredOf returns the workers that a dispatcher prefers most.
 func preferredOf(d *Dispatcher) []*workerInfo {
 	workers := slices.Clone(d.fleet.workers)
 	slices.SortFunc(workers, func(a, b *workerInfo) int { return a.index.preference - b.index.preference })
 	return workers[:preferredWorkers]
 }
 
-// If none of the preferred workers is suitable, the job is sent to another.
+// If none of the preferred workers is suitable, the job is sent to another worker.
 func TestFallbackIfNoPreferredWorkerIsSuitable(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.workers(400)
@@ -157,7 +156,7 @@
 	}
 }
 
-// A retry is sent to a worker that has not had the job, though few are preferred.
+// A retry is sent to a preferred worker that has not had the job yet.
 func TestRetryGoesToAnotherPreferredWorker(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.workers(400)
@@ -166,11 +165,11 @@
 	h.step(h.done(1, 0, first, ConnectFailed))
 	second := taken[Send](h)
 	if len(second) != 1 || second[0].Worker == first || !slices.Contains(preferredOf(h.d), h.d.fleet.byID[second[0].Worker]) {
-		t.Fatalf("sent to %d and then %v", first, second)
+		t.Fatalf("sent to worker %d and then %v, expected another preferred worker", first, second)
 	}
 }
 
-// A restored dispatcher prefers the same workers, and one whose number has changed others.
+// A restored dispatcher prefers the same workers, and one whose index has changed prefers others.
 func TestPreferencesAreRestored(t *testing.T) {
 	settings := testSettings()
 	settings.Replicas, settings.ReplicaIndex = 10, 3
@@ -196,8 +195,8 @@
 	}
 }
 
-// After random events on a large fleet the index holds each worker at the place that its entry names, the levels of steady
-// workers are heaps where they are ordered, and the preferred workers are the first by preference.
+// After random events on a large fleet, the index holds each worker at the position that its entry says, the levels of steady
+// workers are heaps if the index is ordered, and the preferred workers are the first by preference.
 func TestIndexStaysOrdered(t *testing.T) {
 	for seed := range uint64(6) {
 		run := &indexRun{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Hour}
@@ -215,12 +214,12 @@
 			}
 		}
 		if orderedSteps < 500 || orderedSteps > 2950 {
-			t.Errorf("seed %d: searches went by preference after %d of 3000 steps", seed, orderedSteps)
+			t.Errorf("seed %d: the index was ordered after %d of 3000 steps, expected 500 to 2950", seed, orderedSteps)
 		}
 	}
 }
 
-// indexRun drives a dispatcher with events at random.
+// indexRun drives a dispatcher with random events.
 type indexRun struct {
 	t        *testing.T
 	d        *Dispatcher
@@ -260,7 +259,7 @@
 	return r.outcome()
 }
 
-// outcome ends an attempt at random.
+// outcome ends a random attempt.
 func (r *indexRun) outcome() Event {
 	ended := r.rng.IntN(len(r.inFlight))
 	send := r.inFlight[ended]
@@ -305,7 +304,7 @@
 	t.Helper()
 	for slot, worker := range level {
 		if worker.index.bucket != b || worker.index.level != number || worker.index.slot != slot {
-			t.Fatalf("worker %d stands elsewhere than it says", worker.ID)
+			t.Fatalf("worker %d is not at the position in its index entry", worker.ID)
 		}
 	}
 }
@@ -317,7 +316,7 @@
 	}
 	for slot, worker := range level[1:] {
 		if parent := level[slot/2]; parent.index.preference > worker.index.preference {
-			t.Fatalf("worker %d stands above one that is preferred", parent.ID)
+			t.Fatalf("worker %d is the parent of one that is preferred", parent.ID)
 		}
 	}
 	sorted := slices.Clone(level)
--- a/dispatch/purity_test.go
+++ b/dispatch/purity_test.go
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-// pureImports are the packages that a decision may use: none of them does I/O, and of those that could read a clock or draw
-// numbers that no seed decides, impureCalls names the functions that do.
+// pureImports are the packages that the code may use. None of them does I/O. Some could read a clock or draw random numbers
+// without a seed: pureNames says what may be used of these.
 var pureImports = []string{
 	"cmp", "encoding/binary", "errors", "fmt", "maps", "math", "math/bits", "math/rand/v2", "slices", "time",
 }
 
-// pureNames are, of packages that also have impure functions, all names that may be used.
+// pureNames lists all names that may be used of those packages that also have impure functions.
 var pureNames = map[string][]string{
 	"time": {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 	"rand": {"Rand", "New", "NewPCG", "PCG"},
@@ -71,7 +71,7 @@
 	}
 }
 
-// impurities lists what a file uses that could make a decision depend on more than events and seed.
+// impurities lists the imports and names in a file that could make a decision depend on more than the events and the seed.
 func impurities(t *testing.T, file *ast.File) (found []string) {
 	t.Helper()
 	for _, spec := range file.Imports {
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// Under overload all would wait past tau and leave in order of arrival; what can't have its full utility has a lower priority.
+// Under overload all jobs would be queued for longer than tau and be sent in order of arrival. Those that can no longer have
+// their full utility therefore get a lower priority.
 func TestJobPastItsObjectiveIsDemoted(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -49,18 +50,18 @@
 	s.step(s.job(11, 1, 200*ms))
 	s.step(s.done(1, 0, 1, OK))
 	if got := taken[Send](s); len(got) == 0 || got[0].Job != 11 {
-		t.Fatalf("sent %v, expected job 11, which can still earn in full", got)
+		t.Fatalf("sent %v, expected job 11, which can still have its full utility", got)
 	}
 }
 
-// Under overload jobs worth more than most are promoted sooner.
+// Under overload, jobs with a priority weight above the mean are promoted sooner.
 func TestHigherPriorityWeightIsPromotedSooner(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 8, 1
 	s := newHarness(t, set)
 	s.workers(1)
 	s.startOnWorker1(1)
-	s.d.fleet.byID[1].slots.limit, s.d.workload.meanShortSojourn = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
+	s.d.fleet.byID[1].slots.limit, s.d.workload.meanShortSojourn = 1, 0.1 // tau is 0.3 s, and less than half of that for a weight of 8
 	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
 	s.wait(200 * ms)
 	s.step(s.done(1, 0, 1, OK))
@@ -69,7 +70,7 @@
 	}
 }
 
-// Jobs deferred in each pass over the queue once left an entry each time in the heap by promotion.
+// Guards against a fault: jobs that were skipped in each dispatch cycle left an entry each time in the heap by promotion.
 func TestQueuedJobsLeaveNoStaleEntries(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -90,12 +91,12 @@
 	}
 	s.wait(10 * time.Second)
 	if len(s.d.jobs) != 1 || s.d.queue.length != 0 { // job 1 has its answer but is still in flight
-		t.Fatalf("%d jobs and %d queued ones remembered after all deadlines", len(s.d.jobs), s.d.queue.length)
+		t.Fatalf("%d jobs and %d queued ones left after all deadlines, expected 1 and 0", len(s.d.jobs), s.d.queue.length)
 	}
 }
 
-// Where each dispatcher is assigned a few workers, and a job of ours is late at one, short jobs go to the others and long ones
-// wait: capacity is scarce. Where all share all workers, both go.
+// If each dispatcher is assigned a few workers, and a job of this dispatcher is late at one of them, capacity is scarce: short
+// jobs are sent to the others and long ones wait. If all dispatchers share all workers, both are sent.
 func TestLongJobsWaitWhileAttemptsAreLate(t *testing.T) {
 	for _, of := range []int{0, 2} {
 		set := testSettings()
@@ -110,7 +111,7 @@
 			s.step(s.job(id, 1, 100*ms))
 			s.after(ms, Started{Job: id, Worker: taken[Send](s)[0].Worker})
 		}
-		s.step(s.job(4, 1, 100*ms)) // and this one's worker has a queue
+		s.step(s.job(4, 1, 100*ms)) // and one does not start: its worker has a queue
 		s.wait(250 * ms)
 		taken[Send](s)
 		s.step(s.job(5, 1, 2*time.Second), s.job(6, 1, 50*ms))
@@ -119,12 +120,12 @@
 			sent[a.Job] = true
 		}
 		if !sent[6] || sent[5] != (of == 0) {
-			t.Errorf("assigned to %d: sent %v", of, sent)
+			t.Errorf("%d assignees for each worker: sent %v", of, sent)
 		}
 	}
 }
 
-// A class that only one worker in a hundred may run, and more of it than those can take, blocks nothing else.
+// A class whose jobs may go to only one worker in a hundred, with more jobs than those can start, does not block other classes.
 func TestRestrictedClassBlocksNoOtherClass(t *testing.T) {
 	set := scaleSettings()
 	set.HealthChecks = false
@@ -145,25 +146,25 @@
 		s.step(s.job(id+1, 1, ms))
 	}
 	s.take()
-	s.now += ms // they were here first, and leave first
+	s.now += ms // the queued jobs are older, and are tried first
 	for id := range uint64(50) {
 		s.step(s.job(id+1000, 0, 20*ms))
 	}
 	if got := sentJobs(taken[Send](s)); len(got) != 50 {
-		t.Fatalf("%d of 50 jobs left past queued ones of a class that has no capacity", len(got))
+		t.Fatalf("%d of 50 jobs were sent while jobs of a class without capacity were queued", len(got))
 	}
 }
 
-// Found by a search: a dozen queued jobs that no free worker might have took up each pass over the queue, and those behind them
-// waited or were rejected though there were workers for them. The next pass tries others first.
+// Found by randomised search: a dozen queued jobs that no free worker was allowed to run took up each dispatch cycle. The jobs
+// behind them waited or were rejected, though there were workers for them. The next cycle has to try other jobs first.
 func TestJobsThatFitNowhereBlockNoOthers(t *testing.T) {
 	set := testSettings()
 	set.ReportFields = nil
 	s := newHarness(t, set)
 	s.workers(3)
-	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
+	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // no start is notified, so that no more jobs are sent to their workers
 	ejected := s.d.fleet.byID[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
-	// It takes short idempotent jobs, as a trial.
+	// It is sent only short idempotent jobs, as recovery probes.
 	ejected.outlier.ejectionTime, ejected.outlier.ejectedUntil, ejected.outlier.failing, ejected.activity.aliveAt = time.Second, s.now, true, s.now-time.Minute
 	s.d.fleet.markDirty(ejected)
 	for id := uint64(10); id < 10+2*maxSkippedPerCycle; id++ {
--- a/dispatch/reservation_test.go
+++ b/dispatch/reservation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A reserved worker is sent the job that it is reserved for once that fits, though its priority has been lowered meanwhile, so that
-// another job of the same demand leaves the queue before it.
+// A reserved worker is sent the job that it is reserved for as soon as that fits. This holds even if the job's priority has been
+// lowered meanwhile, so that another job of the same demand class is ahead of it in the queue.
 func TestReservedWorkerGetsItsJob(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -17,7 +17,7 @@
 	s.step(large)
 	s.wait(3 * time.Second) // past the promotion of job 2, and its objective
 	if held := s.d.reservation; held.worker == nil || held.job.ID != 2 || !held.job.isDeprioritized() {
-		t.Fatalf("reserved %v for %v, %v", held.worker, held.job, s.take())
+		t.Fatalf("reserved %v for %v, actions %v; expected a reservation for job 2 with lowered priority", held.worker, held.job, s.take())
 	}
 	urgent := s.job(3, 0, 200*ms)
 	urgent.Slots = 4
--- a/dispatch/resume_test.go
+++ b/dispatch/resume_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A resumed job is treated as at its first dispatcher: one in flight is not sent again, its outcome is matched by the
-// attempt's number, and one that was possibly executed is sent only where the retry rules allow it.
+// A resumed job is treated as at its first dispatcher: if an attempt is in flight, the job is not sent again and the outcome is
+// matched by the attempt's number; if it was possibly executed, it is sent only if the retry rules allow it.
 func TestJobResumed(t *testing.T) {
 	inFlight := PastAttempt{Worker: 1, SentAgo: 100 * ms}
 	running := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
@@ -48,7 +48,7 @@
 			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.attempts})
 			got := decisionAbout(s)
 			if got != c.want || s.d.starts.usedSlots != c.used {
-				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.starts.usedSlots, c.want, c.used)
+				t.Fatalf("%q with %v slots in use, expected %q with %v", got, s.d.starts.usedSlots, c.want, c.used)
 			}
 			n := len(c.attempts)
 			switch {
@@ -60,7 +60,7 @@
 				s.step(ClientDisconnected{Job: 9})
 			}
 			if s.d.starts.usedSlots != 0 || len(s.d.jobs) != 0 || len(s.d.fleet.byID) != 2 {
-				t.Errorf("in the end %v in use, %d jobs, %d workers", s.d.starts.usedSlots, len(s.d.jobs), len(s.d.fleet.byID))
+				t.Errorf("at the end %v slots in use, %d jobs, %d workers; expected 0, 0, 2", s.d.starts.usedSlots, len(s.d.jobs), len(s.d.fleet.byID))
 			}
 		})
 	}
@@ -81,8 +81,8 @@
 	return decision
 }
 
-// A job that arrived at another dispatcher earlier keeps its place in the queue: it leaves before new ones, and its
-// objective counts from its first arrival. An attempt that hangs is detected as lost here too.
+// A job that arrived at another dispatcher earlier keeps its position in the queue: it is sent before new ones, and its objective
+// counts from its first arrival. An attempt that hangs is detected as lost after the job has been resumed, too.
 func TestResumedJobKeepsItsQueuePosition(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -95,7 +95,7 @@
 	s.jobs[8], s.jobs[9] = &harnessJob{}, &harnessJob{}
 	s.step(s.job(2, 1, 100*ms), JobResumed{Job: late, Age: 500 * ms})
 	if objective := s.d.jobs[9].objectiveAt - s.now; objective != 500*ms {
-		t.Errorf("its objective is in %v", objective)
+		t.Errorf("its objective is in %v, expected 500ms", objective)
 	}
 	s.step(s.done(1, 0, 1, OK))
 	expectJobs(t, taken[Send](s), 9)
@@ -105,11 +105,12 @@
 	s.step(s.done(2, 0, 1, OK))
 	s.wait(500 * ms)
 	if got := sentJobs(taken[Send](s)); !slices.Contains(got, 8) {
-		t.Errorf("sent %v, expected 8 again, which hangs at worker 2", got)
+		t.Errorf("sent %v, expected job 8 again, which hangs at worker 2", got)
 	}
 }
 
-// A resumed job is charged to its tenant's quota if it was not yet, and counts against a warming worker's budget.
+// A resumed job is charged to its tenant's quota unless it has been already, and its past attempts count against the budget of a
+// warming worker.
 func TestResumedJobIsChargedOnce(t *testing.T) {
 	set := testSettings()
 	set.TenantQuota, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = []float64{1}, time.Minute, 0.2, 1.5, time.Second
@@ -121,15 +122,15 @@
 		s.step(JobResumed{Job: s.job(id+100, 0, 50*ms), Age: time.Second, QuotaCharged: true})
 	}
 	if s.d.quotas.buckets[0].tokens != quota || len(s.d.fleet.byID[1].slowStart.sent) != 20 {
-		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotas.buckets[0].tokens, quota, len(s.d.fleet.byID[1].slowStart.sent))
+		t.Errorf("quota %v, expected %v; %d attempts count at the warming worker, expected 20", s.d.quotas.buckets[0].tokens, quota, len(s.d.fleet.byID[1].slowStart.sent))
 	}
 	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotas.refilledAt[0] != s.now {
-		t.Error("one that has waited elsewhere is not charged to the quota")
+		t.Error("a job that was queued at another dispatcher is not charged to the quota")
 	}
 }
 
-// The assignees of a warming worker follow from its list entry if that has any, else from the number of dispatchers. So does
-// the share of a quota.
+// The assignees of a warming worker follow from its list entry if that has any, else from the number of dispatchers. The share of
+// a quota follows from ReplicasChanged, or else from the number of dispatchers.
 func TestReplicasChanged(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.ReplicaIndex, set.TenantQuota = 4, 1, []float64{8}
@@ -150,6 +151,6 @@
 	check(Worker{}, 0, 1, 1)
 	again, err := Restore(set, s.d.Snapshot(nil))
 	if err != nil || again.latestReplicas != s.d.latestReplicas {
-		t.Errorf("%v, restored as %+v", err, again.latestReplicas)
+		t.Errorf("error %v, restored as %+v", err, again.latestReplicas)
 	}
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ruleChecker checks the rules from events and actions alone. It shares no code and no state with the module.
+// ruleChecker checks the rules from events and actions alone. It shares no code and no state with the code under test.
 type ruleChecker struct {
 	set          Settings
 	now          time.Duration
@@ -18,7 +18,7 @@
 	everListed   map[uint64]bool
 	checking     map[uint64]bool
 	cordoned     map[uint64]bool // by the operators
-	disconnected map[uint64]bool // clients gone in this batch: what was decided before that is disregarded
+	disconnected map[uint64]bool // jobs whose clients disconnect in this step: decisions made before that are ignored
 	timers       []time.Duration
 	violations   []string
 }
@@ -50,7 +50,7 @@
 	r.violations = append(r.violations, fmt.Sprintf("%v: ", r.now)+fmt.Sprintf(format, args...))
 }
 
-// observe follows the events that the dispatcher gets.
+// observe updates the checker with the events that the dispatcher gets.
 func (r *ruleChecker) observe(events []Event) {
 	clear(r.disconnected)
 	for _, e := range events {
@@ -111,7 +111,7 @@
 	}
 }
 
-// possiblyExecuted is the wire's table of completion codes: only these three prove that nothing ran.
+// possiblyExecuted follows the protocol's table of completion codes: only these three prove that nothing was executed.
 func (t observedAttempt) possiblyExecuted() bool {
 	return !t.ended || t.result != WorkerFull && t.result != ConnectFailed && t.result != NotSent
 }
@@ -188,7 +188,7 @@
 		return
 	}
 	if !ready {
-		r.violation("send to worker %d, which drains or is removed", a.Worker)
+		r.violation("send to worker %d, which is draining or removed", a.Worker)
 	}
 	if r.cordoned[a.Worker] {
 		r.violation("send to worker %d, which is cordoned", a.Worker)
@@ -208,10 +208,10 @@
 func (r *ruleChecker) checkRepeat(c *Class, j *observedJob, a Send, w Worker) {
 	for _, earlier := range j.attempts {
 		if !earlier.ended && !r.set.Hedging {
-			r.violation("job %d hedged", a.Job)
+			r.violation("job %d hedged with hedging off", a.Job)
 		}
 		if !earlier.ended && earlier.worker.ID == a.Worker {
-			r.violation("job %d sent to worker %d, which has it", a.Job, a.Worker)
+			r.violation("job %d sent to worker %d, where it is in flight already", a.Job, a.Worker)
 		}
 		if !r.mayFollow(c, earlier, w) {
 			r.violation("job %d sent again though possibly executed", a.Job)
@@ -222,8 +222,8 @@
 // maxProcessStall is how long a process may be held up between reading its clock and writing.
 const maxProcessStall = 150 * ms
 
-// mayFollow reports whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection, and for
-// this process.
+// mayFollow reports whether a worker may be sent a job after an earlier attempt. The new attempt may be delayed by its connection
+// and by a stall of this process.
 func (r *ruleChecker) mayFollow(c *Class, earlier observedAttempt, w Worker) bool {
 	if !earlier.possiblyExecuted() || c.Idempotency == Idempotent {
 		return true
@@ -233,7 +233,7 @@
 	return c.Idempotency != NonIdempotent && same && r.now-earlier.sentAt+r.set.ConnectTimeout+maxProcessStall <= c.DeduplicationWindow
 }
 
-// randomSettings draws widely, beyond what any known deployment has.
+// randomSettings draws settings from ranges wider than in any known deployment.
 func randomSettings(rng *rand.Rand) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
@@ -257,7 +257,8 @@
 	return set
 }
 
-// randomPlacement draws what a class is bound to: mostly nothing, at times none or only what does not exist.
+// randomPlacement draws the kinds or zones that a class is restricted to: mostly none, sometimes an empty list or only ones
+// without workers.
 func randomPlacement(rng *rand.Rand) []int {
 	if rng.IntN(3) > 0 {
 		return nil
@@ -271,12 +272,13 @@
 	return names
 }
 
-// randomRun feeds a dispatcher a random legal sequence of events; nothing models a worker.
+// randomRun feeds a dispatcher a random valid sequence of events that follows no model of a worker.
 func randomRun(seed uint64, steps int) (*ruleChecker, *Dispatcher, []Action) {
 	return observedRandomRun(seed, steps, func(*Dispatcher, time.Duration, []Event, []Action) {})
 }
 
-// observedRandomRun shows each step's events to someone before the dispatcher gets them, and its actions after that.
+// observedRandomRun is randomRun with an observer, which is called before each step with the events and nil, and after it with
+// the events and actions.
 func observedRandomRun(seed uint64, steps int, observe func(*Dispatcher, time.Duration, []Event, []Action)) (*ruleChecker, *Dispatcher, []Action) {
 	return observedRandomRunFrom(0, seed, steps, observe)
 }
@@ -330,7 +332,7 @@
 			}
 		}
 		if rng.IntN(20) == 0 {
-			events = append(events, Cordoned{Worker: uint64(rng.IntN(10) + 1)}) // repeated, not listed yet, or any
+			events = append(events, Cordoned{Worker: uint64(rng.IntN(10) + 1)}) // may be cordoned already, or not listed yet
 		}
 		for n := range rng.IntN(3) / 2 * 3 {
 			events = append(events, Uncordoned{Worker: uint64(rng.IntN(10) + n + 1)})
@@ -353,7 +355,7 @@
 	return r, d, log
 }
 
-// randomPastAttempts draws what came of a job before. Some of the workers are not listed, or not known.
+// randomPastAttempts draws the past attempts of a job. Some of the workers are not listed, or have never been.
 func randomPastAttempts(rng *rand.Rand) (attempts []PastAttempt) {
 	for range rng.IntN(4) {
 		p := PastAttempt{
@@ -361,7 +363,7 @@
 			Result: Result(rng.IntN(9)),
 		}
 		if slices.ContainsFunc(attempts, func(o PastAttempt) bool { return o.Worker == p.Worker }) {
-			p.Ended = true // no worker has two
+			p.Ended = true // at most one attempt is in flight at a worker
 		}
 		if rng.IntN(2) == 0 {
 			p.StartedAgo = time.Duration(rng.Int64N(int64(p.SentAgo + 1)))
@@ -468,7 +470,7 @@
 	t.Helper()
 	r, _, log := randomRun(seed, steps)
 	if len(r.violations) > 0 {
-		t.Fatalf("seed %d: %d faults, the first: %s", seed, len(r.violations), r.violations[0])
+		t.Fatalf("seed %d: %d violations, the first: %s", seed, len(r.violations), r.violations[0])
 	}
 	for _, a := range log {
 		if _, ok := a.(Send); ok {
@@ -485,7 +487,7 @@
 		sends += checkRandomRun(t, seed, 300)
 	}
 	if sends < 5000 {
-		t.Fatalf("only %d attempts made: the test sees too little", sends)
+		t.Fatalf("only %d attempts, too few for the test to be meaningful", sends)
 	}
 }
 
--- a/dispatch/shared_fleet_test.go
+++ b/dispatch/shared_fleet_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// sharedFleet simulates workers under several dispatchers that do not communicate. It models the connections of each dispatcher
-// to each worker, as a pool that opens one when none is idle and closes those that have been idle for too long.
+// sharedFleet simulates workers and several dispatchers that do not communicate. The connections of each dispatcher to each
+// worker are a pool, which opens a connection when none is idle and closes those that have been idle for too long.
 type sharedFleet struct {
 	settings    Settings
 	slots       int
-	work        time.Duration // mean of a job, which varies by half of that
+	work        time.Duration // mean run time of a job; run times vary by up to half of that
 	idleTimeout time.Duration
 	delay       time.Duration // one way between a dispatcher and a worker
 	rng         *rand.Rand
@@ -30,7 +30,7 @@
 type sharedDispatcher struct {
 	d           *Dispatcher
 	actions     []Action
-	timer       int // number of timers set: an earlier one that fires is ignored
+	timer       int // number of timers set: only the latest one fires
 	attempts    map[uint64]int
 	closed      map[uint64]bool
 	connections map[uint64][]time.Duration // by worker: since when each that is open has been idle
@@ -70,7 +70,7 @@
 	}
 	list := WorkerList{Kind: ListFull}
 	for id := range workers {
-		number := f.rng.Uint64() // as ids that are hashes of names
+		number := f.rng.Uint64() // like IDs that are hashes of names
 		f.workers[number] = &sharedWorker{}
 		list.Workers = append(list.Workers, Worker{ID: number, Kind: id % kinds, Ready: true})
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// connect uses an idle connection, or opens one.
+// connect takes an idle connection from the pool, or opens one.
 func (f *sharedFleet) connect(s *sharedDispatcher, worker uint64) {
 	idle := s.connections[worker]
 	for len(idle) > 0 && f.idleTimeout > 0 && f.now-idle[0] >= f.idleTimeout {
@@ -180,7 +180,7 @@
 	})
 }
 
-// serve has jobs arrive at each dispatcher for a time, at a rate of its own and at random.
+// serve simulates random arrivals of jobs for a time, with a rate for each dispatcher.
 func (f *sharedFleet) serve(rates func(scheduler int) float64, span time.Duration) {
 	end := f.now + span
 	for index, s := range f.dispatchers {
@@ -200,7 +200,7 @@
 	}
 }
 
-// connectionsOpened is the mean over the dispatchers.
+// connectionsOpened returns the mean number of opened connections over the dispatchers.
 func (f *sharedFleet) connectionsOpened() float64 {
 	opened := 0
 	for _, s := range f.dispatchers {
@@ -209,7 +209,7 @@
 	return float64(opened) / float64(len(f.dispatchers))
 }
 
-// busiest is how many jobs the busiest worker ran, as a multiple of the mean.
+// busiest returns how many jobs the busiest worker ran, as a multiple of the mean.
 func (f *sharedFleet) busiest() float64 {
 	most, all := 0, 0
 	for _, worker := range f.workers {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Incident: jobs far heavier than their hint overloaded a warming worker; their class is budgeted by its overrun ratio.
+// Guards against an incident: jobs far heavier than their hint overloaded a warming worker. The budget counts a class by its
+// overrun ratio.
 func TestHeavyClassAvoidsWarmingWorkers(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -21,17 +22,17 @@
 	s.step() // a dispatcher sends warming workers nothing in its first window
 	s.now += 10 * time.Second
 	if !warming(1) {
-		t.Fatal("a short job was not sent to a worker half warm")
+		t.Fatal("a short job was not sent to a worker that has half warmed up")
 	}
 	s.step(Started{Job: 1, Worker: 2})
 	s.wait(4500 * ms)
 	s.step(s.done(1, 0, 2, OK))
 	if warming(2) {
-		t.Fatal("a class that ran forty times its hint was sent to a warming worker")
+		t.Fatal("a job of a class that ran forty times its hint was sent to a warming worker")
 	}
 }
 
-// A worker whose connections broke and that answers again is treated as warming up before any list says that it restarted.
+// A worker whose connections broke and that answers again counts as warming up even before a list says that it has restarted.
 func TestReturningWorkerWarmsUpWithoutListUpdate(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -42,15 +43,15 @@
 	s.wait(6 * time.Second)
 	s.step(HealthChecked{Worker: 1, Result: OK})
 	if got := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now); got > 0.21 {
-		t.Fatalf("a worker that came back is taken to have %v of its capacity", got)
+		t.Fatalf("a worker that answers again is assumed to have %v of its capacity", got)
 	}
 	s.wait(21 * time.Second)
 	if got := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now); got != 1 {
-		t.Fatalf("it is taken to have %v of its capacity after the warm-up", got)
+		t.Fatalf("it is assumed to have %v of its capacity after the warm-up", got)
 	}
 }
 
-// workWithin is the work of what was sent within the window that ends now.
+// workWithin returns the work that was sent within the window that ends now.
 func workWithin(spends []workSample, now, window time.Duration) float64 {
 	sum := 0.0
 	for _, s := range spends {
@@ -61,7 +62,8 @@
 	return sum
 }
 
-// budgetChecker sums independently what warming workers of three slots are sent. Runs take exactly as long as hinted.
+// budgetChecker sums the work that warming workers of three slots are sent, without use of the code under test. Runs take exactly
+// as long as hinted.
 type budgetChecker struct {
 	*harness
 	rng      *rand.Rand
@@ -94,7 +96,7 @@
 	return c
 }
 
-// endRuns ends the runs that are over.
+// endRuns updates the counts for the runs that are over.
 func (c *budgetChecker) endRuns() {
 	c.ends = slices.DeleteFunc(c.ends, func(x scheduledEvent) bool {
 		isOver := x.at <= c.now
@@ -105,7 +107,7 @@
 	})
 }
 
-// start runs an attempt, and checks what its worker has been sent if that is warming up.
+// start runs an attempt. If its worker is warming up, it checks the work that the worker has been sent.
 func (c *budgetChecker) start(send Send) {
 	j := c.jobs[send.Job]
 	c.running[send.Worker]++
@@ -124,12 +126,12 @@
 	sum := workWithin(c.sentWork[send.Worker], c.now, c.d.settings.OverloadWindow)
 	share := 0.1 + 0.9*max(0, age).Seconds()/20
 	if most := 3 * c.slots * share * 2 / 3; sum > most {
-		c.t.Fatalf("worker %d, %v old, was sent %.2f s of work, our part is %.2f", send.Worker, age, sum, most)
+		c.t.Fatalf("worker %d, %v after its start, was sent %.2f s of work, more than %.2f", send.Worker, age, sum, most)
 	}
 	c.checked++
 }
 
-// What warming workers are sent stays within their budget, by an independent sum.
+// The work that warming workers are sent, summed independently, stays within their budget.
 func TestWarmUpBudget(t *testing.T) {
 	t.Parallel()
 	checked := 0
@@ -147,11 +149,11 @@
 		checked += c.checked
 	}
 	if checked < 500 {
-		t.Fatalf("only %d sends to warming workers: the test sees too little", checked)
+		t.Fatalf("only %d sends to warming workers, too few for the test to be meaningful", checked)
 	}
 }
 
-// manyDispatchers share one warming worker. Each restarts at random, without any state.
+// manyDispatchers are dispatchers that share one warming worker. Each restarts at random times, without its state.
 type manyDispatchers struct {
 	t        *testing.T
 	set      Settings
@@ -192,7 +194,7 @@
 	m.all[i] = New(own, uint64(i))
 }
 
-// endRuns ends the runs that are over. A dispatcher that has restarted ignores their outcomes.
+// endRuns ends the runs that are over. A dispatcher that has restarted since ignores their outcomes.
 func (m *manyDispatchers) endRuns(now time.Duration) {
 	for _, e := range m.ends {
 		if e.at <= now {
@@ -202,7 +204,7 @@
 	m.ends = slices.DeleteFunc(m.ends, func(e runEnd) bool { return e.at <= now })
 }
 
-// arrive has a job arrive at a random dispatcher, and checks what the worker has been sent by all of them.
+// arrive adds a job at a random dispatcher, and checks the work that all dispatchers have sent the worker.
 func (m *manyDispatchers) arrive(now time.Duration) {
 	i := m.rng.IntN(len(m.all))
 	if m.rng.IntN(1500) < len(m.all) {
@@ -214,7 +216,7 @@
 	events := []Event{m.list, Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1}}
 	for _, a := range m.all[i].Step(now, events, nil) {
 		if s, ok := a.(Send); !ok || s.Job != id {
-			continue // a job queued from before ends soon without it
+			continue // a job that was queued before; its run is not simulated
 		}
 		// The run takes twice its hint.
 		m.sentWork = append(m.sentWork, workSample{now, 2 * hint.Seconds()})
@@ -222,15 +224,15 @@
 		m.all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
 		m.ends = append(m.ends, runEnd{now + 2*hint, i, id})
 	}
-	// One core of speed 1, the least that the dispatchers can have seen, runs the work.
+	// The bound is for one core of speed 1, the least capacity that the dispatchers can have observed.
 	share := 0.12 + 0.88*(now-m.start).Seconds()/20
 	if sum, most := workWithin(m.sentWork, now, m.set.OverloadWindow), 3*share*2; sum > most {
 		m.t.Fatalf("%d dispatchers: %.2f s of work within a window at %v, %.2f allowed", len(m.all), sum, now-m.start, most)
 	}
 }
 
-// With hundreds of dispatchers on one warming worker: what they send together in any window stays under the budget, also where
-// each of them restarts at random, and the worker is not left idle either.
+// Hundreds of dispatchers share one warming worker, and each restarts at random times. The work that they send together in any
+// window stays within the budget, and the worker is not left idle either.
 func TestWarmUpBudgetSharedByHundreds(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{3, 40, 300} {
@@ -242,7 +244,7 @@
 			}
 		}
 		if m.sent < 5 { // one core warming over twenty seconds
-			t.Fatalf("%d dispatchers sent the warming worker %d jobs only", replicas, m.sent)
+			t.Fatalf("%d dispatchers sent the warming worker only %d jobs", replicas, m.sent)
 		}
 	}
 }
@@ -310,7 +312,7 @@
 	l.all[i].Step(l.start-time.Second, []Event{l.list}, nil)
 }
 
-// step has a dispatcher step, and runs its attempts at the first free slot of their workers.
+// step passes events to a dispatcher, and runs its attempts in the first free slot of their workers.
 func (l *lottery) step(i int, now time.Duration, events ...Event) {
 	for _, a := range l.all[i].Step(now, events, nil) {
 		s, ok := a.(Send)
@@ -348,7 +350,7 @@
 	}
 }
 
-// restartAtRandom has a dispatcher restart now and then, without any state.
+// restartAtRandom sometimes restarts a random dispatcher, without its state.
 func (l *lottery) restartAtRandom() {
 	if i := l.rng.IntN(len(l.all)); l.rng.IntN(30*300) < len(l.all) {
 		l.restartDispatcher(i)
@@ -356,7 +358,7 @@
 	}
 }
 
-// arrive has a number of jobs arrive on average. Some dispatchers get several times the mean.
+// arrive adds a random number of jobs with the given mean. Some dispatchers get several times as many as others.
 func (l *lottery) arrive(now time.Duration, mean float64) {
 	for n := l.rng.Float64() * 2 * mean; n > 0; n-- {
 		i := int(float64(len(l.all)) * l.rng.Float64() * l.rng.Float64())
@@ -365,19 +367,20 @@
 	}
 }
 
-// checkBudgets checks what each warming worker has been sent within a window, against what would overload it.
+// checkBudgets checks that no warming worker has been sent as many jobs within a window as would overload it.
 func (l *lottery) checkBudgets(now time.Duration) {
 	for w := range l.sentAt {
 		l.sentAt[w] = slices.DeleteFunc(l.sentAt[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
 		share := l.set.WarmUpCapacity + (1-l.set.WarmUpCapacity)*(now-l.start).Seconds()/l.set.WarmUp.Seconds()
 		budget := l.set.OverloadFactor * share * lotterySlots / lotteryRunTime.Seconds() * l.set.OverloadWindow.Seconds()
 		if n := float64(len(l.sentAt[w])); n > overloadThreshold(budget) {
-			l.t.Fatalf("%d dispatchers: worker %d got %v jobs within a window at %v, of %.0f", len(l.all), w, n, now-l.start, budget)
+			l.t.Fatalf("%d dispatchers: worker %d got %v jobs within a window at %v, budget %.0f", len(l.all), w, n, now-l.start, budget)
 		}
 	}
 }
 
-// overloadThreshold returns how many jobs of mean work overload a cold worker within a window in which n are allowed.
+// overloadThreshold returns how many jobs of mean work a warming worker may get within a window in which n are allowed: n plus a
+// margin for random variation.
 func overloadThreshold(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -385,9 +388,9 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Hundreds of dispatchers draw in the lottery for the warming workers of an overloaded fleet: each warming worker gets its share
-// of what the others get, in any window no more than the budget plus random variation, and none is left unused. The budget holds
-// for few dispatchers as for many, and also if each worker may have few jobs only.
+// Up to hundreds of dispatchers choose warming workers of an overloaded fleet by lottery. Each warming worker gets its share of
+// what the others get, in any window no more than the budget plus random variation, and none is left unused. The budget holds for
+// few dispatchers as for many, and also if it allows each worker only few jobs.
 func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{1, 2, 3, 8, 9, 40, 300} {
@@ -406,17 +409,17 @@
 			}
 			for w := lotteryWarm + 1; w <= lotteryWarm+lotteryWarming; w++ {
 				if least := others / lotteryWarm / 8; l.sent[w] < least {
-					t.Errorf("%d dispatchers: warming worker %d got %d jobs, fewer than %d", replicas, w, l.sent[w], least)
+					t.Errorf("%d dispatchers: warming worker %d got %d jobs, expected at least %d", replicas, w, l.sent[w], least)
 				}
 			}
-			t.Logf("%d dispatchers, from %v: warm ones got %d jobs each, warming ones %v", replicas, capacity, others/lotteryWarm,
+			t.Logf("%d dispatchers, warm-up from %v: warm workers got %d jobs each, warming ones %v", replicas, capacity, others/lotteryWarm,
 				l.sent[lotteryWarm+1:])
 		}
 	}
 }
 
-// The operators end a cordon at all dispatchers at once: the worker, which counts as restarted, is used at once, and what
-// all of them send it stays within its capacity, however many they are.
+// Operators end a cordon at all dispatchers at once. The worker counts as restarted and is used at once, and the jobs that all
+// dispatchers send it stay within its capacity, however many dispatchers there are.
 func TestUncordonByAllStaysWithinTheBudget(t *testing.T) {
 	const run = 100 * ms
 	for _, replicas := range []int{1, 2, 3, 8, 40, 300} {
@@ -441,7 +444,7 @@
 		}
 		budget := set.OverloadFactor * set.WarmUpCapacity * set.OverloadWindow.Seconds() / run.Seconds()
 		if float64(sent) > overloadThreshold(budget) || sent == 0 {
-			t.Errorf("%d dispatchers sent %d jobs at once, of %.0f", replicas, sent, budget)
+			t.Errorf("%d dispatchers sent %d jobs at once, budget %.0f", replicas, sent, budget)
 		}
 	}
 }
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A dispatcher that is restored from a snapshot at any steps of a random run acts as the one that it was taken from, and has
-// the same snapshot. It knows nothing of keys but what is recalled before their jobs arrive. Taking a snapshot changes nothing.
+// A dispatcher that is restored from a snapshot after any step of a random run returns the same actions as the original, and has
+// the same snapshot. The work by key is recalled before the keys' jobs arrive. Taking a snapshot does not change the dispatcher.
 func FuzzSnapshot(f *testing.F) {
 	for seed := range uint64(60) {
 		f.Add(seed, seed%5)
@@ -19,13 +19,13 @@
 		r := &restoredCopy{t: t, rng: rand.New(rand.NewPCG(seed, 2)), interval: 1 + 10*int(often%5)}
 		_, _, observed := observedRandomRun(seed, 400, r.observe)
 		if _, _, undisturbed := randomRun(seed, 400); !reflect.DeepEqual(observed, undisturbed) {
-			t.Fatal("one of which snapshots were taken acted otherwise")
+			t.Fatal("taking snapshots changed the actions")
 		}
 	})
 }
 
-// So does one that is restored by a process whose clock is ahead or behind, as after a step of the wall clock between the
-// starts of the two.
+// A dispatcher that is restored by a process whose clock is ahead or behind returns the same actions, too. Clocks differ if the
+// wall clock was set between the starts of the two processes.
 func TestRestoreOnClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		for seed := range uint64(10) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// restoredCopy has a restored dispatcher run beside the one whose snapshot it was made from.
+// restoredCopy runs a restored dispatcher in parallel to the one whose snapshot it was restored from.
 type restoredCopy struct {
 	t          *testing.T
 	rng        *rand.Rand
@@ -45,11 +45,11 @@
 	step       int
 }
 
-// observe sees each step twice, before it with its events alone, and after it with its actions.
+// observe is called twice for each step: before it with the events and nil, and after it with the events and actions.
 func (r *restoredCopy) observe(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
 	if actions != nil {
 		if got := r.restored.Step(now+r.clockAhead, r.convertTimes(events), []Action{}); !reflect.DeepEqual(got, actions) {
-			r.t.Fatalf("step %d: %v, expected %v", r.step, got, actions)
+			r.t.Fatalf("step %d: restored dispatcher returned %v, expected %v", r.step, got, actions)
 		}
 		r.step++
 		return
@@ -81,7 +81,7 @@
 		r.t.Fatal(err)
 	}
 	if again := snapshot(back, nil); !bytes.Equal(again, state) {
-		r.t.Fatalf("step %d: a restored one has another snapshot", r.step)
+		r.t.Fatalf("step %d: the restored dispatcher has another snapshot", r.step)
 	}
 }
 
@@ -89,7 +89,7 @@
 	return read(settings, &codec{b: b, withLeases: true, clockAhead: clockAhead})
 }
 
-// convertTimes returns events with their instants as the restored one's clock has them.
+// convertTimes returns events with their times converted to the clock of the restored dispatcher.
 func (r *restoredCopy) convertTimes(events []Event) []Event {
 	events = slices.Clone(events)
 	for i, event := range events {
@@ -108,7 +108,7 @@
 	return events
 }
 
-// keyOf is the key of a job that arrives by an event; 0: none does, or it has no key.
+// keyOf returns the key of the job that arrives with an event; 0: no job arrives, or it has no key.
 func keyOf(e Event) uint64 {
 	switch e := e.(type) {
 	case Job:
@@ -119,7 +119,7 @@
 	return 0
 }
 
-// The keys that a snapshot omits still count towards those that may be known.
+// The keys that a snapshot omits still count towards the limit on known keys.
 func TestSnapshotKeys(t *testing.T) {
 	set := testSettings()
 	d := New(set, 1)
@@ -128,7 +128,7 @@
 	}
 	state := d.Snapshot(nil)
 	if len(state) > 2000 {
-		t.Errorf("%d bytes for keys that no job at hand has", len(state))
+		t.Errorf("snapshot of %d bytes, expected no keys in it, as no open job has one", len(state))
 	}
 	r, err := Restore(set, state)
 	if err != nil {
@@ -144,12 +144,12 @@
 		s.step(Started{Job: 1, Worker: 1})
 		s.step(Outcome{Job: 1, Worker: 1, Closed: true})
 		if len(d.workload.keyWork)+d.workload.keysOmitted != 1 {
-			t.Errorf("%d keys known and %d away, where the limit was reached", len(d.workload.keyWork), d.workload.keysOmitted)
+			t.Errorf("%d keys known and %d omitted, expected 1 in total after the limit was reached", len(d.workload.keyWork), d.workload.keysOmitted)
 		}
 	}
 }
 
-// What is no snapshot is rejected, and no bytes make Restore panic.
+// Bytes that are not a snapshot are rejected, and no bytes make Restore panic.
 func FuzzRestore(f *testing.F) {
 	set := testSettings()
 	d := New(set, 1)
@@ -158,7 +158,7 @@
 	s.step(Job{ID: 1, Key: 9, Remaining: time.Second}, Job{ID: 2, Remaining: time.Second})
 	whole := d.Snapshot(nil)
 	if _, err := Restore(Settings{Classes: set.Classes[:1]}, whole); err == nil {
-		f.Error("a snapshot of other classes was taken")
+		f.Error("a snapshot with other classes was accepted")
 	}
 	f.Add(whole)
 	for i := range whole {
