--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Guards against an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, because of
-// hints that are only rough.
+// Regression test for an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, because
+// of hints that are only rough.
 func TestJobLikelyToBeLateIsSentToIdleWorker(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -100,8 +100,8 @@
 	j.Tenant = 1
 	s.step(j)
 	demoted := 0
-	for _, sh := range s.d.queue.demandClasses {
-		for _, h := range sh.byScore.items {
+	for _, demandClass := range s.d.queue.demandClasses {
+		for _, h := range demandClass.byScore.items {
 			if h.isDeprioritized() {
 				demoted++
 			}
--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -22,7 +22,7 @@
 	timer          timer         // fires when it should have started, or ended
 }
 
-// newAttempt returns the next attempt of a job, sent to a worker at an instant. It is not yet in flight.
+// newAttempt returns the next attempt of a job, sent to a worker at sentAt. It is not yet in flight.
 func (d *Dispatcher) newAttempt(job *jobInfo, worker *workerInfo, sentAt time.Duration) *attemptInfo {
 	attempt := &attemptInfo{
 		job:         job,
@@ -77,7 +77,8 @@
 	}
 }
 
-// findInFlight returns an attempt that is in flight, or nil: an event about another one is ignored.
+// findInFlight returns an attempt that is in flight, or nil if there is none: events about other attempts are
+// ignored.
 func (d *Dispatcher) findInFlight(job uint64, number int, worker uint64) *attemptInfo {
 	j := d.jobs[job]
 	if j == nil || number < 0 || number >= len(j.attempts) {
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against an incident: jobs were moved to another worker as soon as their start was late, so that one attempt in six was
-// cancelled.
+// Regression test for an incident: jobs were moved to another worker as soon as their start was late, so that one attempt in six
+// was cancelled.
 func TestUnstartedJobIsHedgedOnlyWhenItsObjectiveIsAtRisk(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -20,8 +20,8 @@
 		t.Fatalf("expected one hedge on the other worker, got %v", moved)
 	}
 	s.step(Started{Job: 1, Attempt: 1, Worker: moved[0].Worker})
-	// Guards against an incident: the waiting attempt was cancelled and no longer counted, while the worker went on with it. The
-	// next job was queued behind it.
+	// In an incident the waiting attempt was cancelled and no longer counted, while the worker went on with it. The next job was
+	// queued behind it.
 	s.step(s.done(1, 1, moved[0].Worker, OK), s.job(2, 0, 600*ms), s.job(3, 0, 600*ms))
 	for _, a := range s.take() {
 		if c, ok := a.(Cancel); ok {
@@ -97,7 +97,7 @@
 		{"non-idempotent, not sent", NonIdempotent, 0, []Result{NotSent}, 0, all},
 		{"non-idempotent, in flight", NonIdempotent, 0, []Result{-1}, 0, none},
 		{"non-idempotent, error", NonIdempotent, 0, []Result{Failed}, 0, none},
-		{"non-idempotent, time-out", NonIdempotent, 0, []Result{TimedOut}, 0, none},
+		{"non-idempotent, timeout", NonIdempotent, 0, []Result{TimedOut}, 0, none},
 		{"non-idempotent, reset", NonIdempotent, 0, []Result{ConnectionReset}, 0, none},
 		{"non-idempotent, cancelled", NonIdempotent, 0, []Result{Cancelled}, 0, none},
 		{"non-idempotent, error then rejected", NonIdempotent, 0, []Result{Failed, WorkerFull}, 0, none},
@@ -274,11 +274,11 @@
 
 // The hedge tokens of many dispatchers are bounded in total, as their hedges would otherwise add to an overload.
 func TestHedgeTokensOfManyReplicas(t *testing.T) {
-	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
+	for replicas, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
-		set.Replicas = of
+		set.Replicas = replicas
 		if d := New(set, 1); d.hedges.tokens != want || d.maxHedgeTokens() != want {
-			t.Errorf("%d dispatchers: %v tokens at first, at most %v, expected %v", of, d.hedges.tokens, d.maxHedgeTokens(), want)
+			t.Errorf("%d dispatchers: %v tokens at first, at most %v, expected %v", replicas, d.hedges.tokens, d.maxHedgeTokens(), want)
 		}
 	}
 }
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -16,7 +16,7 @@
 	}
 	expectLimit(1)
 	s.startOnWorker1(1)
-	expectLimit(2) // a prompt start of an attempt that the limit had bound
+	expectLimit(2) // after the prompt start of an attempt that was sent at the limit
 	s.startOnWorker1(2)
 	expectLimit(3)
 	s.startOnWorker1(3)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Guards against an incident: the bound of a prompt start was based on the mean start delay. The mean rose with the queues, so
-// that no start counted as late.
+// Regression test for an incident: the bound of a prompt start was based on the mean start delay. The mean rose with the queues,
+// so that no start counted as late.
 func TestPromptStartBoundDoesNotRiseWithDelays(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Guards against an incident: a limit of one at each of many dispatchers still allowed a long queue at the worker.
+// Regression test for an incident: a limit of one at each of many dispatchers still allowed a long queue at the worker.
 func TestBackoffAfterLateStartAtLimitOfOne(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 2
@@ -85,7 +85,7 @@
 	expectJobs(t, taken[Send](s))
 }
 
-// Guards against an incident: the load report of an outcome is older than the outcome. The slot that was released counted as
+// Regression test for an incident: the load report of an outcome is older than the outcome. The slot that was released counted as
 // used, and the worker was sent nothing.
 func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
 	s := newHarness(t, testSettings())
@@ -196,7 +196,7 @@
 		}
 	}
 	if possible := 15 * 5 / f.run.Seconds(); float64(served) < 0.9*possible || backedOff > 0 {
-		t.Errorf("%d served of %.0f, %d rejected, %d of 20 workers backed off from", served, possible, f.rejected, backedOff)
+		t.Errorf("%d served of %.0f, %d rejected, %d of 20 workers in backoff", served, possible, f.rejected, backedOff)
 	}
 }
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -8,7 +8,7 @@
 // The initial estimates of a new dispatcher.
 const (
 	initialLogError   = 0.35 // mean absolute log error of runs
-	initialHintWeight = 1.0  // of the logistic model; positive: a longer hint means a longer run
+	initialHintWeight = 1.0  // of the logistic model; positive: a longer hint makes a long run more likely
 	minInitialSojourn = 1e-3 // seconds
 )
 
@@ -138,8 +138,8 @@
 	}
 }
 
-// sample selects which of n items to use: count items from the index from on, modulo n. These are all items
-// if n is at most limit, else size items from a random index on.
+// sample selects which of n items to use: count consecutive items from the index from on, modulo n. These are
+// all items if n is at most limit, else size items from a random index on.
 func (d *Dispatcher) sample(n, limit, size int) (from, count int) {
 	if n > limit {
 		return d.rng.IntN(n), size
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -103,8 +103,8 @@
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	set.Replicas = 2
-	for me := range 2 {
-		set.ReplicaIndex = me
+	for index := range 2 {
+		set.ReplicaIndex = index
 		s := newHarness(t, set)
 		s.workers(1)
 		s.wait(3 * time.Second)
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// decayBusy moves the estimates of all zones towards 0 by a time that has passed.
+// decayBusy moves the estimates of all zones towards 0 by the decay of the elapsed time.
 func (f *workerFleet) decayBusy(elapsed time.Duration) {
 	for zone := range f.zoneBusy {
 		f.zoneBusy[zone] *= 1 - elapsed.Seconds()/speedDecayTime.Seconds()
--- a/dispatch/index.go
+++ b/dispatch/index.go
@@ -44,7 +44,7 @@
 // then a heap by preference.
 func (w *workerIndex) isOrdered() bool { return w.steadyCount > maxLevelScan }
 
-// bucket returns the bucket of a key, and makes it if there is none.
+// bucket returns the bucket of a key, and adds it if there is none.
 func (w *workerIndex) bucket(key bucketKey) *bucket {
 	for _, b := range w.buckets {
 		if b.bucketKey == key {
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Guards against an incident: most workers were ejected for late starts, so that ejections were disregarded. The failed workers
-// then counted as healthy too and attracted all jobs.
+// Regression test for an incident: most workers were ejected for late starts, so that ejections were disregarded. The failed
+// workers then counted as healthy too and attracted all jobs.
 func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -85,9 +85,9 @@
 	t.Fatal("the large job was never sent")
 }
 
-// Guards against an incident: a job of four slots, queued for over tau, was sent to a worker with capacity for one. It waited at
-// the head of that worker's queue and blocked all behind it. A worker has to be reserved for it, and other jobs are sent to other
-// workers meanwhile.
+// Regression test for an incident: a job of four slots, queued for over tau, was sent to a worker with capacity for one. It
+// waited at the head of that worker's queue and blocked all behind it. A worker has to be reserved for it, and other jobs are
+// sent to other workers meanwhile.
 func TestLargeJobWaitsForCapacity(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -8,35 +8,35 @@
 
 func TestPredictor(t *testing.T) {
 	d := New(testSettings(), 1)
-	mk := func(class int, hint time.Duration) *jobInfo {
+	newJob := func(class int, hint time.Duration) *jobInfo {
 		j := &jobInfo{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.settings.Classes[class]}
 		j.work = d.workload.expectedWork(j)
 		return j
 	}
-	if d.workload.longProbability(mk(0, 100*ms)) >= d.workload.longProbability(mk(0, 200*ms)) {
+	if d.workload.longProbability(newJob(0, 100*ms)) >= d.workload.longProbability(newJob(0, 200*ms)) {
 		t.Fatal("before any run, a longer hint does not raise the probability of a long run")
 	}
 	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
-		if p := d.workload.longProbability(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
+		if p := d.workload.longProbability(newJob(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
 			t.Fatalf("hint %v gives probability %v", hint, p)
 		}
 	}
 	d.now = time.Hour
 	w := &workerInfo{}
-	keyed := mk(0, 0)
+	keyed := newJob(0, 0)
 	keyed.Key = 5
 	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
-	other := mk(0, 0)
+	other := newJob(0, 0)
 	if keyed.work = d.workload.expectedWork(keyed); d.workload.longProbability(keyed) <= d.workload.longProbability(other) {
 		t.Fatal("a long run with the same key does not raise the probability of a long run")
 	}
 	for range 300 {
 		for class, run := range []time.Duration{100 * ms, 2 * time.Second} {
-			a := &attemptInfo{job: mk(class, 0), worker: w}
+			a := &attemptInfo{job: newJob(class, 0), worker: w}
 			d.learnFromRun(a, run)
 		}
 	}
-	if d.workload.longProbability(mk(0, 0)) >= d.workload.longProbability(mk(1, 0)) {
+	if d.workload.longProbability(newJob(0, 0)) >= d.workload.longProbability(newJob(1, 0)) {
 		t.Fatal("without hints, the class with long runs does not have the higher probability of a long run")
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Guards against a fault: jobs that were skipped in each dispatch cycle left an entry each time in the heap by promotion.
+// Regression test: jobs that were skipped in each dispatch cycle left an entry each time in the heap by promotion.
 func TestQueuedJobsLeaveNoStaleEntries(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -83,8 +83,8 @@
 		s.wait(ms)
 	}
 	n := 0
-	for _, sh := range s.d.queue.demandClasses {
-		n += len(sh.byPromotion.items)
+	for _, class := range s.d.queue.demandClasses {
+		n += len(class.byPromotion.items)
 	}
 	if n > 10 {
 		t.Fatalf("%d entries for 10 queued jobs", n)
@@ -98,13 +98,13 @@
 // If each dispatcher is assigned a few workers, and a job of this dispatcher is late at one of them, capacity is scarce: short
 // jobs are sent to the others and long ones wait. If all dispatchers share all workers, both are sent.
 func TestLongJobsWaitWhileAttemptsAreLate(t *testing.T) {
-	for _, of := range []int{0, 2} {
+	for _, assignees := range []int{0, 2} {
 		set := testSettings()
 		set.Replicas = manyReplicas + 1
 		s := newHarness(t, set)
 		list := WorkerList{Kind: ListFull}
 		for id := uint64(1); id <= 6; id++ {
-			list.Workers = append(list.Workers, Worker{ID: id, Ready: true, Assignees: of})
+			list.Workers = append(list.Workers, Worker{ID: id, Ready: true, Assignees: assignees})
 		}
 		s.step(list)
 		for id := uint64(1); id <= 3; id++ { // three run
@@ -119,8 +119,8 @@
 		for _, a := range taken[Send](s) {
 			sent[a.Job] = true
 		}
-		if !sent[6] || sent[5] != (of == 0) {
-			t.Errorf("%d assignees for each worker: sent %v", of, sent)
+		if !sent[6] || sent[5] != (assignees == 0) {
+			t.Errorf("%d assignees for each worker: sent %v", assignees, sent)
 		}
 	}
 }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -46,7 +46,7 @@
 // first. It may hold older samples until the next call of expire.
 type workWindow []workSample
 
-// workSample is work sent to a warming worker at an instant.
+// workSample is the work of one job sent to a warming worker.
 type workSample struct {
 	at   time.Duration
 	work float64 // seconds on a standard core, times slots
@@ -148,7 +148,7 @@
 	}
 }
 
-// warmUpStart returns the instant from which a worker warms up.
+// warmUpStart returns the time from which on a worker warms up.
 func (w *workerInfo) warmUpStart() time.Duration { return max(w.BootAt, w.slowStart.restartedAt) }
 
 // warmUpShare returns the fraction of its full capacity that a worker has at least, which follows from the
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Guards against an incident: jobs far heavier than their hint overloaded a warming worker. The budget counts a class by its
+// Regression test for an incident: jobs far heavier than their hint overloaded a warming worker. The budget counts a class by its
 // overrun ratio.
 func TestHeavyClassAvoidsWarmingWorkers(t *testing.T) {
 	set := testSettings()
@@ -52,9 +52,9 @@
 }
 
 // workWithin returns the work that was sent within the window that ends now.
-func workWithin(spends []workSample, now, window time.Duration) float64 {
+func workWithin(samples []workSample, now, window time.Duration) float64 {
 	sum := 0.0
-	for _, s := range spends {
+	for _, s := range samples {
 		if now-s.at <= window {
 			sum += s.work
 		}
@@ -62,8 +62,8 @@
 	return sum
 }
 
-// budgetChecker sums the work that warming workers of three slots are sent, without use of the code under test. Runs take exactly
-// as long as hinted.
+// budgetChecker sums the work that warming workers of three slots are sent, independently of the dispatcher. Runs take exactly as
+// long as hinted.
 type budgetChecker struct {
 	*harness
 	rng      *rand.Rand
@@ -426,8 +426,8 @@
 		set := testSettings()
 		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 20*time.Second, 0.2, 3, 2*time.Second
 		sent := 0
-		for me := range replicas {
-			set.ReplicaIndex = me
+		for index := range replicas {
+			set.ReplicaIndex = index
 			s := newHarness(t, set)
 			s.workers(1)
 			s.wait(3 * time.Second)
