--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Incident: jobs far heavier than their hint overloaded a warming worker; their class is budgeted by its overrun ratio.
+// Regression test for an incident: jobs far heavier than their hint overloaded a warming worker. The budget counts a class by its
+// overrun ratio.
 func TestHeavyClassAvoidsWarmingWorkers(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -21,39 +22,39 @@
 	s.step() // a dispatcher sends warming workers nothing in its first window
 	s.now += 10 * time.Second
 	if !warming(1) {
-		t.Fatal("a short job was not sent to a worker half warm")
+		t.Fatal("a short job was not sent to a worker that has half warmed up")
 	}
 	s.step(Started{Job: 1, Worker: 2})
 	s.wait(4500 * ms)
 	s.step(s.done(1, 0, 2, OK))
 	if warming(2) {
-		t.Fatal("a class that ran forty times its hint was sent to a warming worker")
+		t.Fatal("a job of a class that ran forty times its hint was sent to a warming worker")
 	}
 }
 
-// A worker whose connections broke and that answers again is treated as warming up before any list says that it restarted.
-func TestWorkerBackUnannouncedWarmsUp(t *testing.T) {
+// A worker whose connections broke and that answers again counts as warming up even before a list says that it has restarted.
+func TestReturningWorkerWarmsUpWithoutListUpdate(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	s := newHarness(t, set)
 	s.workers(1)
-	s.busy(1)
+	s.startOnWorker1(1)
 	s.step(s.done(1, 0, 1, ConnectionReset))
 	s.wait(6 * time.Second)
 	s.step(HealthChecked{Worker: 1, Result: OK})
 	if got := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now); got > 0.21 {
-		t.Fatalf("a worker that came back is taken to have %v of its capacity", got)
+		t.Fatalf("a worker that answers again is assumed to have %v of its capacity", got)
 	}
 	s.wait(21 * time.Second)
 	if got := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now); got != 1 {
-		t.Fatalf("it is taken to have %v of its capacity after the warm-up", got)
+		t.Fatalf("it is assumed to have %v of its capacity after the warm-up", got)
 	}
 }
 
-// workWithin is the work of what was sent within the window that ends now.
-func workWithin(spends []workSample, now, window time.Duration) float64 {
+// workWithin returns the work that was sent within the window that ends now.
+func workWithin(samples []workSample, now, window time.Duration) float64 {
 	sum := 0.0
-	for _, s := range spends {
+	for _, s := range samples {
 		if now-s.at <= window {
 			sum += s.work
 		}
@@ -61,16 +62,17 @@
 	return sum
 }
 
-// budgetChecker sums independently what warming workers of three slots are sent. Runs take exactly as long as hinted.
+// budgetChecker sums the work that warming workers of three slots are sent, independently of the dispatcher. Runs take exactly as
+// long as hinted.
 type budgetChecker struct {
 	*harness
-	rng     *rand.Rand
-	boot    map[uint64]time.Duration // of the warming workers
-	spent   map[uint64][]workSample
-	running map[uint64]float64
-	slots   float64 // the most that the dispatcher could see a worker run at once
-	ends    []scheduledEvent
-	checked int // sends to warming workers
+	rng      *rand.Rand
+	boot     map[uint64]time.Duration // of the warming workers
+	sentWork map[uint64][]workSample
+	running  map[uint64]float64
+	slots    float64 // the most that the dispatcher could see a worker run at once
+	ends     []scheduledEvent
+	checked  int // sends to warming workers
 }
 
 func newBudgetChecker(t *testing.T, seed uint64) *budgetChecker {
@@ -79,7 +81,7 @@
 	set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
 	c := &budgetChecker{
 		harness: newHarness(t, set), rng: rand.New(rand.NewPCG(seed, 2)), boot: map[uint64]time.Duration{},
-		spent: map[uint64][]workSample{}, running: map[uint64]float64{}, slots: 3,
+		sentWork: map[uint64][]workSample{}, running: map[uint64]float64{}, slots: 3,
 	}
 	list := WorkerList{Kind: ListFull}
 	for id := uint64(1); id <= 6; id++ {
@@ -94,7 +96,7 @@
 	return c
 }
 
-// endRuns ends the runs that are over.
+// endRuns updates the counts for the runs that are over.
 func (c *budgetChecker) endRuns() {
 	c.ends = slices.DeleteFunc(c.ends, func(x scheduledEvent) bool {
 		isOver := x.at <= c.now
@@ -105,7 +107,7 @@
 	})
 }
 
-// start runs an attempt, and checks what its worker has been sent if that is warming up.
+// start runs an attempt. If its worker is warming up, it checks the work that the worker has been sent.
 func (c *budgetChecker) start(send Send) {
 	j := c.jobs[send.Job]
 	c.running[send.Worker]++
@@ -120,16 +122,16 @@
 	if !warmsUp || age >= c.d.settings.WarmUp {
 		return
 	}
-	c.spent[send.Worker] = append(c.spent[send.Worker], workSample{c.now, j.Hint.Seconds()})
-	sum := workWithin(c.spent[send.Worker], c.now, c.d.settings.OverloadWindow)
+	c.sentWork[send.Worker] = append(c.sentWork[send.Worker], workSample{c.now, j.Hint.Seconds()})
+	sum := workWithin(c.sentWork[send.Worker], c.now, c.d.settings.OverloadWindow)
 	share := 0.1 + 0.9*max(0, age).Seconds()/20
 	if most := 3 * c.slots * share * 2 / 3; sum > most {
-		c.t.Fatalf("worker %d, %v old, was sent %.2f s of work, our part is %.2f", send.Worker, age, sum, most)
+		c.t.Fatalf("worker %d, %v after its start, was sent %.2f s of work, more than %.2f", send.Worker, age, sum, most)
 	}
 	c.checked++
 }
 
-// What warming workers are sent stays within their budget, by an independent sum.
+// The work that warming workers are sent, summed independently, stays within their budget.
 func TestWarmUpBudget(t *testing.T) {
 	t.Parallel()
 	checked := 0
@@ -147,22 +149,22 @@
 		checked += c.checked
 	}
 	if checked < 500 {
-		t.Fatalf("only %d sends to warming workers: the test sees too little", checked)
+		t.Fatalf("only %d sends to warming workers, too few for the test to be meaningful", checked)
 	}
 }
 
-// manyDispatchers share one warming worker. Each restarts at random, without any state.
+// manyDispatchers are dispatchers that share one warming worker. Each restarts at random times, without its state.
 type manyDispatchers struct {
-	t     *testing.T
-	set   Settings
-	rng   *rand.Rand
-	all   []*Dispatcher
-	list  WorkerList
-	start time.Duration
-	spent []workSample
-	ends  []runEnd
-	sent  int
-	jobs  uint64
+	t        *testing.T
+	set      Settings
+	rng      *rand.Rand
+	all      []*Dispatcher
+	list     WorkerList
+	start    time.Duration
+	sentWork []workSample
+	ends     []runEnd
+	sent     int
+	jobs     uint64
 }
 
 type runEnd struct {
@@ -180,19 +182,19 @@
 	m.set.Replicas, m.set.WarmUp, m.set.WarmUpCapacity, m.set.OverloadFactor, m.set.OverloadWindow = replicas, 20*time.Second, 0.12, 3, 2*time.Second
 	m.list = WorkerList{Kind: ListFull, Workers: []Worker{{ID: 77, Ready: true, BootAt: m.start}}}
 	for i := range m.all {
-		m.begin(i)
+		m.restart(i)
 		m.all[i].Step(m.start-time.Minute, nil, nil)
 	}
 	return m
 }
 
-func (m *manyDispatchers) begin(i int) {
+func (m *manyDispatchers) restart(i int) {
 	own := m.set
 	own.ReplicaIndex = i
 	m.all[i] = New(own, uint64(i))
 }
 
-// endRuns ends the runs that are over. A dispatcher that has restarted ignores their outcomes.
+// endRuns ends the runs that are over. A dispatcher that has restarted since ignores their outcomes.
 func (m *manyDispatchers) endRuns(now time.Duration) {
 	for _, e := range m.ends {
 		if e.at <= now {
@@ -202,11 +204,11 @@
 	m.ends = slices.DeleteFunc(m.ends, func(e runEnd) bool { return e.at <= now })
 }
 
-// arrive has a job arrive at a random dispatcher, and checks what the worker has been sent by all of them.
+// arrive adds a job at a random dispatcher, and checks the work that all dispatchers have sent the worker.
 func (m *manyDispatchers) arrive(now time.Duration) {
 	i := m.rng.IntN(len(m.all))
 	if m.rng.IntN(1500) < len(m.all) {
-		m.begin(i)
+		m.restart(i)
 	}
 	m.jobs++
 	id := m.jobs
@@ -214,23 +216,23 @@
 	events := []Event{m.list, Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1}}
 	for _, a := range m.all[i].Step(now, events, nil) {
 		if s, ok := a.(Send); !ok || s.Job != id {
-			continue // a job queued from before ends soon without it
+			continue // a job that was queued before; its run is not simulated
 		}
 		// The run takes twice its hint.
-		m.spent = append(m.spent, workSample{now, 2 * hint.Seconds()})
+		m.sentWork = append(m.sentWork, workSample{now, 2 * hint.Seconds()})
 		m.sent++
 		m.all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
 		m.ends = append(m.ends, runEnd{now + 2*hint, i, id})
 	}
-	// One core of speed 1, the least that the dispatchers can have seen, runs the work.
+	// The bound is for one core of speed 1, the least capacity that the dispatchers can have observed.
 	share := 0.12 + 0.88*(now-m.start).Seconds()/20
-	if sum, most := workWithin(m.spent, now, m.set.OverloadWindow), 3*share*2; sum > most {
+	if sum, most := workWithin(m.sentWork, now, m.set.OverloadWindow), 3*share*2; sum > most {
 		m.t.Fatalf("%d dispatchers: %.2f s of work within a window at %v, %.2f allowed", len(m.all), sum, now-m.start, most)
 	}
 }
 
-// With hundreds of dispatchers on one warming worker: what they send together in any window stays under the budget, also where
-// each of them restarts at random, and the worker is not left idle either.
+// Hundreds of dispatchers share one warming worker, and each restarts at random times. The work that they send together in any
+// window stays within the budget, and the worker is not left idle either.
 func TestWarmUpBudgetSharedByHundreds(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{3, 40, 300} {
@@ -242,25 +244,25 @@
 			}
 		}
 		if m.sent < 5 { // one core warming over twenty seconds
-			t.Fatalf("%d dispatchers sent the warming worker %d jobs only", replicas, m.sent)
+			t.Fatalf("%d dispatchers sent the warming worker only %d jobs", replicas, m.sent)
 		}
 	}
 }
 
 // lottery simulates a fleet with some warming workers under hundreds of dispatchers. The other workers are overloaded.
 type lottery struct {
-	t       *testing.T
-	set     Settings
-	rng     *rand.Rand
-	start   time.Duration
-	list    WorkerList
-	all     []*Dispatcher
-	numbers []map[uint64]int // by dispatcher: the attempts of its jobs
-	runs    []lotteryRun
-	free    []time.Duration // by slot of each worker: when it becomes free
-	sent    []int           // by worker
-	spent   [][]time.Duration
-	jobs    uint64
+	t        *testing.T
+	set      Settings
+	rng      *rand.Rand
+	start    time.Duration
+	list     WorkerList
+	all      []*Dispatcher
+	attempts []map[uint64]int // by dispatcher: the attempts of its jobs
+	runs     []lotteryRun
+	free     []time.Duration // by slot of each worker: when it becomes free
+	sent     []int           // by worker
+	sentAt   [][]time.Duration
+	jobs     uint64
 }
 
 // lotteryRun is the start or the end of a run.
@@ -269,7 +271,7 @@
 	dispatcher int
 	worker     uint64
 	job        uint64
-	number     int
+	attempt    int
 	isEnd      bool
 }
 
@@ -285,8 +287,8 @@
 	workers := lotteryWarm + lotteryWarming + 1 // their ids count from 1
 	l := &lottery{
 		t: t, set: testSettings(), rng: rand.New(rand.NewPCG(5, 6)), start: time.Hour, list: WorkerList{Kind: ListFull},
-		all: make([]*Dispatcher, replicas), numbers: make([]map[uint64]int, replicas),
-		free: make([]time.Duration, workers*lotterySlots), sent: make([]int, workers), spent: make([][]time.Duration, workers),
+		all: make([]*Dispatcher, replicas), attempts: make([]map[uint64]int, replicas),
+		free: make([]time.Duration, workers*lotterySlots), sent: make([]int, workers), sentAt: make([][]time.Duration, workers),
 	}
 	l.set.Replicas, l.set.WarmUp, l.set.WarmUpCapacity, l.set.OverloadFactor, l.set.OverloadWindow = replicas, 8*time.Second, capacity, 3, 2*time.Second
 	for id := range uint64(lotteryWarm + lotteryWarming) {
@@ -297,31 +299,31 @@
 		l.list.Workers = append(l.list.Workers, w)
 	}
 	for i := range l.all {
-		l.begin(i)
-		l.numbers[i] = map[uint64]int{}
+		l.restartDispatcher(i)
+		l.attempts[i] = map[uint64]int{}
 	}
 	return l
 }
 
-func (l *lottery) begin(i int) {
+func (l *lottery) restartDispatcher(i int) {
 	own := l.set
 	own.ReplicaIndex = i
 	l.all[i] = New(own, uint64(i))
 	l.all[i].Step(l.start-time.Second, []Event{l.list}, nil)
 }
 
-// step has a dispatcher step, and runs its attempts at the first free slot of their workers.
+// step passes events to a dispatcher, and runs its attempts in the first free slot of their workers.
 func (l *lottery) step(i int, now time.Duration, events ...Event) {
 	for _, a := range l.all[i].Step(now, events, nil) {
 		s, ok := a.(Send)
 		if !ok {
 			continue
 		}
-		number := l.numbers[i][s.Job]
-		l.numbers[i][s.Job]++
+		number := l.attempts[i][s.Job]
+		l.attempts[i][s.Job]++
 		l.sent[s.Worker]++
 		if s.Worker > lotteryWarm {
-			l.spent[s.Worker] = append(l.spent[s.Worker], now)
+			l.sentAt[s.Worker] = append(l.sentAt[s.Worker], now)
 		}
 		slots := l.free[int(s.Worker)*lotterySlots:][:lotterySlots]
 		first := slices.Index(slots, slices.Min(slots))
@@ -341,22 +343,22 @@
 		case r.at > now:
 			l.runs = append(l.runs, r)
 		case r.isEnd:
-			l.step(r.dispatcher, now, Outcome{Job: r.job, Attempt: r.number, Worker: r.worker, Result: OK, Closed: true})
+			l.step(r.dispatcher, now, Outcome{Job: r.job, Attempt: r.attempt, Worker: r.worker, Result: OK, Closed: true})
 		default:
-			l.step(r.dispatcher, now, Started{Job: r.job, Attempt: r.number, Worker: r.worker})
+			l.step(r.dispatcher, now, Started{Job: r.job, Attempt: r.attempt, Worker: r.worker})
 		}
 	}
 }
 
-// restart has a dispatcher restart now and then, without any state.
-func (l *lottery) restart() {
+// restartAtRandom sometimes restarts a random dispatcher, without its state.
+func (l *lottery) restartAtRandom() {
 	if i := l.rng.IntN(len(l.all)); l.rng.IntN(30*300) < len(l.all) {
-		l.begin(i)
+		l.restartDispatcher(i)
 		l.runs = slices.DeleteFunc(l.runs, func(r lotteryRun) bool { return r.dispatcher == i })
 	}
 }
 
-// arrive has a number of jobs arrive on average. Some dispatchers get several times the mean.
+// arrive adds a random number of jobs with the given mean. Some dispatchers get several times as many as others.
 func (l *lottery) arrive(now time.Duration, mean float64) {
 	for n := l.rng.Float64() * 2 * mean; n > 0; n-- {
 		i := int(float64(len(l.all)) * l.rng.Float64() * l.rng.Float64())
@@ -365,29 +367,30 @@
 	}
 }
 
-// checkBudgets checks what each warming worker has been sent within a window, against what would overload it.
+// checkBudgets checks that no warming worker has been sent as many jobs within a window as would overload it.
 func (l *lottery) checkBudgets(now time.Duration) {
-	for w := range l.spent {
-		l.spent[w] = slices.DeleteFunc(l.spent[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
+	for w := range l.sentAt {
+		l.sentAt[w] = slices.DeleteFunc(l.sentAt[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
 		share := l.set.WarmUpCapacity + (1-l.set.WarmUpCapacity)*(now-l.start).Seconds()/l.set.WarmUp.Seconds()
 		budget := l.set.OverloadFactor * share * lotterySlots / lotteryRunTime.Seconds() * l.set.OverloadWindow.Seconds()
-		if n := float64(len(l.spent[w])); n > fallsAt(budget) {
-			l.t.Fatalf("%d dispatchers: worker %d got %v jobs within a window at %v, of %.0f", len(l.all), w, n, now-l.start, budget)
+		if n := float64(len(l.sentAt[w])); n > overloadThreshold(budget) {
+			l.t.Fatalf("%d dispatchers: worker %d got %v jobs within a window at %v, budget %.0f", len(l.all), w, n, now-l.start, budget)
 		}
 	}
 }
 
-// fallsAt returns how many jobs of mean work overload a cold worker within a window in which n are allowed.
-func fallsAt(n float64) float64 {
+// overloadThreshold returns how many jobs of mean work a warming worker may get within a window in which n are allowed: n plus a
+// margin for random variation.
+func overloadThreshold(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Hundreds of dispatchers draw in the lottery for the warming workers of an overloaded fleet: each warming worker gets its share
-// of what the others get, in any window no more than the budget plus random variation, and none is left unused. The budget holds
-// for few dispatchers as for many, and also if each worker may have few jobs only.
+// Up to hundreds of dispatchers choose warming workers of an overloaded fleet by lottery. Each warming worker gets its share of
+// what the others get, in any window no more than the budget plus random variation, and none is left unused. The budget holds for
+// few dispatchers as for many, and also if it allows each worker only few jobs.
 func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{1, 2, 3, 8, 9, 40, 300} {
@@ -396,7 +399,7 @@
 			offered := 1.4 * lotteryWarm * lotterySlots / lotteryRunTime.Seconds()
 			for now := l.start; now < l.start+l.set.WarmUp; now += 10 * time.Millisecond {
 				l.advance(now)
-				l.restart()
+				l.restartAtRandom()
 				l.arrive(now, offered/100)
 				l.checkBudgets(now)
 			}
@@ -406,25 +409,25 @@
 			}
 			for w := lotteryWarm + 1; w <= lotteryWarm+lotteryWarming; w++ {
 				if least := others / lotteryWarm / 8; l.sent[w] < least {
-					t.Errorf("%d dispatchers: warming worker %d got %d jobs, fewer than %d", replicas, w, l.sent[w], least)
+					t.Errorf("%d dispatchers: warming worker %d got %d jobs, expected at least %d", replicas, w, l.sent[w], least)
 				}
 			}
-			t.Logf("%d dispatchers, from %v: warm ones got %d jobs each, warming ones %v", replicas, capacity, others/lotteryWarm,
+			t.Logf("%d dispatchers, warm-up from %v: warm workers got %d jobs each, warming ones %v", replicas, capacity, others/lotteryWarm,
 				l.sent[lotteryWarm+1:])
 		}
 	}
 }
 
-// The operators end a cordon at all dispatchers at once: the worker, which counts as restarted, is used at once, and what
-// all of them send it stays within its capacity, however many they are.
+// Operators end a cordon at all dispatchers at once. The worker counts as restarted and is used at once, and the jobs that all
+// dispatchers send it stay within its capacity, however many dispatchers there are.
 func TestUncordonByAllStaysWithinTheBudget(t *testing.T) {
 	const run = 100 * ms
 	for _, replicas := range []int{1, 2, 3, 8, 40, 300} {
 		set := testSettings()
 		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 20*time.Second, 0.2, 3, 2*time.Second
 		sent := 0
-		for me := range replicas {
-			set.ReplicaIndex = me
+		for index := range replicas {
+			set.ReplicaIndex = index
 			s := newHarness(t, set)
 			s.workers(1)
 			s.wait(3 * time.Second)
@@ -440,8 +443,8 @@
 			}
 		}
 		budget := set.OverloadFactor * set.WarmUpCapacity * set.OverloadWindow.Seconds() / run.Seconds()
-		if float64(sent) > fallsAt(budget) || sent == 0 {
-			t.Errorf("%d dispatchers sent %d jobs at once, of %.0f", replicas, sent, budget)
+		if float64(sent) > overloadThreshold(budget) || sent == 0 {
+			t.Errorf("%d dispatchers sent %d jobs at once, budget %.0f", replicas, sent, budget)
 		}
 	}
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -5,16 +5,19 @@
 	"time"
 )
 
-// A snapshot holds the whole state, bit by bit: given the same events, a restored dispatcher returns the same actions, except
-// about leases: it has none, and requests them anew. SnapshotWithLeases stores them too. Three things are left out, as no action
-// depends on them. Jobs that are closed with nothing in flight are stored only as entries of heaps. A timer of an attempt that has
-// ended is stored with its time alone. Of the work by key only that of the open jobs' keys is stored, with the number of the other
-// keys: see RecallKeyWork.
+// A snapshot holds the whole state exactly: given the same events, a restored dispatcher returns the same
+// actions. The exception is leases: a restored dispatcher has none, and requests them again.
+// SnapshotWithLeases stores them too.
 //
-// Each type writes and reads its own part, by a method walk on a codec: the same calls serve both. Dispatcher.walk has the order
-// of the parts, which is part of the form.
+// Three things are stored only in part, as no action depends on the rest. Jobs that are closed with nothing
+// in flight are stored only as entries of heaps. A timer of an attempt that has ended is stored with its time
+// alone. Of the work by key only that of the open jobs' keys is stored, with the number of the other keys:
+// see RecallKeyWork.
+//
+// Each type has a method serialize that both writes and reads its part, depending on the codec.
+// Dispatcher.serialize determines the order of the parts, which is part of the format.
 
-// ErrInvalidSnapshot is the error of Restore for bytes that are no snapshot for the settings.
+// ErrInvalidSnapshot is the error of Restore for bytes that are not a snapshot for the settings.
 var ErrInvalidSnapshot = errors.New("not a snapshot for these settings")
 
 // Snapshot appends the state between two steps to b, without leases.
@@ -28,16 +31,16 @@
 }
 
 func (d *Dispatcher) write(codec *codec) []byte {
-	d.walk(codec)
+	d.serialize(codec)
 	return codec.b
 }
 
-// Restore returns a dispatcher with the state of a snapshot. The settings may differ from those under which it was taken, except
-// for the number of classes and tenants. The error is ErrInvalidSnapshot.
+// Restore returns a dispatcher with the state of a snapshot. The settings may differ from those under which
+// it was taken, except for the number of classes and tenants. The error is ErrInvalidSnapshot.
 func Restore(settings Settings, b []byte) (*Dispatcher, error) { return RestoreOnClock(settings, b, 0) }
 
-// RestoreOnClock is Restore for a process whose clock is ahead, by clockAhead, of that of the process that took the snapshot: all
-// instants are shifted by it. It is negative for a clock that is behind.
+// RestoreOnClock is Restore for a process whose clock is ahead, by clockAhead, of that of the process that
+// took the snapshot: all points in time are shifted by it. It is negative for a clock that is behind.
 func RestoreOnClock(settings Settings, b []byte, clockAhead time.Duration) (*Dispatcher, error) {
 	d, err := read(settings, &codec{b: b, clockAhead: clockAhead})
 	if err == nil {
@@ -53,43 +56,43 @@
 
 func read(settings Settings, c *codec) (d *Dispatcher, err error) {
 	defer func() {
-		if recover() != nil { // no bytes may end the process
+		if recover() != nil { // malformed bytes must not end the process
 			d, err = nil, ErrInvalidSnapshot
 		}
 	}()
 	d = New(settings, 0)
-	d.walk(c)
+	d.serialize(c)
 	if c.invalid || len(c.b) > 0 {
 		return nil, ErrInvalidSnapshot
 	}
 	return d, nil
 }
 
-// walk writes or reads the whole state.
-func (d *Dispatcher) walk(codec *codec) {
+// serialize writes or reads the whole state.
+func (d *Dispatcher) serialize(codec *codec) {
 	codec.clockReading(&d.now)
 	codec.now = d.now
 	codec.random(d.source)
-	d.walkFigures(codec)
-	d.walkTables(codec)
-	d.cordons.walk(codec)
-	d.walkPopulation(codec)
-	d.workload.walkKeys(codec)
-	d.idleConnections.outcomes.walk(codec)
-	d.walkIndex(codec)
-	d.queue.walk(codec)
-	d.walkTimers(codec)
-	d.starts.unstarted.walk(codec)
-	d.reservation.walk(codec)
+	d.serializeScalars(codec)
+	d.serializeTables(codec)
+	d.cordons.serialize(codec)
+	d.serializeWorkersAndJobs(codec)
+	d.workload.serializeKeys(codec)
+	d.idleConnections.outcomes.serialize(codec)
+	d.serializeIndex(codec)
+	d.queue.serialize(codec)
+	d.serializeTimers(codec)
+	d.starts.unstarted.serialize(codec)
+	d.reservation.serialize(codec)
 	if codec.withLeases {
-		d.leases.walk(codec)
+		d.leases.serialize(codec)
 	}
 }
 
-// walkFigures writes or reads the single figures of all types.
-func (d *Dispatcher) walkFigures(codec *codec) {
+// serializeScalars writes or reads the scalar values of all types.
+func (d *Dispatcher) serializeScalars(codec *codec) {
 	codec.instant(
-		&d.slowStart.beganAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
+		&d.slowStart.firstStepAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
 		&d.idleConnections.maxIdleSetAt, &d.stalls.endedAt, &d.starts.lastSentAt,
 	)
 	codec.duration(
@@ -97,19 +100,20 @@
 		&d.idleConnections.maxIdle, &d.checks.minDelay, &d.stalls.length,
 	)
 	codec.float(
-		&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
-		&d.arrivals.count, &d.workload.meanAbsoluteLogError, &d.workload.maxLogSpeed, &d.starts.usedSlots,
+		&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight,
+		&d.arrivals.meanCost, &d.arrivals.count, &d.workload.meanAbsoluteLogError, &d.workload.maxLogSpeed,
+		&d.starts.usedSlots,
 		&d.hedges.tokens, &d.checks.tokens.tokens, &d.objectives.exploration.tokens, &d.starts.lateCount,
 	)
 	codec.flags(&d.outliers.silencePanic, &d.outliers.failurePanic)
-	d.subscription.state.walk(codec)
-	codec.int(&d.sharing.Replicas)
-	codec.int(&d.sharing.ReplicaIndex)
-	codec.float(&d.sharing.QuotaShare)
+	d.subscription.state.serialize(codec)
+	codec.int(&d.latestReplicas.Replicas)
+	codec.int(&d.latestReplicas.ReplicaIndex)
+	codec.float(&d.latestReplicas.QuotaShare)
 }
 
-// walkTables writes or reads the figures by class, tenant, kind and zone.
-func (d *Dispatcher) walkTables(codec *codec) {
+// serializeTables writes or reads the values by class, tenant, machine kind and zone.
+func (d *Dispatcher) serializeTables(codec *codec) {
 	fixedList(codec, d.workload.sizeCorrection, func(logs *[slotBuckets]float64) {
 		codec.float(&logs[0], &logs[1], &logs[2], &logs[3])
 	})
@@ -126,8 +130,8 @@
 	})
 }
 
-// walk writes or reads a state as two flags, of which at most one is set.
-func (s *subscriptionState) walk(codec *codec) {
+// serialize writes or reads a state as two flags, of which at most one is set.
+func (s *subscriptionState) serialize(codec *codec) {
 	isRequested := *s == subscribing
 	isAnswered := *s == subscribed
 	codec.flags(&isRequested, &isAnswered)
@@ -141,8 +145,8 @@
 	}
 }
 
-// walk writes or reads which workers are cordoned.
-func (c *cordons) walk(codec *codec) {
+// serialize writes or reads which workers are cordoned.
+func (c *cordons) serialize(codec *codec) {
 	sortedMap(codec, c.since, func(worker *uint64, since *time.Duration) {
 		codec.uint(worker)
 		codec.clockReading(since)
@@ -150,13 +154,15 @@
 	codec.flags(&c.coverFleet)
 }
 
-// walk writes or reads the outcomes on idle connections.
-func (h *idleHistory) walk(codec *codec) {
-	fixedList(codec, h[:], func(outcomes *idleOutcomes) { codec.float(&outcomes.succeeded, &outcomes.failed) })
+// serialize writes or reads the outcomes on idle connections.
+func (h *idleHistory) serialize(codec *codec) {
+	fixedList(codec, h[:], func(outcomes *idleOutcomes) {
+		codec.float(&outcomes.succeeded, &outcomes.failed)
+	})
 }
 
-// walkKeys writes or reads the work by key, of the keys of the open jobs.
-func (m *workloadModel) walkKeys(codec *codec) {
+// serializeKeys writes or reads the work by key, for the keys of the open jobs.
+func (m *workloadModel) serializeKeys(codec *codec) {
 	known := map[uint64]float64{}
 	for _, job := range codec.jobs {
 		if work, ok := m.keyWork[job.Key]; ok {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Dispatcher is one dispatcher; see Step. It is used on one goroutine.
+// Dispatcher holds the state of one dispatcher; see Step. It is not safe for concurrent use.
 type Dispatcher struct {
-	settings Settings
-	sharing  ReplicasChanged // in place of the settings' figures; Replicas 0: not notified
-	rng      *rand.Rand
-	source   *rand.PCG     // of rng: all of its state
-	now      time.Duration // of this step
-	actions  []Action      // of this step
+	settings       Settings
+	latestReplicas ReplicasChanged // overrides the settings; Replicas 0: none was received
+	rng            *rand.Rand
+	source         *rand.PCG     // of rng: all of its state
+	now            time.Duration // of this step
+	actions        []Action      // of this step
 
 	timers      timerQueue
 	maintenance timer
