--- a/internal/control/forwarder/assignments.go
+++ b/internal/control/forwarder/assignments.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// maxRevokedSessions is how many sessions, from which it was revoked, a request remembers.
+	// maxRevokedSessions is the number of sessions that a request remembers having been revoked from.
 	maxRevokedSessions = 4
 
-	// Revocations from planners that reply draw on a token bucket, which each offer fills by reofferTokensPerRequest.
+	// Revoking a request from a planner that replies to heartbeats takes one token from a bucket; each offer adds
+	// reofferTokensPerRequest.
 	reofferTokensPerRequest = 0.05
 	maxReofferTokens        = 10.0
 )
 
-// assignmentValidator is notified of who may give commands for a request, and lists its attempts.
+// assignmentValidator is notified which session may send commands for a request, and lists the request's attempts.
 type assignmentValidator interface {
 	Assign(id uint64, owner message.Epoch)
 	Unassign(id uint64)
 	AppendAttempts(now time.Duration, id uint64, dst []message.PastAttempt) []message.PastAttempt
 }
 
-// assignments changes who has a request: nobody, a planner, or the local policy. Each change is reported to the validator
-// and to the planner.
+// assignments assigns requests to planners or to the local policy, and revokes assignments. It reports each change to the
+// validator and to the planner.
 type assignments struct {
 	step          *step
 	stats         *Stats
@@ -37,11 +38,12 @@
 	reofferTokens float64
 }
 
-// beginStep reuses the memory of the last step's offers.
+// beginStep makes the memory of the last step's offers available for reuse.
 func (a *assignments) beginStep() { a.offers.reset() }
 
-// enqueue puts a request that is assigned to nobody among those that wait for a planner. If an attempt of it was sent in this
-// step, it is not placed before the next one: the request table has not confirmed the attempt, and may not send it.
+// enqueue adds an unassigned request to the queue of requests that wait for a planner. If an attempt of the request was sent
+// in this step, the request is not offered before the next step: the request table has not yet confirmed the attempt, and
+// may refuse to send it.
 func (a *assignments) enqueue(request *openRequest) {
 	if request.sentInStep == a.step.number {
 		a.queues.unconfirmed.add(request)
@@ -87,10 +89,10 @@
 	return offer
 }
 
-// mayReoffer reports whether a request may be revoked from a planner that replies to heartbeats.
+// mayReoffer reports whether the token bucket allows a request to be revoked from a planner that replies to heartbeats.
 func (a *assignments) mayReoffer() bool { return a.reofferTokens >= 1 }
 
-// reoffer revokes a request from its planner, and offers it to another one.
+// reoffer revokes a request from its planner and offers it to the next one.
 func (a *assignments) reoffer(request *openRequest, next *plannerSession) {
 	if !request.session.isSuspected() {
 		a.reofferTokens--
@@ -100,7 +102,8 @@
 	a.offer(request, next)
 }
 
-// revoke takes a request back from a planner whose session has not ended. It is not offered in that session again.
+// revoke ends the assignment of a request to a planner whose session has not ended. The request is not offered in that
+// session again.
 func (a *assignments) revoke(request *openRequest) {
 	session := request.session
 	a.step.send(session, &message.RequestClosed{RequestID: request.job.ID})
@@ -111,7 +114,7 @@
 	a.unassign(request)
 }
 
-// unassign removes the assignment of a request to its planner. The caller is to enqueue the request, or to respond to it.
+// unassign removes the assignment of a request to its planner. The caller must then enqueue the request or respond to it.
 func (a *assignments) unassign(request *openRequest) {
 	request.session.removeRequest(request)
 	request.transition(eventUnassigned)
@@ -119,7 +122,7 @@
 	a.validator.Unassign(request.job.ID)
 }
 
-// assignLocal assigns a waiting request to the local policy. The caller notifies the policy of the request.
+// assignLocal assigns a waiting request to the local policy. The caller must notify the policy of the request.
 func (a *assignments) assignLocal(request *openRequest) {
 	dequeue(request)
 	a.validator.Assign(request.job.ID, validator.LocalEpoch)
@@ -129,7 +132,8 @@
 	a.checks.schedule(request)
 }
 
-// reclaimFromLocal removes the assignment of a request without attempts in flight to the local policy, and notifies that.
+// reclaimFromLocal takes a request without attempts in flight back from the local policy, notifies the policy, and enqueues
+// the request for planners.
 func (a *assignments) reclaimFromLocal(request *openRequest) {
 	dequeue(request)
 	a.local.notify(dispatch.ClientDisconnected{Job: request.job.ID})
--- a/internal/control/forwarder/attempts.go
+++ b/internal/control/forwarder/attempts.go
@@ -7,17 +7,17 @@
 	"valvecove/internal/control/message"
 )
 
-// attemptValidator is notified of the events of the request table, and knows the attempts' numbers.
+// attemptValidator is notified of the events of the request table, and maps attempt indexes to command numbers.
 type attemptValidator interface {
 	Observe(now time.Duration, event dispatch.Event) (commandNumber int, attemptEnded bool)
 	CommandNumber(id uint64, index int) (number int, ok bool)
 }
 
-// returningMode reports whether requests of the local policy are to return to planners.
+// returningMode reports whether requests of the local policy are being handed back to planners.
 type returningMode interface{ isReturning() bool }
 
-// attemptReporter reports the events of attempts to the planner or local policy that has the request, and closes requests
-// that have ended.
+// attemptReporter reports the events of attempts to the planner or local policy that the request is assigned to, and closes
+// requests that have ended.
 type attemptReporter struct {
 	step      *step
 	validator attemptValidator
@@ -29,8 +29,8 @@
 	mode      returningMode
 }
 
-// findAttempt returns the request of an attempt, and the attempt's number in the count of whoever has the request; nil:
-// there is no such attempt.
+// findAttempt returns the request of an attempt, and the number under which the planner or local policy that the request is
+// assigned to knows the attempt. The request is nil if there is no such attempt.
 func (a *attemptReporter) findAttempt(id uint64, attempt int) (request *openRequest, number int) {
 	number, ok := a.validator.CommandNumber(id, attempt)
 	if !ok {
@@ -67,7 +67,7 @@
 	}
 }
 
-// responseStarted processes that the client is receiving a response: the request has no deadline from then on, and no more
+// responseStarted handles the start of the response to the client. From then on the request has no deadline, and no further
 // commands are executed for it.
 func (a *attemptReporter) responseStarted(event dispatch.ResponseStarted) {
 	a.validator.Observe(a.step.now(), event)
@@ -82,7 +82,7 @@
 	a.responder.closeRequest(request, ownerNotice(request.state == requestOffered))
 }
 
-// ended processes the end of an attempt. The validator does not know the attempt if the request was closed before.
+// ended handles the end of an attempt. The validator no longer knows the attempt if the request was closed before.
 func (a *attemptReporter) ended(event dispatch.Outcome) {
 	number, known := a.validator.Observe(a.step.now(), event)
 	request := a.requests.find(event.Job)
@@ -101,11 +101,11 @@
 	case request.state == requestClosed:
 		a.responder.releaseRequest(request)
 	case !a.checks.hasAttempts(request):
-		a.lastEnded(request)
+		a.lastAttemptEnded(request)
 	}
 }
 
-// reportEnd reports the end of an attempt to whoever has the request.
+// reportEnd reports the end of an attempt to the planner or local policy that the request is assigned to.
 func (a *attemptReporter) reportEnd(request *openRequest, event dispatch.Outcome, number int) {
 	switch {
 	case request.session != nil:
@@ -116,8 +116,8 @@
 	}
 }
 
-// lastEnded processes that the last attempt in flight of an open request has ended.
-func (a *attemptReporter) lastEnded(request *openRequest) {
+// lastAttemptEnded handles the end of the last attempt in flight of an open request.
+func (a *attemptReporter) lastAttemptEnded(request *openRequest) {
 	switch {
 	case request.state == requestLocal && a.mode.isReturning():
 		a.queues.returning.add(request)
--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -15,12 +15,12 @@
 	benchCredit  = 1 << 20
 )
 
-// benchmark is a forwarder with planners that have accepted their sessions, without a request table.
+// benchmark drives a forwarder without a request table. Its planners have accepted their sessions.
 type benchmark struct {
 	forwarder *Forwarder
 	now       time.Duration
-	actions   []dispatch.Action // memory of a step's actions
-	lastID    uint64            // of a request
+	actions   []dispatch.Action // the last step's actions; the memory is reused
+	lastID    uint64            // ID of the newest request
 }
 
 func newBenchmark(tb testing.TB, planners ...string) *benchmark {
@@ -44,8 +44,8 @@
 	return bench
 }
 
-// step steps the forwarder. Planners accept sessions and reply to heartbeats at once. It returns how many requests are
-// offered, and the epoch of the last offer.
+// step steps the forwarder. Planners accept sessions and reply to heartbeats at once. It returns the number of offers in the
+// step and the epoch of the last one.
 func (b *benchmark) step(events ...dispatch.Event) (offers int, epoch message.Epoch) {
 	b.actions = b.forwarder.Step(b.now, events, b.actions[:0])
 	for _, outgoing := range b.forwarder.Outbox() {
@@ -74,7 +74,7 @@
 
 func benchWorker(request uint64) uint64 { return 1 + request%benchWorkers }
 
-// One request is offered, sent and served in three steps with one event each, which is the most expensive way.
+// BenchmarkRequest offers, sends and serves one request in three steps with one event each, which is the most expensive way.
 func BenchmarkRequest(b *testing.B) {
 	bench := newBenchmark(b, "p1", "p2")
 	events := make([]dispatch.Event, 1)
@@ -91,11 +91,11 @@
 		bench.step(events...)
 	}
 	if bench.forwarder.Stats().Open > 0 {
-		b.Fatal("requests are left")
+		b.Fatal("requests are still open after the benchmark")
 	}
 }
 
-// The same, 50 of each in a step, as under load.
+// BenchmarkRequestBatch is BenchmarkRequest with 50 requests in each step, as under load.
 func BenchmarkRequestBatch(b *testing.B) {
 	const batch = 50
 	bench := newBenchmark(b, "p1", "p2")
@@ -122,7 +122,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*batch), "ns/request")
 }
 
-// A planner with many requests is lost: the time until all are offered to the next one.
+// BenchmarkFailover measures the time from the loss of a planner with many requests until all are offered to another planner.
 func BenchmarkFailover(b *testing.B) {
 	for _, open := range []int{300, 3000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) { benchmarkFailover(b, open) })
@@ -142,14 +142,14 @@
 	lost, other := "p1", "p2"
 	for b.Loop() {
 		b.StopTimer()
-		for range 30 { // the planner that has the requests confirms that it has read them
+		for range 30 { // enough steps for the planner's heartbeat replies to confirm that it has read the offers
 			bench.step()
 			bench.now += stepInterval
 		}
 		b.StartTimer()
 		bench.forwarder.SessionChanged(lost, false)
 		if offers, _ := bench.step(); offers != open {
-			b.Fatalf("%d offered", offers)
+			b.Fatalf("%d requests offered, want %d", offers, open)
 		}
 		bench.now += stepInterval
 		b.StopTimer()
@@ -159,7 +159,7 @@
 	}
 }
 
-// An open request takes little memory.
+// An open request takes at most maxBytes of memory.
 func TestMemoryPerRequest(t *testing.T) {
 	const (
 		count    = 20000
@@ -177,9 +177,9 @@
 	bytes := int(after.HeapAlloc-before.HeapAlloc) / count
 	t.Logf("%d bytes per open request", bytes)
 	if bytes > maxBytes {
-		t.Errorf("%d bytes per open request", bytes)
+		t.Errorf("%d bytes per open request, want at most %d", bytes, maxBytes)
 	}
 	if bench.forwarder.Stats().Open != count {
-		t.Fatal("not all are open")
+		t.Fatalf("%d requests are open, want %d", bench.forwarder.Stats().Open, count)
 	}
 }
--- a/internal/control/forwarder/checks_test.go
+++ b/internal/control/forwarder/checks_test.go
@@ -10,17 +10,17 @@
 	"valvecove/internal/requests"
 )
 
-// checkedRequest is a request as the environment knows it.
+// checkedRequest is a request as observed by the environment.
 type checkedRequest struct {
 	*client
 	class         *dispatch.Class
 	deadline      time.Duration
-	disconnected  bool // its client has, without a response
+	disconnected  bool // the client disconnected before it got a response
 	attempts      []*checkedAttempt
-	assignedEpoch message.Epoch // of the session that has it; 0: none
+	assignedEpoch message.Epoch // epoch of the session that the request is assigned in; 0 if none
 }
 
-// checkedAttempt is an attempt as the environment knows it.
+// checkedAttempt is an attempt as observed by the environment.
 type checkedAttempt struct {
 	attempt     *requests.Attempt
 	worker      uint64
@@ -28,32 +28,32 @@
 	zone        string
 	sentAt      time.Duration
 	ended       bool
-	notExecuted bool // that is certain
+	notExecuted bool // it is certain that the worker did not execute it
 }
 
 // checkSend checks an attempt that is about to be sent against all rules.
 func (e *environment) checkSend(request *checkedRequest, worker uint64, endpoint *requests.Endpoint) {
 	if len(request.responses) > 0 || request.disconnected {
-		e.violation("%s is sent after its end", request.name)
+		e.violation("%s is sent after its response or disconnection", request.name)
 	}
 	if len(request.attempts) >= e.settings.AttemptLimit {
-		e.violation("%s is sent %d times", request.name, len(request.attempts)+1)
+		e.violation("%s is sent %d times, limit %d", request.name, len(request.attempts)+1, e.settings.AttemptLimit)
 	}
 	if endpoint.Lifecycle != "up" {
-		e.violation("%s is sent to %s, which is %q by the list", request.name, endpoint.ID, endpoint.Lifecycle)
+		e.violation("%s is sent to %s, which is %q in the endpoint list", request.name, endpoint.ID, endpoint.Lifecycle)
 	}
 	if e.isDrainingByStatus(worker, endpoint) {
-		e.violation("%s is sent to %s, which is draining by its newest status", request.name, endpoint.ID)
+		e.violation("%s is sent to %s, which is draining according to its newest status", request.name, endpoint.ID)
 	}
 	if request.class.Kinds != nil && endpoint.MachineType != "k"+strconv.Itoa(request.class.Kinds[0]) {
-		e.violation("%s is sent to a %s", request.name, endpoint.MachineType)
+		e.violation("%s is sent to machine type %s, which its class does not allow", request.name, endpoint.MachineType)
 	}
 	for _, earlier := range request.attempts {
 		e.checkSendAfter(request, worker, endpoint, earlier)
 	}
 }
 
-// isDrainingByStatus reports whether a worker may get nothing by the newest status that a planner sent before this instant.
+// isDrainingByStatus reports whether the newest status of a worker that a planner sent before now forbids sending requests to it.
 func (e *environment) isDrainingByStatus(worker uint64, endpoint *requests.Endpoint) bool {
 	status, known := e.statuses[worker]
 	if !known || status.State == message.WorkerUp || e.statusAt[worker] >= e.now {
@@ -81,7 +81,7 @@
 	outOfCell := class.DeduplicationScope == dispatch.ScopeCell && earlier.cell != endpoint.Cell
 	outOfZone := class.DeduplicationScope == dispatch.ScopeZone && earlier.zone != endpoint.Zone
 	if class.Idempotency == dispatch.NonIdempotent || outOfCell || outOfZone || age >= class.DeduplicationWindow {
-		e.violation("%s of %+v is sent to %s, though it may have been executed at %x, %v ago",
+		e.violation("%s of class %+v is sent to %s, though it may have been executed by %x, sent %v ago",
 			request.name, *class, endpoint.ID, earlier.worker, age)
 	}
 }
@@ -89,19 +89,19 @@
 // checkResponse checks the response to a client.
 func (e *environment) checkResponse(respondent *client, response string, _ time.Duration) {
 	request := e.requestsByCall[respondent.name]
-	if request == nil { // it is within admit
+	if request == nil { // called from within admit, before the request is recorded
 		e.after(0, func() { e.checkResponse(respondent, response, 0) })
 		return
 	}
 	e.stats[response]++
 	if len(request.responses) > 1 {
-		e.violation("%s has a second response", request.name)
+		e.violation("%s got a second response", request.name)
 	}
 	if request.disconnected {
-		e.violation("%s has a response, and its client has disconnected", request.name)
+		e.violation("%s got a response after its client disconnected", request.name)
 	}
 	if e.now > request.deadline {
-		e.violation("%s has its response %v late", request.name, e.now-request.deadline)
+		e.violation("%s got its response %v after its deadline", request.name, e.now-request.deadline)
 	}
 	if response == responseRejected && !request.canReject() {
 		e.violation("%s is rejected, though it may have been executed", request.name)
@@ -121,20 +121,20 @@
 	return !slices.ContainsFunc(c.attempts, func(attempt *checkedAttempt) bool { return !attempt.notExecuted })
 }
 
-// checkOffer checks that a request is offered to one planner at a time, within its credit.
+// checkOffer checks that a request is offered to one planner at a time, and within the planner's credit.
 func (e *environment) checkOffer(conn *connection, epoch message.Epoch, offer *message.RequestOffer) {
 	request := e.requestsByID[offer.RequestID]
 	if request.assignedEpoch != 0 {
-		e.violation("%s is offered to %s while session %d has it", request.name, conn.name, request.assignedEpoch)
+		e.violation("%s is offered to %s while it is assigned in session %d", request.name, conn.name, request.assignedEpoch)
 	}
 	request.assignedEpoch = epoch
 	delete(conn.reportedEnds, offer.RequestID)
 	if count := e.countAssigned(epoch); count > conn.maxCredit {
-		e.violation("%s has %d requests, of a credit of %d", conn.name, count, conn.maxCredit)
+		e.violation("%s is assigned %d requests, with a credit of %d", conn.name, count, conn.maxCredit)
 	}
 }
 
-// checkAttemptEnded checks that a planner is notified once of the end of an attempt.
+// checkAttemptEnded checks that a planner is notified of the end of an attempt only once.
 func (e *environment) checkAttemptEnded(conn *connection, epoch message.Epoch, ended *message.AttemptEnded) {
 	request := e.requestsByID[ended.RequestID]
 	isStray := ended.Reason == message.ReasonUnknownRequest || ended.Reason == message.ReasonNotOwner
@@ -143,7 +143,7 @@
 			conn.reportedEnds[ended.RequestID] = map[int]bool{}
 		}
 		if conn.reportedEnds[ended.RequestID][ended.Attempt] {
-			e.violation("attempt %d of %s ends twice for %s", ended.Attempt, request.name, conn.name)
+			e.violation("the end of attempt %d of %s is reported twice to %s", ended.Attempt, request.name, conn.name)
 		}
 		conn.reportedEnds[ended.RequestID][ended.Attempt] = true
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-// checkOffers checks the earlier attempts that the offers of a step list, once the step's actions are executed.
+// checkOffers checks the past attempts that the offers of a step list. It is called once the step's actions are executed.
 func (e *environment) checkOffers() {
 	for _, outgoing := range e.offers {
 		offer := outgoing.Message.(*message.RequestOffer)
@@ -161,29 +161,29 @@
 	e.offers = e.offers[:0]
 }
 
-// checkPastAttempts checks the list of attempts in the offer of a request: all that were sent, in their order, and between them
-// those that the request table did not send.
+// checkPastAttempts checks the list of attempts in the offer of a request. It must contain all attempts that were sent, in order;
+// attempts that the request table did not send may be between them.
 func (e *environment) checkPastAttempts(planner string, request *checkedRequest, listed []message.PastAttempt) {
 	sent := request.attempts
 	for i, past := range listed {
 		if len(sent) == 0 || past.WorkerID != sent[0].worker || past.SentAgo != e.now-sent[0].sentAt {
 			if !isUnsent(past, listed[:i]) {
-				e.violation("%s is notified of %+v of %s, which was not sent", planner, past, request.name)
+				e.violation("the offer to %s lists attempt %+v of %s, which was not sent", planner, past, request.name)
 			}
 			continue
 		}
 		if past.PossiblyExecuted == sent[0].notExecuted {
-			e.violation("%s is notified of %+v of %s, which is %+v", planner, past, request.name, sent[0])
+			e.violation("the offer to %s lists attempt %+v of %s, which is %+v", planner, past, request.name, sent[0])
 		}
 		sent = sent[1:]
 	}
 	if len(sent) > 0 {
-		e.violation("%s is notified of %d attempts of %s, and not of %+v", planner, len(listed), request.name, sent[0])
+		e.violation("the offer to %s lists %d attempts of %s, but not %+v", planner, len(listed), request.name, sent[0])
 	}
 }
 
-// isUnsent reports whether an attempt is listed as one that the request table did not send, as a callback of that worker had
-// ended an earlier one.
+// isUnsent reports whether an attempt is listed as one that the request table did not send. That is legitimate after a callback
+// of the same worker has ended an earlier attempt.
 func isUnsent(past message.PastAttempt, earlier []message.PastAttempt) bool {
 	isNotExecuted := past.Ended && past.Result == dispatch.NotSent && !past.PossiblyExecuted
 	return isNotExecuted && slices.ContainsFunc(earlier, func(attempt message.PastAttempt) bool {
@@ -191,7 +191,7 @@
 	})
 }
 
-// countAssigned counts the requests that a session has.
+// countAssigned counts the requests that are assigned in a session.
 func (e *environment) countAssigned(epoch message.Epoch) (count int) {
 	for _, request := range e.requestsByID {
 		if request.assignedEpoch == epoch {
--- a/internal/control/forwarder/checkschedule.go
+++ b/internal/control/forwarder/checkschedule.go
@@ -9,7 +9,8 @@
 // inFlightCounter counts the attempts of a request that are in flight.
 type inFlightCounter interface{ InFlight(id uint64) int }
 
-// checkSchedule knows when each request is to be checked for a deadline, an objective, or a planner that gives no command.
+// checkSchedule records when each request is next checked: for its deadline, for its latency objective, or for a planner that
+// sends no command.
 type checkSchedule struct {
 	step           *step
 	attempts       inFlightCounter
@@ -17,7 +18,7 @@
 	queue          deadline.Queue[*openRequest]
 }
 
-// next returns when the next check is due; 0: there is none.
+// next returns when the next check is due, or 0 if there is none.
 func (c *checkSchedule) next() time.Duration {
 	if c.queue.Len() == 0 {
 		return 0
@@ -25,7 +26,7 @@
 	return c.queue.First().At
 }
 
-// takeDue removes the request whose check is due first from the schedule and returns it; nil: no check is due.
+// takeDue removes the request with the earliest check from the schedule and returns it, or nil if no check is due.
 func (c *checkSchedule) takeDue(now time.Duration) *openRequest {
 	if c.queue.Len() == 0 || c.queue.First().At > now {
 		return nil
@@ -35,7 +36,8 @@
 	return request
 }
 
-// schedule sets when a request is checked next. A check that is due earlier is kept, as most requests end before it.
+// schedule sets when a request is checked next. A check that is already scheduled for an earlier time is kept rather than
+// moved: most requests end before it is due.
 func (c *checkSchedule) schedule(request *openRequest) {
 	at := c.nextCheck(request)
 	if request.scheduled {
@@ -56,7 +58,7 @@
 	request.scheduled = false
 }
 
-// nextCheck returns when a request is to be checked next; 0: never.
+// nextCheck returns when a request must be checked next, or 0 for never.
 func (c *checkSchedule) nextCheck(request *openRequest) time.Duration {
 	switch request.state {
 	case requestClosed:
@@ -78,7 +80,7 @@
 	return c.attempts.InFlight(request.job.ID) > 0
 }
 
-// awaitCommand starts the wait for a planner's command for a request that is offered to it.
+// awaitCommand starts the wait for the command of the planner that a request is assigned to.
 func (c *checkSchedule) awaitCommand(request *openRequest) {
 	now := c.step.now()
 	request.command = awaitedCommand{awaitedSince: now, dueAt: now + c.commandTimeout}
--- a/internal/control/forwarder/commands.go
+++ b/internal/control/forwarder/commands.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/control/message"
 )
 
-// convertedReject is the attempt's number in the AttemptEnded by which a planner is notified that its reject command was
-// converted to a failure.
+// convertedReject is the attempt number in the AttemptEnded message that is sent when a reject command was converted to a
+// failure.
 const convertedReject = -1
 
 // commandValidator decides which commands may be executed.
@@ -30,7 +30,7 @@
 	healthChecks *healthChecker
 }
 
-// execute executes a planner's command if it is valid. Else the planner is notified.
+// execute executes a planner's command if it is valid; otherwise it notifies the planner of the rejection.
 func (c *commandExecutor) execute(session *plannerSession, command message.Command) {
 	c.stats.Commands++
 	if reason := c.validator.Validate(c.step.now(), session.epoch, command); reason != message.ReasonNone {
@@ -59,14 +59,14 @@
 	}
 }
 
-// commandedRequest returns the request of a valid command, and records the command.
+// commandedRequest returns the request that a valid command is for, and records that a command was given.
 func (c *commandExecutor) commandedRequest(id uint64) *openRequest {
 	request := c.requests.find(id)
 	request.recordCommand()
 	return request
 }
 
-// checkHealth starts a health check. If there are too many, the planner is notified.
+// checkHealth starts a health check. If too many are in flight, it notifies the planner that the check was not sent.
 func (c *commandExecutor) checkHealth(session *plannerSession, command *message.HealthCheckCommand) {
 	if !c.healthChecks.start(command.WorkerID, session.epoch) {
 		c.reportUncheckedHealth(session, command)
@@ -85,7 +85,7 @@
 	}
 }
 
-// transfer enqueues a request for another planner. An empty target reports that the sender's policy panicked on the request.
+// transfer enqueues a request for another planner. An empty target means that the sender's policy panicked on the request.
 func (c *commandExecutor) transfer(request *openRequest, sender *plannerSession, target string) {
 	c.assignments.unassign(request)
 	c.stats.Transfers++
@@ -102,7 +102,7 @@
 	session.rejections.add(reason)
 	switch command := command.(type) {
 	case *message.SendCommand:
-		if reason != message.ReasonDuplicateCommand { // the planner is notified of the end of that attempt anyway
+		if reason != message.ReasonDuplicateCommand { // the first command with this number already yields an AttemptEnded
 			c.rejectSend(session, command, reason)
 		}
 	case *message.RejectCommand:
@@ -114,7 +114,8 @@
 	}
 }
 
-// rejectSend notifies a planner that an attempt was not sent, and of the worker's status if that is the cause.
+// rejectSend notifies a planner that an attempt was not sent. If the reason is that the worker is draining, it also sends the
+// worker's status.
 func (c *commandExecutor) rejectSend(session *plannerSession, command *message.SendCommand, reason message.RejectReason) {
 	if status, ok := c.validator.BlockingStatus(command.WorkerID); ok && reason == message.ReasonWorkerDraining {
 		c.step.send(session, &status)
@@ -131,8 +132,8 @@
 	}
 }
 
-// failInsteadOfReject responds with a failure in place of a rejection, which would promise that the request was not
-// executed. For the planner the request is closed.
+// failInsteadOfReject responds to a request with a failure, because a rejection would wrongly promise that the request was
+// not executed. The planner's assignment ends with it.
 func (c *commandExecutor) failInsteadOfReject(session *plannerSession, id uint64) {
 	c.step.send(session, &message.AttemptEnded{
 		RequestID: id,
--- a/internal/control/forwarder/config.go
+++ b/internal/control/forwarder/config.go
@@ -7,22 +7,22 @@
 	"valvecove/internal/control/message"
 )
 
-// Config configures a forwarder. A duration or a count of zero is replaced by that of DefaultConfig.
+// Config configures a forwarder. A duration or count of zero is replaced by its default, see DefaultConfig.
 type Config struct {
 	Name        string        // of the forwarder
 	Incarnation uint64        // start of its process, Unix time in ns
-	Version     int           // of the protocol: major version << 8 | minor version; planners of another major version are not used
-	Seed        uint64        // of all random draws
-	LastEpoch   message.Epoch // sessions are numbered from here, or from Incarnation if that is greater; see Forwarder.LastEpoch
+	Version     int           // of the protocol: major << 8 | minor; a planner with another major version is not used
+	Seed        uint64        // of the random number generator
+	LastEpoch   message.Epoch // new sessions get epochs above this and above Incarnation; see Forwarder.LastEpoch
 
-	StandaloneAfter     time.Duration // without a planner, the forwarder enters standalone mode after this time at most
-	SettleTime          time.Duration // with a planner, it leaves standalone mode after this time
+	StandaloneAfter     time.Duration // maximum time without a planner before the forwarder enters standalone mode
+	SettleTime          time.Duration // time for which a planner must be available before it leaves standalone mode
 	HeartbeatInterval   time.Duration // time between two heartbeats to a planner
-	SuspicionTimeout    time.Duration // without a reply for this time, a planner is offered requests only if there is no other
-	UnresponsiveTimeout time.Duration // without a reply for this time, the session with a planner is reset
-	CommandTimeout      time.Duration // without a command for a request for this time, the request may be revoked
-	MaxWaiting          int           // max. requests that wait for a planner's credit
-	MaxSnapshotBytes    int           // max. size of a model snapshot
+	SuspicionTimeout    time.Duration // time without a heartbeat reply until a planner is offered requests only as a last resort
+	UnresponsiveTimeout time.Duration // time without a heartbeat reply until the session with a planner is reset
+	CommandTimeout      time.Duration // time without a command for a request until it may be revoked from its planner
+	MaxWaiting          int           // maximum number of requests that wait for a planner's credit
+	MaxSnapshotBytes    int           // maximum size of a model snapshot
 }
 
 // DefaultConfig returns the default durations and counts.
--- a/internal/control/forwarder/connection_test.go
+++ b/internal/control/forwarder/connection_test.go
@@ -7,24 +7,24 @@
 	"valvecove/internal/control/message"
 )
 
-// transitTime is how long a message is on its way.
-const transitTime = 500 * time.Microsecond
+// networkDelay is the time from sending a message to its delivery.
+const networkDelay = 500 * time.Microsecond
 
-// connection is the environment's side of a planner: the connection to it, and what the forwarder has sent on it.
+// connection is the environment's view of the connection between the forwarder and a planner.
 type connection struct {
 	env       *environment
 	name      string // of the planner
 	onMessage func(envelope message.Envelope)
 
-	generation   int                     // counts connections; messages of another one are lost
-	established  bool                    // there is one
-	openEpoch    message.Epoch           // of the session that the forwarder has; 0: none, or the planner shuts down
+	generation   int                     // counts connects and disconnects; messages of an older generation are lost
+	established  bool                    // whether the connection exists
+	openEpoch    message.Epoch           // of the forwarder's session; 0 if there is none or the planner shuts down
 	newestEpoch  message.Epoch           // of the newest handshake on this connection
-	accepted     bool                    // that handshake was
-	maxCredit    int                     // that the forwarder was given
-	reportedEnds map[uint64]map[int]bool // attempts whose end the planner was notified of, by request, since its offer
-	frozen       bool
-	inbox        []message.Envelope // received while it was frozen
+	accepted     bool                    // whether that handshake was accepted
+	maxCredit    int                     // largest credit that the planner gave in the session
+	reportedEnds map[uint64]map[int]bool // by request ID: attempts whose end was reported to the planner since the offer
+	frozen       bool                    // the planner process is frozen
+	inbox        []message.Envelope      // messages received while frozen
 }
 
 func (c *connection) connect() {
@@ -47,7 +47,7 @@
 	c.env.forwarder.SessionChanged(c.name, false)
 }
 
-// deliver delivers a message of the forwarder to the planner.
+// deliver delivers a message from the forwarder to the planner.
 func (c *connection) deliver(envelope message.Envelope) {
 	if _, ok := envelope.Message.(*message.Handshake); ok {
 		c.openEpoch = envelope.Epoch
@@ -56,7 +56,7 @@
 		c.maxCredit = 0
 	}
 	generation := c.generation
-	c.env.after(transitTime, func() {
+	c.env.after(networkDelay, func() {
 		switch {
 		case c.generation != generation:
 		case c.frozen:
@@ -67,10 +67,10 @@
 	})
 }
 
-// send delivers a message of the planner to the forwarder.
+// send delivers a message from the planner to the forwarder.
 func (c *connection) send(envelope message.Envelope) {
 	generation := c.generation
-	c.env.after(transitTime, func() {
+	c.env.after(networkDelay, func() {
 		if c.generation == generation {
 			c.env.messageReceived(c, envelope)
 		}
@@ -87,8 +87,8 @@
 	c.openEpoch = 0
 }
 
-// release records that the planner has given up its assignment of a request. The forwarder may have revoked it before.
-func (c *connection) release(epoch message.Epoch, id uint64) {
+// releaseRequest records that the planner has ended its assignment of a request, unless the forwarder has revoked it before.
+func (c *connection) releaseRequest(epoch message.Epoch, id uint64) {
 	if request := c.env.requestsByID[id]; request != nil && request.assignedEpoch == epoch && epoch == c.openEpoch {
 		request.assignedEpoch = 0
 	}
@@ -100,7 +100,7 @@
 	return e.connections[i]
 }
 
-// messageSent checks a message of the forwarder, and delivers it.
+// messageSent checks a message from the forwarder, and delivers it.
 func (e *environment) messageSent(outgoing Outgoing) {
 	conn := e.connectionTo(outgoing.Planner)
 	switch body := outgoing.Message.(type) {
@@ -114,12 +114,12 @@
 	case *message.AttemptEnded:
 		e.checkAttemptEnded(conn, outgoing.Epoch, body)
 	case *message.Handshake:
-		conn.endAssignments() // of the session before, if there is one
+		conn.endAssignments() // of the previous session, if any
 	}
 	conn.deliver(outgoing.Envelope)
 }
 
-// messageReceived has a message of a planner reach the forwarder.
+// messageReceived records a message from a planner, and passes it to the forwarder.
 func (e *environment) messageReceived(conn *connection, envelope message.Envelope) {
 	inSession := envelope.Epoch == conn.openEpoch
 	switch body := envelope.Message.(type) {
@@ -137,11 +137,11 @@
 			e.recordStatus(*body)
 		}
 	case *message.TransferCommand:
-		conn.release(envelope.Epoch, body.RequestID)
+		conn.releaseRequest(envelope.Epoch, body.RequestID)
 	case *message.RejectCommand:
-		conn.release(envelope.Epoch, body.RequestID)
+		conn.releaseRequest(envelope.Epoch, body.RequestID)
 	case *message.FailCommand:
-		conn.release(envelope.Epoch, body.RequestID)
+		conn.releaseRequest(envelope.Epoch, body.RequestID)
 	case *message.Goodbye:
 		if inSession {
 			conn.endAssignments()
@@ -150,7 +150,7 @@
 	e.forwarder.Receive(e.now, conn.name, envelope)
 }
 
-// recordStatus keeps the status of a worker, if it can be true and is the newest.
+// recordStatus stores the status of a worker if its start time is plausible and it is the newest.
 func (e *environment) recordStatus(status message.WorkerStatus) {
 	if status.StartedMs > (e.now+time.Minute).Milliseconds() || status.StartedMs < 0 {
 		return
--- a/internal/control/forwarder/endpoints.go
+++ b/internal/control/forwarder/endpoints.go
@@ -13,10 +13,10 @@
 type endpointList struct {
 	workers  map[uint64]dispatch.Worker
 	revision int64
-	synced   bool // a list of discovery was applied, not only a cached one
+	synced   bool // a list from discovery was applied, not only a cached one
 }
 
-// apply applies an update of the list, and reports the status of each worker that has changed.
+// apply applies an update of the list, and calls report with the status of each worker that has changed.
 func (e *endpointList) apply(update dispatch.WorkerList, report func(message.WorkerStatus)) {
 	e.revision = update.Revision
 	before := e.workers
@@ -32,7 +32,7 @@
 		} else {
 			e.workers[worker.ID] = worker
 		}
-		changed := e.isNoteworthy(worker, isDelta)
+		changed := e.shouldReportNew(worker, isDelta)
 		if known {
 			changed = worker.Removed || worker.Ready != previous.Ready || worker.BootAt != previous.BootAt
 		}
@@ -46,13 +46,13 @@
 	e.synced = e.synced || update.Kind != dispatch.ListCached
 }
 
-// isNoteworthy reports whether the status of a worker that was not listed before is to be reported. A full list names all
-// workers: those that are ready are not reported there, and none is of the first list.
-func (e *endpointList) isNoteworthy(worker dispatch.Worker, isDelta bool) bool {
+// shouldReportNew reports whether to report the status of a worker that was not listed before. A delta reports every such
+// worker. A full list reports only those that are not ready, and none until a list from discovery has been applied.
+func (e *endpointList) shouldReportNew(worker dispatch.Worker, isDelta bool) bool {
 	return !worker.Removed && (isDelta || !worker.Ready && e.synced)
 }
 
-// reportMissing reports the workers of a former list that are not listed any more as removed.
+// reportMissing reports workers of the previous list that are no longer listed as removed.
 func (e *endpointList) reportMissing(before map[uint64]dispatch.Worker, report func(message.WorkerStatus)) {
 	for _, id := range slices.Sorted(maps.Keys(before)) {
 		if _, listed := e.workers[id]; !listed {
@@ -68,7 +68,7 @@
 	return slices.SortedFunc(maps.Values(e.workers), func(a, b dispatch.Worker) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// statusOf returns the status of a worker as a list of that revision gives it.
+// statusOf returns the status of a worker according to an endpoint list of a revision.
 func statusOf(worker dispatch.Worker, revision int64) message.WorkerStatus {
 	status := message.WorkerStatus{WorkerID: worker.ID, StartedMs: worker.BootAt.Milliseconds(), Revision: revision}
 	switch {
--- a/internal/control/forwarder/environment_test.go
+++ b/internal/control/forwarder/environment_test.go
@@ -14,11 +14,11 @@
 	"valvecove/internal/requests"
 )
 
-// settlingTime is the time between the last event of a run and its end, in which all requests end.
+// settlingTime is the time after the last event of a run in which all requests must end.
 const settlingTime = 4 * time.Second
 
-// environment is a forwarder among planners, workers and clients that behave at random. It checks the rules from outside: by
-// what is sent, what ends, and the responses to clients.
+// environment is a forwarder with planners, workers and clients that behave at random. It checks the forwarder's rules from the
+// outside: by the messages and attempts sent, the reported ends of attempts, and the responses to clients.
 type environment struct {
 	*harness
 	rng      *rand.Rand
@@ -27,24 +27,24 @@
 
 	workers   []requests.Endpoint
 	revision  int64                           // of the endpoint list
-	listed    map[uint64]requests.Endpoint    // the list that the forwarder has
-	statuses  map[uint64]message.WorkerStatus // the newest that planners sent
-	statusAt  map[uint64]time.Duration        // and when
-	faultless bool                            // workers and clients have no faults, and none disconnects
+	listed    map[uint64]requests.Endpoint    // the endpoint list as sent to the forwarder
+	statuses  map[uint64]message.WorkerStatus // by worker: the newest status that planners sent
+	statusAt  map[uint64]time.Duration        // by worker: when that status was received
+	faultless bool                            // workers do not fail, clients do not disconnect, the list does not change
 
 	requestsByCall  map[string]*checkedRequest
 	requestsByID    map[uint64]*checkedRequest
 	lastID          uint64
-	arrivalInterval time.Duration // between two requests, at most
-	minRemaining    time.Duration // of a request when it arrives
+	arrivalInterval time.Duration // maximum time between two arrivals
+	minRemaining    time.Duration // minimum time from a request's arrival to its deadline
 
 	connections     []*connection
 	onWorkerChanged func(endpoint requests.Endpoint)
 
-	offers     []Outgoing // of this step
-	sent       int        // attempts
+	offers     []Outgoing // offers of the current step
+	sent       int        // number of attempts sent
 	stats      map[string]int
-	violations []string // of the rules
+	violations []string // descriptions of broken rules
 }
 
 // newEnvironment returns an environment with workers and clients, without planners.
@@ -122,12 +122,12 @@
 	return settings
 }
 
-// randomDuration draws a duration, in ms.
+// randomDuration draws a duration between from and to, in ms.
 func (e *environment) randomDuration(from, to int) time.Duration {
 	return time.Duration(from)*millisecond + time.Duration(e.rng.Int64N(int64(to-from)*int64(millisecond)))
 }
 
-// begin starts the forwarder, with all planners known.
+// begin starts the forwarder with all workers listed and all planners known.
 func (e *environment) begin() {
 	e.start(requests.EndpointList{})
 	e.sendFullList()
@@ -142,7 +142,7 @@
 	}
 }
 
-// run advances the time in small steps, then has all requests end, and checks that nothing is left of them.
+// run advances the time in small steps, then waits until all requests have ended, and checks that no state of them is left.
 func (e *environment) run(duration time.Duration) {
 	end := e.now + duration
 	for e.now < end && len(e.violations) == 0 {
@@ -163,7 +163,7 @@
 	e.addStats()
 }
 
-// checkNothingLeft checks that the forwarder remembers no request any more.
+// checkNothingLeft checks that the forwarder keeps no state of any request.
 func (e *environment) checkNothingLeft() {
 	forwarder := e.forwarder
 	stats := forwarder.Stats()
@@ -171,7 +171,7 @@
 	validated := forwarder.validator.RequestCount()
 	if open != 0 || stats.Open+stats.Waiting+stats.Local != 0 || validated != 0 ||
 		forwarder.checks.queue.Len()+forwarder.queues.returning.Len() != 0 {
-		e.violation("something is left: %+v, %d in the request table, %d in the validator", stats, open, validated)
+		e.violation("requests are left at the end: %+v, %d in the request table, %d in the validator", stats, open, validated)
 	}
 	for _, session := range forwarder.planners.all() {
 		if len(session.requests) > 0 || session.poisonCandidate != nil {
@@ -179,11 +179,11 @@
 		}
 	}
 	if forwarder.local.policy != nil && forwarder.mode.mode != modeStandalone {
-		e.violation("the local policy is kept without a request")
+		e.violation("the local policy still runs outside standalone mode without requests")
 	}
 }
 
-// addStats adds the counts of the run.
+// addStats adds the forwarder's counters to the statistics of the run.
 func (e *environment) addStats() {
 	stats := e.forwarder.Stats()
 	for reason := range message.ReasonCount {
@@ -206,7 +206,7 @@
 	e.violations = append(e.violations, fmt.Sprintf("%v: ", e.now-startTime)+fmt.Sprintf(format, args...))
 }
 
-// scheduleArrival has a request arrive later, and then the next one.
+// scheduleArrival schedules the next arrival of a request, which in turn schedules the one after it.
 func (e *environment) scheduleArrival() {
 	e.after(e.randomDuration(1, int(e.arrivalInterval/millisecond)), func() {
 		if e.stopped {
@@ -217,7 +217,7 @@
 	})
 }
 
-// arrive has a request arrive. Some clients disconnect before they have a response.
+// arrive admits a request. Some clients disconnect before they get a response.
 func (e *environment) arrive() {
 	e.lastID++
 	class := e.rng.IntN(len(e.settings.Classes))
--- a/internal/control/forwarder/fakes_test.go
+++ b/internal/control/forwarder/fakes_test.go
@@ -32,8 +32,8 @@
 
 func (*fixedOrder) Next() time.Duration { return 0 }
 
-// simplePolicy is a predictable policy: it sends each job to the first worker that is ready and has had no attempt of it, one
-// attempt at a time, and rejects the job if there is none. While no worker is ready at all it queues the jobs.
+// simplePolicy is a predictable policy. It sends each job to the first ready worker that has had no attempt of it, one attempt at
+// a time, and rejects the job if there is no such worker. While no worker at all is ready, it queues the jobs.
 type simplePolicy struct {
 	ready    []uint64
 	jobs     map[uint64]*simpleJob
@@ -42,7 +42,7 @@
 }
 
 type simpleJob struct {
-	workers  []uint64 // of its attempts
+	workers  []uint64 // workers of its attempts
 	inFlight int
 }
 
--- a/internal/control/forwarder/forwarder.go
+++ b/internal/control/forwarder/forwarder.go
@@ -9,10 +9,10 @@
 	"valvecove/internal/control/validator"
 )
 
-// noEpoch is the epoch of no session.
-const noEpoch = message.Epoch(math.MaxUint64)
+// invalidEpoch is an epoch that no session ever has.
+const invalidEpoch = message.Epoch(math.MaxUint64)
 
-// Forwarder is the decision module of one forwarder. It is used by one goroutine.
+// Forwarder is the decision module of one forwarder. It is not safe for concurrent use.
 type Forwarder struct {
 	step      step
 	timer     stepTimer
@@ -45,8 +45,8 @@
 	snapshot      modelSnapshot
 }
 
-// LastEpoch returns the epoch of the newest session. A forwarder that replaces one that has panicked numbers its sessions
-// from there (Config.LastEpoch), and needs a SessionChanged for each connection.
+// LastEpoch returns the epoch of the newest session. A Forwarder that replaces one that has panicked continues from that epoch
+// (Config.LastEpoch), and SessionChanged must be called on it for each existing connection.
 func (f *Forwarder) LastEpoch() message.Epoch { return f.sessions.lastEpoch }
 
 // Outbox returns the messages of the last Step, in order. They are valid until the next Step.
@@ -55,28 +55,28 @@
 // HasPending reports whether the next Step has inputs to process besides the events of the request table.
 func (f *Forwarder) HasPending() bool { return !f.inputs.isEmpty() }
 
-// DrainingPlanners returns the names of the planners that shut down. They have no request of this forwarder; the
-// connections to them are to be closed.
+// DrainingPlanners returns the names of the planners that are shutting down. No request of this forwarder is assigned to them
+// any more; the caller should close the connections to them.
 func (f *Forwarder) DrainingPlanners() (names []string) { return f.planners.draining() }
 
-// SetPlanners records the names of all known planners. The forwarder is to have a connection to each of them.
+// SetPlanners records the names of all known planners. The caller should keep a connection to each of them.
 func (f *Forwarder) SetPlanners(names []string) { f.inputs.addNames(names) }
 
-// SessionChanged records that a connection to a planner is established, or lost.
+// SessionChanged records that a connection to a planner was established or lost.
 func (f *Forwarder) SessionChanged(planner string, connected bool) {
 	f.inputs.addConnection(planner, connectionChange(connected))
 }
 
-// SetForwarderIndex sets the index of this forwarder, from 0, among a count of forwarders. In standalone mode they share
-// the workers by that, without communication.
+// SetForwarderIndex sets the index of this forwarder, from 0, among count forwarders. In standalone mode the forwarders divide
+// the workers among themselves by these indexes, without communicating.
 func (f *Forwarder) SetForwarderIndex(index, count int) {
 	f.localRunner.setPosition(position{index, count})
 }
 
-// Receive records a message of a planner. It keeps no reference to what the envelope points to.
+// Receive records a message from a planner. It keeps no reference to what the envelope points to.
 func (f *Forwarder) Receive(now time.Duration, planner string, envelope message.Envelope) {
 	if f.inputs.isFull() {
-		// No working planner sends so many messages between two steps. The session has lost one, so that it is to be reset.
+		// No correct planner sends so many messages between two steps. A message is lost here, so the session must be reset.
 		f.stats.Overruns++
 		if session := f.planners.find(planner); session != nil {
 			session.markOverrun()
@@ -90,7 +90,7 @@
 	f.inputs.addMessage(now, planner, envelope)
 }
 
-// receiveSnapshot keeps a planner's model snapshot for the local policy, if it is newer than the present one.
+// receiveSnapshot keeps a planner's model snapshot for the local policy, unless the stored one is newer.
 func (f *Forwarder) receiveSnapshot(now time.Duration, planner string, epoch message.Epoch, snapshot *message.ModelSnapshot) {
 	session := f.planners.find(planner)
 	isValid := session != nil && session.isAccepted() && session.epoch == epoch
@@ -99,8 +99,8 @@
 	}
 }
 
-// Step processes the events of the request table, then the recorded inputs, then what is due at the instant. It returns dst
-// with the resulting actions appended.
+// Step processes the events of the request table, then the recorded inputs, then the timeouts that are due at now. It returns
+// dst with the resulting actions appended.
 func (f *Forwarder) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	f.beginStep(now, dst)
 	for _, event := range events {
@@ -110,7 +110,7 @@
 	f.processInputs()
 	f.sessions.check()
 	f.mode.update()
-	f.placeWaiting() // before the timeouts, which give up requests that are not placed
+	f.placeWaiting() // before the timeouts, which give up requests that were not offered by their objective
 	f.timeouts.run()
 	f.workers.subscribe()
 	f.placeWaiting()
@@ -150,11 +150,11 @@
 		f.healthChecks.finish(event)
 	case dispatch.WorkerList:
 		f.workers.listChanged(event)
-	case dispatch.TimerFired: // each part finds out by the instant whether anything is due
+	case dispatch.TimerFired: // each part compares its own due time with the time of the step
 	}
 }
 
-// admit admits a request.
+// admit adds an arriving request to the open requests, and assigns or enqueues it. It gives the request up if too many wait.
 func (f *Forwarder) admit(job dispatch.Job) {
 	request := f.requests.add(f.step.now(), job)
 	if request == nil {
@@ -196,15 +196,15 @@
 	}
 }
 
-// receive processes a message of a planner. It is void if it is not of the present session, or if the session is not
-// accepted yet.
+// receive processes a message from a planner. A message that is not of the current session, or that arrives before the session
+// is accepted, has no effect.
 func (f *Forwarder) receive(recorded *input, received message.Message) {
 	session := f.planners.find(recorded.planner)
 	if session == nil || !session.expects(recorded.epoch, received) {
 		f.receiveStray(received)
 		return
 	}
-	if session.overrun { // a message before this one was lost, which may change what this one means
+	if session.overrun { // an earlier message was lost, and this one may depend on it
 		return
 	}
 	switch received := received.(type) {
@@ -225,16 +225,16 @@
 	}
 }
 
-// receiveStray counts a message that is not of a present session.
+// receiveStray counts a message that does not belong to a current session.
 func (f *Forwarder) receiveStray(received message.Message) {
 	if command, ok := received.(message.Command); ok {
-		f.validator.Validate(f.step.now(), noEpoch, command) // rejects it, and counts that
+		f.validator.Validate(f.step.now(), invalidEpoch, command) // rejects the command and counts the rejection
 	} else {
 		f.stats.StrayMessages++
 	}
 }
 
-// placeWaiting assigns the requests that wait to planners, or in standalone mode to the local policy.
+// placeWaiting assigns waiting requests to planners, or in standalone mode to the local policy.
 func (f *Forwarder) placeWaiting() {
 	if f.mode.isStandalone() {
 		f.localRunner.placeWaiting()
@@ -243,7 +243,7 @@
 	}
 }
 
-// setTimer sets the request table's timer to the earliest instant at which any part has something to do.
+// setTimer sets the request table's timer to the earliest time at which any part has work due.
 func (f *Forwarder) setTimer() {
 	next := newEarliest()
 	next.consider(f.checks.next())
--- a/internal/control/forwarder/harness_test.go
+++ b/internal/control/forwarder/harness_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	startTime     = 1000 * time.Hour // of a test; workers have started before
-	maxIterations = 10000            // of the loop at one instant
+	startTime     = 1000 * time.Hour // when a test starts; positive, so that workers can have started before
+	maxIterations = 10000            // limit of table steps at the same virtual time
 	millisecond   = time.Millisecond
 )
 
-// harness is a forwarder in virtual time: it is the policy of a request table. The functions stand for clients, workers and
-// connections.
+// harness runs a forwarder as the policy of a request table in virtual time. Its on... functions stand in for clients, workers
+// and connections.
 type harness struct {
 	now          time.Duration
 	forwarder    *Forwarder
-	attemptLimit int // attempts of a request
+	attemptLimit int // maximum number of attempts of a request
 	table        *requests.Table
 	events       eventQueue
 	lastSequence uint64
@@ -31,10 +31,10 @@
 	onCheckHealth func(worker uint64)
 	onCloseIdle   func(worker uint64)
 	onResponse    func(client *client, response string, retryAfter time.Duration)
-	onMessage     func(outgoing Outgoing) // of the forwarder
+	onMessage     func(outgoing Outgoing) // a message from the forwarder
 	onAction      func(action dispatch.Action)
 	onWatch       func(revision int64)
-	onStep        func() // after the table's step
+	onStep        func() // called after each step of the table
 }
 
 func newHarness(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *harness {
@@ -47,7 +47,7 @@
 	}
 }
 
-// start makes the request table, once all functions are set.
+// start creates the request table. All on... functions must be set before.
 func (h *harness) start(known requests.EndpointList) {
 	names := requests.NameTable{Zones: []string{"z0", "z1", "z2"}, MachineTypes: []string{"k0", "k1", "k2"}}
 	newPolicy := func() requests.Policy { return recordingPolicy{h} }
@@ -55,7 +55,7 @@
 	h.table = requests.New(attempts, names, newPolicy, known, h, slog.New(slog.DiscardHandler))
 }
 
-// recordingPolicy is the forwarder as the request table's policy. It passes on its actions and messages.
+// recordingPolicy is the forwarder as the request table's policy. It passes the forwarder's actions and messages to the harness.
 type recordingPolicy struct{ harness *harness }
 
 func (r recordingPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
@@ -73,7 +73,7 @@
 	return dst
 }
 
-// The harness is the request table's transport.
+// The following methods implement the request table's transport.
 
 func (h *harness) Start(attempt *requests.Attempt)    { h.onStart(attempt) }
 func (h *harness) Abandon(attempt *requests.Attempt)  { h.onAbandon(attempt) }
@@ -81,13 +81,13 @@
 func (h *harness) CloseIdleConnections(worker uint64) { h.onCloseIdle(worker) }
 func (h *harness) Watch(revision int64)               { h.onWatch(revision) }
 
-// Cancel cancels an attempt, of which its worker is notified at once.
+// Cancel cancels an attempt, which the worker confirms at once.
 func (h *harness) Cancel(attempt *requests.Attempt) {
 	h.table.CancelCompleted(attempt, true)
 	h.onAbandon(attempt)
 }
 
-// settle steps the table until nothing is left to do at this instant.
+// settle steps the table until nothing is left to do at the current virtual time.
 func (h *harness) settle() {
 	for range maxIterations {
 		if h.forwarder.HasPending() {
@@ -102,10 +102,10 @@
 			h.onStep()
 		}
 	}
-	panic("no end at one instant")
+	panic("the request table does not come to rest at one virtual time")
 }
 
-// runUntil advances the time to an instant, and does what is due until then.
+// runUntil advances the virtual time to end, and executes all events and table steps that are due until then.
 func (h *harness) runUntil(end time.Duration) {
 	h.settle()
 	for {
@@ -127,16 +127,16 @@
 	}
 }
 
-// after has something done later.
+// after schedules a function.
 func (h *harness) after(delay time.Duration, act func()) {
 	heap.Push(&h.events, scheduledEvent{h.now + delay, h.lastSequence, act})
 	h.lastSequence++
 }
 
-// scheduledEvent is something to be done at an instant.
+// scheduledEvent is a function scheduled for a virtual time.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence uint64 // of two events at one instant, the one with the lower number is due first
+	sequence uint64 // orders events at the same time
 	act      func()
 }
 
@@ -167,7 +167,7 @@
 	responseFailed   = "failed"
 )
 
-// client is the responder of a request.
+// client receives the response to a request.
 type client struct {
 	harness   *harness
 	request   *requests.Request
@@ -186,7 +186,7 @@
 	c.harness.onResponse(c, response, retryAfter)
 }
 
-// admit has a request arrive.
+// admit adds a request to the table.
 func (h *harness) admit(name string, job dispatch.Job) *client {
 	admitted := &client{harness: h, name: name}
 	request, err := h.table.Admit(h.now, requests.Arrival{CallID: name, Job: job, Responder: admitted})
@@ -197,7 +197,7 @@
 	return admitted
 }
 
-// workerID returns the ID that the request table gives a worker by its name.
+// workerID returns the ID that the request table derives from the name of a worker.
 func workerID(name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/control/forwarder/healthcheck.go
+++ b/internal/control/forwarder/healthcheck.go
@@ -6,16 +6,16 @@
 	"valvecove/internal/control/validator"
 )
 
-// maxHealthChecks is how many health checks may be in flight.
+// maxHealthChecks is the maximum number of health checks in flight.
 const maxHealthChecks = 4096
 
-// pendingHealthChecks are the health checks that have no result yet.
+// pendingHealthChecks holds the health checks that have no result yet.
 type pendingHealthChecks struct {
-	requesters map[uint64][]message.Epoch // by worker: the sessions that commanded them, the oldest first
+	requesters map[uint64][]message.Epoch // by worker ID: epochs of the sessions that commanded the checks, oldest first
 	count      int
 }
 
-// add records a health check. It returns false if there are too many.
+// add records a health check. It returns false if too many are in flight.
 func (p *pendingHealthChecks) add(worker uint64, requester message.Epoch) bool {
 	if p.count >= maxHealthChecks {
 		return false
@@ -25,7 +25,7 @@
 	return true
 }
 
-// take removes the oldest health check of a worker, and returns the session that commanded it.
+// take removes the oldest health check of a worker, and returns the epoch of the session that commanded it.
 func (p *pendingHealthChecks) take(worker uint64) (requester message.Epoch, ok bool) {
 	requesters := p.requesters[worker]
 	if len(requesters) == 0 {
@@ -50,7 +50,8 @@
 	pending  pendingHealthChecks
 }
 
-// start starts a health check of a worker for a session, or for the local policy. It returns false if there are too many.
+// start starts a health check of a worker, commanded by a session or by the local policy. It returns false if too many are in
+// flight.
 func (h *healthChecker) start(worker uint64, requester message.Epoch) bool {
 	if !h.pending.add(worker, requester) {
 		return false
@@ -59,7 +60,7 @@
 	return true
 }
 
-// finish processes the result of a health check.
+// finish reports the result of a health check to the planner or local policy that commanded it.
 func (h *healthChecker) finish(event dispatch.HealthChecked) {
 	requester, ok := h.pending.take(event.Worker)
 	if !ok {
--- a/internal/control/forwarder/heartbeat.go
+++ b/internal/control/forwarder/heartbeat.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// latencyDecayDivisor is the decay of the mean latency: each sample moves it by this fraction of their difference.
+// latencyDecayDivisor sets the weight of a new sample in the moving average of the latency: 1/latencyDecayDivisor.
 const latencyDecayDivisor = 4
 
-// heartbeat is the state of the heartbeats to one planner. A reply shows that the planner has read every message that was
-// sent before the heartbeat.
+// heartbeat is the state of the heartbeats to one planner. A reply proves that the planner has read every message that was
+// sent before that heartbeat.
 type heartbeat struct {
 	state         heartbeatState
 	sequence      uint64        // of the last heartbeat sent
-	acknowledged  uint64        // of the last heartbeat that was replied to
-	sentAt        time.Duration // when the last one was sent, or the session began
+	acknowledged  uint64        // sequence number of the last heartbeat that the planner replied to
+	sentAt        time.Duration // when the last heartbeat was sent, or the session began
 	awaitedSince  time.Duration // when the wait for the reply began
-	ignoreLatency bool          // the reply is no sample of the planner's latency, as the forwarder was late itself
+	ignoreLatency bool          // the next reply is no latency sample, because the forwarder itself was late
 	offersSent    bool          // the planner was offered requests since the last heartbeat
-	latency       time.Duration // mean time to a reply, over all sessions
-	minLatency    time.Duration // shortest time to a reply in this session; 0: there was no reply
+	latency       time.Duration // moving average of the time to a reply, kept across sessions
+	minLatency    time.Duration // shortest time to a reply in this session; 0 if there was none
 }
 
 // heartbeatState is the state of the wait for a reply.
@@ -28,7 +28,7 @@
 const (
 	heartbeatIdle     heartbeatState = iota // no reply is awaited
 	heartbeatAwaiting                       // a reply is awaited
-	heartbeatOverdue                        // it has been awaited for the suspicion timeout: the planner is suspected
+	heartbeatOverdue                        // no reply within the suspicion timeout: the planner is suspected
 )
 
 // String returns the state's name.
@@ -45,7 +45,7 @@
 	}
 }
 
-// heartbeatEvent is what changes the state of a heartbeat.
+// heartbeatEvent is an event that may change the state of a heartbeat.
 type heartbeatEvent uint8
 
 const (
@@ -54,7 +54,7 @@
 	eventReplyReceived
 )
 
-// after returns the state after an event, or false if the event has no meaning in this state.
+// after returns the state after an event, or false if the event is not valid in this state.
 func (h heartbeatState) after(event heartbeatEvent) (next heartbeatState, valid bool) {
 	switch event {
 	case eventHeartbeatSent:
@@ -68,7 +68,7 @@
 	}
 }
 
-// transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning.
+// transition applies an event to the state. It returns false and changes nothing if the event is not valid in this state.
 func (h *heartbeat) transition(event heartbeatEvent) bool {
 	next, valid := h.state.after(event)
 	if valid {
@@ -77,12 +77,12 @@
 	return valid
 }
 
-// reset starts a new session. The mean latency is kept.
+// reset starts a new session. The average latency is kept.
 func (h *heartbeat) reset(now time.Duration) {
 	*h = heartbeat{sentAt: now, latency: h.latency}
 }
 
-// recordSent records that a heartbeat is sent, and returns its sequence number.
+// recordSent records that a heartbeat is being sent, and returns its sequence number.
 func (h *heartbeat) recordSent(now time.Duration) (sequence uint64) {
 	h.transition(eventHeartbeatSent)
 	h.sequence++
@@ -101,8 +101,8 @@
 	}
 }
 
-// recordReply processes a reply that was received at an instant, and returns the time since the wait for it was started. It
-// is not valid if it is not the reply that is awaited.
+// recordReply records a reply that was received at receivedAt, and returns the time since the wait for it started. It returns
+// false if the reply is not the awaited one.
 func (h *heartbeat) recordReply(receivedAt time.Duration, sequence uint64) (latency time.Duration, valid bool) {
 	if sequence != h.sequence || !h.transition(eventReplyReceived) {
 		return 0, false
--- a/internal/control/forwarder/heartbeats.go
+++ b/internal/control/forwarder/heartbeats.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// confirmHeartbeatDelay is the time between two heartbeats while there are offers that the planner has not confirmed
-	// with a reply.
+	// confirmHeartbeatDelay is the heartbeat interval while a reply is still needed to confirm that the planner has read its
+	// latest offers.
 	confirmHeartbeatDelay = 10 * time.Millisecond
-	// Both timeouts are at least these multiples of the planner's mean latency.
+	// The suspicion and the unresponsive timeout of a planner are at least these multiples of its average latency.
 	suspicionLatencies    = 4
 	unresponsiveLatencies = 8
 )
 
-// heartbeats sends heartbeats to planners, and finds out which planners do not reply.
+// heartbeats sends heartbeats to planners, and detects planners that do not reply.
 type heartbeats struct {
 	step     *step
 	planners *plannerSet
 
 	interval            time.Duration
-	suspicionTimeout    time.Duration // at least
-	unresponsiveTimeout time.Duration // at least
+	suspicionTimeout    time.Duration // lower bound, see suspicionLatencies
+	unresponsiveTimeout time.Duration // lower bound, see unresponsiveLatencies
 }
 
 // send sends the heartbeats that are due.
@@ -38,7 +38,7 @@
 	}
 }
 
-// nextHeartbeat returns when the next heartbeat to a planner is due, if no reply is awaited.
+// nextHeartbeat returns when the next heartbeat to a planner is due, provided that no reply is awaited.
 func (h *heartbeats) nextHeartbeat(session *plannerSession) time.Duration {
 	heartbeat := &session.heartbeat
 	switch candidate := session.poisonCandidate; {
@@ -50,7 +50,7 @@
 	return heartbeat.sentAt + h.interval
 }
 
-// nextCheck returns when a heartbeat to a planner, or a timeout of its reply, is due; 0: neither is.
+// nextCheck returns when the next heartbeat to a planner or the timeout of its reply is due, or 0 if neither is.
 func (h *heartbeats) nextCheck(session *plannerSession) time.Duration {
 	if !session.isAccepted() {
 		return 0
@@ -74,16 +74,16 @@
 	return max(h.unresponsiveTimeout, unresponsiveLatencies*heartbeat.latency)
 }
 
-// replyTimeout is what has become of the wait for a planner's reply.
+// replyTimeout is the outcome of checking the wait for a planner's reply.
 type replyTimeout uint8
 
 const (
 	replyInTime       replyTimeout = iota // no reply is awaited, or no timeout has passed since the last check
 	replyOverdue                          // the suspicion timeout has passed since the last check
-	replyUnresponsive                     // the timeout has passed after which the session is reset
+	replyUnresponsive                     // the unresponsive timeout has passed: the session must be reset
 )
 
-// checkReply checks the wait for a planner's reply. A planner whose reply is overdue is suspected from then on.
+// checkReply checks the wait for a planner's reply. A planner whose reply is overdue is suspected until it replies.
 func (h *heartbeats) checkReply(session *plannerSession) replyTimeout {
 	heartbeat := &session.heartbeat
 	if !session.isAccepted() || heartbeat.state == heartbeatIdle {
@@ -99,15 +99,15 @@
 	return replyInTime
 }
 
-// restartWaits restarts the wait for each reply that is awaited. It is called when the forwarder was late itself: replies
-// may have arrived that are not read yet.
+// restartWaits restarts the wait for each awaited reply. It is called when the forwarder itself was late, as it may not have
+// read replies that have already arrived.
 func (h *heartbeats) restartWaits() {
 	for _, session := range h.planners.all() {
 		session.heartbeat.restartWait(h.step.now())
 	}
 }
 
-// replied processes a reply that was received at an instant.
+// replied handles a reply to a heartbeat that was received at receivedAt.
 func (h *heartbeats) replied(session *plannerSession, receivedAt time.Duration, reply *message.HeartbeatReply) {
 	heartbeat := &session.heartbeat
 	latency, valid := heartbeat.recordReply(receivedAt, reply.Sequence)
--- a/internal/control/forwarder/input.go
+++ b/internal/control/forwarder/input.go
@@ -7,30 +7,30 @@
 	"valvecove/internal/control/message"
 )
 
-// maxInputs is how many inputs are recorded between two steps.
+// maxInputs limits the messages that are recorded between two steps.
 const maxInputs = 1 << 16
 
-// input is an event that was recorded for the next step.
+// input is a message or a change of the planners, recorded for the next step.
 type input struct {
 	receivedAt time.Duration
 	planner    string
-	epoch      message.Epoch // of a message
+	epoch      message.Epoch // of the message's session; unset if the body is not a message
 	body       any           // a message.Message, a connectionChange or a plannerNames
 }
 
-// connectionChange is whether a connection was established (true) or lost.
+// connectionChange reports whether a connection was established (true) or lost (false).
 type connectionChange bool
 
-// plannerNames are the names of all known planners, in order.
+// plannerNames holds the names of all known planners, sorted.
 type plannerNames []string
 
 // inputQueue holds the inputs for the next step in the order in which they were recorded.
 type inputQueue struct {
 	inputs          []input
-	sessionsPending bool // some inputs may start or end a session
+	sessionsPending bool // whether some of the inputs may start or end a session
 }
 
-// isFull reports whether no more messages may be recorded.
+// isFull reports whether the limit of recorded inputs is reached.
 func (i *inputQueue) isFull() bool { return len(i.inputs) >= maxInputs }
 
 // mayChangeSessions reports whether some inputs may start or end a session.
@@ -39,7 +39,7 @@
 // isEmpty reports whether nothing is recorded.
 func (i *inputQueue) isEmpty() bool { return len(i.inputs) == 0 }
 
-// addMessage records a message of a planner. It keeps no reference to what the envelope points to.
+// addMessage records a message from a planner. It keeps no reference to what the envelope points to.
 func (i *inputQueue) addMessage(now time.Duration, planner string, envelope message.Envelope) {
 	if _, isGoodbye := envelope.Message.(*message.Goodbye); isGoodbye {
 		i.sessionsPending = true
@@ -54,7 +54,7 @@
 	i.sessionsPending = true
 }
 
-// addNames records the names of all known planners, of which there are at most maxPlanners.
+// addNames records the names of all known planners, up to maxPlanners of them.
 func (i *inputQueue) addNames(names []string) {
 	names = slices.Clone(names[:min(len(names), maxPlanners)])
 	slices.Sort(names)
--- a/internal/control/forwarder/localcommands.go
+++ b/internal/control/forwarder/localcommands.go
@@ -33,19 +33,19 @@
 		l.checkHealth(action)
 	case dispatch.SetTimer:
 		l.local.setTimer(l.step.now() + max(action.After, time.Nanosecond))
-	case dispatch.Subscribe: // the forwarder has a subscription of its own
+	case dispatch.Subscribe: // ignored: the forwarder subscribes by itself
 	default: // dispatch.CloseIdleConnections, dispatch.Log, dispatch.WorkerEjected
 		l.step.emit(action)
 	}
 }
 
-// validate returns why a command of the local policy may not be executed.
+// validate returns the reason why a command of the local policy may not be executed, or message.ReasonNone.
 func (l *localCommands) validate(command message.Command) message.RejectReason {
 	return l.validator.Validate(l.step.now(), validator.LocalEpoch, command)
 }
 
 // send sends an attempt, or notifies the local policy that it was not sent. It does nothing for a request that is closed or
-// assigned to a planner: the policy is notified of that in its next step.
+// assigned to a planner, as the policy learns of that in its next step.
 func (l *localCommands) send(action dispatch.Send) {
 	request := l.requests.find(action.Job)
 	if request == nil || request.state != requestLocal {
@@ -68,7 +68,7 @@
 	})
 }
 
-// respond gives a response of the local policy. A rejection that is not safe is converted to a failure.
+// respond executes a response that the local policy decided on. A rejection that is not safe is converted to a failure.
 func (l *localCommands) respond(id uint64, command message.Command, action dispatch.Action) {
 	reason := l.validate(command)
 	request := l.requests.find(id)
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkHealth starts a health check, or notifies the local policy that there is none.
+// checkHealth starts a health check, or notifies the local policy that it was not started.
 func (l *localCommands) checkHealth(action dispatch.HealthCheck) {
 	isValid := l.validate(&message.HealthCheckCommand{WorkerID: action.Worker}) == message.ReasonNone
 	if !isValid || !l.healthChecks.start(action.Worker, validator.LocalEpoch) {
--- a/internal/control/forwarder/localpolicy.go
+++ b/internal/control/forwarder/localpolicy.go
@@ -10,36 +10,37 @@
 )
 
 const (
+	// After maxPanics panics of the local policy, each within panicWindow of the one before, its requests are given up.
 	panicWindow    = time.Second
-	maxPanics      = 3 // of the local policy, each within panicWindow of the one before; then its requests are given up
-	maxLoggedStack = 600
+	maxPanics      = 3
+	maxLoggedStack = 600 // bytes
 )
 
-// Policy makes the decisions in standalone mode.
+// Policy decides on requests in standalone mode.
 type Policy interface {
-	// Step processes events, and returns dst with its decisions as of the instant appended.
+	// Step processes events, and returns dst with the decisions that are due at now appended.
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
-// subsetPolicy is a policy that uses a subset of the workers, by which of the schedulers this one is. An aperture.Aperture
-// is one.
+// subsetPolicy is a policy that uses a subset of the workers, chosen by the index of this scheduler among all schedulers.
+// aperture.Aperture implements it.
 type subsetPolicy interface {
 	SetSchedulers(index, count int)
 }
 
-// localPolicy is the policy of standalone mode, with the events that it is yet to process.
+// localPolicy holds the policy of standalone mode and the events that it has not processed yet.
 type localPolicy struct {
 	newPolicy func() Policy
-	policy    Policy            // nil: there is none
-	requests  int               // requests that it was notified of and that are open, or have attempts in flight
-	timerAt   time.Duration     // when its timer fires; 0: it is not set
-	events    []dispatch.Event  // of its next step
-	delivered []dispatch.Event  // memory of the events of its last step
-	actions   []dispatch.Action // memory of the actions of its last step
-	recent    []*openRequest    // that are assigned to it since its last step
-	isolating bool              // the only recent one may have ended a session or a policy
-
-	panics     int // each within panicWindow of the one before
+	policy    Policy            // nil while the policy is stopped
+	requests  int               // number of requests known to the policy that are open or have attempts in flight
+	timerAt   time.Duration     // when the policy's timer fires; 0 if it is not set
+	events    []dispatch.Event  // for the policy's next step
+	delivered []dispatch.Event  // events of the last step; the memory is reused
+	actions   []dispatch.Action // actions of the last step; the memory is reused
+	recent    []*openRequest    // requests assigned to the policy since its last step
+	isolating bool              // recent must stay a single request, as that one may have ended a session or a policy
+
+	panics     int // consecutive panics, each within panicWindow of the one before
 	panickedAt time.Duration
 }
 
@@ -51,7 +52,7 @@
 	return l.policy == nil || l.requests == 0 && len(l.events) == 0
 }
 
-// start makes a new policy.
+// start creates a new policy.
 func (l *localPolicy) start() {
 	l.policy = l.newPolicy()
 	l.timerAt = 0
@@ -63,14 +64,14 @@
 	l.timerAt = 0
 }
 
-// notify adds an event to the policy's next step, if there is a policy.
+// notify adds an event to the policy's next step, if the policy is running.
 func (l *localPolicy) notify(event dispatch.Event) {
 	if l.policy != nil {
 		l.events = append(l.events, event)
 	}
 }
 
-// setSchedulers notifies the policy of the index of this forwarder among a count of forwarders.
+// setSchedulers notifies the policy of the index of this forwarder among count forwarders.
 func (l *localPolicy) setSchedulers(index, count int) {
 	l.notify(dispatch.ReplicasChanged{Replicas: count, ReplicaIndex: index})
 	if subset, ok := l.policy.(subsetPolicy); ok {
@@ -87,7 +88,7 @@
 	l.recent = append(l.recent, request)
 }
 
-// removeRequest records that a request has ended for the policy.
+// removeRequest records that the policy has no more to do with a request.
 func (l *localPolicy) removeRequest(request *openRequest) {
 	if request.knownLocally {
 		request.knownLocally = false
@@ -95,10 +96,10 @@
 	}
 }
 
-// requestCount returns how many requests the policy has: they are open, or have attempts in flight.
+// requestCount returns how many requests known to the policy are open or have attempts in flight.
 func (l *localPolicy) requestCount() int { return l.requests }
 
-// hasRequests reports whether the policy has requests.
+// hasRequests reports whether requestCount is positive.
 func (l *localPolicy) hasRequests() bool { return l.requests > 0 }
 
 // hasEvents reports whether there are events for the policy's next step.
@@ -107,16 +108,16 @@
 // isIsolating reports whether no more requests may be added before the policy's next step.
 func (l *localPolicy) isIsolating() bool { return l.isolating }
 
-// isolate lets one more request be added before the policy's next step.
+// isolate has the next request be the only one that is added before the policy's next step.
 func (l *localPolicy) isolate() { l.isolating = true }
 
-// mayIsolate reports whether a request that may have ended a session or a policy can be the only new one of the next step.
+// mayIsolate reports whether no request was added since the policy's last step, so that isolate can be used.
 func (l *localPolicy) mayIsolate() bool { return len(l.recent) == 0 }
 
-// nextTimer returns when the policy's timer fires; 0: it is not set.
+// nextTimer returns when the policy's timer fires, or 0 if it is not set.
 func (l *localPolicy) nextTimer() time.Duration { return l.timerAt }
 
-// earlierTimer returns an instant, or that of the policy's timer if it is earlier.
+// earlierTimer returns the earlier of at and the time at which the policy's timer fires.
 func (l *localPolicy) earlierTimer(at time.Duration) time.Duration {
 	if l.timerAt > 0 {
 		return min(at, l.timerAt)
@@ -124,7 +125,7 @@
 	return at
 }
 
-// setTimer sets the policy's timer, unless it is set to an earlier instant.
+// setTimer sets the policy's timer, unless it is already set to an earlier time.
 func (l *localPolicy) setTimer(at time.Duration) {
 	if l.timerAt == 0 || at < l.timerAt {
 		l.timerAt = at
@@ -138,7 +139,7 @@
 
 func (l *localPolicy) timerFired(now time.Duration) bool { return l.timerAt > 0 && l.timerAt <= now }
 
-// takeEvents returns the events of the policy's next step.
+// takeEvents removes and returns the events for the policy's next step.
 func (l *localPolicy) takeEvents(now time.Duration) []dispatch.Event {
 	if l.timerFired(now) {
 		l.timerAt = 0
@@ -154,7 +155,8 @@
 	stack string // its first maxLoggedStack bytes
 }
 
-// step steps the policy, and returns its actions. If it panics there are none, and it must be replaced.
+// step runs one step of the policy and returns its actions. If the policy panics, it returns the panic instead, and the policy
+// must be replaced.
 func (l *localPolicy) step(now time.Duration) (actions []dispatch.Action, failure *policyPanic) {
 	events := l.takeEvents(now)
 	defer clear(events)
@@ -168,20 +170,20 @@
 	return actions, nil
 }
 
-// shortStack returns the first bytes of a stack in one line.
+// shortStack returns the first maxLoggedStack bytes of a stack trace as one line.
 func shortStack(stack []byte) string {
 	text, _, _ := strings.Cut(string(stack), "created by")
 	return strings.Join(strings.Fields(text[:min(len(text), maxLoggedStack)]), " ")
 }
 
-// recycle makes the memory of the last step's actions available again, once they are executed.
+// recycle makes the memory of the last step's actions available for reuse. It is called once they are executed.
 func (l *localPolicy) recycle(actions []dispatch.Action) {
 	clear(actions)
 	l.actions = actions[:0]
 }
 
-// discard drops a policy that has panicked, with its events. It returns the requests of the step of the panic, one of which
-// may be the cause, and whether there have been too many panics.
+// discard drops a policy that has panicked, together with its pending events. It returns the requests that were new in the
+// step of the panic, one of which may be the cause, and whether there have been too many panics.
 func (l *localPolicy) discard(now time.Duration) (suspicious []*openRequest, tooMany bool) {
 	tooMany = l.recordPanic(now)
 	suspicious = slices.Clone(l.recent)
--- a/internal/control/forwarder/localrunner.go
+++ b/internal/control/forwarder/localrunner.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/control/message"
 )
 
-// maxPolicyIterations is how often the local policy is stepped in one step of the forwarder.
+// maxPolicyIterations limits how often the local policy is stepped in one step of the forwarder.
 const maxPolicyIterations = 4
 
 // pastAttempts lists the attempts of a request.
@@ -16,10 +16,10 @@
 	AppendAttempts(now time.Duration, id uint64, dst []message.PastAttempt) []message.PastAttempt
 }
 
-// standaloneMode is the forwarder's mode, as far as the local policy depends on it.
+// standaloneMode gives the localRunner access to the forwarder's mode.
 type standaloneMode interface {
 	isStandalone() bool
-	// localStopped processes that the local policy has no requests any more.
+	// localStopped handles that the local policy was dropped and has no requests any more.
 	localStopped()
 }
 
@@ -41,7 +41,7 @@
 	mode        standaloneMode
 }
 
-// startPolicy makes a policy, if there is none, and notifies it of the workers, its load share, and the model.
+// startPolicy creates a policy if none is running, and notifies it of the workers, its load share, and the model snapshot.
 func (l *localRunner) startPolicy() {
 	if l.local.isRunning() {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// setPosition sets the forwarder's position, by which the forwarders share the workers.
+// setPosition sets the forwarder's position, by which the forwarders divide the workers.
 func (l *localRunner) setPosition(position position) {
 	if l.position != position {
 		l.position = position
@@ -69,15 +69,15 @@
 	}
 }
 
-// admit assigns a request that has arrived to the policy.
+// admit assigns an arriving request to the policy.
 func (l *localRunner) admit(request *openRequest) {
 	l.startPolicy()
 	l.assignments.assignLocal(request)
 	l.local.notify(request.job)
 }
 
-// placeWaiting assigns the requests that wait to the policy. One that may have ended a session or a policy is the only new
-// request of a step, so that the cause of a further panic is known.
+// placeWaiting assigns the waiting requests to the policy. A request that may have ended a session or a policy is the only new
+// request of its step, so that a further panic can be attributed to it.
 func (l *localRunner) placeWaiting() {
 	l.placer.prepare()
 	for l.queues.waiting.Len() > 0 && !l.local.isIsolating() {
@@ -109,8 +109,8 @@
 	l.local.notify(dispatch.JobResumed{Job: job, Age: now - request.arrivedAt, Attempts: attempts})
 }
 
-// run steps the policy as long as it has events, and executes its decisions. It is notified of rejected commands, and may
-// then decide again in the same step of the forwarder.
+// run steps the policy and executes its decisions, up to maxPolicyIterations times while it has events. The policy is notified
+// of rejected commands and may then decide again in the same step of the forwarder.
 func (l *localRunner) run() {
 	now := l.step.now()
 	for range maxPolicyIterations {
@@ -133,8 +133,8 @@
 	}
 }
 
-// replacePolicy drops a policy that has panicked. Its requests wait for a new one. For those that were new in the step of
-// the panic, that counts as a failure.
+// replacePolicy drops a policy that has panicked. Its requests wait for a new policy, or are given up after too many panics.
+// For requests that were new in the step of the panic, the panic counts as a failure.
 func (l *localRunner) replacePolicy() {
 	l.stats.Panics++
 	suspicious, tooMany := l.local.discard(l.step.now())
--- a/internal/control/forwarder/log.go
+++ b/internal/control/forwarder/log.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// logLine returns "text: key=value key=value".
+// logLine formats a log line as "text: key=value key=value".
 func logLine(text string, attributes []any) string {
 	line := &strings.Builder{}
 	line.WriteString(text)
@@ -18,7 +18,7 @@
 	return line.String()
 }
 
-// attributeValue returns the text of a value, quoted if it is not one word.
+// attributeValue formats a value, quoted if it is empty or contains spaces, quotes or equals signs.
 func attributeValue(value any) string {
 	text := fmt.Sprint(value)
 	if text == "" || strings.ContainsAny(text, " \t\n\"=") {
--- a/internal/control/forwarder/losstrace_test.go
+++ b/internal/control/forwarder/losstrace_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// lossTraceInterval is the time between two looks at where the open requests of a cluster are.
+// lossTraceInterval is the time between two samples of where the open requests of a cluster are.
 const lossTraceInterval = millisecond
 
-// lossSummary counts the lost requests by the place where each was longest.
+// lossSummary counts the lost requests by the place (see placeOf) where each spent the most time.
 type lossSummary map[string]*lossCount
 
-// lossCount is the lost requests that were longest at one place.
+// lossCount counts the lost requests that spent the most time at one place.
 type lossCount struct {
 	requests int
-	longest  time.Duration // the sum of their times there
+	longest  time.Duration // total time that they spent there
 }
 
 // String returns a line for each place.
@@ -30,7 +30,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// lossTrace records how long each request of a cluster is at which place.
+// lossTrace records how long each request of a cluster spends at each place.
 type lossTrace struct {
 	cluster *cluster
 	spans   map[uint64]map[string]time.Duration // by request ID and place
@@ -46,10 +46,10 @@
 		}
 		check(respondent, response, retryAfter)
 	}
-	trace.look()
+	trace.sample()
 }
 
-// add counts a lost request by its times at places.
+// add counts a lost request at the place where it spent the most time.
 func (l lossSummary) add(spans map[string]time.Duration) {
 	longest := "not traced"
 	for _, place := range slices.Sorted(maps.Keys(spans)) {
@@ -64,8 +64,8 @@
 	l[longest].longest += spans[longest]
 }
 
-// look records where the open requests are now, and looks again later.
-func (l *lossTrace) look() {
+// sample records where the open requests are now, and schedules the next sample.
+func (l *lossTrace) sample() {
 	for request := range l.cluster.forwarder.requests.all() {
 		if request.state == requestClosed {
 			continue
@@ -79,12 +79,12 @@
 	}
 	l.cluster.after(lossTraceInterval, func() {
 		if !l.cluster.stopped {
-			l.look()
+			l.sample()
 		}
 	})
 }
 
-// placeOf returns who has a request, and whether an attempt of it is in flight.
+// placeOf describes what a request is assigned to or waits for, and whether an attempt of it is in flight.
 func (l *lossTrace) placeOf(request *openRequest) string {
 	place := "waiting, no planner"
 	switch {
--- a/internal/control/forwarder/messagetext_test.go
+++ b/internal/control/forwarder/messagetext_test.go
@@ -8,10 +8,10 @@
 	"valvecove/internal/control/message"
 )
 
-// resultNames are the names of results in transcripts.
+// resultNames holds the names of results in transcripts, by dispatch.Result.
 var resultNames = []string{"ok", "failed", "full", "timeout", "noconnect", "reset", "cancelled", "notsent"}
 
-// messageText returns a message as transcripts have it, with names for epochs and workers.
+// messageText formats a message for transcripts, with names in place of epochs and worker IDs.
 func messageText(envelope message.Envelope, epochName func(message.Epoch) string, workerName func(uint64) string) string {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "%v %s", envelope.Message.Kind(), epochName(envelope.Epoch))
@@ -42,7 +42,7 @@
 	return text.String()
 }
 
-// summaryText returns the rest of an offer's summary, each part with a space before it.
+// summaryText formats the optional parts of an offer's summary, each with a leading space.
 func summaryText(summary *message.RequestSummary, workerName func(uint64) string) string {
 	text := &strings.Builder{}
 	put := func(format string, args ...any) { fmt.Fprintf(text, " "+format, args...) }
--- a/internal/control/forwarder/mode.go
+++ b/internal/control/forwarder/mode.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// mode says whether planners or the local policy decide on requests.
+// mode is the operating mode of the forwarder: whether planners or the local policy decide on requests.
 type mode uint8
 
 const (
-	modeManaged    mode = iota // planners decide; there is no local policy
+	modeManaged    mode = iota // planners decide; the local policy is stopped
 	modeStandalone             // the local policy decides
 	modeReturning              // planners decide on new requests, the local policy on those that are still assigned to it
 )
@@ -25,16 +25,16 @@
 	}
 }
 
-// modeEvent is what changes the mode.
+// modeEvent is an event that may change the mode.
 type modeEvent uint8
 
 const (
-	eventPlannersLost    modeEvent = iota // there is no planner, and waiting for one any longer would be too late
-	eventPlannersSettled                  // there has been one for Config.SettleTime
-	eventLocalFinished                    // the local policy has no requests any more
+	eventPlannersLost    modeEvent = iota // no planner is available, and requests can't wait for one any longer
+	eventPlannersSettled                  // a planner has been available for long enough, see shouldLeave
+	eventLocalFinished                    // the local policy has no more requests
 )
 
-// after returns the mode after an event, or false if the event has no meaning in this mode.
+// after returns the mode after an event, or false if the event is not valid in this mode.
 func (m mode) after(event modeEvent) (next mode, valid bool) {
 	switch event {
 	case eventPlannersLost:
--- a/internal/control/forwarder/modecontroller.go
+++ b/internal/control/forwarder/modecontroller.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// modeCheckDelay is the time to the next step when the local policy has more to do than fits into one step.
+// modeCheckDelay is the time to the next step when the local policy has more to do than one step allows.
 const modeCheckDelay = time.Millisecond
 
 // policyStarter starts the local policy, if it is not running.
@@ -19,16 +19,16 @@
 	local    *localPolicy
 	starter  policyStarter
 
-	standaloneAfter time.Duration // without a planner, the forwarder enters standalone mode after this time
-	settleTime      time.Duration // with a planner, it leaves standalone mode after this time
+	standaloneAfter time.Duration // see Config.StandaloneAfter
+	settleTime      time.Duration // see Config.SettleTime
 
 	mode             mode
-	started          bool          // there has been a step
+	started          bool          // whether the first step has begun
 	plannerAvailable bool          // a planner accepts requests
 	availableSince   time.Duration // when plannerAvailable last changed
 }
 
-// begin processes the start of a step. The first one is when the wait for planners starts.
+// begin handles the start of a step. The wait for planners begins with the first step.
 func (m *modeController) begin() {
 	if !m.started {
 		m.started = true
@@ -39,16 +39,16 @@
 // isStandalone reports whether the local policy decides on new requests.
 func (m *modeController) isStandalone() bool { return m.mode == modeStandalone }
 
-// isReturning reports whether requests of the local policy are to return to planners.
+// isReturning reports whether requests of the local policy are being handed back to planners.
 func (m *modeController) isReturning() bool { return m.mode == modeReturning }
 
 // hasPlanner reports whether a planner accepts requests, as of the last update.
 func (m *modeController) hasPlanner() bool { return m.plannerAvailable }
 
-// localStopped processes that the local policy has no requests any more. In standalone mode it changes nothing.
+// localStopped handles that the local policy was dropped and has no requests any more. In standalone mode it changes nothing.
 func (m *modeController) localStopped() { m.transition(eventLocalFinished) }
 
-// transition changes the mode for an event. It reports false, and changes nothing, where the event has no meaning.
+// transition applies an event to the mode. It returns false and changes nothing if the event is not valid in this mode.
 func (m *modeController) transition(event modeEvent) bool {
 	next, valid := m.mode.after(event)
 	if valid {
@@ -57,7 +57,8 @@
 	return valid
 }
 
-// update enters or leaves standalone mode, by whether there is a planner that accepts requests.
+// update enters or leaves standalone mode, depending on whether a planner accepts requests. It also ends the returning mode
+// and stops the local policy once the policy has nothing left to do.
 func (m *modeController) update() {
 	if available := m.planners.anyAccepts(); available != m.plannerAvailable {
 		m.plannerAvailable = available
@@ -75,8 +76,8 @@
 	}
 }
 
-// shouldEnter reports whether the forwarder is to enter standalone mode: at once if it has never known a planner, or if the
-// local policy still has requests.
+// shouldEnter reports whether the forwarder should enter standalone mode: after standaloneAfter without a planner, or at once
+// if it has never known a planner or the local policy still has requests.
 func (m *modeController) shouldEnter() bool {
 	if m.plannerAvailable || m.mode == modeStandalone {
 		return false
@@ -84,15 +85,16 @@
 	return m.planners.neverKnown() || m.mode == modeReturning || m.sinceAvailable() >= m.standaloneAfter
 }
 
-// enterForObjective enters standalone mode before Config.StandaloneAfter has passed without a planner, as a request that waits for
-// one starts to risk its objective.
+// enterForObjective enters standalone mode before standaloneAfter has passed, because a request that waits for a planner is at
+// risk of missing its latency objective.
 func (m *modeController) enterForObjective() {
 	if !m.plannerAvailable && m.mode != modeStandalone {
 		m.enter()
 	}
 }
 
-// shouldLeave reports whether the forwarder is to leave standalone mode: at once if the local policy has no requests.
+// shouldLeave reports whether the forwarder should leave standalone mode: after settleTime with a planner, or at once if the
+// local policy has no requests.
 func (m *modeController) shouldLeave() bool {
 	if !m.plannerAvailable || m.mode != modeStandalone {
 		return false
@@ -100,7 +102,7 @@
 	return !m.local.hasRequests() || m.sinceAvailable() >= m.settleTime
 }
 
-// sinceAvailable returns the time since the first or the last planner became available or unavailable.
+// sinceAvailable returns the time since plannerAvailable last changed.
 func (m *modeController) sinceAvailable() time.Duration { return m.step.now() - m.availableSince }
 
 // enter enters standalone mode.
@@ -114,12 +116,12 @@
 	m.starter.startPolicy()
 }
 
-// leave leaves standalone mode. New requests are offered to planners at once, then those of the local policy that have no
-// attempt in flight. The others stay with it until their attempts have ended.
+// leave leaves standalone mode. New requests are offered to planners at once, followed by the requests of the local policy that
+// have no attempt in flight. The others stay with the local policy until their attempts have ended.
 func (m *modeController) leave() {
 	m.transition(eventPlannersSettled)
 	staying := 0
-	for request := range m.requests.all() { // in any order: the queue sorts them
+	for request := range m.requests.all() { // the order does not matter: the queue sorts the requests
 		switch {
 		case request.state != requestLocal:
 		case m.checks.hasAttempts(request):
@@ -131,7 +133,7 @@
 	m.step.log("standalone mode left", "returning", m.queues.returning.Len(), "staying", staying)
 }
 
-// nextCheck returns when the mode is to be updated or the local policy is to be stepped; 0: not by time.
+// nextCheck returns when the mode must be updated or the local policy must be stepped next, or 0 if no time is set for that.
 func (m *modeController) nextCheck() time.Duration {
 	standalone := m.isStandalone()
 	switch {
--- a/internal/control/forwarder/new.go
+++ b/internal/control/forwarder/new.go
@@ -8,8 +8,8 @@
 	"valvecove/internal/control/validator"
 )
 
-// New returns a forwarder without planners, workers or requests. newPolicy makes a policy for standalone mode, without
-// workers or requests.
+// New returns a forwarder without planners, workers or requests. It calls newPolicy for a new policy, without workers or
+// requests, whenever the local policy is started.
 func New(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *Forwarder {
 	config = config.withDefaults()
 	f := &Forwarder{
@@ -19,16 +19,16 @@
 		local:     localPolicy{newPolicy: newPolicy},
 		snapshot:  modelSnapshot{maxBytes: config.MaxSnapshotBytes},
 	}
-	f.joinRequests(settings, config)
-	f.joinWorkers(settings, config)
-	f.joinLocalPolicy(config)
-	f.joinSessions(config)
-	f.joinCommands()
+	f.initRequests(settings, config)
+	f.initWorkers(settings, config)
+	f.initLocalPolicy(config)
+	f.initSessions(config)
+	f.initCommands()
 	return f
 }
 
-// joinRequests makes the parts that assign requests and respond to them.
-func (f *Forwarder) joinRequests(settings dispatch.Settings, config Config) {
+// initRequests creates the parts that assign requests and respond to them.
+func (f *Forwarder) initRequests(settings dispatch.Settings, config Config) {
 	f.checks = checkSchedule{step: &f.step, attempts: f.validator, commandTimeout: config.CommandTimeout}
 	f.assignments = assignments{
 		step:          &f.step,
@@ -70,8 +70,8 @@
 	}
 }
 
-// joinWorkers makes the parts that know the workers.
-func (f *Forwarder) joinWorkers(settings dispatch.Settings, config Config) {
+// initWorkers creates the parts that track workers and their health checks.
+func (f *Forwarder) initWorkers(settings dispatch.Settings, config Config) {
 	f.workers = workers{
 		step:         &f.step,
 		validator:    f.validator,
@@ -89,8 +89,8 @@
 	}
 }
 
-// joinLocalPolicy makes the parts of standalone mode.
-func (f *Forwarder) joinLocalPolicy(config Config) {
+// initLocalPolicy creates the parts of standalone mode.
+func (f *Forwarder) initLocalPolicy(config Config) {
 	f.mode = modeController{
 		step:            &f.step,
 		stats:           &f.stats,
@@ -128,8 +128,8 @@
 	}
 }
 
-// joinSessions makes the parts that exchange messages with planners.
-func (f *Forwarder) joinSessions(config Config) {
+// initSessions creates the parts that manage the sessions with planners.
+func (f *Forwarder) initSessions(config Config) {
 	f.heartbeats = heartbeats{
 		step:                &f.step,
 		planners:            &f.planners,
@@ -153,8 +153,8 @@
 	}
 }
 
-// joinCommands makes the parts that execute commands and report their results.
-func (f *Forwarder) joinCommands() {
+// initCommands creates the parts that execute commands and report their results.
+func (f *Forwarder) initCommands() {
 	f.commands = commandExecutor{
 		step:         &f.step,
 		stats:        &f.stats,
--- a/internal/control/forwarder/offerpool.go
+++ b/internal/control/forwarder/offerpool.go
@@ -2,10 +2,10 @@
 
 import "valvecove/internal/control/message"
 
-// offerBatch is how many offers are allocated at once.
+// offerBatch is the number of offers that are allocated at once.
 const offerBatch = 64
 
-// offerPool allocates the offers of a step's outgoing messages. It reuses their memory in the next step.
+// offerPool allocates the offers that are sent in a step, and reuses their memory in the next step.
 type offerPool struct {
 	batches [][]message.RequestOffer
 	used    int
@@ -14,7 +14,7 @@
 // reset makes the memory of all offers available again.
 func (o *offerPool) reset() { o.used = 0 }
 
-// next returns an offer that is zero but for the capacity of its list of attempts.
+// next returns an empty offer. Its list of attempts keeps the capacity from its last use.
 func (o *offerPool) next() *message.RequestOffer {
 	batch := o.used / offerBatch
 	if batch == len(o.batches) {
--- a/internal/control/forwarder/openrequests.go
+++ b/internal/control/forwarder/openrequests.go
@@ -10,13 +10,13 @@
 	"valvecove/dispatch"
 )
 
-// Bounds of the latency objective of a class, which is extended by the expected work.
+// Limits of the terms that extend a request's latency objective by its expected work.
 const (
 	maxObjectiveStretch = 1000
 	maxExpectedWork     = time.Hour
 )
 
-// openRequests is the table of the requests that have no response yet, or have attempts in flight. It reuses the memory of
+// openRequests is the table of the requests that have no response yet or still have attempts in flight. It reuses the memory of
 // removed requests.
 type openRequests struct {
 	classes []dispatch.Class
@@ -38,8 +38,8 @@
 	return slices.SortedFunc(o.all(), func(a, b *openRequest) int { return cmp.Compare(a.job.ID, b.job.ID) })
 }
 
-// add enters a request that has arrived, and is assigned to nobody. It returns nil if there is one of that ID, or no such
-// class.
+// add adds an arriving request, which is not assigned yet. It returns nil if there is already a request of that ID or if its
+// class does not exist.
 func (o *openRequests) add(now time.Duration, job dispatch.Job) *openRequest {
 	if o.byID[job.ID] != nil || job.Class < 0 || job.Class >= len(o.classes) {
 		return nil
@@ -61,7 +61,7 @@
 	return request
 }
 
-// allocate returns the memory of a removed request, or else a new request.
+// allocate returns the memory of a removed request if there is one, or a new request.
 func (o *openRequests) allocate() *openRequest {
 	last := len(o.free) - 1
 	if last < 0 {
@@ -72,14 +72,14 @@
 	return request
 }
 
-// remove removes a request. Its memory is reused: nothing may refer to it any longer.
+// remove removes a request. Its memory is reused, so no reference to it may be kept.
 func (o *openRequests) remove(request *openRequest) {
 	delete(o.byID, request.job.ID)
 	request.session = nil
 	o.free = append(o.free, request)
 }
 
-// latencyObjective returns the latency objective of a request of a class: it grows with the expected work.
+// latencyObjective returns the latency objective of a request of a class. It grows with the expected work of the request.
 func latencyObjective(class *dispatch.Class, expectedWork time.Duration) time.Duration {
 	if expectedWork <= 0 {
 		expectedWork = class.LatencyObjective
--- a/internal/control/forwarder/placement.go
+++ b/internal/control/forwarder/placement.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	returnInterval     = 5 * time.Millisecond // between two batches of requests that return from the local policy to planners
+	returnInterval     = 5 * time.Millisecond // between two batches of requests handed back from the local policy to planners
 	returnBatch        = 32                   // requests
-	maxSkippedRequests = 12                   // waiting requests without a planner that are skipped in one pass over a queue
+	maxSkippedRequests = 12                   // requests without a suitable planner that one pass over a queue skips
 )
 
-// placer offers waiting requests to planners, by the planners' credit and order of preference.
+// placer offers waiting requests to planners, according to the planners' credit and order of preference.
 type placer struct {
 	step        *step
-	maxWaiting  int // requests for which no planner has credit
+	maxWaiting  int // maximum number of requests that wait for a planner's credit
 	planners    *plannerSet
 	queues      *requestQueues
 	assignments *assignments
-	retryAt     time.Duration // when waiting requests are placed again without an event; 0: not by time
+	retryAt     time.Duration // when to place waiting requests again even without an event; 0 if not set
 }
 
-// admit offers a request that has arrived to a planner, or enqueues it. It returns false if too many requests wait. With
-// inputsPending, a session may start or end in this step, so that the request waits for that.
+// admit offers an arriving request to a planner, or enqueues it. It returns false if too many requests wait. If inputsPending
+// is set, a session may still start or end in this step, so the request is enqueued until those inputs are processed.
 func (p *placer) admit(request *openRequest, inputsPending bool) (accepted bool) {
 	if p.queues.waiting.Len() == 0 && !inputsPending {
 		p.planners.refreshOrder(p.step.now())
@@ -38,10 +38,10 @@
 	return true
 }
 
-// isFull reports whether no more requests may wait.
+// isFull reports whether maxWaiting is reached.
 func (p *placer) isFull() bool { return p.queues.waiting.Len() >= p.maxWaiting }
 
-// prepare brings the order of preference up to date before requests are placed.
+// prepare clears an expired retry time and updates the order of preference. It is called before requests are placed.
 func (p *placer) prepare() {
 	now := p.step.now()
 	if p.retryAt <= now {
@@ -50,8 +50,8 @@
 	p.planners.refreshOrder(now)
 }
 
-// placeWaiting offers the waiting requests to planners in the order of their arrival, then those that return from the local
-// policy.
+// placeWaiting offers the waiting requests to planners: first those that may have ended a session, then the others in the order
+// of arrival, and if none is left waiting, requests that are handed back by the local policy.
 func (p *placer) placeWaiting() {
 	p.prepare()
 	p.placeFrom(&p.queues.poisonCandidates)
@@ -61,7 +61,7 @@
 	}
 }
 
-// placeReturning offers requests of the local policy to planners, returnBatch at a time.
+// placeReturning hands requests of the local policy back to planners, up to returnBatch at a time.
 func (p *placer) placeReturning() {
 	returning := &p.queues.returning
 	for n := 0; returning.Len() > 0 && n < returnBatch && p.planners.anyCredit(); n++ {
@@ -77,8 +77,8 @@
 	}
 }
 
-// placeFrom offers the requests of a queue to planners. Requests for which there is no planner stay in the queue; up to
-// maxSkippedRequests of them are skipped.
+// placeFrom offers the requests of a queue to planners. Requests without a suitable planner stay in the queue; the pass ends
+// after maxSkippedRequests of them.
 func (p *placer) placeFrom(queue *requestQueue) {
 	var skipped [maxSkippedRequests]*openRequest
 	count := 0
@@ -96,7 +96,8 @@
 	}
 }
 
-// place offers a waiting request to a planner. It returns false if there is none for it now.
+// place offers a waiting request to a planner. It returns false if no planner is suitable now, or if the request must wait after
+// a transfer.
 func (p *placer) place(request *openRequest) bool {
 	if request.notBefore > p.step.now() {
 		p.retryBy(request.notBefore)
@@ -110,10 +111,10 @@
 	return true
 }
 
-// nextRetry returns when waiting requests are to be placed again; 0: not by time.
+// nextRetry returns when to place waiting requests again even without an event, or 0 if no time is set.
 func (p *placer) nextRetry() time.Duration { return p.retryAt }
 
-// retryBy has waiting requests placed again at an instant, or earlier.
+// retryBy schedules placing waiting requests again at the given time, unless an earlier time is set.
 func (p *placer) retryBy(at time.Duration) {
 	if p.retryAt == 0 || at < p.retryAt {
 		p.retryAt = at
--- a/internal/control/forwarder/plannerselection.go
+++ b/internal/control/forwarder/plannerselection.go
@@ -1,8 +1,8 @@
 package forwarder
 
-// selectPlanner returns the planner that a request is to be offered to, other than the one excluded; nil: there is none
-// now. The target of a transfer is preferred. A planner that is suspected, or was the last to transfer the request, is
-// selected only if there is no other and none is excluded.
+// selectPlanner returns the planner to offer a request to, other than the excluded one (which may be nil), or nil if there is
+// none now. The target of a transfer is preferred. A planner that is suspected, or that transferred the request last, is selected
+// only as a last resort, and only if no planner is excluded.
 func (p *placer) selectPlanner(request *openRequest, excluded *plannerSession) *plannerSession {
 	if target := p.availableTarget(request); target != nil && target != excluded {
 		return target
@@ -20,7 +20,7 @@
 	return fallback
 }
 
-// availableTarget returns the planner that a request was transferred to, or nil if the request can't be offered to it.
+// availableTarget returns the planner that a request was transferred to, or nil if the request can't be offered to it now.
 func (p *placer) availableTarget(request *openRequest) *plannerSession {
 	if request.transferTarget == "" {
 		return nil
--- a/internal/control/forwarder/plannerset.go
+++ b/internal/control/forwarder/plannerset.go
@@ -8,39 +8,39 @@
 	"valvecove/internal/control/message"
 )
 
-// maxPlanners is how many planners a forwarder uses at most.
+// maxPlanners is the maximum number of planners that a forwarder uses.
 const maxPlanners = 64
 
-// PlannerSelector orders planners by preference, by what the forwarder reports to it. It is *membership.ForwarderMembership
-// in a forwarder process.
+// PlannerSelector orders planners by preference, based on what the forwarder reports to it. A forwarder process uses
+// *membership.ForwarderMembership.
 type PlannerSelector interface {
-	// PlannersKnown reports the names of all planners that the forwarder knows, in order.
+	// PlannersKnown reports the names of all planners that the forwarder knows, sorted.
 	PlannersKnown(now time.Duration, planners []string)
-	// SessionChanged reports that a planner has accepted a session, or that it is lost to the forwarder: it has ended, does
-	// not reply, or shuts down.
+	// SessionChanged reports that a planner has accepted a session (up), or that it can no longer be used because the session has
+	// ended, the planner does not reply, or it is shutting down.
 	SessionChanged(now time.Duration, planner string, up bool)
-	// ReplyReceived reports how long a planner took to reply to a heartbeat, and how late it was, by its own reply, for its
-	// own timers.
+	// ReplyReceived reports how long a planner took to reply to a heartbeat, and the timer lag that the reply states: how late
+	// the planner's own timers fire.
 	ReplyReceived(now time.Duration, planner string, latency, timerLag time.Duration)
 	// AppendOrder appends the names of planners to dst, the most preferred first.
 	AppendOrder(now time.Duration, dst []string) []string
-	// Next returns when the order may change without a report; 0: it does not.
+	// Next returns when the order may change without a further report, or 0 if it does not.
 	Next() time.Duration
 }
 
-// plannerSet is the planners to which there is a connection, and their order of preference. It passes on to the selector
-// what that needs for its order.
+// plannerSet holds the sessions with all connected planners and their order of preference. It reports to the selector what the
+// order depends on.
 type plannerSet struct {
 	selector   PlannerSelector
 	sessions   []*plannerSession // by name of the planner
 	preferred  []*plannerSession // the same, the most preferred first
-	orderNames []string          // of planners, as the selector has them
-	orderStale bool              // preferred is to be computed anew
-	knownCount int               // planners of the last setKnown
-	hadPlanner bool              // a planner has accepted a session
+	orderNames []string          // planner names in the selector's order; the memory is reused
+	orderStale bool              // preferred must be recomputed
+	knownCount int               // number of planners in the last setKnown
+	hadPlanner bool              // whether a planner has ever accepted a session
 }
 
-// setKnown processes the names of all known planners.
+// setKnown records how many planners are known, and reports their names to the selector.
 func (p *plannerSet) setKnown(now time.Duration, names []string) {
 	p.knownCount = len(names)
 	p.selector.PlannersKnown(now, names)
@@ -53,7 +53,7 @@
 // all returns the sessions with all planners, by name of the planner. The slice is valid until the next add or remove.
 func (p *plannerSet) all() []*plannerSession { return p.sessions }
 
-// find returns the session with a planner, or nil.
+// find returns the session with a planner, or nil if there is no connection to it.
 func (p *plannerSet) find(planner string) *plannerSession {
 	if i, found := p.search(planner); found {
 		return p.sessions[i]
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// add returns the session with a planner, a new one if there is none; nil: there are maxPlanners already.
+// add returns the session with a planner, and creates it if there is none. It returns nil if there are maxPlanners already.
 func (p *plannerSet) add(planner string) *plannerSession {
 	i, found := p.search(planner)
 	if !found {
@@ -98,15 +98,15 @@
 	}
 }
 
-// sessionAccepted processes that a planner has accepted a session.
+// sessionAccepted records and reports that a planner has accepted a session.
 func (p *plannerSet) sessionAccepted(now time.Duration, planner string) {
 	p.hadPlanner = true
 	p.orderStale = true
 	p.selector.SessionChanged(now, planner, true)
 }
 
-// sessionLost processes that the session with a planner has ended, or that the planner shuts down. The selector is notified
-// if the planner accepted requests until now.
+// sessionLost handles the end of a session or the shutdown of its planner. The selector is notified if wasActive is set: the
+// planner accepted requests until now.
 func (p *plannerSet) sessionLost(now time.Duration, planner string, wasActive bool) {
 	p.orderStale = true
 	if wasActive {
@@ -114,13 +114,13 @@
 	}
 }
 
-// replyReceived processes a planner's reply to a heartbeat.
+// replyReceived reports a planner's reply to a heartbeat to the selector.
 func (p *plannerSet) replyReceived(now time.Duration, planner string, latency, timerLag time.Duration) {
 	p.selector.ReplyReceived(now, planner, latency, timerLag)
 	p.orderStale = true
 }
 
-// refreshOrder computes the order of preference anew, if it may have changed.
+// refreshOrder recomputes the order of preference if it may have changed.
 func (p *plannerSet) refreshOrder(now time.Duration) {
 	if at := p.selector.Next(); !p.orderStale && (at == 0 || at > now) {
 		return
@@ -145,7 +145,7 @@
 // byPreference returns the sessions with all planners as of the last refreshOrder, the most preferred first.
 func (p *plannerSet) byPreference() []*plannerSession { return p.preferred }
 
-// nextOrderChange returns when the order of preference may change without an event; 0: not by time.
+// nextOrderChange returns when the order of preference may change without an event, or 0 if no such time is known.
 func (p *plannerSet) nextOrderChange(now time.Duration) time.Duration {
 	if at := p.selector.Next(); at > now {
 		return at
@@ -153,17 +153,17 @@
 	return 0
 }
 
-// anyCredit reports whether any planner accepts a request now.
+// anyCredit reports whether any planner has credit for a request now.
 func (p *plannerSet) anyCredit() bool {
 	return slices.ContainsFunc(p.preferred, (*plannerSession).hasCredit)
 }
 
-// anyAccepts reports whether any planner accepts requests when it has credit.
+// anyAccepts reports whether any planner accepts requests, even if it has no credit now.
 func (p *plannerSet) anyAccepts() bool {
 	return slices.ContainsFunc(p.sessions, (*plannerSession).acceptsRequests)
 }
 
-// draining returns the names of the planners that shut down.
+// draining returns the names of the planners that are shutting down.
 func (p *plannerSet) draining() (names []string) {
 	for _, session := range p.sessions {
 		if session.state == sessionDraining {
--- a/internal/control/forwarder/position.go
+++ b/internal/control/forwarder/position.go
@@ -1,9 +1,9 @@
 package forwarder
 
-// position is the index of this forwarder among all forwarders, and their count.
+// position is the index of this forwarder among all forwarders, and their number.
 type position struct {
-	index, count int // the index is from 0; a count of 0: not known yet
+	index, count int // index starts at 0; count is 0 until the position is known
 }
 
-// loadShare returns the fraction of all load that this forwarder has.
+// loadShare returns this forwarder's fraction of the total load, assuming that the forwarders share it equally.
 func (p position) loadShare() float64 { return 1 / float64(max(1, p.count)) }
--- a/internal/control/forwarder/queue.go
+++ b/internal/control/forwarder/queue.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/deadline"
 )
 
-// confirmDelay is the time to the next step after attempts were sent of requests that wait. The request table notifies the forwarder
-// of an attempt that it does not send before that, and of one that it sends not at all.
+// confirmDelay is the time to the next step while requests wait in requestQueues.unconfirmed. By then the request table has
+// reported which of their attempts it did not send.
 const confirmDelay = time.Millisecond
 
 // requestQueue holds requests in the order of their arrival, which is that of their IDs.
@@ -19,13 +19,13 @@
 type queueEntry struct {
 	deadline.Item
 	request *openRequest
-	queue   *requestQueue // nil: it is in none
+	queue   *requestQueue // nil if the request is in no queue
 }
 
 // first returns the request that arrived first. The queue must not be empty.
 func (r *requestQueue) first() *openRequest { return r.First().request }
 
-// add puts a request into the queue, and removes it from the queue in which it is.
+// add moves a request into the queue, out of the queue that it is in, if any.
 func (r *requestQueue) add(request *openRequest) {
 	dequeue(request)
 	request.queued.At = time.Duration(request.job.ID)
@@ -33,7 +33,7 @@
 	r.Add(&request.queued)
 }
 
-// dequeue removes a request from the queue in which it is, if it is in one.
+// dequeue removes a request from the queue that it is in, if any.
 func dequeue(request *openRequest) {
 	if request.queued.queue != nil {
 		request.queued.queue.Remove(&request.queued)
@@ -41,15 +41,15 @@
 	}
 }
 
-// requestQueues are the queues of requests that are to be placed. A request is in one of them at most.
+// requestQueues holds the queues of requests that are to be assigned to a planner. A request is in at most one of them.
 type requestQueues struct {
-	waiting          requestQueue // requests that wait for a planner, or for its credit
-	poisonCandidates requestQueue // the same, of requests that may have ended a planner's session
-	returning        requestQueue // requests of the local policy that are to be offered to planners
-	unconfirmed      requestQueue // requests with an attempt that the request table has not confirmed; they wait for the next step
+	waiting          requestQueue // requests that wait for a planner or its credit
+	poisonCandidates requestQueue // the same, for requests that may have ended a session or a policy
+	returning        requestQueue // requests of the local policy that are to be handed back to planners
+	unconfirmed      requestQueue // requests that wait for the next step, as the request table has not confirmed an attempt
 }
 
-// enqueue puts a request that is assigned to nobody among those that wait for a planner.
+// enqueue adds an unassigned request to the queue in which it waits for a planner.
 func (r *requestQueues) enqueue(request *openRequest) { r.waitingQueue(request).add(request) }
 
 // waitingQueue returns the queue in which a request waits for a planner.
@@ -60,14 +60,15 @@
 	return &r.waiting
 }
 
-// releaseUnconfirmed has the requests whose attempts were confirmed or ended since the last step wait for a planner.
+// releaseUnconfirmed moves the requests whose attempts were confirmed or ended since the last step to the queues in which they
+// wait for a planner.
 func (r *requestQueues) releaseUnconfirmed() {
 	for r.unconfirmed.Len() > 0 {
 		r.enqueue(r.unconfirmed.first())
 	}
 }
 
-// nextRelease returns when requests can be released next, after the step of an instant; 0: there are none.
+// nextRelease returns when unconfirmed requests can be released, if the current step is at now, or 0 if there are none.
 func (r *requestQueues) nextRelease(now time.Duration) time.Duration {
 	if r.unconfirmed.Len() == 0 {
 		return 0
--- a/internal/control/forwarder/random_test.go
+++ b/internal/control/forwarder/random_test.go
@@ -24,7 +24,8 @@
 	{errorPercent: 90, sendsFalseStatuses: true, losesOffers: true},
 }
 
-// Whatever planners do, no rule is broken, each request has one response in time, and nothing is left in the end.
+// Whatever the planners do, the forwarder breaks no rule, each request gets one response in time, and no state is left at the
+// end.
 func TestRandomPlanners(t *testing.T) {
 	stats := map[string]int{}
 	for seed := *firstSeed; seed < *firstSeed+*runs; seed++ {
@@ -35,8 +36,9 @@
 	}
 }
 
-// TestRandomPlannersAtSeed5323 runs a seed at which a planner sends a request and transfers it in one step.
-func TestRandomPlannersAtSeed5323(t *testing.T) {
+// At this seed a planner sends a request and transfers it in the same step of the forwarder, when the request table has not yet
+// confirmed the attempt.
+func TestSendAndTransferInOneStep(t *testing.T) {
 	const seed = 5323
 	runRandom(t, seed, behaviorsOf(seed), map[string]int{})
 }
@@ -50,7 +52,7 @@
 	return planners
 }
 
-// runRandom runs a forwarder with planners of some behaviors, and fails on the first broken rule.
+// runRandom runs a forwarder with one planner per behavior, and fails on the first broken rule.
 func runRandom(t *testing.T, seed uint64, planners []behavior, stats map[string]int) {
 	t.Helper()
 	selector := &fixedOrder{}
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/requests"
 )
 
-// cluster is a forwarder with real planners, and the membership by which it selects one.
+// cluster is a forwarder with real planners and the membership from which it selects one.
 type cluster struct {
 	*environment
 	planners        []*plannerProcess
@@ -27,11 +27,11 @@
 type plannerProcess struct {
 	connection
 	cluster    *cluster
-	planner    *planner.Planner // nil: it is dead
-	changes    int              // counts starts and deaths
+	planner    *planner.Planner // nil while the process is dead
+	changes    int              // counts starts and deaths of the process
 	sessionID  planner.SessionID
-	heldEvents []planner.Event // received while it was frozen
-	peers      map[string]bool // that it is connected to
+	heldEvents []planner.Event // events received while frozen
+	peers      map[string]bool // by name: whether the planner is connected to that peer
 }
 
 func newCluster(t *testing.T, seed uint64, planners int) *cluster {
@@ -78,8 +78,8 @@
 	}
 }
 
-// allowTime sets deadlines that leave enough time to serve all requests.
-func (c *cluster) allowTime() {
+// setAmpleDeadlines sets deadlines and limits that leave enough time to serve all requests.
+func (c *cluster) setAmpleDeadlines() {
 	c.arrivalInterval = 30 * millisecond
 	c.minRemaining = 1500 * millisecond
 	c.forwarder.placer.maxWaiting = 1000
@@ -90,7 +90,7 @@
 	}
 }
 
-// workerOf returns an endpoint in the form of a planner's policy. Names of zones and machine types end in their index.
+// workerOf converts an endpoint to a worker of a planner's policy. Names of zones and machine types end in their index.
 func workerOf(endpoint requests.Endpoint) dispatch.Worker {
 	index := func(name string) int { return int(name[len(name)-1] - '0') }
 	return dispatch.Worker{
@@ -125,7 +125,7 @@
 	}
 }
 
-// maintain steps the membership periodically, and closes connections to planners that shut down.
+// maintain steps the membership periodically, and reconnects planners that the forwarder reports as draining.
 func (c *cluster) maintain() {
 	c.stepMembership()
 	for _, name := range c.forwarder.DrainingPlanners() {
@@ -142,7 +142,7 @@
 	})
 }
 
-// announceMembers notifies all planners of those that are alive, and divides the cells among these.
+// announceMembers notifies all live planners of each other, and divides the cells among them.
 func (c *cluster) announceMembers() {
 	alive := []string{}
 	for _, process := range c.planners {
@@ -179,7 +179,7 @@
 	p.step(planner.PeersChanged{Names: peers}, planner.PartitionChanged{Owner: owner})
 }
 
-// start starts a process.
+// start starts the planner process, which joins the membership and connects after a short delay.
 func (p *plannerProcess) start() {
 	if p.planner != nil || p.env.stopped {
 		return
@@ -281,11 +281,11 @@
 			p.step(planner.EndpointsChanged{Endpoints: list})
 		}))
 	case planner.Stopped:
-		p.env.after(2*transitTime, p.kill)
+		p.env.after(2*networkDelay, p.kill)
 	}
 }
 
-// inProcess returns a function that acts only if the present process is still alive when it is called.
+// inProcess returns a function that calls act only if the process has neither died nor restarted since.
 func (p *plannerProcess) inProcess(act func()) func() {
 	changes := p.changes
 	return func() {
@@ -303,7 +303,7 @@
 	received := planner.PeerMessage{Peer: p.name, Envelope: action.Envelope}
 	for _, peer := range p.cluster.planners {
 		if peer.name == action.Peer {
-			p.env.after(transitTime, func() { peer.step(received) })
+			p.env.after(networkDelay, func() { peer.step(received) })
 		}
 	}
 }
@@ -311,7 +311,7 @@
 // closeSession closes the connection once the messages sent before have arrived.
 func (p *plannerProcess) closeSession() {
 	generation := p.generation
-	p.env.after(transitTime, func() {
+	p.env.after(networkDelay, func() {
 		if p.generation == generation {
 			p.disconnect()
 			p.env.after(p.env.randomDuration(5, 100), p.connect)
@@ -319,7 +319,7 @@
 	})
 }
 
-// scheduleFault has a planner suffer a fault later, and then the next one.
+// scheduleFault schedules a fault of a random planner, which in turn schedules the next fault.
 func (c *cluster) scheduleFault(interval int) {
 	c.after(c.randomDuration(interval/4, interval), func() {
 		if c.stopped {
@@ -329,13 +329,13 @@
 			return
 		}
 		process := c.planners[c.rng.IntN(len(c.planners))]
-		process.sufferFault()
+		process.injectFault()
 		c.scheduleFault(interval)
 	})
 }
 
-// sufferFault has the planner die, freeze, shut down or lose its connection, or all planners die.
-func (p *plannerProcess) sufferFault() {
+// injectFault kills, freezes, shuts down or disconnects the planner, or kills all planners.
+func (p *plannerProcess) injectFault() {
 	switch p.env.rng.IntN(5) {
 	case 0:
 		p.kill()
@@ -355,7 +355,7 @@
 	}
 }
 
-// thaw ends a freeze. Messages that the planner sent before it have arrived.
+// thaw ends a freeze and processes what the planner received meanwhile.
 func (p *plannerProcess) thaw() {
 	if !p.frozen {
 		return
@@ -369,12 +369,12 @@
 	}
 }
 
-// With real planners and without faults all requests are served, and no command is rejected.
+// With real planners and no faults, all requests are served and no command is rejected.
 func TestRealPlanners(t *testing.T) {
 	for seed := range uint64(6) {
 		c := newCluster(t, seed, 1+int(seed)%3)
 		c.faultless = true
-		c.allowTime()
+		c.setAmpleDeadlines()
 		c.begin()
 		c.run(3 * time.Second)
 		if len(c.violations) > 0 {
@@ -382,7 +382,7 @@
 		}
 		served, lost := c.stats[responseServed], c.stats[responseRejected]+c.stats[responseFailed]
 		if lost > 0 || served < 50 {
-			t.Errorf("seed %d: %d served, %d not", seed, served, lost)
+			t.Errorf("seed %d: %d requests served, want at least 50; %d lost, want none", seed, served, lost)
 		}
 		for reason := range message.ReasonCount {
 			if count := c.forwarder.validator.RejectedCount(reason); count > 0 {
@@ -392,11 +392,11 @@
 	}
 }
 
-// minFaultRuns is how many random runs TestRealPlannersWithFaults makes at least: with fewer, the share of requests that are lost
-// depends on the seeds.
+// minFaultRuns is the minimum number of random runs in TestRealPlannersWithFaults. With fewer runs, the fraction of lost requests
+// depends on the choice of seeds.
 const minFaultRuns = 600
 
-// With real planners and faults no rule is broken, and nearly all requests are served if there is time.
+// With real planners and faults, no rule is broken, and at most 1 request is lost per 100 served if deadlines are ample.
 func TestRealPlannersWithFaults(t *testing.T) {
 	hurried, ample := map[string]int{}, map[string]int{}
 	losses := lossSummary{}
@@ -405,7 +405,7 @@
 		stats, faultInterval := hurried, 1000
 		if seed%2 == 0 {
 			c.faultless = true
-			c.allowTime()
+			c.setAmpleDeadlines()
 			stats, faultInterval = ample, 300
 			c.traceLosses(losses)
 		}
@@ -420,10 +420,10 @@
 		}
 	}
 	if lost := ample[responseRejected] + ample[responseFailed]; lost*100 > ample[responseServed] {
-		t.Errorf("%d lost, though there was time, and %d served; where they were longest, and for how long in the mean:\n%s",
+		t.Errorf("%d requests lost and %d served with ample deadlines; lost requests by where they spent the most time, with the mean of it:\n%s",
 			lost, ample[responseServed], losses)
 	}
 	for _, name := range slices.Sorted(maps.Keys(hurried)) {
-		t.Logf("%s %d, with ample time %d", name, hurried[name], ample[name])
+		t.Logf("%s %d, with ample deadlines %d", name, hurried[name], ample[name])
 	}
 }
--- a/internal/control/forwarder/rejectionlog.go
+++ b/internal/control/forwarder/rejectionlog.go
@@ -11,7 +11,7 @@
 // rejectionLogInterval is the time between two log lines about rejected commands.
 const rejectionLogInterval = time.Second
 
-// rejections counts the commands of a planner that were rejected since they were last logged.
+// rejections counts the rejected commands of a planner since the last log line about them.
 type rejections struct {
 	byReason [message.ReasonCount]int
 	total    int
@@ -34,7 +34,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// rejectionLog logs rejected commands of planners, summed up over rejectionLogInterval.
+// rejectionLog logs the rejected commands of each planner, with at most one line per planner in rejectionLogInterval.
 type rejectionLog struct {
 	step     *step
 	planners *plannerSet
--- a/internal/control/forwarder/request.go
+++ b/internal/control/forwarder/request.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	// A request that is transferred more than maxImmediateTransfers times waits before it is offered again, for
-	// transferBackoff at first and twice as long each further time: its planners do not agree on its assignment.
+	// A request that is transferred more than maxImmediateTransfers times waits before it is offered again, because its planners
+	// disagree on its assignment. The wait starts at transferBackoff and doubles at most maxTransferDoublings times.
 	transferBackoff       = 20 * time.Millisecond
 	maxImmediateTransfers = 2
 	maxTransferDoublings  = 6
 )
 
-// openRequest is a request that has no response yet, or has attempts in flight.
+// openRequest is a request that has no response yet or still has attempts in flight.
 type openRequest struct {
-	deadline.Item        // when the next check of checkSchedule is due
-	scheduled       bool // checkSchedule has a check of it
+	deadline.Item        // At is when its next check in checkSchedule is due
+	scheduled       bool // whether it is in checkSchedule
 	queued          queueEntry
 	job             dispatch.Job
 	arrivedAt       time.Duration
 	deadline        time.Duration
-	objective       time.Duration // the instant by which it should have been sent
+	objective       time.Duration // the time by which it should have been sent
 	state           requestState
-	objectiveWaived bool // the objective was missed while there was no planner, so it waits until the deadline
+	objectiveWaived bool // the objective was missed while no planner was available, so it may wait until its deadline
 
-	// The planner that has the request, or had it when it was closed, for as long as attempts are in flight; else nil.
+	// The session with the planner that the request is assigned to. It is kept after the request is closed, while attempts are
+	// in flight. Nil otherwise.
 	session         *plannerSession
 	epoch           message.Epoch // of the session in which it was offered
 	sessionIndex    int           // in the session's list of requests
-	offeredSequence uint64        // a reply to the heartbeat of this number shows that the planner has read the offer
+	offeredSequence uint64        // a reply to the heartbeat with this sequence number confirms that the offer was read
 	command         awaitedCommand
 
-	knownLocally   bool            // the local policy was notified of it
+	knownLocally   bool            // the local policy knows the request and is notified of its events
 	revokedEpochs  []message.Epoch // sessions from which it was revoked
 	transferredBy  *plannerSession // the planner that transferred it last, or whose session failed on it
 	transferTarget string          // the planner that it was transferred to
-	transfers      int             // transfer commands executed
-	notBefore      time.Duration   // when it may be offered again after a transfer
-	sentInStep     uint64          // number of the last step in which an attempt was sent; 0: none was
-	failures       int             // sessions that ended, or policies that panicked, perhaps because of it
+	transfers      int             // executed transfer commands
+	notBefore      time.Duration   // earliest time to offer it again after a transfer
+	sentInStep     uint64          // number of the last step in which an attempt was sent, or 0
+	failures       int             // sessions that ended and policies that panicked, possibly because of this request
 }
 
 // awaitedCommand is the wait for a planner's command for a request.
 type awaitedCommand struct {
-	given        bool          // the planner has given one since the start of the wait
-	awaitedSince time.Duration // when the wait was started
-	dueAt        time.Duration // when the wait times out; 0: never
+	given        bool          // whether the planner has given a command since the wait started
+	awaitedSince time.Duration // when the wait started
+	dueAt        time.Duration // when the wait times out; 0 if it does not
 }
 
-// requestState is to whom a request is assigned.
+// requestState states what a request is assigned to, or that it is closed.
 type requestState uint8
 
 const (
-	requestWaiting requestState = iota // nobody
-	requestOffered                     // a planner
-	requestLocal                       // the local policy
-	requestClosed                      // it has its response, or its client has disconnected
+	requestWaiting requestState = iota // unassigned
+	requestOffered                     // assigned to a planner
+	requestLocal                       // assigned to the local policy
+	requestClosed                      // the response is given, or the client has disconnected
 )
 
 // String returns the state's name.
@@ -79,17 +80,17 @@
 	}
 }
 
-// requestEvent is what changes the state of a request.
+// requestEvent is an event that may change the state of a request.
 type requestEvent uint8
 
 const (
 	eventOffered       requestEvent = iota // to a planner
 	eventAssignedLocal                     // to the local policy
-	eventUnassigned                        // from whoever had it
+	eventUnassigned                        // from a planner or the local policy
 	eventClosed
 )
 
-// after returns the state after an event, or false if the event has no meaning in this state.
+// after returns the state after an event, or false if the event is not valid in this state.
 func (r requestState) after(event requestEvent) (next requestState, valid bool) {
 	switch event {
 	case eventOffered:
@@ -105,7 +106,7 @@
 	}
 }
 
-// transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning.
+// transition applies an event to the state. It returns false and changes nothing if the event is not valid in this state.
 func (o *openRequest) transition(event requestEvent) bool {
 	next, valid := o.state.after(event)
 	if valid {
@@ -114,12 +115,12 @@
 	return valid
 }
 
-// isOfferedTo reports whether the request is assigned to a planner. A nil request is assigned to nobody.
+// isOfferedTo reports whether the request is assigned to the planner of a session. A nil request is not.
 func (o *openRequest) isOfferedTo(session *plannerSession) bool {
 	return o != nil && o.state == requestOffered && o.session == session
 }
 
-// isRevokedFrom reports whether the request may not be offered in a planner's session.
+// isRevokedFrom reports whether the request was revoked from a session, so that it may not be offered in it again.
 func (o *openRequest) isRevokedFrom(session *plannerSession) bool {
 	for _, epoch := range o.revokedEpochs {
 		if epoch == session.epoch {
@@ -145,8 +146,8 @@
 	}
 }
 
-// nextObjectiveCheck returns when a waiting request is next checked for its objective: when it starts to risk it, and when it
-// misses it.
+// nextObjectiveCheck returns when a waiting request is next checked for its objective: first when the objective is at risk, then
+// when it is missed.
 func (o *openRequest) nextObjectiveCheck(now time.Duration) time.Duration {
 	if atRisk := o.objectiveAtRisk(0); now < atRisk {
 		return atRisk
@@ -154,14 +155,15 @@
 	return min(o.deadline, o.objective)
 }
 
-// objectiveAtRisk returns when the request, if it is not sent, starts to risk its objective: halfway to it.
+// objectiveAtRisk returns when the objective of a request that is not sent is at risk: halfway between the request's arrival and
+// the objective, but not before now.
 func (o *openRequest) objectiveAtRisk(now time.Duration) time.Duration {
 	return max(now, o.objective-(o.objective-o.arrivedAt)/2)
 }
 
-// mayHaveEndedSession reports whether the request may be the cause of the end of its planner's session: the planner has not
-// confirmed that it read the offer, and has had half its shortest reply time to read it, which is the earliest that an end
-// caused by the offer can be seen.
+// mayHaveEndedSession reports whether the request may have caused the end of its planner's session. That requires that the
+// planner has not confirmed that it read the offer, and that at least half its shortest reply time has passed since the offer:
+// the forwarder can't see an end that the offer caused any earlier.
 func (o *openRequest) mayHaveEndedSession(now time.Duration) bool {
 	heartbeat := &o.session.heartbeat
 	return o.offeredSequence > heartbeat.acknowledged && !o.command.given &&
--- a/internal/control/forwarder/requesttimeouts.go
+++ b/internal/control/forwarder/requesttimeouts.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// plannerAvailability reports whether a planner accepts requests, and is notified of requests that can't wait for one.
+// plannerAvailability reports whether a planner accepts requests, and enters standalone mode for requests that can't wait for
+// one.
 type plannerAvailability interface {
 	hasPlanner() bool
 	enterForObjective()
 }
 
-// requestTimeouts decides on requests that have reached their deadline, that were not placed by their objective, or for
-// which their planner gives no command.
+// requestTimeouts handles requests that have reached their deadline, that were not offered by their objective, or for which
+// their planner gives no command.
 type requestTimeouts struct {
 	step        *step
 	stats       *Stats
@@ -21,7 +22,7 @@
 	mode        plannerAvailability
 
 	commandTimeout time.Duration
-	retryDelay     time.Duration // to the next check, where the planner can't be judged or replaced now
+	retryDelay     time.Duration // to the next check if the request can't be revoked from its planner now
 }
 
 // run checks the requests whose check is due.
@@ -38,7 +39,7 @@
 	}
 }
 
-// check does what is due for a request.
+// check handles the timeout of a request that is due.
 func (r *requestTimeouts) check(request *openRequest) {
 	now := r.step.now()
 	switch {
@@ -54,8 +55,8 @@
 	}
 }
 
-// objectiveMissed decides on a request that was not placed by its objective. If there are planners, none has capacity: the
-// request is given up in favour of those that wait behind it. Else it waits for a planner.
+// objectiveMissed handles a request that was not offered by its objective. If a planner is available, it lacks capacity, and the
+// request is given up in favour of those that wait behind it. Otherwise the request waits for a planner until its deadline.
 func (r *requestTimeouts) objectiveMissed(request *openRequest) {
 	if r.mode.hasPlanner() {
 		r.stats.Unplaced++
@@ -65,9 +66,9 @@
 	request.objectiveWaived = true
 }
 
-// commandOverdue decides on a request for which its planner has given no command in time. From a suspected planner the
-// request is revoked if there is another planner for it. From a planner that replies only a few requests are revoked: it may
-// have a reason to queue them, and the other planners would get that load too.
+// commandOverdue handles a request for which its planner has given no command in time. If the planner is suspected, the request
+// is revoked if another planner can take it. If the planner replies to heartbeats, only a few requests are revoked: it may have
+// a reason to queue them, and revoking many would add its load to the other planners.
 func (r *requestTimeouts) commandOverdue(request *openRequest) {
 	now := r.step.now()
 	session := request.session
@@ -78,7 +79,7 @@
 	case !session.isSuspected() && now < timeoutAt:
 		request.command.dueAt = timeoutAt
 		return
-	case r.timer.isLate(now): // there may be a message of the planner that is not read yet
+	case r.timer.isLate(now): // the command may have arrived but not been read yet
 		request.command.dueAt = now + r.retryDelay
 		return
 	case !session.isSuspected() && !r.assignments.mayReoffer():
--- a/internal/control/forwarder/response.go
+++ b/internal/control/forwarder/response.go
@@ -7,17 +7,17 @@
 	"valvecove/internal/control/message"
 )
 
-// maxSessionFailures is how many sessions or policies may fail on a request before it is given up.
+// maxSessionFailures is the number of sessions or policies that fail on a request until it is given up.
 const maxSessionFailures = 2
 
-// responseValidator knows whether a rejection of a request is safe, and is notified of the sends and responses that are
-// executed.
+// responseValidator reports whether a request may safely be rejected, and is notified of executed sends and responses.
 type responseValidator interface {
 	Apply(now time.Duration, action dispatch.Action)
 	CanReject(id uint64) bool
 }
 
-// responder executes sends and responses, closes requests, and gives up the requests that nobody decides on.
+// responder executes sends and responses, closes requests, and gives up requests for which no planner or policy decides in
+// time.
 type responder struct {
 	step          *step
 	stats         *Stats
@@ -29,14 +29,14 @@
 	maxRetryAfter time.Duration
 }
 
-// execute has an attempt sent or a response given, and notifies the validator.
+// execute emits an action that sends an attempt or a response, and notifies the validator.
 func (r *responder) execute(action dispatch.Action) {
 	r.step.emit(action)
 	r.validator.Apply(r.step.now(), action)
 }
 
-// sendAttempt has a request sent to a worker. A timeout that is negative or beyond the deadline is replaced by the
-// deadline: the attempt may still be executed after it, which is to be reported.
+// sendAttempt sends a request to a worker. A timeout that is negative or beyond the deadline is dropped, so that the attempt
+// ends at the deadline. The worker may still execute it after that, which must then be reported.
 func (r *responder) sendAttempt(request *openRequest, worker uint64, timeout time.Duration) {
 	if timeout < 0 || timeout >= request.deadline-r.step.now() {
 		timeout = 0
@@ -47,8 +47,8 @@
 	r.checks.schedule(request)
 }
 
-// recordFailure processes that a planner's session or policy has failed, perhaps because of a request; a nil session: that
-// the local policy has panicked. The request is enqueued, or given up after maxSessionFailures failures.
+// recordFailure handles a request that may have caused a planner's session to end or its policy to panic, or, if the session is
+// nil, the local policy to panic. The request is enqueued, or given up at maxSessionFailures failures.
 func (r *responder) recordFailure(request *openRequest, session *plannerSession) {
 	request.failures++
 	if request.failures < maxSessionFailures {
@@ -62,7 +62,8 @@
 	r.giveUp(request)
 }
 
-// giveUp responds to a request that nobody decides on: with a rejection if that is safe, else with a failure.
+// giveUp responds to a request without a decision of a planner or policy: with a rejection if that is safe, otherwise with a
+// failure.
 func (r *responder) giveUp(request *openRequest) {
 	if r.validator.CanReject(request.job.ID) {
 		r.stats.Rejected++
@@ -74,7 +75,7 @@
 	r.closeRequest(request, ownerNotified)
 }
 
-// reject responds with a rejection. The Retry-After is limited to what the settings allow.
+// reject responds with a rejection. Its Retry-After is limited to maxRetryAfter.
 func (r *responder) reject(request *openRequest, retryAfter time.Duration) {
 	r.execute(dispatch.Reject{Job: request.job.ID, RetryAfter: min(max(0, retryAfter), r.maxRetryAfter)})
 }
@@ -82,15 +83,15 @@
 // fail responds with a failure, which does not say whether the request was executed.
 func (r *responder) fail(request *openRequest) { r.execute(dispatch.Fail{Job: request.job.ID}) }
 
-// ownerNotice says whether the planner or policy that a request is assigned to is notified of its end.
+// ownerNotice states whether the planner or policy that a request is assigned to must be notified of its end.
 type ownerNotice bool
 
 const (
-	ownerKnows    ownerNotice = false // it gave the command that closes the request, or is notified of its cause
+	ownerKnows    ownerNotice = false // it gave the command that closes the request, or is notified in another way
 	ownerNotified ownerNotice = true
 )
 
-// closeRequest closes a request: it has its response, or its client has disconnected.
+// closeRequest closes a request whose response is given or whose client has disconnected.
 func (r *responder) closeRequest(request *openRequest, notify ownerNotice) {
 	owner := request.state
 	if !request.transition(eventClosed) {
--- a/internal/control/forwarder/scriptedplanner_test.go
+++ b/internal/control/forwarder/scriptedplanner_test.go
@@ -11,30 +11,30 @@
 
 // behavior is how a planner of a random run behaves.
 type behavior struct {
-	errorPercent       int  // of its commands are invalid
-	sendsStale         bool // after a freeze, it first sends the commands from the time of the freeze
-	sendsFalseStatuses bool // of workers
-	losesOffers        bool // some of them
+	errorPercent       int  // percentage of its commands that are invalid
+	sendsStale         bool // after a freeze, it first sends the commands that it decided on during the freeze
+	sendsFalseStatuses bool // it sends false statuses of workers
+	losesOffers        bool // it ignores some offers
 }
 
-// scriptedPlanner is a planner with a simple policy, except for the faults of its behavior.
+// scriptedPlanner is a planner with a simple policy and the faults of its behavior.
 type scriptedPlanner struct {
 	connection
 	behavior
 
-	outbox        []message.Envelope // decided while it was frozen
+	outbox        []message.Envelope // messages decided on while frozen
 	epoch         message.Epoch      // of the newest session whose handshake it has read
 	previousEpoch message.Epoch
 	requests      map[uint64]*scriptedRequest
-	stopped       bool // it has sent a Goodbye
+	stopped       bool // whether it has sent a Goodbye
 }
 
-// scriptedRequest is a request as a scripted planner knows it.
+// scriptedRequest is a scripted planner's state of a request.
 type scriptedRequest struct {
 	summary          message.RequestSummary
 	nextAttempt      int
 	inFlight         int
-	workers          []uint64 // of its attempts
+	workers          []uint64 // workers of its attempts
 	deadline         time.Duration
 	possiblyExecuted bool
 }
@@ -53,20 +53,20 @@
 	return planner
 }
 
-// scheduleIncident schedules an incident of the planner, and then the next one.
+// scheduleIncident schedules an incident of the planner, which in turn schedules the next one.
 func (s *scriptedPlanner) scheduleIncident() {
 	s.env.after(s.env.randomDuration(50, 1500), func() {
 		if s.env.stopped {
 			s.thaw()
 			return
 		}
-		s.sufferIncident()
+		s.injectIncident()
 		s.scheduleIncident()
 	})
 }
 
-// sufferIncident has the planner lose its connection, freeze, shut down, or send an unsolicited message.
-func (s *scriptedPlanner) sufferIncident() {
+// injectIncident makes the planner lose its connection, freeze, shut down, or send an unsolicited message.
+func (s *scriptedPlanner) injectIncident() {
 	env := s.env
 	switch incident := env.rng.IntN(9); {
 	case incident == 0 && s.established:
@@ -123,7 +123,7 @@
 // sendMessage sends a message in the newest session whose handshake the planner has read.
 func (s *scriptedPlanner) sendMessage(body message.Message) { s.sendInEpoch(s.epoch, body) }
 
-// sendInEpoch sends a message in a session, once the planner is not frozen.
+// sendInEpoch sends a message in a session. While the planner is frozen, the message is held in the outbox.
 func (s *scriptedPlanner) sendInEpoch(epoch message.Epoch, body message.Message) {
 	if epoch == 0 {
 		epoch = s.epoch
@@ -136,7 +136,7 @@
 	s.send(envelope)
 }
 
-// sendStatus sends the status of a worker: the true one, an old one, or any.
+// sendStatus sends the status of a worker: the true one, an outdated one, or an arbitrary one.
 func (s *scriptedPlanner) sendStatus() {
 	rng := s.env.rng
 	endpoint := s.env.workers[rng.IntN(len(s.env.workers))]
@@ -167,7 +167,7 @@
 	s.sendMessage(&status)
 }
 
-// handleMessage processes a message of the forwarder.
+// handleMessage processes a message from the forwarder.
 func (s *scriptedPlanner) handleMessage(envelope message.Envelope) {
 	if _, ok := envelope.Message.(*message.Handshake); ok {
 		s.previousEpoch = s.epoch
@@ -185,7 +185,7 @@
 		s.sendMessage(&message.HeartbeatReply{Sequence: body.Sequence, TimerLag: timerLag})
 	case *message.RequestOffer:
 		if !s.losesOffers || s.env.rng.IntN(5) > 0 {
-			s.takeOffer(body)
+			s.acceptOffer(body)
 		}
 	case *message.AttemptEnded:
 		s.attemptEnded(body)
@@ -194,7 +194,7 @@
 	}
 }
 
-func (s *scriptedPlanner) takeOffer(offer *message.RequestOffer) {
+func (s *scriptedPlanner) acceptOffer(offer *message.RequestOffer) {
 	request := &scriptedRequest{
 		summary:     offer.Summary,
 		nextAttempt: len(offer.Summary.Attempts),
@@ -228,10 +228,10 @@
 	s.scheduleDecision(ended.RequestID)
 }
 
-// scheduleDecision has the planner decide on a request later.
+// scheduleDecision schedules the planner's next decision on a request.
 func (s *scriptedPlanner) scheduleDecision(id uint64) {
 	delay := s.env.randomDuration(0, 5)
-	if s.env.rng.IntN(10) == 0 { // there was no capacity
+	if s.env.rng.IntN(10) == 0 { // simulates a planner without capacity
 		delay = s.env.randomDuration(5, 400)
 	}
 	epoch := s.epoch
@@ -303,7 +303,7 @@
 	}
 }
 
-// candidates returns the permitted workers to which a request was not sent yet.
+// candidates returns the permitted workers that the request was not sent to yet.
 func (s *scriptedPlanner) candidates(request *scriptedRequest, class *dispatch.Class) (ids []uint64) {
 	for _, endpoint := range s.env.workers {
 		id := workerID(endpoint.ID)
@@ -315,14 +315,14 @@
 	return ids
 }
 
-// unknownMessage is of a kind that no version has.
+// unknownMessage is a message of a kind that no protocol version defines.
 type unknownMessage struct{}
 
 func (unknownMessage) Kind() message.Kind { return 250 }
 
 func (u unknownMessage) Clone() message.Message { return u }
 
-// sendInvalid sends a command that is most likely not valid.
+// sendInvalid sends a command that is most likely invalid.
 func (s *scriptedPlanner) sendInvalid(id uint64, request *scriptedRequest) {
 	rng := s.env.rng
 	epoch := s.epoch
@@ -330,10 +330,10 @@
 	command := &message.SendCommand{RequestID: id, Attempt: request.nextAttempt, WorkerID: worker}
 	var body message.Message = command
 	switch rng.IntN(9) {
-	case 0: // twice, by one number
+	case 0: // two commands with the same attempt number
 		s.sendMessage(command.Clone())
 		request.nextAttempt++
-	case 1: // twice, by two numbers
+	case 1: // two commands to the same worker with different attempt numbers
 		s.sendMessage(command.Clone())
 		command.Attempt++
 		request.nextAttempt += 2
@@ -341,7 +341,7 @@
 		epoch = []message.Epoch{s.previousEpoch, s.epoch + 1, s.epoch + 2, 7}[rng.IntN(4)]
 	case 3:
 		command.RequestID = rng.Uint64N(s.env.lastID + 5)
-	case 4: // to any worker, whatever the request has had
+	case 4: // an arbitrary worker, regardless of earlier attempts
 		request.nextAttempt++
 	case 5:
 		body = s.otherMessage(command)
@@ -358,7 +358,7 @@
 	s.scheduleDecision(id)
 }
 
-// otherMessage returns a message of another kind in place of a send command, rarely a Goodbye.
+// otherMessage returns a message of a random kind to send in place of a send command. A Goodbye is rare.
 func (s *scriptedPlanner) otherMessage(command *message.SendCommand) message.Message {
 	messages := []message.Message{
 		&message.RejectCommand{RequestID: command.RequestID},
--- a/internal/control/forwarder/session.go
+++ b/internal/control/forwarder/session.go
@@ -7,15 +7,15 @@
 	"valvecove/internal/control/message"
 )
 
-// plannerSession is the connection to one planner, and the session on it. When the session ends while the connection is
-// kept, the next session starts on it at once, with a new epoch.
+// plannerSession is the connection to one planner and the current session on it. If a session ends while the connection is
+// kept, the next session starts at once, with a new epoch.
 type plannerSession struct {
 	planner         string        // name of the planner
-	epoch           message.Epoch // of the session; 0: there is none
+	epoch           message.Epoch // of the session; 0 if there is none
 	state           sessionState
-	overrun         bool           // a message of the planner was dropped
-	credit          int            // requests that may be assigned to the planner at a time
-	requests        []*openRequest // that are assigned to the planner, in no particular order
+	overrun         bool           // a message from the planner was dropped
+	credit          int            // maximum number of requests assigned to the planner at a time
+	requests        []*openRequest // requests assigned to the planner, in no particular order
 	heartbeat       heartbeat
 	poisonCandidate *openRequest // a request with failures that the planner may not have read yet
 	rejections      rejections
@@ -26,9 +26,9 @@
 
 const (
 	sessionNone        sessionState = iota // there is no session
-	sessionHandshaking                     // the planner has not accepted it
+	sessionHandshaking                     // the planner has not accepted the session yet
 	sessionActive                          // the planner accepts requests
-	sessionDraining                        // the planner shuts down: it accepts no requests
+	sessionDraining                        // the planner is shutting down and accepts no requests
 )
 
 // String returns the state's name.
@@ -47,7 +47,7 @@
 	}
 }
 
-// sessionEvent is what changes the state of a session.
+// sessionEvent is an event that may change the state of a session.
 type sessionEvent uint8
 
 const (
@@ -57,7 +57,7 @@
 	eventSessionEnded
 )
 
-// after returns the state after an event, or false if the event has no meaning in this state.
+// after returns the state after an event, or false if the event is not valid in this state.
 func (s sessionState) after(event sessionEvent) (next sessionState, valid bool) {
 	switch event {
 	case eventHandshakeSent:
@@ -73,7 +73,7 @@
 	}
 }
 
-// transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning.
+// transition applies an event to the state. It returns false and changes nothing if the event is not valid in this state.
 func (p *plannerSession) transition(event sessionEvent) bool {
 	next, valid := p.state.after(event)
 	if valid {
@@ -87,7 +87,7 @@
 	return p.state == sessionActive || p.state == sessionDraining
 }
 
-// expects reports whether a message of an epoch is valid in the state of the session.
+// expects reports whether a message with an epoch is valid in the current state of the session.
 func (p *plannerSession) expects(epoch message.Epoch, received message.Message) bool {
 	if p.state == sessionNone || epoch != p.epoch {
 		return false
@@ -99,25 +99,25 @@
 // isSuspected reports whether the planner's reply to a heartbeat is overdue.
 func (p *plannerSession) isSuspected() bool { return p.heartbeat.state == heartbeatOverdue }
 
-// acceptsRequests reports whether the planner accepts requests when it has credit.
+// acceptsRequests reports whether the planner accepts requests, even if it has no credit now.
 func (p *plannerSession) acceptsRequests() bool { return p.state == sessionActive }
 
-// hasCredit reports whether the planner accepts a request now.
+// hasCredit reports whether the planner accepts requests and has credit for one more.
 func (p *plannerSession) hasCredit() bool { return p.acceptsRequests() && len(p.requests) < p.credit }
 
-// markOverrun records that a message of the planner was dropped: the session is to be reset.
+// markOverrun records that a message from the planner was dropped, so that the session must be reset.
 func (p *plannerSession) markOverrun() { p.overrun = true }
 
 // setCredit sets how many requests may be assigned to the planner. Requests beyond a smaller credit stay assigned.
 func (p *plannerSession) setCredit(credit int) { p.credit = max(0, credit) }
 
-// canBeOffered reports whether a request can be offered in the session. A request that may have ended a session is offered
-// only while no other such request is unconfirmed here, so that the cause of a further failure is known.
+// canBeOffered reports whether a request can be offered in the session. A request that may have ended a session or a policy is
+// offered only while no other such request is unconfirmed in this session, so that a further failure can be attributed to it.
 func (p *plannerSession) canBeOffered(request *openRequest) bool {
 	return p.hasCredit() && (request.failures == 0 || p.poisonCandidate == nil) && !request.isRevokedFrom(p)
 }
 
-// addRequest enters a request that is offered in the session.
+// addRequest records that a request is offered in the session.
 func (p *plannerSession) addRequest(request *openRequest) {
 	request.session = p
 	request.epoch = p.epoch
@@ -132,7 +132,7 @@
 	}
 }
 
-// removeRequest removes a request of the session, which releases its credit.
+// removeRequest removes a request from the session, which frees the credit that it used.
 func (p *plannerSession) removeRequest(request *openRequest) {
 	last := len(p.requests) - 1
 	moved := p.requests[last]
@@ -146,14 +146,14 @@
 	request.command.dueAt = 0
 }
 
-// confirmOffers processes that the planner has read the offers before the last heartbeat that it has replied to.
+// confirmOffers clears the poison candidate if the planner's last heartbeat reply confirms that it has read the offer.
 func (p *plannerSession) confirmOffers() {
 	if p.poisonCandidate != nil && p.poisonCandidate.offeredSequence <= p.heartbeat.acknowledged {
 		p.poisonCandidate = nil
 	}
 }
 
-// start starts a session of an epoch at an instant.
+// start starts a session with a new epoch.
 func (p *plannerSession) start(now time.Duration, epoch message.Epoch) {
 	p.transition(eventHandshakeSent)
 	p.epoch = epoch
--- a/internal/control/forwarder/sessionlifecycle.go
+++ b/internal/control/forwarder/sessionlifecycle.go
@@ -6,13 +6,13 @@
 	"valvecove/internal/control/message"
 )
 
-// sessionValidator is notified of the sessions in which commands are valid.
+// sessionValidator is notified when the commands of a session become valid or invalid.
 type sessionValidator interface {
 	OpenSession(epoch message.Epoch)
 	CloseSession(epoch message.Epoch)
 }
 
-// initialStatusSender sends the status of workers at the start of a session.
+// initialStatusSender sends the status of unavailable workers at the start of a session.
 type initialStatusSender interface {
 	sendUnavailable(session *plannerSession)
 }
@@ -29,18 +29,18 @@
 	heartbeats  *heartbeats
 	workers     initialStatusSender
 
-	handshake message.Handshake // that is sent at the start of each session
+	handshake message.Handshake // sent at the start of each session
 	lastEpoch message.Epoch     // of the newest session
 }
 
-// connected processes that a connection to a planner is established.
+// connected handles a new connection to a planner.
 func (s *sessionLifecycle) connected(planner string) {
 	if session := s.planners.add(planner); session != nil {
 		s.start(session)
 	}
 }
 
-// disconnected processes that a connection to a planner is lost.
+// disconnected handles the loss of the connection to a planner.
 func (s *sessionLifecycle) disconnected(planner string) {
 	if session := s.planners.find(planner); session != nil {
 		s.lose(session)
@@ -48,7 +48,7 @@
 	}
 }
 
-// start starts a session on a connection. The session before, if there is one, ends.
+// start starts a session on a connection. The previous session, if any, ends.
 func (s *sessionLifecycle) start(session *plannerSession) {
 	s.lose(session)
 	s.lastEpoch++
@@ -57,7 +57,7 @@
 	s.step.post(session, &handshake)
 }
 
-// accept processes a planner's acceptance of a session.
+// accept handles a planner's acceptance of a session.
 func (s *sessionLifecycle) accept(session *plannerSession, accept *message.HandshakeAccept) {
 	if session.state != sessionHandshaking {
 		return
@@ -98,8 +98,8 @@
 	}
 }
 
-// drain processes that a planner shuts down. Its requests are to be offered elsewhere; attempts that it has commanded are
-// not cancelled.
+// drain handles the shutdown of a planner. Its requests are enqueued for other planners; attempts that it has commanded are not
+// cancelled.
 func (s *sessionLifecycle) drain(session *plannerSession) {
 	if !session.transition(eventGoodbyeReceived) {
 		return
@@ -113,21 +113,21 @@
 	}
 }
 
-// reset ends the session of a planner that does not reply, or whose messages were lost, while the connection is kept. A new
-// session starts at once: until the planner accepts it, all messages of the planner are void.
+// reset ends the session of a planner that does not reply or whose messages were lost, and keeps the connection. A new session
+// starts at once. Until the planner accepts it, all other messages from the planner are ignored.
 func (s *sessionLifecycle) reset(session *plannerSession) {
 	s.stats.Unresponsive++
 	s.end(session, false)
 	s.start(session)
 }
 
-// lose ends a session whose connection is lost. Requests that the planner had not read by then may be the cause, unless the
-// planner was shutting down.
+// lose ends a session whose connection is lost or replaced. Unless the planner was shutting down, requests whose offers it had
+// not confirmed may be the cause.
 func (s *sessionLifecycle) lose(session *plannerSession) {
 	s.end(session, session.state != sessionDraining)
 }
 
-// end ends a session. All its requests are to be offered elsewhere in the same step.
+// end ends a session and enqueues all its requests, which are offered to other planners in the same step.
 func (s *sessionLifecycle) end(session *plannerSession, unexpected bool) {
 	before := session.state
 	if before == sessionNone {
@@ -146,8 +146,8 @@
 	}
 }
 
-// recoverRequest enqueues a request of a session that ends. If it may be the cause of an unexpected end, that is counted as
-// a failure of the request.
+// recoverRequest enqueues a request of a session that ends. If the request may have caused an unexpected end, it counts as a
+// failure of the request.
 func (s *sessionLifecycle) recoverRequest(request *openRequest, session *plannerSession, unexpected bool) {
 	mayBeCause := unexpected && request.mayHaveEndedSession(s.step.now())
 	s.assignments.unassign(request)
--- a/internal/control/forwarder/state_test.go
+++ b/internal/control/forwarder/state_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// transitions lists the transitions of a state machine, "from: event to, event to" for each state.
+// transitions lists the transitions of a state machine, one line "from: event to, event to" per state.
 func transitions[S fmt.Stringer, E ~uint8](states []S, events int, after func(S, E) (S, bool)) []string {
 	var lines []string
 	for _, from := range states {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Events without a meaning in a state, and unknown events, leave it.
+// Events that are not valid in a state, and unknown events, leave the state unchanged.
 func TestTransitions(t *testing.T) {
 	const unknownEvents = 2
 	t.Run("session", func(t *testing.T) {
@@ -70,7 +70,7 @@
 	})
 }
 
-// A line for the operators is a message and its attributes, with quotes where a value is not one word.
+// A log line consists of the message and its attributes. Values that are empty or contain spaces or equals signs are quoted.
 func TestLogLine(t *testing.T) {
 	for _, test := range []struct {
 		attributes []any
--- a/internal/control/forwarder/stats.go
+++ b/internal/control/forwarder/stats.go
@@ -2,33 +2,33 @@
 
 import "valvecove/internal/control/message"
 
-// Stats are counts since the forwarder was made, and the present numbers of requests.
+// Stats holds counters since the forwarder was created, and the current numbers of requests.
 type Stats struct {
 	Requests      int // admitted
-	Reoffered     int // offers of requests that were not offered on arrival
-	Commands      int // received from planners
-	Sent          int // attempts, whoever commanded them
+	Reoffered     int // offers made after the request's arrival
+	Commands      int // commands received from planners
+	Sent          int // attempts sent, commanded by planners or the local policy
 	Transfers     int // transfer commands executed
 	Revoked       int // requests revoked from planners that gave no command for them
-	Expired       int // requests given a response at their deadline
-	Unplaced      int // requests given a response as no planner had capacity by their objective
-	QueueFull     int // requests given a response on arrival as too many waited
-	Poison        int // requests given up as sessions or policies failed on them twice
-	Rejected      int // of the responses above, rejections
-	Failed        int // and failures
-	Unresponsive  int // sessions reset, as the planner did not reply or a message was lost
-	StrayMessages int // messages of no session, or of a kind that is not for a forwarder
-	Overruns      int // messages dropped as too many were received between two steps
+	Expired       int // requests given up at their deadline
+	Unplaced      int // requests given up because no planner had capacity by their objective
+	QueueFull     int // requests given up on arrival because too many were waiting
+	Poison        int // requests given up because sessions or policies failed on them maxSessionFailures times
+	Rejected      int // rejections among the requests given up
+	Failed        int // failures among the requests given up
+	Unresponsive  int // sessions reset because the planner did not reply or a message was lost
+	StrayMessages int // messages that belong to no current session, are of an unexpected kind, or carry an unusable snapshot
+	Overruns      int // messages dropped because too many were received between two steps
 	Standalone    int // times that standalone mode was entered
-	Panics        int // of the local policy
+	Panics        int // panics of the local policy
 
-	Open     int                      // requests now, with closed ones that have attempts in flight
-	Waiting  int                      // of these, for a planner
-	Local    int                      // of these, known to the local policy
+	Open     int                      // current requests, including closed ones with attempts in flight
+	Waiting  int                      // current requests that wait for a planner
+	Local    int                      // current requests that are known to the local policy
 	ByReason [message.ReasonCount]int // commands that the validator rejected, by reason
 }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (f *Forwarder) Stats() Stats {
 	stats := f.stats
 	stats.Open = f.requests.count()
--- a/internal/control/forwarder/subscription.go
+++ b/internal/control/forwarder/subscription.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// The backoff between two subscriptions that fail is the poll interval divided by firstBackoffDivisor at first, and by
-	// maxBackoffDivisor at most, but not less than minSubscribeBackoff.
+	// The backoff after a failed subscription starts at the poll interval divided by firstBackoffDivisor and grows to the poll
+	// interval divided by maxBackoffDivisor. It is never less than minSubscribeBackoff.
 	firstBackoffDivisor = 20
 	maxBackoffDivisor   = 4
 	minSubscribeBackoff = 10 * time.Millisecond
 )
 
-// subscription is the forwarder's subscription to the endpoint list, if the platform requires one. It exists in every mode,
-// as the validator needs the list.
+// subscription is the forwarder's subscription to the endpoint list, if the platform requires one. It is kept in every mode
+// because the validator needs the list.
 type subscription struct {
 	required     bool
 	pollInterval time.Duration
@@ -30,8 +30,8 @@
 type subscriptionState uint8
 
 const (
-	subscriptionNone    subscriptionState = iota // there is none; the next one is scheduled
-	subscriptionPending                          // it was requested
+	subscriptionNone    subscriptionState = iota // not subscribed; the next attempt is scheduled
+	subscriptionPending                          // requested, but no list was received yet
 	subscriptionActive                           // a list was received
 )
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// subscriptionEvent is what changes the state of a subscription.
+// subscriptionEvent is an event that may change the state of a subscription.
 type subscriptionEvent uint8
 
 const (
@@ -58,7 +58,7 @@
 	eventListLost
 )
 
-// after returns the state after an event, or false if the event has no meaning in this state.
+// after returns the state after an event, or false if the event is not valid in this state.
 func (s subscriptionState) after(event subscriptionEvent) (next subscriptionState, valid bool) {
 	switch event {
 	case eventSubscribeSent:
@@ -72,7 +72,7 @@
 	}
 }
 
-// transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning.
+// transition applies an event to the state. It returns false and changes nothing if the event is not valid in this state.
 func (s *subscription) transition(event subscriptionEvent) bool {
 	next, valid := s.state.after(event)
 	if valid {
@@ -85,12 +85,12 @@
 	return subscription{required: settings.MustSubscribe, pollInterval: settings.PollInterval}
 }
 
-// observe processes an update of the list, or the loss of the list.
+// observe handles an update of the endpoint list, or its loss.
 func (s *subscription) observe(now time.Duration, kind dispatch.ListKind, rng *rand.Rand) {
 	switch kind {
 	case dispatch.ListUnavailable:
 		s.lost(now, rng)
-	case dispatch.ListCached: // not by a subscription
+	case dispatch.ListCached: // does not come from a subscription
 	default:
 		if s.transition(eventListReceived) {
 			s.backoff = 0
@@ -98,7 +98,7 @@
 	}
 }
 
-// lost schedules the next subscription. The backoff grows as long as subscriptions fail.
+// lost schedules the next subscription. The backoff doubles while subscriptions keep failing, and gets random jitter.
 func (s *subscription) lost(now time.Duration, rng *rand.Rand) {
 	if s.state == subscriptionPending || s.backoff == 0 {
 		longest := max(s.pollInterval/maxBackoffDivisor, minSubscribeBackoff)
@@ -108,12 +108,12 @@
 	s.startAt = now + s.backoff/2 + time.Duration(rng.Int64N(int64(s.backoff)+1))
 }
 
-// start reports whether to subscribe now, and if so, records that it is done.
+// start reports whether to subscribe now, and if so, marks the subscription as pending.
 func (s *subscription) start(now time.Duration) bool {
 	return s.required && now >= s.startAt && s.transition(eventSubscribeSent)
 }
 
-// nextStart returns when to subscribe; 0: not by time.
+// nextStart returns when the next subscription is due, or 0 if none is scheduled.
 func (s *subscription) nextStart() time.Duration {
 	if s.required && s.state == subscriptionNone {
 		return s.startAt
--- a/internal/control/forwarder/transcript_test.go
+++ b/internal/control/forwarder/transcript_test.go
@@ -15,15 +15,15 @@
 	"valvecove/internal/requests"
 )
 
-var update = flag.Bool("update", false, "write what happens to the transcripts")
+var update = flag.Bool("update", false, "rewrite the transcripts in testdata with the actual output")
 
 // separator is the line between the script and the transcript of a file.
 const separator = "----\n"
 
-// Each file of testdata has a script, a line for each thing that happens to the forwarder, and below a line of dashes its
-// transcript: the same with all that the forwarder does. transcriptscript_test.go has the commands of scripts. Planners
-// reply to heartbeats after 1 ms, unless they are frozen; heartbeats and replies are left out. A line that ends in & is in
-// one step with the next one.
+// Each file in testdata has a script, with one line per event, and below a line of dashes the expected transcript: the script
+// lines with what the forwarder does after each of them. transcriptscript_test.go defines the script commands. Planners reply to
+// heartbeats after 1 ms unless they are frozen; transcripts leave out heartbeats and replies. A line that ends in & is processed
+// in the same step as the next line.
 func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -48,31 +48,31 @@
 	}
 }
 
-// transcript is a forwarder whose events come from a script.
+// transcript runs a forwarder whose events come from a script, and records what it does.
 type transcript struct {
 	test     *testing.T
-	harness  *harness // nil: nothing has happened yet
+	harness  *harness // nil until the first event
 	settings dispatch.Settings
 	config   Config
 	selector *fixedOrder
 	output   strings.Builder
 
 	clients        map[string]*client
-	attempts       map[string]*requests.Attempt // the last one of a request at a worker, by "q1 w2"
+	attempts       map[string]*requests.Attempt // the last attempt of a request at a worker, by "q1 w2"
 	workerNames    map[uint64]string
-	unusableAt     string // a worker that rejects every attempt as invalid at once
-	poison         string // a request that makes the local policy panic when it is resumed
+	unusableAt     string // name of a worker that rejects every attempt as invalid at once
+	poison         string // name of a request that makes the local policy panic when it is resumed
 	planners       map[string]*transcriptPlanner
 	knownPlanners  []string
 	plannerVersion int
-	epochs         []message.Epoch // of sessions, in order
+	epochs         []message.Epoch // epochs of the sessions, in order; s1 is the first
 }
 
-// transcriptPlanner is a planner whose messages the script gives.
+// transcriptPlanner is a planner that sends the messages in the script.
 type transcriptPlanner struct {
 	epoch      message.Epoch
 	frozen     bool
-	heartbeats []uint64 // that it has not replied to
+	heartbeats []uint64 // sequence numbers of heartbeats that it has not replied to
 }
 
 func newTranscript(t *testing.T) *transcript {
@@ -88,7 +88,7 @@
 	}
 }
 
-// run performs a script, and returns the transcript.
+// run executes a script, and returns the transcript.
 func (t *transcript) run(script string) string {
 	sameStep := false
 	for line := range strings.Lines(script) {
@@ -107,8 +107,8 @@
 	return t.output.String()
 }
 
-// runLine performs a line of a script, in one step with the line before or in a step of its own. It returns whether the next
-// line is in the same step.
+// runLine executes a line of a script, in the same step as the previous line or in a step of its own. It reports whether the
+// next line belongs to the same step.
 func (t *transcript) runLine(line string, fields []string, sameStep bool) (nextInSameStep bool) {
 	if t.harness == nil {
 		t.start()
@@ -116,7 +116,7 @@
 	at, command, arguments := startTime+t.duration(fields[0]), fields[1], fields[2:]
 	switch {
 	case sameStep:
-	case command == "late": // nothing was done until then
+	case command == "late": // the time jumps, and nothing that was due meanwhile has run
 		t.harness.now = at
 	default:
 		t.harness.runUntil(at)
@@ -131,7 +131,7 @@
 	return false
 }
 
-// writeSummary writes what is left at the end.
+// writeSummary writes the numbers of remaining requests and of rejected commands.
 func (t *transcript) writeSummary() {
 	stats := t.harness.forwarder.Stats()
 	fmt.Fprintf(&t.output, "open %d, waiting %d, local %d", stats.Open, stats.Waiting, stats.Local)
@@ -143,7 +143,7 @@
 	t.output.WriteString("\n")
 }
 
-// record writes an effect of the forwarder.
+// record writes a line about something that the forwarder did.
 func (t *transcript) record(format string, args ...any) {
 	fmt.Fprintf(&t.output, "    %v ", t.harness.now-startTime)
 	fmt.Fprintf(&t.output, format, args...)
@@ -182,7 +182,7 @@
 	if t.workerName(attempt.Worker) == t.unusableAt {
 		t.harness.table.EndAttempt(attempt, nil, &requests.AttemptError{Reason: requests.ReasonInvalidRequest})
 	}
-	attempt.Stage = requests.StageWritten // there are no connections: what is sent arrives at once
+	attempt.Stage = requests.StageWritten // without real connections, a request arrives as soon as it is sent
 }
 
 func (t *transcript) clientResponded(respondent *client, response string, retryAfter time.Duration) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// actionTaken writes log lines. The stack of a panic is left out: it changes with the code.
+// actionTaken records log lines. The stack trace of a panic is left out because it changes with the code.
 func (t *transcript) actionTaken(action dispatch.Action) {
 	line, ok := action.(dispatch.Log)
 	if !ok {
@@ -203,7 +203,7 @@
 	t.record("log: %s", t.nameSessions(text))
 }
 
-// messageSent writes a message to a planner, and has the planner process it.
+// messageSent records a message to a planner, and makes the planner process it.
 func (t *transcript) messageSent(outgoing Outgoing) {
 	to := t.planners[outgoing.Planner]
 	switch body := outgoing.Message.(type) {
@@ -221,7 +221,7 @@
 	t.record("to %s: %s", outgoing.Planner, messageText(outgoing.Envelope, t.epochName, t.workerName))
 }
 
-// replyToHeartbeats has a planner reply to all heartbeats of its newest session.
+// replyToHeartbeats sends a planner's replies to all outstanding heartbeats of its newest session.
 func (t *transcript) replyToHeartbeats(name string) {
 	sender := t.planners[name]
 	if sender.frozen {
@@ -233,12 +233,12 @@
 	sender.heartbeats = nil
 }
 
-// receive has a message of a planner reach the forwarder.
+// receive passes a message from a planner to the forwarder.
 func (t *transcript) receive(planner string, epoch message.Epoch, body message.Message) {
 	t.harness.forwarder.Receive(t.harness.now, planner, message.Envelope{Epoch: epoch, Message: body})
 }
 
-// localPolicyNotified writes an event that the local policy is notified of.
+// localPolicyNotified records an event that the local policy is notified of.
 func (t *transcript) localPolicyNotified(event dispatch.Event) {
 	switch event := event.(type) {
 	case dispatch.Job:
@@ -274,7 +274,7 @@
 	return strings.Join(names, ", ")
 }
 
-// nameSessions puts names in place of epochs in a log line.
+// nameSessions replaces the epoch in a log line by the name of the session.
 func (t *transcript) nameSessions(text string) string {
 	for i, epoch := range t.epochs {
 		text = strings.ReplaceAll(text, fmt.Sprintf("session=%d ", epoch), fmt.Sprintf("session=s%d ", i+1))
--- a/internal/control/forwarder/transcriptscript_test.go
+++ b/internal/control/forwarder/transcriptscript_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// applyPeerSetting applies a setting of the planners, workers and clients.
+// applyPeerSetting applies a setting of the planners, the workers or the local policy.
 func (t *transcript) applyPeerSetting(name string, values []string) {
 	switch name {
-	case "preferred": // planners, the best one first
+	case "preferred": // planners, the most preferred first
 		t.selector.planners = values
 	case "planners": // that the forwarder knows
 		t.knownPlanners = values
@@ -50,11 +50,11 @@
 	case "poison":
 		t.poison = values[0]
 	default:
-		t.test.Fatalf("set %s", name)
+		t.test.Fatalf("unknown setting %q", name)
 	}
 }
 
-// class returns the class "IDEMPOTENCY [SCOPE] [objective=DURATION] [window=DURATION]".
+// class parses the class "IDEMPOTENCY [SCOPE] [objective=DURATION] [window=DURATION]".
 func (t *transcript) class(values []string) (class dispatch.Class) {
 	idempotencies := map[string]dispatch.Idempotency{
 		"non-idempotent":      dispatch.NonIdempotent,
@@ -80,11 +80,11 @@
 	return class
 }
 
-// perform performs the command of a line.
+// perform executes the command of a script line.
 func (t *transcript) perform(command string, arguments []string) {
 	forwarder, table := t.harness.forwarder, t.harness.table
 	switch command {
-	case "wait", "late": // time passes
+	case "wait", "late": // only the time advances
 	case "list":
 		table.UpdateEndpoints(t.endpointList(arguments))
 	case "list-lost":
@@ -108,7 +108,7 @@
 	}
 }
 
-// performForRequest performs a command of a client or a worker, or else has a planner send a message.
+// performForRequest executes a command of a client or a worker, or makes a planner send a message.
 func (t *transcript) performForRequest(command string, arguments []string) {
 	switch command {
 	case "arrive": // REQUEST CLASS REMAINING
@@ -144,12 +144,12 @@
 	case "invalid":
 		attemptError.Reason = requests.ReasonInvalidRequest
 	default:
-		t.test.Fatalf("end %s", reason)
+		t.test.Fatalf("unknown reason %q for the end of an attempt", reason)
 	}
 	t.harness.table.EndAttempt(attempt, nil, attemptError)
 }
 
-// endpointList returns the list "full|delta REVISION WORKER [draining|removed] [start=DURATION] [cell=NUMBER] ...".
+// endpointList parses the list "full|delta REVISION WORKER [draining|removed] [start=DURATION] [cell=NUMBER] ...".
 func (t *transcript) endpointList(arguments []string) requests.EndpointList {
 	list := requests.EndpointList{Reset: arguments[0] == "full", Revision: int64(t.number(arguments[1]))}
 	for _, argument := range arguments[2:] {
@@ -170,11 +170,12 @@
 	return list
 }
 
-// plannerSends has a planner send a message "KIND ARGUMENTS...", in its newest session or, with @s1, in another.
+// plannerSends makes a planner send the message "KIND ARGUMENTS...", in its newest session or, with an argument such as @s1, in
+// another session.
 func (t *transcript) plannerSends(planner string, arguments []string) {
 	sender := t.planners[planner]
 	if sender == nil {
-		t.test.Fatalf("unknown command %s %v", planner, arguments)
+		t.test.Fatalf("unknown command or planner %q with arguments %q", planner, arguments)
 	}
 	epoch := sender.epoch
 	var values []string
@@ -187,12 +188,12 @@
 	}
 	body := t.parseMessage(arguments[0], t.parseArguments(values))
 	if body == nil {
-		t.test.Fatalf("%s %v", planner, arguments)
+		t.test.Fatalf("%s sends an unknown message: %q", planner, arguments)
 	}
 	t.receive(planner, epoch, body)
 }
 
-// messageArguments are the arguments of a message in a script: "q1 #0 w2 80ms", say.
+// messageArguments holds the parsed arguments of a message in a script, such as "q1 #0 w2 80ms".
 type messageArguments struct {
 	request uint64
 	attempt int
@@ -216,7 +217,7 @@
 	return parsed
 }
 
-// parseMessage returns a message by the name of its kind; nil: there is none of that name.
+// parseMessage returns a message of the named kind, or nil if there is no such kind.
 func (t *transcript) parseMessage(kind string, args messageArguments) message.Message {
 	switch kind {
 	case "handshake-accept":
@@ -242,7 +243,7 @@
 	return nil
 }
 
-// parseCommand returns a command by the name of its kind; nil: there is none of that name.
+// parseCommand returns a command of the named kind, or nil if there is no such kind.
 func (t *transcript) parseCommand(kind string, args messageArguments) message.Command {
 	switch kind {
 	case "send":
@@ -290,7 +291,7 @@
 	return duration
 }
 
-// optionalDuration returns the first of some arguments; 0: there is none.
+// optionalDuration parses the first argument, or returns 0 if there is none.
 func (t *transcript) optionalDuration(arguments []string) time.Duration {
 	if len(arguments) == 0 {
 		return 0
@@ -298,7 +299,7 @@
 	return t.duration(arguments[0])
 }
 
-// number returns the number of a text such as q1, c0, #2, @s1 or 7.
+// number parses the number in a text such as q1, c0, #2, @s1 or 7.
 func (t *transcript) number(text string) int {
 	number, err := strconv.Atoi(strings.TrimLeft(text, "qc#s@"))
 	if err != nil {
@@ -307,7 +308,7 @@
 	return number
 }
 
-// optionalNumber returns the first of some arguments; 0: there is none.
+// optionalNumber parses the first argument, or returns 0 if there is none.
 func (t *transcript) optionalNumber(arguments []string) int {
 	if len(arguments) == 0 {
 		return 0
--- a/internal/control/forwarder/workers.go
+++ b/internal/control/forwarder/workers.go
@@ -10,10 +10,11 @@
 	"valvecove/internal/control/message"
 )
 
-// maxInitialStatuses is how many worker statuses are sent at the start of a session.
+// maxInitialStatuses limits the worker statuses that are sent at the start of a session.
 const maxInitialStatuses = 1024
 
-// workerValidator decides which workers may be sent requests, by the endpoint list and the statuses that planners report.
+// workerValidator decides which workers requests may be sent to, based on the endpoint list and the statuses that planners
+// report.
 type workerValidator interface {
 	Observe(now time.Duration, event dispatch.Event) (commandNumber int, attemptEnded bool)
 	ObserveStatus(now time.Duration, status message.WorkerStatus) (isNew bool)
@@ -31,7 +32,7 @@
 	rng          *rand.Rand
 }
 
-// listChanged processes an update of the endpoint list.
+// listChanged handles an update of the endpoint list.
 func (w *workers) listChanged(update dispatch.WorkerList) {
 	now := w.step.now()
 	w.subscription.observe(now, update.Kind, w.rng)
@@ -45,7 +46,7 @@
 	w.local.notify(update)
 }
 
-// localList returns the present endpoint list in the form for the local policy.
+// localList returns the current endpoint list as the local policy should see it.
 func (w *workers) localList() dispatch.WorkerList {
 	return dispatch.WorkerList{
 		Kind:     dispatch.ListCached,
@@ -54,7 +55,8 @@
 	}
 }
 
-// withBlocked returns a list in the form for the local policy: workers that planners report as draining are not ready.
+// withBlocked returns a list as the local policy should see it: workers that planners report as draining are marked as not
+// ready. Without a running policy it returns the list unchanged.
 func (w *workers) withBlocked(list []dispatch.Worker) []dispatch.Worker {
 	if !w.local.isRunning() {
 		return list
@@ -68,8 +70,8 @@
 	return list
 }
 
-// statusReceived processes a worker's status from a planner. A new one is forwarded to the other planners, as there may be
-// no connection between them.
+// statusReceived handles a worker's status from a planner. A new status is forwarded to the other planners, which may not be
+// connected to the sender.
 func (w *workers) statusReceived(sender *plannerSession, status message.WorkerStatus) {
 	wasBlocked := w.validator.Blocked(status.WorkerID)
 	if !w.validator.ObserveStatus(w.step.now(), status) {
@@ -89,7 +91,7 @@
 	})
 }
 
-// broadcast sends a worker's status to all planners but one.
+// broadcast sends a worker's status to all planners except the excluded one (which may be nil).
 func (w *workers) broadcast(status message.WorkerStatus, excluded *plannerSession) {
 	for _, session := range w.planners.all() {
 		if session != excluded {
@@ -98,7 +100,8 @@
 	}
 }
 
-// sendUnavailable sends the status of the workers that are draining to a planner that has accepted a session.
+// sendUnavailable sends the status of the workers that are not ready to a planner that has accepted a session, up to
+// maxInitialStatuses.
 func (w *workers) sendUnavailable(session *plannerSession) {
 	sent := 0
 	for _, id := range slices.Sorted(maps.Keys(w.endpoints.workers)) {
@@ -115,10 +118,10 @@
 	}
 }
 
-// nextSubscription returns when a subscription to the endpoint list is due; 0: not by time.
+// nextSubscription returns when the next subscription to the endpoint list is due, or 0 if none is scheduled.
 func (w *workers) nextSubscription() time.Duration { return w.subscription.nextStart() }
 
-// subscribe subscribes to the endpoint list, if that is due.
+// subscribe subscribes to the endpoint list if that is due.
 func (w *workers) subscribe() {
 	if w.subscription.start(w.step.now()) {
 		w.step.emit(dispatch.Subscribe{})
--- a/internal/control/forwarder/workers_test.go
+++ b/internal/control/forwarder/workers_test.go
@@ -6,15 +6,15 @@
 	"valvecove/internal/requests"
 )
 
-// States of callbacks that a worker sends.
+// States in the callbacks of workers.
 const (
 	callbackStarted  = "started"
 	callbackRunning  = "running"
 	callbackDone     = "done"
-	callbackReturned = "returned" // not executed
+	callbackReturned = "returned" // the worker did not execute the request
 )
 
-// attemptStarted has a worker execute an attempt.
+// attemptStarted checks and records a new attempt, and schedules what its worker does with it.
 func (e *environment) attemptStarted(attempt *requests.Attempt) {
 	request := e.requestsByID[attempt.Request.ID]
 	endpoint := e.listed[attempt.Worker]
@@ -31,7 +31,7 @@
 	e.runAttempt(checked, endpoint.ID)
 }
 
-// runAttempt draws the course of an attempt at its worker.
+// runAttempt draws a random outcome of an attempt and schedules it.
 func (e *environment) runAttempt(checked *checkedAttempt, endpointID string) {
 	const connectFails, connectionLost, rejected, silent, sometimesInvalid, outcomes = 0, 1, 2, 3, 4, 9
 	attempt := checked.attempt
@@ -61,7 +61,7 @@
 	}
 }
 
-// failAttempt has an attempt fail within some ms.
+// failAttempt schedules the failure of an attempt after a random time of less than within, in ms.
 func (e *environment) failAttempt(checked *checkedAttempt, within int, notExecuted bool, stage requests.Stage,
 	reason requests.Reason,
 ) {
@@ -70,7 +70,7 @@
 	})
 }
 
-// acceptAttempt has an attempt accepted, started, and ended by callbacks.
+// acceptAttempt marks an attempt as accepted, and schedules the callbacks that report its start, progress and end.
 func (e *environment) acceptAttempt(checked *checkedAttempt, endpointID string) {
 	checked.attempt.Stage = requests.StageAccepted
 	callID := checked.attempt.Request.CallID
@@ -87,8 +87,8 @@
 	})
 }
 
-// endAttempt has an attempt end later, if it has not ended by then. A callback may be attributed to an earlier attempt
-// at the worker: then the attempt stays in flight.
+// endAttempt schedules the end of an attempt, unless it ends before. The request table may attribute the callback to an earlier
+// attempt at the same worker; this attempt then stays in flight.
 func (e *environment) endAttempt(checked *checkedAttempt, delay time.Duration, notExecuted bool, end func()) {
 	attempt := checked.attempt
 	e.after(delay, func() {
@@ -117,7 +117,8 @@
 	for _, checked := range e.requestsByID[attempt.Request.ID].attempts {
 		if checked.attempt == attempt {
 			checked.ended = true
-			isRecalled := attempt.Request.IsClosed() && attempt.Stage < requests.StageWritten // before its last byte was written
+			// The request was closed before the attempt's last byte was written.
+			isRecalled := attempt.Request.IsClosed() && attempt.Stage < requests.StageWritten
 			checked.notExecuted = checked.notExecuted || isRecalled
 		}
 	}
@@ -127,7 +128,7 @@
 	e.after(e.randomDuration(0, 20), func() { e.table.HealthChecked(worker, nil) })
 }
 
-// answerWatch sends the list, or has the subscription fail.
+// answerWatch answers a subscription with the full list, or fails it.
 func (e *environment) answerWatch(int64) {
 	e.after(e.randomDuration(0, 30), func() {
 		if e.rng.IntN(4) == 0 && !e.faultless {
@@ -138,11 +139,11 @@
 	})
 }
 
-// revisionOf returns the revision of the list that last named an endpoint. It is stored in the endpoint's weight, which has no
-// other use in these tests.
+// revisionOf returns the revision of the list that last contained an endpoint. It is stored in the endpoint's weight, which these
+// tests don't use otherwise.
 func revisionOf(endpoint *requests.Endpoint) int64 { return int64(endpoint.Weight) }
 
-// sendFullList sends the forwarder a list of all workers.
+// sendFullList sends the request table a list of all workers.
 func (e *environment) sendFullList() {
 	e.revision++
 	clear(e.listed)
@@ -157,7 +158,7 @@
 	e.table.UpdateEndpoints(list)
 }
 
-// changeWorker changes a worker, and sends the forwarder the change.
+// changeWorker changes a random worker, and sends the change to the request table as a delta.
 func (e *environment) changeWorker() {
 	e.revision++
 	endpoint := &e.workers[e.rng.IntN(len(e.workers))]
@@ -180,7 +181,7 @@
 	}
 }
 
-// scheduleListChange schedules a change of the list, or the loss of the subscription, and then the next one.
+// scheduleListChange schedules a change of the list or the loss of the subscription, which in turn schedules the next one.
 func (e *environment) scheduleListChange() {
 	e.after(e.randomDuration(20, 400), func() {
 		if e.stopped {
