--- a/internal/control/validator/dispatcher_test.go
+++ b/internal/control/validator/dispatcher_test.go
@@ -10,9 +10,9 @@
 	"valvecove/internal/control/message"
 )
 
-// Package dispatch and the validator agree on histories: a request with any attempts before it that can go to one worker
-// only is sent there by a dispatcher if and only if the validator allows it; and it is rejected only if that is safe by the
-// validator.
+// Package dispatch and the validator agree on requests with random previous attempts and a single usable worker: a dispatcher
+// sends the request to that worker if and only if the validator allows it. It rejects the request only if the validator
+// considers that safe, and fails it only if not.
 func TestAgreesWithDispatcher(t *testing.T) {
 	sent, notSent := 0, 0
 	for seed := range uint64(6000) {
@@ -23,26 +23,26 @@
 		}
 	}
 	if sent < 1000 || notSent < 1000 {
-		t.Fatalf("%d sent, %d not: the test covers too little", sent, notSent)
+		t.Fatalf("%d requests sent and %d not sent, want at least 1000 of each", sent, notSent)
 	}
 }
 
 const (
 	agreementRequest     = 1
-	agreementWorker      = 9  // the only one that is ready in the end
-	firstPreviousWorker  = 10 // of the previous attempts, one worker each
+	agreementWorker      = 9  // the only worker that is ready in the end
+	firstPreviousWorker  = 10 // worker of the first previous attempt; each further attempt has the next one
 	agreementNow         = 10 * time.Hour
 	agreementRemaining   = 2 * time.Hour
-	agreementObservedFor = 4 * time.Second // the request was known to the validator before
+	agreementObservedFor = 4 * time.Second // age of the request at agreementNow
 )
 
-// previousAttempt is an attempt before the dispatcher got the request.
+// previousAttempt is an attempt that was made before the dispatcher got the request.
 type previousAttempt struct {
 	ago    time.Duration
 	result dispatch.Result
 }
 
-// agreementCase is a request with previous attempts, as a validator has observed it.
+// agreementCase is a request with previous attempts that a validator has observed.
 type agreementCase struct {
 	settings  dispatch.Settings
 	seed      uint64
@@ -80,8 +80,8 @@
 	return dispatch.Worker{ID: id, Ready: true, Cell: rng.IntN(2), Zone: rng.IntN(2)}
 }
 
-// observe has the validator observe the previous attempts, whether it allows them or not, and then that only one worker is
-// ready.
+// observe reports the previous attempts to the validator, whether it would allow them or not, and then a list on which only one
+// worker is ready.
 func (c *agreementCase) observe() {
 	v := c.validator
 	arrival := agreementNow - agreementObservedFor
@@ -111,12 +111,12 @@
 		switch action.(type) {
 		case dispatch.Send:
 			if sent {
-				t.Fatalf("seed %d: sent twice after %+v", c.seed, c.previous)
+				t.Fatalf("seed %d: the request is sent twice after %+v", c.seed, c.previous)
 			}
 			sent = true
 		case dispatch.Reject:
 			if !canReject {
-				t.Fatalf("seed %d: rejected after %+v", c.seed, c.previous)
+				t.Fatalf("seed %d: rejected after %+v, though a rejection was not safe", c.seed, c.previous)
 			}
 		case dispatch.Fail:
 			if canReject {
@@ -125,7 +125,7 @@
 		}
 	}
 	if sent != (allowed == message.ReasonNone) {
-		t.Fatalf("seed %d: sent %v after %+v in class %+v, the validator says %q", c.seed, sent, c.previous,
+		t.Fatalf("seed %d: sent %v after %+v in class %+v, but the validator's reason is %q", c.seed, sent, c.previous,
 			c.settings.Classes[0], allowed)
 	}
 	return sent
@@ -151,8 +151,8 @@
 	return dispatcher.Step(agreementNow, []dispatch.Event{resumed}, nil)
 }
 
-// A dispatcher that is wired to the request table needs no validator: all of its actions are valid, whatever happens to
-// them.
+// A dispatcher that is connected directly to the request table needs no validator: all its actions are valid, whatever their
+// outcomes.
 func TestAllowsWhatDispatcherDoes(t *testing.T) {
 	commands := 0
 	for seed := range uint64(30) {
@@ -163,11 +163,11 @@
 		commands += run.commands
 	}
 	if commands < 3000 {
-		t.Fatalf("only %d commands: the test covers too little", commands)
+		t.Fatalf("%d commands checked, want at least 3000", commands)
 	}
 }
 
-// dispatcherRun is a dispatcher whose actions a validator checks.
+// dispatcherRun runs a dispatcher and has a validator check its actions.
 type dispatcherRun struct {
 	t          *testing.T
 	seed       uint64
@@ -175,8 +175,8 @@
 	now        time.Duration
 	dispatcher *dispatch.Dispatcher
 	validator  *Validator
-	timerAt    time.Duration // 0: none
-	jobs       uint64        // that have arrived, numbered from 1
+	timerAt    time.Duration // when the dispatcher's timer fires; 0 if it is not set
+	jobs       uint64        // number of jobs that have arrived; their IDs count from 1
 	attempts   map[uint64]int
 	inFlight   []inFlightAttempt
 	commands   int
@@ -259,7 +259,7 @@
 	return list
 }
 
-// check has the validator check and apply an action that a planner would send as a command.
+// check validates and applies an action that a planner would send as a command.
 func (r *dispatcherRun) check(action dispatch.Action) {
 	if timer, ok := action.(dispatch.SetTimer); ok {
 		if at := r.now + timer.After; r.timerAt == 0 || at < r.timerAt {
@@ -273,12 +273,12 @@
 	}
 	r.commands++
 	if reason := r.validator.Validate(r.now, LocalEpoch, command); reason != message.ReasonNone {
-		r.t.Fatalf("seed %d: %+v: %q", r.seed, action, reason)
+		r.t.Fatalf("seed %d: the validator rejects %+v: %q", r.seed, action, reason)
 	}
 	r.validator.Apply(r.now, action)
 }
 
-// commandOf returns the command of an action; nil: it has none.
+// commandOf returns the command that corresponds to an action, or nil if there is none.
 func (r *dispatcherRun) commandOf(action dispatch.Action) message.Command {
 	switch action := action.(type) {
 	case dispatch.Send:
--- a/internal/control/validator/history_test.go
+++ b/internal/control/validator/history_test.go
@@ -7,18 +7,18 @@
 	"valvecove/internal/control/message"
 )
 
-// history is the list of all events of a run. The model derives each verdict from the whole of it.
+// history is the list of all events of a run. The model derives the verdict on each command from the whole history.
 type history struct {
 	settings dispatch.Settings
 	now      time.Duration
 	records  []record
 }
 
-// record is an entry of the history: a dispatch.Event, a message.WorkerStatus, an assignment, a usedNumber or an
+// record is an entry of the history. Its event is a dispatch.Event, a message.WorkerStatus, an assignment, a usedNumber or an
 // appliedCommand.
 type record struct {
-	at   time.Duration
-	what any
+	at    time.Duration
+	event any
 }
 
 // assignment makes a session the owner of a request.
@@ -27,24 +27,24 @@
 	owner   message.Epoch
 }
 
-// usedNumber is the number of a send command of the request's owner.
+// usedNumber records that the request's owner has used a number for a send command.
 type usedNumber struct {
 	request uint64
 	number  int
 }
 
-// appliedCommand is a valid command to send or end a request.
+// appliedCommand is a valid command that sends or ends a request.
 type appliedCommand struct{ *anyCommand }
 
-func (h *history) add(what any) { h.records = append(h.records, record{h.now, what}) }
+func (h *history) add(event any) { h.records = append(h.records, record{h.now, event}) }
 
-// modelWorker is an entry of the own endpoint list, with the revision of the list that last had it.
+// modelWorker is an entry of the own endpoint list, with the revision of the list that last contained it.
 type modelWorker struct {
 	dispatch.Worker
 	revision int64
 }
 
-// status returns the worker's status by the own list.
+// status returns the worker's status according to the own endpoint list.
 func (m *modelWorker) status() message.WorkerStatus {
 	status := message.WorkerStatus{WorkerID: m.ID, StartedMs: m.BootAt.Milliseconds(), Revision: m.revision}
 	if !m.Ready {
@@ -53,14 +53,14 @@
 	return status
 }
 
-// list returns the present own list.
+// list returns the current endpoint list of the forwarder.
 func (h *history) list() map[uint64]modelWorker { return h.listAfter(len(h.records)) }
 
-// listAfter returns the own list after the first count records.
+// listAfter returns the forwarder's endpoint list after the first count records.
 func (h *history) listAfter(count int) map[uint64]modelWorker {
 	list := map[uint64]modelWorker{}
 	for _, record := range h.records[:count] {
-		update, ok := record.what.(dispatch.WorkerList)
+		update, ok := record.event.(dispatch.WorkerList)
 		if !ok || update.Kind == dispatch.ListUnavailable {
 			continue
 		}
@@ -77,10 +77,10 @@
 	return list
 }
 
-// newestStatus returns the newest status of a worker from planners; nil: there is none.
+// newestStatus returns the newest status of a worker from any planner, or nil if there is none.
 func (h *history) newestStatus(workerID uint64) (newest *message.WorkerStatus) {
 	for i := range h.records {
-		status, ok := h.records[i].what.(message.WorkerStatus)
+		status, ok := h.records[i].event.(message.WorkerStatus)
 		if ok && status.WorkerID == workerID && (newest == nil || status.Supersedes(*newest)) {
 			newest = &status
 		}
@@ -88,7 +88,7 @@
 	return newest
 }
 
-// modelRequest is a request as it follows from the history.
+// modelRequest is the state of a request, derived from the history.
 type modelRequest struct {
 	job       dispatch.Job
 	arrivedAt time.Duration
@@ -96,10 +96,10 @@
 	owner     message.Epoch
 	assigned  bool
 	attempts  []modelAttempt
-	used      []int // numbers of the owner's send commands
+	used      []int // numbers that the owner can't use for send commands any more
 }
 
-// modelAttempt is an attempt as it follows from the history.
+// modelAttempt is the state of an attempt, derived from the history.
 type modelAttempt struct {
 	worker     uint64
 	cell, zone int
@@ -114,47 +114,47 @@
 		m.result != dispatch.WorkerFull && m.result != dispatch.ConnectFailed && m.result != dispatch.NotSent
 }
 
-// request returns the state of a request; nil: it has not arrived.
+// request returns the state of a request, or nil if it has not arrived.
 func (h *history) request(id uint64) (request *modelRequest) {
 	for i, record := range h.records {
-		if subjectOf(record.what) != id {
+		if requestIDOf(record.event) != id {
 			continue
 		}
-		switch what := record.what.(type) {
+		switch event := record.event.(type) {
 		case dispatch.Job:
-			request = &modelRequest{job: what, arrivedAt: record.at}
+			request = &modelRequest{job: event, arrivedAt: record.at}
 		case dispatch.ClientDisconnected, dispatch.ResponseStarted:
 			request.closed = true
 		case dispatch.Outcome:
-			request.end(what)
+			request.end(event)
 		case assignment:
-			request.assign(what.owner)
+			request.assign(event.owner)
 		case usedNumber:
-			request.used = append(request.used, what.number)
+			request.used = append(request.used, event.number)
 		case appliedCommand:
-			request.apply(what.anyCommand, record.at, h.listAfter(i))
+			request.apply(event.anyCommand, record.at, h.listAfter(i))
 		}
 	}
 	return request
 }
 
-// subjectOf returns the ID of the request that a record is about; 0: none.
-func subjectOf(what any) uint64 {
-	switch what := what.(type) {
+// requestIDOf returns the ID of the request that an event is about, or 0 if it is about none.
+func requestIDOf(event any) uint64 {
+	switch event := event.(type) {
 	case dispatch.Job:
-		return what.ID
+		return event.ID
 	case dispatch.ClientDisconnected:
-		return what.Job
+		return event.Job
 	case dispatch.ResponseStarted:
-		return what.Job
+		return event.Job
 	case dispatch.Outcome:
-		return what.Job
+		return event.Job
 	case assignment:
-		return what.request
+		return event.request
 	case usedNumber:
-		return what.request
+		return event.request
 	case appliedCommand:
-		return what.request
+		return event.request
 	}
 	return 0
 }
--- a/internal/control/validator/lookup.go
+++ b/internal/control/validator/lookup.go
@@ -6,13 +6,13 @@
 	"valvecove/internal/control/message"
 )
 
-// CanReject reports whether it is safe to reject a request that is given up. Else it must be failed.
+// CanReject reports whether a request can safely be rejected when it is given up. Otherwise it must be failed.
 func (v *Validator) CanReject(id uint64) bool {
 	request := v.requests[id]
 	return request != nil && request.canReject()
 }
 
-// InFlight returns the number of a request's attempts that are in flight.
+// InFlight returns the number of attempts of a request that are in flight.
 func (v *Validator) InFlight(id uint64) int {
 	if request := v.requests[id]; request != nil {
 		return request.inFlight
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// AppendAttempts appends the attempts of a request, in their order, to dst.
+// AppendAttempts appends the attempts of a request to dst, in the order in which they were sent.
 func (v *Validator) AppendAttempts(now time.Duration, id uint64, dst []message.PastAttempt) []message.PastAttempt {
 	v.advance(now)
 	request := v.requests[id]
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -9,8 +9,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// The verdict on a command follows from the whole history: a reason of the validator is one of the model's, and where the
-// model has none, the validator has none.
+// The validator agrees with a model that derives its verdicts from the whole history: it rejects a command if and only if the
+// model has reasons against it, and its reason is one of them.
 func FuzzValidator(f *testing.F) { modeltest.Fuzz(f, runModel) }
 
 // modelRun drives a validator and the model with the same steps.
@@ -19,7 +19,7 @@
 	history   *history
 	validator *Validator
 	open      map[message.Epoch]bool
-	requests  uint64 // count of arrived requests, which are numbered from 1
+	requests  uint64 // number of requests that have arrived; their IDs count from 1
 }
 
 func runModel(s *modeltest.Steps) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// requestEvent has an event of a request happen, by choice. It returns false if no such event has the choice's number.
+// requestEvent executes the event of a request that choice selects. It returns false if choice selects none.
 func (m *modelRun) requestEvent(choice int, id uint64, request *modelRequest, epoch message.Epoch) bool {
 	switch {
 	case choice == 3 && m.Pick(3) == 0:
@@ -108,7 +108,7 @@
 	worker, listed := m.history.list()[status.WorkerID]
 	isNew := (newest == nil || status.Supersedes(*newest)) && (!listed || status.Supersedes(worker.status()))
 	m.history.add(status)
-	m.Check(m.validator.ObserveStatus(m.history.now, status) == isNew, "%+v: expected new %v", status, isNew)
+	m.Check(m.validator.ObserveStatus(m.history.now, status) == isNew, "status %+v: want isNew %v", status, isNew)
 	m.Record("status")
 }
 
@@ -135,15 +135,15 @@
 	m.Record("ended")
 }
 
-// drawnKinds are the kinds of random commands, send commands most often.
-var drawnKinds = []message.Kind{
+// randomKinds are the kinds that random commands are drawn from. Send commands are the most frequent.
+var randomKinds = []message.Kind{
 	message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindSendCommand,
 	message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindHealthCheckCommand,
 	message.KindCloseIdleCommand,
 }
 
 func (m *modelRun) command(id uint64, request *modelRequest, epoch message.Epoch) {
-	command := &anyCommand{kind: drawnKinds[m.Pick(len(drawnKinds))], request: id, worker: uint64(m.Pick(6))}
+	command := &anyCommand{kind: randomKinds[m.Pick(len(randomKinds))], request: id, worker: uint64(m.Pick(6))}
 	if request != nil {
 		epoch = request.owner
 		if m.Pick(8) == 0 {
@@ -154,7 +154,7 @@
 	reasons := m.history.reasons(epoch, m.open, command)
 	reason := m.validator.Validate(m.history.now, epoch, command.message())
 	m.Check(reason == message.ReasonNone && len(reasons) == 0 || reasons.has(reason),
-		"%+v of %d: %q; the model has %v", command, epoch, reason, reasons)
+		"%+v in epoch %d: validator returned %q, the model allows %v", command, epoch, reason, reasons)
 	isOwners := !reasons.has(message.ReasonStaleEpoch) && !reasons.has(message.ReasonUnknownRequest) &&
 		!reasons.has(message.ReasonNotOwner)
 	if command.kind == message.KindSendCommand && isOwners && !reasons.has(message.ReasonDuplicateCommand) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// finish ends all requests, and checks that none is left.
+// finish checks the attempts of all requests against the model, ends the requests, and checks that none is left.
 func (m *modelRun) finish() {
 	now := m.history.now
 	for id := uint64(1); id <= m.requests; id++ {
@@ -178,7 +178,7 @@
 				WorkerID: attempt.worker, SentAgo: now - attempt.sentAt, Ended: attempt.ended, Result: attempt.result,
 				PossiblyExecuted: attempt.possiblyExecuted(),
 			}
-			m.Check(past == want, "attempt %+v, expected %+v", past, want)
+			m.Check(past == want, "got attempt %+v, want %+v", past, want)
 		}
 		for i, attempt := range request.attempts {
 			if !attempt.ended {
--- a/internal/control/validator/observe.go
+++ b/internal/control/validator/observe.go
@@ -2,7 +2,7 @@
 
 import "valvecove/dispatch"
 
-// admit enters a request that has arrived.
+// admit creates the record of a request that has arrived.
 func (v *Validator) admit(job dispatch.Job) {
 	if v.requests[job.ID] != nil || job.Class < 0 || job.Class >= len(v.settings.Classes) {
 		return
@@ -21,7 +21,7 @@
 	v.requests[job.ID] = request
 }
 
-// attemptSent enters an attempt.
+// attemptSent records an attempt that was sent.
 func (v *Validator) attemptSent(send dispatch.Send) {
 	request := v.requests[send.Job]
 	if request == nil {
@@ -38,7 +38,7 @@
 	request.inFlight++
 }
 
-// attemptStarted processes that a worker has started an attempt, or shows by an event that it has.
+// attemptStarted records that a worker has started an attempt. Any event of an attempt that implies its start counts.
 func (v *Validator) attemptStarted(id uint64, index int, workerID uint64) {
 	request := v.requests[id]
 	if request == nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// responseStarted processes that the client is receiving a response: no more commands are valid for the request.
+// responseStarted records that the client is receiving a response. No further commands for the request are valid.
 func (v *Validator) responseStarted(event dispatch.ResponseStarted) {
 	v.attemptStarted(event.Job, event.Attempt, event.Worker)
 	if request := v.requests[event.Job]; request != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// attemptEnded processes the end of an attempt, and returns its number in the owner's count. It returns false if the
-// attempt is not known.
+// attemptEnded records the end of an attempt, and returns the number by which the request's owner knows the attempt. It returns
+// false if the attempt is not known.
 func (v *Validator) attemptEnded(outcome dispatch.Outcome) (commandNumber int, ended bool) {
 	request := v.requests[outcome.Job]
 	if request == nil {
@@ -66,7 +66,7 @@
 	}
 	attempt := request.inFlightAttempt(outcome.Attempt, outcome.Worker)
 	if attempt == nil && outcome.Closed && outcome.Result == dispatch.NotSent {
-		// The request table has released the request before, so that the event does not number the attempt.
+		// The request table has already released the request, so the event does not carry the attempt's number.
 		attempt = request.anyInFlightAt(outcome.Worker)
 	}
 	if attempt != nil {
@@ -83,7 +83,7 @@
 	return commandNumber, ended
 }
 
-// closeRequest processes that a request has its response, or that its client has disconnected.
+// closeRequest closes a request whose response is given or whose client has disconnected.
 func (v *Validator) closeRequest(id uint64) {
 	if request := v.requests[id]; request != nil {
 		request.advanceTo(requestClosed)
@@ -91,7 +91,7 @@
 	}
 }
 
-// releaseIfDone removes a request that is closed and has no attempt in flight. Its memory is reused.
+// releaseIfDone removes a request that is closed and has no attempt in flight, and keeps its memory for reuse.
 func (v *Validator) releaseIfDone(id uint64, request *requestRecord) {
 	if request.state == requestClosed && request.inFlight == 0 {
 		delete(v.requests, id)
--- a/internal/control/validator/owner.go
+++ b/internal/control/validator/owner.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/control/message"
 )
 
-// Assign makes a session, or the local policy (LocalEpoch), the owner of a request. Only the owner's commands for it are
-// valid. The owner counts the attempts before from 0, and its own send commands after them.
+// Assign makes a session, or the local policy (LocalEpoch), the owner of a request. Only the owner's commands for the request
+// are valid. The owner numbers the request's existing attempts from 0, and continues with its own send commands.
 func (v *Validator) Assign(id uint64, owner message.Epoch) {
 	request := v.requests[id]
 	if request == nil {
@@ -28,7 +28,8 @@
 	}
 }
 
-// CommandNumber converts the request table's number of an attempt to the owner's. It returns false if there is none.
+// CommandNumber converts the request table's index of an attempt to the owner's number of it. It returns false if there is no
+// such attempt.
 func (v *Validator) CommandNumber(id uint64, index int) (number int, ok bool) {
 	request := v.requests[id]
 	if request == nil || index < 0 || index >= len(request.attempts) {
@@ -37,7 +38,7 @@
 	return request.attempts[index].commandNumber, true
 }
 
-// NextCommandNumber returns the lowest valid number of the owner's next send command.
+// NextCommandNumber returns the lowest number that is valid for the owner's next send command.
 func (v *Validator) NextCommandNumber(id uint64) int {
 	if request := v.requests[id]; request != nil {
 		return request.nextCommand
@@ -45,7 +46,8 @@
 	return 0
 }
 
-// AttemptIndex converts the owner's number of an attempt to the request table's. It returns false if it was not sent.
+// AttemptIndex converts the owner's number of an attempt to the request table's index of it. It returns false if the attempt was
+// not sent.
 func (v *Validator) AttemptIndex(id uint64, commandNumber int) (index int, ok bool) {
 	request := v.requests[id]
 	if request == nil {
--- a/internal/control/validator/request.go
+++ b/internal/control/validator/request.go
@@ -7,13 +7,13 @@
 	"valvecove/internal/control/message"
 )
 
-// requestState is the state of a request. It only advances in this order.
+// requestState is the state of a request. It only advances in the order of the constants.
 type requestState uint8
 
 const (
 	requestOpen      requestState = iota // its owner's commands are valid
 	requestStreaming                     // its client is receiving the response
-	requestClosed                        // it has its response, or its client has disconnected
+	requestClosed                        // the response is given, or the client has disconnected
 )
 
 // String returns the state's name.
@@ -29,35 +29,35 @@
 	return "unknown"
 }
 
-// requestRecord is a request that is not closed, or has attempts in flight.
+// requestRecord is a request that is not closed or still has attempts in flight.
 type requestRecord struct {
 	state            requestState
 	class            dispatch.Class
 	deadline         time.Duration
-	assigned         bool // owner is valid
+	assigned         bool // whether owner is set
 	owner            message.Epoch
-	nextCommand      int // lowest valid number of the owner's next send command
-	validatedCommand int // number of the last send command that was validated
-	inFlight         int
-	attempts         []attemptRecord // by the request table's number
+	nextCommand      int             // lowest valid number of the owner's next send command
+	validatedCommand int             // number of the last send command that passed the owner and number checks
+	inFlight         int             // number of attempts in flight
+	attempts         []attemptRecord // by the request table's index
 }
 
 // attemptRecord is an attempt that was sent.
 type attemptRecord struct {
 	workerID      uint64
-	cell          int // of the worker when it was sent
-	zone          int
-	commandNumber int // in the owner's count
+	cell          int // cell of the worker when the attempt was sent
+	zone          int // zone of the worker when the attempt was sent
+	commandNumber int // the owner's number of the attempt
 	sentAt        time.Duration
-	startedAt     time.Duration // 0: the worker reported no start
+	startedAt     time.Duration // 0 if no start was reported
 	ended         bool
-	result        dispatch.Result // of an attempt that has ended
+	result        dispatch.Result // valid if the attempt has ended
 }
 
-// advanceTo changes the state to a later one. It does nothing if the present state is later.
+// advanceTo advances the state. It does nothing if the current state is later.
 func (r *requestRecord) advanceTo(state requestState) { r.state = max(r.state, state) }
 
-// inFlightAttempt returns the attempt of a number, if it is in flight at the worker; else nil.
+// inFlightAttempt returns the attempt with an index if it is in flight at the worker, or nil.
 func (r *requestRecord) inFlightAttempt(index int, workerID uint64) *attemptRecord {
 	if index < 0 || index >= len(r.attempts) {
 		return nil
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// possiblyExecuted reports whether the worker may have executed the attempt, or may execute it in future. Only three results
-// exclude that; an unknown result does not.
+// possiblyExecuted reports whether the worker may have executed the attempt, or may still execute it. Only three results rule
+// that out; an unknown result does not.
 func (a *attemptRecord) possiblyExecuted() bool {
 	if !a.ended {
 		return true
@@ -92,8 +92,8 @@
 	return true
 }
 
-// canReject reports whether a rejection, after which the client retries, is safe: the request was not executed, or any
-// worker may execute it again.
+// canReject reports whether a rejection is safe. As the client may retry a rejected request, it is safe only if the request was
+// not executed, or if any worker may execute it again.
 func (r *requestRecord) canReject() bool {
 	class := &r.class
 	if class.Idempotency == dispatch.Idempotent ||
--- a/internal/control/validator/request_test.go
+++ b/internal/control/validator/request_test.go
@@ -8,8 +8,8 @@
 	"valvecove/internal/control/message"
 )
 
-// A request may be closed between two sends of one step. The request table then ends the second attempt without a number
-// of its own.
+// A request may be closed between two sends of one step. The request table then ends the second attempt with an event that does
+// not carry its number; the validator must still find the attempt.
 func TestSendToClosedRequestEnds(t *testing.T) {
 	v := New(dispatch.Settings{
 		AttemptLimit: 2, Hedging: true, Classes: []dispatch.Class{{Idempotency: dispatch.Idempotent}},
@@ -29,7 +29,7 @@
 	v.Observe(1, dispatch.Outcome{Job: 5, Attempt: 0, Worker: 1, Result: dispatch.OK, Closed: true})
 	number, ended := v.Observe(1, dispatch.Outcome{Job: 5, Worker: 2, Result: dispatch.NotSent, Closed: true})
 	if !ended || number != 11 || v.RequestCount() != 0 {
-		t.Errorf("attempt %d ended %v, %d requests left; expected attempt 11, true, 0", number, ended, v.RequestCount())
+		t.Errorf("got attempt %d, ended %v, %d requests left; want attempt 11, ended true, 0 requests left", number, ended, v.RequestCount())
 	}
 }
 
@@ -43,7 +43,7 @@
 	} {
 		request.advanceTo(step.to)
 		if request.state != step.want {
-			t.Errorf("after %v: %v, expected %v", step.to, request.state, step.want)
+			t.Errorf("after advanceTo(%v): state %v, want %v", step.to, request.state, step.want)
 		}
 	}
 }
--- a/internal/control/validator/rules.go
+++ b/internal/control/validator/rules.go
@@ -9,9 +9,9 @@
 	"valvecove/internal/control/message"
 )
 
-// Validate returns why a command of a session, or of the local policy (LocalEpoch), may not be executed, and counts it by
-// that reason; ReasonNone: it may be executed. A valid command must be executed at once, and reported by Apply. The number
-// of a SendCommand of the request's owner is used from then on, even if the command is not valid.
+// Validate returns the reason why a command of a session, or of the local policy (LocalEpoch), may not be executed, or
+// ReasonNone. It counts rejected commands by reason. A valid command must be executed at once and reported by Apply. The number
+// of a SendCommand of the request's owner can't be used again afterwards, even if the command is rejected.
 func (v *Validator) Validate(now time.Duration, epoch message.Epoch, command message.Message) message.RejectReason {
 	v.advance(now)
 	reason := v.validate(epoch, command)
@@ -29,7 +29,7 @@
 	return 0
 }
 
-// validate returns why a command may not be executed.
+// validate returns the reason why a command may not be executed, or ReasonNone.
 func (v *Validator) validate(epoch message.Epoch, command message.Message) message.RejectReason {
 	if epoch != LocalEpoch && !v.openSessions[epoch] {
 		return message.ReasonStaleEpoch
@@ -55,7 +55,7 @@
 	return message.ReasonNotPermitted
 }
 
-// ownedRequest returns an open request whose owner is the session, or the reason why there is none.
+// ownedRequest returns an open request that is owned by the session, or the reason why there is none.
 func (v *Validator) ownedRequest(epoch message.Epoch, id uint64) (*requestRecord, message.RejectReason) {
 	request := v.requests[id]
 	switch {
@@ -67,7 +67,7 @@
 	return request, message.ReasonNone
 }
 
-// validateSend checks a send command, and uses its number.
+// validateSend checks a send command, and marks its number as used.
 func (v *Validator) validateSend(epoch message.Epoch, command *message.SendCommand) message.RejectReason {
 	request, reason := v.ownedRequest(epoch, command.RequestID)
 	if reason != message.ReasonNone {
@@ -151,12 +151,12 @@
 	return message.ReasonNone
 }
 
-// permits reports whether a class permits a kind or a zone of workers. A nil list permits all.
+// permits reports whether a class's list of worker kinds or zones contains an index. A nil list permits all.
 func permits(permitted []int, index int) bool {
 	return permitted == nil || slices.Contains(permitted, index)
 }
 
-// validateAfter checks another attempt at a worker against a previous attempt.
+// validateAfter checks whether a previous attempt of a request rules out another attempt at a worker.
 func (v *Validator) validateAfter(request *requestRecord, previous *attemptRecord, workerID uint64) message.RejectReason {
 	if previous.possiblyExecuted() {
 		if reason := v.validateRepetition(&request.class, previous, v.workers[workerID]); reason != message.ReasonNone {
@@ -174,7 +174,7 @@
 	return message.ReasonNone
 }
 
-// validateRepetition checks whether a worker may execute a request again that a previous attempt has possibly executed.
+// validateRepetition checks whether a worker may execute a request that a previous attempt has possibly executed.
 func (v *Validator) validateRepetition(class *dispatch.Class, previous *attemptRecord, worker listedWorker) message.RejectReason {
 	switch class.Idempotency {
 	case dispatch.Idempotent:
@@ -185,7 +185,7 @@
 	return message.ReasonPossiblyExecuted
 }
 
-// validateDeduplication checks whether the worker still knows the idempotency key of the previous attempt.
+// validateDeduplication checks whether the worker would still recognize the idempotency key of the previous attempt.
 func (v *Validator) validateDeduplication(class *dispatch.Class, previous *attemptRecord, worker listedWorker) message.RejectReason {
 	switch {
 	case class.DeduplicationScope == dispatch.ScopeCell && worker.cell != previous.cell:
@@ -199,12 +199,12 @@
 }
 
 const (
-	// The margin at the end of a deduplication window, for clock skew and the time in transit, is at least the window
-	// divided by windowMarginDivisor.
+	// The margin at the end of a deduplication window, for clock skew and network delay, is at least the window divided by
+	// windowMarginDivisor.
 	windowMarginDivisor = 20
 
-	// repeatMargin is the least margin, to which the connect timeout is added. It is that of mayRepeat in package dispatch:
-	// for a paused process, for a request that is written in parts, and for the time in transit.
+	// The margin is also at least repeatMargin plus the connect timeout. repeatMargin covers a paused process, a request that is
+	// written in parts, and network delay. It equals the margin of mayRepeat in package dispatch.
 	repeatMargin = 210 * time.Millisecond
 )
 
--- a/internal/control/validator/script_test.go
+++ b/internal/control/validator/script_test.go
@@ -14,14 +14,14 @@
 	"valvecove/internal/control/message"
 )
 
-var update = flag.Bool("update", false, "write the verdicts to the golden files")
+var update = flag.Bool("update", false, "rewrite the verdicts in testdata with the actual ones")
 
-// Each file of testdata is a script: events of the request table, sessions, statuses and commands, and below a line of
-// dashes the verdict on each command.
+// Each file in testdata has a script of events of the request table, sessions, statuses and commands. Below a line of dashes it
+// has the expected verdict on each command.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d scripts, %v", len(files), err)
+		t.Fatalf("%d scripts found, error %v", len(files), err)
 	}
 	seen := map[message.RejectReason]bool{}
 	for _, name := range files {
@@ -44,7 +44,7 @@
 	}
 	for reason := range message.ReasonCount {
 		if !seen[reason] {
-			t.Errorf("no script has a command with the verdict %q", reason)
+			t.Errorf("no script contains a command with the verdict %q", reason)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	settings  dispatch.Settings
 	validator *Validator
 	now       time.Duration
-	seen      map[message.RejectReason]bool // verdicts of all scripts
+	seen      map[message.RejectReason]bool // verdicts that occurred in any script
 }
 
 func (r *scriptRunner) run(script string) string {
@@ -100,7 +100,7 @@
 	return duration
 }
 
-// number parses the number after a letter, "r7" say, or after an equals sign.
+// number parses the number after a letter, as in "r7", or after an equals sign.
 func (r *scriptRunner) number(text string) uint64 {
 	number, err := strconv.ParseUint(text[strings.IndexAny(text, "=rw#ec")+1:], 10, 64)
 	if err != nil {
--- a/internal/control/validator/scriptcommands_test.go
+++ b/internal/control/validator/scriptcommands_test.go
@@ -13,14 +13,14 @@
 	"transfer":     message.KindTransferCommand,
 	"health-check": message.KindHealthCheckCommand,
 	"close-idle":   message.KindCloseIdleCommand,
-	"handshake":    message.KindHandshake, // no command
+	"handshake":    message.KindHandshake, // a message that is not a command
 }
 
 // command parses and validates "VERB eEPOCH [rREQUEST] [#NUMBER] [wWORKER]", and applies it if it is valid.
 func (r *scriptRunner) command(verb string, words []string) message.RejectReason {
 	kind, ok := commandKinds[verb]
 	if !ok {
-		r.t.Fatalf("unknown line %q", verb)
+		r.t.Fatalf("unknown command %q", verb)
 	}
 	command := &anyCommand{kind: kind}
 	for _, word := range words[1:] {
@@ -40,7 +40,7 @@
 	return reason
 }
 
-// anyCommand is a command of any kind.
+// anyCommand holds the fields of a command of any kind.
 type anyCommand struct {
 	kind    message.Kind
 	request uint64
@@ -48,7 +48,7 @@
 	attempt int
 }
 
-// message returns the command as a message.
+// message returns the command as a message, or a Handshake if kind is not a command.
 func (c *anyCommand) message() message.Message {
 	switch c.kind {
 	case message.KindSendCommand:
@@ -69,7 +69,7 @@
 	return &message.Handshake{}
 }
 
-// action returns the action that is applied if the command is valid; nil: none.
+// action returns the action to apply if the command is valid, or nil if there is none.
 func (c *anyCommand) action() dispatch.Action {
 	switch c.kind {
 	case message.KindSendCommand:
--- a/internal/control/validator/scriptevents_test.go
+++ b/internal/control/validator/scriptevents_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// execute executes a line. If it is a command, isCommand is true and reason the verdict on it.
+// execute executes a script line. If the line is a command, isCommand is true and reason is the verdict on it.
 func (r *scriptRunner) execute(verb string, words []string) (reason message.RejectReason, isCommand bool) {
 	switch verb {
 	case "list", "request", "client-disconnected", "started", "response-started", "ended":
--- a/internal/control/validator/status_test.go
+++ b/internal/control/validator/status_test.go
@@ -9,17 +9,17 @@
 	"valvecove/internal/control/message"
 )
 
-// A bounded number of statuses of unlisted workers is kept, and all of listed workers. Neither depends on the order in which
-// a map is iterated.
+// All statuses of listed workers are kept, but only a limited number of those of unlisted workers. Which ones are kept does not
+// depend on the iteration order of maps.
 func TestStatusesAreBounded(t *testing.T) {
 	first := keptStatuses(t)
 	second := keptStatuses(t)
 	if !slices.Equal(first, second) || len(first) != maxUnlisted {
-		t.Errorf("%d and %d statuses kept", len(first), len(second))
+		t.Errorf("%d and %d statuses kept in two runs, want the same %d", len(first), len(second), maxUnlisted)
 	}
 }
 
-// keptStatuses returns the workers whose statuses are kept after many of listed and unlisted workers.
+// keptStatuses returns the IDs of the workers whose statuses are kept after many statuses of listed and unlisted workers.
 func keptStatuses(t *testing.T) []uint64 {
 	t.Helper()
 	const listed = 3000
@@ -28,18 +28,18 @@
 	for id := uint64(1); id <= 20000; id++ {
 		status := message.WorkerStatus{WorkerID: id, Revision: 2, State: message.WorkerDraining}
 		if !v.ObserveStatus(time.Hour, status) {
-			t.Fatalf("the status of %d is not new", id)
+			t.Fatalf("the first status of worker %d is not reported as new", id)
 		}
 	}
 	if count := len(v.statuses.latest); count > listed+maxUnlisted {
-		t.Fatalf("%d statuses kept", count)
+		t.Fatalf("%d statuses kept, want at most %d", count, listed+maxUnlisted)
 	}
 	for id := uint64(1); id <= listed; id++ {
 		if !v.Blocked(id) {
-			t.Fatalf("the status of %d, which is listed, is removed", id)
+			t.Fatalf("the status of listed worker %d was removed", id)
 		}
 	}
-	v.Observe(time.Hour, dispatch.WorkerList{Kind: dispatch.ListFull}) // none is listed from now on
+	v.Observe(time.Hour, dispatch.WorkerList{Kind: dispatch.ListFull}) // an empty list: no worker is listed from now on
 	for id := uint64(30001); id <= 30003; id++ {
 		v.ObserveStatus(time.Hour, message.WorkerStatus{WorkerID: id, State: message.WorkerGone})
 	}
@@ -67,7 +67,7 @@
 	for _, startedMs := range []int64{(now + 2*time.Minute).Milliseconds(), -1, 1 << 62} {
 		status := message.WorkerStatus{WorkerID: 1, StartedMs: startedMs, Revision: 10, State: message.WorkerDraining}
 		if v.ObserveStatus(now, status) || v.Blocked(1) {
-			t.Errorf("a start at %d is accepted", startedMs)
+			t.Errorf("a status with a start at %d ms is accepted", startedMs)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	})
 	v.Observe(1, listOf(0, workers))
 	v.OpenSession(1)
-	for id := range uint64(500) { // that stay open
+	for id := range uint64(500) { // these requests stay open
 		v.Observe(1, dispatch.Job{ID: 1<<40 + id, Remaining: time.Hour})
 	}
 	b.ReportAllocs()
--- a/internal/control/validator/validator.go
+++ b/internal/control/validator/validator.go
@@ -7,13 +7,13 @@
 	"valvecove/internal/control/message"
 )
 
-// LocalEpoch is the epoch of the local policy's commands. No session has it.
+// LocalEpoch is the epoch of the local policy's commands. No session uses it.
 const LocalEpoch message.Epoch = 0
 
-// Validator validates the commands to one forwarder. It is used by one goroutine.
+// Validator validates the commands to one forwarder. It is not safe for concurrent use.
 type Validator struct {
 	settings     dispatch.Settings
-	now          time.Duration // of the latest call
+	now          time.Duration // time of the latest call
 	requests     map[uint64]*requestRecord
 	freeRequests []*requestRecord // for reuse
 	openSessions map[message.Epoch]bool
@@ -22,7 +22,7 @@
 	rejected     [message.ReasonCount]int
 }
 
-// New returns a validator without requests, workers and sessions.
+// New returns a validator without requests, workers or sessions.
 func New(settings dispatch.Settings) *Validator {
 	return &Validator{
 		settings:     settings,
@@ -33,12 +33,12 @@
 	}
 }
 
-// advance sets the present time. An earlier time than the present one is ignored.
+// advance sets the current time. It ignores a time before the current one.
 func (v *Validator) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// Observe processes an event of the request table. If it ends an attempt, commandNumber is that attempt's number in the
-// count of the request's owner. The request table itself has no number for it if the request was closed between two sends
-// of one step.
+// Observe processes an event of the request table. If the event ends an attempt, commandNumber is the number by which the
+// request's owner knows the attempt. The event itself carries no valid attempt number if the request was closed between two
+// sends of one step.
 func (v *Validator) Observe(now time.Duration, event dispatch.Event) (commandNumber int, attemptEnded bool) {
 	v.advance(now)
 	switch event := event.(type) {
@@ -60,8 +60,8 @@
 	return 0, false
 }
 
-// Apply records an action that is executed: a Send that Validate has allowed, or a final response of the owner or of the
-// forwarder itself. Other actions are ignored.
+// Apply records an executed action: a Send that Validate has allowed, or a final response that the owner or the forwarder itself
+// decided on. Other actions are ignored.
 func (v *Validator) Apply(now time.Duration, action dispatch.Action) {
 	v.advance(now)
 	switch action := action.(type) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// OpenSession makes commands of a session valid.
+// OpenSession allows commands of a session.
 func (v *Validator) OpenSession(epoch message.Epoch) { v.openSessions[epoch] = true }
 
-// CloseSession makes commands of a session invalid.
+// CloseSession disallows further commands of a session.
 func (v *Validator) CloseSession(epoch message.Epoch) { delete(v.openSessions, epoch) }
--- a/internal/control/validator/verdict_test.go
+++ b/internal/control/validator/verdict_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// reasonSet collects reasons against a command.
+// reasonSet is a set of reasons to reject a command.
 type reasonSet []message.RejectReason
 
 func (r *reasonSet) add(reason message.RejectReason, applies bool) {
@@ -18,7 +18,7 @@
 
 func (r reasonSet) has(reason message.RejectReason) bool { return slices.Contains(r, reason) }
 
-// reasons returns all reasons against a command of a session. open has the open sessions.
+// reasons returns all reasons to reject a command of a session. open contains the open sessions.
 func (h *history) reasons(epoch message.Epoch, open map[message.Epoch]bool, command *anyCommand) (reasons reasonSet) {
 	reasons.add(message.ReasonStaleEpoch, epoch != LocalEpoch && !open[epoch])
 	if command.kind == message.KindHealthCheckCommand || command.kind == message.KindCloseIdleCommand {
--- a/internal/control/validator/workers.go
+++ b/internal/control/validator/workers.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// maxClockSkew is how far ahead of this process's clock a worker's start may be in a valid status.
+// maxClockSkew is the maximum time by which the start of a worker in a status may be ahead of this process's clock.
 const maxClockSkew = time.Minute
 
 // listedWorker is an entry of the forwarder's own endpoint list.
@@ -15,10 +15,10 @@
 	kind   int
 	cell   int
 	zone   int
-	status message.WorkerStatus // by the list
+	status message.WorkerStatus // according to the list
 }
 
-// updateList processes an endpoint list, or changes of it.
+// updateList processes a full endpoint list or a delta.
 func (v *Validator) updateList(list dispatch.WorkerList) {
 	if list.Kind == dispatch.ListUnavailable {
 		return
@@ -55,14 +55,14 @@
 	v.statuses.markListed(entry.ID)
 }
 
-// isListed reports whether a worker is on the own endpoint list.
+// isListed reports whether a worker is on the forwarder's own endpoint list.
 func (v *Validator) isListed(workerID uint64) bool {
 	_, listed := v.workers[workerID]
 	return listed
 }
 
-// ObserveStatus processes a worker's status from a planner, and reports whether it is newer than every status before. A
-// status whose start is in the future, beyond maxClockSkew, or negative is ignored.
+// ObserveStatus processes a worker's status from a planner, and reports whether it is newer than all known statuses of the
+// worker. It ignores a status whose start is negative or more than maxClockSkew in the future.
 func (v *Validator) ObserveStatus(now time.Duration, status message.WorkerStatus) (isNew bool) {
 	v.advance(now)
 	if status.StartedMs < 0 || time.Duration(status.StartedMs) > (v.now+maxClockSkew)/time.Millisecond {
@@ -75,7 +75,7 @@
 	return !listed || status.Supersedes(worker.status)
 }
 
-// BlockingStatus returns the newest status by which a listed worker may get no attempts. It returns false if there is none.
+// BlockingStatus returns the newest status that forbids attempts at a listed worker, or false if there is none.
 func (v *Validator) BlockingStatus(workerID uint64) (status message.WorkerStatus, ok bool) {
 	worker, listed := v.workers[workerID]
 	if !listed {
@@ -87,7 +87,7 @@
 	return worker.status, worker.status.State != message.WorkerUp
 }
 
-// Blocked reports whether a worker that is up on the own list may get no attempts, by a status from a planner.
+// Blocked reports whether a status from a planner forbids attempts at a worker that the own endpoint list shows as up.
 func (v *Validator) Blocked(workerID uint64) bool {
 	worker, listed := v.workers[workerID]
 	if !listed || worker.status.State != message.WorkerUp {
