--- a/internal/control/message/between_planners.go
+++ b/internal/control/message/between_planners.go
@@ -15,14 +15,14 @@
 // Clone copies the message.
 func (p *PeerHandshake) Clone() Message { return shallowClone(p) }
 
-// LoadReport reports the load of a planner to another one.
+// LoadReport reports a planner's load to another planner.
 type LoadReport struct {
 	OpenRequests   int           // requests that are assigned to the planner
-	QueuedRequests int           // of these, without an attempt in flight
-	Forwarders     int           // forwarders with a session
-	TimerLag       time.Duration // delay of the planner's own timers
-	UsedSlots      float64       // slots of workers that its attempts occupy
-	FreeSlots      float64       // slots of workers that it estimates to be free
+	QueuedRequests int           // assigned requests without an attempt in flight
+	Forwarders     int           // forwarders that have a session with the planner
+	TimerLag       time.Duration // delay with which the planner's own timers fire
+	UsedSlots      float64       // worker slots occupied by the planner's attempts
+	FreeSlots      float64       // worker slots that the planner estimates to be free
 }
 
 // Kind returns KindLoadReport.
--- a/internal/control/message/from_forwarder.go
+++ b/internal/control/message/from_forwarder.go
@@ -7,7 +7,7 @@
 	"valvecove/dispatch"
 )
 
-// Handshake opens a session; its envelope's epoch is the new session's.
+// Handshake opens a session. The epoch of its envelope is that of the new session.
 type Handshake struct {
 	Name        string // of the forwarder
 	Incarnation uint64 // start of its process, Unix time in ns
@@ -20,8 +20,8 @@
 // Clone copies the message.
 func (h *Handshake) Clone() Message { return shallowClone(h) }
 
-// RequestOffer assigns a request to a planner, which decides on it until it responds, transfers it, or receives its
-// RequestClosed.
+// RequestOffer assigns a request to a planner. The assignment lasts until the planner responds to the request, transfers it, or
+// receives a RequestClosed for it.
 type RequestOffer struct {
 	RequestID uint64
 	Summary   RequestSummary
@@ -41,33 +41,33 @@
 type RequestSummary struct {
 	Class     int           // index into the settings' classes
 	Tenant    int           // index into the settings' tenants
-	Key       uint64        // hash of the idempotency key; 0: none
-	Remaining time.Duration // until the request's deadline
-	Waited    time.Duration // since its arrival at the forwarder
-	Hint      time.Duration // expected work on a standard core; 0: unknown
+	Key       uint64        // hash of the idempotency key; 0 if there is none
+	Remaining time.Duration // time until the request's deadline
+	Waited    time.Duration // time since the request's arrival at the forwarder
+	Hint      time.Duration // expected work on a standard core; 0 if unknown
 	Slots     float64       // slots of a worker's concurrency limit that an attempt occupies
 	Memory    float64       // memory that an attempt occupies, in units of one slot's memory
 	Retry     bool          // the client marked it as a retry
-	Transfers int           // transfer commands executed so far
-	Attempts  []PastAttempt // all attempts so far, of any planner, in order
+	Transfers int           // number of transfer commands executed so far
+	Attempts  []PastAttempt // all attempts so far, of any planner or the local policy, in order
 }
 
 // PastAttempt is an attempt that was made before the request was offered.
 type PastAttempt struct {
 	WorkerID         uint64
-	SentAgo          time.Duration   // since it was sent
-	StartedAgo       time.Duration   // since the worker reported the start; 0: no start was reported
-	Ended            bool            // Result is valid
-	Result           dispatch.Result // of an attempt that has ended
-	PossiblyExecuted bool            // the worker may have executed it, or may execute it in future, by the forwarder's records
+	SentAgo          time.Duration   // time since the attempt was sent
+	StartedAgo       time.Duration   // time since the worker reported the start; 0 if it did not
+	Ended            bool            // whether the attempt has ended and Result is valid
+	Result           dispatch.Result // valid if Ended is set
+	PossiblyExecuted bool            // the forwarder can't rule out that the worker has executed it or still will
 }
 
 // AttemptEnded reports the end of an attempt, or that a send command was rejected.
 type AttemptEnded struct {
 	RequestID uint64
-	Attempt   int // number of the attempt; -1: a reject command was converted to a failure
+	Attempt   int // number of the attempt, or -1 if a reject command was converted to a failure
 	Result    dispatch.Result
-	Reason    RejectReason // why the validator rejected the command; ReasonNone: it was executed
+	Reason    RejectReason // why the validator rejected the command, or ReasonNone if the command was executed
 }
 
 // Kind returns KindAttemptEnded.
@@ -92,7 +92,7 @@
 type AttemptProgress struct {
 	RequestID uint64
 	Attempt   int
-	Fraction  float64 // of the work that is done, from 0 to 1
+	Fraction  float64 // completed fraction of the work, from 0 to 1
 }
 
 // Kind returns KindAttemptProgress.
@@ -101,8 +101,8 @@
 // Clone copies the message.
 func (a *AttemptProgress) Clone() Message { return shallowClone(a) }
 
-// RequestClosed ends the assignment of a request to the planner: the request has its response, its client has disconnected,
-// or it was revoked.
+// RequestClosed ends the assignment of a request to the planner, because the request got its response, its client has
+// disconnected, or the assignment was revoked.
 type RequestClosed struct {
 	RequestID uint64
 }
@@ -125,7 +125,7 @@
 // Clone copies the message.
 func (h *HealthCheckResult) Clone() Message { return shallowClone(h) }
 
-// Heartbeat requests a HeartbeatReply, which shows that the planner has read every message before the heartbeat.
+// Heartbeat requests a HeartbeatReply, which confirms that the planner has read every message sent before the heartbeat.
 type Heartbeat struct {
 	Sequence uint64
 }
--- a/internal/control/message/from_planner.go
+++ b/internal/control/message/from_planner.go
@@ -10,7 +10,7 @@
 	Name        string // of the planner
 	Incarnation uint64 // start of its process, Unix time in ns
 	Version     int    // of the protocol: major version << 8 | minor version
-	Credit      int    // requests of the forwarder that may be assigned to the planner at a time
+	Credit      int    // maximum number of the forwarder's requests assigned to the planner at a time
 }
 
 // Kind returns KindHandshakeAccept.
@@ -19,7 +19,7 @@
 // Clone copies the message.
 func (h *HandshakeAccept) Clone() Message { return shallowClone(h) }
 
-// CreditUpdate sets how many requests of the forwarder may be assigned to the planner at a time.
+// CreditUpdate changes the maximum number of the forwarder's requests assigned to the planner at a time.
 type CreditUpdate struct {
 	Credit int
 }
@@ -30,12 +30,12 @@
 // Clone copies the message.
 func (c *CreditUpdate) Clone() Message { return shallowClone(c) }
 
-// SendCommand has the forwarder send a request to a worker.
+// SendCommand instructs the forwarder to send a request to a worker.
 type SendCommand struct {
 	RequestID uint64
 	Attempt   int // number of the new attempt
 	WorkerID  uint64
-	Timeout   time.Duration // of the attempt; 0: the request's deadline
+	Timeout   time.Duration // of the attempt; 0 for the request's deadline
 }
 
 // Kind returns KindSendCommand.
@@ -46,7 +46,7 @@
 
 func (*SendCommand) command() {}
 
-// RejectCommand has the forwarder respond to a request with a rejection.
+// RejectCommand instructs the forwarder to respond to a request with a rejection.
 type RejectCommand struct {
 	RequestID  uint64
 	RetryAfter time.Duration // delay after which the client may retry
@@ -60,7 +60,7 @@
 
 func (*RejectCommand) command() {}
 
-// FailCommand has the forwarder respond to a request with a failure.
+// FailCommand instructs the forwarder to respond to a request with a failure.
 type FailCommand struct {
 	RequestID uint64
 }
@@ -73,7 +73,7 @@
 
 func (*FailCommand) command() {}
 
-// CancelCommand has the forwarder cancel an attempt.
+// CancelCommand instructs the forwarder to cancel an attempt.
 type CancelCommand struct {
 	RequestID uint64
 	Attempt   int
@@ -87,7 +87,7 @@
 
 func (*CancelCommand) command() {}
 
-// HealthCheckCommand has the forwarder check the health of a worker.
+// HealthCheckCommand instructs the forwarder to check the health of a worker.
 type HealthCheckCommand struct {
 	WorkerID uint64
 }
@@ -100,7 +100,7 @@
 
 func (*HealthCheckCommand) command() {}
 
-// CloseIdleCommand has the forwarder close its idle connections to a worker.
+// CloseIdleCommand instructs the forwarder to close its idle connections to a worker.
 type CloseIdleCommand struct {
 	WorkerID uint64
 }
@@ -113,10 +113,10 @@
 
 func (*CloseIdleCommand) command() {}
 
-// TransferCommand has the forwarder offer a request to another planner. It ends the assignment to the sender.
+// TransferCommand instructs the forwarder to offer a request to another planner. It ends the assignment to the sender.
 type TransferCommand struct {
 	RequestID uint64
-	Planner   string // name of the other planner; empty: the sender's policy panicked on the request
+	Planner   string // name of the other planner, or empty if the sender's policy panicked on the request
 }
 
 // Kind returns KindTransferCommand.
@@ -130,7 +130,7 @@
 // HeartbeatReply replies to a Heartbeat.
 type HeartbeatReply struct {
 	Sequence uint64
-	TimerLag time.Duration // delay of the planner's own timers
+	TimerLag time.Duration // delay with which the planner's own timers fire
 }
 
 // Kind returns KindHeartbeatReply.
@@ -141,8 +141,8 @@
 
 // ModelSnapshot is the model of a planner's policy, for a forwarder's policy in standalone mode.
 type ModelSnapshot struct {
-	Age  time.Duration // since it was taken
-	Data []byte        // as the policy encodes it
+	Age  time.Duration // time since the snapshot was taken
+	Data []byte        // the model in the policy's own encoding
 }
 
 // Kind returns KindModelSnapshot.
@@ -155,8 +155,8 @@
 	return clone
 }
 
-// Goodbye announces that the planner shuts down: the forwarder offers its requests to other planners. Commands that the
-// planner has sent before remain valid.
+// Goodbye announces that the planner is shutting down. The forwarder then offers the planner's requests to other planners.
+// Commands that the planner has sent before remain valid.
 type Goodbye struct{}
 
 // Kind returns KindGoodbye.
--- a/internal/control/message/kind.go
+++ b/internal/control/message/kind.go
@@ -1,7 +1,7 @@
 package message
 
-// Kind identifies the type of a message. The codec writes it as one byte, so the values are part of the protocol and
-// must not change.
+// Kind identifies the type of a message. Package codec writes it as one byte, so the values are part of the protocol and must
+// not change.
 type Kind uint8
 
 // Kinds of messages from a forwarder to a planner.
--- a/internal/control/message/message.go
+++ b/internal/control/message/message.go
@@ -1,19 +1,19 @@
 package message
 
-// Epoch is the number of a session. A greater epoch of the same forwarder is a newer session.
+// Epoch is the number of a session. Of two sessions of a forwarder, the one with the greater epoch is newer.
 type Epoch uint64
 
-// Message is one message of the protocol: a pointer to one of the types of this package. A message must not be changed
+// Message is a message of the protocol: a pointer to one of the message types of this package. A message must not be changed
 // once it is sent, as several receivers may share it.
 type Message interface {
 	// Kind identifies the message's type.
 	Kind() Kind
-	// Clone returns a copy that shares no memory with the message. A message that a codec.Reader returned is
-	// valid only until the reader's next call: keep a clone.
+	// Clone returns a copy that shares no memory with the message. A message from a codec.Reader is valid only until the next
+	// call of the reader; clone it to keep it longer.
 	Clone() Message
 }
 
-// Command is a message by which a planner commands an action of a forwarder. The forwarder's validator checks each of them.
+// Command is a message that instructs a forwarder to do something. The forwarder's validator checks each command.
 type Command interface {
 	Message
 	command()
@@ -33,7 +33,7 @@
 	return e
 }
 
-// shallowClone copies a message without its slices, which the copy shares.
+// shallowClone copies a message. The copy shares the slices of the original.
 func shallowClone[T any](original *T) *T {
 	clone := *original
 	return &clone
--- a/internal/control/message/message_test.go
+++ b/internal/control/message/message_test.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/control/message"
 )
 
-// allMessages returns a message of each type, with a value in every slice.
+// allMessages returns a message of each type. No slice in them is empty.
 func allMessages() []message.Message {
 	return []message.Message{
 		&message.Handshake{Name: "f"},
@@ -41,7 +41,7 @@
 	types := map[message.Kind]message.Message{}
 	for _, m := range allMessages() {
 		if other, taken := types[m.Kind()]; taken {
-			t.Errorf("%T and %T are both of kind %v", m, other, m.Kind())
+			t.Errorf("%T and %T both have kind %v", m, other, m.Kind())
 		}
 		types[m.Kind()] = m
 	}
@@ -63,7 +63,7 @@
 		_, isCommand := m.(message.Command)
 		want := m.Kind() >= message.KindSendCommand && m.Kind() <= message.KindTransferCommand
 		if isCommand != want {
-			t.Errorf("%T: command %v, expected %v", m, isCommand, want)
+			t.Errorf("%T is a command: %v, want %v", m, isCommand, want)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 			t.Errorf("%+v is cloned as %+v", envelope, clone)
 		}
 		if _, isEmpty := m.(*message.Goodbye); !isEmpty && m == clone.Message {
-			t.Errorf("%T is its own clone", m)
+			t.Errorf("Clone of %T returns the same pointer", m)
 		}
 		switch clone := clone.Message.(type) {
 		case *message.RequestOffer:
@@ -109,7 +109,7 @@
 	for i, status := range ascending {
 		for j, other := range ascending {
 			if status.Supersedes(other) != (i > j) {
-				t.Errorf("%+v supersedes %+v: %v", status, other, i <= j)
+				t.Errorf("%+v supersedes %+v: got %v, want %v", status, other, i <= j, i > j)
 			}
 		}
 	}
@@ -125,11 +125,11 @@
 		names[name] = reason
 	}
 	if name := message.ReasonCount.String(); name != "unknown" {
-		t.Errorf("no reason is named %q", name)
+		t.Errorf("ReasonCount has the name %q, want unknown", name)
 	}
 	for state, want := range []string{"up", "draining", "gone", "unknown"} {
 		if got := message.WorkerState(state).String(); got != want {
-			t.Errorf("state %d is %q, expected %q", state, got, want)
+			t.Errorf("state %d has the name %q, want %q", state, got, want)
 		}
 	}
 }
--- a/internal/control/message/reject_reason.go
+++ b/internal/control/message/reject_reason.go
@@ -1,28 +1,28 @@
 package message
 
-// RejectReason is why a forwarder's validator rejected a command. The codec writes it as one byte, so the values are part
-// of the protocol and must not change.
+// RejectReason is the reason why a forwarder's validator rejected a command. Package codec writes it as one byte, so the values
+// are part of the protocol and must not change.
 type RejectReason uint8
 
 // Reasons for which a command is rejected.
 const (
-	ReasonNone              RejectReason = iota // it was not rejected
-	ReasonStaleEpoch                            // its session has ended
+	ReasonNone              RejectReason = iota // the command was not rejected
+	ReasonStaleEpoch                            // the command's session has ended
 	ReasonUnknownRequest                        // the request is closed, or was never offered to this planner
-	ReasonNotOwner                              // the request is assigned to another planner
+	ReasonNotOwner                              // the request is not assigned to this planner
 	ReasonPossiblyExecuted                      // a non-idempotent request may have been executed already
-	ReasonOutsideScope                          // the worker is outside the deduplication scope of the attempt that may have been executed
-	ReasonWindowExpired                         // the deduplication window has expired
-	ReasonWorkerDraining                        // the worker is draining by its newest status
+	ReasonOutsideScope                          // the worker is outside the deduplication scope of a possibly executed attempt
+	ReasonWindowExpired                         // the deduplication window of a possibly executed attempt has expired
+	ReasonWorkerDraining                        // the worker is draining or removed according to its newest status
 	ReasonUnknownWorker                         // the worker is not on the forwarder's endpoint list
-	ReasonDuplicateAtWorker                     // the worker has an attempt of the request in flight
+	ReasonDuplicateAtWorker                     // an attempt of the request is in flight at the worker
 	ReasonHedgingDisabled                       // another attempt is in flight, and the settings do not permit hedging
 	ReasonAttemptLimit                          // the request has had the maximum number of attempts
 	ReasonDeadlineExceeded                      // the request's deadline has passed
 	ReasonUnsafeRejection                       // a rejection would promise that the request was not executed
-	ReasonDuplicateCommand                      // a command with that number or a higher one was given before
+	ReasonDuplicateCommand                      // a send command with the same or a higher number was given before
 	ReasonClassMismatch                         // the request's class does not permit the worker's kind or zone
-	ReasonNotPermitted                          // the settings do not permit the command, or it is no command
+	ReasonNotPermitted                          // the settings do not permit the command, or the message is not a command
 	ReasonCount                                 // number of reasons
 )
 
@@ -46,7 +46,7 @@
 	ReasonNotPermitted:      "not permitted",
 }
 
-// String returns the reason in words, "" for ReasonNone, or "unknown".
+// String returns the reason in words: "" for ReasonNone, and "unknown" for a value that is not a reason.
 func (r RejectReason) String() string {
 	if r < ReasonCount {
 		return reasonNames[r]
--- a/internal/control/message/worker_status.go
+++ b/internal/control/message/worker_status.go
@@ -1,20 +1,20 @@
 package message
 
-// WorkerStatus is the state of a worker as its sender knows it. Forwarders and planners send each other the changes.
+// WorkerStatus is the state of a worker as known to the sender. Forwarders and planners notify each other of changes.
 type WorkerStatus struct {
 	WorkerID  uint64
-	StartedMs int64 // start of the worker's process by the endpoint list, Unix time in ms
-	Revision  int64 // of the endpoint list with this status; 0: the status is not from a list
+	StartedMs int64 // start of the worker's process according to the endpoint list, Unix time in ms
+	Revision  int64 // revision of the endpoint list with this status; 0 if the status is not from a list
 	State     WorkerState
 }
 
-// WorkerState says whether a worker accepts requests. A greater value permits less.
+// WorkerState states whether a worker accepts requests. A greater value is more restrictive.
 type WorkerState uint8
 
 // States of a worker.
 const (
 	WorkerUp       WorkerState = iota // it accepts requests
-	WorkerDraining                    // it accepts no new requests, and finishes the others
+	WorkerDraining                    // it accepts no new requests, but finishes those that it has
 	WorkerGone                        // it was removed from the endpoint list
 )
 
@@ -31,8 +31,8 @@
 	return "unknown"
 }
 
-// Supersedes reports whether w replaces other, a status of the same worker: the one with the later start of the
-// worker's process, else with the higher revision, else with the state that permits less.
+// Supersedes reports whether w replaces other, a status of the same worker. The later start of the worker's process wins, then
+// the higher revision, then the more restrictive state.
 func (w WorkerStatus) Supersedes(other WorkerStatus) bool {
 	if w.StartedMs != other.StartedMs {
 		return w.StartedMs > other.StartedMs
