--- a/internal/control/codec/codec_test.go
+++ b/internal/control/codec/codec_test.go
@@ -15,7 +15,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// allKinds are the kinds of message of this version.
+// allKinds lists all kinds of messages in this version.
 var allKinds = []message.Kind{
 	message.KindHandshake, message.KindRequestOffer, message.KindAttemptEnded, message.KindAttemptStarted,
 	message.KindAttemptProgress, message.KindRequestClosed, message.KindHealthCheckResult, message.KindHeartbeat,
@@ -25,7 +25,7 @@
 	message.KindWorkerStatus, message.KindPeerHandshake, message.KindLoadReport,
 }
 
-// source is the source of randomness of messages.
+// source provides the random choices for random messages.
 type source interface{ Pick(n int) int }
 
 type randomSource struct{ *rand.Rand }
@@ -215,8 +215,8 @@
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// A reader returns the messages that were written, in any batches and pieces. If bytes are corrupted, it returns only
-// messages that were written before them.
+// A reader returns exactly the messages that were written, regardless of how they are batched into frames and split into pieces.
+// If bytes are corrupted, the reader returns only messages that were written before the corruption.
 func FuzzFrames(f *testing.F) { modeltest.Fuzz(f, runFrames) }
 
 func runFrames(s *modeltest.Steps) {
@@ -226,11 +226,11 @@
 	for s.More() {
 		if s.Pick(4) == 0 {
 			wire = w.Take(wire)
-			s.Check(w.Len() == 0, "%d bytes remaining after Take", w.Len())
+			s.Check(w.Len() == 0, "Len is %d after Take, want 0", w.Len())
 			continue
 		}
 		envelope := randomEnvelope(s, allKinds[s.Pick(len(allKinds))])
-		s.Check(w.Add(envelope) == nil, "not written: %v", describe(envelope))
+		s.Check(w.Add(envelope) == nil, "message can't be written: %v", describe(envelope))
 		sent = append(sent, envelope)
 	}
 	wire = w.Take(wire)
@@ -238,7 +238,7 @@
 	randomPiece := func(remaining int) int { return 1 + rng.IntN(1+rng.IntN(max(remaining, 1))) }
 	r := NewReader(0)
 	decoded, err := decodeAll(r, wire, randomPiece)
-	s.Check(err == nil && equal(decoded, sent), "%d of %d received, %v", len(decoded), len(sent), err)
+	s.Check(err == nil && equal(decoded, sent), "%d of %d messages received, or not the same ones; error %v", len(decoded), len(sent), err)
 	s.Check(cap(r.buffer) <= 4*maxReusedCapacity, "%d bytes buffered", cap(r.buffer))
 	if len(wire) == 0 {
 		return
@@ -246,12 +246,12 @@
 	for range 8 {
 		changed := corrupt(rng, wire)
 		decoded, err := decodeAll(NewReader(0), changed, randomPiece)
-		s.Check(len(decoded) <= len(sent) && equal(decoded, sent[:len(decoded)]), "other messages than were written, after %v", err)
-		s.Check(err != nil || len(decoded) < len(sent) || bytes.Equal(changed[:len(wire)], wire), "a corruption was not detected")
+		s.Check(len(decoded) <= len(sent) && equal(decoded, sent[:len(decoded)]), "a reader of corrupt bytes returned messages that were not written; error %v", err)
+		s.Check(err != nil || len(decoded) < len(sent) || bytes.Equal(changed[:len(wire)], wire), "corrupt bytes were not detected")
 	}
 }
 
-// corrupt changes bits, or removes or inserts bytes.
+// corrupt returns a copy of wire with a changed byte, removed bytes, or an inserted byte.
 func corrupt(rng *rand.Rand, wire []byte) []byte {
 	changed := bytes.Clone(wire)
 	at := rng.IntN(len(changed))
@@ -266,8 +266,8 @@
 	return changed
 }
 
-// Whatever is received: the reader's error is final, it buffers no more than its limit, and the result does not depend on
-// the pieces.
+// For arbitrary input, the reader's error is final, the result does not depend on how the input is split into pieces, and every
+// decoded message can be encoded again.
 func FuzzReader(f *testing.F) {
 	for seed, kind := range allKinds {
 		src := randomSource{rand.New(rand.NewPCG(uint64(seed), 3))}
@@ -276,7 +276,7 @@
 	}
 	const limit = 1 << 16
 	f.Fuzz(func(t *testing.T, data []byte, isBody bool) {
-		if isBody { // so that the fuzzer also reaches the messages, without valid checksums of its own
+		if isBody { // wrap data in a valid frame, as the fuzzer can't find valid checksums by itself
 			frame := append(make([]byte, headerSize), byte(min(len(data), 127)))
 			frame = append(frame, data[:min(len(data), 127)]...)
 			sealFrame(frame, Major, Minor)
@@ -286,21 +286,21 @@
 		decoded, err := decodeAll(r, data, wholeInput)
 		again, errAgain := decodeAll(NewReader(limit), data, func(int) int { return 1 })
 		if !errors.Is(errAgain, err) && errAgain.Error() != err.Error() || len(decoded) != len(again) {
-			t.Fatalf("%d messages and %v; byte by byte %d and %v", len(decoded), err, len(again), errAgain)
+			t.Fatalf("%d messages and error %v; fed byte by byte, %d messages and error %v", len(decoded), err, len(again), errAgain)
 		}
-		if _, errAfter := decodeAll(r, []byte("more"), wholeInput); err != nil && errAfter != err { //nolint:errorlint // the very same error
-			t.Fatalf("after %v: %v", err, errAfter)
+		if _, errAfter := decodeAll(r, []byte("more"), wholeInput); err != nil && errAfter != err { //nolint:errorlint // the identical error
+			t.Fatalf("the reader returns error %v, and later %v", err, errAfter)
 		}
 		var w Writer
 		for _, envelope := range decoded {
 			if err := w.Add(envelope); err != nil {
-				t.Fatalf("%v was read and can't be written: %v", describe(envelope), err)
+				t.Fatalf("%v was decoded but can't be encoded: %v", describe(envelope), err)
 			}
 		}
 	})
 }
 
-// foreignMessage is of a type that is unknown to this package.
+// foreignMessage is a message of a type that this package does not know.
 type foreignMessage struct {
 	*message.Goodbye
 	kind message.Kind
@@ -332,7 +332,7 @@
 		{&message.ModelSnapshot{Data: make([]byte, MaxPayloadSize)}, ErrTooLarge},
 	} {
 		if err := w.Add(message.Envelope{Message: c.message}); !errors.Is(err, c.want) || w.Len() > 0 {
-			t.Errorf("%T: %v, expected %v; %d bytes", c.message, err, c.want, w.Len())
+			t.Errorf("%T: error %v, want %v; %d bytes written", c.message, err, c.want, w.Len())
 		}
 	}
 }
@@ -345,18 +345,18 @@
 	}
 	wire := w.Take(nil)
 	if cap(w.buffer)+cap(w.body)+cap(w.fields.buffer) > 2*maxReusedCapacity {
-		t.Error("a writer keeps a large buffer")
+		t.Error("the writer keeps a buffer larger than maxReusedCapacity")
 	}
 	r := NewReader(0)
 	decoded, err := decodeAll(r, wire, func(int) int { return 1 << 16 })
 	if err != nil || !equal(decoded, []message.Envelope{large}) {
-		t.Errorf("%d messages, %v", len(decoded), err)
+		t.Errorf("%d messages decoded, error %v; want the one that was written", len(decoded), err)
 	}
 	if r.Feed([]byte{magic0}); cap(r.buffer) > maxReusedCapacity {
-		t.Error("a reader keeps a large buffer")
+		t.Error("the reader keeps a buffer larger than maxReusedCapacity")
 	}
 	if _, err := decodeAll(NewReader(1<<16), wire, func(int) int { return 100 }); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("over the limit: %v", err)
+		t.Errorf("a frame over the limit yields error %v, want ErrTooLarge", err)
 	}
 }
 
@@ -371,17 +371,17 @@
 	}
 	decoded, err := decodeAll(NewReader(batchSize), w.Take(nil), func(int) int { return 4096 })
 	if len(decoded) != count || err != nil {
-		t.Fatalf("%d received, %v", len(decoded), err)
+		t.Fatalf("%d messages received, want %d; error %v", len(decoded), count, err)
 	}
 	for i := range decoded {
 		if id := decoded[i].Message.(*message.SendCommand).RequestID; id != uint64(i) {
-			t.Fatalf("message %d is of request %d", i, id)
+			t.Fatalf("message %d has request ID %d", i, id)
 		}
 	}
 }
 
-// In a steady state no memory is allocated.
-func TestNothingIsAllocated(t *testing.T) {
+// Once its buffers have grown, encoding and decoding allocate no memory.
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	var w Writer
 	var wire []byte
 	r := NewReader(0)
@@ -413,13 +413,13 @@
 }
 
 func BenchmarkFrames(b *testing.B) {
-	for _, i := range []int{1, 12, 4} { // a request offer, a send command, an attempt's end
+	for _, i := range []int{1, 12, 4} { // indexes into samples: a request offer, a send command, the end of an attempt
 		envelope := samples()[i]
 		b.Run(envelope.Message.Kind().String(), func(b *testing.B) { benchmarkFrames(b, envelope) })
 	}
 }
 
-// benchmarkFrames encodes and decodes a message in frames of many.
+// benchmarkFrames encodes and decodes batches of the same message, one frame each.
 func benchmarkFrames(b *testing.B, envelope message.Envelope) {
 	b.Helper()
 	const batch = 50
--- a/internal/control/codec/fields.go
+++ b/internal/control/codec/fields.go
@@ -10,27 +10,27 @@
 	"valvecove/internal/control/message"
 )
 
-// Bounds of fields.
+// Limits of fields.
 const (
 	maxTextLength    = 255 // bytes
-	maxAttempts      = 255 // of a request offer
-	maxInternedNames = 64  // kept by a decoder
+	maxAttempts      = 255 // past attempts in a request offer
+	maxInternedNames = 64  // names that a decoder keeps
 )
 
-// fieldCodec encodes the fields that it visits, or decodes them, so that one function per kind of message serves both
-// directions. Fields beyond the end of a decoded message are zero.
+// fieldCodec visits the fields of a message and either encodes or decodes them, so that one function per kind of message serves
+// both directions. Fields beyond the end of a decoded message are set to zero.
 type fieldCodec struct {
-	buffer      []byte // encoded so far, or yet to be decoded
-	significant int    // encoded bytes up to the last field that is not zero
-	encoding    bool
-	invalid     bool // a field is out of range, or the bytes are malformed
+	buffer      []byte // bytes encoded so far, or bytes still to be decoded
+	significant int    // length of the encoded bytes up to the last field that is not zero
+	encoding    bool   // whether fields are encoded or decoded
+	invalid     bool   // a field is out of range, or the bytes are malformed
 
-	// Memory that decoded messages refer to. It is reused for the next message.
+	// Memory that decoded messages refer to. The attempts are overwritten by the next message.
 	names    map[string]string
 	attempts []message.PastAttempt
 }
 
-// startEncoding starts the encoding of a message, which is appended to buffer.
+// startEncoding starts encoding a message, which is appended to buffer.
 func (f *fieldCodec) startEncoding(buffer []byte) {
 	f.buffer = buffer
 	f.significant = len(buffer)
@@ -38,27 +38,27 @@
 	f.invalid = false
 }
 
-// startDecoding starts the decoding of a message whose fields are in data.
+// startDecoding starts decoding a message from the encoded fields in data.
 func (f *fieldCodec) startDecoding(data []byte) {
 	f.buffer = data
 	f.encoding = false
 	f.invalid = false
 }
 
-// fail marks the message as invalid; nothing more is decoded from it.
+// fail marks the message as invalid, and drops the bytes that are still to be decoded.
 func (f *fieldCodec) fail() {
 	f.invalid = true
 	f.buffer = nil
 }
 
-// finishField ends an encoded field. Unless it is zero, it and all fields before it are significant.
+// finishField is called after a field was encoded. A nonzero field makes itself and all fields before it significant.
 func (f *fieldCodec) finishField(isZero bool) {
 	if !isZero {
 		f.significant = len(f.buffer)
 	}
 }
 
-// unsigned visits a varint.
+// unsigned visits an unsigned integer, encoded as a varint.
 func (f *fieldCodec) unsigned(field *uint64) {
 	if f.encoding {
 		f.buffer = binary.AppendUvarint(f.buffer, *field)
@@ -78,19 +78,19 @@
 	f.buffer = f.buffer[size:]
 }
 
-// signed visits a varint in zigzag form.
+// signed visits a signed integer, encoded as a zigzag varint.
 func (f *fieldCodec) signed(field *int64) {
 	value := uint64(*field<<1) ^ uint64(*field>>63)
 	f.unsigned(&value)
 	*field = int64(value>>1) ^ -int64(value&1)
 }
 
-// duration visits a time in nanoseconds.
+// duration visits a duration in nanoseconds.
 func (f *fieldCodec) duration(field *time.Duration) {
 	f.signed((*int64)(field))
 }
 
-// int visits a count or an index, which must fit 32 bits.
+// int visits a count or an index, which must fit into 32 bits.
 func (f *fieldCodec) int(field *int) {
 	value := int64(*field)
 	f.signed(&value)
@@ -101,15 +101,15 @@
 	*field = int(value)
 }
 
-// float visits a number as a varint of its bytes in reverse order. That is short for numbers of few significant bits, as
-// their low bytes are zero.
+// float visits a floating-point number, encoded as a varint of its bytes in reverse order. That is short for numbers with few
+// significant bits, as their low bytes are zero.
 func (f *fieldCodec) float(field *float64) {
 	value := bits.ReverseBytes64(math.Float64bits(*field))
 	f.unsigned(&value)
 	*field = math.Float64frombits(bits.ReverseBytes64(value))
 }
 
-// fixed visits a hash or an instant in eight bytes, as a varint would be longer.
+// fixed visits a hash or a point in time, encoded in eight bytes because a varint would usually be longer.
 func (f *fieldCodec) fixed(field *uint64) {
 	const size = 8
 	if f.encoding {
@@ -128,7 +128,7 @@
 	}
 }
 
-// byte visits a number of eight bits.
+// byte visits an 8-bit number.
 func (f *fieldCodec) byte(field *uint8) {
 	if f.encoding {
 		f.buffer = append(f.buffer, *field)
@@ -142,7 +142,7 @@
 	}
 }
 
-// flags visits up to eight booleans in one byte. Unknown ones are skipped.
+// flags visits up to eight booleans, encoded as the bits of one byte. Unknown bits are ignored.
 func (f *fieldCodec) flags(fields ...*bool) {
 	var value uint8
 	for i, field := range fields {
@@ -166,7 +166,8 @@
 	*field = dispatch.Result(value)
 }
 
-// length visits the number of items that follow, each of which has at least one byte.
+// length visits the number of items that follow, each of which takes at least one byte. It fails if the number exceeds limit or
+// the remaining bytes.
 func (f *fieldCodec) length(count, limit int) int {
 	value := uint64(count)
 	f.unsigned(&value)
@@ -192,7 +193,7 @@
 	}
 }
 
-// intern returns data as a string. It allocates a name once, as there are few different names.
+// intern returns data as a string. Each distinct name is allocated only once, as there are few of them.
 func (f *fieldCodec) intern(data []byte) string {
 	if name, ok := f.names[string(data)]; ok {
 		return name
@@ -205,7 +206,7 @@
 	return name
 }
 
-// bytes visits opaque data. Decoded data remains in the reader's buffer.
+// bytes visits opaque data. Decoded data refers to the reader's buffer.
 func (f *fieldCodec) bytes(field *[]byte) {
 	length := f.length(len(*field), MaxPayloadSize)
 	switch {
@@ -222,7 +223,7 @@
 	}
 }
 
-// pastAttempts visits a list of attempts. Each has a length of its own, so that later versions may append fields to it.
+// pastAttempts visits a list of attempts. Each attempt is preceded by its length, so that later versions can append fields to it.
 func (f *fieldCodec) pastAttempts(field *[]message.PastAttempt) {
 	count := f.length(len(*field), maxAttempts)
 	switch {
@@ -243,7 +244,7 @@
 	item.startEncoding(f.buffer)
 	item.pastAttempt(attempt)
 	f.buffer = item.buffer[:item.significant]
-	f.buffer[lengthAt] = byte(item.significant - lengthAt - 1) // 30 at most
+	f.buffer[lengthAt] = byte(item.significant - lengthAt - 1) // at most 30, so one byte is enough
 	f.invalid = f.invalid || item.invalid
 	f.finishField(false)
 }
--- a/internal/control/codec/formats.go
+++ b/internal/control/codec/formats.go
@@ -8,11 +8,11 @@
 	newMessage func() message.Message
 	// reset sets a message of the kind to its zero value.
 	reset func(body message.Message)
-	// visit visits the message's fields in their order. It returns false if body is not of the kind's type, or nil.
+	// visit visits the message's fields in order. It returns false if body is nil or not of the kind's type.
 	visit func(fields *fieldCodec, body message.Message) bool
 }
 
-// formatOf returns the format of the message type T with a function that visits its fields.
+// formatOf returns the format of the message type T, whose fields visitFields visits.
 func formatOf[T any, M interface {
 	*T
 	message.Message
@@ -36,7 +36,7 @@
 	}
 }
 
-// formatOfKind returns the format of a kind; nil: the kind is unknown to this version.
+// formatOfKind returns the format of a kind, or nil if this version does not know the kind.
 func formatOfKind(kind message.Kind) *format {
 	if int(kind) < len(formats) {
 		return formats[kind]
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// formats are the fields of all messages, by kind. Their order is part of the protocol; new fields are appended.
+// formats holds the format of each kind of message. The order of the fields is part of the protocol; new fields must be appended.
 var formats = [...]*format{
 	message.KindHandshake: formatOf(func(fields *fieldCodec, body *message.Handshake) {
 		fields.identity(&body.Name, &body.Incarnation, &body.Version)
@@ -140,12 +140,12 @@
 	}),
 }
 
-// isHandshake reports whether a kind is a handshake, which every version encodes alike up to the version field.
+// isHandshake reports whether a kind is a handshake. All versions encode handshakes identically up to the version field.
 func isHandshake(kind message.Kind) bool {
 	return kind == message.KindHandshake || kind == message.KindHandshakeAccept || kind == message.KindPeerHandshake
 }
 
-// identity visits the fields of handshake messages that every version encodes alike.
+// identity visits the fields of handshake messages that all versions encode identically.
 func (f *fieldCodec) identity(name *string, incarnation *uint64, version *int) {
 	f.text(name)
 	f.fixed(incarnation)
@@ -170,7 +170,7 @@
 	f.pastAttempts(&summary.Attempts)
 }
 
-// pastAttempt visits the fields of an attempt.
+// pastAttempt visits the fields of a past attempt.
 func (f *fieldCodec) pastAttempt(attempt *message.PastAttempt) {
 	f.fixed(&attempt.WorkerID)
 	f.duration(&attempt.SentAgo)
--- a/internal/control/codec/frame.go
+++ b/internal/control/codec/frame.go
@@ -5,18 +5,18 @@
 	"hash/crc32"
 )
 
-// The protocol version that this package writes. Version is its form in handshake messages.
+// The protocol version that this package writes. Version is the form used in handshake messages.
 const (
 	Major   = 1
 	Minor   = 0
 	Version = Major<<8 | Minor
 )
 
-// Bounds of frames and buffers, in bytes.
+// Limits of frames and buffers, in bytes.
 const (
 	MaxPayloadSize = 8 << 20 // of a frame; enough for a model snapshot of a large fleet
 
-	batchSize         = 64 << 10 // a frame is closed before it exceeds this size, as a reader decodes only complete frames
+	batchSize         = 64 << 10 // limit for several messages in one frame, because a reader decodes only complete frames
 	maxReusedCapacity = 1 << 20  // larger buffers are not kept for reuse
 )
 
@@ -35,7 +35,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// sealFrame writes the header of a frame whose payload is complete.
+// sealFrame writes the header of a frame with a complete payload.
 func sealFrame(frame []byte, major, minor byte) {
 	length := len(frame) - headerSize
 	frame[0] = magic0
@@ -49,7 +49,7 @@
 	binary.LittleEndian.PutUint32(frame[checksumOffset:], frameChecksum(frame))
 }
 
-// payloadLength decodes the length of the payload from a header.
+// payloadLength returns the length of the payload that a header states.
 func payloadLength(header []byte) int {
 	field := header[lengthOffset:checkOffset]
 	return int(field[0]) | int(field[1])<<8 | int(field[2])<<16
@@ -60,7 +60,7 @@
 	return byte(crc32.Checksum(header[:checkOffset], castagnoli))
 }
 
-// frameChecksum returns the checksum of a frame without the bytes of the checksum itself.
+// frameChecksum returns the checksum of a frame, excluding the bytes of the checksum itself.
 func frameChecksum(frame []byte) uint32 {
 	return crc32.Update(crc32.Checksum(frame[:checksumOffset], castagnoli), castagnoli, frame[headerSize:])
 }
--- a/internal/control/codec/golden_test.go
+++ b/internal/control/codec/golden_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/control/message"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files with the actual output")
 
 // checkGolden compares text with a golden file.
 func checkGolden(t *testing.T, name, text string) {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if text != string(want) {
-		t.Errorf("%s is not what was written:\n%s", path, text)
+		t.Errorf("the output differs from %s:\n%s", path, text)
 	}
 }
 
@@ -38,7 +38,8 @@
 	return fmt.Sprintf("%v, epoch %d: %+v", envelope.Message.Kind(), envelope.Epoch, envelope.Message)
 }
 
-// The bytes of each kind, and of a frame of several messages, are those of the golden file: other builds read them.
+// The encoding of each kind, and of a frame with several messages, matches the golden file. It must not change, as processes of
+// other builds decode it.
 func TestGoldenBytes(t *testing.T) {
 	output := &strings.Builder{}
 	for _, envelope := range samples() {
@@ -108,7 +109,7 @@
 	return envelopes
 }
 
-// foreignFrame encodes a frame of another version from message bodies.
+// foreignFrame builds a frame of any version from message bodies.
 func foreignFrame(major, minor byte, bodies ...[]byte) []byte {
 	frame := make([]byte, headerSize)
 	for _, body := range bodies {
@@ -118,14 +119,14 @@
 	return frame
 }
 
-// bodyOf returns a message as this version encodes it, without its length.
+// bodyOf returns the encoding of a message in this version, without its length.
 func bodyOf(t *testing.T, envelope message.Envelope) []byte {
 	t.Helper()
 	return encode(t, envelope)[headerSize+1:]
 }
 
-// A reader decodes the messages of a compatible version, and ends the stream of an incompatible one with an error. Each case
-// is a stream of another version's bytes, with the messages that are decoded from it.
+// A reader decodes the messages of a compatible version, and ends the stream of an incompatible version with an error. The golden
+// file lists, for each case, the bytes of the stream and the messages that are decoded from them.
 func TestOtherVersions(t *testing.T) {
 	body := func(m message.Message) []byte { return bodyOf(t, message.Envelope{Message: m}) }
 	handshake := bodyOf(t, samples()[0])
@@ -172,7 +173,7 @@
 	checkGolden(t, "versions.golden", output.String())
 }
 
-// completeMessages returns a message of each kind in which every field is set, in the order of allKinds.
+// completeMessages returns a message of each kind with every field set, in the order of allKinds.
 func completeMessages() []message.Envelope {
 	all := []message.Message{
 		&message.Handshake{Name: "forwarder-1", Incarnation: 11, Version: Version},
@@ -220,7 +221,7 @@
 	return envelopes
 }
 
-// emptyMessages returns a message of each kind whose fields are zero, in the order of allKinds.
+// emptyMessages returns a message of each kind with all fields zero, in the order of allKinds.
 func emptyMessages() []message.Envelope {
 	envelopes := make([]message.Envelope, len(allKinds))
 	for i, kind := range allKinds {
@@ -229,8 +230,8 @@
 	return envelopes
 }
 
-// The bytes of each kind are those of earlier builds, with all fields set and with none. The golden file names kinds by
-// their number only, so that it does not depend on the names of the messages.
+// Each kind is encoded to the same bytes as in earlier builds, with all fields set and with none. The golden file identifies
+// kinds by number only, so that it does not depend on the names of the messages.
 func TestBytesOfEveryKind(t *testing.T) {
 	output := &strings.Builder{}
 	for _, set := range []struct {
@@ -256,7 +257,7 @@
 	checkGolden(t, "bytes.golden", output.String())
 }
 
-// Enumerations have the numbers that they had in earlier builds.
+// The values of enumerations have the same numbers as in earlier builds.
 func TestBytesOfEnumerations(t *testing.T) {
 	output := &strings.Builder{}
 	write := func(name string, m message.Message) {
--- a/internal/control/codec/reader.go
+++ b/internal/control/codec/reader.go
@@ -6,11 +6,11 @@
 	"valvecove/internal/control/message"
 )
 
-// Reader decodes messages from one peer. It is used by one goroutine.
+// Reader decodes messages from one peer. It is not safe for concurrent use.
 type Reader struct {
 	buffer     []byte
 	offset     int  // index of the first byte that is not decoded yet
-	payloadEnd int  // end of the open frame's payload; not after offset: no frame is open
+	payloadEnd int  // end of the open frame's payload; no frame is open unless it is after offset
 	limit      int  // maximum size of a frame's payload
 	major      byte // version of the open frame
 	minor      byte
@@ -20,7 +20,7 @@
 	messages   [len(formats)]message.Message // by kind, allocated on first use and reused
 }
 
-// NewReader returns a reader that accepts frames with a payload of at most limit bytes; 0: MaxPayloadSize.
+// NewReader returns a reader that accepts frames with a payload of at most limit bytes. A limit of 0 stands for MaxPayloadSize.
 func NewReader(limit int) *Reader {
 	if limit <= 0 || limit > MaxPayloadSize {
 		limit = MaxPayloadSize
@@ -28,8 +28,8 @@
 	return &Reader{limit: limit}
 }
 
-// Feed appends received bytes, in pieces of any size, and keeps no reference to data. After each Feed, the caller must call
-// Next until there are no more messages. After an error the bytes are discarded.
+// Feed appends received bytes, which may be a piece of any size of the stream. It keeps no reference to data. After each Feed,
+// the caller must call Next until it returns no more messages. After an error, Feed discards the bytes.
 func (r *Reader) Feed(data []byte) {
 	if r.err != nil {
 		return
@@ -38,8 +38,8 @@
 	r.buffer = append(r.buffer, data...)
 }
 
-// compact removes the decoded bytes from the buffer. It waits until they are at least half of it, so that each byte is moved
-// at most once on average.
+// compact removes the decoded bytes from the buffer once they are at least half of it. Each byte is thus moved at most once on
+// average.
 func (r *Reader) compact() {
 	undecoded := len(r.buffer) - r.offset
 	switch {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Next returns the next message, or ok false if there is no complete one. The message belongs to the reader, and is valid
-// until the next call of Next or Feed. An error ends the stream, and is returned by all further calls.
+// Next returns the next message, or false if there is no complete one. The message belongs to the reader and is valid only until
+// the next call of Next or Feed. An error ends the stream: all further calls return it.
 func (r *Reader) Next() (envelope message.Envelope, ok bool, err error) {
 	for r.err == nil {
 		if r.offset >= r.payloadEnd {
@@ -76,7 +76,7 @@
 	return message.Envelope{}, false, r.err
 }
 
-// beginFrame opens the next frame. It returns false if the frame is not complete, or not valid.
+// beginFrame opens the next frame. It returns false if the frame is incomplete or invalid, and sets err if it is invalid.
 func (r *Reader) beginFrame() bool {
 	frame := r.buffer[r.offset:]
 	if len(frame) > 0 && frame[0] != magic0 || len(frame) > 1 && frame[1] != magic1 {
@@ -111,7 +111,7 @@
 	return true
 }
 
-// readMessage decodes the next message of the open frame. It returns false if its kind is unknown.
+// readMessage decodes the next message of the open frame. It returns false if the kind of the message is unknown.
 func (r *Reader) readMessage() (decoded message.Message, known bool) {
 	body, ok := r.nextBody()
 	if !ok {
@@ -140,7 +140,7 @@
 	return decoded, known
 }
 
-// nextBody returns the bytes of the next message of the open frame. It returns false if their length is malformed.
+// nextBody returns the bytes of the next message of the open frame, or false if the length of the message is malformed.
 func (r *Reader) nextBody() (body []byte, ok bool) {
 	undecoded := r.buffer[r.offset:r.payloadEnd]
 	size, prefix := binary.Uvarint(undecoded)
@@ -152,7 +152,7 @@
 	return undecoded[prefix:end], true
 }
 
-// decode decodes the fields of a message of a kind; nil: the kind is unknown to this version.
+// decode decodes the fields of a message of a kind. It returns nil if this version does not know the kind.
 func (r *Reader) decode(kind message.Kind) message.Message {
 	form := formatOfKind(kind)
 	if form == nil {
--- a/internal/control/codec/writer.go
+++ b/internal/control/codec/writer.go
@@ -7,21 +7,21 @@
 	"valvecove/internal/control/message"
 )
 
-// maxPrefixSize is the maximum size, in bytes, of a message's length, kind and epoch, which precede its fields.
+// maxPrefixSize is the space in bytes that is reserved for a message's length, kind and epoch, which precede its fields.
 const maxPrefixSize = 32
 
-// Writer encodes messages to one peer. Its zero value is ready to use. It is used by one goroutine.
+// Writer encodes messages to one peer. The zero value is ready to use. It is not safe for concurrent use.
 type Writer struct {
-	buffer     []byte // complete frames, and the open one
-	frameStart int    // index of the open frame, whose header is written when it is closed
+	buffer     []byte // complete frames, followed by the open frame, if any
+	frameStart int    // index of the open frame; its header is written when it is closed
 	frameOpen  bool
-	epoch      message.Epoch // of the frame's last message
+	epoch      message.Epoch // of the open frame's last message
 	fields     fieldCodec
-	body       []byte // the encoded fields of a message; reused
+	body       []byte // memory for the encoded fields of a message, reused
 }
 
-// Add encodes a message, and keeps no reference to it. A message that can't be encoded is skipped, with an error that wraps
-// ErrUnknownKind, ErrInvalidField or ErrTooLarge.
+// Add encodes a message and keeps no reference to it. If the message can't be encoded, Add skips it and returns an error that
+// wraps ErrUnknownKind, ErrInvalidField or ErrTooLarge.
 func (w *Writer) Add(envelope message.Envelope) error {
 	if envelope.Message == nil {
 		return fmt.Errorf("encode an empty envelope: %w", ErrUnknownKind)
@@ -71,7 +71,7 @@
 // Len returns the number of bytes that Take would append.
 func (w *Writer) Len() int { return len(w.buffer) }
 
-// Take appends to dst the frames of the messages added since the last call.
+// Take appends the frames of all messages added since the last call to dst, and removes them from the writer.
 func (w *Writer) Take(dst []byte) []byte {
 	w.closeFrame()
 	dst = append(dst, w.buffer...)
