--- a/internal/control/codec/doc.go
+++ b/internal/control/codec/doc.go
@@ -20,6 +20,6 @@
 //   - A later major version may change everything except the header, and the handshake messages up to their version field. Those
 //     can be decoded by every version. Any other message of a different major version ends the stream with a VersionError.
 //
-// A Reader returns exactly the messages that were added to a Writer, or an error: corrupt bytes end the stream. It waits for one
-// incomplete frame at most, and its buffer grows only as bytes arrive.
+// A Reader returns exactly the messages that were added to a Writer, or an error: corrupt bytes end the stream. It buffers
+// at most one frame, and allocates memory for a frame only as its bytes arrive.
 package codec
--- a/internal/control/codec/fields.go
+++ b/internal/control/codec/fields.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// intern returns data as a string. Each distinct name is allocated only once, as there are few of them.
+// intern returns data as a string. As there are few distinct names, it keeps them and does not allocate a known name again.
 func (f *fieldCodec) intern(data []byte) string {
 	if name, ok := f.names[string(data)]; ok {
 		return name
--- a/internal/control/codec/frame.go
+++ b/internal/control/codec/frame.go
@@ -16,7 +16,7 @@
 const (
 	MaxPayloadSize = 8 << 20 // of a frame; enough for a model snapshot of a large fleet
 
-	batchSize         = 64 << 10 // limit for several messages in one frame, because a reader decodes only complete frames
+	batchSize         = 64 << 10 // no message is added to a frame beyond this size, as a reader decodes only complete frames
 	maxReusedCapacity = 1 << 20  // larger buffers are not kept for reuse
 )
 
--- a/internal/control/codec/writer.go
+++ b/internal/control/codec/writer.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// maxPrefixSize is the space in bytes that is reserved for a message's length, kind and epoch, which precede its fields.
+// maxPrefixSize is an upper bound of the size in bytes of a message's length, kind and epoch, which precede its fields.
 const maxPrefixSize = 32
 
 // Writer encodes messages to one peer. The zero value is ready to use. It is not safe for concurrent use.
--- a/internal/control/forwarder/commands.go
+++ b/internal/control/forwarder/commands.go
@@ -102,7 +102,7 @@
 	session.rejections.add(reason)
 	switch command := command.(type) {
 	case *message.SendCommand:
-		if reason != message.ReasonDuplicateCommand { // the first command with this number already yields an AttemptEnded
+		if reason != message.ReasonDuplicateCommand { // the attempt that used this number gets its own AttemptEnded
 			c.rejectSend(session, command, reason)
 		}
 	case *message.RejectCommand:
--- a/internal/control/forwarder/localpolicy.go
+++ b/internal/control/forwarder/localpolicy.go
@@ -44,10 +44,10 @@
 	panickedAt time.Duration
 }
 
-// isRunning reports whether there is a policy.
+// isRunning reports whether a policy is running.
 func (l *localPolicy) isRunning() bool { return l.policy != nil }
 
-// isIdle reports whether the policy may be stopped.
+// isIdle reports whether the policy can be stopped: it has no requests and no pending events.
 func (l *localPolicy) isIdle() bool {
 	return l.policy == nil || l.requests == 0 && len(l.events) == 0
 }
@@ -88,7 +88,7 @@
 	l.recent = append(l.recent, request)
 }
 
-// removeRequest records that the policy has no more to do with a request.
+// removeRequest records that the policy no longer handles a request.
 func (l *localPolicy) removeRequest(request *openRequest) {
 	if request.knownLocally {
 		request.knownLocally = false
@@ -108,7 +108,7 @@
 // isIsolating reports whether no more requests may be added before the policy's next step.
 func (l *localPolicy) isIsolating() bool { return l.isolating }
 
-// isolate has the next request be the only one that is added before the policy's next step.
+// isolate allows only one more request to be added before the policy's next step.
 func (l *localPolicy) isolate() { l.isolating = true }
 
 // mayIsolate reports whether no request was added since the policy's last step, so that isolate can be used.
@@ -152,7 +152,7 @@
 // policyPanic describes a panic of the local policy.
 type policyPanic struct {
 	cause any
-	stack string // its first maxLoggedStack bytes
+	stack string // shortened, see shortStack
 }
 
 // step runs one step of the policy and returns its actions. If the policy panics, it returns the panic instead, and the policy
@@ -170,7 +170,7 @@
 	return actions, nil
 }
 
-// shortStack returns the first maxLoggedStack bytes of a stack trace as one line.
+// shortStack returns at most the first maxLoggedStack bytes of a stack trace as one line, without the "created by" part.
 func shortStack(stack []byte) string {
 	text, _, _ := strings.Cut(string(stack), "created by")
 	return strings.Join(strings.Fields(text[:min(len(text), maxLoggedStack)]), " ")
--- a/internal/control/forwarder/placement.go
+++ b/internal/control/forwarder/placement.go
@@ -5,7 +5,7 @@
 const (
 	returnInterval     = 5 * time.Millisecond // between two batches of requests handed back from the local policy to planners
 	returnBatch        = 32                   // requests
-	maxSkippedRequests = 12                   // requests without a suitable planner that one pass over a queue skips
+	maxSkippedRequests = 12                   // a pass over a queue ends at this many requests without a suitable planner
 )
 
 // placer offers waiting requests to planners, according to the planners' credit and order of preference.
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -398,11 +398,11 @@
 
 // With real planners and faults, no rule is broken, and at most 1 request is lost per 100 served if deadlines are ample.
 func TestRealPlannersWithFaults(t *testing.T) {
-	hurried, ample := map[string]int{}, map[string]int{}
+	tight, ample := map[string]int{}, map[string]int{}
 	losses := lossSummary{}
 	for seed := *firstSeed; seed < *firstSeed+max(*runs/2, minFaultRuns); seed++ {
 		c := newCluster(t, seed, 1+int(seed)%3)
-		stats, faultInterval := hurried, 1000
+		stats, faultInterval := tight, 1000
 		if seed%2 == 0 {
 			c.faultless = true
 			c.setAmpleDeadlines()
@@ -423,7 +423,7 @@
 		t.Errorf("%d requests lost and %d served with ample deadlines; lost requests by where they spent the most time, with the mean of it:\n%s",
 			lost, ample[responseServed], losses)
 	}
-	for _, name := range slices.Sorted(maps.Keys(hurried)) {
-		t.Logf("%s %d, with ample deadlines %d", name, hurried[name], ample[name])
+	for _, name := range slices.Sorted(maps.Keys(tight)) {
+		t.Logf("%s %d, with ample deadlines %d", name, tight[name], ample[name])
 	}
 }
--- a/internal/control/forwarder/request.go
+++ b/internal/control/forwarder/request.go
@@ -11,7 +11,8 @@
 
 const (
 	// A request that is transferred more than maxImmediateTransfers times waits before it is offered again, because its planners
-	// disagree on its assignment. The wait starts at transferBackoff and doubles at most maxTransferDoublings times.
+	// disagree on its assignment. The wait starts at transferBackoff and doubles with each further transfer, at most
+	// maxTransferDoublings times.
 	transferBackoff       = 20 * time.Millisecond
 	maxImmediateTransfers = 2
 	maxTransferDoublings  = 6
@@ -162,8 +163,8 @@
 }
 
 // mayHaveEndedSession reports whether the request may have caused the end of its planner's session. That requires that the
-// planner has not confirmed that it read the offer, and that at least half its shortest reply time has passed since the offer:
-// the forwarder can't see an end that the offer caused any earlier.
+// planner has not confirmed that it read the offer, and that at least half the planner's shortest reply time has passed since
+// the offer, as the forwarder can't see an end that the offer caused any earlier.
 func (o *openRequest) mayHaveEndedSession(now time.Duration) bool {
 	heartbeat := &o.session.heartbeat
 	return o.offeredSequence > heartbeat.acknowledged && !o.command.given &&
--- a/internal/control/forwarder/response.go
+++ b/internal/control/forwarder/response.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/message"
 )
 
-// maxSessionFailures is the number of sessions or policies that fail on a request until it is given up.
+// maxSessionFailures is the number of failed sessions or policies after which a request is given up.
 const maxSessionFailures = 2
 
 // responseValidator reports whether a request may safely be rejected, and is notified of executed sends and responses.
@@ -47,8 +47,9 @@
 	r.checks.schedule(request)
 }
 
-// recordFailure handles a request that may have caused a planner's session to end or its policy to panic, or, if the session is
-// nil, the local policy to panic. The request is enqueued, or given up at maxSessionFailures failures.
+// recordFailure records that a request may have caused a failure: the end of a planner's session, a panic of the planner's
+// policy, or, if session is nil, a panic of the local policy. The request is enqueued, or given up at maxSessionFailures
+// failures.
 func (r *responder) recordFailure(request *openRequest, session *plannerSession) {
 	request.failures++
 	if request.failures < maxSessionFailures {
--- a/internal/control/forwarder/stats.go
+++ b/internal/control/forwarder/stats.go
@@ -4,7 +4,7 @@
 
 // Stats holds counters since the forwarder was created, and the current numbers of requests.
 type Stats struct {
-	Requests      int // admitted
+	Requests      int // requests admitted
 	Reoffered     int // offers made after the request's arrival
 	Commands      int // commands received from planners
 	Sent          int // attempts sent, commanded by planners or the local policy
--- a/internal/control/forwarder/steptimer.go
+++ b/internal/control/forwarder/steptimer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxOwnTimerLag is the maximum lag of the forwarder's own timer up to which it holds late replies against planners.
+// maxOwnTimerLag is the lag of the forwarder's own timer above which late replies and commands are not held against planners.
 const maxOwnTimerLag = 20 * time.Millisecond
 
 // stepTimer tracks how the forwarder has set the request table's timer.
--- a/internal/control/forwarder/workers_test.go
+++ b/internal/control/forwarder/workers_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// failAttempt schedules the failure of an attempt after a random time of less than within, in ms.
+// failAttempt schedules the failure of an attempt after a random time of up to within ms.
 func (e *environment) failAttempt(checked *checkedAttempt, within int, notExecuted bool, stage requests.Stage,
 	reason requests.Reason,
 ) {
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -154,7 +154,7 @@
 	reasons := m.history.reasons(epoch, m.open, command)
 	reason := m.validator.Validate(m.history.now, epoch, command.message())
 	m.Check(reason == message.ReasonNone && len(reasons) == 0 || reasons.has(reason),
-		"%+v in epoch %d: validator returned %q, the model allows %v", command, epoch, reason, reasons)
+		"%+v in epoch %d: validator returned %q, the model's reasons are %v", command, epoch, reason, reasons)
 	isOwners := !reasons.has(message.ReasonStaleEpoch) && !reasons.has(message.ReasonUnknownRequest) &&
 		!reasons.has(message.ReasonNotOwner)
 	if command.kind == message.KindSendCommand && isOwners && !reasons.has(message.ReasonDuplicateCommand) {
