--- a/internal/scheduler/client_presence_test.go
+++ b/internal/scheduler/client_presence_test.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	latestBegin       = 100 * time.Millisecond // after its client's close an attempt may begin until then
-	probeResponseTime = 10 * time.Millisecond  // for which an attempt is held while its client is probed
+	maxBeginAfterClose = 100 * time.Millisecond // an attempt may begin until this long after its client's close
+	probeResponseTime  = 10 * time.Millisecond  // an attempt is held for this time while its client is probed
 )
 
-// A client may close its connection at the moment from which the process is held up. Wherever that is before the last look at the
-// clock, after a reading of it or at a system call, nothing is written for it once the process goes on, on an idle connection as on
-// one that has just come up.
-func TestClientGoneWhileHeldUp(t *testing.T) {
+// A client closes its connection just when the process is suspended. If that happens at any clock reading or system call before
+// the last clock reading, no attempt is written for the client after the process resumes, neither on an idle connection nor on
+// one that was just established.
+func TestNoAttemptIfClientClosesDuringSuspension(t *testing.T) {
 	for _, isUp := range []bool{false, true} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).Close, "reset": (*peer).Reset} {
 			t.Run(fmt.Sprintf("idle connection %v, %s", isUp, how), func(t *testing.T) {
 				write, began := writeAttempt(t, isUp, 0, leave)
 				if write < 6 || !began {
-					t.Fatalf("%d points up to the write, begun %v", write, began)
+					t.Fatalf("%d clock readings and system calls up to the write, attempt begun %v", write, began)
 				}
-				for nth := 1; nth < write-1; nth++ { // from the last reading on nothing can be seen any more
+				for nth := 1; nth < write-1; nth++ { // a suspension after the last clock reading can't be detected
 					if _, began := writeAttempt(t, isUp, nth, leave); began {
-						t.Errorf("%v after point %d of %d and its client's close an attempt began", longestHold, nth, write)
+						t.Errorf("closed and suspended for %v at point %d of %d: an attempt began", maxSuspension, nth, write)
 					}
 				}
 			})
@@ -36,18 +36,19 @@
 	}
 }
 
-// writeAttempt has an attempt written. The points in its course are the readings of the clock and the system calls; it returns which
-// of them the write is. Its client leaves at the nth, from which the process is held up; 0: it stays.
+// writeAttempt makes the scheduler write an attempt, and counts the clock readings and system calls meanwhile. It returns which
+// of them was the write, and whether the worker received any byte. At the nth, the client closes its connection and the process
+// is suspended; nth 0: neither happens.
 func writeAttempt(t *testing.T, isUp bool, nth int, leave func(*peer)) (write int, began bool) {
 	t.Helper()
 	h := newHarness(&modeltest.Steps{T: t})
 	h.listen()
-	p, far := h.prepareAttempt(isUp)
+	p, remote := h.prepareAttempt(isUp)
 	points := 0
 	passPoint := func() {
 		if points++; points == nth {
 			leave(p)
-			h.now += longestHold
+			h.now += maxSuspension
 		}
 	}
 	h.clock = func() time.Duration {
@@ -65,12 +66,12 @@
 	h.runIterations()
 	h.now += 2 * probeResponseTime
 	h.runIterations()
-	far.Read(1 << 12)
-	return write, len(far.Received) > 0
+	remote.Read(1 << 12)
+	return write, len(remote.Received) > 0
 }
 
-// prepareAttempt gives a client and a worker's side, with an attempt that the next iteration writes there: on an idle connection, or
-// on one that comes up.
+// prepareAttempt returns a client and the remote end of a worker connection, to which the next iteration writes an attempt of the
+// client's request. The connection is idle before if isUp is set, and is established in that iteration otherwise.
 func (h *harness) prepareAttempt(isUp bool) (client, worker *peer) {
 	job := uint64(1)
 	if isUp {
@@ -87,12 +88,12 @@
 		h.runIterations()
 		(*links)[0].release()
 	}
-	far := h.dialed[len(h.dialed)-1]
-	far.Received = nil
-	return p, far
+	remote := h.dialed[len(h.dialed)-1]
+	remote.Received = nil
+	return p, remote
 }
 
-// openIdleConnection has a first request served, and its connection to the worker kept.
+// openIdleConnection serves a first request, which leaves an idle connection to the worker.
 func (h *harness) openIdleConnection() {
 	p := h.connectClient()
 	p.Write([]byte(requestOfSize(1, 0)))
@@ -106,9 +107,10 @@
 	h.now += reuseDelay
 }
 
-// A client that has ended its side, has read the interim response to that, and then closes is noticed before its next attempt.
-func TestHalfClosedClientLeaves(t *testing.T) {
-	for _, since := range []time.Duration{latestBegin, time.Second} {
+// A client half-closes its connection, reads the interim response that probes it, and then closes. The close is noticed before
+// the next attempt.
+func TestHalfClosedClientCloses(t *testing.T) {
+	for _, since := range []time.Duration{maxBeginAfterClose, time.Second} {
 		h := newHarness(&modeltest.Steps{T: t})
 		h.listen()
 		p := h.connectClient()
@@ -123,8 +125,8 @@
 		h.sendJob(1)
 		h.now += probeResponseTime
 		h.runIterations()
-		for _, far := range h.dialed {
-			if far.Read(1 << 12); len(far.Received) > 0 {
+		for _, remote := range h.dialed {
+			if remote.Read(1 << 12); len(remote.Received) > 0 {
 				t.Errorf("an attempt began %v after the close", since)
 			}
 		}
@@ -134,8 +136,8 @@
 	}
 }
 
-// A client that has only ended its side is served, however late its attempt begins: it is probed once more before that.
-func TestHalfClosedClientIsServedLate(t *testing.T) {
+// A client that has only half-closed its connection is served, however late its attempt begins: it is probed again before that.
+func TestHalfClosedClientIsServed(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	h.listen()
 	p := h.connectClient()
--- a/internal/scheduler/clients_test.go
+++ b/internal/scheduler/clients_test.go
@@ -12,12 +12,13 @@
 	"valvecove/internal/requests"
 )
 
-// upRequest asks whether the scheduler is ready.
-const upRequest = "GET /up HTTP/1.1\r\n\r\n"
+// readinessRequest is the readiness check of the clients' load balancer.
+const readinessRequest = "GET /up HTTP/1.1\r\n\r\n"
 
-// A draining scheduler continues to serve the connections that clients have. Close ends idle connections, responds to the requests
-// in flight, whose connections end then, and admits no other. IsQuiet reports when all responses are sent. FinishRequestsSince
-// responds to the requests that arrived within a span and are still open; those that arrived earlier stay open.
+// A draining scheduler continues to serve the connections that clients have. Close ends idle connections, responds to the
+// requests in flight, whose connections end then, and admits no other. IsQuiet reports when all responses are sent.
+// FinishRequestsSince responds to the requests that arrived within a span and are still open; those that arrived earlier stay
+// open.
 func TestDrain(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	connect := func(text string) *peer {
@@ -36,51 +37,52 @@
 		}
 		p.Received = nil
 	}
-	resting := connect(upRequest)
-	answered(resting, 200, false)
+	idle := connect(readinessRequest)
+	answered(idle, 200, false)
 	early := connect(requestOfSize(1, 5))
 	h.scheduler.Drain()
 	h.now += time.Second
 	h.runIterations()
-	resting.Write([]byte(requestOfSize(2, 5)))
+	idle.Write([]byte(requestOfSize(2, 5)))
 	h.runIterations()
 	h.policy.Next = append(h.policy.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
 	h.scheduler.Requests.DiscoveryFailed()
 	h.runIterations()
-	answered(resting, 503, false)
-	answered(connect(upRequest), 503, false)
+	answered(idle, 503, false)
+	answered(connect(readinessRequest), 503, false)
 	late := connect(requestOfSize(3, 5))
 	h.scheduler.Close()
 	h.runIterations()
-	if resting.Read(1); !resting.Ended || h.scheduler.IsQuiet() {
-		t.Errorf("resting connection ended %v, quiet %v", resting.Ended, h.scheduler.IsQuiet())
+	if idle.Read(1); !idle.Ended || h.scheduler.IsQuiet() {
+		t.Errorf("idle connection ended %v, quiet %v", idle.Ended, h.scheduler.IsQuiet())
 	}
 	answered(connect(requestOfSize(4, 5)), 503, true)
 	h.scheduler.FinishRequestsSince(time.Second / 2)
 	h.runIterations()
 	answered(late, 503, true)
 	if early.Read(1); len(early.Received) > 0 || h.scheduler.IsQuiet() {
-		t.Errorf("an early request got %q, quiet %v", early.Received, h.scheduler.IsQuiet())
+		t.Errorf("a request before the span was answered %q, quiet %v", early.Received, h.scheduler.IsQuiet())
 	}
 	h.scheduler.FinishRequestsSince(2 * time.Second)
 	h.runIterations()
 	if answered(early, 503, true); !h.scheduler.IsQuiet() {
-		t.Error("not quiet once all is answered")
+		t.Error("not quiet after all responses")
 	}
 }
 
-// The front sends clients to a process once its /up answers 200, so one whose requests would wait for the first list says 503.
-func TestUpOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+// The load balancer sends clients to a process once its /up answers 200. While requests would wait for the first endpoint list,
+// /up answers 503.
+func TestNotReadyBeforeFirstEndpointList(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	p, fd := h.socketPair()
 	h.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 	up := func(status, unready string) {
 		t.Helper()
 		p.Received = nil
-		p.Write([]byte(upRequest))
+		p.Write([]byte(readinessRequest))
 		h.runIterations()
 		if p.Read(4096); !strings.HasPrefix(string(p.Received), "HTTP/1.1 "+status) || h.scheduler.notReadyReason() != unready {
-			t.Errorf("%q, unready %q, expected %s, %q", p.Received, h.scheduler.notReadyReason(), status, unready)
+			t.Errorf("%q, not ready because %q, expected %s, %q", p.Received, h.scheduler.notReadyReason(), status, unready)
 		}
 	}
 	up("200", "")
@@ -90,22 +92,24 @@
 	up("200", "")
 }
 
-// A client that leaves while its request is on the way to a worker stops what is not wholly written, also if the
-// connection there comes up in the same iteration. What was accepted runs on, and no copy of it is sent.
-func TestClientGoneOnTheWay(t *testing.T) {
+// A client closes its connection during an attempt of its request. An attempt that is not completely written is stopped, also
+// if its connection is established in the same iteration. An accepted attempt continues. In neither case another attempt is
+// sent.
+func TestClientClosesDuringAttempt(t *testing.T) {
 	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).Close, "reset": (*peer).Reset} {
 			t.Run(stage+", "+how, func(t *testing.T) {
 				h := newHarness(&modeltest.Steps{T: t})
 				h.listen()
-				h.leaveWhileAttemptIs(stage, size, leave)
+				h.closeClientDuringAttempt(stage, size, leave)
 			})
 		}
 	}
 }
 
-// leaveWhileAttemptIs has a client leave while the attempt of its request is connecting, partly written or accepted.
-func (h *harness) leaveWhileAttemptIs(stage string, size int, leave func(*peer)) {
+// closeClientDuringAttempt closes a client's connection while the attempt of its request is connecting, partly written or
+// accepted.
+func (h *harness) closeClientDuringAttempt(stage string, size int, leave func(*peer)) {
 	h.scheduler.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 		{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
@@ -121,25 +125,25 @@
 	if len(h.dialed) != 1 {
 		h.T.Fatal("not sent")
 	}
-	far := h.dialed[0]
+	remote := h.dialed[0]
 	if stage != "connecting" {
 		h.runUntilQuiet()
 	}
-	if far.Read(1 << 10); stage == "accepted" {
-		far.Write([]byte(acceptedResponse))
+	if remote.Read(1 << 10); stage == "accepted" {
+		remote.Write([]byte(acceptedResponse))
 		h.runIterations()
 	}
 	leave(p)
 	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
 	h.scheduler.Requests.Wake()
 	h.runUntilQuiet()
-	far.Read(1 << 20)
+	remote.Read(1 << 20)
 	var m http1.Request
-	_, err := m.Parse(far.Received)
-	if whole := err == nil; whole != (stage == "accepted") || len(h.dialed) != 1 || stage == "connecting" && len(far.Received) > 0 {
-		h.T.Errorf("%d bytes came, whole %v, and %d connections were opened", len(far.Received), whole, len(h.dialed))
+	_, err := m.Parse(remote.Received)
+	if whole := err == nil; whole != (stage == "accepted") || len(h.dialed) != 1 || stage == "connecting" && len(remote.Received) > 0 {
+		h.T.Errorf("the worker received %d bytes, a complete request %v; %d connections were opened", len(remote.Received), whole, len(h.dialed))
 	}
-	if far.Ended == (stage == "accepted") {
-		h.T.Errorf("its connection has ended %v", far.Ended)
+	if remote.Ended == (stage == "accepted") {
+		h.T.Errorf("the attempt's connection ended: %v", remote.Ended)
 	}
 }
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -16,7 +16,8 @@
 	"valvecove/internal/worker"
 )
 
-// openBudget makes the budget of descriptors and memory. The worker pool and the client listener follow its changes.
+// openBudget creates the budget of descriptors and memory. When it changes, the limits of the worker pool and of the client
+// listener change with it.
 func (s *Scheduler) openBudget(processLimits config.Limits, featureDescriptors int) {
 	s.budget = limits.NewBudget(processLimits, featureDescriptors)
 	s.budget.OnChange(func(shares limits.Shares) {
@@ -33,7 +34,7 @@
 	return client.Limits{Connections: shares.ClientConnections, Requests: shares.OpenRequests, BufferBytes: shares.BufferBytes}
 }
 
-// openClientListener makes the client listener, without a socket.
+// openClientListener creates the client listener, without a socket.
 func (s *Scheduler) openClientListener(limits client.Limits, settings *dispatch.Settings, names requests.NameTable) {
 	s.settings = settings
 	config := client.Config{
@@ -51,7 +52,7 @@
 	s.clients = client.NewListener(config)
 }
 
-// openWorkerPool makes the pool of connections to workers, without a connection. The request table is set later.
+// openWorkerPool creates the pool of connections to workers, which is empty. The request table is set later.
 func (s *Scheduler) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
 	s.workers = worker.New(worker.Config{
 		Loop:              s.Loop,
@@ -64,7 +65,7 @@
 	})
 }
 
-// prepareWatch makes the watch on the endpoint list, without a connection. random returns a random number in [0, n).
+// prepareWatch creates the watch on the endpoint list, without a connection. random returns a random number in [0, n).
 func (s *Scheduler) prepareWatch(conf config.Config, random func(n int64) int64) {
 	s.watch = watch.New(s.Loop, watch.Config{
 		Server: conf.Discovery,
@@ -80,8 +81,8 @@
 	})
 }
 
-// startWatch plans the first connection of the watch. Requests wait for its first list for a moment if many schedulers may have
-// started with an old one. hasList reports that the configuration has a list.
+// startWatch schedules the first connection of the watch. If many schedulers may have started with an outdated list, requests
+// wait a short time for the first list of the watch. hasList reports whether the configuration contains a list.
 func (s *Scheduler) startWatch(hasList bool) {
 	s.watch.Start(hasList)
 	if wait := s.watch.InitialWait(); wait > 0 && s.Requests.HasReadyWorker() {
@@ -89,16 +90,16 @@
 	}
 }
 
-// workerTransport is how the request table reaches workers and discovery.
+// workerTransport gives the request table access to workers and discovery.
 type workerTransport struct {
 	*worker.Pool
 	scheduler *Scheduler
 }
 
-// Watch watches the endpoint list from now on. A connection that is planned or open is kept.
+// Watch starts watching the endpoint list. A connection that is scheduled or open is kept.
 func (w workerTransport) Watch(int64) { w.scheduler.watch.Restart() }
 
-// preparePeerSocket makes the socket for messages between schedulers if the settings allow any. openPeerSocket opens it.
+// preparePeerSocket creates the socket for messages between schedulers if the settings enable them. openPeerSocket opens it.
 func (s *Scheduler) preparePeerSocket(conf config.Config) {
 	if !conf.Settings.PeerMessages {
 		return
@@ -125,8 +126,8 @@
 	}
 }
 
-// peerCounts returns the figures of messages between schedulers, which are zero if there are none. attemptsWritten is the number of
-// attempts that were written to workers.
+// peerCounts returns the metrics of messages between schedulers, which are zero if these are disabled. attemptsWritten is the
+// number of attempts that were written to workers.
 func (s *Scheduler) peerCounts(attemptsWritten uint64) metrics.PeerCounts {
 	if s.peers == nil {
 		return metrics.PeerCounts{}
--- a/internal/scheduler/cordon_store_test.go
+++ b/internal/scheduler/cordon_store_test.go
@@ -12,18 +12,18 @@
 	"valvecove/internal/modeltest"
 )
 
-// keepCordonsOn has the cordoned workers kept on a disk of the test.
-func (h *harness) keepCordonsOn(disk *filesystemtest.Disk, stateDir string) {
+// storeCordonsOn makes the scheduler store cordoned workers on a simulated disk.
+func (h *harness) storeCordonsOn(disk *filesystemtest.Disk, stateDir string) {
 	h.scheduler.files = disk
 	h.cordonStore = h.scheduler.newCordonStore(stateDir)
 	h.scheduler.prepareCordons(stateDir, h.cordonStore)
 }
 
-// storeCordons moves the clock on and runs the loop until what is cordoned is stored.
-func (h *harness) storeCordons() {
+// awaitCordonsStored advances the clock and runs the loop until the cordoned workers are stored.
+func (h *harness) awaitCordonsStored() {
 	for tries := 0; !h.cordonStore.State().Stored; tries++ {
 		if tries > 100 {
-			h.T.Fatal("never stored")
+			h.T.Fatal("the cordoned workers were not stored")
 		}
 		if h.cordonStore.IsWriting() {
 			_ = h.scheduler.RunOnce(1000) // the goroutine of the store wakes the loop
@@ -34,41 +34,42 @@
 	}
 }
 
-// newFailingPredecessor returns a process that has cordoned s-0 and could not store that, and its disk, which has a stray file.
+// newFailingPredecessor returns a process that has cordoned s-0 and failed to store that, its disk, which also has a temporary
+// file of an earlier write, and a function that starts a successor with the same disk.
 func newFailingPredecessor(t *testing.T, dir string) (predecessor *harness, disk *filesystemtest.Disk, start func() *harness) {
 	t.Helper()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	disk = filesystemtest.New(map[string]string{filepath.Join(dir, hotrestart.CordonFileName+".new"): `{"form":`})
 	disk.SetFault(filesystemtest.FailAll(syscall.EIO, filesystemtest.Sync))
-	predecessor.keepCordonsOn(disk, dir)
+	predecessor.storeCordonsOn(disk, dir)
 	status := 0
 	predecessor.scheduler.cordons.Set("s-0", true, func(got int, _ string) { status = got })
 	for status == 0 {
 		_ = predecessor.scheduler.RunOnce(1000)
 	}
 	if status != 503 {
-		t.Errorf("answered %d", status)
+		t.Errorf("the cordon call was answered %d, expected 503", status)
 	}
 	return predecessor, disk, func() *harness {
 		successor := predecessor.startSuccessor(dir, address)
-		successor.keepCordonsOn(disk, dir)
+		successor.storeCordonsOn(disk, dir)
 		return successor
 	}
 }
 
-// checkStoredBy expects a successor to store the cordon of its predecessor, and to remove other files beside it.
+// checkStoredBy expects a successor to store the cordon of its predecessor, and to leave no other file on the disk.
 func checkStoredBy(t *testing.T, successor *harness, disk *filesystemtest.Disk, dir string) {
 	t.Helper()
 	disk.SetFault(nil)
-	successor.storeCordons()
+	successor.awaitCordonsStored()
 	got, err := hotrestart.LoadCordonFile(disk, dir)
 	if err != nil || !slices.Equal(got, []string{"s-0"}) || len(disk.Files()) != 1 {
-		t.Errorf("kept %v, %v of %q", got, err, disk.Files())
+		t.Errorf("stored %v, %v; files %q", got, err, disk.Files())
 	}
 }
 
-// A cordon that a predecessor could not store is stored by its successor, and the predecessor no longer writes the file.
-func TestUnstoredCordonOutlivesHotRestart(t *testing.T) {
+// A cordon that a predecessor failed to store is stored by its successor, and the predecessor no longer writes the file.
+func TestUnstoredCordonSurvivesHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
 	successor := startSuccessor()
@@ -82,12 +83,13 @@
 		predecessor.runIterations()
 	}
 	if predecessor.cordonStore.IsWriting() || len(disk.Calls()) != calls {
-		t.Error("the predecessor writes the file that it has left to the successor")
+		t.Error("the predecessor writes the file that the successor owns")
 	}
 }
 
-// A cordon that a predecessor could not store outlives its death, if a successor was notified of it, with the handshake or later.
-func TestUnstoredCordonOutlivesPredecessor(t *testing.T) {
+// A cordon that a predecessor failed to store is kept when the predecessor dies, if a successor was notified of it in the
+// handshake or later.
+func TestUnstoredCordonSurvivesPredecessorDeath(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
 	successor := startSuccessor()
@@ -99,7 +101,7 @@
 	checkStoredBy(t, successor, disk, dir)
 }
 
-// After a transfer that fails the predecessor still owns the file, and continues to store.
+// After a failed transfer the predecessor still owns the cordon file, and continues to write it.
 func TestFailedTransferKeepsCordonFile(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
@@ -109,8 +111,8 @@
 		t.Fatal("relinquished to a successor that did not take over")
 	}
 	disk.SetFault(nil)
-	predecessor.storeCordons()
+	predecessor.awaitCordonsStored()
 	if got, err := hotrestart.LoadCordonFile(disk, dir); err != nil || !slices.Equal(got, []string{"s-0"}) {
-		t.Errorf("kept %v, %v", got, err)
+		t.Errorf("stored %v, %v", got, err)
 	}
 }
--- a/internal/scheduler/descriptors_test.go
+++ b/internal/scheduler/descriptors_test.go
@@ -11,9 +11,9 @@
 	"valvecove/internal/modeltest"
 )
 
-// A descriptor given up in an iteration is free again before that iteration's sends open others: counted twice, they would go over the
-// limit, and an attempt fail for want of one.
-func TestDescriptorsAreFreeBeforeTheSends(t *testing.T) {
+// A connection that ends in an iteration has its descriptor closed before the attempts of that iteration open connections.
+// Otherwise the process could exceed its limit of descriptors, and an attempt would fail.
+func TestDescriptorsAreClosedBeforeAttempts(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	stays, fd := h.socketPair()
 	h.scheduler.clients.AddConnection(fd, netip.AddrPort{})
@@ -26,7 +26,7 @@
 	h.scheduler.dial = func(at netip.AddrPort) (int, error) {
 		_, err := unix.FcntlInt(uintptr(leavingFD), unix.F_GETFD, 0)
 		if dialed = true; !errors.Is(err, unix.EBADF) {
-			t.Errorf("the descriptor of the connection that has ended is still held (%v)", err)
+			t.Errorf("the descriptor of the ended connection is still open (%v)", err)
 		}
 		return dial(at)
 	}
--- a/internal/scheduler/features.go
+++ b/internal/scheduler/features.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/status"
 )
 
-// newCordonStore returns the store of the cordoned workers in a directory; nil if that is empty.
+// newCordonStore returns the store of cordoned workers in a directory, or nil if stateDir is empty.
 func (s *Scheduler) newCordonStore(stateDir string) *hotrestart.CordonStore {
 	if stateDir == "" {
 		return nil
@@ -29,7 +29,7 @@
 	})
 }
 
-// prepareCordons makes what applies the operators' cordons. If store is nil they are not stored.
+// prepareCordons creates the component that applies the operators' cordons. If store is nil, they are not stored.
 func (s *Scheduler) prepareCordons(stateDir string, store *hotrestart.CordonStore) {
 	s.cordons = management.NewCordons(s.Loop, management.CordonsConfig{
 		Table:    s.Requests,
@@ -41,7 +41,7 @@
 	s.restart.SetCordons(s.cordons)
 }
 
-// openOperators serves the operators' calls.
+// openOperators serves the operators' calls at the management address.
 func (s *Scheduler) openOperators(address netip.AddrPort, counters *metrics.Counters) error {
 	_, err := s.serveOperators(address, counters)
 	return err
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// openMetrics has metrics sent to the targets, and to the collector if there is one.
+// openMetrics starts sending metrics to the targets, and to the collector if one is configured.
 func (s *Scheduler) openMetrics(conf config.Metrics, counters *metrics.Counters, targets []metrics.Target) {
 	if conf.UDPTarget.IsValid() {
 		targets = append(targets, push.NewCollector(s.Syscalls(), conf.UDPTarget))
@@ -85,13 +85,13 @@
 	s.metrics = push.Start(s.Loop, exporter)
 }
 
-// operatorView is what operators are shown of a scheduler.
+// operatorView is the view of a scheduler that the operators' calls present.
 type operatorView struct {
 	scheduler *Scheduler
 	counters  *metrics.Counters
 }
 
-// NotReadyReason returns why this process is not ready to serve; an empty string if it is.
+// NotReadyReason returns why this process is not ready to serve, or an empty string if it is ready.
 func (o operatorView) NotReadyReason() string { return o.scheduler.notReadyReason() }
 
 // Gauges returns the gauges of the metrics call.
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	faultSeedsVariable   = "VALVECOVE_FAULT_SEEDS" // how many seeds are played, in place of so many
+	faultSeedsVariable   = "VALVECOVE_FAULT_SEEDS" // environment variable with the number of seeds to run
 	defaultFaultSeeds    = 20
 	faultSteps           = 150
-	maxStall             = 150 * time.Millisecond // of the calls of a step
-	maxAttemptAfterClose = 100 * time.Millisecond
-	maxLateAnswer        = 500 * time.Millisecond // where calls fail; up to then an answer is one
-	maxBusy              = 250 * time.Millisecond // for which events may be there that nothing is done about
+	maxStall             = 150 * time.Millisecond // total of the calls of a step
+	maxAttemptAfterClose = 100 * time.Millisecond // an attempt may reach a worker until this long after its client's close
+	maxLateAnswer        = 500 * time.Millisecond // past the deadline, where calls fail
+	maxUnhandledTime     = 250 * time.Millisecond // for which descriptors may have events that the loop does not handle
 )
 
-// systemFaults are the faults of a deployment's system calls, and the sockets that they are made on: Unix sockets, which tell
-// each side at once what the other has done.
+// systemFaults contains the faults of a deployment's system calls, and the sockets of its connections. These are Unix sockets,
+// where each side sees immediately what the other has done.
 type systemFaults struct {
 	*deployment
-	injector       *faultinjection.Injector
-	clients        unix.Sockaddr // where the loop listens
-	workers        unix.Sockaddr // where the test listens, for what the loop dials
-	workerListener int
-	farEnds        map[int]*farEnd // of the connections that a fault may break: those to workers and discovery
-	busySince      time.Duration   // 0: it is not
-	stalled        int             // calls
-	stallLeft      time.Duration   // of maxStall, in this step
+	injector              *faultinjection.Injector
+	clients               unix.Sockaddr // where the scheduler listens
+	workers               unix.Sockaddr // where the test listens, for connections that the scheduler dials
+	workerListener        int
+	remoteEndOfDescriptor map[int]*remoteEnd // of connections that a fault may break: to workers and discovery
+	unhandledSince        time.Duration      // since when descriptors have had unhandled events; 0: none have
+	stalledCalls          int                // number of calls that were stalled
+	remainingStall        time.Duration      // rest of maxStall in this step
 }
 
-// addFaults draws faults of the calls that a scheduler makes while it serves.
+// addFaults draws the faults of the system calls that a scheduler makes while it serves.
 func (d *deployment) addFaults(seed uint64) {
-	faults := &systemFaults{deployment: d, farEnds: map[int]*farEnd{}}
+	faults := &systemFaults{deployment: d, remoteEndOfDescriptor: map[int]*remoteEnd{}}
 	d.faults = faults
 	faults.injector = faultinjection.New(seed, func() time.Duration { return d.now })
 	directory := d.T.TempDir()
@@ -60,7 +60,7 @@
 			unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 		}},
 		{Calls: transfers, Share: share() / 3, Errnos: []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM}},
-		{Calls: transfers, Share: share() / 30, Descriptor: func(fd int) bool { return faults.farEnds[fd] != nil }, Errnos: []unix.Errno{
+		{Calls: transfers, Share: share() / 30, Descriptor: func(fd int) bool { return faults.remoteEndOfDescriptor[fd] != nil }, Errnos: []unix.Errno{
 			unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ECONNRESET, unix.EPIPE,
 		}},
 		{Calls: []eventloop.Call{eventloop.CallEpollWait}, Share: share(), Errnos: []unix.Errno{unix.EINTR}},
@@ -74,38 +74,39 @@
 	}
 }
 
-// syscalls keeps account of which descriptors are whose, and of the answers that are lost with a connection.
+// syscalls returns system calls with the injected faults. It tracks the connections of descriptors, and the answers that are lost
+// with a connection.
 func (s *systemFaults) syscalls() eventloop.Syscalls {
 	return eventloop.Syscalls{Interceptor: func(call eventloop.Call, descriptor int) eventloop.Injection {
 		injection := s.injector.Intercept(call, descriptor)
 		if injection.Errno != 0 && eventloop.Classify(call, injection.Errno) == eventloop.ErrorConnectionLost {
-			s.loseAnswer(descriptor)
+			s.loseUnreadInput(descriptor)
 		}
 		if call == eventloop.CallClose {
-			delete(s.farEnds, descriptor)
+			delete(s.remoteEndOfDescriptor, descriptor)
 		}
 		return injection
 	}}
 }
 
-// loseAnswer records that a connection is lost with unread input: a worker's response on it ends as a reset, and a list update of
-// discovery arrives when it is sent again.
-func (s *systemFaults) loseAnswer(descriptor int) {
+// loseUnreadInput records that a connection is lost with unread input. A worker's unread response has the effect of a reset. A
+// list update of discovery is unknown to the scheduler until it is sent again.
+func (s *systemFaults) loseUnreadInput(descriptor int) {
 	unread, err := unix.IoctlGetInt(descriptor, unix.TIOCINQ)
-	far := s.farEnds[descriptor]
+	remote := s.remoteEndOfDescriptor[descriptor]
 	switch {
-	case far == nil || err != nil || unread == 0:
-	case far.node == nil:
+	case remote == nil || err != nil || unread == 0:
+	case remote.node == nil:
 		for _, n := range s.nodes {
 			n.drainingSince = 0
 		}
-	case far.answer != nil:
-		far.answer.ended = true
+	case remote.lastAnswered != nil:
+		remote.lastAnswered.ended = true
 	}
 }
 
-// listSent records that the whole list was sent on a new watch.
-func (s *systemFaults) listSent() {
+// recordListSent records that a snapshot of the list was sent on a new watch.
+func (s *systemFaults) recordListSent() {
 	if s == nil {
 		return
 	}
@@ -128,7 +129,7 @@
 	return fd
 }
 
-// listenForClients has the scheduler accept clients. Its start is tested elsewhere.
+// listenForClients makes the scheduler accept clients. Faults at its start are covered by other tests.
 func (s *systemFaults) listenForClients(loop *Scheduler) {
 	socket := s.listen(s.clients)
 	for eventloop.ClassOf(loop.clients.AddSocket(socket)).IsMomentary() {
@@ -137,7 +138,7 @@
 	s.T.Cleanup(func() { _ = unix.Close(s.workerListener) })
 }
 
-// connectClient gives the client's end of a connection, which the loop has yet to accept.
+// connectClient returns the client's end of a connection that the scheduler has not accepted yet.
 func (s *systemFaults) connectClient() *peer {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -151,8 +152,8 @@
 	return p
 }
 
-// dial is eventloop.Loop.Dial by Unix sockets, with the far end.
-func (s *systemFaults) dial(far *farEnd) (p *peer, fd int, err error) {
+// dial does what eventloop.Loop.Dial does, with a Unix socket, and returns the remote end too.
+func (s *systemFaults) dial(remote *remoteEnd) (p *peer, fd int, err error) {
 	syscalls := s.scheduler.Syscalls()
 	fd, err = syscalls.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -169,60 +170,60 @@
 	}
 	p = &peer{Peer: &eventlooptest.Peer{FD: accepted}}
 	s.T.Cleanup(p.Close)
-	s.farEnds[fd] = far
+	s.remoteEndOfDescriptor[fd] = remote
 	return p, fd, nil
 }
 
-// stall holds the process up in a call, for maxStall at most in one step.
+// stall delays the process in a call, for at most maxStall in one step.
 func (s *systemFaults) stall() {
-	span := min(time.Duration(s.rng.Int64N(int64(maxStall))), s.stallLeft)
-	s.stallLeft -= span
+	span := min(time.Duration(s.rng.Int64N(int64(maxStall))), s.remainingStall)
+	s.remainingStall -= span
 	s.now += span
-	s.stalled++
+	s.stalledCalls++
 }
 
-// checkRest checks that the loop comes to rest: events that it does nothing about would keep it busy.
-func (s *systemFaults) checkRest() {
-	s.stallLeft = maxStall // in the next step
+// checkEventsHandled checks that no descriptor keeps having events: events that the loop does not handle would keep it busy.
+func (s *systemFaults) checkEventsHandled() {
+	s.remainingStall = maxStall // in the next step
 	for range 50 {
 		if s.readyDescriptors() == 0 {
-			s.busySince = 0
+			s.unhandledSince = 0
 			return
 		}
 		s.runIterations()
 	}
-	if s.busySince == 0 {
-		s.busySince = s.now
+	if s.unhandledSince == 0 {
+		s.unhandledSince = s.now
 	}
-	s.Check(s.now-s.busySince <= maxBusy, "there have been events for %v that nothing is done about", s.now-s.busySince)
+	s.Check(s.now-s.unhandledSince <= maxUnhandledTime, "events have not been handled for %v", s.now-s.unhandledSince)
 }
 
-// sendWhatWaits lets the loop send the last answers, which a call that has failed may have held back.
-func (s *systemFaults) sendWhatWaits() {
+// sendDelayedResponses runs the loop until the last responses are sent, which a failed call may have delayed.
+func (s *systemFaults) sendDelayedResponses() {
 	for range 2 * eventloop.MaxAcceptBackoff / time.Millisecond {
 		s.now += time.Millisecond
 		s.runUntilSettled()
 	}
-	s.Check(s.scheduler.IsQuiet(), "answers are not sent")
+	s.Check(s.scheduler.IsQuiet(), "responses are not sent")
 }
 
-// stalls is how much later than without faults something may be.
-func (d *deployment) stalls() time.Duration {
+// stallAllowance returns the additional delay that faults may cause.
+func (d *deployment) stallAllowance() time.Duration {
 	if d.faults == nil {
 		return 0
 	}
 	return maxStall
 }
 
-// answerSlack is how late an answer may be.
-func (d *deployment) answerSlack() time.Duration {
+// maxAnswerDelay returns how long after its deadline a request may be answered.
+func (d *deployment) maxAnswerDelay() time.Duration {
 	if d.faults == nil {
 		return 50 * time.Millisecond
 	}
 	return maxLateAnswer
 }
 
-// faultSeeds returns how many seeds are to be played.
+// faultSeeds returns the number of seeds to run.
 func faultSeeds(t *testing.T) uint64 {
 	t.Helper()
 	text := os.Getenv(faultSeedsVariable)
@@ -236,26 +237,26 @@
 	return seeds
 }
 
-// Whatever system calls fail, fall short or take long, each request has one answer, nothing runs twice that may not, the loop
-// comes to rest, and no descriptor is left open.
+// Whatever system calls fail, transfer only a part or take long: each request is answered once, no request runs more often than
+// its class allows, the loop handles all events, and no descriptor is left open.
 func TestGeneratedSystemFaults(t *testing.T) {
 	injected, stalled := 0, 0
 	for seed := range faultSeeds(t) {
 		before := countDescriptors(t)
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			d := drawDeployment(t, 2000+seed, seed%2 > 0, asDrawn)
+			d := drawDeployment(t, 2000+seed, seed%2 > 0, keepSettings)
 			d.addFaults(seed)
 			d.open()
 			d.run(faultSteps)
 			injected += d.faults.injector.TotalInjected()
-			stalled += d.faults.stalled
+			stalled += d.faults.stalledCalls
 		})
 		if after := countDescriptors(t); after != before {
-			t.Errorf("seed %d: %d descriptors are open, %d were before", seed, after, before)
+			t.Errorf("seed %d: %d descriptors are open, %d were open before", seed, after, before)
 		}
 	}
-	if t.Logf("%d calls failed, fell short or took long, %d of them the latter", injected, stalled); injected == 0 || stalled == 0 {
-		t.Error("nothing was injected")
+	if t.Logf("%d calls failed, were partial or were stalled, of which %d were stalled", injected, stalled); injected == 0 || stalled == 0 {
+		t.Error("no fault or no stall was injected")
 	}
 }
 
--- a/internal/scheduler/harness_tcp_test.go
+++ b/internal/scheduler/harness_tcp_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/http1"
 )
 
-// listen has the harness's loop accept TCP connections: only there does an end come as a reset.
+// listen makes the harness's scheduler accept TCP connections. Only these can be reset.
 func (h *harness) listen() {
 	if err := h.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		h.T.Fatal(err)
@@ -34,7 +34,7 @@
 	for idle := 0; len(b) > 0 && idle < 100; {
 		n, err := unix.Write(p.FD, b)
 		if err != nil && !errors.Is(err, unix.EAGAIN) {
-			h.T.Fatalf("%d bytes are not taken: %v", len(b), err)
+			h.T.Fatalf("%d bytes could not be written: %v", len(b), err)
 		}
 		if n <= 0 {
 			h.runOnce()
@@ -44,7 +44,7 @@
 		b, idle = b[n:], 0
 	}
 	if len(b) > 0 {
-		h.T.Fatalf("the loop reads no more: %d bytes are left", len(b))
+		h.T.Fatalf("the loop has stopped reading: %d bytes are left", len(b))
 	}
 }
 
@@ -57,7 +57,7 @@
 			return
 		}
 	}
-	h.T.Fatal("the loop finds no rest")
+	h.T.Fatal("descriptors still have events")
 }
 
 // runOnce runs one iteration of the loop.
@@ -67,7 +67,7 @@
 	}
 }
 
-// statuses returns the status of each response that was received, without interim ones.
+// statuses returns the status of each received response except interim ones.
 func (p *peer) statuses(t *testing.T) (statuses []int) {
 	t.Helper()
 	p.Read(1 << 20)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -20,25 +20,25 @@
 	"valvecove/internal/requests"
 )
 
-// harness is a scheduler whose connections lead to the test: it reads and writes their remote ends between iterations of the loop, and
-// moves the clock.
+// harness is a scheduler whose connections have their remote ends in the test. The test reads and writes these between
+// iterations of the loop, and advances the clock.
 type harness struct {
 	*modeltest.Steps
 	scheduler       *Scheduler
 	policy          *modeltest.ScriptedPolicy
 	now             time.Duration
-	clock           func() time.Duration // that the loop reads; returns now
-	ahead           time.Duration        // of now over the monotonic clock that all processes share
+	clock           func() time.Duration // read by the loop; returns now by default
+	clockAhead      time.Duration        // how far now is ahead of the monotonic clock that all processes share
 	operatorAddress netip.AddrPort       // of newOperatorHarness
 	state           harnessState
 	cordonStore     *hotrestart.CordonStore // nil: cordons are not stored
-	dialed          []*peer                 // the remote ends of connections to workers and discovery, in the order of their opening
+	dialed          []*peer                 // the remote ends of connections to workers and discovery, in order of opening
 }
 
 // harnessState is the transferred state of a scheduler, of which a test may change the snapshot.
 type harnessState struct {
 	transferState
-	alter func(snapshot *transport.Snapshot) // nil: it is not changed
+	alter func(snapshot *transport.Snapshot) // nil: the snapshot is not changed
 }
 
 // Snapshot returns the state as the test has changed it.
@@ -65,7 +65,7 @@
 	if err != nil {
 		s.T.Fatal(err)
 	}
-	l.monotonic = func() time.Duration { return h.now - h.ahead }
+	l.monotonic = func() time.Duration { return h.now - h.clockAhead }
 	l.dial = func(at netip.AddrPort) (int, error) {
 		p, fd := h.socketPair()
 		p.dialedAddress = at
@@ -115,7 +115,7 @@
 	return &peer{Peer: p}, descriptor
 }
 
-// runIterations runs the loop until it has done all that can be done now.
+// runIterations runs enough iterations of the loop for it to handle everything that is due now.
 func (h *harness) runIterations() {
 	for range 4 {
 		if err := h.scheduler.RunOnce(0); err != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// workerNumber returns the number of the one worker.
+// workerNumber returns the ID that the policy knows the only worker by.
 func (h *harness) workerNumber() uint64 {
 	for _, e := range h.policy.Received {
 		if list, ok := e.(dispatch.WorkerList); ok {
@@ -135,7 +135,7 @@
 	return 0
 }
 
-// injectFaults has rules apply to the scheduler's system calls from now on.
+// injectFaults applies fault rules to the scheduler's system calls from now on.
 func (h *harness) injectFaults(seed uint64, rules ...faultinjection.Rule) *faultinjection.Injector {
 	injector := faultinjection.New(seed, func() time.Duration { return h.now })
 	for _, rule := range rules {
--- a/internal/scheduler/harness_worker_test.go
+++ b/internal/scheduler/harness_worker_test.go
@@ -14,20 +14,20 @@
 	"valvecove/internal/requests"
 )
 
-// Durations of internal/worker that tests of the whole depend on.
+// Durations of internal/worker that these tests depend on.
 const (
 	reuseDelay        = 10 * time.Millisecond // between two attempts on a connection
-	smallWriteTimeout = 50 * time.Millisecond // for the rest of a request that a predecessor had begun to write
+	smallWriteTimeout = 50 * time.Millisecond // for the rest of a request that a predecessor has partly written
 )
 
-// longestHold is the longest time for which a process may be delayed.
-const longestHold = 150 * time.Millisecond
+// maxSuspension is the longest time for which a process may be suspended.
+const maxSuspension = 150 * time.Millisecond
 
-type noResponder struct{}
+type discardingResponder struct{}
 
-func (noResponder) RespondResult([]byte)          {}
-func (noResponder) RespondRejected(time.Duration) {}
-func (noResponder) RespondFailed()                {}
+func (discardingResponder) RespondResult([]byte)          {}
+func (discardingResponder) RespondRejected(time.Duration) {}
+func (discardingResponder) RespondFailed()                {}
 
 // delayedPeer is the remote end of a connection that is not established until release is called.
 type delayedPeer struct {
@@ -35,7 +35,7 @@
 	filledBytes int
 }
 
-// delayConnections delays connections from now on. It returns those that are opened, the newest last.
+// delayConnections makes connections that are opened from now on wait for release. It returns them, the newest last.
 func (h *harness) delayConnections() *[]*delayedPeer {
 	opened := &[]*delayedPeer{}
 	h.scheduler.dial = func(at netip.AddrPort) (int, error) {
@@ -59,25 +59,25 @@
 	}
 }
 
-// attemptHarness is a harness with requests that are sent to its one worker.
+// attemptHarness is a harness with requests that are sent to its only worker.
 type attemptHarness struct {
 	*harness
 	requests []*requests.Request
 }
 
-// runActions has the policy do something in one iteration.
+// runActions makes the policy return actions in one iteration.
 func (a *attemptHarness) runActions(actions ...dispatch.Action) {
 	a.policy.Next = append(a.policy.Next, actions...)
 	a.scheduler.Requests.Wake()
 	a.runIterations()
 }
 
-// sendAttempt has an attempt made of a new request.
+// sendAttempt admits a new request with a body of the given size, and makes the policy send it.
 func (a *attemptHarness) sendAttempt(size int) *requests.Request {
 	a.T.Helper()
 	q, err := a.scheduler.Requests.Admit(a.now, requests.Arrival{
 		CallID: fmt.Sprint("q", len(a.requests)), Job: dispatch.Job{Remaining: 5 * time.Second},
-		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
+		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: discardingResponder{},
 	})
 	if err != nil {
 		a.T.Fatal(err)
@@ -89,8 +89,8 @@
 
 const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// acceptedAttempt has an attempt made and accepted, and then loses its connection, so that what follows needs another.
-func (a *attemptHarness) acceptedAttempt() *requests.Request {
+// sendAcceptedAttempt sends an attempt that is accepted, and then closes its connection, so that later messages need another one.
+func (a *attemptHarness) sendAcceptedAttempt() *requests.Request {
 	q := a.sendAttempt(0)
 	p := a.dialed[len(a.dialed)-1]
 	p.Read(1 << 12)
@@ -101,7 +101,7 @@
 	return q
 }
 
-// outcomes are the results that the policy has received for a request's attempts.
+// outcomes returns the results that the policy has received for a request's attempts.
 func (a *attemptHarness) outcomes(q *requests.Request) (results []dispatch.Result) {
 	for _, e := range a.policy.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
@@ -111,20 +111,20 @@
 	return results
 }
 
-func (a *attemptHarness) expect(what string, q *requests.Request, want ...dispatch.Result) {
+func (a *attemptHarness) expectOutcomes(what string, q *requests.Request, want ...dispatch.Result) {
 	a.T.Helper()
 	if got := a.outcomes(q); !slices.Equal(got, want) {
 		a.T.Errorf("%s: outcomes %v, expected %v", what, got, want)
 	}
 }
 
-// hasDelete reports whether the remote end has received a DELETE for a request.
-func (p *peer) hasDelete(q *requests.Request) bool {
+// hasReceivedDelete reports whether the remote end has received a DELETE for a request.
+func (p *peer) hasReceivedDelete(q *requests.Request) bool {
 	p.Read(1 << 12)
 	return strings.HasPrefix(string(p.Received), "DELETE /jobs/"+q.CallID+" ")
 }
 
-// respondDelete has a far end answer a DELETE.
+// respondDelete answers a DELETE.
 func (a *attemptHarness) respondDelete(p *peer) {
 	p.Write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	a.runIterations()
--- a/internal/scheduler/hotrestart.go
+++ b/internal/scheduler/hotrestart.go
@@ -14,8 +14,8 @@
 	ErrNotSettled  = transport.ErrNotSettled
 )
 
-// prepareHotRestart makes the roles of this process in hot restarts. It is in standby after restart.Join, and can be replaced after
-// restart.AwaitSuccessor.
+// prepareHotRestart creates the successor and predecessor roles of this process. The process is in standby after restart.Join,
+// and can be replaced after restart.AwaitSuccessor.
 func (s *Scheduler) prepareHotRestart(state transport.State) {
 	s.restart = transport.New(s.Loop, transport.Config{
 		State:     state,
@@ -47,7 +47,7 @@
 // LeaveStandby disconnects a process in standby from its predecessor. It reports whether this process was in standby.
 func (s *Scheduler) LeaveStandby() bool { return s.restart.LeaveStandby() }
 
-// hasRelinquished reports whether a successor owns all that this process had.
+// hasRelinquished reports whether a successor owns the state that this process had.
 func (s *Scheduler) hasRelinquished() bool { return s.restart.HasRelinquished() }
 
 // transferState is the state of a scheduler that a hot restart transfers.
@@ -80,7 +80,7 @@
 	return snapshot
 }
 
-// Release closes what a successor owns: the connections, the watch and the socket that clients connect to.
+// Release closes this process's copies of what the successor owns: the connections, the watch and the client listener's socket.
 func (t transferState) Release() {
 	t.scheduler.clients.Relinquish()
 	t.scheduler.workers.Relinquish()
@@ -106,19 +106,19 @@
 // endpointWatch is the watch on the endpoint list, for a hot restart.
 type endpointWatch struct{ scheduler *Scheduler }
 
-// WatchEndpoints opens the watch, unless it is open or planned.
+// WatchEndpoints opens the watch, unless it is open or scheduled.
 func (e endpointWatch) WatchEndpoints() { e.scheduler.Requests.WatchEndpoints() }
 
-// HasReceivedEndpoints reports whether a list was received since the watch was last opened.
+// HasReceivedEndpoints reports whether a list has been received since the watch was last opened.
 func (e endpointWatch) HasReceivedEndpoints() bool { return e.scheduler.watch.HasReceivedEvent() }
 
-// peerSocket is the socket for messages between schedulers, for a hot restart. There may be none.
+// peerSocket is the socket for messages between schedulers, for a hot restart. Its methods do nothing if there is none.
 type peerSocket struct{ scheduler *Scheduler }
 
-// Open opens the socket, once its previous owner has closed its own.
+// Open opens the socket, after the predecessor has closed its own.
 func (p peerSocket) Open() { p.scheduler.openPeerSocket() }
 
-// Close closes the socket, for a successor to open its own.
+// Close closes the socket, so that a successor can open its own.
 func (p peerSocket) Close() {
 	if p.scheduler.peers != nil {
 		p.scheduler.peers.Close()
--- a/internal/scheduler/hotrestart_attempt_test.go
+++ b/internal/scheduler/hotrestart_attempt_test.go
@@ -9,9 +9,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// A process that takes over an attempt in the middle of its writing does not know by when it has to be written: it writes the
-// rest at once, or never.
-func TestRestOfARequestAfterAHotRestart(t *testing.T) {
+// A process that takes over a partly written attempt does not know its write deadline: it writes the rest immediately, or never.
+func TestPartlyWrittenAttemptAfterHotRestart(t *testing.T) {
 	for _, late := range []time.Duration{0, smallWriteTimeout + 1} {
 		s, dir := &modeltest.Steps{T: t}, t.TempDir()
 		base, at := newPredecessorHarness(s, dir)
@@ -29,18 +28,18 @@
 		}
 		var m http1.Request
 		if _, err := m.Parse(p.Received); (err == nil) != (late == 0) {
-			t.Errorf("%v after the take-over: parsed with %v", late, err)
+			t.Errorf("%v after the take-over: parsing the attempt returned %v", late, err)
 		}
 	}
 }
 
-// A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
+// A DELETE that waits for its connection when the process is replaced is sent by the successor.
 func TestCancelSurvivesHotRestart(t *testing.T) {
 	s := &modeltest.Steps{T: t}
 	dir := t.TempDir()
 	base, at := newPredecessorHarness(s, dir)
 	h := &attemptHarness{harness: base}
-	q := h.acceptedAttempt()
+	q := h.sendAcceptedAttempt()
 	h.delayConnections()
 	h.runActions(dispatch.Cancel{Job: q.ID})
 	next := &attemptHarness{harness: h.startSuccessor(dir, at)}
@@ -48,10 +47,10 @@
 		t.Fatal(err)
 	}
 	next.runIterations()
-	if p := next.dialed[len(next.dialed)-1]; !p.hasDelete(q) {
-		t.Errorf("the worker got %q", p.Received)
+	if p := next.dialed[len(next.dialed)-1]; !p.hasReceivedDelete(q) {
+		t.Errorf("the worker received %q", p.Received)
 	}
-	next.expect("not answered yet", q)
+	next.expectOutcomes("not answered yet", q)
 	next.respondDelete(next.dialed[len(next.dialed)-1])
-	next.expect("answered", q, dispatch.Cancelled)
+	next.expectOutcomes("answered", q, dispatch.Cancelled)
 }
--- a/internal/scheduler/hotrestart_fuzz_test.go
+++ b/internal/scheduler/hotrestart_fuzz_test.go
@@ -13,9 +13,9 @@
 	"valvecove/internal/requests"
 )
 
-// Wherever a hot restart cuts the bytes of a request, of an attempt, of a worker's response or of what has been answered, one
-// client on one connection gets each response once, and workers get each attempt once and whole. The wall clock is stepped
-// before each start.
+// A hot restart may happen at any byte of a request, of an attempt, of a worker's response or of a response to the client. A
+// client on one connection receives each response once, and workers receive each attempt once and completely. The wall clock is
+// stepped before each start.
 func FuzzHotRestart(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newHotRestartModel(choices)
@@ -23,32 +23,32 @@
 			model.step(choices.Pick(10))
 			model.exchange(1 + choices.Pick(4)*3000)
 		}
-		for range 20 { // whatever was under way when the steps ended gets there
+		for range 20 { // until all that was sent in the steps is received
 			model.exchange(1 << 16)
 		}
-		choices.Check(!model.inFlight || model.attempts == model.requested, "an attempt did not come whole")
+		choices.Check(!model.inFlight || model.attempts == model.requested, "an attempt was not received completely")
 		lost := model.unsent == "" && model.requested != model.answered && model.scheduler.Requests.OpenCount() != 1
 		choices.Check(!lost, "a request is lost")
 	})
 }
 
-// hotRestartModel is one client and one worker, which go through several processes, one after the other.
+// hotRestartModel is one client and one worker, with a scheduler that is replaced by hot restarts.
 type hotRestartModel struct {
-	*harness // of the process that serves
+	*harness // the serving process
 	dir      string
 	address  netip.AddrPort
 	workerID uint64
 	client   *peer
-	workers  []*peer // the far ends of worker connections, of all processes; the last has had the latest attempt
+	workers  []*peer // the remote ends of worker connections of all processes; the last one has received the latest attempt
 
 	restarts  int
-	requested int    // requests that the client has begun to send; they are numbered from 1
-	attempts  int    // that came to the worker
-	answered  int    // requests that the worker is done with
+	requested int    // number of requests that the client has begun to send, which is the number of the latest
+	attempts  int    // number of attempts that the worker has received
+	answered  int    // number of requests that the worker has completed
 	unsent    string // rest of the request that the client is sending
 	response  string // rest of the response that the worker is sending
-	received  string // what the client must have read
-	inFlight  bool   // the latest request was sent to the worker, which is not done with it
+	received  string // what the client must have received
+	inFlight  bool   // the latest request was sent to the worker, which has not completed it
 	cordoned  bool
 }
 
@@ -62,7 +62,7 @@
 	return model
 }
 
-// step does the first thing that the choice stands for and that is possible.
+// step takes the first possible step that the choice selects.
 func (h *hotRestartModel) step(choice int) {
 	for _, option := range []struct {
 		chosen bool
@@ -114,7 +114,7 @@
 	h.Record("begin request")
 }
 
-// bodySize is that of the latest request.
+// bodySize returns the size of the latest request's body.
 func (h *hotRestartModel) bodySize() int { return 15000 * (h.requested % 3) }
 
 func (h *hotRestartModel) callID() string { return fmt.Sprint("q", h.requested) }
@@ -162,7 +162,8 @@
 	h.Record("cordon or uncordon")
 }
 
-// exchange runs the loop, and reads what has come to the worker, at most so many bytes of a connection, and to the client.
+// exchange runs the loop, and lets the worker read up to readSize bytes of each connection, and the client all that it has
+// received.
 func (h *hotRestartModel) exchange(readSize int) {
 	h.runIterations()
 	cordoned := h.scheduler.Requests.Cordoned()
@@ -175,10 +176,10 @@
 	h.dialed = nil
 	h.readAttempt(readSize)
 	h.client.Read(1 << 16)
-	h.Check(string(h.client.Received) == h.received && !h.client.Ended, "the client has %q, expected %q", h.client.Received, h.received)
+	h.Check(string(h.client.Received) == h.received && !h.client.Ended, "the client received %q, expected %q", h.client.Received, h.received)
 }
 
-// readAttempt reads worker connections until one has brought a whole attempt.
+// readAttempt reads worker connections until a complete attempt was received on one of them.
 func (h *hotRestartModel) readAttempt(readSize int) {
 	last := len(h.workers) - 1
 	for i, connection := range h.workers {
--- a/internal/scheduler/hotrestart_test.go
+++ b/internal/scheduler/hotrestart_test.go
@@ -21,11 +21,11 @@
 	"valvecove/internal/requests"
 )
 
-// enableHotRestart lets the scheduler be replaced, or replace another one. Its policy is scripted, before and after.
+// enableHotRestart lets the scheduler be replaced, or replace another one. Its policy is the scripted one before and after.
 func (h *harness) enableHotRestart() {
 	h.scheduler.dispatcher = dispatch.New(*h.scheduler.settings, 1)
 	h.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return h.policy }
-	h.scheduler.onFail = func(err error) { h.T.Errorf("a process fails: %v", err) }
+	h.scheduler.onFail = func(err error) { h.T.Errorf("the scheduler failed: %v", err) }
 }
 
 // newPredecessorHarness returns a scheduler that serves and awaits a successor, and the address that clients connect to.
@@ -48,9 +48,9 @@
 func (h *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
 	successor := newHarness(h.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.ahead, successor.scheduler.settings = h.now+step, h.ahead+step, h.scheduler.settings
+	successor.now, successor.clockAhead, successor.scheduler.settings = h.now+step, h.clockAhead+step, h.scheduler.settings
 	successor.scheduler.prepareCordons(dir, nil)
-	h.Check(successor.scheduler.restart.Join(dir, address), "no predecessor")
+	h.Check(successor.scheduler.restart.Join(dir, address), "no predecessor found")
 	for successor.successorState() == hotrestart.SuccessorJoining {
 		h.runIterations()
 		successor.runIterations()
@@ -66,8 +66,8 @@
 	return state
 }
 
-// handOverTo transfers the state to a successor in standby. The predecessor does nothing else meanwhile, so the successor's loop runs
-// on another goroutine.
+// handOverTo transfers the state to a successor in standby. The predecessor does nothing else meanwhile, so the successor's
+// loop runs on another goroutine.
 func (h *harness) handOverTo(successor *harness) error {
 	ended := make(chan struct{})
 	go func() {
@@ -77,7 +77,7 @@
 		}
 	}()
 	err := h.scheduler.Relinquish()
-	if err != nil { // the connection is closed with the end of the iteration
+	if err != nil { // the connection to the successor is closed at the end of the iteration
 		_ = h.scheduler.RunOnce(0)
 	}
 	<-ended
@@ -86,7 +86,7 @@
 	return err
 }
 
-// sendRequest has a client send request "q", on a connection of its own.
+// sendRequest makes a new client with the given address send request "q".
 func (h *harness) sendRequest(at netip.AddrPort) *peer {
 	client, fd := h.socketPair()
 	h.scheduler.clients.AddConnection(fd, at)
@@ -95,7 +95,7 @@
 	return client
 }
 
-// addBrokenConnection adds a connection without a socket, by which the transfer fails.
+// addBrokenConnection adds a connection without a socket, which makes the transfer fail.
 func addBrokenConnection(snapshot *transport.Snapshot) {
 	broken := transport.WorkerConnection{Descriptor: hotrestart.NoDescriptor}
 	snapshot.WorkerConnections = append(snapshot.WorkerConnections, broken)
@@ -109,7 +109,7 @@
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
 	if both := predecessor.scheduler.clients.Limits().Connections + successor.scheduler.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
-		t.Errorf("two processes hold %d client connections", both)
+		t.Errorf("both processes together may hold %d client connections", both)
 	}
 	peer, socket := predecessor.socketPair()
 	predecessor.state.alter = func(snapshot *transport.Snapshot) {
@@ -117,7 +117,7 @@
 		addBrokenConnection(snapshot)
 	}
 	if err := predecessor.handOverTo(successor); err == nil || predecessor.scheduler.hasRelinquished() || predecessor.scheduler.Requests.OpenCount() != 1 {
-		t.Fatalf("handed over to one that did not take it: %v", err)
+		t.Fatalf("the predecessor no longer owns its state after a failed transfer: %v", err)
 	}
 	_ = unix.Close(socket)
 	predecessor.state.alter = nil
@@ -129,20 +129,20 @@
 		t.Error("a socket of the failed transfer is still open")
 	}
 	if successor.scheduler.Requests.OpenCount() != 0 || successor.scheduler.clients.ConnectionCount() != 0 || successor.scheduler.clients.Socket() >= 0 {
-		t.Error("the successor has something of a transfer that failed")
+		t.Error("the successor has kept state of the failed transfer")
 	}
 	if err := predecessor.handOverTo(successor); err != nil || successor.scheduler.budget.IsHalved() {
-		t.Fatalf("the second time: %v", err)
+		t.Fatalf("second transfer: %v", err)
 	}
 	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
 	successor.scheduler.Requests.Wake()
 	successor.runIterations()
 	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 503 ") {
-		t.Errorf("the client got %q", client.Received)
+		t.Errorf("the client received %q", client.Received)
 	}
 }
 
-// Without a successor, Relinquish fails. A second successor is rejected, and does not serve then.
+// Without a successor, Relinquish fails. A second successor is rejected, and does not serve.
 func TestSecondSuccessorIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -155,21 +155,22 @@
 	rejected := false
 	second.scheduler.onFail = func(error) { rejected = true }
 	if !second.scheduler.restart.Join(dir, address) {
-		t.Error("the second successor finds no predecessor")
+		t.Error("the second successor did not find the predecessor")
 	}
 	for !rejected {
 		predecessor.runIterations()
 		second.runIterations()
 	}
 	if second.scheduler.restart.AwaitsSuccessor() || second.scheduler.clients.Socket() >= 0 {
-		t.Error("the second successor serves, or has the predecessor's place")
+		t.Error("the second successor serves, or awaits a successor")
 	}
 	if err := predecessor.handOverTo(first); err != nil {
-		t.Errorf("handing over to the first: %v", err)
+		t.Errorf("transfer to the first: %v", err)
 	}
 }
 
-// A predecessor that dies leaves its cordoned workers in the file. The file of its socket does not hinder the next process.
+// When a predecessor dies, the successor restores the cordoned workers from their file and serves. The socket file that is left
+// does not prevent a later process from joining.
 func TestPredecessorDies(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -186,12 +187,12 @@
 	}
 	third := successor.startSuccessor(dir, address)
 	if err := successor.handOverTo(third); err != nil || len(third.scheduler.Requests.Cordoned()) != 1 {
-		t.Errorf("the next one: %v", err)
+		t.Errorf("transfer to a third process: %v", err)
 	}
 }
 
-// A snapshot that the next build can't restore costs the estimates in it, and no request: the new policy is notified of each request
-// and of the state of its attempts.
+// If a successor's build can't restore the policy's snapshot, the estimates in it are lost, but no request is: the new policy is
+// notified of each request and of the state of its attempts.
 func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -221,12 +222,13 @@
 	_, _ = successor.scheduler.Requests.HandleCallback(callback)
 	successor.runIterations()
 	if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
-		t.Errorf("the client got %q", client.Received)
+		t.Errorf("the client received %q", client.Received)
 	}
 }
 
-// A cordon call that was forwarded, and that the predecessor had not read at the take-over, is carried out by the new owner.
-func TestCordonCallCrossesTransfer(t *testing.T) {
+// A successor forwards a cordon call that the predecessor has not read when the successor takes over. The successor carries it
+// out.
+func TestForwardedCordonIsAppliedAfterTransfer(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
@@ -237,12 +239,12 @@
 	}
 }
 
-// A forwarded cordon call that is rejected is answered while an earlier one waits for the file. Both are answered with their own
-// result, and so is a later one: none is left for the hot restart.
-func TestForwardedCordonResultsInAnyOrder(t *testing.T) {
+// A forwarded cordon call that is rejected is answered while an earlier one waits for the file to be written. Each call is
+// answered with its own result, also a later one, and none is still pending at the hot restart.
+func TestForwardedCordonsAreAnsweredInAnyOrder(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-	written := make(chan func(), 1) // what the loop is to run once the file is written
+	written := make(chan func(), 1) // functions that the loop runs once the file is written
 	predecessor.scheduler.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files: filesystem.Disk, StateDir: dir, MaxCallbacks: 1,
 		Now:  predecessor.scheduler.Now,
@@ -280,17 +282,17 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	if predecessor.scheduler.LeaveStandby() || !successor.scheduler.LeaveStandby() || successor.scheduler.LeaveStandby() {
-		t.Error("a process that serves leaves standby, or one in standby does not, or does twice")
+		t.Error("a serving process left standby, or one in standby did not, or did twice")
 	}
 	successor.runIterations()
 	predecessor.runIterations()
 	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.scheduler.budget.IsHalved() {
-		t.Errorf("relinquished to nobody: %v", err)
+		t.Errorf("after the successor left standby: %v", err)
 	}
 }
 
-// A successor watches the endpoint list itself, from before it reports that it is ready, and still does after the take-over if its
-// watch had just ended.
+// A successor has its own watch on the endpoint list before it reports that it is ready. After the take-over it has one even if
+// its watch ended just before.
 func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
@@ -298,7 +300,7 @@
 		predecessor.scheduler.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.scheduler.watch.IsOpen() {
-			t.Error("in standby without a watch")
+			t.Error("the successor has no watch in standby")
 		}
 		if lost {
 			successor.scheduler.watch.Stop()
@@ -317,11 +319,11 @@
 	}
 }
 
-// clockSteps are steps of the wall clock between the starts of two processes.
+// clockSteps are changes of the wall clock between the starts of two processes.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// The wall clock may be stepped between the starts of two processes: deadlines and idle times of the transferred state are the same
-// spans as before. An attempt that ends in its last millisecond is still answered.
+// If the wall clock is stepped between the starts of two processes, the deadlines and idle times of the transferred state
+// remain the same durations from now. An attempt that ends in the last millisecond before the deadline is still answered.
 func TestHotRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		dir := t.TempDir()
@@ -352,7 +354,7 @@
 		early := successor.scheduler.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
 		onTime := successor.scheduler.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
 		if len(early) != 0 || len(onTime) != 1 || onTime[0] != (dispatch.SetTimer{After: 250 * time.Millisecond}) {
-			t.Errorf("stepped by %v: the dispatcher acts too early or late: %v, then %v", step, early, onTime)
+			t.Errorf("stepped by %v: the dispatcher acted too early or too late: %v, then %v", step, early, onTime)
 		}
 		successor.now += before.untilDeadline - time.Millisecond
 		successor.runIterations()
@@ -363,18 +365,18 @@
 		_, _ = successor.scheduler.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
 		successor.runIterations()
 		if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
-			t.Errorf("stepped by %v: the client got %q", step, client.Received)
+			t.Errorf("stepped by %v: the client received %q", step, client.Received)
 		}
 	}
 }
 
-// stateAges are the spans of the transferred state, by the clock of the process that owns it.
+// stateAges contains durations of the transferred state, by the clock of the process that owns it.
 type stateAges struct {
 	untilDeadline, untilAttemptExpires, sinceArrival, sinceSent, clientSilent, workerIdle time.Duration
 }
 
-// agesOfState returns the spans of request 1, of its attempt, of the client that has sent nothing, and of the idle connection
-// to the worker.
+// agesOfState returns the durations of request 1, of its attempt, of the client that has sent nothing, and of the idle
+// connection to the worker.
 func (h *harness) agesOfState() stateAges {
 	request := h.scheduler.Requests.Request(1)
 	attempt := h.scheduler.Requests.InFlightAttempt(1, 0)
--- a/internal/scheduler/lifecycle.go
+++ b/internal/scheduler/lifecycle.go
@@ -13,8 +13,8 @@
 // OnWake sets what is called in the iteration after a call of Wake.
 func (s *Scheduler) OnWake(act func()) { s.onWake = act }
 
-// OnShareLimits sets what is called when the process begins or ceases to use half of its limits only, as another process runs beside
-// it. It is called at once with the present state.
+// OnShareLimits sets what is called when the process starts or stops using only half of its limits because another process runs
+// beside it. It is called immediately with the current state.
 func (s *Scheduler) OnShareLimits(act func(half bool)) {
 	s.onShareLimits = act
 	act(s.budget.IsHalved())
@@ -23,8 +23,8 @@
 // Addr returns the address that clients connect to. It is not valid for a successor that has not taken over.
 func (s *Scheduler) Addr() netip.AddrPort { return s.clients.Addr() }
 
-// Reload applies another configuration: its limits and its discovery address. Connections, requests and the state of the dispatcher
-// are kept. A process whose successor owns the endpoint list watches no server.
+// Reload applies another configuration: its limits and its discovery address. Connections, requests and the state of the
+// dispatcher are kept. If a successor has taken over, this process does not watch the endpoint list.
 func (s *Scheduler) Reload(conf config.Config) {
 	s.budget.SetLimits(conf.Limits)
 	if conf.Discovery != s.watch.Server() && !s.hasRelinquished() {
@@ -32,14 +32,14 @@
 	}
 }
 
-// Drain has the scheduler report that it is not ready. New requests are still served: clients keep their connections, and may have no
-// other scheduler to connect to.
+// Drain makes the scheduler report that it is not ready. New requests are still served: clients keep their connections, and may
+// have no other scheduler to connect to.
 func (s *Scheduler) Drain() { s.clients.Drain() }
 
-// Close stops admitting requests. Idle connections are closed at once, the others with their responses.
+// Close stops admitting requests. Idle connections are closed immediately, the others after their responses.
 func (s *Scheduler) Close() { s.clients.Close() }
 
-// RejectQueued rejects the requests of which nothing was sent to a worker yet.
+// RejectQueued rejects the requests of which no attempt was sent to a worker yet.
 func (s *Scheduler) RejectQueued() {
 	if !s.hasRelinquished() {
 		s.Requests.RejectQueued()
@@ -49,19 +49,19 @@
 // FinishAllRequests responds to all open requests.
 func (s *Scheduler) FinishAllRequests() { s.FinishRequestsSince(s.Now()) }
 
-// FinishRequestsSince responds to the open requests that arrived within the last span of time.
+// FinishRequestsSince responds to the open requests that arrived within the given time before now.
 func (s *Scheduler) FinishRequestsSince(span time.Duration) {
 	if !s.hasRelinquished() {
 		s.Requests.CloseSince(s.Now() - span)
 	}
 }
 
-// IsQuiet reports whether every request has its response, and every response is sent.
+// IsQuiet reports whether every request has its response, and every response has been sent.
 func (s *Scheduler) IsQuiet() bool {
 	return (s.hasRelinquished() || s.Requests.OpenCount() == 0) && s.clients.HasSentAll()
 }
 
-// FlushMetrics gathers and sends all metrics, at the end of the process.
+// FlushMetrics collects and sends all metrics, at the end of the process.
 func (s *Scheduler) FlushMetrics() {
 	if s.metrics != nil {
 		s.metrics.Flush()
--- a/internal/scheduler/open.go
+++ b/internal/scheduler/open.go
@@ -20,8 +20,8 @@
 // watchSeed separates the random backoffs of the watch from the other random numbers of a scheduler's seed.
 const watchSeed = 0x66726573
 
-// Open returns a scheduler that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
-// besides a collector. An error names the key of the configuration that is at fault. What fails for a moment is tried again until
+// Open returns a scheduler that listens and is ready to run, with the enabled features. metricTargets are targets of metrics
+// besides a collector. An error contains the configuration key that it concerns. Steps that fail temporarily are retried until
 // stop is closed; then the error is ErrStopped.
 func Open(
 	stop <-chan struct{}, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target,
@@ -49,11 +49,11 @@
 		scheduler.CloseDescriptors()
 		return nil, err
 	}
-	scheduler.startup.stop = nil // from here on the event loop handles an order to end
+	scheduler.startup.stop = nil // the event loop handles signals from now on
 	return scheduler, nil
 }
 
-// openParts makes all parts, in the order in which they need each other, and opens their sockets.
+// openParts creates all parts in the order of their dependencies, and opens their sockets.
 func (s *Scheduler) openParts(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets []metrics.Target) error {
 	ops.ApplyTo(&conf.Settings)
 	if ops.Addresses != nil {
@@ -81,8 +81,8 @@
 }
 
 // listenOrJoin listens for clients. With a management address it first looks for a process that serves at the same address, and
-// enters standby if there is one. Several processes may listen at the clients' address then, so that one that can't be reached by
-// its successor can be replaced too.
+// enters standby if there is one. If there is none, it listens with SO_REUSEPORT, so that a later process can listen at the same
+// address even if it can't reach this one for a hot restart.
 func (s *Scheduler) listenOrJoin(conf config.Config) error {
 	if !conf.Management.IsValid() {
 		s.prepareCordons("", nil)
@@ -107,7 +107,7 @@
 	return s.clients.Listen(address, options...)
 }
 
-// openFeatures opens the operators' calls, the status call and metrics, where they are on.
+// openFeatures opens the operators' calls, the status call and metrics, as far as they are enabled.
 func (s *Scheduler) openFeatures(conf config.Config, ops config.Ops, metricTargets []metrics.Target) error {
 	counters := metrics.NewCounters(conf.Settings.Names)
 	if conf.Management.IsValid() || ops.Metrics != nil {
--- a/internal/scheduler/operators_test.go
+++ b/internal/scheduler/operators_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/requests"
 )
 
-// newOperatorHarness is a harness with a management address.
+// newOperatorHarness returns a harness with a management address.
 func newOperatorHarness(s *modeltest.Steps) *harness {
 	h := newHarness(s)
 	counters := metrics.NewCounters(requests.NameTable{Classes: []string{"a"}})
@@ -30,7 +30,7 @@
 	return &peer{Peer: eventlooptest.ConnectToAddress(h.T, h.operatorAddress)}
 }
 
-// callOperator makes one call and gives the answer's status and body.
+// callOperator makes one call and returns the status and body of its response.
 func (h *harness) callOperator(text string) string {
 	p := h.connectOperator()
 	p.Write([]byte(text))
@@ -47,22 +47,23 @@
 	return strings.Split(header, " ")[1] + " " + strings.TrimSpace(body)
 }
 
-const metricsAtFirst = "edge_proxy.success.a=0\nedge_proxy.busy.a=0\nedge_proxy.failure.a=0\nedge_proxy.backend_calls=0\n" +
+const initialMetrics = "edge_proxy.success.a=0\nedge_proxy.busy.a=0\nedge_proxy.failure.a=0\nedge_proxy.backend_calls=0\n" +
 	"edge_proxy.inflight=0\nedge_proxy.hosts_listed=1\nedge_proxy.hosts_down=0\nedge_proxy.hosts_out_not_kept=0"
 
-// Operators are served at their own address only, with the figures and the readiness of the scheduler, and before clients.
+// Operators' calls are served at the management address only, with the metrics and the readiness of the scheduler, and before
+// clients.
 func TestOperatorBeforeClients(t *testing.T) {
 	s := &modeltest.Steps{T: t}
 	h := newOperatorHarness(s)
-	if got := h.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
-		t.Errorf("at first %q", got)
+	if got := h.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+initialMetrics {
+		t.Errorf("metrics after the start: %q", got)
 	}
-	client, fd := h.socketPair() // at the clients' address these calls are not there
+	client, fd := h.socketPair() // the clients' address does not serve these calls
 	h.scheduler.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
 	client.Write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	h.runIterations()
 	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 404 ") {
-		t.Errorf("a client gets %q", client.Received)
+		t.Errorf("a client received %q", client.Received)
 	}
 	if got := h.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "200 ready" {
 		t.Errorf("serving: %q", got)
@@ -71,9 +72,9 @@
 	if got := h.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
 		t.Errorf("draining: %q", got)
 	}
-	// A client connection that is ready in the same iteration, and by a lower descriptor, is looked at later.
+	// A client connection that is ready in the same iteration is handled later, even if its descriptor is lower.
 	var calls []string
-	first := func(what string) eventloop.Handler { return probeHandler{func() { calls = append(calls, what) }} }
+	first := func(what string) eventloop.Handler { return funcHandler{func() { calls = append(calls, what) }} }
 	a, fdA := h.socketPair()
 	b, fdB := h.socketPair()
 	_ = h.scheduler.Add(fdA, eventloop.StreamEvents, first("client"))
@@ -81,14 +82,14 @@
 	a.Write([]byte("x"))
 	b.Write([]byte("x"))
 	if err := h.scheduler.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
-		t.Errorf("order of an iteration: %v, %v", calls, err)
+		t.Errorf("order in an iteration: %v, %v", calls, err)
 	}
 }
 
-type probeHandler struct{ act func() }
+type funcHandler struct{ act func() }
 
-func (p probeHandler) HandleEvents(uint32) { p.act() }
-func (p probeHandler) HandlePanic()        {}
+func (p funcHandler) HandleEvents(uint32) { p.act() }
+func (p funcHandler) HandlePanic()        {}
 
 type urgentHandler struct{ eventloop.Handler }
 
--- a/internal/scheduler/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -21,10 +21,10 @@
 	"valvecove/internal/modeltest"
 )
 
-// peerReopenTime is by when a socket that could not be opened is retried.
+// peerReopenTime is the delay after which opening a socket has been retried.
 const peerReopenTime = 500 * time.Millisecond
 
-// preparePeers gives a loop the number of a scheduler among its peers.
+// preparePeers configures the scheduler as the one with the given number among its peers.
 func (h *harness) preparePeers(number int, peers ...netip.AddrPort) {
 	settings := config.Settings{Settings: dispatch.Settings{Replicas: len(peers), ReplicaIndex: number, PeerMessages: true}}
 	h.scheduler.preparePeerSocket(config.Config{PeerListen: peers[number], Peers: peers, Settings: settings})
@@ -35,15 +35,15 @@
 	h.scheduler.openPeerSocket()
 }
 
-// tell has the policy send a message to a peer.
-func (h *harness) tell(to int, message dispatch.PeerMessage) {
+// sendToPeer makes the policy send a message to a peer.
+func (h *harness) sendToPeer(to int, message dispatch.PeerMessage) {
 	h.policy.Next = append(h.policy.Next, dispatch.SendPeerMessage{To: to, Message: message})
 	h.scheduler.Requests.Wake()
 	h.runIterations()
 }
 
-// fromPeers returns the messages that the policy has received.
-func (h *harness) fromPeers() (received []dispatch.PeerMessageReceived) {
+// messagesFromPeers returns the messages that the policy has received.
+func (h *harness) messagesFromPeers() (received []dispatch.PeerMessageReceived) {
 	for _, event := range h.policy.Received {
 		if message, ok := event.(dispatch.PeerMessageReceived); ok {
 			received = append(received, message)
@@ -52,7 +52,7 @@
 	return received
 }
 
-// remotePeer is a scheduler whose socket is the test's: number 1 of two.
+// remotePeer is scheduler 1 of two, which the test implements.
 type remotePeer struct {
 	fd      int
 	address netip.AddrPort
@@ -69,7 +69,7 @@
 	}
 }
 
-// countCalls returns how many calls of a kind the loop makes during act.
+// countCalls returns how many system calls of a kind the scheduler makes during act.
 func (h *harness) countCalls(counted eventloop.Call, act func()) (calls int) {
 	h.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
 		if call == counted {
@@ -82,7 +82,7 @@
 	return calls
 }
 
-// newPeerPair returns a loop that is number 0 of two schedulers, and the other one.
+// newPeerPair returns scheduler 0 of two, and scheduler 1.
 func newPeerPair(t *testing.T) (*harness, *remotePeer) {
 	t.Helper()
 	h := newHarness(&modeltest.Steps{T: t})
@@ -93,36 +93,39 @@
 	return h, remote
 }
 
-// queued is a message that can be told from others, and queuedFrom1 the event that it is.
-func queued(id int) dispatch.PeerMessage { return dispatch.LeaseQueued{ID: dispatch.LeaseID(id)} }
+// queuedMessage returns a message that is identified by its lease ID.
+func queuedMessage(id int) dispatch.PeerMessage {
+	return dispatch.LeaseQueued{ID: dispatch.LeaseID(id)}
+}
 
-func queuedFrom1(ids ...int) (events []dispatch.PeerMessageReceived) {
+// queuedEventsFrom1 returns the events of messages from scheduler 1.
+func queuedEventsFrom1(ids ...int) (events []dispatch.PeerMessageReceived) {
 	for _, id := range ids {
-		events = append(events, dispatch.PeerMessageReceived{From: 1, Message: queued(id)})
+		events = append(events, dispatch.PeerMessageReceived{From: 1, Message: queuedMessage(id)})
 	}
 	return events
 }
 
 func (h *harness) expectFromPeers(want []dispatch.PeerMessageReceived) {
 	h.T.Helper()
-	if got := h.fromPeers(); !reflect.DeepEqual(got, want) {
+	if got := h.messagesFromPeers(); !reflect.DeepEqual(got, want) {
 		h.T.Errorf("received %+v, expected %+v", got, want)
 	}
 }
 
-// What a policy sends to another scheduler reaches that scheduler's policy.
-func TestLoopsExchangeDatagrams(t *testing.T) {
+// A message that a policy sends to another scheduler is received by that scheduler's policy.
+func TestSchedulersExchangeMessages(t *testing.T) {
 	first, second := newHarness(&modeltest.Steps{T: t}), newHarness(&modeltest.Steps{T: t})
 	peers := []netip.AddrPort{eventlooptest.FreeDatagramAddress(t, "127.0.0.2"), eventlooptest.FreeDatagramAddress(t, "127.0.0.3")}
 	first.openPeers(0, peers...)
 	second.openPeers(1, peers...)
-	second.tell(0, queued(5))
-	second.tell(0, queued(6))
+	second.sendToPeer(0, queuedMessage(5))
+	second.sendToPeer(0, queuedMessage(6))
 	first.runIterations()
-	first.expectFromPeers(queuedFrom1(5, 6))
-	first.tell(1, queued(7))
+	first.expectFromPeers(queuedEventsFrom1(5, 6))
+	first.sendToPeer(1, queuedMessage(7))
 	second.runIterations()
-	second.expectFromPeers([]dispatch.PeerMessageReceived{{From: 0, Message: queued(7)}})
+	second.expectFromPeers([]dispatch.PeerMessageReceived{{From: 0, Message: queuedMessage(7)}})
 }
 
 // A successor opens the socket once its predecessor has closed its own, and receives from the same peers.
@@ -137,32 +140,32 @@
 	successor := predecessor.startSuccessor(dir, address)
 	opened := successor.countCalls(eventloop.CallSocket, func() { successor.openPeers(0, own, remote.address) })
 	if successor.scheduler.peers.IsOpen() || opened > 0 {
-		t.Error("a successor in standby opens the socket")
+		t.Error("a successor in standby opened the socket")
 	}
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
 	if predecessor.scheduler.peers.IsOpen() {
-		t.Error("the predecessor keeps the socket")
+		t.Error("the predecessor has kept the socket")
 	}
 	successor.now += peerReopenTime // the predecessor's socket may have been open at the first attempt
 	successor.runIterations()
-	remote.send(t, own, queued(1))
+	remote.send(t, own, queuedMessage(1))
 	predecessor.runIterations()
 	successor.runIterations()
-	successor.expectFromPeers(queuedFrom1(1))
-	if received := predecessor.fromPeers(); received != nil {
-		t.Errorf("the predecessor receives %+v", received)
+	successor.expectFromPeers(queuedEventsFrom1(1))
+	if received := predecessor.messagesFromPeers(); received != nil {
+		t.Errorf("the predecessor received %+v", received)
 	}
 }
 
-// A policy that replaces one that has failed is a new scheduler to its peers: it numbers its leases anew.
-func TestNewPolicyIsNewToPeers(t *testing.T) {
+// After a failed policy was replaced, peers are notified of a restart: the new policy numbers its leases from 1 again.
+func TestNewPolicyIsAnnouncedAsRestart(t *testing.T) {
 	h, remote := newPeerPair(t)
 	newPolicy := h.scheduler.policyFactory(config.Config{}, config.Ops{}, false)
 	expectFirst := func(want dispatch.PeerMessage) {
 		t.Helper()
-		h.tell(1, queued(1))
+		h.sendToPeer(1, queuedMessage(1))
 		buffer := make([]byte, 2*gossip.MaxDatagram)
 		size, _, err := unix.Recvfrom(remote.fd, buffer, unix.MSG_DONTWAIT)
 		if err != nil {
@@ -172,13 +175,13 @@
 			t.Errorf("received %+v, %v, expected %+v first", messages, err, want)
 		}
 	}
-	expectFirst(queued(1))
+	expectFirst(queuedMessage(1))
 	newPolicy()
 	expectFirst(dispatch.PeerRestarted{})
 }
 
-// Without the operators' section there is no socket, and the policy is allowed no message.
-func TestPeerSocketNeedsOperatorsSection(t *testing.T) {
+// Without the section [gossip] of the operators' file there is no socket, and the policy can't send messages.
+func TestPeerSocketNeedsGossipSection(t *testing.T) {
 	own, other := eventlooptest.FreeDatagramAddress(t, "127.0.0.2"), eventlooptest.FreeDatagramAddress(t, "127.0.0.3")
 	text := strings.NewReplacer(
 		`"limits"`, `"peer_listen":"`+own.String()+`","peers":["`+own.String()+`","`+other.String()+`"],"limits"`,
@@ -207,15 +210,15 @@
 	}
 }
 
-// Without a socket there are no figures of messages; with one there are those of the socket and of the dispatcher, also before it
-// is made.
-func TestPeerCountsOfLoop(t *testing.T) {
+// Without a socket the metrics of messages are zero. With one they include those of the socket and of the dispatcher, and can
+// be read before there is a dispatcher.
+func TestPeerCounts(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	if counts := h.scheduler.peerCounts(1); counts != (metrics.PeerCounts{}) {
 		t.Errorf("%+v without a socket", counts)
 	}
 	h, _ = newPeerPair(t)
-	h.tell(1, queued(1))
+	h.sendToPeer(1, queuedMessage(1))
 	before := h.scheduler.peerCounts(0)
 	if !before.Enabled || before.Sent != 1 {
 		t.Errorf("%+v after a datagram", before)
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/requests"
 )
 
-// openRequestTable makes the request table and its dispatch policy.
+// openRequestTable creates the request table and its dispatch policy.
 func (s *Scheduler) openRequestTable(conf config.Config, ops config.Ops, log *logging.Factory) (err error) {
 	decisionLog := log.NewLogger()
 	if ops.Capture != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// policyFactory returns the function that makes the policy, and another one after the policy has failed.
+// policyFactory returns the function that creates the policy, and a new one after the policy has failed.
 func (s *Scheduler) policyFactory(conf config.Config, ops config.Ops, hasAperture bool) func() requests.Policy {
 	seed := conf.Seed
 	return func() requests.Policy {
@@ -49,7 +49,7 @@
 		if s.Capture != nil {
 			policy = s.Capture.Wrap(s.dispatcher)
 		}
-		if hasAperture { // around the capture, which records the input of the dispatcher itself
+		if hasAperture { // outside the capture, which records the input of the dispatcher
 			policy = aperture.New(policy, conf.Settings.Settings, *ops.Aperture)
 		}
 		return policy
@@ -63,8 +63,8 @@
 	return dispatcher
 }
 
-// restorePolicy returns the policy that continues from a predecessor's snapshot, or nil if this build can't restore it. clockAhead is
-// the difference between this process's clock and the one that the snapshot's instants are of.
+// restorePolicy returns the policy that continues from a predecessor's snapshot, or nil if this build can't restore it.
+// clockAhead is how far this process's clock is ahead of the predecessor's, which the instants in the snapshot refer to.
 func (s *Scheduler) restorePolicy(snapshot []byte, clockAhead time.Duration) requests.Policy {
 	if s.wrapRestored == nil {
 		return nil
--- a/internal/scheduler/reload_test.go
+++ b/internal/scheduler/reload_test.go
@@ -8,8 +8,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// A reloaded configuration with another discovery address has that server watched, also when the connection to the previous one is
-// open. One with the same address leaves the watch as it is.
+// After a reload with another discovery address that server is watched, also if the connection to the previous one is open. A
+// reload with the same address does not change the watch.
 func TestReloadChangesDiscoveryServer(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	h.scheduler.Requests.WatchEndpoints()
@@ -19,10 +19,10 @@
 		h.scheduler.Reload(conf)
 		h.runIterations()
 		if len(h.dialed) != 2 || h.dialed[1].dialedAddress != conf.Discovery || !h.scheduler.watch.IsOpen() {
-			t.Fatalf("%d connections, watched %v", len(h.dialed), h.scheduler.watch.Server())
+			t.Fatalf("%d connections, watching %v", len(h.dialed), h.scheduler.watch.Server())
 		}
 	}
 	if h.dialed[0].Read(1 << 12); !h.dialed[0].Ended {
-		t.Error("the connection to the previous server is left open")
+		t.Error("the connection to the previous server is still open")
 	}
 }
--- a/internal/scheduler/replaced_test.go
+++ b/internal/scheduler/replaced_test.go
@@ -10,8 +10,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// A process that is replaced keeps nothing of what its successor owns, and ends: no idle connection to a worker or of a client is
-// waited for or closed again.
+// A replaced process keeps no connection that its successor owns. It becomes quiet, without waiting for idle connections to
+// workers or of clients, or closing them a second time.
 func TestReplacedProcessKeepsNoConnection(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -22,25 +22,25 @@
 	predecessor.dialed[0].Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	predecessor.runIterations()
 	if count := len(predecessor.scheduler.workers.Snapshot()); count != 1 {
-		t.Fatalf("%d connections to workers before", count)
+		t.Fatalf("%d connections to workers before the hot restart", count)
 	}
 	if err := predecessor.handOverTo(predecessor.startSuccessor(dir, address)); err != nil {
 		t.Fatal(err)
 	}
 	process := predecessor.scheduler
 	if workers, clients := len(process.workers.Snapshot()), process.clients.ConnectionCount(); workers+clients > 0 || process.watch.IsOpen() {
-		t.Fatalf("%d connections to workers, %d of clients, watched %v", workers, clients, process.watch.IsOpen())
+		t.Fatalf("%d connections to workers, %d of clients, watch open %v", workers, clients, process.watch.IsOpen())
 	}
 	for range 100 {
 		predecessor.now += time.Second
 		predecessor.runIterations()
 	}
 	if !process.IsQuiet() || process.watch.IsOpen() {
-		t.Errorf("quiet %v, watched %v", process.IsQuiet(), process.watch.IsOpen())
+		t.Errorf("quiet %v, watch open %v", process.IsQuiet(), process.watch.IsOpen())
 	}
 }
 
-// A reload of a process that is replaced opens no watch: discovery would have one caller more, for a list that nobody uses.
+// A reload of a replaced process opens no watch: that would load discovery for a list that is not used.
 func TestReloadOfReplacedProcessOpensNoWatch(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -52,6 +52,6 @@
 	predecessor.scheduler.Reload(conf)
 	predecessor.runIterations()
 	if watch := predecessor.scheduler.watch; watch.IsOpen() || len(predecessor.dialed) != opened {
-		t.Errorf("watched %v, %d connections opened", watch.IsOpen(), len(predecessor.dialed)-opened)
+		t.Errorf("watch open %v, %d connections opened", watch.IsOpen(), len(predecessor.dialed)-opened)
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,21 +1,21 @@
-// Package scheduler joins the parts of a scheduler on one event loop: the request table with its dispatch policy, the connections of
-// clients and to workers, the watch on the endpoint list, the socket to other schedulers, the operators' calls, metrics and hot
-// restarts.
+// Package scheduler connects the parts of a scheduler on one event loop: the request table with its dispatch policy, the
+// connections of clients and to workers, the watch on the endpoint list, the socket to other schedulers, the operators' calls,
+// metrics and hot restarts.
 //
-// It makes the parts, and passes to each what it needs of the others. It decides nothing itself, and handles no connection's bytes.
-// What is received is passed to the request table, which steps at the end of an iteration of the loop; the actions of that step are
-// carried out on the connections.
+// It creates the parts, and passes to each its dependencies. It makes no decisions itself, and does not process the bytes of
+// connections. Received messages are passed to the request table, which steps at the end of each iteration of the loop; the
+// actions of that step are carried out on the connections.
 //
 // # Files
 //
 //   - scheduler.go: the Scheduler, and the step of each iteration
-//   - open.go: Open: makes all parts, in the order in which they need each other
-//   - connections.go: makes the budget of descriptors, the client listener, the worker pool, the watch and the peer socket
-//   - policy.go: makes the request table with its dispatch policy, anew after the policy has failed
-//   - features.go: makes cordons, the operators' calls and the status call, and metrics; says why the scheduler is not ready
-//   - hotrestart.go: what a hot restart transfers
-//   - startup.go: retries what fails momentarily at the start
-//   - lifecycle.go: reload, drain, and the end
+//   - open.go: Open, which creates all parts in the order of their dependencies
+//   - connections.go: creates the budget of descriptors, the client listener, the worker pool, the watch and the peer socket
+//   - policy.go: creates the request table with its dispatch policy, and a new policy after one has failed
+//   - features.go: creates cordons, the operators' calls, the status call and metrics; returns why the scheduler is not ready
+//   - hotrestart.go: the state that a hot restart transfers
+//   - startup.go: retries steps of the start that fail temporarily
+//   - lifecycle.go: reload, drain and shutdown
 package scheduler
 
 import (
@@ -40,15 +40,15 @@
 	"valvecove/internal/worker"
 )
 
-// Scheduler is a scheduler on its event loop. Its methods are called on the goroutine that calls Run, but for Wake and Post, which
-// may be called on any.
+// Scheduler is a scheduler on its event loop. Its methods must be called on the goroutine that calls Run, except for Wake and
+// Post, which may be called on any goroutine.
 type Scheduler struct {
 	*eventloop.Loop
 	Requests *requests.Table
-	Capture  *capture.Recorder // nil: off
+	Capture  *capture.Recorder // nil: disabled
 
 	log           *slog.Logger
-	connectionLog *slog.Logger // lines about single client connections; has a budget of its own
+	connectionLog *slog.Logger // lines about single client connections, with their own rate limit
 
 	dial      func(address netip.AddrPort) (descriptor int, err error)
 	monotonic func() time.Duration  // the clock that all processes of the machine share
@@ -57,17 +57,17 @@
 	settings  *dispatch.Settings
 
 	budget       *limits.Budget
-	addressLists *address.AccessLists // nil: off
+	addressLists *address.AccessLists // nil: disabled
 	clients      *client.Listener
 	workers      *worker.Pool
 	watch        *watch.Connection
 	peers        *socket.Socket // nil: schedulers exchange no messages
 	cordons      *management.Cordons
-	metrics      *push.Pusher // nil: off
+	metrics      *push.Pusher // nil: disabled
 	restart      *transport.Roles
 
-	dispatcher   *dispatch.Dispatcher                       // decides, wrapped by the policy of the request table
-	wrapRestored func(*dispatch.Dispatcher) requests.Policy // wraps a predecessor's dispatcher; nil: it can't be restored
+	dispatcher   *dispatch.Dispatcher                       // makes the decisions; wrapped by the policy of the request table
+	wrapRestored func(*dispatch.Dispatcher) requests.Policy // wraps a restored dispatcher; nil: none can be restored
 
 	onWake        func()
 	onShareLimits func(half bool)
@@ -75,8 +75,8 @@
 	onFail        func(error)
 }
 
-// newScheduler returns a scheduler that has no parts but its event loop. maxEvents is the number of descriptors that may be ready at
-// once.
+// newScheduler returns a scheduler without any part except its event loop. maxEvents is the number of descriptors that may be
+// ready at once.
 func newScheduler(log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls) (*Scheduler, error) {
 	scheduler := &Scheduler{
 		log:           log,
@@ -113,7 +113,8 @@
 	}
 }
 
-// nextStep returns when the request table is to step next. ok is false if no step is due, or a successor owns the table.
+// nextStep returns the time of the next step of the request table. ok is false if no step is due, or if a successor owns the
+// table.
 func (s *Scheduler) nextStep() (at time.Duration, ok bool) {
 	if s.hasRelinquished() {
 		return 0, false
--- a/internal/scheduler/startup_test.go
+++ b/internal/scheduler/startup_test.go
@@ -23,13 +23,13 @@
 "settings":{"classes":[{"name":"a","promise":80000,"give_up":500000,"idempotency":"pure"}],
 "bounds":{"try_limit":2,"connect_timeout":250000}}}`
 
-// startCalls are the calls that a start can't do without.
+// startCalls are the system calls that must succeed for a start.
 var startCalls = []eventloop.Call{
 	eventloop.CallSocket, eventloop.CallBind, eventloop.CallListen,
 	eventloop.CallEpollCreate, eventloop.CallEventfd, eventloop.CallEpollControl,
 }
 
-// openWithFaults opens a loop while the rules apply. Times of rules count from now.
+// openWithFaults opens a scheduler while fault rules apply. The times of the rules are relative to now.
 func openWithFaults(t *testing.T, rules ...faultinjection.Rule) (*Scheduler, error) {
 	t.Helper()
 	conf, err := config.Decode([]byte(startConfig), func(string) string { return "" })
@@ -44,8 +44,8 @@
 	return open(nil, injector.Syscalls(), conf, config.Ops{}, logging.NewFactory(config.Log{}, "n0", io.Discard))
 }
 
-// A start goes through 2 s in which any of its calls fails, or all of them do.
-func TestStartOutlastsFailuresOfAMoment(t *testing.T) {
+// A start is retried while any or all of its system calls fail for 2 s, and then succeeds.
+func TestStartRetriesTemporaryFailures(t *testing.T) {
 	failing := map[string][]eventloop.Call{"all": startCalls}
 	for _, call := range startCalls {
 		failing[call.String()] = []eventloop.Call{call}
@@ -69,9 +69,9 @@
 	}
 }
 
-// A start that fails returns its error: at once if a retry can't help, after addressInUseTimeout if an address is in use, and else
-// after startTimeout. It leaves no descriptor open.
-func TestStartThatFails(t *testing.T) {
+// A start that fails returns its error: immediately if the error is permanent, after addressInUseTimeout if an address is in
+// use, and after startTimeout otherwise. It leaves no descriptor open.
+func TestStartFails(t *testing.T) {
 	tests := map[string]struct {
 		call    eventloop.Call
 		errno   unix.Errno
@@ -81,7 +81,7 @@
 		"no memory for a socket":     {eventloop.CallSocket, unix.ENOMEM, "socket: cannot allocate memory", startTimeout},
 		"no memory for epoll":        {eventloop.CallEpollCreate, unix.ENOMEM, "epoll: cannot allocate memory", startTimeout},
 		"no memory for eventfd":      {eventloop.CallEventfd, unix.ENOMEM, "eventfd: cannot allocate memory", startTimeout},
-		"no memory to add it":        {eventloop.CallEpollControl, unix.ENOMEM, "epoll add: cannot allocate memory", startTimeout},
+		"no memory for epoll add":    {eventloop.CallEpollControl, unix.ENOMEM, "epoll add: cannot allocate memory", startTimeout},
 		"the address is in use":      {eventloop.CallBind, unix.EADDRINUSE, "listening at 127.0.0.1:0: address already in use", addressInUseTimeout},
 		"the address is not allowed": {eventloop.CallBind, unix.EACCES, "listening at 127.0.0.1:0: permission denied", 0},
 	}
@@ -96,7 +96,7 @@
 					t.Errorf("%v, expected %s", err, test.message)
 				}
 				if took > test.timeout || took < test.timeout-maxStartBackoff {
-					t.Errorf("it ended after %v, expected %v", took, test.timeout)
+					t.Errorf("the start failed after %v, expected %v", took, test.timeout)
 				}
 				if free := lowestFreeDescriptor(t); free != freeBefore {
 					t.Errorf("descriptor %d is left open", freeBefore)
@@ -106,7 +106,7 @@
 	}
 }
 
-// lowestFreeDescriptor returns the number of the descriptor that is opened next.
+// lowestFreeDescriptor returns the number that the next descriptor to be opened will have.
 func lowestFreeDescriptor(t *testing.T) int {
 	t.Helper()
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC)
@@ -117,12 +117,12 @@
 	return fd
 }
 
-// A process that has taken over continues to serve while the socket that clients connect to can't be used for a moment.
-func TestTakeOverOutlastsFailures(t *testing.T) {
+// A process that has taken over retries adding the client listener's socket to its event loop if that fails temporarily.
+func TestTakeOverRetriesTemporaryFailures(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
-	successor.scheduler.OnFail(func(err error) { t.Errorf("the process ends: %v", err) })
+	successor.scheduler.OnFail(func(err error) { t.Errorf("the successor failed: %v", err) })
 	injector := successor.injectFaults(1, faultinjection.Rule{
 		Calls: []eventloop.Call{eventloop.CallEpollControl}, Times: 5, Errnos: []unix.Errno{unix.ENOMEM},
 		Descriptor: func(descriptor int) bool { return localAddress(descriptor) == address },
@@ -135,7 +135,7 @@
 		successor.runIterations()
 	}
 	if injector.TotalInjected() != 5 || successor.scheduler.Addr() != address {
-		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.scheduler.Addr(), address)
+		t.Errorf("%d calls failed; the successor listens at %v, expected %v", injector.TotalInjected(), successor.scheduler.Addr(), address)
 	}
 	successor.connectClient()
 	if successor.runUntilQuiet(); successor.scheduler.clients.ConnectionCount() != 1 {
--- a/internal/scheduler/tags_test.go
+++ b/internal/scheduler/tags_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/storedform"
 )
 
-// What workers and discovery send is read by names in tags.
+// The types that messages of workers and discovery are decoded to have a tag on each field.
 func TestWireIsTagged(t *testing.T) {
 	storedform.CheckTags(t, requests.Callback{}, requests.EndpointList{})
 }
--- a/internal/scheduler/transfer_fault_test.go
+++ b/internal/scheduler/transfer_fault_test.go
@@ -14,10 +14,10 @@
 	"valvecove/internal/modeltest"
 )
 
-// connectionErrnos are what a broken connection may show.
+// connectionErrnos are the errors that a read or write on a broken connection may return.
 var connectionErrnos = []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE}
 
-// failTransfers has reads and writes of one descriptor fail.
+// failTransfers makes reads and writes of one descriptor fail.
 func (h *harness) failTransfers(fd int, errno unix.Errno) {
 	h.injectFaults(1, faultinjection.Rule{
 		Calls: []eventloop.Call{
@@ -28,7 +28,7 @@
 	})
 }
 
-// A client whose connection is lost counts as disconnected, whatever the error: its queued request is abandoned.
+// A client whose connection breaks with any of these errors counts as disconnected: its queued request is abandoned.
 func TestClientConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
 		h := newHarness(&modeltest.Steps{T: t})
@@ -48,28 +48,29 @@
 	}
 }
 
-// lackMemoryFor has the next calls of some kinds fail.
-func (h *harness) lackMemoryFor(calls []eventloop.Call) {
+// failCallsTemporarily makes the next calls of some kinds fail.
+func (h *harness) failCallsTemporarily(calls []eventloop.Call) {
 	if len(calls) > 0 {
 		h.injectFaults(1, faultinjection.Rule{Calls: calls, Times: 20, Errnos: []unix.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EINTR}})
 	}
 }
 
-// There is one owner, whatever resource either process lacks while TakenOver is sent and received, and however long.
-func TestOneOwnerThroughShortagesDuringTransfer(t *testing.T) {
+// Exactly one process owns the state after a transfer, whichever process lacks resources while the TakenOver message is sent and
+// received, also if the predecessor's deadline for it passes.
+func TestOneOwnerDespiteResourceShortageDuringTransfer(t *testing.T) {
 	for name, faults := range map[string]struct{ predecessor, successor []eventloop.Call }{
-		"saying so":  {nil, []eventloop.Call{eventloop.CallWrite, eventloop.CallSendMessage}},
-		"hearing it": {[]eventloop.Call{eventloop.CallReceiveMessage, eventloop.CallPoll, eventloop.CallShutdown}, nil},
-		"both":       {[]eventloop.Call{eventloop.CallReceiveMessage, eventloop.CallSendMessage}, []eventloop.Call{eventloop.CallSendMessage}},
+		"sending":   {nil, []eventloop.Call{eventloop.CallWrite, eventloop.CallSendMessage}},
+		"receiving": {[]eventloop.Call{eventloop.CallReceiveMessage, eventloop.CallPoll, eventloop.CallShutdown}, nil},
+		"both":      {[]eventloop.Call{eventloop.CallReceiveMessage, eventloop.CallSendMessage}, []eventloop.Call{eventloop.CallSendMessage}},
 	} {
-		for _, lapses := range []bool{false, true} { // the predecessor's deadline for it
+		for _, lapses := range []bool{false, true} { // the predecessor's deadline for TakenOver
 			t.Run(name+", late "+strconv.FormatBool(lapses), func(t *testing.T) {
 				dir := t.TempDir()
 				predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 				predecessor.sendRequest(address)
 				successor := predecessor.startSuccessor(dir, address)
-				predecessor.lackMemoryFor(faults.predecessor)
-				successor.lackMemoryFor(faults.successor)
+				predecessor.failCallsTemporarily(faults.predecessor)
+				successor.failCallsTemporarily(faults.successor)
 				if lapses {
 					predecessor.clock = func() time.Duration {
 						predecessor.now += 40 * time.Millisecond
