--- a/internal/server/capture_test.go
+++ b/internal/server/capture_test.go
@@ -12,13 +12,13 @@
 	"valvecove/internal/config"
 )
 
-// dumpCapture requests the capture and reads the log up to its end.
-func (s *started) dumpCapture() string {
+// dumpCapture sends SIGUSR1 and returns the log up to the end of the capture.
+func (s *process) dumpCapture() string {
 	s.signal(syscall.SIGUSR1)
 	var text strings.Builder
-	for s.lines.Scan() {
-		text.WriteString(s.lines.Text() + "\n")
-		if strings.Contains(s.lines.Text(), `msg="capture written"`) {
+	for s.logLines.Scan() {
+		text.WriteString(s.logLines.Text() + "\n")
+		if strings.Contains(s.logLines.Text(), `msg="capture written"`) {
 			return text.String()
 		}
 	}
@@ -26,16 +26,17 @@
 	return ""
 }
 
-// The capture of a scheduler over real sockets is written to the log on SIGUSR1, between other lines, and is replayed without a
-// difference, or with differences under another setting. A text without a capture is an error.
+// The capture of a scheduler is written to the log on SIGUSR1, and contains no request body. A replay of the log, in which the
+// capture is between other lines, finds no difference with the recorded settings, and reports differences with others.
+// Replaying a text without a capture fails.
 func TestCaptureAndReplay(t *testing.T) {
-	w := work(t, "[capture]")
+	w := startWithWorker(t, "[capture]")
 	answer := w.submit("9b1f03aa5c7e2d41")
 	w.accept()
 	w.callBack(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"started"}`)
 	w.callBack(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"done","result":"booked: 42 rupees"}`)
-	body(t, answer)
-	_, _ = w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
+	readResponse(t, answer)
+	_, _ = w.sendRequest("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
 	text := w.dumpCapture()
 	w.stop()
 	for _, want := range []string{
@@ -49,7 +50,7 @@
 		}
 	}
 	if strings.Contains(text, "rupees") {
-		t.Error("a body is in it")
+		t.Error("the capture contains a body")
 	}
 	file := filepath.Join(t.TempDir(), "ring.jsonl")
 	w.write(file, text)
@@ -77,13 +78,13 @@
 	}
 }
 
-// A log that is not read delays neither the jobs nor the end, with all features enabled.
-func TestLogStuck(t *testing.T) {
-	t.Run("capture", func(t *testing.T) { testStuckLog(t, "[capture]") })
-	t.Run("no feature", func(t *testing.T) { testStuckLog(t, "[log]\nlevel = 'debug'") })
+// A log that nobody reads delays neither the responses nor the end of the process, with or without a capture.
+func TestBlockedLog(t *testing.T) {
+	t.Run("capture", func(t *testing.T) { testBlockedLog(t, "[capture]") })
+	t.Run("no feature", func(t *testing.T) { testBlockedLog(t, "[log]\nlevel = 'debug'") })
 }
 
-func testStuckLog(t *testing.T, ops string) {
+func testBlockedLog(t *testing.T, ops string) {
 	t.Helper()
 	logs, log, err := os.Pipe()
 	if err != nil {
@@ -95,28 +96,28 @@
 	for fill := bytes.Repeat([]byte("x"), 4096); err == nil; { // until the pipe is full
 		_, err = syscall.Write(fd, fill)
 	}
-	_ = syscall.SetNonblock(fd, false) // as standard error is
+	_ = syscall.SetNonblock(fd, false) // blocking, like standard error
 	l := listen(t)
 	addr := l.Addr().String()
 	_ = l.Close()
-	s := &started{
-		T: t, path: filepath.Join(t.TempDir(), "config.json"), ops: filepath.Join(t.TempDir(), "ops.toml"),
-		addr: addr, end: make(chan error, 1),
+	s := &process{
+		T: t, configPath: filepath.Join(t.TempDir(), "config.json"), opsPath: filepath.Join(t.TempDir(), "ops.toml"),
+		addr: addr, result: make(chan error, 1),
 	}
-	s.configure(strings.Replace(conf, "127.0.0.1:0", addr, 1))
-	s.write(s.ops, ops)
+	s.configure(strings.Replace(testConfig, "127.0.0.1:0", addr, 1))
+	s.write(s.opsPath, ops)
 	go func() {
-		s.end <- Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
+		s.result <- Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.configPath}[name] }, s.opsPath, log)
 	}()
-	s.up()
+	s.awaitListening()
 	if ops == "[capture]" {
 		s.signal(syscall.SIGUSR1)
 	}
-	if line, _ := s.talk(request).ReadString('\n'); line != unavailable {
-		t.Errorf("a request while the log is stuck: %q", line)
+	if line, _ := s.sendRequest(testRequest).ReadString('\n'); line != unavailableStatusLine {
+		t.Errorf("a request while the log is blocked: %q", line)
 	}
 	s.signal(syscall.SIGTERM)
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -25,7 +25,7 @@
 	finishAllBeforeKill    = 350 * time.Millisecond  // all open requests are responded to
 )
 
-// drainSchedule contains the times of the steps of a drain, from SIGTERM.
+// drainSchedule contains the times of the steps of a drain, relative to SIGTERM.
 type drainSchedule struct {
 	closeAt        time.Duration // idle connections are closed, and no request is admitted after that
 	rejectQueuedAt time.Duration // requests without attempts are rejected
@@ -63,8 +63,7 @@
 	return delay
 }
 
-// stop starts the drain, or ends a process in standby. It has no effect when it is called again: a second SIGTERM must not
-// restart the drain.
+// stop starts the drain, or ends a process in standby. Further calls have no effect: a second SIGTERM must not restart the drain.
 func (s *server) stop() {
 	if !s.advance(draining) {
 		return
@@ -104,10 +103,10 @@
 	})
 	drained.After(d.finishAllAt, func() {
 		drained.FinishAllRequests()
-		drained.Close() // also connections that were accepted since: a request on one of them could be lost by SIGKILL
+		drained.Close() // again, for connections accepted since the first Close: SIGKILL could lose a request on one of them
 	})
-	// The process runs until then even if no request is open. After its end, the load balancer would need seconds to detect that
-	// it is down, as after a crash, and clients would still try to connect. Until then they receive 503.
+	// The process runs until endAt even if no request is open, and responds with 503. If it ended earlier, the load balancer
+	// would need seconds to detect that it is down, as after a crash, and clients would still try to connect.
 	drained.After(d.endAt, end)
 }
 
--- a/internal/server/drain_requests_test.go
+++ b/internal/server/drain_requests_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// persistentClient sends one request after the other up to the scheduler's end, on one connection.
+// persistentClient sends one request after the other until the scheduler ends, on one connection where possible.
 type persistentClient struct {
 	name     string
 	address  string
@@ -69,7 +69,7 @@
 			_, err = io.Copy(io.Discard, response.Body)
 		}
 		p.answered[id] = err == nil || errors.Is(err, os.ErrDeadlineExceeded) && hasResponse(connection)
-		if err != nil || response.Close { // what crossed a close is sent again, on another connection
+		if err != nil || response.Close { // the next request is sent on a new connection
 			p.disconnect()
 		}
 	}
@@ -126,15 +126,15 @@
 	return size > 0 && bytes.HasPrefix(received[:size], []byte("HTTP/1.1 "))
 }
 
-// Where deadlines are short, SIGKILL is due soon after SIGTERM. With hanging workers, and clients
-// that continue on their connections, each request that was sent to a worker is responded to.
+// With short deadlines, SIGKILL follows soon after SIGTERM. Each request that was sent to a worker is responded to before,
+// although the workers hang and clients continue to send on their connections.
 func TestTermWithShortDeadlines(t *testing.T) {
 	const clients = 4
-	for name, reloads := range map[string]int{"discovery is down": 0, "a new configuration": 1, "several": 5} {
+	for name, reloads := range map[string]int{"discovery is down": 0, "one reload": 1, "several reloads": 5} {
 		t.Run(name, func(t *testing.T) {
 			workers := &hangingWorkers{Listener: listen(t)}
 			go workers.serve()
-			text := strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+workers.Addr().String()+`"`, "500000", "300000").Replace(conf)
+			text := strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+workers.Addr().String()+`"`, "500000", "300000").Replace(testConfig)
 			s := start(t, text)
 			var all []*persistentClient
 			var running sync.WaitGroup
@@ -145,12 +145,12 @@
 			}
 			s.expectAccepted(workers)
 			for range reloads {
-				silent := listen(t) // its backlog takes the connection, and it says nothing
+				silent := listen(t) // the connection stays in its backlog, without a response
 				s.configure(strings.Replace(text, `"discovery":"127.0.0.1:1"`, `"discovery":"`+silent.Addr().String()+`"`, 1))
 				s.signal(syscall.SIGHUP)
 			}
 			s.signal(syscall.SIGTERM)
-			if err := <-s.end; err != nil {
+			if err := <-s.result; err != nil {
 				t.Error(err)
 			}
 			for _, c := range all {
@@ -169,18 +169,18 @@
 	t.Helper()
 	workers.received.Range(func(id, _ any) bool {
 		if strings.HasPrefix(id.(string), p.name+"-") && !p.answered[id.(string)] {
-			t.Errorf("%s was sent to a worker, and not answered", id)
+			t.Errorf("%s was sent to a worker, but the client received no response", id)
 		}
 		return true
 	})
 }
 
-// expectAccepted sends requests until a worker has received one. On a machine that holds up this process or the scheduler, a
-// request may reach its deadline before that.
-func (s *started) expectAccepted(workers *hangingWorkers) {
+// expectAccepted sends requests until a worker has received one. On a busy machine a request may reach its deadline before it
+// is sent to a worker.
+func (s *process) expectAccepted(workers *hangingWorkers) {
 	const maxRequests = 100
 	for n := range maxRequests {
-		answer := s.talk(fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: first-%d\r\nContent-Length: 0\r\n\r\n", n))
+		answer := s.sendRequest(fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: first-%d\r\nContent-Length: 0\r\n\r\n", n))
 		if _, err := answer.ReadString('\n'); err != nil {
 			s.Fatal(err)
 		}
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -11,49 +11,50 @@
 	"valvecove/internal/eventloop"
 )
 
-// For any longest deadline of a deployment, every request is responded to before SIGKILL, also if the process is suspended for
-// the maximum time at SIGTERM and again when the last step is due. No request is admitted after the queued ones were rejected.
+// For any maximum client timeout of a deployment, every request is responded to before SIGKILL, also if the process is
+// suspended for the maximum time at SIGTERM and again when the last step is due. No request is admitted after the queued ones
+// were rejected.
 func TestDrainScheduleEndsBeforeKill(t *testing.T) {
 	const (
-		hold      = 150 * time.Millisecond
-		writing   = 20 * time.Millisecond // of the last answers
-		grace     = 700 * time.Millisecond
-		longest   = 3 * time.Second // deadline that counts
-		forOthers = 400 * time.Millisecond
+		suspension     = 150 * time.Millisecond
+		lastWrite      = 20 * time.Millisecond // time for writing the last responses
+		margin         = 700 * time.Millisecond
+		maxDeadline    = 3 * time.Second        // longer client timeouts don't delay SIGKILL
+		maxLateArrival = 400 * time.Millisecond // clients connect until this long after SIGTERM
 	)
 	for deadline := 10 * time.Millisecond; deadline < 10*time.Second; deadline += 10 * time.Millisecond {
 		settings := config.Settings{Settings: dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: deadline / 2}, {ClientTimeout: deadline}}}}
 		schedule := newDrainSchedule(settings)
-		kill := min(deadline, longest) + grace
-		if last := schedule.finishAllAt + 2*hold + writing; last > kill {
-			t.Fatalf("deadline %v: the last answers are written at %v, SIGKILL comes at %v", deadline, last, kill)
+		kill := min(deadline, maxDeadline) + margin
+		if last := schedule.finishAllAt + 2*suspension + lastWrite; last > kill {
+			t.Fatalf("deadline %v: the last responses are written at %v, SIGKILL is sent at %v", deadline, last, kill)
 		}
 		if schedule.closeAt > schedule.rejectQueuedAt || schedule.rejectQueuedAt > schedule.finishAllAt || schedule.finishAllAt > schedule.endAt {
 			t.Fatalf("deadline %v: %+v", deadline, schedule)
 		}
-		if schedule.endAt < kill { // it would look like one that has died
-			t.Fatalf("deadline %v: ends at %v, SIGKILL comes at %v", deadline, schedule.endAt, kill)
+		if schedule.endAt < kill { // an early end would look like a crash
+			t.Fatalf("deadline %v: the process ends at %v, SIGKILL is sent at %v", deadline, schedule.endAt, kill)
 		}
-		// A request that arrives while new connections are still accepted has at least half of its time, or a second.
-		if served := schedule.finishAllAt - forOthers; served < min(deadline/2, time.Second) && deadline > 150*time.Millisecond {
-			t.Fatalf("deadline %v: what comes at %v has %v", deadline, forOthers, served)
+		// A request that arrives while clients still connect has at least half of its time, or a second.
+		if served := schedule.finishAllAt - maxLateArrival; served < min(deadline/2, time.Second) && deadline > 150*time.Millisecond {
+			t.Fatalf("deadline %v: a request that arrives at %v has %v", deadline, maxLateArrival, served)
 		}
 	}
 }
 
-// recordingLoop records the steps of a drain in order, and executes those that are due at an instant.
+// recordingLoop records the steps of a drain in the order of their execution, and the functions that are scheduled for later.
 type recordingLoop struct {
-	steps []string
-	later []laterStep
+	steps   []string
+	delayed []delayedStep
 }
 
-type laterStep struct {
+type delayedStep struct {
 	at  time.Duration
 	act func()
 }
 
 func (r *recordingLoop) After(span time.Duration, act func()) *eventloop.Timer {
-	r.later = append(r.later, laterStep{span, act})
+	r.delayed = append(r.delayed, delayedStep{span, act})
 	return nil
 }
 
@@ -65,8 +66,9 @@
 	r.steps = append(r.steps, "finish the last "+span.String())
 }
 
-// The last responses are followed by another close: a client may have connected since the first one, and a request that it sends
-// at SIGKILL would be lost. Requests that arrived later than 0.7 s after SIGTERM are responded to before.
+// The steps are executed in this order. The last responses are followed by a second Close: a client may have connected since
+// the first one, and a request that it sends just before SIGKILL would be lost. Requests that arrived later than 0.7 s after
+// SIGTERM are responded to when the queued ones are rejected.
 func TestDrainSteps(t *testing.T) {
 	for deadline, want := range map[time.Duration][]string{
 		300 * time.Millisecond: {"drain", "close", "reject queued", "finish all", "close", "end"},
@@ -75,8 +77,8 @@
 		loop := &recordingLoop{}
 		settings := config.Settings{Settings: dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: deadline}}}}
 		newDrainSchedule(settings).run(loop, func() { loop.steps = append(loop.steps, "end") })
-		slices.SortStableFunc(loop.later, func(a, b laterStep) int { return cmp.Compare(a.at, b.at) })
-		for _, step := range loop.later {
+		slices.SortStableFunc(loop.delayed, func(a, b delayedStep) int { return cmp.Compare(a.at, b.at) })
+		for _, step := range loop.delayed {
 			step.act()
 		}
 		if !slices.Equal(loop.steps, want) {
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -25,8 +25,8 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// HeapLimit returns the memory limit of the garbage collector, in bytes. It is well below the configured memory, which includes
-// memory outside of the heap: a process that exceeds the configured memory is killed.
+// HeapLimit returns the memory limit of the garbage collector, in bytes. It is well below the configured memory because that
+// includes memory outside of the heap, and a process that exceeds it is killed.
 func HeapLimit(limits config.Limits) int64 {
 	return int64(limits.MemoryMB) << 20 * heapNumerator / heapDenominator
 }
--- a/internal/server/metric_targets.go
+++ b/internal/server/metric_targets.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/metrics"
 )
 
-// metricsFileMode is the permissions of the file of metrics.
+// metricsFileMode is the permission bits of the metrics file.
 const metricsFileMode = 0o640
 
 // metricTargets contains the targets of metrics other than the collector: a file, or the log.
--- a/internal/server/metric_targets_test.go
+++ b/internal/server/metric_targets_test.go
@@ -11,9 +11,9 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// The file of metrics is opened while the disk is full, is written once there is space, and contains complete lines only. Lost
+// The metrics file is opened while the disk is full, is written once there is space, and contains complete lines only. Lost
 // batches are reported to the exporter, which counts them.
-func TestMetricsFileOutlastsFullDisk(t *testing.T) {
+func TestMetricsFileOnFullDisk(t *testing.T) {
 	disk := filesystemtest.New(nil)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC))
 	instance := &server{files: disk, logger: slog.New(slog.DiscardHandler)}
@@ -47,9 +47,9 @@
 	}
 }
 
-// After a partial write to the log, no two lines are joined.
-func TestLogHasWholeLines(t *testing.T) {
-	var log cutWriter
+// After a partial write to the log, the rest of the line is written before the next line.
+func TestLogAfterPartialWrite(t *testing.T) {
+	var log partialWriter
 	writer := newLogWriter(&log, config.Log{}, "n0")
 	for _, line := range []string{"first\n", "second\n", "third\n"} {
 		_, _ = writer.Write([]byte(line))
@@ -60,13 +60,13 @@
 	}
 }
 
-// cutWriter writes only a part of the second write.
-type cutWriter struct {
+// partialWriter writes only a part of its second write.
+type partialWriter struct {
 	text  strings.Builder
 	calls int
 }
 
-func (c *cutWriter) Write(text []byte) (int, error) {
+func (c *partialWriter) Write(text []byte) (int, error) {
 	c.calls++
 	if c.calls == 2 {
 		c.text.Write(text[:3])
--- a/internal/server/metrics_test.go
+++ b/internal/server/metrics_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// collect listens for metrics.
-func collect(t *testing.T, at string) net.PacketConn {
+// listenForMetrics returns a UDP socket that receives metrics.
+func listenForMetrics(t *testing.T, at string) net.PacketConn {
 	t.Helper()
 	l, err := net.ListenPacket("udp", at)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return l
 }
 
-// awaitBatch reads batches until one contains a text.
+// awaitBatch reads batches until one contains a text. Each must have less than maxBytes, and no line feed at its end.
 func awaitBatch(t *testing.T, from net.PacketConn, want string, maxBytes int) {
 	t.Helper()
 	b := make([]byte, 1<<16)
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if n >= maxBytes || bytes.HasSuffix(b[:n], []byte("\n")) {
-			t.Errorf("a batch of %d bytes: %q", n, b[:n])
+			t.Errorf("batch of %d bytes: %q", n, b[:n])
 		}
 		if bytes.Contains(b[:n], []byte(want)) {
 			return
@@ -39,24 +39,24 @@
 	}
 }
 
-// serve has one job served.
-func (w *worked) serve(id string) {
+// serve submits a job and serves it as the worker.
+func (w *processWithWorker) serve(id string) {
 	answer := w.submit(id)
 	w.accept()
 	w.callBack(`{"id":"` + id + `","from":"s-1","state":"started"}`)
 	w.callBack(`{"id":"` + id + `","from":"s-1","state":"done","result":"booked"}`)
-	if status, text := body(w.T, answer); status != "200" || text != "booked" {
+	if status, text := readResponse(w.T, answer); status != "200" || text != "booked" {
 		w.Errorf("%s: %s %s", id, status, text)
 	}
 }
 
 const servedLine = "valvecove.jobs:1|c|#tenant:swat-society,class:a,outcome:served"
 
-// A collector receives the metrics of each job. After it is closed, jobs are still served, and lost batches are counted in the
-// file. When it is open again, it receives metrics again.
+// A collector receives the metrics of each job. After it is closed, jobs are still served, and the lost batches are counted in
+// the metrics file. When it is open again, it receives metrics again.
 func TestMetricsByUDP(t *testing.T) {
-	l, file := collect(t, "127.0.0.1:0"), filepath.Join(t.TempDir(), "figures")
-	w := work(t, "[figures]\nflush_ms = 10\nmax_batch_bytes = 300\nudp_target = '"+l.LocalAddr().String()+"'\nfile = '"+file+"'")
+	l, file := listenForMetrics(t, "127.0.0.1:0"), filepath.Join(t.TempDir(), "figures")
+	w := startWithWorker(t, "[figures]\nflush_ms = 10\nmax_batch_bytes = 300\nudp_target = '"+l.LocalAddr().String()+"'\nfile = '"+file+"'")
 	w.serve("1")
 	awaitBatch(t, l, servedLine, 300)
 	at := l.LocalAddr().String()
@@ -68,16 +68,16 @@
 			t.Fatal(err)
 		}
 	}
-	l = collect(t, at)
+	l = listenForMetrics(t, at)
 	awaitBatch(t, l, "valvecove.open:0|g|#tenant:swat-society,class:a", 300)
 	w.stop()
 }
 
-// Pending metrics are written at the end, to a file or to standard error. With a file and a collector, both receive them.
-func TestMetricsAreFlushedAtTheEnd(t *testing.T) {
+// Pending metrics are written when the process ends: to both a file and a collector if these are configured, or to the log.
+func TestMetricsAreFlushedAtEnd(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "figures")
-	l := collect(t, "127.0.0.1:0")
-	w := work(t, "[figures]\nflush_ms = 3600000\nfile = '"+file+"'\nudp_target = '"+l.LocalAddr().String()+"'")
+	l := listenForMetrics(t, "127.0.0.1:0")
+	w := startWithWorker(t, "[figures]\nflush_ms = 3600000\nfile = '"+file+"'\nudp_target = '"+l.LocalAddr().String()+"'")
 	w.serve("1")
 	w.stop()
 	text, err := os.ReadFile(file)
@@ -85,18 +85,18 @@
 		t.Errorf("%v, %q", err, text)
 	}
 	awaitBatch(t, l, servedLine, 1400)
-	w = work(t, "[figures]\nflush_ms = 3600000")
+	w = startWithWorker(t, "[figures]\nflush_ms = 3600000")
 	w.serve("1")
 	w.stop()
-	w.log(servedLine)
+	w.awaitLogLine(servedLine)
 }
 
-// A file that can't be opened is an error of the start.
+// If the metrics file can't be opened, the start fails with the configuration key.
 func TestMetricsFileCannotBeOpened(t *testing.T) {
-	s := &started{T: t, path: t.TempDir() + "/config.json", ops: t.TempDir() + "/ops.toml"}
-	s.configure(conf)
-	s.write(s.ops, "[figures]\nfile = '"+t.TempDir()+"/none/figures'")
-	err := Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, os.Stderr)
+	s := &process{T: t, configPath: t.TempDir() + "/config.json", opsPath: t.TempDir() + "/ops.toml"}
+	s.configure(testConfig)
+	s.write(s.opsPath, "[figures]\nfile = '"+t.TempDir()+"/none/figures'")
+	err := Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.configPath}[name] }, s.opsPath, os.Stderr)
 	if err == nil || !strings.HasPrefix(err.Error(), `key "figures.file"`) {
 		t.Error(err)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -51,7 +51,7 @@
 // String returns the name of the state.
 func (s state) String() string { return [...]string{"serving", "draining", "finished"}[s] }
 
-// advance makes the transition to a later state. It returns false and changes nothing if the server has reached that state before.
+// advance changes to a later state. It returns false and changes nothing if the server is already in that state or a later one.
 func (s *server) advance(next state) bool {
 	if next <= s.state {
 		return false
@@ -61,10 +61,9 @@
 }
 
 // Run runs a scheduler until it has drained after SIGTERM, or was replaced by a successor. opsPath is the path of the operators'
-// file; if it is empty, all features are disabled. The error is one of the start, or one after which the scheduler can't
-// continue.
+// file; if it is empty, all features are disabled. An error means that the start failed, or that the scheduler can't continue.
 func Run(getenv func(string) string, opsPath string, log io.Writer) error {
-	// This is first, because SIGHUP ends a process by default.
+	// Signals are handled before anything else, because SIGHUP ends a process by default.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// startFailure returns the error of a start that failed; nil if a signal has ended the process, which is not one.
+// startFailure returns the error of a failed start, or nil if a signal has ended the process during the start.
 func (s *server) startFailure(err error) error {
 	if !errors.Is(err, scheduler.ErrStopped) {
 		return err
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -15,75 +15,75 @@
 	"time"
 )
 
-const conf = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"sockets":64},
+const testConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"sockets":64},
 "known":{"generation":1,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
 "settings":{"classes":[{"name":"a","promise":80000,"give_up":500000,"idempotency":"pure"}],
 "bounds":{"try_limit":2,"connect_timeout":250000}}}`
 
-// started is a scheduler under test, on sockets and signals as in service.
-type started struct {
+// process is a running scheduler process under test, with real sockets and signals.
+type process struct {
 	*testing.T
-	path, addr string
-	ops        string         // the operators' file
-	lines      *bufio.Scanner // of its log
-	end        chan error
+	configPath, addr string         // of the platform's file; that clients connect to
+	opsPath          string         // path of the operators' file; empty: none
+	logLines         *bufio.Scanner // of the log
+	result           chan error     // receives the result of Run
 }
 
-func start(t *testing.T, conf string) *started {
+func start(t *testing.T, conf string) *process {
 	t.Helper()
 	return startWith(t, conf, "")
 }
 
-// startWith starts a scheduler with features.
-func startWith(t *testing.T, conf, ops string) *started {
+// startWith starts a scheduler with an operators' file of the given content.
+func startWith(t *testing.T, conf, ops string) *process {
 	t.Helper()
-	s := &started{T: t, path: filepath.Join(t.TempDir(), "config.json"), end: make(chan error, 1)}
+	s := &process{T: t, configPath: filepath.Join(t.TempDir(), "config.json"), result: make(chan error, 1)}
 	if ops != "" {
-		s.ops = filepath.Join(t.TempDir(), "ops.toml")
-		s.write(s.ops, ops)
+		s.opsPath = filepath.Join(t.TempDir(), "ops.toml")
+		s.write(s.opsPath, ops)
 	}
 	s.configure(conf)
-	logs, log, err := os.Pipe() // holds what is not read, so that the log never holds up the loop
+	logs, log, err := os.Pipe() // buffers lines that the test has not read yet
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = logs.Close() })
 	go func() {
-		s.end <- Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
+		s.result <- Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.configPath}[name] }, s.opsPath, log)
 		_ = log.Close()
 	}()
-	s.lines = bufio.NewScanner(logs)
-	_, s.addr, _ = strings.Cut(s.log("listening"), "addr")
+	s.logLines = bufio.NewScanner(logs)
+	_, s.addr, _ = strings.Cut(s.awaitLogLine("listening"), "addr")
 	s.addr = strings.Trim(s.addr, `=":}`)
 	return s
 }
 
-func (s *started) configure(conf string) { s.write(s.path, conf) }
+func (s *process) configure(conf string) { s.write(s.configPath, conf) }
 
-func (s *started) write(path, text string) {
+func (s *process) write(path, text string) {
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.Fatal(err)
 	}
 }
 
-// log reads the log up to a line that contains a text.
-func (s *started) log(want string) string {
-	for s.lines.Scan() {
-		if strings.Contains(s.lines.Text(), want) {
-			return s.lines.Text()
+// awaitLogLine reads the log up to a line that contains a text, and returns that line.
+func (s *process) awaitLogLine(want string) string {
+	for s.logLines.Scan() {
+		if strings.Contains(s.logLines.Text(), want) {
+			return s.logLines.Text()
 		}
 	}
-	s.Fatalf("the log has no %q", want)
+	s.Fatalf("the log does not contain %q", want)
 	return ""
 }
 
-func (s *started) talk(request string) *bufio.Reader {
+func (s *process) sendRequest(request string) *bufio.Reader {
 	c := s.dial()
 	_, _ = io.WriteString(c, request)
 	return bufio.NewReader(c)
 }
 
-func (s *started) dial() net.Conn {
+func (s *process) dial() net.Conn {
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		s.Fatal(err)
@@ -92,7 +92,7 @@
 	return c
 }
 
-func (s *started) signal(sig syscall.Signal) { _ = syscall.Kill(os.Getpid(), sig) }
+func (s *process) signal(sig syscall.Signal) { _ = syscall.Kill(os.Getpid(), sig) }
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -104,8 +104,8 @@
 	return l
 }
 
-// expectLine expects a connection and its first line.
-func (s *started) expectLine(l net.Listener, want string) {
+// expectLine accepts a connection and expects the request line that starts with want.
+func (s *process) expectLine(l net.Listener, want string) {
 	c, err := l.Accept()
 	if err != nil {
 		s.Fatal(err)
@@ -117,193 +117,194 @@
 }
 
 const (
-	request = "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: 1\r\nContent-Length: 0\r\n\r\n"
-	// The only worker refuses connections, so the policy eventually fails a request.
-	unavailable = "HTTP/1.1 503 Service Unavailable\r\n"
+	testRequest = "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: 1\r\nContent-Length: 0\r\n\r\n"
+	// unavailableStatusLine is the response to request: the only worker refuses connections, so the policy eventually fails it.
+	unavailableStatusLine = "HTTP/1.1 503 Service Unavailable\r\n"
 )
 
-// A scheduler is ready once it can serve. On SIGTERM with a request in flight it responds to that and ends without an error.
+// A scheduler is ready after its start. On SIGTERM it responds to the request in flight and ends without an error.
 func TestStartAndDrain(t *testing.T) {
-	s := start(t, conf)
-	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
+	s := start(t, testConfig)
+	if line, _ := s.sendRequest("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("/up: %q", line)
 	}
-	answer := s.talk(request)
+	answer := s.sendRequest(testRequest)
 	stoppedAt := time.Now()
 	s.signal(syscall.SIGTERM)
-	if line, _ := answer.ReadString('\n'); line != unavailable {
+	if line, _ := answer.ReadString('\n'); line != unavailableStatusLine {
 		t.Errorf("the request in flight: %q", line)
 	}
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
-	// Without requests in flight it still runs until the end of the drain: an early end would look like a crash.
+	// Without requests in flight the process still runs until the end of the drain: an early end would look like a crash.
 	if stayed, killDelay := time.Since(stoppedAt), 500*time.Millisecond+killMargin; stayed < killDelay {
 		t.Errorf("ended %v after SIGTERM, %v before SIGKILL is due", stayed, killDelay-stayed)
 	}
 }
 
-// On SIGHUP the file is read again: its discovery is watched, and a request in flight still gets its response. An invalid
-// file is logged with its key and changes nothing. A file is also applied during a drain.
+// On SIGHUP the configuration file is read again: its discovery address is watched, and a request in flight still gets its
+// response. For an invalid file, the log contains its key, and nothing changes. A file is also applied during a drain.
 func TestReload(t *testing.T) {
 	worker, second, third := listen(t), listen(t), listen(t)
 	const watch = "GET /discovery/hosts?stream=1&index=0"
 	with := func(discovery net.Listener) string {
 		return strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
-			"500000", "60000000", `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`).Replace(conf)
+			"500000", "60000000", `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`).Replace(testConfig)
 	}
 	s := start(t, with(worker))
-	answer, other := s.talk(request), s.dial()
+	answer, other := s.sendRequest(testRequest), s.dial()
 	s.configure(with(second))
 	s.signal(syscall.SIGHUP)
-	s.log(`msg="configuration reloaded" scheduler=n0 discovery=` + second.Addr().String())
+	s.awaitLogLine(`msg="configuration reloaded" scheduler=n0 discovery=` + second.Addr().String())
 	s.expectLine(second, watch)
 	s.configure(strings.Replace(with(third), `"sockets":64`, `"sockets":6`, 1))
 	s.signal(syscall.SIGHUP)
-	s.log(`level=ERROR msg="configuration reload failed" scheduler=n0 error="` + s.path + `: key \"limits.sockets\"`)
+	s.awaitLogLine(`level=ERROR msg="configuration reload failed" scheduler=n0 error="` + s.configPath + `: key \"limits.sockets\"`)
 	s.signal(syscall.SIGTERM)
-	s.log("draining")
-	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
-	if line, _ := bufio.NewReader(other).ReadString('\n'); line != unavailable {
+	s.awaitLogLine("draining")
+	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // on a connection from before the drain
+	if line, _ := bufio.NewReader(other).ReadString('\n'); line != unavailableStatusLine {
 		t.Errorf("/up while draining: %q", line)
 	}
 	s.configure(with(third))
 	s.signal(syscall.SIGHUP)
-	s.log(`msg="configuration reloaded" scheduler=n0 discovery=` + third.Addr().String())
+	s.awaitLogLine(`msg="configuration reloaded" scheduler=n0 discovery=` + third.Addr().String())
 	s.expectLine(third, watch)
 	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
-	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
+	s.sendRequest("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("the request in flight: %q", line)
 	}
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
 
-// While the loop is blocked by reading a configuration from a slow file, many more reloads and a SIGTERM arrive. The process
-// applies the last configuration, and stops.
-func TestManySignalsWhileTheLoopIsHeldUp(t *testing.T) {
+// While the event loop is blocked by reading a configuration from a slow file, many more SIGHUP and a SIGTERM are received. The
+// process applies the last configuration, and drains.
+func TestManySignalsWhileLoopIsBlocked(t *testing.T) {
 	const reloads = 64
 	last := listen(t)
-	s := start(t, conf)
-	slow := s.path + ".slow"
+	s := start(t, testConfig)
+	slow := s.configPath + ".slow"
 	if err := syscall.Mkfifo(slow, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(slow, s.path); err != nil {
+	if err := os.Rename(slow, s.configPath); err != nil {
 		t.Fatal(err)
 	}
 	s.signal(syscall.SIGHUP)
-	writer, err := os.OpenFile(s.path, os.O_WRONLY, 0) // returns once the loop reads
+	writer, err := os.OpenFile(s.configPath, os.O_WRONLY, 0) // returns once the loop reads
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Remove(s.path); err != nil {
+	if err := os.Remove(s.configPath); err != nil {
 		t.Fatal(err)
 	}
-	s.configure(strings.Replace(conf, `"discovery":"127.0.0.1:1"`, `"discovery":"`+last.Addr().String()+`"`, 1))
+	s.configure(strings.Replace(testConfig, `"discovery":"127.0.0.1:1"`, `"discovery":"`+last.Addr().String()+`"`, 1))
 	delivered := make(chan os.Signal, 1)
 	signal.Notify(delivered, syscall.SIGHUP)
 	defer signal.Stop(delivered)
 	for range reloads {
 		s.signal(syscall.SIGHUP)
-		<-delivered // each is taken in by itself
+		<-delivered // so that the signals are not merged before they are delivered
 	}
 	s.signal(syscall.SIGTERM)
-	_, _ = io.WriteString(writer, conf)
+	_, _ = io.WriteString(writer, testConfig)
 	_ = writer.Close()
-	s.log(`msg="configuration reloaded" scheduler=n0 discovery=` + last.Addr().String())
-	s.log("draining")
-	if err := <-s.end; err != nil {
+	s.awaitLogLine(`msg="configuration reloaded" scheduler=n0 discovery=` + last.Addr().String())
+	s.awaitLogLine("draining")
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
 
-// On SIGTERM before the first endpoint list, it rejects queued requests and ends without an error.
-func TestTermBeforeTheFirstList(t *testing.T) {
-	from, to := strings.Index(conf, `"known"`), strings.Index(conf, `"settings"`)
-	s := start(t, strings.NewReplacer("80000", "50000000", "500000", "60000000").Replace(conf[:from]+conf[to:]))
-	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != unavailable {
+// On SIGTERM before the first endpoint list, the process rejects queued requests and ends without an error.
+func TestTermBeforeFirstEndpointList(t *testing.T) {
+	from, to := strings.Index(testConfig, `"known"`), strings.Index(testConfig, `"settings"`)
+	s := start(t, strings.NewReplacer("80000", "50000000", "500000", "60000000").Replace(testConfig[:from]+testConfig[to:]))
+	if line, _ := s.sendRequest("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != unavailableStatusLine {
 		t.Errorf("/up: %q", line)
 	}
-	answer := s.talk(request)
+	answer := s.sendRequest(testRequest)
 	s.signal(syscall.SIGTERM)
-	if line, _ := answer.ReadString('\n'); line != unavailable {
-		t.Errorf("the request in flight: %q", line)
+	if line, _ := answer.ReadString('\n'); line != unavailableStatusLine {
+		t.Errorf("the queued request: %q", line)
 	}
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
 
-// A worker that hangs on SIGTERM costs no client its response: a request that is in flight there, with more time than is
-// left until SIGKILL, gets its final response, and the process ends before SIGKILL.
-func TestTermWithAHangingWorker(t *testing.T) {
+// A request whose worker hangs at SIGTERM, and whose deadline is after SIGKILL, gets its final response, and the process ends
+// without an error.
+func TestTermWithHangingWorker(t *testing.T) {
 	worker := listen(t)
 	s := start(t, strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
-		"500000", "60000000").Replace(conf))
-	answer := s.talk(request)
+		"500000", "60000000").Replace(testConfig))
+	answer := s.sendRequest(testRequest)
 	s.expectLine(worker, "POST /a")
 	s.signal(syscall.SIGTERM)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 500 Internal Server Error\r\n" {
-		t.Errorf("the request that is in flight: %q", line)
+		t.Errorf("the request in flight: %q", line)
 	}
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
 
-// Any number of idle clients leaves descriptors for others: with all descriptors for clients in use and discovery down, the
-// scheduler is ready, watches the next discovery, reaches workers, and receives their callbacks.
-func TestIdleClientsLeaveRoomForOthers(t *testing.T) {
+// Idle clients can't use up the descriptors of other connections: with all descriptors for clients in use and discovery down, the
+// scheduler is ready, watches another discovery address after a reload, connects to workers, and receives their callbacks.
+func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
 	worker, discovery := listen(t), listen(t)
 	text := strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
-		"500000", "60000000").Replace(conf)
+		"500000", "60000000").Replace(testConfig)
 	s := start(t, text)
-	for n := range 150 { // of 64 descriptors
+	for n := range 150 { // the process may use 64 descriptors
 		if c := s.dial(); n%3 == 0 {
 			_, _ = io.WriteString(c, "GET /up HTTP/1.1\r\n\r\n")
 		}
 	}
-	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
+	if line, _ := s.sendRequest("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("/up: %q", line)
 	}
 	s.configure(strings.Replace(text, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
 	s.signal(syscall.SIGHUP)
 	s.expectLine(discovery, "GET /discovery/hosts?stream=1&index=0")
-	answer := s.talk(request)
+	answer := s.sendRequest(testRequest)
 	s.expectLine(worker, "POST /a")
 	for range 150 {
 		s.dial()
 	}
 	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
-	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
+	s.sendRequest("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("the request: %q", line)
 	}
 	s.signal(syscall.SIGTERM)
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
 
-// If the platform pushes lists to the discovery address, the watch is opened at the start, from the revision of the known list on.
+// If the configuration does not require a subscription, the watch is still opened at the start, from the revision of the known
+// list.
 func TestPushedListIsWatched(t *testing.T) {
 	discovery := listen(t)
-	s := start(t, strings.Replace(conf, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
+	s := start(t, strings.Replace(testConfig, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
 	s.expectLine(discovery, "GET /discovery/hosts?stream=1&index=1")
 	s.signal(syscall.SIGTERM)
-	if err := <-s.end; err != nil {
+	if err := <-s.result; err != nil {
 		t.Error(err)
 	}
 }
 
-// up waits until the scheduler accepts connections.
-func (s *started) up() {
+// awaitListening waits until the scheduler accepts connections. It fails the test if the process ends.
+func (s *process) awaitListening() {
 	for {
 		select {
-		case err := <-s.end:
+		case err := <-s.result:
 			s.Fatalf("ended: %v", err)
 		default:
 		}
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -9,12 +9,12 @@
 	"valvecove/internal/scheduler"
 )
 
-// signalKinds contains the handled signals, in the order in which pending ones are handled: a reloaded configuration applies to
-// the others.
+// signalKinds contains the handled signals, in the order in which pending ones are handled. SIGHUP is first, so that the reloaded
+// configuration applies to the others.
 var signalKinds = [...]os.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGINT}
 
-// pendingSignals contains the signals that were received and not handled yet. Several of one kind are handled once, after the
-// last one. None is lost while the event loop is blocked.
+// pendingSignals contains the signals that were received and not handled yet. Several signals of one kind are handled once, after
+// the last of them was received. None is lost while the event loop is blocked.
 type pendingSignals [len(signalKinds)]atomic.Bool
 
 // add adds a signal. It may be called from any goroutine.
@@ -39,7 +39,7 @@
 // signalReceiver receives the signals of a process: during its start, and for its event loop.
 type signalReceiver struct {
 	pending   pendingSignals
-	woken     atomic.Pointer[scheduler.Scheduler] // at each signal; nil during the start
+	woken     atomic.Pointer[scheduler.Scheduler] // woken at each signal; nil during the start
 	stop      chan struct{}                       // closed by the first signal to end the process
 	isStopped bool                                // stop is closed
 	closed    chan struct{}
@@ -61,7 +61,7 @@
 	return receiver
 }
 
-// receive is called on the goroutine of the receiver alone.
+// receive handles a received signal on the receiver's goroutine.
 func (r *signalReceiver) receive(received os.Signal) {
 	r.pending.add(received)
 	if isStop := received == syscall.SIGTERM || received == syscall.SIGINT; isStop && !r.isStopped {
@@ -73,10 +73,10 @@
 	}
 }
 
-// close ends the receiver.
+// close stops the receiver's goroutine.
 func (r *signalReceiver) close() { close(r.closed) }
 
-// handleSignals has signals handled on the event loop, those that were received during the start among them.
+// handleSignals handles signals on the event loop from now on, including those that were received during the start.
 func (s *server) handleSignals(receiver *signalReceiver) {
 	s.scheduler.OnWake(func() {
 		for _, received := range receiver.pending.take() {
@@ -87,7 +87,7 @@
 	s.scheduler.Wake()
 }
 
-// handleSignal handles a signal.
+// handleSignal reloads the configuration on SIGHUP, dumps the capture on SIGUSR1, and stops on any other signal.
 func (s *server) handleSignal(received os.Signal) {
 	switch received {
 	case syscall.SIGHUP:
--- a/internal/server/start_test.go
+++ b/internal/server/start_test.go
@@ -14,13 +14,13 @@
 // signalInterval is the time between two signals of a series.
 const signalInterval = 10 * time.Millisecond
 
-// A process that receives SIGTERM while its start is retried ends at once, without an error: nobody is served yet.
-func TestTermWhileTheStartIsRetried(t *testing.T) {
-	delivered := make(chan os.Signal, 1) // so that a signal before the process handles them does not end the test
+// A process that receives SIGTERM while its start is retried ends immediately, without an error: no client is served yet.
+func TestTermWhileStartIsRetried(t *testing.T) {
+	delivered := make(chan os.Signal, 1) // a SIGTERM before Run handles signals would end the test process
 	signal.Notify(delivered, syscall.SIGTERM)
 	defer signal.Stop(delivered)
 	path := filepath.Join(t.TempDir(), "config.json")
-	taken := strings.Replace(conf, `"listen":"127.0.0.1:0"`, `"listen":"`+listen(t).Addr().String()+`"`, 1)
+	taken := strings.Replace(testConfig, `"listen":"127.0.0.1:0"`, `"listen":"`+listen(t).Addr().String()+`"`, 1)
 	if err := os.WriteFile(path, []byte(taken), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		select {
 		case err := <-end:
 			if err != nil {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("Run returned %v", err)
 			}
 			return
 		case <-time.After(signalInterval):
