--- a/internal/hotrestart/addresses.go
+++ b/internal/hotrestart/addresses.go
@@ -11,9 +11,9 @@
 	abstractNamePrefix = "@valvecove/"
 )
 
-// SocketAddresses returns the addresses of the Unix socket at which the process that serves at listen accepts its successor, the
-// preferred one first: a file in the state directory, unless stateDir is empty, and an abstract name. An abstract name needs no
-// directory, is removed with its socket, and is visible to all processes of the network namespace.
+// SocketAddresses returns the possible addresses of the Unix socket on which the process that serves clients at listen accepts
+// its successor, the preferred one first: a file in the state directory, unless stateDir is empty, and an abstract name. An
+// abstract name needs no directory, is removed with its socket, and is visible to all processes of the network namespace.
 func SocketAddresses(stateDir string, listen netip.AddrPort) []string {
 	abstract := abstractNamePrefix + listen.String()
 	if stateDir == "" {
--- a/internal/hotrestart/addresses_test.go
+++ b/internal/hotrestart/addresses_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The addresses are where processes of all builds look for each other.
+// The addresses must not change: processes of all builds find each other there.
 func TestSocketAddresses(t *testing.T) {
 	listen := netip.MustParseAddrPort("10.0.0.4:9000")
 	if got := SocketAddresses("", listen); !slices.Equal(got, []string{"@valvecove/10.0.0.4:9000"}) {
@@ -17,6 +17,6 @@
 		t.Errorf("with a directory: %q", got)
 	}
 	if IsAbstract(got[0]) || !IsAbstract(got[1]) {
-		t.Error("the abstract name is not told from the file")
+		t.Error("IsAbstract does not distinguish the abstract name from the file")
 	}
 }
--- a/internal/hotrestart/calls.go
+++ b/internal/hotrestart/calls.go
@@ -17,7 +17,7 @@
 	calls        []pendingCall
 }
 
-// pendingCall is a call and the sequence number of its SetCordon.
+// pendingCall is a call with the sequence number of its SetCordon message.
 type pendingCall struct {
 	sequence uint64
 	CordonCall
@@ -45,9 +45,9 @@
 	return messages
 }
 
-// Complete responds to the call with the sequence number of the result, and removes it. Results need not be in order of the
-// calls: a rejected call has its result at once, and another one only when the file is written. A result for no pending call is
-// ignored.
+// Complete responds to the call with the sequence number of the result, and removes it. Results may be received in another order
+// than the calls: a rejected call has its result immediately, any other call when the file is written. A result without a pending
+// call is ignored.
 func (p *PendingCalls) Complete(result CordonResult) {
 	i := slices.IndexFunc(p.calls, func(call pendingCall) bool { return call.sequence == result.Sequence })
 	if i < 0 {
--- a/internal/hotrestart/clocks.go
+++ b/internal/hotrestart/clocks.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// maxMessageDelay bounds the time between sending and reading a TransferBegin. A whole transfer takes less.
+	// maxMessageDelay is the maximum time between sending and reading a TransferBegin. A complete transfer takes less.
 	maxMessageDelay = time.Second
 
-	// clockPrecision is the least difference between the clocks of two processes that is corrected. The two clocks of one process
-	// are read some microseconds apart.
+	// clockPrecision is the minimum difference between the clocks of two processes that is corrected. Smaller ones are
+	// measurement errors, as a process reads its two clocks some microseconds apart.
 	clockPrecision = time.Millisecond
 )
 
-// ClockReadings contains the clocks of a process, read at the same time. The process's clock continues from the wall clock at the
-// process's start; the monotonic clock is the same for all processes of a machine. Both together show how much the wall clock was
-// stepped between the starts of two processes.
+// ClockReadings contains readings of two clocks at the same time. The process's clock is the wall clock at the process's start
+// plus the time since then; the monotonic clock is the same for all processes of a machine. The readings of two processes show
+// how much the wall clock was stepped between their starts.
 type ClockReadings struct {
 	Clock     time.Duration `json:"Clock"`     // the process's clock, since the Unix epoch
 	Monotonic time.Duration `json:"Monotonic"` // since the start of the machine; 0: not known
 }
 
-// AheadOf returns how far the process's clock is ahead of that of its predecessor, whose readings have just been received. r are
+// AheadOf returns how far the process's clock is ahead of that of its predecessor, whose readings have just been received. c are
 // the readings of this process, taken now. It returns 0 if the predecessor's build sends no readings.
 func (c ClockReadings) AheadOf(predecessor ClockReadings) time.Duration {
 	if predecessor == (ClockReadings{}) {
--- a/internal/hotrestart/clocks_test.go
+++ b/internal/hotrestart/clocks_test.go
@@ -7,49 +7,50 @@
 	"valvecove/internal/requests"
 )
 
+// clockSteps are changes of the wall clock between the starts of two processes.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// The difference of two processes' clocks is found exactly, however long a message took, and as well as the message was fast
-// where their monotonic clocks can't be compared.
+// The difference between the clocks of two processes is exact, however long the message took. If their monotonic clocks can't be
+// compared, the error is at most the time that the message took.
 func TestClockReadingsAheadOf(t *testing.T) {
 	const took = 7 * time.Millisecond
 	for _, step := range clockSteps {
-		predecessor := ClockReadings{Clock: at, Monotonic: 20 * time.Hour}
-		successor := ClockReadings{Clock: at + step + took, Monotonic: 20*time.Hour + took}
+		predecessor := ClockReadings{Clock: goldenTime, Monotonic: 20 * time.Hour}
+		successor := ClockReadings{Clock: goldenTime + step + took, Monotonic: 20*time.Hour + took}
 		if got := successor.AheadOf(predecessor); got != step {
 			t.Errorf("stepped by %v: ahead by %v", step, got)
 		}
 		for _, other := range []time.Duration{-19 * time.Hour, 3 * time.Hour} {
 			successor.Monotonic = 20*time.Hour + other
 			if got := successor.AheadOf(predecessor) - step; got < 0 || got > took {
-				t.Errorf("stepped by %v, in another time namespace: %v off", step, got)
+				t.Errorf("stepped by %v, in another time namespace: error of %v", step, got)
 			}
 		}
 	}
 }
 
-// Clocks that were not stepped count as the same, though their readings are some microseconds apart, and so do those of a
-// build that sends none.
+// The difference is 0 if the clock was not stepped, although the readings are some microseconds apart, and if the predecessor's
+// build sends no readings.
 func TestClockReadingsAheadOfWithoutStep(t *testing.T) {
-	successor := ClockReadings{Clock: at + 40*time.Microsecond, Monotonic: time.Hour}
-	for _, predecessor := range []ClockReadings{{}, {Clock: at, Monotonic: time.Hour}} {
+	successor := ClockReadings{Clock: goldenTime + 40*time.Microsecond, Monotonic: time.Hour}
+	for _, predecessor := range []ClockReadings{{}, {Clock: goldenTime, Monotonic: time.Hour}} {
 		if got := successor.AheadOf(predecessor); got != 0 {
 			t.Errorf("ahead of %v by %v", predecessor, got)
 		}
 	}
 }
 
-// All instants that come are moved by the step, those that stand for none stay, and spans do.
+// All instants are moved by the step. An instant of 0, which means that there is none, and durations are not changed.
 func TestReceivedStateMovesInstants(t *testing.T) {
 	for _, step := range clockSteps {
 		var received ReceivedState
-		readings := ClockReadings{Clock: at, Monotonic: time.Hour}
-		received.SetClocks(TransferBegin(readings), ClockReadings{Clock: at + step, Monotonic: time.Hour})
+		readings := ClockReadings{Clock: goldenTime, Monotonic: time.Hour}
+		received.SetClocks(TransferBegin(readings), ClockReadings{Clock: goldenTime + step, Monotonic: time.Hour})
 		for _, message := range []Message{goldenRequestTable(), goldenOpenRequest(), goldenClientConnection(), goldenWorkerConnection()} {
 			received.Add(message, 3)
 		}
-		received.Add(RequestTable{LastID: 11, PolicyTimer: at + time.Second}, NoDescriptor)
-		received.Add(OpenRequest{ID: 8, Deadline: at + time.Second, ArrivedAt: at}, NoDescriptor)
+		received.Add(RequestTable{LastID: 11, PolicyTimer: goldenTime + time.Second}, NoDescriptor)
+		received.Add(OpenRequest{ID: 8, Deadline: goldenTime + time.Second, ArrivedAt: goldenTime}, NoDescriptor)
 		finished, err := received.Finish()
 		if err != nil || finished.ClockAhead != step {
 			t.Fatalf("stepped by %v: ahead by %v, %v", step, finished.ClockAhead, err)
@@ -57,7 +58,7 @@
 		sent := goldenOpenRequest()
 		request, notSent := finished.OpenRequests[0], finished.OpenRequests[1]
 		for what, moved := range map[string]time.Duration{
-			"policy timer":  finished.RequestTable.PolicyTimer - (at + time.Second),
+			"policy timer":  finished.RequestTable.PolicyTimer - (goldenTime + time.Second),
 			"deadline":      request.Deadline - sent.Deadline,
 			"arrival":       request.ArrivedAt - sent.ArrivedAt,
 			"first attempt": request.FirstSentAt - sent.FirstSentAt,
@@ -71,10 +72,10 @@
 		}
 		if notSent.FirstSentAt != 0 || request.Job.Remaining != sent.Job.Remaining ||
 			finished.WorkerConnections[0].IdleBefore != goldenWorkerConnection().IdleBefore {
-			t.Errorf("stepped by %v: a span has moved, or an instant that never was", step)
+			t.Errorf("stepped by %v: a duration, or an instant of 0, was changed", step)
 		}
 	}
 	if requests.MoveInstant(0, time.Hour) != 0 {
-		t.Error("no instant was moved")
+		t.Error("an instant of 0 was changed")
 	}
 }
--- a/internal/hotrestart/cordon_crash_test.go
+++ b/internal/hotrestart/cordon_crash_test.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	crashStateDir = "/state"
-	oldCordons    = `{"form":1,"out":["s-0","s-1"]}` + "\n"
-	newCordons    = `{"form":1,"out":["s-2"]}` + "\n"
+	testStateDir = "/state"
+	oldCordons   = `{"form":1,"out":["s-0","s-1"]}` + "\n"
+	newCordons   = `{"form":1,"out":["s-2"]}` + "\n"
 )
 
 var (
-	crashPath    = filepath.Join(crashStateDir, CordonFileName)
+	cordonPath   = filepath.Join(testStateDir, CordonFileName)
 	newWorkerIDs = []string{"s-2"}
 )
 
 func diskWithOldCordons() *filesystemtest.Disk {
-	return filesystemtest.New(map[string]string{crashPath: oldCordons})
+	return filesystemtest.New(map[string]string{cordonPath: oldCordons})
 }
 
-// killPoints returns where a write of the file may be killed: at each call, and at each byte of a call that writes.
+// killPoints returns faults that kill a write of the file at each point: before and after each call, and at each byte of a call
+// that writes.
 func killPoints(t *testing.T) (points []func(filesystemtest.Call) filesystemtest.Fault) {
 	t.Helper()
 	disk := diskWithOldCordons()
-	if err := newCordonFileWriter(disk, crashStateDir).write(newWorkerIDs); err != nil {
+	if err := newCordonFileWriter(disk, testStateDir).write(newWorkerIDs); err != nil {
 		t.Fatal(err)
 	}
 	calls := disk.Calls()
@@ -42,21 +43,22 @@
 		after := filesystemtest.Fault{Err: filesystemtest.ErrKilled, After: true}
 		points = append(points, filesystemtest.FailCall(call.Number, after))
 	}
-	return append(points, filesystemtest.KillAt(len(calls), 0)) // after the last one
+	return append(points, filesystemtest.KillAt(len(calls), 0)) // after the last call
 }
 
-// A write that is killed at any byte or between any two calls leaves the old content or the new one, for a kill of the process
-// and for a power failure; one that has returned leaves the new one. The next process can write, and removes what was left.
+// The process is killed, or the power fails, at any byte of a write or between any two calls. The file has the old content or
+// the new one, and the new one if the write has returned without an error. The next process can write the file, and removes
+// temporary files.
 func TestCordonFileSurvivesKill(t *testing.T) {
 	points, outcomes := killPoints(t), 0
 	for number, point := range points {
 		disk := diskWithOldCordons()
 		disk.SetFault(point)
-		err := newCordonFileWriter(disk, crashStateDir).write(newWorkerIDs)
+		err := newCordonFileWriter(disk, testStateDir).write(newWorkerIDs)
 		for _, outcome := range append(disk.AfterPowerLoss(), disk.AfterKill()) {
 			outcomes++
 			files := outcome.Files()
-			if got := files[crashPath]; got != newCordons && (got != oldCordons || err == nil) {
+			if got := files[cordonPath]; got != newCordons && (got != oldCordons || err == nil) {
 				t.Fatalf("kill %d, write returned %v: left %q of %q", number, err, got, files)
 			}
 			checkNextProcess(t, outcome)
@@ -64,34 +66,34 @@
 	}
 	t.Logf("%d kills, %d outcomes", len(points), outcomes)
 	if len(points) < 30 || outcomes < 500 {
-		t.Errorf("%d kills with %d outcomes: too few to be all", len(points), outcomes)
+		t.Errorf("%d kills with %d outcomes: expected at least 30 and 500", len(points), outcomes)
 	}
 }
 
-// checkNextProcess expects of what a crash has left that a new process reads and writes it, and removes all else.
+// checkNextProcess checks that a new process can read and write the file after a crash, and that it removes all other files.
 func checkNextProcess(t *testing.T, disk *filesystemtest.Disk) {
 	t.Helper()
-	if _, err := LoadCordonFile(disk, crashStateDir); err != nil {
-		t.Errorf("of %q: %v", disk.Files(), err)
+	if _, err := LoadCordonFile(disk, testStateDir); err != nil {
+		t.Errorf("reading %q: %v", disk.Files(), err)
 	}
-	writer := newCordonFileWriter(disk, crashStateDir)
+	writer := newCordonFileWriter(disk, testStateDir)
 	writer.removeStrayFiles()
 	if err := writer.write([]string{"s-3"}); err != nil {
 		t.Error(err)
 	}
-	if got := slices.Collect(maps.Keys(disk.Files())); !slices.Equal(got, []string{crashPath}) {
-		t.Errorf("left over: %q", got)
+	if got := slices.Collect(maps.Keys(disk.Files())); !slices.Equal(got, []string{cordonPath}) {
+		t.Errorf("files that are left: %q", got)
 	}
-	if got, err := LoadCordonFile(disk, crashStateDir); err != nil || !slices.Equal(got, []string{"s-3"}) {
-		t.Errorf("the next process has %v, %v", got, err)
+	if got, err := LoadCordonFile(disk, testStateDir); err != nil || !slices.Equal(got, []string{"s-3"}) {
+		t.Errorf("after the write of the next process: %v, %v", got, err)
 	}
 }
 
-// Whichever call fails, with whichever error, before or after its effect: the write returns an error, or the new content is
-// durable; and it is never torn.
+// Any call fails with any error, before or after its effect. The write returns an error, or the new content is durable, and the
+// file never has an incomplete content.
 func TestCordonFileSurvivesErrors(t *testing.T) {
 	complete := diskWithOldCordons()
-	_ = newCordonFileWriter(complete, crashStateDir).write(newWorkerIDs)
+	_ = newCordonFileWriter(complete, testStateDir).write(newWorkerIDs)
 	for _, call := range complete.Calls() {
 		for _, failure := range filesystemtest.Errors {
 			for _, after := range []bool{false, true} {
@@ -105,23 +107,24 @@
 
 func checkFailedWrite(t *testing.T, disk *filesystemtest.Disk, failure error) {
 	t.Helper()
-	err := newCordonFileWriter(disk, crashStateDir).write(newWorkerIDs)
+	err := newCordonFileWriter(disk, testStateDir).write(newWorkerIDs)
 	if errors.Is(failure, syscall.EINTR) && err != nil && !strings.Contains(err.Error(), "close") && !strings.Contains(err.Error(), "rename") {
-		t.Errorf("an interrupted call ends the write: %v", err)
+		t.Errorf("the write failed because of an interrupted call: %v", err)
 	}
 	for _, outcome := range append(disk.AfterPowerLoss(), disk.AfterKill()) {
-		if got := outcome.Files()[crashPath]; got != newCordons && (got != oldCordons || err == nil) {
+		if got := outcome.Files()[cordonPath]; got != newCordons && (got != oldCordons || err == nil) {
 			t.Errorf("%v, write returned %v: left %q", failure, err, got)
 		}
 	}
 }
 
-// Two processes that each assume that the other has ended write at the same time: neither renames an incomplete file of the other.
+// Two processes, each of which assumes that the other has ended, write the file at the same time. Neither renames an incomplete
+// temporary file of the other.
 func TestCordonFileOfTwoWriters(t *testing.T) {
 	disk := diskWithOldCordons()
-	first, second := newCordonFileWriter(disk, crashStateDir), newCordonFileWriter(disk, crashStateDir)
+	first, second := newCordonFileWriter(disk, testStateDir), newCordonFileWriter(disk, testStateDir)
 	err := errors.Join(first.writeTemporary([]byte(newCordons)), second.writeTemporary([]byte("half")), first.renameTemporary())
-	if got := disk.Files()[crashPath]; err != nil || got != newCordons {
+	if got := disk.Files()[cordonPath]; err != nil || got != newCordons {
 		t.Errorf("%v, left %q", err, got)
 	}
 }
--- a/internal/hotrestart/cordon_file.go
+++ b/internal/hotrestart/cordon_file.go
@@ -46,8 +46,8 @@
 	return LoadCordonFile(filesystem.Disk, stateDir)
 }
 
-// LoadCordonFile returns the IDs of the workers that an earlier process has cordoned, or none if there is no file or stateDir is
-// empty. Any error is a *CordonFileError.
+// LoadCordonFile returns the IDs of the cordoned workers in the file that an earlier process has written, or none if there is
+// no file or stateDir is empty. Any error is a *CordonFileError.
 func LoadCordonFile(files filesystem.FileSystem, stateDir string) ([]string, error) {
 	if stateDir == "" {
 		return nil, nil
@@ -71,7 +71,7 @@
 	return workerIDs, nil
 }
 
-// readLimited returns the content of a file of limit bytes at most.
+// readLimited returns the content of a file, or an error if it is larger than limit bytes.
 func readLimited(files filesystem.FileSystem, path string, limit int64) ([]byte, error) {
 	file, err := files.OpenReader(path)
 	if err != nil {
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	if int64(len(content)) > limit {
-		return nil, fmt.Errorf("over %d bytes", limit)
+		return nil, fmt.Errorf("file is larger than %d bytes", limit)
 	}
 	return content, nil
 }
--- a/internal/hotrestart/cordon_file_writer.go
+++ b/internal/hotrestart/cordon_file_writer.go
@@ -97,10 +97,10 @@
 	return filesystem.RetryInterrupted(func() error { return c.files.Rename(c.temporaryPath, c.path) })
 }
 
-// removeStrayFiles removes the temporary files of killed processes. The temporary file of a process that writes at the same time is
-// removed too; its write fails, and is retried.
+// removeStrayFiles removes the temporary files that killed processes have left. It also removes that of a process that writes
+// at the same time, whose write fails then and is retried.
 func (c *cordonFileWriter) removeStrayFiles() {
-	names, _ := c.files.ListNames(c.stateDir) // on an error they stay until the next start
+	names, _ := c.files.ListNames(c.stateDir) // on an error the files stay until the next start
 	for _, name := range names {
 		if strings.HasPrefix(name, CordonFileName+".") && strings.HasSuffix(name, temporarySuffix) {
 			_ = c.files.Remove(filepath.Join(c.stateDir, name))
@@ -118,10 +118,10 @@
 	fenceClosed
 )
 
-// beginRename reports whether a rename may begin. If so, endRename must be called after it.
+// beginRename reports whether a rename may begin. If it may, endRename must be called after the rename.
 func (r *renameFence) beginRename() bool { return r.state.CompareAndSwap(fenceOpen, fenceRenaming) }
 
-// endRename ends the rename that beginRename has allowed.
+// endRename marks the end of a rename.
 func (r *renameFence) endRename() { r.state.Store(fenceOpen) }
 
 // close prevents renames from beginning until open is called. While a rename is in progress it returns false and changes nothing.
--- a/internal/hotrestart/cordon_retry_test.go
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -12,40 +12,40 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// What could not be written is written again with growing delays until it is stored, the newest content only. The change from
-// success to failure is reported once, and so is the one back.
+// A failed write is retried with exponential backoff until it succeeds, with the newest content. The change from success to
+// failure is reported once, and so is the change back.
 func TestCordonStoreRetriesUntilStored(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
-	store := loop.newStore(disk, crashStateDir)
+	store := loop.newStore(disk, testStateDir)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC, filesystemtest.Write))
 	loop.now = time.Hour
 	var results []error
 	save := func(workerIDs ...string) {
 		store.Save(workerIDs, func(err error) { results = append(results, err) })
-		loop.runOne()
+		loop.runPosted()
 	}
 	save("s-5")
 	checkDelays(t, loop)
 	save("s-2")
 	state := store.State()
 	if state.Stored || state.UnsavedFrom != time.Hour || !errors.Is(state.LastError, syscall.ENOSPC) || len(loop.changes) != 1 {
-		t.Errorf("while it fails: %+v, told of %v", state, loop.changes)
+		t.Errorf("while writes fail: %+v, reported changes %v", state, loop.changes)
 	}
 	disk.SetFault(nil)
 	loop.runTimer(t)
-	loop.runOne()
-	if got := disk.Files()[crashPath]; got != newCordons || !store.State().Stored || store.State().LastError != nil {
+	loop.runPosted()
+	if got := disk.Files()[cordonPath]; got != newCordons || !store.State().Stored || store.State().LastError != nil {
 		t.Errorf("stored %q, %+v", got, store.State())
 	}
 	if len(loop.changes) != 2 || loop.changes[1] != nil || len(loop.timers) != 0 {
-		t.Errorf("told of %v, %d timers left", loop.changes, len(loop.timers))
+		t.Errorf("reported changes %v, %d timers left", loop.changes, len(loop.timers))
 	}
 	if len(results) != 2 || !errors.Is(results[0], syscall.ENOSPC) || !errors.Is(results[1], syscall.ENOSPC) {
-		t.Errorf("calls were answered %v", results)
+		t.Errorf("callbacks received %v", results)
 	}
 }
 
-// checkDelays expects writes that fail to be repeated with exponential backoff.
+// checkDelays expects failing writes to be retried with exponential backoff.
 func checkDelays(t *testing.T, loop *eventLoop) {
 	t.Helper()
 	want := []time.Duration{
@@ -54,27 +54,27 @@
 	}
 	for _, delay := range want {
 		if got := loop.runTimer(t); got != delay {
-			t.Errorf("a delay of %v, expected %v", got, delay)
+			t.Errorf("retried after %v, expected %v", got, delay)
 		}
-		loop.runOne()
+		loop.runPosted()
 	}
 }
 
-// IDs that were saved with ErrTooManySaves are written too.
-func TestCordonStoreStoresBeyondTooManySaves(t *testing.T) {
+// IDs whose Save was answered with ErrTooManySaves are written too.
+func TestCordonStoreWritesAfterTooManySaves(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
-	store := loop.newStore(disk, crashStateDir)
+	store := loop.newStore(disk, testStateDir)
 	store.config.MaxCallbacks = 1
 	var results []error
 	for _, id := range []string{"s-7", "s-8", "s-2"} {
 		store.Save([]string{id}, func(err error) { results = append(results, err) })
 	}
-	loop.runOne()
+	loop.runPosted()
 	loop.finishWrite(store)
 	if want := []error{ErrTooManySaves, ErrTooManySaves, nil}; !slices.Equal(results, want) {
-		t.Errorf("calls were answered %v, expected %v", results, want)
+		t.Errorf("callbacks received %v, expected %v", results, want)
 	}
-	if got := disk.Files()[crashPath]; got != newCordons || !store.State().Stored {
+	if got := disk.Files()[cordonPath]; got != newCordons || !store.State().Stored {
 		t.Errorf("stored %q, %+v", got, store.State())
 	}
 }
@@ -82,7 +82,7 @@
 // A fenced store does not change the file, neither by a write in progress nor by a retry, until it is unfenced.
 func TestCordonStoreFence(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
-	store := loop.newStore(disk, crashStateDir)
+	store := loop.newStore(disk, testStateDir)
 	reached, proceed := make(chan struct{}), make(chan struct{})
 	disk.SetFault(func(call filesystemtest.Call) filesystemtest.Fault {
 		if call.Operation == filesystemtest.Write {
@@ -95,34 +95,34 @@
 	store.Save(newWorkerIDs, func(err error) { result = err })
 	<-reached
 	if store.Fence() {
-		t.Error("fenced during a write that has just begun")
+		t.Error("fenced during a write that has just started")
 	}
 	loop.now = fenceDelay
 	for range 2 {
 		if !store.Fence() {
-			t.Error("not fenced though the write hangs")
+			t.Error("not fenced although the write hangs")
 		}
 	}
 	close(proceed)
-	loop.runOne()
+	loop.runPosted()
 	disk.SetFault(nil)
 	store.Keep([]string{"s-9"})
-	if got := disk.Files()[crashPath]; got != oldCordons || !errors.Is(result, errFenced) || store.IsWriting() || len(loop.timers) != 0 {
-		t.Errorf("fenced: the file is %q, answered %v, writing %v", got, result, store.IsWriting())
+	if got := disk.Files()[cordonPath]; got != oldCordons || !errors.Is(result, errFenced) || store.IsWriting() || len(loop.timers) != 0 {
+		t.Errorf("fenced: the file is %q, the callback received %v, writing %v", got, result, store.IsWriting())
 	}
 	store.Unfence()
-	loop.runOne()
-	if got, err := LoadCordonFile(disk, crashStateDir); err != nil || !slices.Equal(got, []string{"s-9"}) || !store.State().Stored {
-		t.Errorf("after it was taken back: %v, %v", got, err)
+	loop.runPosted()
+	if got, err := LoadCordonFile(disk, testStateDir); err != nil || !slices.Equal(got, []string{"s-9"}) || !store.State().Stored {
+		t.Errorf("after Unfence: %v, %v", got, err)
 	}
 }
 
-// Under any share of failing calls, what was answered without an error is durable, and in the end the newest is.
+// With random shares of failing calls, the IDs of each Save that succeeds are durable, and in the end the newest are.
 func TestCordonStoreUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		disk, loop := filesystemtest.New(nil), newEventLoop()
-		store := loop.newStore(disk, crashStateDir)
+		store := loop.newStore(disk, testStateDir)
 		disk.SetFault(filesystemtest.FailShare(seed, 0.05+0.6*random.Float64()))
 		newest := ""
 		for number := range 20 {
@@ -133,7 +133,7 @@
 					checkDurable(t, disk, saved)
 				}
 			})
-			loop.runOne()
+			loop.runPosted()
 			if random.IntN(3) == 0 && len(loop.timers) > 0 {
 				loop.runTimer(t)
 				loop.finishWrite(store)
@@ -148,13 +148,13 @@
 	}
 }
 
-// checkDurable expects a power failure to leave exactly these workers in the file.
+// checkDurable checks that the file contains exactly this worker after a power failure.
 func checkDurable(t *testing.T, disk *filesystemtest.Disk, workerID string) {
 	t.Helper()
 	for _, outcome := range disk.AfterPowerLoss() {
 		outcome.SetFault(nil)
-		if got, err := LoadCordonFile(outcome, crashStateDir); err != nil || !slices.Equal(got, []string{workerID}) {
-			t.Fatalf("a power failure leaves %v, %v, expected %s", got, err, workerID)
+		if got, err := LoadCordonFile(outcome, testStateDir); err != nil || !slices.Equal(got, []string{workerID}) {
+			t.Fatalf("after a power failure: %v, %v, expected %s", got, err, workerID)
 		}
 	}
 }
--- a/internal/hotrestart/cordon_store.go
+++ b/internal/hotrestart/cordon_store.go
@@ -7,17 +7,17 @@
 	"valvecove/internal/filesystem"
 )
 
-// ErrTooManySaves is passed to the callback of a Save while CordonStoreConfig.MaxCallbacks earlier ones wait for the disk.
+// ErrTooManySaves is passed to the callback of a Save if CordonStoreConfig.MaxCallbacks earlier ones are waiting for the disk.
 var ErrTooManySaves = errors.New("too many calls wait for the directory")
 
 // Delays of a CordonStore.
 const (
-	// minWriteRetryDelay is the delay between the first failed write and the next one. It doubles with each consecutive failure,
-	// up to maxWriteRetryDelay.
+	// minWriteRetryDelay is the delay before the retry of a first failed write. The delay doubles with each consecutive
+	// failure, up to maxWriteRetryDelay.
 	minWriteRetryDelay = 100 * time.Millisecond
 	maxWriteRetryDelay = 5 * time.Second
 
-	// fenceDelay is how long Fence waits for a write in progress, from the start of that write.
+	// fenceDelay is how long after the start of a write Fence fails because of that write.
 	fenceDelay = 250 * time.Millisecond
 )
 
@@ -40,13 +40,13 @@
 // CordonStoreState is the state of a CordonStore, for the status call.
 type CordonStoreState struct {
 	Stored      bool          // the IDs that were saved last are on the disk
-	UnsavedFrom time.Duration // instant of the first change that is not on the disk, by the loop's clock
-	LastError   error         // of the last write, if that failed
+	UnsavedFrom time.Duration // time of the first change that is not on the disk, on the loop's clock
+	LastError   error         // of the last write; nil if it succeeded
 }
 
-// CordonStore writes the file of cordoned workers, on a goroutine of its own, so that the event loop does not wait for the disk.
-// If IDs are saved during a write, the newest ones are written after it. A failed write is retried with exponential backoff until
-// it succeeds. All methods are called on the event loop.
+// CordonStore writes the file of cordoned workers on its own goroutine, so that the event loop does not wait for the disk. If
+// IDs are saved during a write, the newest ones are written after it. A failed write is retried with exponential backoff until
+// it succeeds. All methods must be called on the event loop.
 type CordonStore struct {
 	config           CordonStoreConfig
 	writer           *cordonFileWriter
@@ -57,12 +57,12 @@
 	unsaved          bool     // newest is not stored
 	changed          bool     // newest was set after the write in progress began
 	unsavedFrom      time.Duration
-	retryDelay       time.Duration // of the next failure
+	retryDelay       time.Duration // delay after the next failure
 	retryPending     bool          // After was called for the next write
 	fenced           bool          // another process owns the file
 	lastError        error         // of the last write; nil if it succeeded
 	callbacks        []func(error) // of Save, in order
-	callbacksOfWrite int           // number of them, from the first, that the write in progress completes
+	callbacksInWrite int           // number of the first callbacks, which the write in progress completes
 }
 
 // NewCordonStore returns a store whose goroutine runs as long as the process.
@@ -95,9 +95,9 @@
 // RemoveStrayFiles removes the temporary files of killed processes. It is called once, by the process that owns the file.
 func (c *CordonStore) RemoveStrayFiles() { c.tasks <- c.writer.removeStrayFiles }
 
-// Save starts a write of the IDs. done is called on the event loop once they, or IDs that were saved later, are on the disk, or
-// with the error of the write. It is called at once with ErrTooManySaves if too many calls wait. After any error the IDs are
-// still written when that is possible.
+// Save starts a write of the IDs. done is called on the event loop with nil once they, or IDs that were saved later, are on the
+// disk, or with the error of the write. It is called immediately with ErrTooManySaves if too many calls are waiting. After any
+// error the write of the IDs is still retried.
 func (c *CordonStore) Save(workerIDs []string, done func(error)) {
 	c.setNewest(workerIDs)
 	if len(c.callbacks) >= c.config.MaxCallbacks {
@@ -108,7 +108,7 @@
 	c.startWrite()
 }
 
-// Keep is Save without a callback.
+// Keep starts a write of the IDs, like Save, without a callback.
 func (c *CordonStore) Keep(workerIDs []string) {
 	c.setNewest(workerIDs)
 	c.startWrite()
@@ -132,7 +132,7 @@
 	c.writing = true
 	c.changed = false
 	c.writeStartedAt = c.config.Now()
-	c.callbacksOfWrite = len(c.callbacks)
+	c.callbacksInWrite = len(c.callbacks)
 	workerIDs := c.newest
 	c.tasks <- func() {
 		err := c.writer.write(workerIDs)
@@ -146,8 +146,8 @@
 	if !errors.Is(err, errFenced) {
 		c.recordResult(err)
 	}
-	completed := c.callbacks[:c.callbacksOfWrite:c.callbacksOfWrite]
-	c.callbacks = c.callbacks[c.callbacksOfWrite:]
+	completed := c.callbacks[:c.callbacksInWrite:c.callbacksInWrite]
+	c.callbacks = c.callbacks[c.callbacksInWrite:]
 	for _, done := range completed {
 		done(err)
 	}
@@ -158,7 +158,7 @@
 	c.retryLater()
 }
 
-// recordResult updates the state by the result of a write, and reports a change from success to failure or back.
+// recordResult updates the state after a write, and reports a change from success to failure or back.
 func (c *CordonStore) recordResult(err error) {
 	hadFailed := c.lastError != nil
 	c.lastError = err
@@ -185,9 +185,9 @@
 	c.retryDelay = min(2*c.retryDelay, maxWriteRetryDelay)
 }
 
-// Fence ends this process's ownership of the file: it is not changed until Unfence. Fence returns false and changes nothing
-// during a write that started less than fenceDelay ago, and during the rename of any write. IDs that are not on the disk yet must
-// be written by the other process.
+// Fence ends this process's ownership of the file, which this process does not change until Unfence. During a write that
+// started less than fenceDelay ago, and during the rename of any write, Fence returns false and changes nothing. IDs that are
+// not on the disk yet must be written by the other process.
 func (c *CordonStore) Fence() bool {
 	if c.writing && c.config.Now()-c.writeStartedAt < fenceDelay || !c.writer.fence.close() {
 		return false
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/filesystem"
 )
 
-// The file has the bytes that processes of all builds read.
+// The file is written in the form that all builds read.
 func TestCordonFile(t *testing.T) {
 	dir := t.TempDir()
 	if got, err := ReadCordonFile(dir); err != nil || got != nil {
@@ -49,12 +49,12 @@
 	}
 }
 
-// eventLoop runs what the goroutine of a store posts, and the timers that it starts, by a clock that the test moves.
+// eventLoop runs functions that a store's goroutine posts, and timers that the store starts, on a clock that the test advances.
 type eventLoop struct {
 	posted  chan func()
 	now     time.Duration
 	timers  []loopTimer
-	changes []error // that the store has reported
+	changes []error // reported by the store
 }
 
 type loopTimer struct {
@@ -64,7 +64,7 @@
 
 func newEventLoop() *eventLoop { return &eventLoop{posted: make(chan func(), 1)} }
 
-// newStore returns a store of at most 2 waiting calls.
+// newStore returns a store with at most 2 waiting callbacks.
 func (e *eventLoop) newStore(files filesystem.FileSystem, stateDir string) *CordonStore {
 	return NewCordonStore(CordonStoreConfig{
 		Files: files, StateDir: stateDir, MaxCallbacks: 2,
@@ -75,16 +75,16 @@
 	})
 }
 
-func (e *eventLoop) runOne() { (<-e.posted)() }
+func (e *eventLoop) runPosted() { (<-e.posted)() }
 
 // finishWrite handles the end of a write, if one is in progress.
 func (e *eventLoop) finishWrite(store *CordonStore) {
 	if store.IsWriting() {
-		e.runOne()
+		e.runPosted()
 	}
 }
 
-// runTimer moves the clock to the only timer and runs it. It returns how far that was.
+// runTimer advances the clock to the only timer, runs it, and returns its delay.
 func (e *eventLoop) runTimer(t *testing.T) time.Duration {
 	t.Helper()
 	if len(e.timers) != 1 {
@@ -96,7 +96,7 @@
 	return e.now - before
 }
 
-// Calls are completed once what they saved, or something newer, is in the file.
+// The callback of a Save is called once its IDs, or newer ones, are in the file.
 func TestCordonStoreSave(t *testing.T) {
 	dir, loop := t.TempDir(), newEventLoop()
 	store := loop.newStore(filesystem.Disk, dir)
@@ -118,14 +118,14 @@
 	if want := []string{"third: " + ErrTooManySaves.Error()}; !slices.Equal(completed, want) || !store.IsWriting() {
 		t.Errorf("completed %q, writing %v", completed, store.IsWriting())
 	}
-	loop.runOne()
+	loop.runPosted()
 	if got, err := ReadCordonFile(dir); len(completed) != 2 || completed[1] != "first" || err != nil {
-		t.Errorf("completed %q, kept %v, %v", completed, got, err)
+		t.Errorf("completed %q, stored %v, %v", completed, got, err)
 	}
-	loop.runOne()
+	loop.runPosted()
 	got, err := ReadCordonFile(dir)
 	if len(completed) != 3 || completed[2] != "second" || err != nil || !slices.Equal(got, []string{"s-2"}) || store.IsWriting() {
-		t.Errorf("completed %q, kept %v, %v, writing %v", completed, got, err, store.IsWriting())
+		t.Errorf("completed %q, stored %v, %v, writing %v", completed, got, err, store.IsWriting())
 	}
 }
 
@@ -134,7 +134,7 @@
 	store := loop.newStore(filesystem.Disk, filepath.Join(t.TempDir(), "missing"))
 	var got error
 	store.Save([]string{"s-0"}, func(err error) { got = err })
-	loop.runOne()
+	loop.runPosted()
 	var unusable *CordonFileError
 	if !errors.As(got, &unusable) || !errors.Is(got, fs.ErrNotExist) || store.IsWriting() {
 		t.Errorf("%v", got)
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -11,15 +11,15 @@
 
 // Limits of frames.
 const (
-	// MaxBodySize is the maximum size of a frame's body, in bytes. A client connection with full buffers, as JSON, is smaller.
+	// MaxBodySize is the maximum size of a frame's body, in bytes. The JSON of a client connection with full buffers is smaller.
 	MaxBodySize = 1 << 20
 
 	// SnapshotChunkSize is the maximum number of bytes of the policy's snapshot in one frame.
 	SnapshotChunkSize = 256 << 10
 )
 
-// A frame is a header and a body. The header holds the length of the body (four bytes in network order), the kind, and the
-// number of descriptors that are passed along with the frame's first byte (0 or 1).
+// A frame consists of a header and a body. The header contains the length of the body (four bytes in network order), the kind
+// (one byte), and the number of descriptors that are passed along with the frame's first byte (one byte, 0 or 1).
 const (
 	headerSize             = 6
 	headerKindOffset       = 4
@@ -85,7 +85,7 @@
 // isState reports whether frames of this kind contain a part of the predecessor's state.
 func (f FrameKind) isState() bool { return f >= KindSnapshotChunk && f <= KindWorkerConnection }
 
-// Frame is one frame as it was read. Body is a slice of the buffer that it was read from.
+// Frame is a frame that was read. Body is a slice of the buffer that it was read from.
 type Frame struct {
 	Kind            FrameKind
 	DescriptorCount int // 0 or 1
--- a/internal/hotrestart/frame_test.go
+++ b/internal/hotrestart/frame_test.go
@@ -18,8 +18,8 @@
 	return encoded
 }
 
-// A frame cut anywhere is incomplete until it is whole; no bytes make the reader or the decoder panic or take more than there
-// is.
+// Each proper prefix of a valid frame is reported as incomplete. No input makes the reader or the decoder panic, or consume more
+// bytes than there are.
 func FuzzReadFrame(f *testing.F) {
 	var all []byte
 	for _, message := range []Message{
@@ -48,7 +48,7 @@
 			return
 		}
 		if size > len(buffer) || size < headerSize || (whole.DescriptorCount == 1) != whole.Kind.CarriesDescriptor() {
-			t.Fatalf("took %d of %d, %v", size, len(buffer), whole)
+			t.Fatalf("consumed %d of %d bytes, %v", size, len(buffer), whole)
 		}
 		for i := range size {
 			if _, _, short := ReadFrame(buffer[:i]); !errors.Is(short, ErrIncomplete) {
@@ -56,7 +56,7 @@
 			}
 		}
 		if again, k, err := ReadFrame(buffer[:size]); err != nil || k != size || !bytes.Equal(again.Body, whole.Body) {
-			t.Fatalf("more bytes changed the frame")
+			t.Fatalf("bytes after the frame changed it")
 		}
 		if message, err := whole.Message(); err == nil && message.Kind() != whole.Kind {
 			t.Fatalf("%v decoded as %v", whole.Kind, message.Kind())
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestReadFrameRejectsWhatBreaksTheProtocol(t *testing.T) {
+func TestReadFrameRejectsInvalidHeader(t *testing.T) {
 	for name, header := range map[string][]byte{
 		"body too large":     {0, 0x10, 0, 1, byte(KindHandshake), 0},
 		"kind 0":             {0, 0, 0, 0, 0, 0},
@@ -92,14 +92,14 @@
 	}
 }
 
-// A successor whose rejection can't be read is rejected all the same.
+// A Reject is valid even if its body can't be decoded; an Accept is not.
 func TestFrameMessageRejectWithoutReason(t *testing.T) {
 	frame := Frame{Kind: KindReject, Body: []byte("{")}
 	if message, err := frame.Message(); err != nil || message.Kind() != KindReject {
 		t.Errorf("%v, %v", message, err)
 	}
 	if message, err := (Frame{Kind: KindAccept, Body: []byte("{")}).Message(); err == nil {
-		t.Errorf("accepted by %v", message)
+		t.Errorf("decoded %v", message)
 	}
 }
 
@@ -107,17 +107,17 @@
 	seen := map[string]bool{}
 	for kind := KindHandshake; kind < kindLimit; kind++ {
 		if kind.String() == "" || seen[kind.String()] {
-			t.Errorf("kind %d is named %q", byte(kind), kind)
+			t.Errorf("kind %d has the name %q", byte(kind), kind)
 		}
 		seen[kind.String()] = true
 	}
 	if got := kindLimit.String(); got != "kind 15" {
-		t.Errorf("an unknown kind is %q", got)
+		t.Errorf("an unknown kind has the name %q", got)
 	}
 }
 
-// pickMessage returns a message of any kind, mostly one that is expected next in a hot restart. Its announced number of frames is
-// wrong now and then.
+// pickMessage returns a message of any kind, mostly one that a predecessor sends in a hot restart. The number of frames in a
+// TransferEnd is sometimes wrong.
 func pickMessage(choices *modeltest.Steps, framesSent int) Message {
 	kind := FrameKind(1 + choices.Pick(int(kindLimit)-1))
 	if choices.Pick(3) > 0 {
@@ -126,10 +126,10 @@
 	if choices.Pick(4) == 0 {
 		framesSent++
 	}
-	return messageOf(kind, framesSent)
+	return newMessage(kind, framesSent)
 }
 
-func messageOf(kind FrameKind, frameCount int) Message {
+func newMessage(kind FrameKind, frameCount int) Message {
 	switch kind {
 	case KindHandshake:
 		return Handshake{Version: ProtocolVersion}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -10,11 +10,11 @@
 	"valvecove/internal/storedform"
 )
 
-// at is an instant of the golden files, as Unix time.
-const at = 1_764_633_600*time.Second + 123_456_789
+// goldenTime is the reference instant of the golden files, as Unix time.
+const goldenTime = 1_764_633_600*time.Second + 123_456_789
 
-// goldenMessages are messages of every kind, all fields set, by the golden files that hold them. Files of version 1 are never
-// written anew: see storedform.Golden.
+// goldenMessages returns the messages in the golden files, by file name. There is one of every kind with all fields set. Files of
+// version 1 are never regenerated: see storedform.Golden.
 func goldenMessages() map[string]Message {
 	return map[string]Message{
 		"hello.frame":   Handshake{Version: 1},
@@ -23,7 +23,7 @@
 		"ban.frame":     SetCordon{Sequence: 3, WorkerID: "s-3", Cordoned: true},
 		"banned.frame":  CordonResult{Sequence: 3, StatusCode: 404, Message: "no such worker node"},
 		"bans.frame":    CordonedWorkers{WorkerIDs: []string{"s-3", "s-4"}},
-		"begin.frame":   TransferBegin{}, // of builds that send no clocks
+		"begin.frame":   TransferBegin{}, // of builds that send no clock readings
 		"module.frame":  SnapshotChunk{0, 1, 2, 0x80, 0xff},
 		"estate.frame":  goldenRequestTable(),
 		"query.frame":   goldenOpenRequest(),
@@ -33,11 +33,11 @@
 		"taken.frame":   TakenOver{},
 
 		"estate-starts.frame": goldenRequestTableWithStarts(),
-		"begin-clocks.frame":  TransferBegin{Clock: at, Monotonic: 86_400*time.Second + 987_654_321},
+		"begin-clocks.frame":  TransferBegin{Clock: goldenTime, Monotonic: 86_400*time.Second + 987_654_321},
 	}
 }
 
-// earlierForms are the golden files that lack fields which another one of the same kind has.
+// earlierForms contains the golden files of earlier builds, which lack fields that another file of the same kind has.
 var earlierForms = map[string]bool{"begin.frame": true, "estate.frame": true}
 
 func goldenRequestTable() RequestTable {
@@ -47,7 +47,7 @@
 	}
 	return RequestTable{
 		LastID:      11,
-		PolicyTimer: at + time.Second,
+		PolicyTimer: goldenTime + time.Second,
 		Revision:    42,
 		Endpoints:   []requests.Endpoint{endpoint},
 		ListedIDs:   []string{"s-0"},
@@ -55,10 +55,10 @@
 	}
 }
 
-// goldenRequestTableWithStarts is of builds that work out when workers started.
+// goldenRequestTableWithStarts returns the request table of builds that determine when workers started.
 func goldenRequestTableWithStarts() RequestTable {
 	table := goldenRequestTable()
-	table.Starts = []requests.WorkerStart{{EndpointID: "s-0", ListedMs: 1_764_633_000_000, At: at - 600*time.Second}}
+	table.Starts = []requests.WorkerStart{{EndpointID: "s-0", ListedMs: 1_764_633_000_000, At: goldenTime - 600*time.Second}}
 	table.LeastAge = 250 * time.Millisecond
 	return table
 }
@@ -70,7 +70,7 @@
 		Slots: 1.5, Memory: 0.25, Retry: true,
 	}
 	attempt := requests.OpenAttempt{
-		Worker: 0x8000000000000001, EndpointID: "s-0", ExpiresAt: at + time.Second, Stage: requests.StageAccepted,
+		Worker: 0x8000000000000001, EndpointID: "s-0", ExpiresAt: goldenTime + time.Second, Stage: requests.StageAccepted,
 		Started: true, Ended: true, Cancelling: true, Result: dispatch.ConnectionReset,
 	}
 	return OpenRequest{
@@ -78,9 +78,9 @@
 		CallID:          "call <7>",
 		Payload:         payload,
 		Job:             job,
-		Deadline:        at + time.Second,
-		ArrivedAt:       at - time.Second,
-		FirstSentAt:     at - 900*time.Millisecond,
+		Deadline:        goldenTime + time.Second,
+		ArrivedAt:       goldenTime - time.Second,
+		FirstSentAt:     goldenTime - 900*time.Millisecond,
 		Attempts:        []requests.OpenAttempt{attempt},
 		EndedByCallback: []string{"s-0"},
 		Closed:          true,
@@ -106,7 +106,7 @@
 		RequestSeen:       true,
 		UsefulRequestSeen: true,
 		ProxyHeaderDone:   true,
-		LastActivity:      at,
+		LastActivity:      goldenTime,
 		ClientAddress:     "10.1.2.3:4567",
 		ProxyAddress:      "[2001:db8::1]:80",
 	}
@@ -122,16 +122,16 @@
 		Input:      []byte("HTTP/1.1 2"),
 		Output:     []byte("rest"),
 		IdleBefore: 3 * time.Second,
-		IdleSince:  at,
+		IdleSince:  goldenTime,
 	}
 }
 
-// hasFields reports whether the body of a message is written by reflection.
+// hasFields reports whether the body of a message is encoded by reflection.
 func hasFields(message Message) bool {
 	return reflect.TypeOf(message).Kind() == reflect.Struct && reflect.TypeOf(message).NumField() > 0
 }
 
-// Messages of every kind are written as the build of version 1 wrote them, and mean the same when they are read.
+// Messages of every kind are encoded with the same bytes as by the first build of version 1, and are decoded to the same values.
 func TestGoldenFrames(t *testing.T) {
 	if ProtocolVersion != 1 {
 		t.Fatalf("version %d has no golden files", ProtocolVersion)
@@ -145,7 +145,7 @@
 	}
 	for kind := KindHandshake; kind < kindLimit; kind++ {
 		if !seen[kind] {
-			t.Errorf("%v has no golden file of today's form", kind)
+			t.Errorf("%v has no golden file of the current form", kind)
 		}
 	}
 }
@@ -164,14 +164,15 @@
 		t.Fatalf("%s: %v of %d bytes, %v", name, frame.Kind, size, err)
 	}
 	if _, ok := want.(SnapshotChunk); !ok && !hasFields(want) && len(frame.Body) > 0 {
-		t.Errorf("%s: a body %q", name, frame.Body)
+		t.Errorf("%s: unexpected body %q", name, frame.Body)
 	}
 	if got, err := frame.Message(); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: %+v, %v, expected %+v", name, got, err, want)
 	}
 }
 
-// What reflection writes into frames has its names in tags: renamed in Go, it is still read by processes of other builds.
+// All fields that reflection encodes in frames have their names in tags, so that processes of other builds can read the frames
+// after a field was renamed in Go.
 func TestFrameBodiesAreTagged(t *testing.T) {
 	roots := []any{requests.State{}, requests.OpenRequest{}}
 	for _, message := range goldenMessages() {
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -9,9 +9,9 @@
 	"valvecove/internal/requests"
 )
 
-// The other process may be of another build: the names in the tags, and the order of the fields, are part of the protocol. Bodies
-// are JSON, except that SnapshotChunk is sent unencoded, and that TakenOver has no body. Builds that send no clock readings send
-// TransferBegin without a body, and ignore the body that others send.
+// The other process may run another build: the names in the tags, and the order of the fields, are part of the protocol. Bodies
+// are JSON, except that SnapshotChunk is sent unencoded, and that TakenOver has no body. Builds without clock readings send
+// TransferBegin without a body, and ignore its body when they receive it.
 
 // Message is the content of one frame. It is implemented by the types of this file.
 type Message interface {
@@ -54,7 +54,7 @@
 	WorkerIDs []string `json:"Out"`
 }
 
-// TransferBegin starts the transfer of the predecessor's state. All instants in the transfer are of the predecessor's clock.
+// TransferBegin starts the transfer of the predecessor's state. All instants in the transfer are on the predecessor's clock.
 type TransferBegin ClockReadings
 
 // SnapshotChunk is a part of the dispatch policy's snapshot. The chunks are sent in order.
@@ -83,7 +83,7 @@
 	ProxyAddress      string         `json:"Via"`        // address and port of the load balancer; empty: none
 }
 
-// ResponseSlot is the slot of a pipelined request's response on its connection.
+// ResponseSlot is the place of a pipelined request's response in the order of responses on its connection.
 type ResponseSlot struct {
 	RequestID  uint64        `json:"Query"` // 0: no open request
 	KeepAlive  bool          `json:"Keep"`  // the connection stays open after the response
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// PredecessorState is the state of the process that serves with regard to its successor.
+// PredecessorState is the state of a predecessor in the protocol.
 type PredecessorState int
 
 // States of a predecessor.
 const (
 	PredecessorAlone        PredecessorState = iota // no successor is connected
-	PredecessorHandshaking                          // a successor is connected, and has not sent its handshake
+	PredecessorHandshaking                          // a successor is connected, but has not sent its handshake yet
 	PredecessorPaired                               // a successor is in standby
 	PredecessorTransferring                         // the state is being sent
 	PredecessorRelinquished                         // the successor owns everything, and is connected
@@ -45,8 +45,8 @@
 	ErrReplaced         = errors.New("this process has a successor")
 )
 
-// Predecessor is the state machine of the process that serves. The zero value is in PredecessorAlone. There is one successor at a
-// time at most.
+// Predecessor is the state machine of the serving process. The zero value is in PredecessorAlone. At most one successor is
+// connected at a time.
 type Predecessor struct {
 	state PredecessorState
 }
@@ -59,8 +59,8 @@
 	return p.state == PredecessorRelinquished || p.state == PredecessorReplaced
 }
 
-// HandleConnect handles a new connection. sameUser is whether the peer runs as the user of this process. An error is the reason for
-// rejecting the connection, and the state is unchanged then.
+// HandleConnect handles a new connection. sameUser reports whether the peer runs as the same user as this process. An error is
+// the reason for rejecting the connection; the state is unchanged then.
 func (p *Predecessor) HandleConnect(sameUser bool) error {
 	if !sameUser {
 		return ErrOtherUser
@@ -136,7 +136,7 @@
 		}
 	case PredecessorTransferring:
 		switch event {
-		case predecessorEvent(KindSetCordon): // the new owner executes it
+		case predecessorEvent(KindSetCordon): // executed by the successor after the transfer
 			return p.state, ActionNone, true
 		case predecessorEvent(KindTakenOver):
 			return PredecessorRelinquished, ActionRelinquish, true
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// With any events in any order, a predecessor is the owner until a successor that it has accepted reports, during a
-// transfer, that it has taken over; then it never is again.
+// With any events in any order, a predecessor owns the state until a successor that it has accepted sends TakenOver during a
+// transfer, and never again after that.
 func FuzzPredecessor(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := predecessorModel{Steps: choices}
@@ -22,7 +22,7 @@
 				model.beginTransfer()
 			default:
 				kind := [...]FrameKind{KindHandshake, KindTakenOver, KindSetCordon, KindCordonResult}[choices.Pick(4)]
-				model.receive(messageOf(kind, 0))
+				model.receive(newMessage(kind, 0))
 			}
 			state := model.predecessor.State()
 			choices.Check(model.predecessor.HasRelinquished() == model.relinquished, "state %v, relinquished: %v", state, model.relinquished)
@@ -30,7 +30,7 @@
 	})
 }
 
-// predecessorModel is what a predecessor may be, by what it was given.
+// predecessorModel tracks the expected state of a predecessor from the events that it was given.
 type predecessorModel struct {
 	*modeltest.Steps
 	predecessor  Predecessor
@@ -42,7 +42,7 @@
 
 func (p *predecessorModel) connect() {
 	err := p.predecessor.HandleConnect(true)
-	p.Check((err == nil) == (!p.connected && !p.relinquished), "connects: %v", err)
+	p.Check((err == nil) == (!p.connected && !p.relinquished), "HandleConnect returned %v", err)
 	p.connected = p.connected || err == nil
 	p.Record("connect")
 }
@@ -55,7 +55,7 @@
 
 func (p *predecessorModel) beginTransfer() {
 	begun := p.predecessor.BeginTransfer()
-	p.Check(begun == (p.accepted && !p.transferring && !p.relinquished), "transfer begun: %v", begun)
+	p.Check(begun == (p.accepted && !p.transferring && !p.relinquished), "BeginTransfer returned %v", begun)
 	p.transferring = p.transferring || begun
 	p.Record("transfer")
 }
@@ -68,13 +68,13 @@
 		p.Check(action == ActionNone, "action %d with an error", action)
 		return
 	}
-	p.Check(action != ActionAccept || p.connected && !p.accepted && kind == KindHandshake, "accepts at %v", kind)
-	p.Check(action != ActionRelinquish || p.transferring && kind == KindTakenOver, "relinquishes at %v", kind)
+	p.Check(action != ActionAccept || p.connected && !p.accepted && kind == KindHandshake, "accepted a successor after %v", kind)
+	p.Check(action != ActionRelinquish || p.transferring && kind == KindTakenOver, "relinquished after %v", kind)
 	p.accepted = p.accepted || action == ActionAccept
 	p.relinquished = p.relinquished || action == ActionRelinquish
 }
 
-// predecessorIn returns a predecessor in a state.
+// predecessorIn returns a predecessor in the given state.
 func predecessorIn(t *testing.T, state PredecessorState) *Predecessor {
 	t.Helper()
 	var predecessor Predecessor
@@ -115,7 +115,7 @@
 	for state, byKind := range allowed {
 		for kind := KindHandshake; kind < kindLimit; kind++ {
 			predecessor := predecessorIn(t, state)
-			action, err := predecessor.HandleMessage(messageOf(kind, 0))
+			action, err := predecessor.HandleMessage(newMessage(kind, 0))
 			want, ok := byKind[kind]
 			var unexpected *UnexpectedMessageError
 			switch {
@@ -138,7 +138,7 @@
 		PredecessorReplaced:     ErrReplaced,
 	} {
 		if err := predecessorIn(t, state).HandleConnect(false); !errors.Is(err, ErrOtherUser) {
-			t.Errorf("another user's process in %v: %v", state, err)
+			t.Errorf("in %v, from another user's process: %v", state, err)
 		}
 		if err := predecessorIn(t, state).HandleConnect(true); !errors.Is(err, want) {
 			t.Errorf("in %v: %v, expected %v", state, err, want)
@@ -157,12 +157,12 @@
 	} {
 		predecessor := predecessorIn(t, state)
 		if predecessor.HandleDisconnect(); predecessor.State() != want {
-			t.Errorf("in %v: then %v, expected %v", state, predecessor.State(), want)
+			t.Errorf("disconnected in %v: then in %v, expected %v", state, predecessor.State(), want)
 		}
 	}
 }
 
-// A successor of another version receives the reason of its rejection, in the form that all builds send.
+// A successor of another version receives the reason of its rejection, with the text that all builds send.
 func TestPredecessorRejectsOtherVersion(t *testing.T) {
 	predecessor := predecessorIn(t, PredecessorHandshaking)
 	action, err := predecessor.HandleMessage(Handshake{Version: ProtocolVersion + 1})
--- a/internal/hotrestart/received.go
+++ b/internal/hotrestart/received.go
@@ -10,11 +10,11 @@
 // NoDescriptor is the value of a descriptor that was not received.
 const NoDescriptor = -1
 
-// ReceivedState is the part of the predecessor's state that a successor has received. It owns the descriptors in it until the
+// ReceivedState is the part of the predecessor's state that a successor has received so far. It owns its descriptors until the
 // caller restores the connections, or closes the descriptors; see Descriptors.
 type ReceivedState struct {
 	// ClockAhead is how far this process's clock is ahead of the predecessor's; see SetClocks. The instants in PolicySnapshot are
-	// of the predecessor's clock; Finish converts all others.
+	// on the predecessor's clock; Finish converts all others to this process's clock.
 	ClockAhead        time.Duration
 	PolicySnapshot    []byte
 	RequestTable      requests.State
@@ -35,7 +35,7 @@
 	Descriptor int
 }
 
-// Add adds the content of a message, and the descriptor that was passed along with it or NoDescriptor. Messages without state are
+// Add adds the content of a message. descriptor was passed along with the message, or is NoDescriptor. Messages without state are
 // ignored.
 func (r *ReceivedState) Add(message Message, descriptor int) {
 	switch message := message.(type) {
@@ -62,7 +62,8 @@
 	return fmt.Sprintf("%v without its descriptor", m.Kind)
 }
 
-// SetClocks sets ClockAhead. predecessor was just received, and now are this process's readings.
+// SetClocks sets ClockAhead from the predecessor's readings, which have just been received, and this process's readings, taken
+// now.
 func (r *ReceivedState) SetClocks(predecessor TransferBegin, now ClockReadings) {
 	r.ClockAhead = now.AheadOf(ClockReadings(predecessor))
 }
--- a/internal/hotrestart/received_test.go
+++ b/internal/hotrestart/received_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// The received snapshot does not change with the buffer that the frame was read from.
+// The received snapshot does not change when the buffer that the frame was read from is overwritten.
 func TestReceivedStateCopiesSnapshot(t *testing.T) {
 	var received ReceivedState
 	buffer := []byte("ab")
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// SuccessorState is the state of a successor with regard to its predecessor.
+// SuccessorState is the state of a successor in the protocol.
 type SuccessorState int
 
 // States of a successor.
 const (
-	SuccessorJoining   SuccessorState = iota // its handshake is sent
+	SuccessorJoining   SuccessorState = iota // it has sent its handshake
 	SuccessorStandby                         // the predecessor has accepted it, and serves
 	SuccessorReceiving                       // the predecessor's state is being received
 	SuccessorServing                         // it owns the state, and serves
@@ -53,14 +53,15 @@
 	ActionRelinquish // the successor owns everything: release the requests and the connections
 )
 
-// maxSessions is the maximum number of connections of a successor to its predecessor. It reconnects because a predecessor that
-// still runs keeps its state: if both processes served, one would receive callbacks for attempts of the other.
+// maxSessions is the maximum number of connections that a successor makes to its predecessor. A successor that loses its
+// connection reconnects because the predecessor may still run and own the state: if both processes served, one would receive
+// callbacks for attempts of the other.
 const maxSessions = 3
 
 // MaxSnapshotSize is the maximum size in bytes of a dispatch policy's snapshot that a successor accepts.
 const MaxSnapshotSize = 64 << 20
 
-// ErrSnapshotTooLarge is returned if the chunks of the policy's snapshot are larger than MaxSnapshotSize in total.
+// ErrSnapshotTooLarge is returned if the total size of the chunks of the policy's snapshot exceeds MaxSnapshotSize.
 var ErrSnapshotTooLarge = errors.New("the policy's snapshot is too large")
 
 // UnexpectedMessageError is the error of a message that is not allowed in the state of its receiver.
@@ -79,7 +80,7 @@
 	Version int // of the other process
 }
 
-// Error returns the text that is also the reason in a Reject. All builds send it in this form.
+// Error returns the text that is also sent as the reason in a Reject. All builds send the same text.
 func (v *VersionError) Error() string {
 	return fmt.Sprintf("form %d, expected %d", v.Version, ProtocolVersion)
 }
@@ -94,11 +95,11 @@
 	return fmt.Sprintf("%d frames received, %d announced", m.Received, m.Announced)
 }
 
-// Successor is the state machine of the process that takes over. The zero value is in SuccessorJoining, which is the state once the
+// Successor is the state machine of the process that takes over. The zero value is in SuccessorJoining, and must be used once the
 // handshake is sent.
 //
-// It decides which process owns the state. Until the transfer is complete, the successor owns nothing: an incomplete transfer is
-// discarded, as the predecessor still owns the state, or has ended.
+// It decides whether this process owns the state. Until the transfer is complete, the successor owns nothing: an incomplete
+// transfer is discarded, as the predecessor still owns the state, or has ended.
 type Successor struct {
 	state          SuccessorState
 	sessionsLost   int
@@ -109,8 +110,8 @@
 // State returns the current state.
 func (s *Successor) State() SuccessorState { return s.state }
 
-// HandleMessage handles a message of the predecessor, and returns what the caller must do. After an error the caller must close the
-// connection and call HandleDisconnect.
+// HandleMessage handles a message of the predecessor, and returns what the caller must do. After an error the caller must close
+// the connection and call HandleDisconnect.
 func (s *Successor) HandleMessage(message Message) (Action, error) {
 	if err := s.check(message); err != nil {
 		return ActionNone, err
@@ -213,11 +214,11 @@
 			return s.state, ActionApply, true
 		}
 	case SuccessorServing:
-		if event == successorEvent(KindSetCordon) { // the predecessor was called after the transfer
+		if event == successorEvent(KindSetCordon) { // forwarded by the predecessor after the transfer
 			return s.state, ActionApply, true
 		}
 	}
-	// A result may be received at any time after the first handshake: calls stay pending across sessions.
+	// A CordonResult may be received in any state after SuccessorJoining: calls stay pending across sessions.
 	return s.state, ActionApply, event == successorEvent(KindCordonResult)
 }
 
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -7,62 +7,62 @@
 	"valvecove/internal/modeltest"
 )
 
-// With any events in any order, a successor is the owner only after it has received all announced frames, or after the
-// predecessor has ended; then it discards an incomplete transfer.
+// With any events in any order, a successor owns the state only after it has received all announced frames, or after the
+// predecessor has ended, in which case it discards an incomplete transfer.
 func FuzzSuccessor(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := successorModel{Steps: choices}
-		for goesOn := true; goesOn && choices.More(); {
+		for continues := true; continues && choices.More(); {
 			if choices.Pick(20) == 0 {
-				goesOn = model.disconnect()
+				continues = model.disconnect()
 			}
-			if goesOn {
-				goesOn = model.receive(pickMessage(choices, model.frames))
+			if continues {
+				continues = model.receive(pickMessage(choices, model.framesReceived))
 			}
 		}
 	})
 }
 
-// successorModel is what a successor may be, by the messages that it was given.
+// successorModel tracks the expected state of a successor from the events that it was given.
 type successorModel struct {
 	*modeltest.Steps
 	successor       Successor
 	accepted, begun bool
 	owner           bool
-	frames          int // since the transfer has begun
-	lost            int // connections
+	framesReceived  int // received since TransferBegin
+	sessionsLost    int // number of lost connections
 }
 
-// disconnect reports whether the successor continues.
+// disconnect ends the connection. It returns false if the successor does not reconnect.
 func (s *successorModel) disconnect() bool {
 	action := s.successor.HandleDisconnect()
 	s.Check((action == ActionNone) == s.owner, "disconnected as the owner %v: action %d", s.owner, action)
-	s.lost++
+	s.sessionsLost++
 	if action != ActionReconnect {
-		s.Check(s.owner || !s.accepted || s.lost == maxSessions, "it does not connect again")
+		s.Check(s.owner || !s.accepted || s.sessionsLost == maxSessions, "the successor does not reconnect")
 		return false
 	}
-	s.Check(s.accepted && s.lost < maxSessions, "it connects again for ever")
-	s.accepted, s.begun, s.frames = false, false, 0 // an incomplete transfer is discarded
+	s.Check(s.accepted && s.sessionsLost < maxSessions, "the successor reconnects too often")
+	s.accepted, s.begun, s.framesReceived = false, false, 0 // an incomplete transfer is discarded
 	return true
 }
 
-// receive reports whether the successor continues.
+// receive passes a message to the successor. It returns false if the successor ends the session.
 func (s *successorModel) receive(message Message) bool {
 	action, err := s.successor.HandleMessage(message)
 	s.Record(message.Kind().String())
-	if err != nil { // like the end of the connection
+	if err != nil { // the caller must close the connection
 		s.Check(action == ActionNone, "action %d with an error", action)
 		return false
 	}
 	if action == ActionGiveUp {
 		rejected := !s.accepted && message.Kind() == KindReject
-		s.Check(rejected && s.successor.HandleDisconnect() == ActionNone, "gives up at %v", message.Kind())
+		s.Check(rejected && s.successor.HandleDisconnect() == ActionNone, "gave up after %v", message.Kind())
 		return false
 	}
 	if action == ActionTakeOver {
 		end, ok := message.(TransferEnd)
-		s.Check(ok && s.begun && end.FrameCount == s.frames, "owner after %d frames: %v", s.frames, message)
+		s.Check(ok && s.begun && end.FrameCount == s.framesReceived, "took over after %d frames: %v", s.framesReceived, message)
 		s.owner = true
 		s.successor.TookOver()
 	}
@@ -81,11 +81,11 @@
 		s.begun = true
 	case kind.isState():
 		s.Check(s.begun && !s.owner, "%v outside a transfer", kind)
-		s.frames++
+		s.framesReceived++
 	}
 }
 
-// successorIn returns a successor in a state.
+// successorIn returns a successor in the given state.
 func successorIn(t *testing.T, state SuccessorState) *Successor {
 	t.Helper()
 	var successor Successor
@@ -147,7 +147,7 @@
 	for state, byKind := range allowed {
 		for kind := KindHandshake; kind < kindLimit; kind++ {
 			successor := successorIn(t, state)
-			action, err := successor.HandleMessage(messageOf(kind, 0))
+			action, err := successor.HandleMessage(newMessage(kind, 0))
 			want, ok := byKind[kind]
 			var unexpected *UnexpectedMessageError
 			switch {
@@ -173,13 +173,13 @@
 	} {
 		successor := successorIn(t, test.state)
 		if action := successor.HandleDisconnect(); action != test.action || successor.State() != test.next {
-			t.Errorf("in %v: action %d, then %v", test.state, action, successor.State())
+			t.Errorf("disconnected in %v: action %d, then in %v", test.state, action, successor.State())
 		}
 	}
 }
 
-// A predecessor of another version is none.
-func TestOtherProtocolVersionIsRefused(t *testing.T) {
+// A successor returns an error if it is accepted by a predecessor of another version.
+func TestSuccessorRejectsOtherVersion(t *testing.T) {
 	var successor Successor
 	var other *VersionError
 	if _, err := successor.HandleMessage(Accept{Version: ProtocolVersion + 1}); !errors.As(err, &other) || other.Version != ProtocolVersion+1 {
@@ -187,7 +187,7 @@
 	}
 }
 
-// Frames that are lost, or too many, make the transfer void.
+// A transfer with too few or too many frames fails.
 func TestSuccessorCountsFrames(t *testing.T) {
 	for _, announced := range []int{0, 2} {
 		successor := successorIn(t, SuccessorReceiving)
