--- a/internal/hotrestart/transport/channel.go
+++ b/internal/hotrestart/transport/channel.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	controlBufferSize = 256                    // bytes, for the descriptors of one read
-	shortageWait      = 100 * time.Microsecond // before a retry, while too many descriptors are in flight or memory is short
+	controlBufferSize  = 256                    // bytes, for the descriptors that one read receives
+	shortageRetryDelay = 100 * time.Microsecond // delay before a retry while too many descriptors are in flight or memory is short
 )
 
 // Errors of a channel.
 var (
-	errDescriptorLost     = errors.New("descriptor lost: this process has too many open")
+	errDescriptorLost     = errors.New("descriptor lost: too many open descriptors in this process")
 	errOutputPending      = errors.New("earlier messages not sent yet")
 	errPeerNotReading     = errors.New("peer does not read")
 	errPeerNotResponding  = errors.New("peer does not respond in time")
 	errHandshakeTimeout   = errors.New("no handshake in time")
-	errHandlerPanicked    = errors.New("panic")
+	errHandlerPanicked    = errors.New("panic in the event handler")
 	errSendFailed         = errors.New("message could not be sent")
 	errInputDelayed       = errors.New("no memory to receive a message")
 	errSuccessorHasClosed = errors.New("successor has closed its connection")
@@ -33,12 +33,12 @@
 type channel struct {
 	eventloop.Stream
 	roles        *Roles
-	descriptors  []int                   // received, of frames that are not handled yet
+	descriptors  []int                   // received descriptors of frames that are not handled yet
 	pendingCalls hotrestart.PendingCalls // cordon calls that were forwarded to the peer
 }
 
-// receive reads input and descriptors, at most one read buffer of input. ended reports that the peer sends no more. After
-// errInputDelayed the caller retries in a moment.
+// receive reads input and descriptors, at most one read buffer of input. ended reports that nothing more will be received. After
+// errInputDelayed the caller must retry after a short delay.
 func (c *channel) receive() (ended bool, err error) {
 	var control [controlBufferSize]byte
 	n, controlSize, flags, err := c.receiveMessage(control[:])
@@ -98,8 +98,8 @@
 	c.Close()
 }
 
-// handleMessages calls handle for each complete message of the input, until it fails or the channel is closed. handle owns the
-// descriptor.
+// handleMessages calls handle for each complete message of the input, until handle fails or the channel is closed. handle owns
+// the descriptor.
 func (c *channel) handleMessages(handle func(message hotrestart.Message, descriptor int) error) error {
 	offset := 0
 	for {
@@ -118,8 +118,9 @@
 	}
 }
 
-// nextMessage decodes the message at an offset of the input. size is that of its frame. The caller owns the descriptor, which is
-// NoDescriptor if the message carries none. The error is hotrestart.ErrIncomplete if the message is not complete yet.
+// nextMessage decodes the message at an offset of the input. size is the size of its frame. The caller owns the descriptor,
+// which is NoDescriptor if the message carries none. The error is hotrestart.ErrIncomplete if the message was not received
+// completely yet.
 func (c *channel) nextMessage(offset int) (message hotrestart.Message, descriptor, size int, err error) {
 	frame, size, err := hotrestart.ReadFrame(c.Input()[offset:])
 	if err != nil {
@@ -140,7 +141,7 @@
 	return message, descriptor, size, nil
 }
 
-// sendMessage sends a message that carries no descriptor. What does not fit into the socket's buffer is sent later.
+// sendMessage sends a message that carries no descriptor. Bytes that do not fit into the socket's buffer are sent later.
 func (c *channel) sendMessage(message hotrestart.Message) error {
 	encoded, err := hotrestart.AppendMessage(nil, message)
 	if err != nil {
@@ -149,8 +150,8 @@
 	return c.Send(encoded)
 }
 
-// sendMessageBefore sends a message, with a descriptor unless that is NoDescriptor, and blocks until the socket has accepted all of
-// it or the deadline, on the loop's clock, has passed. It is called only while the process must do nothing else.
+// sendMessageBefore sends a message, with a descriptor unless that is NoDescriptor. It blocks until the socket has accepted the
+// complete message, or the deadline on the loop's clock has passed. It is called only while the process must do nothing else.
 func (c *channel) sendMessageBefore(deadline time.Duration, message hotrestart.Message, descriptor int) error {
 	encoded, err := hotrestart.AppendMessage(nil, message)
 	if err != nil {
@@ -169,7 +170,7 @@
 	for len(encoded) > 0 {
 		n, err := c.roles.loop.Syscalls().SendmsgN(c.FD(), encoded, rights, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		if err == nil {
-			encoded, rights = encoded[n:], nil // the descriptor goes with the first byte
+			encoded, rights = encoded[n:], nil // the descriptor is sent with the first byte
 			continue
 		}
 		if err := c.waitAfterSendError(deadline, err); err != nil {
@@ -179,15 +180,15 @@
 	return nil
 }
 
-// waitAfterSendError blocks until sending can be retried after an error. It returns an error if it can't be.
+// waitAfterSendError blocks until sending can be retried after an error. It returns an error if a retry is not possible.
 func (c *channel) waitAfterSendError(deadline time.Duration, err error) error {
 	switch {
 	case errors.Is(err, unix.EINTR):
 		return nil
 	case errors.Is(err, unix.EAGAIN):
 		return c.waitUntilReady(deadline, unix.POLLOUT)
-	case eventloop.Classify(eventloop.CallSendMessage, err).IsShortage(): // for example, descriptors that the peer has not read
-		time.Sleep(shortageWait)
+	case eventloop.Classify(eventloop.CallSendMessage, err).IsShortage(): // such as too many descriptors in flight
+		time.Sleep(shortageRetryDelay)
 		if c.roles.loop.Clock() >= deadline {
 			return errPeerNotReading
 		}
@@ -197,7 +198,7 @@
 	}
 }
 
-// waitUntilReady blocks until the socket has one of the events of poll(2) or the deadline, on the loop's clock, has passed.
+// waitUntilReady blocks until the socket has one of the given events of poll(2), or the deadline on the loop's clock has passed.
 func (c *channel) waitUntilReady(deadline time.Duration, events int16) error {
 	for {
 		remaining := deadline - c.roles.loop.Clock()
@@ -209,7 +210,7 @@
 		switch class := eventloop.Classify(eventloop.CallPoll, err); {
 		case err == nil || class == eventloop.ErrorRetry:
 		case class.IsShortage():
-			time.Sleep(shortageWait)
+			time.Sleep(shortageRetryDelay)
 		default:
 			return err
 		}
@@ -219,7 +220,7 @@
 	}
 }
 
-// sendCordon has the peer cordon or uncordon a worker. respond is called with its answer.
+// sendCordon asks the peer to cordon or uncordon a worker. respond is called with its result.
 func (c *channel) sendCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) error {
 	call := hotrestart.CordonCall{WorkerID: workerID, Cordoned: cordoned, Respond: respond}
 	return c.sendMessage(c.pendingCalls.Add(call))
--- a/internal/hotrestart/transport/fixture_test.go
+++ b/internal/hotrestart/transport/fixture_test.go
@@ -16,24 +16,24 @@
 	"valvecove/internal/hotrestart"
 )
 
-// startTime is the time that Retry allows for a start.
-const startTime = 9 * time.Second
+// startTimeout is how long Retry retries during a start.
+const startTimeout = 9 * time.Second
 
-// process is one process of a scheduler, whose state is the test's. It implements what Config and SetCordons ask for.
+// process is a process of a scheduler, whose state the test provides. It implements the interfaces of Config and SetCordons.
 type process struct {
 	*eventlooptest.Loop
 	t     *testing.T
 	dir   string
 	roles *Roles
 
-	snapshot   Snapshot                   // that it transfers
-	restored   []hotrestart.ReceivedState // by Restore
+	snapshot   Snapshot                   // state to transfer
+	restored   []hotrestart.ReceivedState // arguments of Restore
 	isReleased bool
 
 	address  netip.AddrPort // that clients connect to
-	socket   int            // eventloop.NoDescriptor: it does not listen
+	socket   int            // client listener; eventloop.NoDescriptor: none
 	cordoned []string
-	calls    []hotrestart.SetCordon // that were applied
+	calls    []hotrestart.SetCordon // cordon calls that were executed
 
 	isHalved bool
 	standbys int
@@ -71,7 +71,7 @@
 	return p
 }
 
-// serve opens the socket that clients connect to.
+// serve opens the client listener's socket.
 func (p *process) serve() {
 	p.t.Helper()
 	if err := (clientSocket{p}).Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
@@ -84,7 +84,7 @@
 	p.t.Helper()
 	successor := newProcess(p.t, p.dir)
 	if !successor.roles.Join(p.dir, p.address) {
-		p.t.Fatal("no predecessor")
+		p.t.Fatal("no predecessor found")
 	}
 	for successor.isIn(hotrestart.SuccessorJoining) {
 		p.RunIterations()
@@ -109,7 +109,7 @@
 		}
 	}()
 	err := p.roles.Relinquish()
-	if err != nil { // the connection is closed with the end of the iteration
+	if err != nil { // the connection to the successor is closed at the end of the iteration
 		_ = p.RunOnce(0)
 	}
 	<-ended
@@ -120,7 +120,7 @@
 
 // retry implements Config.Retry, on the clock of the loop.
 func (p *process) retry(open func() error) error {
-	for deadline := p.Time + startTime; ; p.Time += time.Millisecond {
+	for deadline := p.Time + startTimeout; ; p.Time += time.Millisecond {
 		err := open()
 		if err == nil || !isMomentary(err) || p.Time >= deadline {
 			return err
@@ -128,7 +128,7 @@
 	}
 }
 
-// injectFaults has rules apply to the system calls of the loop from now on.
+// injectFaults applies fault rules to the system calls of the loop from now on.
 func (p *process) injectFaults(rules ...faultinjection.Rule) *faultinjection.Injector {
 	injector := faultinjection.New(1, func() time.Duration { return p.Time })
 	for _, rule := range rules {
@@ -180,7 +180,7 @@
 	send(hotrestart.CordonResult{Sequence: call.Sequence, StatusCode: 200, Message: "done"})
 }
 
-// The file of cordoned workers is not written.
+// The methods of CordonFile do nothing: no file is written.
 
 func (p *process) OwnFile()           {}
 func (p *process) Store()             {}
@@ -194,7 +194,7 @@
 func (noPeers) Open()  {}
 func (noPeers) Close() {}
 
-// clientSocket is the socket that clients of a process would connect to.
+// clientSocket implements ClientSocket for a process.
 type clientSocket struct{ process *process }
 
 func (c clientSocket) Socket() int { return c.process.socket }
--- a/internal/hotrestart/transport/predecessor.go
+++ b/internal/hotrestart/transport/predecessor.go
@@ -15,18 +15,18 @@
 
 const (
 	handshakeTimeout = 3 * time.Second        // for the first message of the peer
-	transferTimeout  = 600 * time.Millisecond // nobody is served during a transfer
-	tookRounding     = 10 * time.Microsecond  // of the duration of a transfer, in the log
+	transferTimeout  = 600 * time.Millisecond // no client is served during a transfer
+	durationRounding = 10 * time.Microsecond  // rounding of a transfer's duration in the log
 )
 
 // Retries of AwaitSuccessor. An abstract socket name becomes free some time after its last owner has closed the socket.
 const (
 	addressInUseBackoff    = 20 * time.Millisecond
 	maxAddressInUseRetries = 100
-	maxListenBackoff       = time.Second // while the machine lacks something; it doubles up to this
+	maxListenBackoff       = time.Second // during a resource shortage
 )
 
-// predecessor is the role of a process that serves: it accepts a successor, and transfers all state to it.
+// predecessor is the role of a serving process: it accepts a successor, and transfers all state to it.
 type predecessor struct {
 	roles      *Roles
 	acceptor   *eventloop.Acceptor // of the Unix socket
@@ -41,9 +41,9 @@
 	handshakeTimer *eventloop.Timer
 }
 
-// AwaitSuccessor listens for a successor at the first of the addresses that can be bound. If none can, it retries: for a bounded time
-// if the address is in use, and without limit if the machine lacks something. After any other error, which is logged, this process
-// can be replaced only by a drain.
+// AwaitSuccessor listens for a successor at the first of the addresses that can be bound. If none can, it retries: for a
+// limited time if the address is in use, and without limit during a resource shortage. Any other error is logged, and means
+// that this process can't transfer its state to a successor: it can only be drained.
 func (r *Roles) AwaitSuccessor(addresses []string) {
 	r.awaitSuccessor(addresses, maxAddressInUseRetries, addressInUseBackoff)
 }
@@ -85,7 +85,7 @@
 	if result != eventloop.Accepted {
 		return
 	}
-	if present := p.connection; present != nil { // it may have just disconnected, to connect again
+	if present := p.connection; present != nil { // the same successor may have just disconnected to reconnect
 		loop.Protect(present, func() { present.HandleEvents(unix.EPOLLIN) })
 	}
 	connecting := &successorConnection{channel: channel{roles: p.roles}, role: p}
@@ -107,8 +107,8 @@
 // HandlePanic ends the connection.
 func (s *successorConnection) HandlePanic() { s.disconnect(errHandlerPanicked) }
 
-// disconnect ends the connection. This process continues to serve, unless it has relinquished. err is nil if the successor has closed
-// the connection.
+// disconnect ends the connection. This process continues to serve, unless it has relinquished. err is nil if the successor has
+// closed the connection.
 func (s *successorConnection) disconnect(err error) {
 	if !s.IsOpen() {
 		return
@@ -148,7 +148,7 @@
 }
 
 func (s *successorConnection) handleMessage(message hotrestart.Message, descriptor int) error {
-	s.roles.closeDescriptor(descriptor) // a successor passes none
+	s.roles.closeDescriptor(descriptor) // a successor sends no descriptor
 	action, err := s.role.protocol.HandleMessage(message)
 	switch action {
 	case hotrestart.ActionReject:
@@ -161,7 +161,7 @@
 	return err
 }
 
-// accept lets the successor enter standby, and passes it the socket that clients connect to.
+// accept sends Accept, with which the successor enters standby, and passes the client listener's socket along.
 func (s *successorConnection) accept() error {
 	config := &s.roles.config
 	s.roles.loop.StopTimer(s.handshakeTimer)
@@ -169,7 +169,9 @@
 	if err := s.sendMessageBefore(s.roles.loop.Clock()+transferTimeout, accept, config.Clients.Socket()); err != nil {
 		return err
 	}
-	if s.roles.cordons.UnstoredCount() > 0 { // else the successor would prefer the file, should this process die
+	// If this process dies, a successor that was not notified of a change restores the cordoned workers from the file, which
+	// lacks the unstored ones.
+	if s.roles.cordons.UnstoredCount() > 0 {
 		s.roles.CordonsChanged()
 	}
 	config.Log.Info("successor in standby")
@@ -191,19 +193,19 @@
 	}
 }
 
-// forwardCordon forwards a cordon call to the successor, which owns the requests.
+// forwardCordon forwards a cordon call to the successor, which owns the state.
 func (s *successorConnection) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
 	if s.sendCordon(workerID, cordoned, respond) != nil {
 		s.disconnect(errSendFailed)
 	}
 }
 
-// Relinquish transfers all state to the successor, in one step that blocks for at most transferTimeout. The successor owns the state
-// once it has sent TakenOver; until then nothing changes here. The process does nothing else meanwhile, as a state with two owners
+// Relinquish transfers all state to the successor, in one call that blocks for at most transferTimeout. The successor owns the
+// state once it has sent TakenOver; until then nothing changes in this process. Relinquish blocks because state with two owners
 // would be acted on twice.
 //
 // It returns ErrNoSuccessor if none is in standby, and ErrNotSettled if the policy has not received all events, an attempt has no
-// connection yet or the file of cordoned workers is being written. After any other error this process still owns the state.
+// connection yet or the file of cordoned workers is being written. After any error this process still owns the state.
 func (r *Roles) Relinquish() error {
 	role := r.predecessor
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
@@ -224,20 +226,20 @@
 	r.config.State.Release()
 	role.acceptor.Close()
 	r.config.Peers.Close()
-	took := (r.loop.Clock() - startedAt).Round(tookRounding)
+	took := (r.loop.Clock() - startedAt).Round(durationRounding)
 	sent := &transfer.snapshot
 	r.config.Log.Info("handed over", "requests", len(sent.OpenRequests), "client_connections", len(sent.ClientConnections),
 		"worker_connections", len(sent.WorkerConnections), "snapshot_bytes", len(sent.Policy), "took", took.String())
 	return nil
 }
 
-// takenOverBeforeShutdown shuts the connection down, and reports whether the successor had sent TakenOver before. Nothing that it
-// sends later arrives here, and it is notified of that by an error: there are never two owners. All input is read, however long the
-// machine lacks something for that, as the result must be certain.
+// takenOverBeforeShutdown shuts the connection down, and reports whether the successor has sent TakenOver before. After the
+// shutdown the successor can't send anything and gets an error, so that there are never two owners. All input is read, however
+// long a resource shortage lasts, because the result must be certain.
 func (s *successorConnection) takenOverBeforeShutdown() bool {
 	syscalls := s.roles.loop.Syscalls()
 	for isMomentary(eventloop.NewCallError(eventloop.CallShutdown, syscalls.Shutdown(s.FD(), unix.SHUT_RDWR))) {
-		time.Sleep(shortageWait)
+		time.Sleep(shortageRetryDelay)
 	}
 	s.receiveAll()
 	for offset := 0; ; {
@@ -253,13 +255,13 @@
 	}
 }
 
-// receiveAll reads all input of a connection that was shut down.
+// receiveAll reads all remaining input of a connection that was shut down.
 func (s *successorConnection) receiveAll() {
 	for {
 		before := len(s.Input())
 		hasEnded, err := s.receive()
 		if errors.Is(err, errInputDelayed) {
-			time.Sleep(shortageWait)
+			time.Sleep(shortageRetryDelay)
 			continue
 		}
 		if err != nil || hasEnded || len(s.Input()) == before {
--- a/internal/hotrestart/transport/roles.go
+++ b/internal/hotrestart/transport/roles.go
@@ -1,10 +1,10 @@
-// Package transport carries a hot restart between the two processes of a scheduler, over a Unix socket: the successor's standby,
-// the transfer of all state, and cordon calls that are made at the process that does not own the requests.
+// Package transport performs a hot restart between two processes of a scheduler, over a Unix socket: the successor's standby, the
+// transfer of all state, and the forwarding of cordon calls to the process that owns the state.
 //
-// The protocol and its state machines are those of package hotrestart; this package has the sockets and the sending of file
-// descriptors. It decides nothing about the state that it transfers: what it needs of a scheduler is declared by the interfaces
-// below. At each moment exactly one of the two processes owns the state: the predecessor, until the successor has sent
-// hotrestart.TakenOver. Everything runs on the goroutine of the event loop.
+// The protocol and its state machines are in package hotrestart; this package opens the sockets, and sends the frames and file
+// descriptors. It does not interpret the state that it transfers: what it needs of a scheduler is declared by the interfaces
+// below. At any time exactly one of the two processes owns the state: the predecessor, until the successor has sent
+// hotrestart.TakenOver. All code runs on the goroutine of the event loop.
 package transport
 
 import (
@@ -23,10 +23,10 @@
 // Errors of Relinquish.
 var (
 	ErrNoSuccessor = errors.New("no successor in standby")
-	ErrNotSettled  = errors.New("state not settled yet") // a retry in a moment may succeed
+	ErrNotSettled  = errors.New("state not settled yet") // a retry after a short delay may succeed
 )
 
-// Snapshot is the state of a scheduler in the form in which it is transferred. The owner of the descriptors stays their owner.
+// Snapshot is the state of a scheduler in the form in which it is transferred. It does not own the descriptors in it.
 type Snapshot struct {
 	Policy            []byte
 	RequestTable      hotrestart.RequestTable
@@ -49,21 +49,22 @@
 
 // State is the state that is transferred.
 type State interface {
-	// Settle prepares the state for Snapshot. It returns false if that has to wait; the caller tries again later.
+	// Settle prepares the state for Snapshot. It returns false if that is not possible yet; the caller retries later.
 	Settle() bool
-	// Snapshot returns the state, which does not change by that.
+	// Snapshot returns the state without changing it.
 	Snapshot() Snapshot
-	// Release closes everything that the snapshot contains, without ending it: a successor owns it.
+	// Release closes this process's descriptors of everything in the snapshot. The connections remain open, as a successor owns
+	// them.
 	Release()
-	// Restore adds the state of a predecessor to that of this process, and owns the descriptors in it.
+	// Restore adds the state of a predecessor to that of this process, and takes ownership of the descriptors in it.
 	Restore(received hotrestart.ReceivedState)
 }
 
-// EndpointWatch is the watch on the endpoint list, which a successor opens in its standby.
+// EndpointWatch is the watch on the endpoint list, which a successor opens before it takes over.
 type EndpointWatch interface {
-	// WatchEndpoints opens the watch, unless it is open or planned.
+	// WatchEndpoints opens the watch, unless it is open or scheduled.
 	WatchEndpoints()
-	// HasReceivedEndpoints reports whether a list was received since the watch was last opened.
+	// HasReceivedEndpoints reports whether a list has been received since the watch was last opened.
 	HasReceivedEndpoints() bool
 }
 
@@ -71,13 +72,14 @@
 type ClientSocket interface {
 	// Socket returns the socket, or eventloop.NoDescriptor.
 	Socket() int
-	// AddSocket uses a socket that listens already. On an error the caller owns the socket.
+	// AddSocket uses a listening socket, and takes ownership of it unless it returns an error.
 	AddSocket(descriptor int) error
-	// Listen opens a socket, with socket options.
+	// Listen opens a listening socket with the given socket options.
 	Listen(address netip.AddrPort, options ...int) error
 }
 
-// PeerSocket is the socket for messages between schedulers, at whose address one process at a time receives.
+// PeerSocket is the socket for messages between schedulers. Only one process at a time may have it open, as it has a fixed
+// address.
 type PeerSocket interface {
 	Open()
 	Close()
@@ -89,27 +91,28 @@
 	SetCordoned(workerIDs []string)
 }
 
-// CordonCalls carries out cordon calls.
+// CordonCalls executes cordon calls.
 type CordonCalls interface {
 	// Set cordons or uncordons a worker. respond is called once, with an HTTP status code and a line of text.
 	Set(workerID string, cordoned bool, respond func(statusCode int, message string))
-	// Apply is Set for a call that the other process has forwarded.
+	// Apply executes a call that the other process has forwarded. send is called with the result.
 	Apply(call hotrestart.SetCordon, send func(hotrestart.CordonResult))
 }
 
-// CordonFile is the file of cordoned workers, which one process at a time writes.
+// CordonFile is the file of cordoned workers, which is written by one process at a time.
 type CordonFile interface {
 	// OwnFile makes this process the one that writes the file.
 	OwnFile()
 	// Store writes the cordoned workers of the request table to the file, in the background.
 	Store()
-	// Reload cordons the workers that the file has.
+	// Reload cordons the workers in the file.
 	Reload()
-	// Fence stops writing, so that the other process can. It reports false while a write is in progress: call it again later.
+	// Fence stops writing, so that the other process can write. It returns false while a write is in progress: call it again
+	// later.
 	Fence() bool
 	// Unfence resumes writing after a successor has failed to take over.
 	Unfence()
-	// UnstoredCount returns 1 if the last change is in memory only, else 0.
+	// UnstoredCount returns 1 if the last change is not in the file yet, and 0 otherwise.
 	UnstoredCount() int
 }
 
@@ -129,13 +132,13 @@
 	Log       *slog.Logger
 	Monotonic func() time.Duration          // the clock that all processes of the machine share
 	Retry     func(open func() error) error // calls open until it succeeds or the start-up timeout has passed
-	SetHalved func(halved bool)             // has this process use half of its limits, or all of them
+	SetHalved func(halved bool)             // makes this process use half of its limits, or all of them
 	OnStandby func()                        // called when a successor has entered standby
 	OnFail    func(err error)               // called when this process can't continue
 }
 
-// Roles are the parts of one process in hot restarts. It is the successor of another process, if there is one when it starts; once it
-// serves, it is the predecessor of whichever process starts next.
+// Roles contains the roles of one process in hot restarts. At its start the process is the successor of a serving process, if
+// there is one; once it serves, it is the predecessor of the process that starts next.
 type Roles struct {
 	loop        *eventloop.Loop
 	config      Config
@@ -144,18 +147,19 @@
 	successor   *successor   // nil: there is nothing to take over
 }
 
-// New returns the roles of a process that has neither yet. SetCordons must be called before Join or AwaitSuccessor.
+// New returns the roles of a process that is neither a successor nor a predecessor yet. SetCordons must be called before Join or
+// AwaitSuccessor.
 func New(loop *eventloop.Loop, config Config) *Roles { return &Roles{loop: loop, config: config} }
 
 // SetCordons sets what applies and stores cordons.
 func (r *Roles) SetCordons(cordons Cordons) { r.cordons = cordons }
 
-// HasRelinquished reports whether a successor owns all state that this process had.
+// HasRelinquished reports whether a successor owns the state that this process had.
 func (r *Roles) HasRelinquished() bool {
 	return r.predecessor != nil && r.predecessor.protocol.HasRelinquished()
 }
 
-// IsStandby reports whether this process waits to take over from a predecessor, which owns the requests.
+// IsStandby reports whether this process waits to take over from a predecessor, which owns the state.
 func (r *Roles) IsStandby() bool { return r.successor != nil && !r.successor.isServing() }
 
 // AwaitsSuccessor reports whether a successor can connect to this process.
@@ -164,7 +168,7 @@
 // HasSuccessor reports whether a successor is connected to this process.
 func (r *Roles) HasSuccessor() bool { return r.predecessor != nil && r.predecessor.connection != nil }
 
-// SuccessorState returns the state of this process as a successor; ok is false if it has no predecessor, or no longer has one.
+// SuccessorState returns the state of this process as a successor. ok is false if it has no predecessor, or has lost it.
 func (r *Roles) SuccessorState() (state hotrestart.SuccessorState, ok bool) {
 	if r.successor == nil {
 		return 0, false
@@ -172,7 +176,8 @@
 	return r.successor.protocol.State(), true
 }
 
-// NotReadyReason returns what this process waits for before it can take over; an empty string if there is nothing, or if it serves.
+// NotReadyReason returns what this process waits for before it can take over, or an empty string if it is ready or is no
+// successor.
 func (r *Roles) NotReadyReason() string {
 	if r.successor == nil {
 		return ""
@@ -180,8 +185,8 @@
 	return r.successor.notReadyReason()
 }
 
-// ForwardCordon forwards a cordon call to the process that owns the requests. respond is called with its answer, or with an error
-// if that process is gone. It may be called only if HasRelinquished or IsStandby is true.
+// ForwardCordon forwards a cordon call to the process that owns the state. respond is called with its result, or with an error if
+// that process has ended. ForwardCordon may be called only if HasRelinquished or IsStandby returns true.
 func (r *Roles) ForwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
 	if !r.HasRelinquished() {
 		r.successor.forwardCordon(workerID, cordoned, respond)
@@ -194,15 +199,15 @@
 	r.predecessor.connection.forwardCordon(workerID, cordoned, respond)
 }
 
-// CordonsChanged notifies a successor in standby of the cordoned workers. It shows them in its metrics, and goes on with them if
-// this process dies.
+// CordonsChanged notifies a successor in standby of the cordoned workers. The successor reports them in its metrics, and keeps
+// them cordoned if this process dies.
 func (r *Roles) CordonsChanged() {
 	if r.predecessor != nil && r.predecessor.protocol.State() == hotrestart.PredecessorPaired {
 		_ = r.predecessor.connection.sendMessage(hotrestart.CordonedWorkers{WorkerIDs: r.config.Cordoned.Cordoned()})
 	}
 }
 
-// Close closes the sockets of both roles, as the end of the process does: nothing is sent, and no state changes.
+// Close closes the sockets of both roles without sending anything or changing any state, like the end of the process would.
 func (r *Roles) Close() {
 	if r.predecessor != nil {
 		r.predecessor.acceptor.Close()
@@ -215,7 +220,7 @@
 	}
 }
 
-// readClocks reads, at one moment, the loop's clock and the one that it shares with the other process.
+// readClocks reads the loop's clock and the monotonic clock, which both processes share, at the same time.
 func (r *Roles) readClocks() hotrestart.ClockReadings {
 	reading, monotonic := clock.Together(r.loop.Clock, r.config.Monotonic)
 	return hotrestart.ClockReadings{Clock: reading, Monotonic: monotonic}
@@ -228,5 +233,5 @@
 	}
 }
 
-// isMomentary reports whether what has failed may succeed in a moment.
+// isMomentary reports whether an error is temporary, so that a retry after a short delay may succeed.
 func isMomentary(err error) bool { return eventloop.ClassOf(err).IsMomentary() }
--- a/internal/hotrestart/transport/successor.go
+++ b/internal/hotrestart/transport/successor.go
@@ -16,7 +16,7 @@
 // endpointListTimeout is how long a successor waits for an endpoint list of its own before it reports that it is ready.
 const endpointListTimeout = 2 * time.Second
 
-// Retries of opening the socket that clients connect to, after a take-over.
+// Retries of opening the client listener's socket after a take-over.
 const (
 	listenTimeout          = 9 * time.Second
 	minClientListenBackoff = 5 * time.Millisecond // doubles with each failure
@@ -25,7 +25,7 @@
 
 var errListenerUnusable = errors.New("the predecessor's listening socket can't be used")
 
-// successor is the role of a process that is to replace another one: it is in standby, and then takes over.
+// successor is the role of a process that replaces another one: it enters standby, and then takes over.
 type successor struct {
 	channel
 	protocol        hotrestart.Successor
@@ -33,13 +33,13 @@
 	listenAddress   netip.AddrPort
 	listener        int // the predecessor's listening socket; hotrestart.NoDescriptor: not received
 	received        hotrestart.ReceivedState
-	cordonsNotified bool // the predecessor has notified of a change of the cordoned workers, in this session
+	cordonsNotified bool // the predecessor has sent CordonedWorkers in this session
 	handshakeTimer  *eventloop.Timer
 	startedAt       time.Duration // on the loop's clock
 }
 
-// Join connects to the process that serves at an address with a state directory, if there is one. It reports whether there is; this
-// process enters standby then.
+// Join connects to the process that serves at a listen address with a state directory, if there is one, to enter standby. It
+// reports whether there is one.
 func (r *Roles) Join(stateDir string, listenAddress netip.AddrPort) bool {
 	role := &successor{
 		channel:       channel{roles: r},
@@ -53,13 +53,14 @@
 	}
 	r.successor = role
 	r.config.SetHalved(true)
-	// At once: the first connection of one scheduler of many may be delayed, and the list is needed soon.
+	// The watch is opened immediately: with many schedulers its usual first connection may be delayed, and the list is needed
+	// soon.
 	r.config.Watch.WatchEndpoints()
 	return true
 }
 
-// LeaveStandby disconnects a process in standby from its predecessor, which continues to serve. It reports whether this process was
-// in standby.
+// LeaveStandby disconnects a process in standby from its predecessor, which continues to serve. It reports whether this process
+// was in standby.
 func (r *Roles) LeaveStandby() bool {
 	if !r.IsStandby() {
 		return false
@@ -101,10 +102,10 @@
 	return nil
 }
 
-// isServing reports whether this process owns the requests.
+// isServing reports whether this process owns the state.
 func (s *successor) isServing() bool { return s.protocol.State() == hotrestart.SuccessorServing }
 
-// notReadyReason returns what this process waits for before it can take over; an empty string if it is ready.
+// notReadyReason returns what this process waits for before it can take over, or an empty string if it is ready.
 func (s *successor) notReadyReason() string {
 	switch s.protocol.State() {
 	case hotrestart.SuccessorJoining:
@@ -120,7 +121,7 @@
 // HandlePanic ends the session.
 func (s *successor) HandlePanic() { s.handleDisconnect(errHandlerPanicked) }
 
-// HandleEvents sends queued output and handles all input at once: nobody is served during a transfer.
+// HandleEvents sends queued output and handles all input in one call: no client is served during a transfer.
 func (s *successor) HandleEvents(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
 		if err := s.Flush(); err != nil {
@@ -205,9 +206,9 @@
 	return nil
 }
 
-// takeOver makes this process the owner of the received state. It sends TakenOver first, and continues once the kernel has accepted
-// all of that message: from there on the predecessor releases its state, and a failure below ends this process. Before that the
-// predecessor may close the connection and stay the owner.
+// takeOver makes this process the owner of the received state. It first sends TakenOver. Once the kernel has accepted the
+// complete message, the predecessor releases its state, and a later failure of this process is fatal. Before that, the
+// predecessor may close the connection and remain the owner.
 func (s *successor) takeOver() error {
 	received, err := s.received.Finish()
 	if err != nil {
@@ -226,7 +227,8 @@
 	return nil
 }
 
-// startServing has clients, and the next successor, connect to this process.
+// startServing opens the sockets that clients, the next successor and other schedulers connect to, and carries out pending cordon
+// calls.
 func (s *successor) startServing() {
 	roles := s.roles
 	s.listen(roles.loop.Now()+listenTimeout, minClientListenBackoff)
@@ -234,14 +236,14 @@
 	roles.config.Peers.Open()
 	roles.config.SetHalved(false)
 	roles.cordons.OwnFile()
-	roles.cordons.Store()                           // the predecessor may have failed to
-	for _, call := range s.pendingCalls.TakeAll() { // the predecessor may have applied them, or not
+	roles.cordons.Store()                           // the predecessor may have failed to store them
+	for _, call := range s.pendingCalls.TakeAll() { // the predecessor may not have applied them
 		roles.cordons.Set(call.WorkerID, call.Cordoned, call.Respond)
 	}
 }
 
-// listen opens the socket that clients connect to. A momentary failure is retried up to a deadline on the loop's clock; the state that
-// was taken over is served meanwhile.
+// listen opens the client listener's socket. Temporary failures are retried up to a deadline on the loop's clock; the
+// connections that were taken over are served meanwhile.
 func (s *successor) listen(deadline, backoff time.Duration) {
 	roles := s.roles
 	err := s.openListener()
@@ -266,8 +268,8 @@
 	return nil
 }
 
-// handleDisconnect ends the session, after the predecessor has closed it, has broken the protocol or can't be reached. reason is nil
-// if the predecessor has closed it.
+// handleDisconnect ends the session after the predecessor has closed it, has violated the protocol or can't be reached. reason
+// is nil if the predecessor has closed the session.
 func (s *successor) handleDisconnect(reason error) {
 	if !s.IsOpen() {
 		return
@@ -289,21 +291,22 @@
 		s.serveAlone(reason)
 		return
 	}
-	if !s.isServing() { // else the listening socket is in use, or will be
+	if !s.isServing() { // a serving process uses the listening socket, or is about to
 		s.closeListener()
 	}
 }
 
-// serveAlone begins to serve without a predecessor's state, but for the cordoned workers.
+// serveAlone starts serving without a predecessor's state, except for the cordoned workers.
 func (s *successor) serveAlone(reason error) {
-	if !s.cordonsNotified { // else the file may be older than the last change, which the predecessor may have failed to store
+	// After a notification the file is not used: it may lack the last change, if the predecessor has failed to store that.
+	if !s.cordonsNotified {
 		s.roles.cordons.Reload()
 	}
 	s.roles.config.Log.Warn("predecessor lost, serving without its state", "error", reason)
 	s.startServing()
 }
 
-// discardReceived closes the received part of a predecessor's state.
+// discardReceived discards the received part of a predecessor's state, and closes its descriptors.
 func (s *successor) discardReceived() {
 	for _, descriptor := range s.received.Descriptors() {
 		s.roles.closeDescriptor(descriptor)
@@ -316,7 +319,7 @@
 	s.listener = hotrestart.NoDescriptor
 }
 
-// forwardCordon forwards a cordon call to the predecessor, which owns the requests.
+// forwardCordon forwards a cordon call to the predecessor, which owns the state.
 func (s *successor) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
 	if s.sendCordon(workerID, cordoned, respond) != nil {
 		s.handleDisconnect(errSendFailed)
--- a/internal/hotrestart/transport/transfer.go
+++ b/internal/hotrestart/transport/transfer.go
@@ -9,17 +9,17 @@
 	"valvecove/internal/hotrestart"
 )
 
-// transfer sends all state to a successor and waits for its answer.
+// transfer sends all state to a successor and waits for TakenOver.
 type transfer struct {
 	roles      *Roles
 	connection *successorConnection
 	deadline   time.Duration // on the loop's clock
-	snapshot   Snapshot      // that was sent
-	frameCount int           // sent after TransferBegin
-	err        error         // the first; nothing is sent after it
+	snapshot   Snapshot      // the state that is sent
+	frameCount int           // number of frames sent after TransferBegin
+	err        error         // the first error; nothing is sent after it
 }
 
-// run returns nil once the successor has sent TakenOver.
+// run performs the transfer. It returns nil once the successor has sent TakenOver.
 func (t *transfer) run() error {
 	t.send(hotrestart.TransferBegin(t.roles.readClocks()), hotrestart.NoDescriptor)
 	t.frameCount = 0
@@ -58,8 +58,8 @@
 	}
 }
 
-// awaitTakenOver blocks until TakenOver is received. It handles all input before it waits for more, as TakenOver may follow another
-// message.
+// awaitTakenOver blocks until TakenOver is received. It handles all received messages before it waits for more input, as
+// TakenOver may have been received together with another message.
 func (t *transfer) awaitTakenOver() error {
 	for {
 		message, descriptor, size, err := t.connection.nextMessage(0)
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		t.roles.closeDescriptor(descriptor) // a successor passes none
+		t.roles.closeDescriptor(descriptor) // a successor sends no descriptor
 		t.connection.Consume(size)
 		action, err := t.connection.role.protocol.HandleMessage(message)
 		if err != nil || action == hotrestart.ActionRelinquish {
@@ -87,7 +87,7 @@
 	}
 	hasEnded, err := t.connection.receive()
 	if errors.Is(err, errInputDelayed) {
-		time.Sleep(shortageWait) // the deadline is checked before the next read
+		time.Sleep(shortageRetryDelay) // the deadline is checked before the next read
 		return nil
 	}
 	if err != nil || hasEnded {
--- a/internal/hotrestart/transport/transport_test.go
+++ b/internal/hotrestart/transport/transport_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/hotrestart"
 )
 
-// A client connection is transferred with its socket.
+// The socket of a client connection is transferred with its state.
 func TestDescriptorsAreTransferred(t *testing.T) {
 	predecessor := newPredecessor(t)
 	remote, descriptor := eventlooptest.SocketPair(t)
@@ -38,7 +38,8 @@
 	_ = unix.Close(restored[0].Descriptor)
 }
 
-// The state is transferred once, and the successor has the predecessor's place: a further successor can follow.
+// The state is transferred once. The successor then replaces the predecessor completely, and can be replaced by another
+// successor.
 func TestStateIsTransferredOnce(t *testing.T) {
 	predecessor := newPredecessor(t)
 	successor := predecessor.startSuccessor()
@@ -52,26 +53,26 @@
 		t.Fatalf("restored %+v", successor.restored)
 	}
 	if !predecessor.roles.HasRelinquished() || !predecessor.isReleased || successor.isHalved || successor.socket < 0 {
-		t.Error("there is no owner, or there are two")
+		t.Error("after the transfer, the successor is not the only owner")
 	}
 	if err := predecessor.roles.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
-		t.Errorf("the second time: %v", err)
+		t.Errorf("second call of Relinquish: %v", err)
 	}
 	successor.address = predecessor.address
 	if err := successor.relinquishTo(successor.startSuccessor()); err != nil {
-		t.Errorf("to the next successor: %v", err)
+		t.Errorf("transfer to the next successor: %v", err)
 	}
 }
 
-// A transfer that fails at its end changes nothing: the predecessor still owns the state; the successor closes what it has received,
-// and connects again, so that the next transfer succeeds.
+// A transfer that fails at its end changes nothing: the predecessor still owns the state; the successor closes the received
+// descriptors, and reconnects, so that the next transfer succeeds.
 func TestFailedTransferChangesNothing(t *testing.T) {
 	predecessor := newPredecessor(t)
 	successor := predecessor.startSuccessor()
 	role := successor.roles.successor
 	remote, descriptor := eventlooptest.SocketPair(t)
 	role.received.ClientConnections = []hotrestart.ReceivedClientConnection{{Descriptor: descriptor}}
-	// This one is found at the end of the transfer.
+	// The missing descriptor makes the transfer fail at its end.
 	role.received.WorkerConnections = []hotrestart.ReceivedWorkerConnection{{Descriptor: hotrestart.NoDescriptor}}
 	if err := predecessor.relinquishTo(successor); err == nil || predecessor.roles.HasRelinquished() || predecessor.isReleased {
 		t.Fatalf("relinquished to a successor that did not take over: %v", err)
@@ -84,14 +85,15 @@
 		t.Error("a socket of the failed transfer is still open")
 	}
 	if len(successor.restored) != 0 || successor.socket >= 0 {
-		t.Error("the successor has something of a transfer that failed")
+		t.Error("the successor has kept state of the failed transfer")
 	}
 	if err := predecessor.relinquishTo(successor); err != nil || successor.isHalved || len(successor.restored) != 1 {
-		t.Errorf("the second time: %v", err)
+		t.Errorf("second transfer: %v", err)
 	}
 }
 
-// TakenOver counts if it was sent before the predecessor gave up, also behind a cordon call, and can't be sent after that.
+// TakenOver is effective if it was sent before the predecessor shut the connection down, also after a cordon call. It can't be
+// sent after the shutdown.
 func TestTakenOverBeforeShutdown(t *testing.T) {
 	for _, isSent := range []bool{false, true} {
 		predecessor := newPredecessor(t)
@@ -102,13 +104,13 @@
 		}
 		connection := predecessor.roles.predecessor.connection
 		if connection.takenOverBeforeShutdown() != isSent || role.sendMessage(hotrestart.TakenOver{}) == nil {
-			t.Errorf("sent %v: not read, or sent too late", isSent)
+			t.Errorf("sent before %v: wrong result, or TakenOver was sent after the shutdown", isSent)
 		}
 		connection.disconnect(nil)
 	}
 }
 
-// A process that connects and sends nothing does not keep others out.
+// A process that connects and sends no handshake is disconnected after a timeout, so that another successor can connect.
 func TestSilentSuccessorIsDisconnected(t *testing.T) {
 	predecessor := newPredecessor(t)
 	silent, err := predecessor.roles.unixSockets().dial(hotrestart.SocketAddresses(predecessor.dir, predecessor.address))
@@ -118,7 +120,7 @@
 	t.Cleanup(func() { _ = unix.Close(silent) })
 	predecessor.RunIterations()
 	if !predecessor.roles.HasSuccessor() {
-		t.Error("not connected")
+		t.Error("the silent process is not connected")
 	}
 	predecessor.Advance(handshakeTimeout)
 	if err := predecessor.relinquishTo(predecessor.startSuccessor()); err != nil {
@@ -126,7 +128,7 @@
 	}
 }
 
-// A successor's connection that is lost is closed, whatever the error, and the next successor takes over.
+// A successor's connection that fails with any of these errors is closed, and the next successor can take over.
 func TestSuccessorConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE} {
 		predecessor := newPredecessor(t)
@@ -151,7 +153,7 @@
 	}
 }
 
-// While accepting a successor fails, one that waits does not keep the loop busy, and it is accepted once accepting succeeds again.
+// While accepting fails, a waiting successor does not keep the event loop busy. It is accepted once accepting succeeds again.
 func TestLastingAcceptFailure(t *testing.T) {
 	predecessor := newPredecessor(t)
 	listener := predecessor.roles.predecessor.acceptor.FD()
@@ -178,13 +180,12 @@
 	predecessor.Advance(eventloop.MaxAcceptBackoff)
 	predecessor.RunIterations()
 	if injector.Calls(eventloop.CallAccept) == failed || !predecessor.roles.HasSuccessor() {
-		t.Error("the successor that waits is not accepted")
+		t.Error("the waiting successor is not accepted")
 	}
 }
 
-// A successor finds the process that serves though the first calls fail, and that process can be reached once its own calls succeed
-// again.
-func TestSuccessorIsFoundThroughFailures(t *testing.T) {
+// A serving process retries listening for a successor, and a successor retries connecting, until their system calls succeed.
+func TestJoinRetriesTemporaryFailures(t *testing.T) {
 	predecessor := newProcess(t, t.TempDir())
 	predecessor.serve()
 	injector := predecessor.injectFaults(faultinjection.Rule{
@@ -196,7 +197,7 @@
 		predecessor.Advance(maxListenBackoff)
 	}
 	if injector.TotalInjected() != 8 || !predecessor.roles.AwaitsSuccessor() {
-		t.Fatalf("%d calls failed, and no successor can connect", injector.TotalInjected())
+		t.Fatalf("%d calls failed, or no successor can connect", injector.TotalInjected())
 	}
 	successor := newProcess(t, predecessor.dir)
 	successor.injectFaults(faultinjection.Rule{
@@ -204,20 +205,20 @@
 		Errnos: []unix.Errno{unix.ENFILE, unix.EAGAIN, unix.EINTR},
 	})
 	if !successor.roles.Join(predecessor.dir, predecessor.address) {
-		t.Error("the successor does not find the process that serves")
+		t.Error("the successor did not find the serving process")
 	}
 }
 
-// Where nobody serves there is nothing to join; LeaveStandby and NotReadyReason say so.
-func TestNothingToJoin(t *testing.T) {
+// If no process serves, Join and LeaveStandby return false, and NotReadyReason returns nothing.
+func TestJoinWithoutPredecessor(t *testing.T) {
 	single := newProcess(t, t.TempDir())
 	if single.roles.Join(single.dir, netip.MustParseAddrPort("127.0.0.1:1")) || single.roles.LeaveStandby() || single.roles.NotReadyReason() != "" {
 		t.Error("a process without a predecessor is in standby")
 	}
 }
 
-// A cordon call is answered by the process that owns the requests, before and after the take-over, and with an error if that process
-// is gone.
+// A cordon call is answered by the process that owns the state, before and after the take-over, and with an error if that
+// process has ended.
 func TestCordonCallsAreForwarded(t *testing.T) {
 	predecessor := newPredecessor(t)
 	successor := predecessor.startSuccessor()
@@ -244,6 +245,6 @@
 	predecessor.RunIterations()
 	forward(predecessor)
 	if len(answers) != 3 || answers[2] != 503 {
-		t.Errorf("after the successor's death: answers %v", answers)
+		t.Errorf("after the successor has ended: answers %v", answers)
 	}
 }
--- a/internal/hotrestart/transport/unixsocket.go
+++ b/internal/hotrestart/transport/unixsocket.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	maxSocketPath    = 99 // bytes; a socket address holds a little more
-	successorBacklog = 4  // connections that wait for the event loop
+	maxSocketPath    = 99 // bytes; below the maximum of a socket address
+	successorBacklog = 4  // connections that are not accepted yet
 )
 
 // unixSockets opens Unix sockets.
 type unixSockets struct{ syscalls *eventloop.Syscalls }
 
-// dial connects to the first address that answers. An error means that nobody listens, or, if its class is a shortage, that somebody
-// may.
+// dial connects to the first address at which a process listens. An error means that none listens, or, if its class is a
+// shortage, that one may listen.
 func (u unixSockets) dial(addresses []string) (descriptor int, err error) {
 	return u.openFirst(addresses, u.connect)
 }
 
-// listen listens at the first address that can be bound. It removes the socket file that an earlier process has left.
+// listen listens at the first address that can be bound. It removes a socket file that an earlier process has left.
 func (u unixSockets) listen(addresses []string) (descriptor int, err error) {
 	return u.openFirst(addresses, func(descriptor int, address unix.Sockaddr) error {
 		if name := address.(*unix.SockaddrUnix).Name; !hotrestart.IsAbstract(name) {
-			_ = os.Remove(name) // where that fails, so does bind
+			_ = os.Remove(name) // if this fails, bind fails too
 		}
 		return u.bindAndListen(descriptor, address)
 	})
 }
 
-// openFirst opens a socket at the first address at which setUp succeeds. It returns the last error, but a shortage before any
-// other: once that is over, the address may be usable.
+// openFirst opens a socket at the first address at which setUp succeeds. If none succeeds, it returns the first temporary
+// error, or else the last error: after a temporary one the address may be usable in a retry.
 func (u unixSockets) openFirst(addresses []string, setUp func(descriptor int, address unix.Sockaddr) error) (int, error) {
 	var failure error
 	for _, address := range addresses {
@@ -52,7 +52,7 @@
 	return hotrestart.NoDescriptor, failure
 }
 
-// connect connects a socket. A call that was interrupted may have connected it.
+// connect connects a socket. An interrupted call may have connected it, so that the next one returns EISCONN.
 func (u unixSockets) connect(descriptor int, address unix.Sockaddr) error {
 	for {
 		err := u.syscalls.Connect(descriptor, address)
@@ -90,8 +90,8 @@
 	return descriptor, nil
 }
 
-// sockaddr returns the socket address of a path. A path that is too long for one is replaced by one through a descriptor of its
-// directory, which release closes.
+// sockaddr returns the socket address of a path. A path that is too long for a socket address is replaced by a path through a
+// descriptor of its directory, which release closes.
 func (u unixSockets) sockaddr(path string) (address *unix.SockaddrUnix, release func(), err error) {
 	if len(path) <= maxSocketPath {
 		return &unix.SockaddrUnix{Name: path}, func() {}, nil
