--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -17,20 +17,20 @@
 
 // Help is appended to the subcommand's help.
 func (checkCommand) Help() string {
-	return `It reads the platform's file, with PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY for keys that this lacks, and
-the operators' file. It writes nothing, connects to nothing, and does not try whether the addresses are free. Faults
-go to standard error, each with its file and key.
+	return `It reads the operators' file and the platform's file. PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY replace keys that
+are missing in the platform's file. It writes no file, opens no connection, and does not check whether the addresses
+are in use. Errors are printed to standard error, each with its file and key.
 
 Exit codes:
 
-    0  both are sound, and what serve would do is on standard output
-    1  there are faults
-    2  the command line makes no sense`
+    0  both files are valid; standard output describes what serve would do
+    1  there are errors in the files
+    2  the command line is invalid`
 }
 
-// run prints the faults of both files, or the preview if there are none.
+// run prints the errors of both files, or the preview if there are none.
 func (c *checkCommand) run(env environment) int {
-	variable := c.overridePlatform(env.variable)
+	variable := c.overridePlatform(env.getenv)
 	conf, ops, faults := config.LoadAll(variable, env.opsFile)
 	faults = append(faults, checkPaths(ops, env.opsFile)...)
 	for _, fault := range faults {
@@ -47,7 +47,8 @@
 	return exitOK
 }
 
-// overridePlatform returns the environment variables with the file of --platform, if given, in PROXY_CONFIG.
+// overridePlatform returns a function that looks up environment variables, with the file of --platform, if given, as
+// PROXY_CONFIG.
 func (c *checkCommand) overridePlatform(variable func(name string) string) func(name string) string {
 	if c.Platform == "" {
 		return variable
@@ -60,7 +61,7 @@
 	}
 }
 
-// checkPaths returns an error for each file or folder of a feature that serve could not write to. It only looks.
+// checkPaths returns an error for each file or directory of a feature that serve could not write to. It changes nothing.
 func checkPaths(ops config.Ops, opsFile string) []error {
 	var faults []error
 	add := func(key string, err error) {
@@ -81,16 +82,17 @@
 	return faults
 }
 
-// checkWritable returns an error unless a path is a folder, or a file, that this process may write to.
+// checkWritable returns an error unless this process may write to a path, which must be a directory if wantDir is set, and a file
+// otherwise.
 func checkWritable(path string, wantDir bool) error {
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
 		return err
 	case wantDir && !info.IsDir():
-		return fmt.Errorf("%s is no folder", path)
+		return fmt.Errorf("%s is not a directory", path)
 	case !wantDir && info.IsDir():
-		return fmt.Errorf("%s is a folder", path)
+		return fmt.Errorf("%s is a directory", path)
 	}
 	if err := unix.Access(path, unix.W_OK); err != nil {
 		return fmt.Errorf("writing to %s: %w", path, err)
--- a/cmd/valvecove/gossip_preview_test.go
+++ b/cmd/valvecove/gossip_preview_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The preview says whether schedulers tell each other of leases, with how many others, at what budget and price, or why not.
-func TestCheckOfGossip(t *testing.T) {
+// The preview describes the exchange of leases between schedulers: the number of peers, the budget and the price, or why it is
+// disabled.
+func TestPreviewOfGossip(t *testing.T) {
 	const peers = `"peer_listen":"127.0.0.1:9002","peers":["127.0.0.1:9001","127.0.0.1:9002","127.0.0.1:9003"],`
 	noStarts := strings.NewReplacer(`"name":"n0",`, `"name":"n0",`+peers, `"try_limit":6`, `"try_limit":6,"peers":true`,
 		`"bounds":`, `"prices":{"peer":0.025},"bounds":`).Replace(platformFile)
@@ -19,7 +20,7 @@
 		{"no section", allowed, "", "off"},
 		{"not allowed", platformFile, "[gossip]", "off, as the platform's file does not allow it, or has no addresses"},
 		{"no starts", noStarts, "[gossip]", "off, as workers notify of no starts"},
-		{"too dear", allowed, "[gossip]\nbudget = 0.001", "off, as messages would cost more than they may: budget 0.001 of the result, price 0.025 for 256 bytes a job"},
+		{"budget too small", allowed, "[gossip]\nbudget = 0.001", "off, as messages would cost more than they may: budget 0.001 of the result, price 0.025 for 256 bytes a job"},
 		{"no budget", allowed, "[gossip]\nbudget = 0", "off, as messages would cost more than they may: budget 0 of the result, price 0.025 for 256 bytes a job"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -13,21 +13,21 @@
 // Exit codes of all subcommands.
 const (
 	exitOK      = 0
-	exitFailure = 1 // it could not start, or go on; check: faults in the files; replay: a difference
-	exitUsage   = 2 // wrong usage; replay: also a capture that can't be replayed
+	exitFailure = 1 // serve could not start or continue; check: errors in the files; replay: a difference
+	exitUsage   = 2 // invalid command line; replay: also a capture that can't be replayed
 )
 
 const programDescription = `A scheduler for jobs: clients submit one job per HTTP request, worker nodes run them, and each
-request gets one answer. It takes its configuration from the platform, by the file that PROXY_CONFIG names.
+request gets one response. It reads its configuration from the platform's file, whose path is in PROXY_CONFIG.
 
 Exit codes:
 
     0  done
-    1  it could not start, or go on; of check and replay, see there
-    2  the command line makes no sense
+    1  it could not start or continue; for check and replay, see their help
+    2  the command line is invalid
 `
 
-// commands are the options of all subcommands, and the subcommands.
+// commands contains the options of all subcommands, and the subcommands.
 type commands struct {
 	Config string `name:"config" placeholder:"FILE" help:"The operators' own file, which turns features on. Without it all are off."`
 
@@ -37,27 +37,27 @@
 	Version versionCommand `cmd:"" name:"version" help:"Print the version."`
 }
 
-// environment is what a subcommand gets from its process.
+// environment contains the inputs and outputs of a subcommand.
 type environment struct {
-	opsFile        string // the operators' file; empty: there is none
-	variable       func(name string) string
+	opsFile        string                   // path of the operators' file; empty: none
+	getenv         func(name string) string // looks up an environment variable
 	stdout, stderr io.Writer
 }
 
-// printError prints why a subcommand ends.
+// printError prints an error of a subcommand to standard error.
 func (e environment) printError(command string, err error) {
 	fmt.Fprintf(e.stderr, "%s: %v\n", command, err)
 }
 
-// subcommand is one of the commands. run returns the exit code.
+// subcommand is implemented by the subcommands. run returns the exit code.
 type subcommand interface{ run(env environment) int }
 
 func main() { os.Exit(execute(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// execute runs a command line and returns the exit code.
+// execute runs the subcommand of a command line and returns the exit code.
 func execute(args []string, variable func(name string) string, stdout, stderr io.Writer) int {
 	var line commands
-	helpExitCode := -1 // until help has been printed
+	helpExitCode := -1 // set when help is printed
 	parser := kong.Must(&line, kong.Name("valvecove"), kong.Description(programDescription), kong.Writers(stdout, stderr),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
 		kong.Exit(func(code int) { helpExitCode = code }))
@@ -70,5 +70,5 @@
 		return exitUsage
 	}
 	selected := parsed.Selected().Target.Addr().Interface().(subcommand)
-	return selected.run(environment{opsFile: line.Config, variable: variable, stdout: stdout, stderr: stderr})
+	return selected.run(environment{opsFile: line.Config, getenv: variable, stdout: stdout, stderr: stderr})
 }
--- a/cmd/valvecove/main_test.go
+++ b/cmd/valvecove/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Texts of both configuration files.
+// Contents of both configuration files.
 const (
 	platformFile = `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","limits":{"memory_mb":64,"sockets":256},
 "known":{"generation":7,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
@@ -23,7 +23,7 @@
 		"[addresses]\ndeny = ['10.20.9.0/24']"
 )
 
-// Each command line gives its exit code, and prints what it should on standard output and on standard error.
+// Each command line returns its exit code, and prints the expected parts to standard output and standard error.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -41,7 +41,7 @@
 		args           string
 		platform       string // value of PROXY_CONFIG
 		code           int
-		stdout, stderr string // parts, in this order; empty: nothing is printed there
+		stdout, stderr string // expected parts in this order, separated by "|"; empty: nothing is printed
 	}{
 		{"", "", 1, "", "valvecove: PROXY_CONFIG: not set"},
 		{"serve", "", 1, "", "valvecove: PROXY_CONFIG: not set"},
@@ -63,7 +63,7 @@
 
 		{"--help", "", 0, "Usage: valvecove|Exit codes:|0  done|2  the command line|serve|check|replay|version", ""},
 		{"serve --help", "", 0, "SIGHUP|Exit codes:|has drained", ""},
-		{"check --help", "", 0, "PROXY_LISTEN|Exit codes:|0  both are sound|1  there are faults|--platform=FILE", ""},
+		{"check --help", "", 0, "PROXY_LISTEN|Exit codes:|0  both files are valid|1  there are errors|--platform=FILE", ""},
 		{"replay --help", "", 0, "Exit codes:|0  no difference|1  some|2  the capture|--capture=FILE", ""},
 		{"version", "", 0, "valvecove|revision|go", ""},
 
@@ -71,7 +71,7 @@
 		{"check --platform wrong --config none", "sound", 1, "", `valvecove check: wrong: key "discovery": expected an address and port, got "there"|` +
 			`wrong: key "settings.classes[2].give_up": expected more than 0|valvecove check: --config: open none`},
 		{"check --config port", "sound", 1, "", `valvecove check: port: key "status.listen_port": 9000 is the port`},
-		{"check --config dirs", "sound", 1, "", `dirs: key "capture.dir": stat |dirs: key "figures.file": / is a folder`},
+		{"check --config dirs", "sound", 1, "", `dirs: key "capture.dir": stat |dirs: key "figures.file": / is a directory`},
 		{"check", "sound", 0, "platform     sound\n|ours         none|name         n0\n|listen       127.0.0.1:9000\n|" +
 			"discovery    127.0.0.1:8500, subscribed to\n|known        1 workers, revision 7\n|1 cores, 64 MB, 256 descriptors\n|" +
 			"24 its own, 0 for features, 38 worker connections, 194 client connections (175 requests at once)\n|" +
@@ -95,7 +95,8 @@
 	}
 }
 
-// containsInOrder reports whether a text has these parts in it, one after the other; without parts, whether it is empty.
+// containsInOrder reports whether a text contains parts, which are separated by "|", in this order. If parts is empty, it reports
+// whether the text is empty.
 func containsInOrder(text, parts string) bool {
 	if parts == "" {
 		return text == ""
@@ -110,7 +111,7 @@
 	return true
 }
 
-// The version says what the build recorded, and what it did not record.
+// The version contains what the build has recorded, and "unknown" for what it has not.
 func TestVersion(t *testing.T) {
 	info := &debug.BuildInfo{GoVersion: "go1.26.8", Settings: []debug.BuildSetting{
 		{Key: "vcs.revision", Value: "8c1f"},
--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -16,118 +16,120 @@
 	"valvecove/internal/server"
 )
 
-// configFiles are the names of both configuration files.
+// configFiles contains the names of both configuration files.
 type configFiles struct {
 	platform string
-	ops      string // empty: there is none
+	ops      string // empty: none
 }
 
-// preview is a page of text in columns that says what serve would do with a configuration.
+// preview writes a page of text in columns that describes what serve would do with a configuration.
 type preview struct {
 	conf   config.Config
 	ops    config.Ops
 	writer *tabwriter.Writer
 }
 
-// writePreview writes the page of a sound configuration.
+// writePreview writes the page of a valid configuration.
 func writePreview(w io.Writer, files configFiles, conf config.Config, ops config.Ops) error {
 	page := preview{conf: conf, ops: ops, writer: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
-	page.line("platform", files.platform)
-	page.line("ours", orDefault(files.ops, "none, so that all features are off"))
+	page.writeLine("platform", files.platform)
+	page.writeLine("ours", orDefault(files.ops, "none, so that all features are off"))
 	page.addresses()
 	page.limits()
 	page.dispatching()
-	page.line()
+	page.writeLine()
 	page.classes()
-	page.line()
+	page.writeLine()
 	page.tenants()
-	page.line()
+	page.writeLine()
 	page.features()
 	return page.writer.Flush()
 }
 
-func (p *preview) line(columns ...string) { fmt.Fprintln(p.writer, strings.Join(columns, "\t")) }
+// writeLine writes a line of the page.
+func (p *preview) writeLine(columns ...string) { fmt.Fprintln(p.writer, strings.Join(columns, "\t")) }
 
-// addresses says who the scheduler is, and where it listens and connects to.
+// addresses writes the scheduler's name, and the addresses at which it listens and to which it connects.
 func (p *preview) addresses() {
-	p.line("name", orDefault(p.conf.Name, "none"))
-	p.line("listen", p.conf.Listen.String())
+	p.writeLine("name", orDefault(p.conf.Name, "none"))
+	p.writeLine("listen", p.conf.Listen.String())
 	if p.conf.Management.IsValid() {
 		stateDir := orDefault(p.conf.StateDir, "no directory, as TMPDIR is not set")
-		p.line("management", p.conf.Management.String()+", see docs/on-call.md; what outlives the process is in "+stateDir)
+		p.writeLine("management", p.conf.Management.String()+", see docs/on-call.md; what outlives the process is in "+stateDir)
 	}
 	watch := "whose list is pushed, and watched there"
 	if p.conf.Settings.MustSubscribe {
 		watch = "subscribed to"
 	}
-	p.line("discovery", p.conf.Discovery.String()+", "+watch)
+	p.writeLine("discovery", p.conf.Discovery.String()+", "+watch)
 	if workers := len(p.conf.KnownEndpoints.Endpoints); workers > 0 {
-		p.line("known", fmt.Sprintf("%d workers, revision %d", workers, p.conf.KnownEndpoints.Revision))
+		p.writeLine("known", fmt.Sprintf("%d workers, revision %d", workers, p.conf.KnownEndpoints.Revision))
 	} else {
-		p.line("known", "no workers: not ready until discovery answers")
+		p.writeLine("known", "no workers: not ready until discovery answers")
 	}
 }
 
-// limits says how the scheduler divides its descriptors and memory.
+// limits writes how the scheduler divides its descriptors and memory.
 func (p *preview) limits() {
 	const bytesPerMBShift = 20
 	configured := p.conf.Limits
 	shares := limits.SharesOf(p.conf, p.ops)
-	p.line("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", configured.Cores, configured.MemoryMB, configured.Sockets))
-	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d worker connections, %d client connections (%d requests at once)",
+	p.writeLine("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", configured.Cores, configured.MemoryMB, configured.Sockets))
+	p.writeLine("descriptors", fmt.Sprintf("%d its own, %d for features, %d worker connections, %d client connections (%d requests at once)",
 		shares.OwnDescriptors, shares.FeatureDescriptors, shares.WorkerConnections, shares.ClientConnections, shares.OpenRequests))
-	p.line("memory", fmt.Sprintf("heap held to %d MB; buffers of client connections %d MB, bodies of requests %d MB",
+	p.writeLine("memory", fmt.Sprintf("heap held to %d MB; buffers of client connections %d MB, bodies of requests %d MB",
 		server.HeapLimit(configured)>>bytesPerMBShift, shares.BufferBytes>>bytesPerMBShift, shares.BufferBytes>>bytesPerMBShift))
 }
 
-// dispatching says what bounds attempts, the scheduler's place among its replicas, how it stops, and how it logs.
+// dispatching writes the limits of attempts, the scheduler's index among its replicas, the duration of its drain, and its log
+// format.
 func (p *preview) dispatching() {
 	settings := p.conf.Settings
-	p.line("attempts", fmt.Sprintf("%d a request at most, connecting within %v, hedging %s, cancellation %s, health checks %s",
+	p.writeLine("attempts", fmt.Sprintf("%d a request at most, connecting within %v, hedging %s, cancellation %s, health checks %s",
 		settings.AttemptLimit, settings.ConnectTimeout, onOrOff(settings.Hedging), onOrOff(settings.Cancellation),
 		onOrOff(settings.HealthChecks)))
-	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", settings.ReplicaIndex, max(1, settings.Replicas)))
-	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KillDelay(settings)))
-	p.line("log", describeLog(p.ops.Log))
+	p.writeLine("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", settings.ReplicaIndex, max(1, settings.Replicas)))
+	p.writeLine("stop", fmt.Sprintf("%v after SIGTERM", server.KillDelay(settings)))
+	p.writeLine("log", describeLog(p.ops.Log))
 }
 
-// classes is a table of the classes.
+// classes writes a table of the classes.
 func (p *preview) classes() {
 	names := p.conf.Settings.Names
-	p.line("class", "effect", "aim", "stretch", "deadline", "worth", "late", "kinds", "zones")
+	p.writeLine("class", "effect", "aim", "stretch", "deadline", "worth", "late", "kinds", "zones")
 	for i, class := range p.conf.Settings.Classes {
-		p.line(names.Classes[i], describeIdempotency(class), class.LatencyObjective.String(), formatNumber(class.ObjectiveStretch),
+		p.writeLine(names.Classes[i], describeIdempotency(class), class.LatencyObjective.String(), formatNumber(class.ObjectiveStretch),
 			class.ClientTimeout.String(), formatNumber(class.PriorityWeight), formatNumber(class.LateValue),
 			joinNames(class.Kinds, names.MachineTypes), joinNames(class.Zones, names.Zones))
 	}
 }
 
-// tenants is a table of the tenants.
+// tenants writes a table of the tenants.
 func (p *preview) tenants() {
-	p.line("tenant", "quota a second")
+	p.writeLine("tenant", "quota a second")
 	tenants := p.conf.Settings.Names.Tenants
 	for i, name := range tenants {
 		quota := "no limit"
 		if p.conf.Settings.TenantQuota[i] > 0 {
 			quota = formatNumber(p.conf.Settings.TenantQuota[i])
 		}
-		p.line(name, quota)
+		p.writeLine(name, quota)
 	}
 	if len(tenants) == 0 {
-		p.line("none", "requests need not name one")
+		p.writeLine("none", "requests need not name one")
 	}
 }
 
-// features is a table of the features that the operators' file turns on.
+// features writes a table of all features, with the settings of those that the operators' file enables.
 func (p *preview) features() {
 	const off = "off"
-	p.line("feature")
-	p.line("status", orDefault(p.statusFeature(), off))
-	p.line("capture", orDefault(p.captureFeature(), off))
-	p.line("figures", orDefault(p.metricsFeature(), off))
-	p.line("addresses", orDefault(p.addressesFeature(), off))
-	p.line("aperture", orDefault(p.apertureFeature(), off))
-	p.line("gossip", orDefault(p.gossipFeature(), off))
+	p.writeLine("feature")
+	p.writeLine("status", orDefault(p.statusFeature(), off))
+	p.writeLine("capture", orDefault(p.captureFeature(), off))
+	p.writeLine("figures", orDefault(p.metricsFeature(), off))
+	p.writeLine("addresses", orDefault(p.addressesFeature(), off))
+	p.writeLine("aperture", orDefault(p.apertureFeature(), off))
+	p.writeLine("gossip", orDefault(p.gossipFeature(), off))
 }
 
 func (p *preview) statusFeature() string {
@@ -189,7 +191,7 @@
 		"load; fleets under %d whole", aperture.MinWorkers, aperture.Coverage, formatNumber(aperture.MaxWidening), aperture.MinFleet)
 }
 
-// gossipFeature says whether schedulers tell each other of leases, or why not.
+// gossipFeature describes the exchange of leases between schedulers, or why it is disabled.
 func (p *preview) gossipFeature() string {
 	if p.ops.Gossip == nil {
 		return ""
@@ -212,7 +214,7 @@
 	return fmt.Sprintf("leases of slots, at %v with %d peers, %s", p.conf.PeerListen, peers, price)
 }
 
-// orDefault returns a text, or another one if it is empty.
+// orDefault returns text, or fallback if text is empty.
 func orDefault(text, fallback string) string {
 	if text == "" {
 		return fallback
@@ -237,7 +239,8 @@
 	return format + ", " + strings.ToLower(log.Level.String()) + " and above"
 }
 
-// describeIdempotency says what executing a request of the class twice does, in the words of the settings.
+// describeIdempotency describes whether requests of the class may be executed twice, with the values that the settings have for
+// it.
 func describeIdempotency(class dispatch.Class) string {
 	switch class.Idempotency {
 	case dispatch.Idempotent:
@@ -249,7 +252,7 @@
 	return "never twice"
 }
 
-// joinNames lists the names of indices, sorted; an index without a name stays a number.
+// joinNames returns a sorted list of the names of indices. An index without a name is listed as a number.
 func joinNames(indices []int, names []string) string {
 	if indices == nil {
 		return "any"
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -13,12 +13,12 @@
 	"valvecove/internal/testbed/fakeplatform"
 )
 
-// serveVariable has the test's own program serve, when it is set.
-const serveVariable = "VALVECOVE_SERVES"
+// runServeVariable is an environment variable that makes the test binary run serve instead of the tests.
+const runServeVariable = "VALVECOVE_SERVES"
 
-// TestMain lets the test's own program stand in for the scheduler's, as a process of its own.
+// TestMain runs the test binary as a scheduler process if serveVariable is set.
 func TestMain(m *testing.M) {
-	if os.Getenv(serveVariable) != "" {
+	if os.Getenv(runServeVariable) != "" {
 		os.Exit(execute([]string{"serve"}, os.Getenv, os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -27,44 +27,44 @@
 const replacementSettings = `{"classes":[{"name":"pay","promise":30000000,"give_up":60000000,"idempotency":"side_effect"}],
 "discovery":"subscribe","domain":{"tells_start":true,"class_stretch":[2]},"bounds":{"try_limit":3,"connect_timeout":250000}}`
 
-// ownProgram names the test's own program in place of a scheduler's file.
-const ownProgram = ""
+// testBinary stands for the test binary in place of the file of a scheduler.
+const testBinary = ""
 
-// Payouts are in flight all the time while a process is replaced three times over. Each client, on a connection of its own
-// that is never closed, gets one response, made by the worker that ran the job. Each payout runs once, also those that
-// outlive the process which sent them and whose workers notify its successor. A worker that a call to the standby process
-// cordons is sent nothing more, whoever serves, until it is uncordoned.
+// A process is replaced three times while requests are in flight. Each client has one connection, which is never closed, and
+// gets one response to each request, from the worker that ran the job. Each job runs once, also if the process that sent it has
+// been replaced and the worker sends its callback to a successor. A worker that was cordoned by a call to the standby process
+// is sent no job by any process until it is uncordoned.
 func TestReplacedUnderLoad(t *testing.T) {
-	files := []string{ownProgram, ownProgram, ownProgram, ownProgram}
-	t.Run("by a directory", func(t *testing.T) { testReplacement(t, t.TempDir(), files) })
-	t.Run("by a name", func(t *testing.T) { testReplacement(t, "", files) })
+	files := []string{testBinary, testBinary, testBinary, testBinary}
+	t.Run("socket file", func(t *testing.T) { testReplacement(t, t.TempDir(), files) })
+	t.Run("abstract socket name", func(t *testing.T) { testReplacement(t, "", files) })
 }
 
-// The same between the schedulers of two builds, in turns, so that each takes over from the other.
-// scripts/handover-between-builds builds them and names their files.
+// The same as TestReplacedUnderLoad, with processes of two builds in turns, so that each takes over from the other.
+// scripts/handover-between-builds builds them and sets the variables with their files.
 func TestReplacedByOtherBuild(t *testing.T) {
 	before, after := os.Getenv("VALVECOVE_BEFORE"), os.Getenv("VALVECOVE_AFTER")
 	if before == "" || after == "" {
-		t.Skip("VALVECOVE_BEFORE and VALVECOVE_AFTER name no files; run scripts/handover-between-builds")
+		t.Skip("VALVECOVE_BEFORE and VALVECOVE_AFTER are not set; run scripts/handover-between-builds")
 	}
 	for name, files := range map[string][]string{
 		"the earlier build first": {before, after, before, after},
 		"the later build first":   {after, before, after, before},
 	} {
-		t.Run(name+", by a directory", func(t *testing.T) { testReplacement(t, t.TempDir(), files) })
-		t.Run(name+", by a name", func(t *testing.T) { testReplacement(t, "", files) })
+		t.Run(name+", socket file", func(t *testing.T) { testReplacement(t, t.TempDir(), files) })
+		t.Run(name+", abstract socket name", func(t *testing.T) { testReplacement(t, "", files) })
 	}
 }
 
 // Workers of the fake platform.
 const (
-	slowWorker     = 0 // its jobs last until it is freed
+	slowWorker     = 0 // its jobs end only after Free
 	cordonedWorker = 2
 	cordonedName   = "s-2"
 	workers        = 3
 )
 
-// Load of the test: clients, and responses that have to come between its steps.
+// Load of the test: the number of clients, and the minimum number of responses between its steps.
 const (
 	clients          = 12
 	responsesPerStep = 50
@@ -73,7 +73,7 @@
 // replacement is a test in which the processes of one scheduler replace each other under load.
 type replacement struct {
 	platform  *fakeplatform.Platform
-	stateDir  string // empty: the processes find each other by name
+	stateDir  string // empty: the processes find each other by an abstract socket name
 	processes []*fakeplatform.Process
 	clients   sync.WaitGroup
 	stop      chan struct{}
@@ -81,14 +81,15 @@
 	responses atomic.Int64
 }
 
-// testReplacement starts a scheduler from the first file, and replaces it by those of the others, one after another.
+// testReplacement starts a scheduler process from the first file, and replaces it by processes from the other files, one after
+// another.
 func testReplacement(t *testing.T, stateDir string, files []string) {
 	t.Helper()
 	r := newReplacement(t, stateDir)
 	r.launch(t, files[0])
 	r.startClients(t)
 	r.awaitResponses(t)
-	waitUntil(t, "a job at the slow worker", func() bool { return r.runs(slowWorker) > 0 })
+	waitUntil(t, "a job at the slow worker", func() bool { return r.startedJobs(slowWorker) > 0 })
 	for i, file := range files[1:] {
 		isCordoning := i == 1
 		predecessor := r.current()
@@ -97,11 +98,11 @@
 			checkCordon(t, successor, predecessor)
 		}
 		if code := predecessor.Terminate(); code != 0 {
-			t.Errorf("ended with %d", code)
+			t.Errorf("the predecessor ended with exit code %d", code)
 		}
 		r.awaitResponses(t)
 		if isCordoning {
-			r.checkCordonedGetsNothing(t)
+			r.checkNoJobsAtCordonedWorker(t)
 		}
 	}
 	r.checkUncordon(t)
@@ -125,12 +126,12 @@
 	return &replacement{platform: platform, stateDir: stateDir, stop: make(chan struct{})}
 }
 
-// launch starts a process from a file, or from the test's own program, and waits until it is ready.
+// launch starts a process from a file, or from the test binary, and waits until it is ready.
 func (r *replacement) launch(t *testing.T, file string) *fakeplatform.Process {
 	t.Helper()
 	command, variables := []string{file, "serve"}, []string(nil)
-	if file == ownProgram {
-		command, variables = os.Args[:1], []string{serveVariable + "=1"}
+	if file == testBinary {
+		command, variables = os.Args[:1], []string{runServeVariable + "=1"}
 	}
 	process, err := r.platform.Start(command, variables, t.TempDir(), r.stateDir, replacementSettings)
 	if err != nil {
@@ -147,10 +148,10 @@
 	return process
 }
 
-// current is the process launched last.
+// current returns the process that was launched last.
 func (r *replacement) current() *fakeplatform.Process { return r.processes[len(r.processes)-1] }
 
-// startClients has clients send requests until stop is closed.
+// startClients starts clients that send requests until stop is closed.
 func (r *replacement) startClients(t *testing.T) {
 	t.Helper()
 	for number := range clients {
@@ -163,7 +164,8 @@
 	}
 }
 
-// runClient sends one request after another. Each has a body by the client's number, which is cut at another place each time.
+// runClient sends one request after another. The size of the body depends on the client's number; each request is sent in two
+// parts that are split at another position.
 func (r *replacement) runClient(t *testing.T, client *fakeplatform.Client, number int) {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -183,38 +185,38 @@
 	}
 }
 
-// awaitResponses waits until the clients have got further responses.
+// awaitResponses waits until the clients have received responsesPerStep further responses.
 func (r *replacement) awaitResponses(t *testing.T) {
 	t.Helper()
 	start := r.responses.Load()
-	waitUntil(t, fmt.Sprintf("%d more answers", responsesPerStep), func() bool {
+	waitUntil(t, fmt.Sprintf("%d more responses", responsesPerStep), func() bool {
 		return r.responses.Load() >= start+responsesPerStep
 	})
 }
 
-// runs is how many jobs a worker has begun.
-func (r *replacement) runs(worker int) int {
+// startedJobs returns the number of jobs that a worker has started.
+func (r *replacement) startedJobs(worker int) int {
 	_, runs := r.platform.Workers[worker].Runs()
 	return runs
 }
 
-// checkCordon cordons a worker by calls to the standby process, of which the second is harmless.
+// checkCordon cordons a worker by two calls to the standby process. The second call changes nothing.
 func checkCordon(t *testing.T, standby, serving *fakeplatform.Process) {
 	t.Helper()
 	first, second := standby.Cordon(cordonedName), standby.Cordon(cordonedName)
 	if first != http.StatusOK || second != http.StatusOK || standby.Cordon("s-9") != http.StatusNotFound ||
 		serving.Metric("hosts_down") != 1 {
-		t.Error("calls at a process in standby")
+		t.Error("cordon calls to the process in standby failed, or did not cordon exactly one worker")
 	}
 }
 
-// checkCordonedGetsNothing checks that a cordoned worker is sent nothing while others work.
-func (r *replacement) checkCordonedGetsNothing(t *testing.T) {
+// checkNoJobsAtCordonedWorker checks that the cordoned worker is sent no job while the others are.
+func (r *replacement) checkNoJobsAtCordonedWorker(t *testing.T) {
 	t.Helper()
-	before := r.runs(cordonedWorker)
+	before := r.startedJobs(cordonedWorker)
 	r.awaitResponses(t)
-	if sent := r.runs(cordonedWorker) - before; sent != 0 {
-		t.Errorf("%d jobs sent to a worker that is cordoned", sent)
+	if sent := r.startedJobs(cordonedWorker) - before; sent != 0 {
+		t.Errorf("%d jobs were sent to the cordoned worker", sent)
 	}
 }
 
@@ -223,20 +225,20 @@
 	t.Helper()
 	serving := r.current()
 	if serving.Metric("hosts_down") != 1 || serving.Uncordon(cordonedName) != http.StatusOK || serving.Metric("hosts_down") != 0 {
-		t.Error("the cordon is not kept, or does not end")
+		t.Error("the worker is not cordoned any more, or can't be uncordoned")
 	}
-	before := r.runs(cordonedWorker)
-	waitUntil(t, "used again", func() bool { return r.runs(cordonedWorker) > before })
+	before := r.startedJobs(cordonedWorker)
+	waitUntil(t, "a job at the uncordoned worker", func() bool { return r.startedJobs(cordonedWorker) > before })
 }
 
-// finish stops the clients, and frees the jobs of the slow worker, which processes sent that have ended since.
+// finish stops the clients, and ends the jobs of the slow worker, which were sent by processes that have been replaced since.
 func (r *replacement) finish(t *testing.T) {
 	t.Helper()
 	close(r.stop)
 	r.platform.Workers[slowWorker].Free()
 	r.clients.Wait()
 	if inFlight := r.current().Metric("inflight"); r.sent.Load() != r.responses.Load() || inFlight != 0 {
-		t.Errorf("%d sent, %d answered, %d left", r.sent.Load(), r.responses.Load(), inFlight)
+		t.Errorf("%d requests, %d responses, %d in flight at the end", r.sent.Load(), r.responses.Load(), inFlight)
 	}
 }
 
@@ -253,18 +255,18 @@
 	}
 }
 
-// checkLogs ends the last process, so that its log is whole, and checks all logs.
+// checkLogs ends all processes, so that their logs are complete, and checks the logs.
 func (r *replacement) checkLogs(t *testing.T) {
 	t.Helper()
 	for i, process := range r.processes {
 		process.Kill()
-		checkHandover(t, process.Log.String(), i > 0, i < len(r.processes)-1)
+		checkHandoverLog(t, process.Log.String(), i > 0, i < len(r.processes)-1)
 	}
 }
 
-// checkHandover checks by a process's log that it took over and handed over what it should, all of it. A process that goes
-// on without the model, or without the open requests, fails here, though clients may not notice.
-func checkHandover(t *testing.T, log string, tookOver, handedOver bool) {
+// checkHandoverLog checks from a process's log whether it has taken over and handed over, and that no state was lost. A process
+// that continues without the policy's snapshot or the open requests fails here, although clients may not notice that.
+func checkHandoverLog(t *testing.T, log string, tookOver, handedOver bool) {
 	t.Helper()
 	for _, line := range []struct {
 		text string
@@ -272,6 +274,10 @@
 	}{
 		{`msg="taken over"`, tookOver},
 		{`msg="handed over"`, handedOver},
+		{"predecessor snapshot rejected", false},
+		{"serving without its state", false},
+		{"predecessor session lost", false},
+		// The same faults in the logs of earlier builds.
 		{"of no use here", false},
 		{"serving without what it had", false},
 		{"begins anew", false},
@@ -284,18 +290,18 @@
 	}
 }
 
-// Polling: how often a condition is asked for, and at most how many times.
+// Interval and maximum number of checks of a condition.
 const (
 	pollInterval = 2 * time.Millisecond
 	maxPolls     = 10_000
 )
 
-// waitUntil polls for what happens by itself. The limit is far off: it only ends a test in which it never does.
+// waitUntil polls until a condition is true. The limit is generous: it only ends tests in which the condition never becomes true.
 func waitUntil(t *testing.T, what string, isDone func() bool) {
 	t.Helper()
 	for polls := 0; !isDone() && !t.Failed(); polls++ {
 		if polls > maxPolls {
-			t.Fatalf("not %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/cmd/valvecove/replay.go
+++ b/cmd/valvecove/replay.go
@@ -11,13 +11,13 @@
 
 // Help is appended to the subcommand's help.
 func (replayCommand) Help() string {
-	return `Of the operators' file only [replay.settings] matters: values that replace recorded ones.
+	return `Of the operators' file only [replay.settings] is used. Its values replace recorded ones.
 
 Exit codes:
 
     0  no difference
     1  some differences
-    2  the capture can't be replayed, or the command line makes no sense`
+    2  the capture can't be replayed, or the command line is invalid`
 }
 
 // run replays the capture, and prints the differences.
--- a/cmd/valvecove/serve.go
+++ b/cmd/valvecove/serve.go
@@ -6,20 +6,20 @@
 
 // Help is appended to the subcommand's help.
 func (serveCommand) Help() string {
-	return `It listens where PROXY_LISTEN or its configuration says, logs to standard error, and stays in the foreground.
-SIGTERM and SIGINT have it drain and end, SIGHUP has it read the platform's file again, and SIGUSR1 has it write the
-capture to standard error, where that is on.
+	return `It listens at the address in PROXY_LISTEN or in its configuration, logs to standard error, and stays in the
+foreground. It drains and ends on SIGTERM and SIGINT, reads the platform's file again on SIGHUP, and writes the
+capture to standard error on SIGUSR1, if that feature is on.
 
 Exit codes:
 
-    0  it was told to stop, and has drained
-    1  it could not start, or go on
-    2  the command line makes no sense`
+    0  it was stopped by a signal, and has drained
+    1  it could not start or continue
+    2  the command line is invalid`
 }
 
 // run serves until a signal ends the process.
 func (*serveCommand) run(env environment) int {
-	if err := server.Run(env.variable, env.opsFile, env.stderr); err != nil {
+	if err := server.Run(env.getenv, env.opsFile, env.stderr); err != nil {
 		env.printError("valvecove", err)
 		return exitFailure
 	}
--- a/cmd/valvecove/version.go
+++ b/cmd/valvecove/version.go
@@ -10,7 +10,7 @@
 
 // Help is appended to the subcommand's help.
 func (versionCommand) Help() string {
-	return `The version of the module, the revision that it was built from, if the build recorded one, and that of Go.`
+	return `It prints the version of the module, the revision that it was built from, if the build recorded one, and the Go version.`
 }
 
 // run prints the version.
--- a/internal/hotrestart/transport/channel.go
+++ b/internal/hotrestart/transport/channel.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	controlBufferSize  = 256                    // bytes, for the descriptors that one read receives
+	controlBufferSize  = 256                    // bytes, for descriptors that one read receives
 	shortageRetryDelay = 100 * time.Microsecond // delay before a retry while too many descriptors are in flight or memory is short
 )
 
