--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -9,37 +9,37 @@
 	"valvecove/internal/simwire"
 )
 
-// incarnationUnit is the unit of the simulator's clock that incarnations count: no instance starts anew within it.
+// incarnationUnit is the unit in which the simulator's time is used as an incarnation. No instance restarts within one unit.
 const incarnationUnit = time.Millisecond
 
-// adapter holds the instances by their numbers.
+// adapter contains the instances by number.
 type adapter struct {
 	instances map[int]*instance
-	active    []int // numbers with an event in the batch, in the order of the first event; reused
+	active    []int // numbers of instances with an event in the batch, in order of the first event; reused
 }
 
-// instance is a dispatch policy, and its events of the batch.
+// instance is a dispatch policy with its events in the current batch.
 type instance struct {
 	dispatcher *dispatch.Dispatcher // nil: stopped, or not started yet
 	events     []dispatch.Event
-	node       *gossip.Node // its exchanges with other instances
+	node       *gossip.Node // encodes and decodes messages to and from other instances
 }
 
 func newAdapter() *adapter { return &adapter{instances: map[int]*instance{}} }
 
-// process lets each instance with an event in a batch act, and writes its actions. An instance that is stopped or started
-// in the batch loses the events that stand before that.
+// process steps each instance that has an event in the batch, and writes its actions. An instance that is stopped or started in
+// the batch loses the events before that.
 func (a *adapter) process(batch simwire.Batch, writer *simwire.Writer) {
 	a.active = a.active[:0]
 	for _, input := range batch.Inputs {
-		a.accept(batch.Now, input)
+		a.handleInput(batch.Now, input)
 	}
 	for _, number := range a.active {
 		a.instance(number).step(number, batch.Now, writer)
 	}
 }
 
-// instance returns the instance of a number, which is made where there was none.
+// instance returns the instance with a number, and creates it if there is none.
 func (a *adapter) instance(number int) *instance {
 	known := a.instances[number]
 	if known == nil {
@@ -49,8 +49,8 @@
 	return known
 }
 
-// accept handles one input.
-func (a *adapter) accept(now time.Duration, input simwire.Input) {
+// handleInput handles one input of a batch.
+func (a *adapter) handleInput(now time.Duration, input simwire.Input) {
 	target := a.instance(input.Instance)
 	switch message := input.Message.(type) {
 	case simwire.Start:
@@ -70,14 +70,14 @@
 		if target.dispatcher == nil {
 			return
 		}
-		messages, _ := target.node.Receive(now, message.From, message.Payload) // one that is faulty is dropped
+		messages, _ := target.node.Receive(now, message.From, message.Payload) // an invalid datagram is ignored
 		for _, received := range messages {
 			a.addEvent(input.Instance, dispatch.PeerMessageReceived{From: message.From, Message: received})
 		}
 	}
 }
 
-// addEvent has an instance act on an event at the end of the batch, if it runs.
+// addEvent adds an event to the next step of an instance, if that is started.
 func (a *adapter) addEvent(number int, event dispatch.Event) {
 	target := a.instance(number)
 	if target.dispatcher == nil {
@@ -89,8 +89,9 @@
 	target.events = append(target.events, event)
 }
 
-// step lets an instance act on its events. It does nothing if there are none: the instance was stopped, or has acted
-// already where it stands twice among the active ones. A panic is reported in the reply and goes no further.
+// step steps the policy with its events, and writes the actions and datagrams. It does nothing without events: the instance was
+// stopped, or was stepped already, as its number may occur twice in adapter.active. A panic of the policy is reported in the
+// reply.
 func (i *instance) step(number int, now time.Duration, writer *simwire.Writer) {
 	if len(i.events) == 0 || i.dispatcher == nil {
 		return
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Simadapter joins dispatch policies to the simulator: it reads batches of events from standard input and writes the
-// actions that answer each batch to standard output. It hosts any number of instances, which share nothing.
+// Command simadapter connects dispatch policies to the simulator: it reads batches of events from standard input, and writes the
+// actions for each batch to standard output. It runs any number of policy instances, which share no state.
 package main
 
 import (
--- a/cmd/simadapter/peers_test.go
+++ b/cmd/simadapter/peers_test.go
@@ -9,9 +9,9 @@
 	"valvecove/internal/gossip"
 )
 
-// enlistPeer starts one of two instances that may tell each other something.
-func enlistPeer(i int) []string {
-	lines := enlist(i)
+// enlistPeerLines returns the lines that start one of two instances that may send messages to each other.
+func enlistPeerLines(i int) []string {
+	lines := enlistLines(i)
 	lines[0] = strings.NewReplacer(`"bounds":{`, `"bounds":{"peers":true,`, `"zone":0`, fmt.Sprintf(`"zone":0,"me":%d`, i)).Replace(lines[0])
 	return lines
 }
@@ -22,7 +22,8 @@
 	payload  string
 }
 
-func datagramsIn(t *testing.T, reply string) (found []datagram) {
+// parseDatagrams returns the datagrams in a reply.
+func parseDatagrams(t *testing.T, reply string) (found []datagram) {
 	t.Helper()
 	for line := range strings.SplitSeq(reply, "\n") {
 		if !strings.HasPrefix(line, "MEMO_TO ") {
@@ -41,21 +42,22 @@
 	return found
 }
 
-// deliver are the events by which datagrams arrive.
-func deliver(sent []datagram) (lines []string) {
+// deliveryLines returns the event lines with which datagrams are received.
+func deliveryLines(sent []datagram) (lines []string) {
 	for _, one := range sent {
 		lines = append(lines, fmt.Sprintf("PEER_DATA i=%d src=%d payload=%s", one.to, one.from, one.payload))
 	}
 	return lines
 }
 
-// peerTranscript gives two instances jobs, and each batch what the replies before it send. It returns the batches and replies.
+// peerTranscript runs two instances with jobs. events returns the additional lines of a batch, given the datagrams in the
+// previous reply. It returns the batches and the replies.
 func peerTranscript(t *testing.T, events func(n int, sent []datagram) []string) (batches [][]string, all []string) {
 	t.Helper()
-	batches = [][]string{append(enlistPeer(0), enlistPeer(1)...)}
+	batches = [][]string{append(enlistPeerLines(0), enlistPeerLines(1)...)}
 	for n := range 8 {
-		all = replies(t, text(batches))
-		sent := datagramsIn(t, all[len(all)-1])
+		all = runInput(t, encodeBatches(batches))
+		sent := parseDatagrams(t, all[len(all)-1])
 		batch := append(events(n, sent), "WAKEUP i=0 tag=1", "WAKEUP i=1 tag=1")
 		if n < 4 {
 			for i := range 2 {
@@ -64,14 +66,14 @@
 		}
 		batches = append(batches, batch)
 	}
-	return batches, replies(t, text(batches))
+	return batches, runInput(t, encodeBatches(batches))
 }
 
 func TestInstancesExchangeDatagrams(t *testing.T) {
-	_, delivered := peerTranscript(t, func(_ int, sent []datagram) []string { return deliver(sent) })
+	_, delivered := peerTranscript(t, func(_ int, sent []datagram) []string { return deliveryLines(sent) })
 	datagrams := map[int]int{}
 	for _, reply := range delivered {
-		for _, sent := range datagramsIn(t, reply) {
+		for _, sent := range parseDatagrams(t, reply) {
 			datagrams[sent.from]++
 		}
 	}
@@ -81,13 +83,13 @@
 	}
 	_, lost := peerTranscript(t, func(int, []datagram) []string { return nil })
 	if strings.Join(lost, "") == all {
-		t.Error("datagrams change nothing")
+		t.Error("the replies are the same without datagrams")
 	}
 }
 
-// Faulty payloads, and those from no peer, are passed over: the replies are those without them.
-func TestFaultyPayloadsAreIgnored(t *testing.T) {
-	_, want := peerTranscript(t, func(_ int, sent []datagram) []string { return deliver(sent) })
+// Invalid and repeated payloads, and those from an instance that is no peer, don't change the replies.
+func TestInvalidPayloadsAreIgnored(t *testing.T) {
+	_, want := peerTranscript(t, func(_ int, sent []datagram) []string { return deliveryLines(sent) })
 	_, got := peerTranscript(t, func(_ int, sent []datagram) []string {
 		lines := []string{
 			"PEER_DATA i=0 src=1 payload=-",
@@ -97,47 +99,47 @@
 		for _, one := range sent {
 			content, _ := base64.StdEncoding.DecodeString(one.payload)
 			content[len(content)-1] ^= 1
-			torn := base64.StdEncoding.EncodeToString(content)
-			lines = append(lines, fmt.Sprintf("PEER_DATA i=%d src=%d payload=%s", one.to, one.from, torn),
+			corrupted := base64.StdEncoding.EncodeToString(content)
+			lines = append(lines, fmt.Sprintf("PEER_DATA i=%d src=%d payload=%s", one.to, one.from, corrupted),
 				fmt.Sprintf("PEER_DATA i=%d src=%d payload=%s", one.to, one.to, one.payload),
 				fmt.Sprintf("PEER_DATA i=%d src=-1 payload=%s", one.to, one.payload),
 				fmt.Sprintf("PEER_DATA i=%d src=2 payload=%s", one.to, one.payload))
 		}
-		lines = append(lines, deliver(sent)...)
-		return append(lines, deliver(sent)...) // twice
+		lines = append(lines, deliveryLines(sent)...)
+		return append(lines, deliveryLines(sent)...) // each datagram twice
 	})
 	if strings.Join(got, "") != strings.Join(want, "") {
 		t.Errorf("replies\n%s\nexpected\n%s", strings.Join(got, ""), strings.Join(want, ""))
 	}
 }
 
-// An instance that is stopped, or not started yet, receives nothing, and a new one begins without state.
+// An instance that is stopped, or not started yet, ignores datagrams. A new instance with the same number has no earlier state.
 func TestDatagramsToStoppedInstance(t *testing.T) {
 	batches, all := peerTranscript(t, func(_ int, sent []datagram) []string {
-		return append(deliver(sent), "PEER_DATA i=7 src=0 payload=aGkgNw==")
+		return append(deliveryLines(sent), "PEER_DATA i=7 src=0 payload=aGkgNw==")
 	})
 	var last []datagram
 	for _, reply := range all {
-		if sent := datagramsIn(t, reply); len(sent) > 0 {
+		if sent := parseDatagrams(t, reply); len(sent) > 0 {
 			last = sent
 		}
 	}
-	batches = append(batches, append([]string{"DETACH i=0", "DETACH i=1"}, deliver(last)...))
-	batches = append(batches, append(enlistPeer(0), deliver(last)...))
-	got := replies(t, text(batches))
-	stopped, anew := got[len(got)-2], got[len(got)-1]
-	if strings.TrimSuffix(stopped, "NEXT\n") != "" || strings.Contains(anew, "INTERNAL_ERROR") {
-		t.Errorf("stopped: %q, anew: %q", stopped, anew)
+	batches = append(batches, append([]string{"DETACH i=0", "DETACH i=1"}, deliveryLines(last)...))
+	batches = append(batches, append(enlistPeerLines(0), deliveryLines(last)...))
+	got := runInput(t, encodeBatches(batches))
+	stopped, restarted := got[len(got)-2], got[len(got)-1]
+	if strings.TrimSuffix(stopped, "NEXT\n") != "" || strings.Contains(restarted, "INTERNAL_ERROR") {
+		t.Errorf("stopped: %q, restarted: %q", stopped, restarted)
 	}
 }
 
-// Where the settings don't allow it, nothing is sent, whatever arrives.
+// If the settings don't allow messages between instances, none is sent, even if datagrams are received.
 func TestNoDatagramsUnlessAllowed(t *testing.T) {
 	batches := transcript(0, 1)
 	for n := range batches[1:] {
 		batches[n+1] = append(batches[n+1], "PEER_DATA i=0 src=1 payload=aGkgNw==")
 	}
-	if all := strings.Join(replies(t, text(batches)), ""); strings.Contains(all, "MEMO_TO") || !strings.Contains(all, "FORWARD") {
+	if all := strings.Join(runInput(t, encodeBatches(batches)), ""); strings.Contains(all, "MEMO_TO") || !strings.Contains(all, "FORWARD") {
 		t.Error(all)
 	}
 }
