--- a/internal/hotrestart/cordon_store.go
+++ b/internal/hotrestart/cordon_store.go
@@ -56,7 +56,7 @@
 	newest           []string // the IDs that were saved last
 	unsaved          bool     // newest is not stored
 	changed          bool     // newest was set after the write in progress began
-	unsavedFrom      time.Duration
+	unsavedSince     time.Duration
 	retryDelay       time.Duration // delay after the next failure
 	retryPending     bool          // After was called for the next write
 	fenced           bool          // another process owns the file
@@ -86,7 +86,7 @@
 
 // State returns whether the IDs that were saved last are on the disk.
 func (c *CordonStore) State() CordonStoreState {
-	return CordonStoreState{Stored: !c.unsaved, UnsavedFrom: c.unsavedFrom, LastError: c.lastError}
+	return CordonStoreState{Stored: !c.unsaved, UnsavedFrom: c.unsavedSince, LastError: c.lastError}
 }
 
 // IsWriting reports whether a write is in progress.
@@ -117,7 +117,7 @@
 // setNewest replaces the IDs to write.
 func (c *CordonStore) setNewest(workerIDs []string) {
 	if !c.unsaved {
-		c.unsavedFrom = c.config.Now()
+		c.unsavedSince = c.config.Now()
 	}
 	c.newest = workerIDs
 	c.unsaved = true
@@ -164,7 +164,7 @@
 	c.lastError = err
 	if err == nil {
 		c.unsaved = c.changed
-		c.unsavedFrom = c.writeStartedAt
+		c.unsavedSince = c.writeStartedAt
 		c.retryDelay = minWriteRetryDelay
 	}
 	if hadFailed != (err != nil) {
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -95,8 +95,8 @@
 	return fmt.Sprintf("%d frames received, %d announced", m.Received, m.Announced)
 }
 
-// Successor is the state machine of the process that takes over. The zero value is in SuccessorJoining, and must be used once the
-// handshake is sent.
+// Successor is the state machine of the process that takes over. The zero value is in SuccessorJoining, the state after the
+// handshake was sent.
 //
 // It decides whether this process owns the state. Until the transfer is complete, the successor owns nothing: an incomplete
 // transfer is discarded, as the predecessor still owns the state, or has ended.
--- a/internal/hotrestart/transport/predecessor.go
+++ b/internal/hotrestart/transport/predecessor.go
@@ -205,7 +205,7 @@
 // would be acted on twice.
 //
 // It returns ErrNoSuccessor if none is in standby, and ErrNotSettled if the policy has not received all events, an attempt has no
-// connection yet or the file of cordoned workers is being written. After any error this process still owns the state.
+// connection yet or the file of cordoned workers is being written. After any other error this process still owns the state.
 func (r *Roles) Relinquish() error {
 	role := r.predecessor
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
--- a/internal/scheduler/client_presence_test.go
+++ b/internal/scheduler/client_presence_test.go
@@ -19,15 +19,15 @@
 // the last clock reading, no attempt is written for the client after the process resumes, neither on an idle connection nor on
 // one that was just established.
 func TestNoAttemptIfClientClosesDuringSuspension(t *testing.T) {
-	for _, isUp := range []bool{false, true} {
+	for _, isIdle := range []bool{false, true} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).Close, "reset": (*peer).Reset} {
-			t.Run(fmt.Sprintf("idle connection %v, %s", isUp, how), func(t *testing.T) {
-				write, began := writeAttempt(t, isUp, 0, leave)
+			t.Run(fmt.Sprintf("idle connection %v, %s", isIdle, how), func(t *testing.T) {
+				write, began := writeAttempt(t, isIdle, 0, leave)
 				if write < 6 || !began {
 					t.Fatalf("%d clock readings and system calls up to the write, attempt begun %v", write, began)
 				}
 				for nth := 1; nth < write-1; nth++ { // a suspension after the last clock reading can't be detected
-					if _, began := writeAttempt(t, isUp, nth, leave); began {
+					if _, began := writeAttempt(t, isIdle, nth, leave); began {
 						t.Errorf("closed and suspended for %v at point %d of %d: an attempt began", maxSuspension, nth, write)
 					}
 				}
@@ -39,11 +39,11 @@
 // writeAttempt makes the scheduler write an attempt, and counts the clock readings and system calls meanwhile. It returns which
 // of them was the write, and whether the worker received any byte. At the nth, the client closes its connection and the process
 // is suspended; nth 0: neither happens.
-func writeAttempt(t *testing.T, isUp bool, nth int, leave func(*peer)) (write int, began bool) {
+func writeAttempt(t *testing.T, isIdle bool, nth int, leave func(*peer)) (write int, began bool) {
 	t.Helper()
 	h := newHarness(&modeltest.Steps{T: t})
 	h.listen()
-	p, remote := h.prepareAttempt(isUp)
+	p, remote := h.prepareAttempt(isIdle)
 	points := 0
 	passPoint := func() {
 		if points++; points == nth {
@@ -71,10 +71,10 @@
 }
 
 // prepareAttempt returns a client and the remote end of a worker connection, to which the next iteration writes an attempt of the
-// client's request. The connection is idle before if isUp is set, and is established in that iteration otherwise.
-func (h *harness) prepareAttempt(isUp bool) (client, worker *peer) {
+// client's request. The connection is idle before if isIdle is set, and is established in that iteration otherwise.
+func (h *harness) prepareAttempt(isIdle bool) (client, worker *peer) {
 	job := uint64(1)
-	if isUp {
+	if isIdle {
 		h.openIdleConnection()
 		job++
 	}
@@ -84,7 +84,7 @@
 	links := h.delayConnections()
 	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: job, Worker: h.workerNumber()})
 	h.scheduler.Requests.Wake()
-	if !isUp {
+	if !isIdle {
 		h.runIterations()
 		(*links)[0].release()
 	}
@@ -150,7 +150,7 @@
 	h.now += probeResponseTime
 	h.runIterations()
 	if h.dialed[0].Read(1 << 12); len(h.dialed[0].Received) == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no attempt was sent")
 	}
 	worker := h.connectClient()
 	worker.Write(callbackRequest("1"))
--- a/internal/scheduler/clients_test.go
+++ b/internal/scheduler/clients_test.go
@@ -16,7 +16,7 @@
 const readinessRequest = "GET /up HTTP/1.1\r\n\r\n"
 
 // A draining scheduler continues to serve the connections that clients have. Close ends idle connections, responds to the
-// requests in flight, whose connections end then, and admits no other. IsQuiet reports when all responses are sent.
+// requests in flight, whose connections end then, and admits no other. IsIdle reports when all responses are sent.
 // FinishRequestsSince responds to the requests that arrived within a span and are still open; those that arrived earlier stay
 // open.
 func TestDrain(t *testing.T) {
@@ -53,20 +53,20 @@
 	late := connect(requestOfSize(3, 5))
 	h.scheduler.Close()
 	h.runIterations()
-	if idle.Read(1); !idle.Ended || h.scheduler.IsQuiet() {
-		t.Errorf("idle connection ended %v, quiet %v", idle.Ended, h.scheduler.IsQuiet())
+	if idle.Read(1); !idle.Ended || h.scheduler.IsIdle() {
+		t.Errorf("idle connection ended %v, scheduler idle %v", idle.Ended, h.scheduler.IsIdle())
 	}
 	answered(connect(requestOfSize(4, 5)), 503, true)
 	h.scheduler.FinishRequestsSince(time.Second / 2)
 	h.runIterations()
 	answered(late, 503, true)
-	if early.Read(1); len(early.Received) > 0 || h.scheduler.IsQuiet() {
-		t.Errorf("a request before the span was answered %q, quiet %v", early.Received, h.scheduler.IsQuiet())
+	if early.Read(1); len(early.Received) > 0 || h.scheduler.IsIdle() {
+		t.Errorf("a request before the span was answered %q, scheduler idle %v", early.Received, h.scheduler.IsIdle())
 	}
 	h.scheduler.FinishRequestsSince(2 * time.Second)
 	h.runIterations()
-	if answered(early, 503, true); !h.scheduler.IsQuiet() {
-		t.Error("not quiet after all responses")
+	if answered(early, 503, true); !h.scheduler.IsIdle() {
+		t.Error("the scheduler is not idle after all responses")
 	}
 }
 
@@ -117,17 +117,17 @@
 	p := h.connectClient()
 	h.runIterations()
 	h.writeAll(p, []byte(requestOfSize(1, size)))
-	h.runUntilQuiet()
+	h.runUntilNoEvents()
 	workers := h.policy.Received[1].(dispatch.WorkerList).Workers
 	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
 	h.scheduler.Requests.Wake()
 	h.runOnce()
 	if len(h.dialed) != 1 {
-		h.T.Fatal("not sent")
+		h.T.Fatal("no attempt was sent")
 	}
 	remote := h.dialed[0]
 	if stage != "connecting" {
-		h.runUntilQuiet()
+		h.runUntilNoEvents()
 	}
 	if remote.Read(1 << 10); stage == "accepted" {
 		remote.Write([]byte(acceptedResponse))
@@ -136,7 +136,7 @@
 	leave(p)
 	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
 	h.scheduler.Requests.Wake()
-	h.runUntilQuiet()
+	h.runUntilNoEvents()
 	remote.Read(1 << 20)
 	var m http1.Request
 	_, err := m.Parse(remote.Received)
--- a/internal/scheduler/descriptors_test.go
+++ b/internal/scheduler/descriptors_test.go
@@ -33,6 +33,6 @@
 	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: 1, Worker: h.workerNumber()})
 	h.scheduler.Requests.Wake()
 	if h.runOnce(); !dialed {
-		t.Error("nothing was sent")
+		t.Error("no attempt was sent")
 	}
 }
--- a/internal/scheduler/drain_test.go
+++ b/internal/scheduler/drain_test.go
@@ -60,8 +60,8 @@
 	}
 	worker.Write([]byte(requestOfSize(9, 0))) // a client's request is rejected on the same connection
 	h.runIterations()
-	if got := worker.statuses(t); got[len(got)-1] != 503 || !h.scheduler.IsQuiet() {
-		t.Errorf("answered %v, quiet %v", got, h.scheduler.IsQuiet())
+	if got := worker.statuses(t); got[len(got)-1] != 503 || !h.scheduler.IsIdle() {
+		t.Errorf("answered %v, scheduler idle %v", got, h.scheduler.IsIdle())
 	}
 }
 
@@ -81,13 +81,13 @@
 	h.now += time.Second
 	h.scheduler.RejectQueued()
 	h.runIterations()
-	if got := queued.statuses(t); len(got) != 1 || got[0] != 503 || len(sent.statuses(t)) != 0 || h.scheduler.IsQuiet() {
-		t.Errorf("queued request answered %v, sent request %v, quiet %v", got, sent.statuses(t), h.scheduler.IsQuiet())
+	if got := queued.statuses(t); len(got) != 1 || got[0] != 503 || len(sent.statuses(t)) != 0 || h.scheduler.IsIdle() {
+		t.Errorf("queued request answered %v, sent request %v, scheduler idle %v", got, sent.statuses(t), h.scheduler.IsIdle())
 	}
 	h.scheduler.FinishAllRequests()
 	h.runIterations()
-	if got := sent.statuses(t); len(got) != 1 || got[0] != 500 || !sent.Ended || !h.scheduler.IsQuiet() {
-		t.Errorf("sent request answered %v, connection ended %v, quiet %v", got, sent.Ended, h.scheduler.IsQuiet())
+	if got := sent.statuses(t); len(got) != 1 || got[0] != 500 || !sent.Ended || !h.scheduler.IsIdle() {
+		t.Errorf("sent request answered %v, connection ended %v, scheduler idle %v", got, sent.Ended, h.scheduler.IsIdle())
 	}
 	worker := h.connectClient()
 	worker.Write(callbackRequest("1"))
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -130,9 +130,9 @@
 }
 
 // listenForClients makes the scheduler accept clients. Faults at its start are covered by other tests.
-func (s *systemFaults) listenForClients(loop *Scheduler) {
+func (s *systemFaults) listenForClients(scheduler *Scheduler) {
 	socket := s.listen(s.clients)
-	for eventloop.ClassOf(loop.clients.AddSocket(socket)).IsMomentary() {
+	for eventloop.ClassOf(scheduler.clients.AddSocket(socket)).IsMomentary() {
 		s.now += time.Millisecond
 	}
 	s.T.Cleanup(func() { _ = unix.Close(s.workerListener) })
@@ -204,7 +204,7 @@
 		s.now += time.Millisecond
 		s.runUntilSettled()
 	}
-	s.Check(s.scheduler.IsQuiet(), "responses are not sent")
+	s.Check(s.scheduler.IsIdle(), "responses are not sent")
 }
 
 // stallAllowance returns the additional delay that faults may cause.
--- a/internal/scheduler/harness_tcp_test.go
+++ b/internal/scheduler/harness_tcp_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// runUntilQuiet runs the loop until no descriptor has events.
-func (h *harness) runUntilQuiet() {
+// runUntilNoEvents runs the loop until no descriptor has events.
+func (h *harness) runUntilNoEvents() {
 	for range 10_000 {
 		h.runOnce()
 		if h.readyDescriptors() == 0 {
--- a/internal/scheduler/hotrestart.go
+++ b/internal/scheduler/hotrestart.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// OnSuccessor sets what is called when a successor has entered standby.
+// OnSuccessor sets the function that is called when a successor has entered standby.
 func (s *Scheduler) OnSuccessor(act func()) { s.onSuccessor = act }
 
 // Relinquish transfers all state to the successor in standby; see transport.Roles.
@@ -61,7 +61,7 @@
 	return t.scheduler.Requests.FlushEvents(t.scheduler.Now()) && !t.scheduler.workers.HasWaitingDials()
 }
 
-// Snapshot returns the state.
+// Snapshot returns the current state in the form in which it is transferred.
 func (t transferState) Snapshot() transport.Snapshot {
 	snapshot := transport.Snapshot{Policy: t.scheduler.dispatcher.Snapshot(nil)}
 	table, openRequests := t.scheduler.Requests.Snapshot()
@@ -99,7 +99,7 @@
 	for _, connection := range received.WorkerConnections {
 		scheduler.workers.Restore(connection)
 	}
-	scheduler.Requests.WatchEndpoints() // the restored policy relies on it
+	scheduler.Requests.WatchEndpoints() // the restored policy relies on an open watch
 	clients.HandleInput()
 }
 
--- a/internal/scheduler/lifecycle.go
+++ b/internal/scheduler/lifecycle.go
@@ -7,14 +7,14 @@
 	"valvecove/internal/config"
 )
 
-// OnFail sets what is called when the process can't continue.
+// OnFail sets the function that is called when the process can't continue.
 func (s *Scheduler) OnFail(act func(error)) { s.onFail = act }
 
-// OnWake sets what is called in the iteration after a call of Wake.
+// OnWake sets the function that is called in the iteration after a call of Wake.
 func (s *Scheduler) OnWake(act func()) { s.onWake = act }
 
-// OnShareLimits sets what is called when the process starts or stops using only half of its limits because another process runs
-// beside it. It is called immediately with the current state.
+// OnShareLimits sets the function that is called when the process starts or stops using only half of its limits because another
+// process runs beside it. It is called immediately with the current state.
 func (s *Scheduler) OnShareLimits(act func(half bool)) {
 	s.onShareLimits = act
 	act(s.budget.IsHalved())
@@ -56,8 +56,8 @@
 	}
 }
 
-// IsQuiet reports whether every request has its response, and every response has been sent.
-func (s *Scheduler) IsQuiet() bool {
+// IsIdle reports whether every request has its response, and every response has been sent.
+func (s *Scheduler) IsIdle() bool {
 	return (s.hasRelinquished() || s.Requests.OpenCount() == 0) && s.clients.HasSentAll()
 }
 
--- a/internal/scheduler/open.go
+++ b/internal/scheduler/open.go
@@ -17,19 +17,20 @@
 	"valvecove/internal/metrics"
 )
 
-// watchSeed separates the random backoffs of the watch from the other random numbers of a scheduler's seed.
+// watchSeed is the second seed of the random numbers for the backoff of the watch. It makes them independent of the other random
+// numbers that are drawn from the configured seed.
 const watchSeed = 0x66726573
 
-// Open returns a scheduler that listens and is ready to run, with the enabled features. metricTargets are targets of metrics
-// besides a collector. An error contains the configuration key that it concerns. Steps that fail temporarily are retried until
-// stop is closed; then the error is ErrStopped.
+// Open returns a scheduler that listens and is ready to run, with the enabled features. metricTargets receive the metrics, in
+// addition to a configured collector. An error contains the configuration key that it concerns. Steps that fail temporarily are
+// retried until stop is closed; then the error is ErrStopped.
 func Open(
 	stop <-chan struct{}, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target,
 ) (*Scheduler, error) {
 	return open(stop, eventloop.Syscalls{}, conf, ops, log, metricTargets...)
 }
 
-// open is Open with the given system calls.
+// open does what Open does, with the given system calls.
 func open(
 	stop <-chan struct{}, syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target,
 ) (*Scheduler, error) {
@@ -75,7 +76,7 @@
 	if err := s.openFeatures(conf, ops, metricTargets); err != nil {
 		return err
 	}
-	s.UpdateNow() // a start may take a while
+	s.UpdateNow() // retries may have taken some time
 	s.startWatch(len(conf.KnownEndpoints.Endpoints) > 0)
 	return nil
 }
--- a/internal/scheduler/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -195,18 +195,18 @@
 		ops  config.Ops
 		want bool
 	}{{config.Ops{}, false}, {config.Ops{Gossip: &config.Gossip{Budget: 0.02}}, true}} {
-		loop, err := Open(nil, conf, test.ops, logging.NewFactory(config.Log{}, "n0", io.Discard))
+		scheduler, err := Open(nil, conf, test.ops, logging.NewFactory(config.Log{}, "n0", io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
-		isOpen := loop.peers != nil && loop.peers.IsOpen()
-		if isOpen != test.want || (loop.Requests.SendPeerMessage != nil) != test.want {
+		isOpen := scheduler.peers != nil && scheduler.peers.IsOpen()
+		if isOpen != test.want || (scheduler.Requests.SendPeerMessage != nil) != test.want {
 			t.Errorf("section %v: open %v", test.ops.Gossip, isOpen)
 		}
 		if features := limits.SharesOf(conf, test.ops).FeatureDescriptors; (features == 1) != test.want {
 			t.Errorf("section %v: %d descriptors", test.ops.Gossip, features)
 		}
-		loop.CloseDescriptors()
+		scheduler.CloseDescriptors()
 	}
 }
 
--- a/internal/scheduler/replaced_test.go
+++ b/internal/scheduler/replaced_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// A replaced process keeps no connection that its successor owns. It becomes quiet, without waiting for idle connections to
+// A replaced process keeps no connection that its successor owns. It becomes idle, without waiting for idle connections to
 // workers or of clients, or closing them a second time.
 func TestReplacedProcessKeepsNoConnection(t *testing.T) {
 	dir := t.TempDir()
@@ -35,8 +35,8 @@
 		predecessor.now += time.Second
 		predecessor.runIterations()
 	}
-	if !process.IsQuiet() || process.watch.IsOpen() {
-		t.Errorf("quiet %v, watch open %v", process.IsQuiet(), process.watch.IsOpen())
+	if !process.IsIdle() || process.watch.IsOpen() {
+		t.Errorf("scheduler idle %v, watch open %v", process.IsIdle(), process.watch.IsOpen())
 	}
 }
 
--- a/internal/scheduler/startup.go
+++ b/internal/scheduler/startup.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// retryTimeout returns until how long after the start a call that failed with err is retried.
+// retryTimeout returns the time after the start until which a call that failed with err is retried.
 func retryTimeout(err error) time.Duration {
 	class := eventloop.ClassOf(err)
 	switch {
--- a/internal/scheduler/startup_test.go
+++ b/internal/scheduler/startup_test.go
@@ -54,15 +54,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				before := time.Now()
-				loop, err := openWithFaults(t, faultinjection.Rule{
+				scheduler, err := openWithFaults(t, faultinjection.Rule{
 					Calls: calls, Until: 2 * time.Second, Errnos: []unix.Errno{unix.ENOMEM, unix.ENFILE, unix.ENOBUFS, unix.EMFILE, unix.EINTR},
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer loop.CloseDescriptors()
-				if took := time.Since(before); !loop.Addr().IsValid() || took < 2*time.Second || took > 2*time.Second+2*maxStartBackoff {
-					t.Errorf("listens at %v, %v after the start", loop.Addr(), took)
+				defer scheduler.CloseDescriptors()
+				if took := time.Since(before); !scheduler.Addr().IsValid() || took < 2*time.Second || took > 2*time.Second+2*maxStartBackoff {
+					t.Errorf("listens at %v, %v after the start", scheduler.Addr(), took)
 				}
 			})
 		})
@@ -138,7 +138,7 @@
 		t.Errorf("%d calls failed; the successor listens at %v, expected %v", injector.TotalInjected(), successor.scheduler.Addr(), address)
 	}
 	successor.connectClient()
-	if successor.runUntilQuiet(); successor.scheduler.clients.ConnectionCount() != 1 {
+	if successor.runUntilNoEvents(); successor.scheduler.clients.ConnectionCount() != 1 {
 		t.Error("a client is not accepted")
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -157,7 +157,7 @@
 
 // hasEnded reports whether the event loop must end.
 func (s *server) hasEnded() bool {
-	return s.state == finished && s.scheduler.IsQuiet() || s.failure != nil
+	return s.state == finished && s.scheduler.IsIdle() || s.failure != nil
 }
 
 // shareMemory sets the memory limit, which is half of the configured one while another process shares the memory.
