--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -16,7 +16,7 @@
 // runServeVariable is an environment variable that makes the test binary run serve instead of the tests.
 const runServeVariable = "VALVECOVE_SERVES"
 
-// TestMain runs the test binary as a scheduler process if serveVariable is set.
+// TestMain runs the test binary as a scheduler process if runServeVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(runServeVariable) != "" {
 		os.Exit(execute([]string{"serve"}, os.Getenv, os.Stdout, os.Stderr))
--- a/internal/hotrestart/transport/channel.go
+++ b/internal/hotrestart/transport/channel.go
@@ -12,7 +12,7 @@
 
 const (
 	controlBufferSize  = 256                    // bytes, for descriptors that one read receives
-	shortageRetryDelay = 100 * time.Microsecond // delay before a retry while too many descriptors are in flight or memory is short
+	shortageRetryDelay = 100 * time.Microsecond // before a retry, while too many descriptors are in flight or memory is short
 )
 
 // Errors of a channel.
