--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -1,17 +1,18 @@
-// Package aperture assigns a subset of a large fleet to one scheduler by deterministic subsetting, so that with many schedulers and
-// thousands of workers not every scheduler is connected to every worker.
+// Package aperture limits one scheduler to a subset of a large fleet by deterministic subsetting, so that with many schedulers
+// and thousands of workers, not every scheduler is connected to every worker.
 //
-// It selects the subset and its size, and detects unresponsive workers. An Aperture is a policy between the request table and the
-// dispatch policy: it receives events and returns actions. It does no I/O, reads no clock, uses no random numbers and never
-// decides about a job. The policy behind it receives an endpoint list with the workers of the subset only.
+// It chooses the size and the workers of the subset, and detects unresponsive workers. An Aperture is a policy between the
+// request table and the dispatch policy: it receives events and returns actions. It does no I/O, reads no clock, uses no random
+// numbers and never decides about a job. The endpoint list that it passes to the dispatch policy contains only the workers of the
+// subset.
 //
-// Schedulers need no messages to agree on their subsets, which depend on the endpoint list, the number of schedulers and the
-// index of the scheduler only. docs/design/aperture.md describes the selection and the reasons for it.
+// Schedulers exchange no messages to agree on their subsets: a subset depends only on the endpoint list, the number of schedulers
+// and the scheduler's index. docs/design/aperture.md describes the selection and the reasons for it.
 //
-// The policy receives a worker in the subset as discovery lists it. A worker that is removed from the subset is reported as not
-// ready, and as removed once no attempt of this scheduler is in flight there. Other workers are not reported. For each list
-// update of discovery the policy receives one of the same kind, which may be empty. Jobs, outcomes and actions are passed on
-// unchanged, except for timers: the earlier one of the policy's and the aperture's is set.
+// The policy receives the workers of the subset with the status that discovery lists. A worker that is removed from the subset is
+// reported as not ready, and as removed once this scheduler has no attempt in flight there. Other workers are not reported. For
+// each list update from discovery, the policy receives an update of the same kind, which may be empty. Jobs, outcomes and actions
+// are passed on unchanged, except for timers: only the earlier of the policy's timer and the aperture's timer is set.
 package aperture
 
 import (
@@ -21,7 +22,7 @@
 )
 
 const (
-	evaluationInterval = 250 * time.Millisecond // interval at which load and responses are evaluated, and workers released
+	evaluationInterval = 250 * time.Millisecond // interval at which load and responses are evaluated and units are released
 	refreshInterval    = 50 * time.Millisecond  // minimum interval between two selections of the subset
 )
 
@@ -30,49 +31,49 @@
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
-// Aperture passes events to a policy that concern its subset of the fleet. It is not safe for concurrent use.
+// Aperture restricts a policy to a subset of the fleet. It is not safe for concurrent use.
 type Aperture struct {
-	policy   Policy
-	config   Config
-	notifies bool // workers send a callback at the start of a job
-	now      time.Duration
-	fleet    fleet
-	load     loadMonitor
-	widening widening
-
-	awaitingList  bool              // no list was received since discovery failed or the policy has subscribed
-	allSelected   bool              // every ready worker is desired
-	refreshedAt   time.Duration     // of the last selection of the subset
-	evaluateAt    time.Duration     // of the next evaluation
-	timerAt       time.Duration     // the timer that is set; 0: none
-	policyTimerAt time.Duration     // the policy's timer; 0: none
-	events        []dispatch.Event  // events of a step for the policy
-	updates       []dispatch.Worker // changes of the subset that were not passed to the policy yet
-	deselected    []uint64          // workers that were removed from the policy's list in this step
+	policy             Policy
+	config             Config
+	startNotifications bool // workers send a callback at the start of a job
+	now                time.Duration
+	fleet              fleet
+	load               loadMonitor
+	widening           widening
+
+	awaitingList  bool              // no list has been received since discovery failed or the policy subscribed
+	allSelected   bool              // all units with a ready worker are desired
+	refreshedAt   time.Duration     // time of the last selection of the subset
+	evaluateAt    time.Duration     // time of the next evaluation
+	timerAt       time.Duration     // time at which the current timer fires; 0: no timer is set
+	policyTimerAt time.Duration     // time at which the policy's timer is due; 0: none
+	events        []dispatch.Event  // buffer for the events that a step passes to the policy
+	updates       []dispatch.Worker // statuses that have changed and were not passed to the policy yet
+	deselected    []uint64          // IDs of listed workers that were removed from the policy's list in this step
 	log           sizeLog
 }
 
-// New returns an aperture in front of a policy that has no workers. Both must have the same settings.
+// New returns an Aperture in front of a policy, which must have the same settings and no workers yet.
 func New(policy Policy, settings dispatch.Settings, config Config) *Aperture {
 	config.Coverage = max(ringCount, config.Coverage)
 	return &Aperture{
-		policy:       policy,
-		config:       config,
-		notifies:     settings.StartNotifications,
-		fleet:        newFleet(settings),
-		load:         newLoadMonitor(settings),
-		widening:     widening{factor: 1, retentions: 1},
-		awaitingList: true,
-		refreshedAt:  -refreshInterval,
+		policy:             policy,
+		config:             config,
+		startNotifications: settings.StartNotifications,
+		fleet:              newFleet(settings),
+		load:               newLoadMonitor(settings),
+		widening:           widening{factor: 1, waitMultiple: 1},
+		awaitingList:       true,
+		refreshedAt:        -refreshInterval,
 	}
 }
 
-// SetSchedulers changes the number of schedulers, and the index of this one among them, from 0. It takes effect with the next
-// step, for the subset and for the schedulers that may send to a worker during its slow start. The fewest workers change their
-// subset if a new scheduler gets the next index, and if the last scheduler gets the index of one that is removed.
+// SetSchedulers changes the number of schedulers and this scheduler's index, which starts from 0. It takes effect at
+// the next step, for the subset and for the schedulers that may send to a worker during its slow start. The fewest workers move
+// between subsets if an added scheduler gets the next unused index, and if the last scheduler gets the index of a removed one.
 func (a *Aperture) SetSchedulers(index, count int) { a.fleet.setReplica(newReplica(index, count)) }
 
-// Step passes the visible events to the policy, and appends the policy's actions and the aperture's own to dst.
+// Step passes the events that concern the subset to the policy, and appends the actions of the policy and of the aperture to dst.
 func (a *Aperture) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	a.now = max(now, a.now)
 	visible := a.observeEvents(events)
@@ -95,7 +96,7 @@
 	return a.appendTimer(dst)
 }
 
-// observeEvents handles the events of a step, and returns those for the policy.
+// observeEvents handles the events of a step, and returns the events to pass to the policy.
 func (a *Aperture) observeEvents(events []dispatch.Event) []dispatch.Event {
 	policyTimerDue := a.policyTimerAt > 0 && a.policyTimerAt <= a.now
 	if policyTimerDue {
@@ -107,7 +108,7 @@
 	visible := a.events[:0]
 	for _, event := range events {
 		if _, fired := event.(dispatch.TimerFired); fired {
-			if !policyTimerDue { // it was the aperture's timer
+			if !policyTimerDue { // the timer was set for the aperture only
 				continue
 			}
 			policyTimerDue = false
@@ -117,11 +118,11 @@
 	return visible
 }
 
-// observeEvent handles one event, and appends the events for the policy that result from it.
+// observeEvent handles one event, and appends the resulting events for the policy to visible.
 func (a *Aperture) observeEvent(event dispatch.Event, visible []dispatch.Event) []dispatch.Event {
 	switch typed := event.(type) {
 	case dispatch.WorkerList:
-		visible = a.appendOwnUpdate(visible) // earlier changes first
+		visible = a.appendOwnUpdate(visible) // changes of the subset that precede the list
 		event = a.applyList(typed)
 	case dispatch.Job:
 		a.load.jobArrived(typed, a.now)
@@ -140,15 +141,15 @@
 	case dispatch.ReplicasChanged:
 		a.SetSchedulers(typed.ReplicaIndex, typed.Replicas)
 	case dispatch.JobResumed:
-		hidden := a.jobResumed(typed)
+		outside := a.jobResumed(typed)
 		visible = a.appendOwnUpdate(visible)
-		a.reportWorkers(hidden) // hidden again, after the job
+		a.reportWorkers(outside) // with their status outside of the subset, which the policy receives after the job
 	}
 	return append(visible, event)
 }
 
-// observeActions handles the policy's actions, which are those of dst from first on. It removes the policy's timers; see
-// appendTimer.
+// observeActions handles the policy's actions, dst[first:]. It removes the policy's timers from them, as appendTimer sets one
+// timer for the policy and the aperture.
 func (a *Aperture) observeActions(dst []dispatch.Action, first int) []dispatch.Action {
 	kept := dst[:first]
 	for _, action := range dst[first:] {
@@ -178,8 +179,8 @@
 	return kept
 }
 
-// appendConnectionCloses closes the idle connections to workers that were removed from the subset. A worker may be in use again
-// in the same step, because it was selected again or an attempt there was resumed.
+// appendConnectionCloses closes the idle connections to workers that were removed from the policy's list in this step. A worker
+// that is in use again, because it was selected again or an attempt there was resumed, keeps them.
 func (a *Aperture) appendConnectionCloses(dst []dispatch.Action) []dispatch.Action {
 	for _, id := range a.deselected {
 		worker := a.fleet.workers[id]
@@ -192,7 +193,7 @@
 	return dst
 }
 
-// appendTimer sets a timer for the next step that the policy or the aperture needs.
+// appendTimer sets a timer for the next time at which the policy or the aperture needs a step.
 func (a *Aperture) appendTimer(dst []dispatch.Action) []dispatch.Action {
 	next := a.evaluateAt
 	if a.fleet.needsRefresh {
@@ -208,15 +209,15 @@
 	return dst
 }
 
-// evaluate evaluates load and responses, and releases the units that have not been desired for the retention time.
+// evaluate evaluates load and responses, and releases the units that have not been desired for Config.Retention.
 func (a *Aperture) evaluate() {
-	// If this process was not running in time, late responses are not the workers' fault: all have the full time again.
-	late := a.evaluateAt > 0 && a.now-a.evaluateAt >= evaluationInterval
+	// If this process was stalled, late responses are not the workers' fault: every worker gets the full timeout again.
+	stalled := a.evaluateAt > 0 && a.now-a.evaluateAt >= evaluationInterval
 	a.evaluateAt = a.now + evaluationInterval
-	a.fleet.checkResponses(a.now, late)
-	a.load.expireJobs(a.now, late)
+	a.fleet.checkResponses(a.now, stalled)
+	a.load.expireJobs(a.now, stalled)
 	a.adjustWidening()
-	if a.fleet.needsRefresh { // a unit that is desired again is not released
+	if a.fleet.needsRefresh { // before the release below: units that become desired again stay
 		a.refresh()
 	}
 	for _, u := range a.fleet.units {
@@ -239,10 +240,10 @@
 	switch a.widening.adjust(a.now, delayed, a.allSelected, &a.config) {
 	case widened:
 		a.fleet.needsRefresh = true
-		a.log.reason = "wider, as jobs find no room in time"
+		a.log.reason = "widened because jobs were delayed"
 	case narrowed:
 		a.fleet.needsRefresh = true
-		a.log.reason = "narrower, as jobs find room"
+		a.log.reason = "narrowed after a period of low load"
 	case unchanged:
 	}
 }
--- a/internal/aperture/attempts.go
+++ b/internal/aperture/attempts.go
@@ -2,34 +2,35 @@
 
 import "valvecove/dispatch"
 
-// attemptStarted handles the start of an attempt. The first attempt ends the wait of its job.
+// attemptStarted handles the start of an attempt. A job's wait ends with its first attempt.
 func (a *Aperture) attemptStarted(send dispatch.Send) {
 	if worker := a.fleet.workers[send.Worker]; worker != nil {
 		worker.inFlight++
-		if a.notifies {
+		if a.startNotifications {
 			a.fleet.expectResponse(worker, a.now)
 		}
 	}
 	a.load.jobSent(send.Job, a.now)
 }
 
-// jobResumed handles a job with attempts at workers that may be outside of the subset. The policy must have received the cells
-// and zones of all of them before the job. Those outside of the subset are returned, and must be reported again after the job.
-func (a *Aperture) jobResumed(resumed dispatch.JobResumed) (hidden []*worker) {
+// jobResumed handles a resumed job, whose attempts may be at workers outside of the subset. The policy must receive the cells and
+// zones of all these workers before the job, so those that are not in its list are added to the updates. They are returned, and
+// must be reported again after the job.
+func (a *Aperture) jobResumed(resumed dispatch.JobResumed) (outside []*worker) {
 	for _, attempt := range resumed.Attempts {
 		if attempt.Ended && a.fleet.workers[attempt.Worker] == nil {
 			continue
 		}
-		worker := a.fleet.worker(attempt.Worker)
+		worker := a.fleet.findOrAddWorker(attempt.Worker)
 		if !attempt.Ended {
 			worker.inFlight++
 		}
 		if worker.unit != nil && !worker.reported {
 			a.updates = append(a.updates, worker.report(false))
-			hidden = append(hidden, worker)
+			outside = append(outside, worker)
 		}
 	}
-	return hidden
+	return outside
 }
 
 // attemptEnded handles the end of an attempt.
@@ -42,7 +43,7 @@
 		case worker.reported:
 			a.updates = a.appendStatus(worker, a.updates)
 		default:
-			a.fleet.forget(worker)
+			a.fleet.markUnreported(worker)
 		}
 	}
 	switch outcome.Result {
--- a/internal/aperture/bench_test.go
+++ b/internal/aperture/bench_test.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 )
 
-// fixedPolicy sends each job to the same worker at once.
+// fixedPolicy sends every job to the same worker at once.
 type fixedPolicy struct{ worker uint64 }
 
 func (f *fixedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
@@ -67,8 +67,9 @@
 	b.step(0, dispatch.Outcome{Job: id, Worker: b.policy.worker, Closed: true})
 }
 
-// The cost of an aperture at one of 100 schedulers: a first list and a further one, a change (the subset is selected every 50 ms at
-// most, which is the time between two changes here), an evaluation every 250 ms, and a job from its arrival to its end.
+// BenchmarkStep measures the aperture of one of 100 schedulers: the first full list, a further full list, a change of one worker
+// that causes a new selection of the subset (changes are refreshInterval apart, the minimum between two selections), an
+// evaluation, and a job from its arrival to its end.
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{100, 1000, 10000} {
 		for cellSize, settings := range map[int]dispatch.Settings{20: cellSettings(7, 100), 1: workerSettings(7, 100)} {
--- a/internal/aperture/changes_test.go
+++ b/internal/aperture/changes_test.go
@@ -9,40 +9,41 @@
 	"valvecove/dispatch"
 )
 
-// expectMoves applies changes of the list, and checks the number of workers that move in total and at one scheduler.
+// expectMoves applies a list update, and checks the number of workers that are added to or removed from subsets: at most maxTotal
+// over all schedulers, and at most maxAtOne at each scheduler.
 func (d *deployment) expectMoves(t *testing.T, what string, maxTotal, maxAtOne int, changed ...dispatch.Worker) {
 	t.Helper()
 	before := d.desiredUnits()
 	d.applyList(dispatch.ListDelta, changed)
 	total, atOne := countMoves(before, d.desiredUnits())
 	if total > maxTotal || atOne > maxAtOne {
-		t.Errorf("%s moves %d, and %d at one scheduler", what, total, atOne)
+		t.Errorf("%s moves %d workers in total and %d at one scheduler, want at most %d and %d", what, total, atOne, maxTotal, maxAtOne)
 	}
 }
 
-// Restarts within cells move no worker. A change of a cell, or of a worker if units are not cells, moves one unit of that size at
-// each end of a subset.
-func TestChangesOfTheListMoveFewWorkers(t *testing.T) {
+// A worker that restarts within its cell moves at most one cell at one scheduler. A new cell, or a new worker if units are not
+// cells, moves about one unit of its size at each end of a subset.
+func TestListChangesMoveFewWorkers(t *testing.T) {
 	const cellSize = 20
 	var cell []dispatch.Worker
 	for i := range cellSize {
 		cell = append(cell, dispatch.Worker{ID: uint64(i + 1), Ready: true, Cell: 9999})
 	}
-	for schedulers, workers := range map[int]int{50: 2000, 40: 1000} { // a segment is as long as four cells, or two and a half
+	for schedulers, workers := range map[int]int{50: 2000, 40: 1000} { // a segment has the length of 4 cells, or of 2.5
 		list := testFleet(workers, cellSize)
 		d := deploy(t, schedulers, 1, cellSettings, testConfig, list)
 		removed := list[100]
 		removed.Removed = true
-		d.expectMoves(t, "a removed worker", cellSize, cellSize, removed) // of four times as many places as there are workers
-		d.expectMoves(t, "its return", cellSize, cellSize, list[100])
+		d.expectMoves(t, "a removed worker", cellSize, cellSize, removed) // with 4 schedulers per worker
+		d.expectMoves(t, "the return of the worker", cellSize, cellSize, list[100])
 		d.expectMoves(t, "a new cell", schedulers*cellSize, 4*cellSize, cell...)
 	}
 	d := deploy(t, 40, 1, workerSettings, testConfig, testFleet(1000, cellSize))
 	d.expectMoves(t, "a new worker", 40*2, 4, cell[0])
 }
 
-// A scheduler that is added moves the workers on its ring, by half a segment on average. One that gets the index of another has
-// the same subset.
+// An added scheduler moves workers on its own ring only, where segment boundaries move by half a segment on average. A scheduler
+// that takes the index of another one gets the same subset.
 func TestNewSchedulerMovesFewWorkers(t *testing.T) {
 	const cellSize = 20
 	deployed := deploy(t, 40, 1, cellSettings, testConfig, testFleet(1000, cellSize))
@@ -54,23 +55,23 @@
 	after := deployed.desiredUnits()
 	for index := 1; index < 40; index += ringCount {
 		if _, atOne := countMoves(before[index:index+1], after[index:index+1]); atOne > cellSize {
-			t.Errorf("and %deployed on the other ring", atOne)
+			t.Errorf("a new scheduler moves %d workers at scheduler %d on the other ring, want at most %d", atOne, index, cellSize)
 		}
 	}
 	deployed.apertures[8].SetSchedulers(33, 41)
 	deployed.applyList(dispatch.ListDelta, nil)
 	if desired := deployed.desiredUnits(); !maps.Equal(desired[8], desired[33]) {
-		t.Error("a scheduler that takes another's index does not have what that one has")
+		t.Error("a scheduler that takes the index of another one does not have the same subset")
 	}
 }
 
-// lossTest is a scheduler that loses some cells of its subset.
+// lossTest is a test in which a scheduler loses some cells of its subset.
 type lossTest struct {
 	*deployment
 	aperture *Aperture
 	policy   *recordingPolicy
-	selected int // before the loss
-	lost     map[int]bool
+	selected int          // number of selected workers before the loss
+	lost     map[int]bool // the lost cells
 }
 
 func newLossTest(t *testing.T) *lossTest {
@@ -88,16 +89,17 @@
 
 func (l *lossTest) isLost(worker *dispatch.Worker) bool { return l.lost[worker.Cell] }
 
-// expectRestored checks that the subset has its previous size one retention time after the return of the cells.
+// expectRestored checks that the subset has its previous size Config.Retention after the return of the cells.
 func (l *lossTest) expectRestored(t *testing.T, what string) {
 	t.Helper()
 	l.advance(testConfig.Retention + time.Second)
 	if len(l.policy.workers) != l.selected || l.aperture.Size().Selected != l.selected {
-		t.Errorf("cells were %s: %d selected, %d before", what, len(l.policy.workers), l.selected)
+		t.Errorf("after the return of %s cells: %d workers in the policy's list, %d selected, want %d", what, len(l.policy.workers),
+			l.aperture.Size().Selected, l.selected)
 	}
 }
 
-// healthCheck ends health checks of the lost workers with a result.
+// healthCheck reports a number of health checks of each lost worker, with a result.
 func (l *lossTest) healthCheck(result dispatch.Result, times int) {
 	var events []dispatch.Event
 	for range times {
@@ -110,8 +112,9 @@
 	l.aperture.Step(l.now, events, nil)
 }
 
-// Lost workers are replaced at once, and the replacements are released one retention time after their return, for any cause of
-// the loss and after earlier losses. If all workers but three are draining, each scheduler has these three.
+// Whether workers are draining, removed or unresponsive, they are replaced at once, and the replacements are released
+// Config.Retention after the workers' return, also if workers were lost before. If all workers of the fleet but three are
+// draining, the subset contains these three.
 func TestLostWorkersAreReplaced(t *testing.T) {
 	test := newLossTest(t)
 	for what, lose := range map[string]func(worker *dispatch.Worker){
@@ -126,33 +129,34 @@
 	test.expectLastReadySelected(t)
 }
 
-// expectReplaced removes the workers, lists them again, and checks their replacements.
+// expectReplaced loses the workers, lists them again, and checks that replacements were selected and are retained.
 func (l *lossTest) expectReplaced(t *testing.T, what string, lose func(worker *dispatch.Worker)) {
 	t.Helper()
 	l.applyChange(l.isLost, lose)
 	if ready := l.policy.countReady(); ready < l.selected-20 {
-		t.Errorf("cells are %s: %d ready of %d before", what, ready, l.selected)
+		t.Errorf("with %s cells, %d workers are ready, want at least %d", what, ready, l.selected-20)
 	}
 	l.applyChange(l.isLost, func(*dispatch.Worker) {})
 	l.advance(time.Second)
 	if l.aperture.Size().Selected <= l.selected {
-		t.Errorf("cells were %s: nothing of what came in their place is retained", what)
+		t.Errorf("after the return of %s cells, no replacement is retained", what)
 	}
 }
 
-// expectUnresponsiveReplaced has the workers not respond, and checks that others are added.
+// expectUnresponsiveReplaced fails the workers' health checks, checks that other workers are added, and lets a health check
+// succeed.
 func (l *lossTest) expectUnresponsiveReplaced(t *testing.T) {
 	t.Helper()
 	l.healthCheck(dispatch.TimedOut, maxFailures)
 	l.advance(evaluationInterval)
 	size := l.aperture.Size()
 	if size.SelectedReady-size.Unresponsive < l.selected-20 || size.Unresponsive < 60 {
-		t.Errorf("cells are unresponsive: %+v", size)
+		t.Errorf("with unresponsive cells: %+v, want at least %d responsive workers and 60 unresponsive ones", size, l.selected-20)
 	}
 	l.healthCheck(dispatch.OK, 1)
 }
 
-// expectLastReadySelected drains all workers but three, and checks that these are selected.
+// expectLastReadySelected drains all workers but three, and checks that these three are selected.
 func (l *lossTest) expectLastReadySelected(t *testing.T) {
 	t.Helper()
 	isDrained := func(worker *dispatch.Worker) bool {
@@ -161,38 +165,38 @@
 	l.applyChange(isDrained, func(worker *dispatch.Worker) { worker.Ready = false })
 	l.advance(testConfig.Retention + time.Second)
 	if ready := l.policy.countReady(); ready != 3 || len(l.policy.workers) > 400 {
-		t.Errorf("of three that are left it has %d, and %d in all", ready, len(l.policy.workers))
+		t.Errorf("3 workers of the fleet are ready: the policy's list has %d ready workers of %d", ready, len(l.policy.workers))
 	}
 }
 
-// A worker that was removed from the subset, and whose last attempt ends in the step in which it moves to a cell of the subset,
-// is in the policy's list.
-func TestReturnWithinOneStep(t *testing.T) {
+// If the last attempt at a worker outside of the subset ends in the same step in which the worker moves to a cell of the subset,
+// the worker is in the policy's list as ready.
+func TestWorkerMovedIntoSubsetWithinOneStep(t *testing.T) {
 	deployed := deploy(t, 40, 40, cellSettings, testConfig, testFleet(1000, 20))
 	aperture := deployed.apertures[0]
 	policy := policyOf(aperture)
-	outside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return !policy.knows(w.ID) })
-	inside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return policy.knows(w.ID) })
+	outside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return !policy.hasWorker(w.ID) })
+	inside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return policy.hasWorker(w.ID) })
 	worker := deployed.list[outside]
 	aperture.Step(deployed.now, []dispatch.Event{dispatch.JobResumed{Attempts: []dispatch.PastAttempt{{Worker: worker.ID}}}}, nil)
 	if status, known := policy.workers[worker.ID]; !known || status.Ready {
-		t.Errorf("it is outside of the subset, with an attempt, and known as %+v", status)
+		t.Errorf("a worker outside of the subset with an attempt in flight: listed %v, status %+v, want it listed as not ready", known, status)
 	}
 	worker.Cell = deployed.list[inside].Cell
 	aperture.Step(deployed.now, []dispatch.Event{dispatch.Outcome{Worker: worker.ID}, dispatch.WorkerList{Workers: []dispatch.Worker{worker}}}, nil)
 	if !policy.workers[worker.ID].Ready {
-		t.Error("it is back, and not ready")
+		t.Error("the worker is in the subset again, and is not listed as ready")
 	}
 }
 
-// The idle connections to a worker stay open if, in one step, its resumed attempt ends, it is removed from the list, and another
-// attempt there is resumed. Without that other attempt they are closed.
-func TestConnectionsOfResumedAttemptStay(t *testing.T) {
+// In one step, a resumed attempt at a worker ends, the worker is removed from the list, and another attempt there is resumed: its
+// idle connections stay open. Without the other attempt, they are closed.
+func TestConnectionsOfResumedAttemptStayOpen(t *testing.T) {
 	for _, isResumedAgain := range []bool{false, true} {
 		deployed := deploy(t, 40, 40, cellSettings, testConfig, testFleet(1000, 20))
 		aperture := deployed.apertures[0]
 		policy := policyOf(aperture)
-		outside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return !policy.knows(w.ID) })
+		outside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return !policy.hasWorker(w.ID) })
 		id := deployed.list[outside].ID
 		resumed := func(job uint64) dispatch.Event {
 			return dispatch.JobResumed{Job: dispatch.Job{ID: job}, Attempts: []dispatch.PastAttempt{{Worker: id}}}
@@ -212,9 +216,9 @@
 	}
 }
 
-// Changes of the aperture before the first list of discovery, and while the list is lost, are reported as a cached list: the
-// policy would take an update for one of discovery, and not subscribe.
-func TestOwnUpdatesAreNotListUpdates(t *testing.T) {
+// Changes that the aperture makes before the first list from discovery, and while discovery is unavailable, are passed to the
+// policy as a cached list. The policy would mistake an update for one from discovery, and not subscribe.
+func TestOwnUpdatesAreSentAsCachedList(t *testing.T) {
 	settings := dispatch.Settings{ReplicaIndex: 0, Replicas: 4, MustSubscribe: true, PollInterval: 10 * time.Second}
 	policy := newRecordingPolicy(t)
 	aperture := New(policy, settings, Config{MinWorkers: 2, Coverage: 2, MinFleet: 1, MaxWidening: 8, WidenThreshold: 0.1, Retention: time.Second})
@@ -236,16 +240,16 @@
 	aperture.SetSchedulers(1, 4) // another subset
 	advance()
 	if policy.listKnown {
-		t.Fatal("the policy believes that it follows the list before discovery has sent anything")
+		t.Fatal("before the first list from discovery, the policy received an update that is not a cached list")
 	}
 	update(dispatch.ListFull, list)
 	if !policy.listKnown {
-		t.Fatal("the list is not followed")
+		t.Fatal("the policy has not received the full list from discovery")
 	}
 	update(dispatch.ListUnavailable, nil)
 	aperture.SetSchedulers(2, 4)
 	advance()
 	if policy.listKnown {
-		t.Fatal("the policy believes that it follows a list that is lost")
+		t.Fatal("while discovery is unavailable, the policy received an update that is not a cached list")
 	}
 }
--- a/internal/aperture/coverage_test.go
+++ b/internal/aperture/coverage_test.go
@@ -9,14 +9,14 @@
 	"valvecove/dispatch"
 )
 
-// coverageTest is a deployment whose subsets are checked at each scheduler.
+// coverageTest is a test of the subsets of all schedulers of a deployment.
 type coverageTest struct {
 	workers, cellSize, schedulers, coverage int
-	ragged                                  bool
+	unevenCells                             bool // cells have sizes from 1 to cellSize
 }
 
-// want returns the expected and the maximum number of workers of each subset.
-func (c coverageTest) want() (want, most int) {
+// want returns the expected and the maximum number of workers in each subset.
+func (c coverageTest) want() (want, maxWant int) {
 	want = min(c.workers, max(testConfig.MinWorkers, (c.coverage*c.workers+c.schedulers-1)/c.schedulers))
 	// With an odd number of schedulers, the segments on the ring with fewer of them are longer.
 	return want, max(want, c.workers/(c.schedulers/ringCount)) + c.tolerance()
@@ -34,17 +34,17 @@
 		settings = workerSettings
 	}
 	list := testFleet(c.workers, c.cellSize)
-	if c.ragged {
-		list = raggedFleet(c.workers, c.cellSize)
+	if c.unevenCells {
+		list = unevenFleet(c.workers, c.cellSize)
 	}
 	return deploy(t, c.schedulers, 1, settings, config, list)
 }
 
-// coverage contains the schedulers of a worker.
+// coverage describes the schedulers that have a worker in their subsets.
 type coverage struct {
-	schedulers int
-	ranks      []int // of those that may warm it up
-	firstRing  bool  // the first rank is on the first ring
+	schedulers int   // number of the schedulers
+	ranks      []int // ranks of the schedulers that may send to the worker during its slow start
+	firstRing  bool  // the scheduler with rank 0 is on ring 0
 }
 
 func coverageByWorker(d *deployment) map[uint64]*coverage {
@@ -67,8 +67,8 @@
 	return byWorker
 }
 
-// Every scheduler has the same number of workers, to the nearest cell. Every worker has the same number of schedulers, plus or
-// minus one on each ring. Subsets contain cells completely, and each worker has one scheduler of each rank.
+// All subsets have the same number of workers, give or take half a cell, and contain cells completely. All workers are in the
+// same number of subsets, give or take one on each ring, and each worker has one scheduler of each slow start rank.
 func TestEvenCoverage(t *testing.T) {
 	for _, test := range []coverageTest{
 		{100, 1, 2, 2, false},
@@ -94,16 +94,16 @@
 // checkSubsets checks the size of each scheduler's subset, and that it contains units completely.
 func checkSubsets(t *testing.T, test coverageTest, d *deployment) {
 	t.Helper()
-	want, most := test.want()
+	want, maxWant := test.want()
 	for index, a := range d.apertures {
 		selected := a.Size().Selected
-		if selected < want-test.tolerance() || selected > most && !test.ragged || selected > 2*most {
-			t.Errorf("scheduler %d has %d, expected %d to %d", index, selected, want-test.tolerance(), most)
+		if selected < want-test.tolerance() || selected > maxWant && !test.unevenCells || selected > 2*maxWant {
+			t.Errorf("scheduler %d has selected %d workers, want %d to %d", index, selected, want-test.tolerance(), maxWant)
 		}
 		for _, u := range a.fleet.units {
 			for _, worker := range u.workers {
-				if policyOf(a).knows(worker.ID) != u.selected {
-					t.Fatalf("unit %d is not whole at scheduler %d", u.id, index)
+				if policyOf(a).hasWorker(worker.ID) != u.selected {
+					t.Fatalf("unit %d is selected partially at scheduler %d", u.id, index)
 				}
 			}
 		}
@@ -116,7 +116,7 @@
 	want, _ := test.want()
 	mean := test.schedulers * want / test.workers
 	slack := ringCount
-	if test.ragged { // weights go by powers of two
+	if test.unevenCells { // the weight of a cell is up to twice its size
 		slack = 4
 	}
 	byWorker := coverageByWorker(d)
@@ -124,22 +124,22 @@
 	for _, worker := range d.list {
 		seen := byWorker[worker.ID]
 		if seen == nil || seen.schedulers < max(ringCount, mean-slack) || seen.schedulers > mean+slack+1 {
-			t.Fatalf("a worker is at %+v schedulers, expected %d", seen, mean)
+			t.Fatalf("coverage of a worker: %+v, want %d schedulers", seen, mean)
 		}
 		slices.Sort(seen.ranks)
 		if test.schedulers > 2 && !slices.Equal(seen.ranks, []int{0, 1}) {
-			t.Fatalf("ranks %v may warm a worker up", seen.ranks)
+			t.Fatalf("ranks %v may send to a worker during its slow start, want 0 and 1", seen.ranks)
 		}
 		if seen.firstRing {
 			firstOnFirstRing++
 		}
 	}
 	if test.workers >= 1000 && (firstOnFirstRing < test.workers/4 || firstOnFirstRing > test.workers*3/4) {
-		t.Errorf("%d workers have their first rank on one ring", firstOnFirstRing)
+		t.Errorf("%d of %d workers have their first rank on ring 0", firstOnFirstRing, test.workers)
 	}
 }
 
-// checkOverlap checks that a scheduler shares workers with many others, so that an overload is distributed over many.
+// checkOverlap checks that a scheduler shares workers with many others, so that an overload is distributed over many schedulers.
 func checkOverlap(t *testing.T, test coverageTest, d *deployment) {
 	t.Helper()
 	if test.workers != 10000 {
@@ -148,17 +148,18 @@
 	first := policyOf(d.apertures[0])
 	overlapping := 0
 	for _, a := range d.apertures[1:] {
-		if slices.ContainsFunc(d.list, func(w dispatch.Worker) bool { return first.knows(w.ID) && policyOf(a).knows(w.ID) }) {
+		if slices.ContainsFunc(d.list, func(w dispatch.Worker) bool { return first.hasWorker(w.ID) && policyOf(a).hasWorker(w.ID) }) {
 			overlapping++
 		}
 	}
 	if overlapping < min(test.schedulers-1, 6) {
-		t.Errorf("the first scheduler shares workers with %d others only", overlapping)
+		t.Errorf("scheduler 0 shares workers with only %d others", overlapping)
 	}
 }
 
-// For a class that only 1% of the fleet can run, the subset contains a tenth of the minimum. With a cost of crossing zones, it
-// contains as many workers of the own zone as it has otherwise in total.
+// For a class that only 1% of the fleet can run, the subset contains at least constrainedPercent of Config.MinWorkers. With a
+// cost for jobs that cross zones, it contains as many workers of the scheduler's zone as it contains in total without such a
+// cost.
 func TestConstrainedClasses(t *testing.T) {
 	list := testFleet(10000, 1)
 	for i := range list {
@@ -184,7 +185,7 @@
 			}
 		}
 		if ofKind < 10 || ofKind > 25 || inZone < 400 || len(workers) > 1000 {
-			t.Errorf("scheduler %d has %d of the kind, %d in its zone, %d in all", index, ofKind, inZone, len(workers))
+			t.Errorf("scheduler %d has %d workers of the class's kind, %d in its zone, %d in total", index, ofKind, inZone, len(workers))
 		}
 	}
 }
--- a/internal/aperture/fleetunits.go
+++ b/internal/aperture/fleetunits.go
@@ -6,15 +6,15 @@
 	"valvecove/dispatch"
 )
 
-// unitOf returns the ID of a worker's unit.
-func (f *fleet) unitOf(status *dispatch.Worker) uint64 {
-	if f.groupsCells {
+// unitIDOf returns the ID of a worker's unit.
+func (f *fleet) unitIDOf(status *dispatch.Worker) uint64 {
+	if f.unitsAreCells {
 		return uint64(status.Cell)
 	}
 	return status.ID
 }
 
-// assign moves a worker to a unit, which is created if necessary.
+// assign moves a worker to the unit with an ID, which is created if necessary.
 func (f *fleet) assign(w *worker, unitID uint64) {
 	f.leaveUnit(w)
 	u := f.unitsByCell[unitID]
@@ -30,9 +30,9 @@
 	u := f.unitSlab.allocate()
 	u.id = id
 	u.position = f.replica.positionOf(id)
-	u.workers = u.single[:0]
+	u.workers = u.singleWorker[:0]
 	u.counts = f.countsSlab.allocateMany(len(f.requirements))
-	if f.groupsCells {
+	if f.unitsAreCells {
 		f.unitsByCell[id] = u
 	}
 	f.units = append(f.units, u)
@@ -49,7 +49,7 @@
 	f.needsRefresh = true
 }
 
-// arrangeUnits drops the units without workers, and sorts the others in order of the ring.
+// arrangeUnits drops the units without workers, and sorts the others by their positions on the ring.
 func (f *fleet) arrangeUnits() {
 	f.units = slices.DeleteFunc(f.units, func(u *unit) bool {
 		if len(u.workers) > 0 {
--- a/internal/aperture/helpers_test.go
+++ b/internal/aperture/helpers_test.go
@@ -13,14 +13,14 @@
 	Errorf(format string, args ...any)
 }
 
-// recordingPolicy records the workers in its list like the dispatch policy, and returns the actions of a test.
+// recordingPolicy maintains an endpoint list as the dispatch policy does, and returns the actions that a test decides on.
 type recordingPolicy struct {
 	reporter   errorReporter
 	workers    map[uint64]dispatch.Worker
-	inFlight   map[uint64]int // attempts, by worker
-	subscribed bool           // it has requested the list
-	listKnown  bool
-	act        func(events []dispatch.Event) []dispatch.Action // nil: it does nothing
+	inFlight   map[uint64]int                                  // number of attempts, by worker
+	subscribed bool                                            // has requested the list, and not received it yet
+	listKnown  bool                                            // has received a list from discovery, which is still available
+	act        func(events []dispatch.Event) []dispatch.Action // nil: no actions
 }
 
 func newRecordingPolicy(reporter errorReporter) *recordingPolicy {
@@ -54,7 +54,7 @@
 		r.listKnown = false
 		return
 	}
-	if list.Kind != dispatch.ListCached { // as the dispatch policy: whoever watches has subscribed
+	if list.Kind != dispatch.ListCached { // as in the dispatch policy, any other update answers the subscription
 		r.subscribed = false
 		r.listKnown = true
 	}
@@ -63,7 +63,7 @@
 	}
 	for _, worker := range list.Workers {
 		if _, known := r.workers[worker.ID]; worker.Removed && !known {
-			r.reporter.Errorf("%d is removed that was not there", worker.ID)
+			r.reporter.Errorf("worker %d is removed, and is not in the list", worker.ID)
 		}
 		if worker.Removed {
 			delete(r.workers, worker.ID)
@@ -73,8 +73,8 @@
 	}
 }
 
-// knows reports whether a worker is in the policy's list.
-func (r *recordingPolicy) knows(id uint64) bool {
+// hasWorker reports whether a worker is in the policy's list.
+func (r *recordingPolicy) hasWorker(id uint64) bool {
 	_, known := r.workers[id]
 	return known
 }
@@ -100,7 +100,7 @@
 // settingsFunc returns the settings of one scheduler.
 type settingsFunc func(index, schedulers int) dispatch.Settings
 
-// cellSettings are settings with cells as units, and workerSettings with workers as units.
+// cellSettings returns settings with which units are cells, and workerSettings settings with which units are workers.
 func cellSettings(index, schedulers int) dispatch.Settings {
 	return dispatch.Settings{Replicas: schedulers, ReplicaIndex: index, Classes: classes, StartNotifications: true}
 }
@@ -111,13 +111,13 @@
 
 var testConfig = Config{MinWorkers: 40, Coverage: 4, MaxWidening: 4, WidenThreshold: 0.1, Retention: 30 * time.Second}
 
-// testFleet returns workers in cells of a size.
+// testFleet returns workers in cells of cellSize.
 func testFleet(workers, cellSize int) []dispatch.Worker {
 	return fleetInCells(workers, func(*rand.Rand) int { return cellSize })
 }
 
-// raggedFleet returns workers in cells of sizes from 1 to maxCellSize.
-func raggedFleet(workers, maxCellSize int) []dispatch.Worker {
+// unevenFleet returns workers in cells of sizes from 1 to maxCellSize.
+func unevenFleet(workers, maxCellSize int) []dispatch.Worker {
 	return fleetInCells(workers, func(random *rand.Rand) int { return 1 + random.IntN(maxCellSize) })
 }
 
@@ -126,21 +126,21 @@
 	for cell := 0; len(list) < workers; cell++ {
 		size := nextSize(random)
 		for i := 0; i < size && len(list) < workers; i++ {
-			kind := len(list) % 100 / 99 // one worker of a hundred is of another kind
+			kind := len(list) % 100 / 99 // one worker in a hundred is of kind 1
 			list = append(list, dispatch.Worker{ID: hash(uint64(len(list) + 1)), Ready: true, Cell: cell, Kind: kind})
 		}
 	}
 	return list
 }
 
-// deployment contains the apertures of some schedulers with the same endpoint list.
+// deployment contains the apertures of schedulers that receive the same endpoint list.
 type deployment struct {
 	apertures []*Aperture
 	now       time.Duration
 	list      []dispatch.Worker
 }
 
-// deploy returns every n-th aperture of a number of schedulers.
+// deploy returns a deployment of which only every n-th scheduler has an aperture, with n = every.
 func deploy(tb testing.TB, schedulers, every int, settings settingsFunc, config Config, list []dispatch.Worker) *deployment {
 	tb.Helper()
 	d := &deployment{now: time.Minute, list: list}
@@ -166,7 +166,7 @@
 	}
 }
 
-// applyChange lists the changed workers with their status after the change.
+// applyChange applies a list update with the affected workers, after the change of their status.
 func (d *deployment) applyChange(isAffected func(worker *dispatch.Worker) bool, change func(worker *dispatch.Worker)) {
 	var changed []dispatch.Worker
 	for _, worker := range d.list {
@@ -178,7 +178,7 @@
 	d.applyList(dispatch.ListDelta, changed)
 }
 
-// desiredUnits returns the sizes of the units that each aperture desires, by unit.
+// desiredUnits returns, for each aperture, the sizes of its desired units by unit ID.
 func (d *deployment) desiredUnits() (sizes []map[uint64]int) {
 	for _, a := range d.apertures {
 		desired := map[uint64]int{}
@@ -203,7 +203,7 @@
 	return total, maxAtOne
 }
 
-// sizeWithout returns the size of the units that are not among the others.
+// sizeWithout returns the total size of the units that are not among the others.
 func sizeWithout(units, others map[uint64]int) (total int) {
 	for id, size := range units {
 		if others[id] == 0 {
--- a/internal/aperture/load.go
+++ b/internal/aperture/load.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	promptPercent = 25          // of its class's latency objective: a job that is queued for longer is delayed
-	loadWindow    = time.Second // time constant of the decay of samples
-	minSamples    = 8           // with fewer samples the delayed fraction is 0
+	delayThresholdPercent = 25          // of a class's latency objective: a job that is queued for longer counts as delayed
+	loadWindow            = time.Second // time constant of the samples' exponential decay
+	minSamples            = 8           // with fewer samples, the delayed fraction is 0
 )
 
-// sampleDecay is the factor by which samples decay from one evaluation to the next.
+// sampleDecay is the factor by which the weight of a sample decreases from one evaluation to the next.
 var sampleDecay = math.Exp(-evaluationInterval.Seconds() / loadWindow.Seconds())
 
-// loadMonitor measures which fraction of jobs is delayed for lack of capacity: jobs that the policy queues for long, or that
-// workers reject. Late starts at a worker are not counted. They are caused by several schedulers that send to the same worker,
-// which happens more often with wider subsets.
+// loadMonitor measures the fraction of jobs that are delayed for lack of capacity: jobs that the policy queues for longer than
+// their class's delay threshold, and jobs that a worker rejects because it is full. Late starts at a worker are not counted, as
+// they occur when several schedulers send to the same worker, which wider subsets make more frequent.
 type loadMonitor struct {
-	waiting      map[uint64]*waitingJob // not sent yet, by job ID
-	queues       []jobQueue             // by class, in the order of arrival
-	promptDelays []time.Duration        // by class
-	free         []*waitingJob          // for reuse
-	delayed      float64                // number of delayed jobs, which decays
-	samples      float64                // number of jobs, which decays
+	waiting         map[uint64]*waitingJob // jobs whose wait has not ended, by ID
+	queues          []jobQueue             // by class; jobs in order of arrival
+	delayThresholds []time.Duration        // by class
+	free            []*waitingJob          // values to be reused
+	delayed         float64                // number of delayed jobs, with exponential decay
+	samples         float64                // number of jobs, with exponential decay
 }
 
-// waitingJob is a job that was not sent yet, or was decided and is still in its queue.
+// waitingJob is a job in a jobQueue. It stays in the queue for the delay threshold of its class, also if its wait ends earlier.
 type waitingJob struct {
 	id        uint64
 	class     int
 	arrivedAt time.Duration
-	decided   bool // its sample was taken, or none is needed
+	waitEnded bool // the job was sent, closed, or counted as delayed
 }
 
-// newLoadMonitor returns a monitor without samples.
+// newLoadMonitor returns a loadMonitor without samples.
 func newLoadMonitor(settings dispatch.Settings) loadMonitor {
 	monitor := loadMonitor{
 		waiting: map[uint64]*waitingJob{},
 		queues:  make([]jobQueue, len(settings.Classes)),
 	}
 	for _, class := range settings.Classes {
-		monitor.promptDelays = append(monitor.promptDelays, class.LatencyObjective*promptPercent/100)
+		monitor.delayThresholds = append(monitor.delayThresholds, class.LatencyObjective*delayThresholdPercent/100)
 	}
 	return monitor
 }
@@ -59,7 +59,7 @@
 	l.queues[arrived.Class].push(job)
 }
 
-// allocate returns a waitingJob for reuse, or a new one.
+// allocate returns a waitingJob to be overwritten, from l.free if possible.
 func (l *loadMonitor) allocate() *waitingJob {
 	last := len(l.free) - 1
 	if last < 0 {
@@ -73,38 +73,38 @@
 // jobSent ends the wait of a job with its first attempt, and takes a sample.
 func (l *loadMonitor) jobSent(id uint64, now time.Duration) {
 	if job := l.waiting[id]; job != nil {
-		l.decide(job)
-		l.addSample(now-job.arrivedAt > l.promptDelays[job.class])
+		l.endWait(job)
+		l.addSample(now-job.arrivedAt > l.delayThresholds[job.class])
 	}
 }
 
 // jobClosed ends the wait of a job without a sample.
 func (l *loadMonitor) jobClosed(id uint64) {
 	if job := l.waiting[id]; job != nil {
-		l.decide(job)
+		l.endWait(job)
 	}
 }
 
-// decide ends the wait of a job.
-func (l *loadMonitor) decide(job *waitingJob) {
+// endWait ends the wait of a job.
+func (l *loadMonitor) endWait(job *waitingJob) {
 	delete(l.waiting, job.id)
-	job.decided = true
+	job.waitEnded = true
 }
 
-// expireJobs ends the wait of jobs that are delayed, and takes their samples. late means that this process was not running in
-// time and could not have sent them; no samples are taken then.
-func (l *loadMonitor) expireJobs(now time.Duration, late bool) {
+// expireJobs ends the wait of jobs that have become delayed, and takes their samples. stalled means that this process was not
+// running in time: as it could not have sent the jobs earlier, no samples are taken.
+func (l *loadMonitor) expireJobs(now time.Duration, stalled bool) {
 	for class := range l.queues {
 		queue := &l.queues[class]
 		for {
 			job := queue.first()
-			if job == nil || now-job.arrivedAt <= l.promptDelays[class] {
+			if job == nil || now-job.arrivedAt <= l.delayThresholds[class] {
 				break
 			}
 			queue.pop()
-			if !job.decided {
-				l.decide(job)
-				if !late {
+			if !job.waitEnded {
+				l.endWait(job)
+				if !stalled {
 					l.addSample(true)
 				}
 			}
@@ -113,7 +113,7 @@
 	}
 }
 
-// addSample counts a job.
+// addSample counts a job as delayed or not.
 func (l *loadMonitor) addSample(delayed bool) {
 	l.samples++
 	if delayed {
@@ -121,7 +121,7 @@
 	}
 }
 
-// delayedFraction returns the fraction of recent jobs that were delayed, or 0 if there were too few.
+// delayedFraction returns the fraction of recent jobs that were delayed, or 0 if there were too few jobs.
 func (l *loadMonitor) delayedFraction() float64 {
 	if l.samples < minSamples {
 		return 0
--- a/internal/aperture/model_test.go
+++ b/internal/aperture/model_test.go
@@ -15,20 +15,21 @@
 // maxModelID is the highest ID of a worker in the model.
 const maxModelID = 60
 
-// model is a request table and a fleet of an aperture, and a second aperture that must return the same.
+// model simulates the request table, the fleet and the policy of an aperture. A second aperture, twin, receives the same events
+// and must return the same actions.
 type model struct {
 	*rapid.T
 	aperture, twin *Aperture
 	policy         *recordingPolicy
-	unfiltered     *recordingPolicy // sees the list as it is
+	unfiltered     *recordingPolicy // receives the lists of discovery without an aperture
 	now            time.Duration
-	timerAt        time.Duration    // the request table's; 0: none
-	policyTimerAt  time.Duration    // the policy's; 0: none
-	batch          []dispatch.Event // for the next step
-	inFlight       []dispatch.Outcome
+	timerAt        time.Duration      // time of the request table's timer; 0: none
+	policyTimerAt  time.Duration      // time of the policy's timer; 0: none
+	batch          []dispatch.Event   // events for the next step
+	inFlight       []dispatch.Outcome // outcomes of the attempts in flight, without results
 	lastJob        uint64
-	classes        int
-	actions        []dispatch.Action // of the policy in the present step
+	classes        int               // number of classes
+	actions        []dispatch.Action // the policy's actions in the current step
 }
 
 func newModel(t *rapid.T) *model {
@@ -45,16 +46,16 @@
 	return m
 }
 
-func (m *model) pick(least, most int, what string) int {
-	return rapid.IntRange(least, most).Draw(m.T, what)
+func (m *model) pick(low, high int, what string) int {
+	return rapid.IntRange(low, high).Draw(m.T, what)
 }
 
-// act implements the policy.
+// act returns the policy's actions in response to the events of a step.
 func (m *model) act(events []dispatch.Event) []dispatch.Action {
 	m.actions = nil
 	fired := slices.Contains(events, dispatch.Event(dispatch.TimerFired{}))
 	if fired && (m.policyTimerAt == 0 || m.policyTimerAt > m.now) {
-		m.Fatalf("a timer fires at %v that is due at %v", m.now, m.policyTimerAt)
+		m.Fatalf("the policy's timer fires at %v, and is due at %v", m.now, m.policyTimerAt)
 	}
 	if m.policyTimerAt <= m.now {
 		m.policyTimerAt = 0
@@ -67,11 +68,11 @@
 			m.decide(job, ready)
 		}
 	}
-	m.actBesides(ready)
+	m.addOtherActions(ready)
 	return m.actions
 }
 
-// decide sends a job, or rejects it, or leaves it queued.
+// decide sends a job, rejects it, or leaves it queued.
 func (m *model) decide(job dispatch.Job, ready []uint64) {
 	switch {
 	case len(ready) > 0 && m.pick(0, 3, "sends") > 0:
@@ -81,20 +82,20 @@
 	}
 }
 
-// actBesides returns random actions that do not concern jobs.
-func (m *model) actBesides(ready []uint64) {
-	switch besides := m.pick(0, 9, "besides"); {
-	case besides == 0 && !m.policy.subscribed:
+// addOtherActions adds a random action that does not concern jobs, or none.
+func (m *model) addOtherActions(ready []uint64) {
+	switch other := m.pick(0, 9, "other action"); {
+	case other == 0 && !m.policy.subscribed:
 		m.policy.subscribed = true
 		m.unfiltered.subscribed = true
 		m.actions = append(m.actions, dispatch.Subscribe{})
-	case besides == 1:
+	case other == 1:
 		after := time.Duration(m.pick(1, 2000, "timer")) * time.Millisecond
 		if at := m.now + after; m.policyTimerAt == 0 || at < m.policyTimerAt {
 			m.policyTimerAt = at
 		}
 		m.actions = append(m.actions, dispatch.SetTimer{After: after})
-	case besides == 2 && len(ready) > 0:
+	case other == 2 && len(ready) > 0:
 		m.actions = append(m.actions, dispatch.HealthCheck{Worker: ready[0]})
 	}
 }
@@ -104,16 +105,16 @@
 func (m *model) worker(id uint64) dispatch.Worker {
 	return dispatch.Worker{
 		ID:     id,
-		Ready:  m.pick(0, 4, "state") > 0,
+		Ready:  m.pick(0, 4, "ready") > 0,
 		Cell:   int(id)/4 + m.pick(0, 20, "cell")/20,
 		Kind:   int(id) % 3,
 		BootAt: time.Duration(m.pick(0, 3, "boot")),
 	}
 }
 
-func (m *model) addWholeList(*rapid.T) {
+func (m *model) addFullList(*rapid.T) {
 	list := dispatch.WorkerList{Kind: []dispatch.ListKind{dispatch.ListFull, dispatch.ListCached}[m.pick(0, 1, "cached")]}
-	for id := range uint64(m.pick(0, maxModelID, "many")) {
+	for id := range uint64(m.pick(0, maxModelID, "workers")) {
 		list.Workers = append(list.Workers, m.worker(id+1))
 	}
 	m.add(list)
@@ -122,9 +123,9 @@
 func (m *model) addChanges(*rapid.T) {
 	list := dispatch.WorkerList{Kind: dispatch.ListDelta}
 	changed := map[uint64]bool{}
-	for range m.pick(0, 8, "many") {
+	for range m.pick(0, 8, "changes") {
 		worker := m.worker(uint64(m.pick(1, maxModelID, "id")))
-		if m.unfiltered.knows(worker.ID) && len(m.batch) == 0 && !changed[worker.ID] && m.pick(0, 2, "removed") == 0 {
+		if m.unfiltered.hasWorker(worker.ID) && len(m.batch) == 0 && !changed[worker.ID] && m.pick(0, 2, "removed") == 0 {
 			worker.Ready = false
 			worker.Removed = true
 		}
@@ -136,18 +137,20 @@
 	m.add(list)
 }
 
-func (m *model) addLoss(*rapid.T) { m.add(dispatch.WorkerList{Kind: dispatch.ListUnavailable}) }
+func (m *model) addListUnavailable(*rapid.T) {
+	m.add(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
+}
 
 func (m *model) addJobs(*rapid.T) {
-	for range m.pick(1, 12, "many") {
+	for range m.pick(1, 12, "jobs") {
 		m.lastJob++
 		m.add(dispatch.Job{ID: m.lastJob, Class: m.pick(0, m.classes-1, "class")})
 	}
 }
 
 func (m *model) addOutcomes(*rapid.T) {
-	for range min(len(m.inFlight), m.pick(1, 8, "many")) {
-		i := m.pick(0, len(m.inFlight)-1, "which")
+	for range min(len(m.inFlight), m.pick(1, 8, "outcomes")) {
+		i := m.pick(0, len(m.inFlight)-1, "attempt")
 		m.inFlight[i].Result = dispatch.Result(m.pick(0, int(dispatch.NotSent), "result"))
 		m.add(m.inFlight[i])
 		m.inFlight = slices.Delete(m.inFlight, i, i+1)
@@ -179,10 +182,10 @@
 	m.add(dispatch.ReplicasChanged{ReplicaIndex: schedulers / 2, Replicas: schedulers})
 }
 
-// run advances the time, and passes the batch on or leaves it for the next step.
+// run may advance the time, and may run a step with the batch. It always runs the step if the request table's timer is due.
 func (m *model) run(t *rapid.T) {
 	m.T = t
-	if len(m.batch) == 0 || m.pick(0, 2, "now") == 0 {
+	if len(m.batch) == 0 || m.pick(0, 2, "advance") == 0 {
 		m.now += time.Duration([]int{0, 1, 30, 300, 2500}[m.pick(0, 4, "span")]) * time.Millisecond
 	}
 	if len(m.batch) > 0 && m.pick(0, 1, "step") > 0 || m.timerAt > 0 && m.timerAt <= m.now {
@@ -190,7 +193,7 @@
 	}
 }
 
-// step passes the batch to both apertures like the request table, and checks the results.
+// step passes the batch to both apertures as the request table does, executes the actions, and checks the state.
 func (m *model) step() {
 	events := m.batch
 	m.batch = nil
@@ -205,14 +208,14 @@
 	}
 	actions := m.aperture.Step(m.now, events, nil)
 	if again := m.twin.Step(m.now, events, nil); !reflect.DeepEqual(actions, again) {
-		m.Fatalf("the same again does otherwise: %v, %v", actions, again)
+		m.Fatalf("two apertures return different actions for the same events: %v, %v", actions, again)
 	}
 	for _, action := range actions {
 		m.apply(action)
 	}
 	m.checkTimer()
 	m.checkSubscription()
-	m.checkView()
+	m.checkPolicyList()
 	m.checkMemory()
 }
 
@@ -226,40 +229,42 @@
 		m.policy.inFlight[action.Worker]++
 		m.inFlight = append(m.inFlight, dispatch.Outcome{Job: action.Job, Worker: action.Worker})
 	case dispatch.CloseIdleConnections:
-		if m.policy.knows(action.Worker) || m.policy.inFlight[action.Worker] > 0 {
-			m.Fatalf("connections to %d are closed that is in use", action.Worker)
+		if m.policy.hasWorker(action.Worker) || m.policy.inFlight[action.Worker] > 0 {
+			m.Fatalf("the connections to worker %d are closed, which is in use", action.Worker)
 		}
 	}
 }
 
 func (m *model) checkTimer() {
 	if m.policyTimerAt > 0 && (m.timerAt == 0 || m.timerAt > max(m.policyTimerAt, m.now+1)) {
-		m.Fatalf("the policy's timer at %v is lost, the next is at %v", m.policyTimerAt, m.timerAt)
+		m.Fatalf("the policy's timer is due at %v, and the request table's at %v", m.policyTimerAt, m.timerAt)
 	}
 }
 
 func (m *model) checkSubscription() {
 	if m.policy.subscribed != m.unfiltered.subscribed || m.policy.listKnown != m.unfiltered.listKnown {
-		m.Fatalf("the policy takes its subscription for answered, and it is not, or the reverse")
+		m.Fatalf("behind the aperture, the policy is subscribed %v and has a list %v; without the aperture, %v and %v",
+			m.policy.subscribed, m.policy.listKnown, m.unfiltered.subscribed, m.unfiltered.listKnown)
 	}
 }
 
-// checkView checks that the policy's list contains the workers of the subset with their status, other workers with attempts in
-// flight as not ready, and no others.
-func (m *model) checkView() {
-	knownReady := 0
+// checkPolicyList checks that the policy's list contains the workers of the subset with their status, other workers with attempts
+// in flight as not ready, and no others.
+func (m *model) checkPolicyList() {
+	visibleReady := 0
 	for id, listed := range m.unfiltered.workers {
-		if listed.Ready && m.policy.knows(id) {
-			knownReady++
+		if listed.Ready && m.policy.hasWorker(id) {
+			visibleReady++
 		}
 		m.checkWorker(listed)
 	}
-	if !m.aperture.fleet.needsRefresh && knownReady < min(m.unfiltered.countReady(), 1) { // of three at least, to the nearest cell
-		m.Fatalf("none of %d ready ones is known", m.unfiltered.countReady())
+	// The minimum is three workers, but a subset may have fewer, as it contains cells completely.
+	if !m.aperture.fleet.needsRefresh && visibleReady < min(m.unfiltered.countReady(), 1) {
+		m.Fatalf("none of %d ready workers is in the policy's list", m.unfiltered.countReady())
 	}
 	for id := range m.policy.workers {
-		if !m.unfiltered.knows(id) {
-			m.Fatalf("%d is known that discovery does not list", id)
+		if !m.unfiltered.hasWorker(id) {
+			m.Fatalf("worker %d is in the policy's list, and discovery does not list it", id)
 		}
 	}
 }
@@ -269,47 +274,48 @@
 	status, known := m.policy.workers[id]
 	selected := m.aperture.fleet.workers[id].unit.selected
 	if status.Assignees != 0 && status.Assignees != ringCount || status.AssigneeRank > status.Assignees {
-		m.Fatalf("%d has rank %d of %d", id, status.AssigneeRank, status.Assignees)
+		m.Fatalf("worker %d has assignee rank %d of %d", id, status.AssigneeRank, status.Assignees)
 	}
 	if known && selected && !m.aperture.fleet.needsRefresh && (status.Assignees == 0) != m.aperture.coversFleet() {
-		m.Fatalf("%d has rank %d of %d", id, status.AssigneeRank, status.Assignees)
+		m.Fatalf("worker %d has assignee rank %d of %d, and the subset is the whole fleet: %v", id, status.AssigneeRank,
+			status.Assignees, m.aperture.coversFleet())
 	}
 	status.AssigneeRank = 0
 	status.Assignees = 0
 	inFlight := m.policy.inFlight[id]
 	switch {
 	case selected && status != listed:
-		m.Fatalf("%d is known as %+v, and is %+v", id, status, listed)
+		m.Fatalf("worker %d is in the policy's list as %+v, and discovery lists %+v", id, status, listed)
 	case !selected && known != (inFlight > 0) || !selected && status.Ready:
-		m.Fatalf("%d is not in the subset and known as %+v, with %d in flight", id, status, inFlight)
+		m.Fatalf("worker %d is not in the subset; in the policy's list: %v, as %+v, with %d attempts in flight", id, known, status, inFlight)
 	}
 }
 
-// checkMemory checks that no state is kept of workers that are neither listed nor in use.
+// checkMemory checks that the aperture keeps no state of workers that are neither listed nor in use.
 func (m *model) checkMemory() {
 	for id := range m.aperture.fleet.workers {
-		if !m.unfiltered.knows(id) && m.policy.inFlight[id] == 0 {
-			m.Fatalf("%d is kept for nothing", id)
+		if !m.unfiltered.hasWorker(id) && m.policy.inFlight[id] == 0 {
+			m.Fatalf("the state of worker %d is kept, which is neither listed nor in use", id)
 		}
 	}
 }
 
-// With any lists, load and outcomes in any batches, the policy's list is that of the subset, nothing is sent to other workers,
-// and no worker is removed while an attempt is in flight there.
+// With random lists, jobs and outcomes in random batches, the policy's list contains the subset, and other workers only while
+// attempts are in flight there; subscriptions and timers work as without an aperture.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tested := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"whole":      tested.addWholeList,
-			"changes":    tested.addChanges,
-			"lost":       tested.addLoss,
-			"jobs":       tested.addJobs,
-			"outcomes":   tested.addOutcomes,
-			"starts":     tested.addStart,
-			"resumed":    tested.addResumed,
-			"checked":    tested.addHealthCheck,
-			"schedulers": tested.addSchedulers,
-			"":           tested.run,
+			"full list":        tested.addFullList,
+			"list changes":     tested.addChanges,
+			"list unavailable": tested.addListUnavailable,
+			"jobs":             tested.addJobs,
+			"outcomes":         tested.addOutcomes,
+			"start":            tested.addStart,
+			"resumed job":      tested.addResumed,
+			"health check":     tested.addHealthCheck,
+			"schedulers":       tested.addSchedulers,
+			"":                 tested.run,
 		})
 	})
 }
--- a/internal/aperture/report.go
+++ b/internal/aperture/report.go
@@ -2,7 +2,7 @@
 
 import "valvecove/dispatch"
 
-// applyList applies an update of the list, and returns the one for the policy.
+// applyList applies a list update from discovery, and returns the list update for the policy.
 func (a *Aperture) applyList(list dispatch.WorkerList) dispatch.WorkerList {
 	if list.Kind == dispatch.ListUnavailable {
 		a.awaitingList = true
@@ -28,12 +28,12 @@
 	for _, u := range a.fleet.units {
 		a.reportWorkers(u.workers)
 	}
-	a.updates = a.updates[:0] // the list contains all of them
+	a.updates = a.updates[:0] // the full list contains them
 	visible.Workers = a.reportedWorkers()
 	return visible
 }
 
-// applyStatus applies one entry of a list.
+// applyStatus applies one entry of a list update.
 func (a *Aperture) applyStatus(status dispatch.Worker) {
 	if !status.Removed {
 		a.fleet.update(status)
@@ -45,11 +45,11 @@
 	}
 	a.fleet.unlist(known)
 	if !known.reported {
-		a.fleet.forget(known)
+		a.fleet.markUnreported(known)
 	}
 }
 
-// visibleChanges returns the changes for the policy of the workers that have changed.
+// visibleChanges returns the changes that the policy must receive of the changed workers of a list update.
 func (a *Aperture) visibleChanges(changed []dispatch.Worker) (visible []dispatch.Worker) {
 	for _, status := range changed {
 		if w := a.fleet.workers[status.ID]; w != nil {
@@ -59,14 +59,14 @@
 	return visible
 }
 
-// unlistMissing removes the workers that are not in the full list that was applied last.
+// unlistMissing removes the workers that the last full list does not contain.
 func (a *Aperture) unlistMissing() {
 	for _, u := range a.fleet.units {
 		for i := len(u.workers) - 1; i >= 0; i-- { // backwards, as unit.remove moves the last worker
 			w := u.workers[i]
 			if w.listVersion != a.fleet.listVersion {
 				a.fleet.unlist(w)
-				a.fleet.forget(w)
+				a.fleet.markUnreported(w)
 			}
 		}
 	}
@@ -85,9 +85,9 @@
 	switch {
 	case known.unit != nil && known.unit.selected:
 		ready = known.Ready
-	case known.unit != nil && known.inFlight > 0: // outside of the subset, and reported as not ready while it has attempts
+	case known.unit != nil && known.inFlight > 0: // outside of the subset: reported as not ready until its attempts have ended
 	case known.reported:
-		return append(dst, a.hide(known))
+		return append(dst, a.removeFromPolicy(known))
 	default:
 		return dst
 	}
@@ -97,8 +97,8 @@
 	return dst
 }
 
-// hide removes a worker from the policy's list, and returns the status for that.
-func (a *Aperture) hide(w *worker) dispatch.Worker {
+// removeFromPolicy removes a worker from the policy's list, and returns the status with which the policy removes it.
+func (a *Aperture) removeFromPolicy(w *worker) dispatch.Worker {
 	status := w.Worker
 	status.Ready = false
 	status.Removed = true
@@ -106,7 +106,7 @@
 		a.deselected = append(a.deselected, w.ID)
 		a.fleet.clearResponses(w) // no response is expected any more
 	}
-	a.fleet.forget(w)
+	a.fleet.markUnreported(w)
 	return status
 }
 
@@ -129,8 +129,8 @@
 	return list
 }
 
-// appendOwnUpdate appends a list update with the changes that the aperture has made, if there are any. A policy that awaits a
-// list would take an update for that list, so it receives the full list as a cached one instead.
+// appendOwnUpdate appends a list update with the changes that the aperture has made, if there are any. While the policy awaits a
+// list from discovery, it receives its full list as a cached list instead: it would mistake an update for the awaited list.
 func (a *Aperture) appendOwnUpdate(visible []dispatch.Event) []dispatch.Event {
 	if len(a.updates) == 0 {
 		return visible
--- a/internal/aperture/responses.go
+++ b/internal/aperture/responses.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	responseTimeout = time.Second // a worker that does not respond in this time is unresponsive
-	maxFailures     = 2           // consecutive failures to reach a worker, after which it is unresponsive
+	responseTimeout = time.Second // a worker that does not respond within this time is unresponsive
+	maxFailures     = 2           // after this number of consecutive failures to reach a worker, it is unresponsive
 )
 
-// expectResponse records that a response of a worker is due from now on.
+// expectResponse starts the response timeout of a worker, unless a response is already due.
 func (f *fleet) expectResponse(w *worker, now time.Duration) {
 	if w.awaitingSince > 0 || w.unit == nil {
 		return
 	}
 	w.awaitingSince = max(now, 1)
-	if !w.awaited {
-		w.awaited = true
-		f.awaited = append(f.awaited, w)
+	if !w.inAwaitingResponse {
+		w.inAwaitingResponse = true
+		f.awaitingResponse = append(f.awaitingResponse, w)
 	}
 }
 
@@ -26,7 +26,7 @@
 	}
 }
 
-// clearResponses marks a worker as responsive, with no response due.
+// clearResponses marks a worker as responsive, without a response due.
 func (f *fleet) clearResponses(w *worker) {
 	w.awaitingSince = 0
 	w.failures = 0
@@ -45,34 +45,34 @@
 	}
 }
 
-// setUnresponsive sets whether a worker is unresponsive. An unresponsive worker stays in the subset, so that it can respond
-// again, and others are selected in addition.
+// setUnresponsive sets whether a worker is unresponsive. An unresponsive worker stays in the subset, so that a later response can
+// mark it as responsive again, and further workers are selected in addition.
 func (f *fleet) setUnresponsive(w *worker, unresponsive bool) {
 	if w.unit == nil || w.unresponsive == unresponsive {
 		return
 	}
-	f.count(w, -1)
+	f.adjustCounts(w, -1)
 	w.unresponsive = unresponsive
-	f.count(w, 1)
+	f.adjustCounts(w, 1)
 	f.needsRefresh = true
 }
 
-// checkResponses marks the workers that have not responded in time as unresponsive. late means that this process was not running
-// in time; all workers have the full time again then.
-func (f *fleet) checkResponses(now time.Duration, late bool) {
-	awaited := f.awaited[:0]
-	for _, w := range f.awaited {
+// checkResponses marks the workers that have not responded in time as unresponsive. stalled means that this process was not
+// running in time: every worker gets the full timeout again.
+func (f *fleet) checkResponses(now time.Duration, stalled bool) {
+	awaited := f.awaitingResponse[:0]
+	for _, w := range f.awaitingResponse {
 		if w.awaitingSince == 0 {
-			w.awaited = false
+			w.inAwaitingResponse = false
 			continue
 		}
-		if late {
+		if stalled {
 			w.awaitingSince = now
 		} else if w.reported && now-w.awaitingSince >= responseTimeout {
 			f.setUnresponsive(w, true)
 		}
 		awaited = append(awaited, w)
 	}
-	clear(f.awaited[len(awaited):])
-	f.awaited = awaited
+	clear(f.awaitingResponse[len(awaited):])
+	f.awaitingResponse = awaited
 }
--- a/internal/aperture/ring.go
+++ b/internal/aperture/ring.go
@@ -1,15 +1,15 @@
 package aperture
 
-// ringCount is the number of rings. Schedulers are assigned to the rings in turn, and the order of units is different on each.
+// ringCount is the number of rings. Schedulers are assigned to the rings in turn. Each ring has a different order of units.
 const ringCount = 2
 
 // replica identifies a scheduler among the schedulers of a deployment.
 type replica struct {
-	index      int // of this scheduler, from 0
-	schedulers int // 1 or more
+	index      int // index of this scheduler, from 0
+	schedulers int // number of schedulers; at least 1
 }
 
-// newReplica returns the replica with an index, which is taken modulo the number of schedulers.
+// newReplica returns the replica with an index, which is reduced modulo the number of schedulers.
 func newReplica(index, schedulers int) replica {
 	schedulers = max(1, schedulers)
 	return replica{index: (index%schedulers + schedulers) % schedulers, schedulers: schedulers}
@@ -18,8 +18,8 @@
 // ring returns the number of the scheduler's ring.
 func (r replica) ring() int { return r.index % ringCount }
 
-// segment returns the number of the scheduler's segment of its ring, and the number of segments, one for each scheduler on the
-// ring.
+// segment returns the number of the scheduler's segment of its ring, and the number of segments. Each scheduler on the ring has
+// one segment.
 func (r replica) segment() (number, segments int) {
 	return r.index / ringCount, (r.schedulers - r.ring() + ringCount - 1) / ringCount
 }
@@ -35,16 +35,16 @@
 	return x ^ x>>31
 }
 
-// slowStartRank is the rank of this scheduler among those that may send to a worker during its slow start, from 1: one on each
-// ring. It is anyScheduler if all may, and otherSchedulers if this one may not.
+// slowStartRank is the rank of this scheduler among the schedulers that may send to a worker during its slow start. One scheduler
+// of each ring may, and they have the ranks from 1 to ringCount.
 type slowStartRank uint8
 
 const (
-	anyScheduler    slowStartRank = 0
-	otherSchedulers slowStartRank = ringCount + 1
+	anyScheduler    slowStartRank = 0             // every scheduler may send to the worker
+	otherSchedulers slowStartRank = ringCount + 1 // only other schedulers may
 )
 
-// rankIn returns the rank of the scheduler for a unit in its segment. Which ring has rank 1 depends on the unit.
+// rankIn returns the scheduler's rank for a unit in its segment. Which of the rings has rank 1 depends on the unit.
 func (r replica) rankIn(unitID uint64) slowStartRank {
 	return 1 + slowStartRank(uint64(r.ring())^hash(^unitID)&1)
 }
--- a/internal/aperture/selection.go
+++ b/internal/aperture/selection.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// constrainedPercent is the percentage of Config.MinWorkers that the subset contains for each constrained class at least.
+// constrainedPercent is the percentage of Config.MinWorkers that the subset contains at least for each constrained class.
 const constrainedPercent = 10
 
 // coversFleet reports whether the subset must be the whole fleet.
@@ -10,7 +10,8 @@
 	return a.fleet.replica.schedulers < 2 || a.fleet.requirements[allJobs].total.listed < a.config.MinFleet
 }
 
-// refresh selects the subset. Units that are desired are added at once; evaluate releases those that are no longer desired later.
+// refresh selects the units that are desired in the subset. They are added at once; units that are no longer desired are released
+// later, by evaluate.
 func (a *Aperture) refresh() {
 	a.fleet.needsRefresh = false
 	a.refreshedAt = a.now
@@ -47,7 +48,8 @@
 	}
 }
 
-// updateUnit adds a unit to the subset if it is desired, and reports its workers if that or the rank has changed.
+// updateUnit adds a unit to the subset if it is desired. It reports the unit's workers if the unit was added or its rank has
+// changed.
 func (a *Aperture) updateUnit(u *unit, rank slowStartRank) {
 	isCurrent := u.selected && u.rank == rank
 	u.selected = u.selected || u.desired
@@ -61,16 +63,17 @@
 func (a *Aperture) selectUnits() {
 	fleetSize := a.fleet.requirements[allJobs].total.listed
 	for i := range a.fleet.requirements {
-		// A requirement that every worker meets is covered by that of all jobs.
+		// If every worker meets a requirement, the requirement for all jobs covers it.
 		if i == allJobs || a.fleet.requirements[i].total.listed < fleetSize {
 			a.selectFor(i)
 		}
 	}
 }
 
-// selectFor marks units as desired along the ring, from this scheduler's segment on, until a requirement is met. Segments have
-// equal lengths, in weights of the units that meet the requirement. For all jobs, all units of the scheduler's own segment are
-// desired, so that each worker is in the subset of at least one scheduler on each ring.
+// selectFor marks units as desired along the ring, starting with this scheduler's segment, until a requirement is met. The length
+// of the ring is the sum of the units' weights for the requirement, and all segments have equal lengths. For the requirement for
+// all jobs, all units of the scheduler's own segment are desired, so that each worker is in the subset of at least one scheduler
+// on each ring.
 func (a *Aperture) selectFor(index int) {
 	ring := a.ringFor(index)
 	if ring.length == 0 {
@@ -79,7 +82,7 @@
 	target := a.targetFor(index)
 	first, start := ring.ownStart()
 	units := a.fleet.units
-	offset := start // position of the next unit on the ring; it exceeds the length after a whole round
+	offset := start // offset of the next unit on the ring; it exceeds the length after a whole round
 	var found workerCounts
 	for i := range units {
 		candidate := units[(first+i)%len(units)]
@@ -106,9 +109,9 @@
 // ring is the ring of this scheduler with the weights for one requirement.
 type ring struct {
 	units             []*unit
-	requirement       int // index
+	requirement       int // index of the requirement
 	length            int // total weight of the units
-	segment, segments int // number of this scheduler's segment, and of all
+	segment, segments int // number of this scheduler's segment, and number of segments
 }
 
 // ringFor returns the ring for a requirement.
@@ -126,8 +129,8 @@
 	return (2*offset + u.weight(r.requirement)) * r.segments / (2 * r.length)
 }
 
-// ownStart returns the index and the offset of the first unit of this scheduler's segment, or of the next one if the segment is
-// empty.
+// ownStart returns the index and the offset of the first unit in this scheduler's segment, or of the first unit after the segment
+// if the segment contains none.
 func (r *ring) ownStart() (first, offset int) {
 	for _, u := range r.units {
 		weight := u.weight(r.requirement)
@@ -142,9 +145,9 @@
 
 // target is the number of workers with which a requirement is met.
 type target struct {
-	responsive  int  // number of responsive workers
-	maxReady    int  // limit of ready workers, if many are unresponsive
-	constrained bool // fewer are not accepted
+	responsive  int  // number of responsive workers to select
+	maxReady    int  // number of ready workers that is sufficient even if many of them are unresponsive
+	constrained bool // fewer responsive workers are not accepted
 }
 
 // targetFor returns the target of a requirement.
@@ -166,8 +169,8 @@
 	}
 }
 
-// isMetBy reports whether the workers found are enough, so that a unit with those of next is not added. As units are added
-// completely, the nearest number is accepted, except for a constrained class.
+// isMetBy reports whether the workers found so far are enough, so that the next unit is not added. As units are added completely,
+// the number of workers nearest to the target is accepted, except for a constrained class.
 func (t target) isMetBy(found, next workerCounts) bool {
 	missing := t.responsive - found.responsive
 	if missing <= 0 || found.ready >= t.maxReady {
--- a/internal/aperture/size.go
+++ b/internal/aperture/size.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	logInterval         = time.Second // minimum between two log lines
-	loggedChangePercent = 10          // minimum change of the subset that is logged
+	logInterval         = time.Second // minimum interval between two log lines
+	loggedChangePercent = 10          // a change of the subset's size by more than this is logged
 )
 
 // Size contains the sizes of the fleet and of the subset.
 type Size struct {
-	Listed        int     // workers that discovery lists
-	Ready         int     // ready ones of Listed
-	Selected      int     // listed workers in the subset
-	SelectedReady int     // ready ones of Selected
-	Unresponsive  int     // ready workers in the subset that have not responded in time
-	Whole         bool    // the subset is the whole fleet, because that is small or has one scheduler
-	Widening      float64 // factor by which load has widened the subset, from 1
+	Listed        int     // number of workers that discovery lists
+	Ready         int     // number of ready workers among them
+	Selected      int     // number of listed workers in the subset
+	SelectedReady int     // number of ready workers in the subset
+	Unresponsive  int     // number of ready workers in the subset that have not responded in time
+	CoversFleet   bool    // the subset is the whole fleet, because the fleet is small or there is one scheduler
+	Widening      float64 // factor by which load has widened the subset; at least 1
 }
 
 // Size returns the current sizes.
 func (a *Aperture) Size() Size {
-	size := Size{Whole: a.coversFleet(), Widening: a.widening.factor}
+	size := Size{CoversFleet: a.coversFleet(), Widening: a.widening.factor}
 	for _, u := range a.fleet.units {
 		counts := u.counts[allJobs]
 		size.Listed += counts.listed
@@ -39,38 +39,38 @@
 	return size
 }
 
-// differsFrom reports whether the difference to another size is worth a log line.
+// differsFrom reports whether the size differs enough from another one to be logged.
 func (s Size) differsFrom(other Size) bool {
-	if s.Whole || other.Whole {
-		return s.Whole != other.Whole
+	if s.CoversFleet || other.CoversFleet {
+		return s.CoversFleet != other.CoversFleet
 	}
 	change := max(s.Selected-other.Selected, other.Selected-s.Selected)
 	return 100*change > loggedChangePercent*other.Selected
 }
 
-// String returns the text of the log line.
+// String returns the sizes as in the log line.
 func (s Size) String() string {
-	if s.Whole {
-		return fmt.Sprintf("the whole fleet, %d listed, %d ready", s.Listed, s.Ready)
+	if s.CoversFleet {
+		return fmt.Sprintf("whole fleet selected: %d workers listed, %d ready", s.Listed, s.Ready)
 	}
-	return fmt.Sprintf("%d of %d listed, %d of %d ready, %d silent, factor %.2f",
+	return fmt.Sprintf("selected %d of %d listed workers, %d of %d ready, %d unresponsive, widening factor %.2f",
 		s.Selected, s.Listed, s.SelectedReady, s.Ready, s.Unresponsive, s.Widening)
 }
 
 // sizeLog is the state of the log of sizes.
 type sizeLog struct {
-	reason   string // reason for the next line; empty: none is due
+	reason   string // reason for the next log line; empty: none is due
 	last     Size
 	loggedAt time.Duration
 }
 
-// checkSize requests a log line if the size differs from the one that was logged last.
+// checkSize requests a log line if the size differs from the last logged size.
 func (a *Aperture) checkSize() {
 	if a.log.reason != "" {
 		return
 	}
 	if size := a.Size(); size.Listed > 0 && size.differsFrom(a.log.last) {
-		a.log.reason = "as the fleet is now"
+		a.log.reason = "fleet or subset changed"
 	}
 }
 
@@ -81,8 +81,8 @@
 	}
 	size := a.Size()
 	text := "aperture: " + size.String()
-	if !size.Whole {
-		text += ", " + a.log.reason
+	if !size.CoversFleet {
+		text += "; " + a.log.reason
 	}
 	a.log = sizeLog{last: size, loggedAt: a.now}
 	return append(dst, dispatch.Log{Text: text})
--- a/internal/aperture/slab.go
+++ b/internal/aperture/slab.go
@@ -3,10 +3,10 @@
 // slabSize is the number of values that a slab allocates at a time.
 const slabSize = 100
 
-// slab allocates many values at a time, so that a first list of thousands of workers does not delay the event loop.
+// slab allocates many values at a time, so that the first list, with thousands of workers, does not delay the event loop.
 type slab[T any] struct{ free []T }
 
-// allocate returns a zero value.
+// allocate returns a pointer to a zero value.
 func (s *slab[T]) allocate() *T { return &s.allocateMany(1)[0] }
 
 // allocateMany returns count consecutive zero values.
--- a/internal/aperture/unit.go
+++ b/internal/aperture/unit.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// unit is a group of workers that a subset contains completely or not at all: a cell if there are jobs whose duplicates are
-// detected within a cell only, else one worker.
+// unit is a group of workers that a subset contains completely or not at all: a cell if some jobs' duplicates are detected only
+// within a cell, otherwise one worker.
 type unit struct {
-	id       uint64         // of the cell or the worker
-	position uint64         // on this scheduler's ring
-	workers  []*worker      // in any order
-	counts   []workerCounts // by requirement
-	single   [1]*worker     // memory of workers, if units are not cells
+	id           uint64         // ID of the cell or the worker
+	position     uint64         // position on this scheduler's ring
+	workers      []*worker      // in any order
+	counts       []workerCounts // counts of the workers that meet a requirement, by index of the requirement
+	singleWorker [1]*worker     // initial array of workers, so that a unit of one worker needs no other allocation
 
 	inSegment   bool // in this scheduler's own segment
 	desired     bool // selected by the last refresh
 	selected    bool // in the subset: desired, or not released yet
 	rank        slowStartRank
-	lastDesired time.Duration // time of the last refresh at which it was still desired
+	lastDesired time.Duration // time of the last refresh until which the unit was desired
 }
 
-// weight returns the unit's length on the ring for a requirement: the number of its workers, rounded up to a power of two, so
-// that restarts within a cell do not move other units.
+// weight returns the unit's length on the ring for a requirement: the number of its workers that meet the requirement, rounded up
+// to a power of two, so that restarts within a cell do not move other units.
 func (u *unit) weight(requirementIndex int) int {
 	if listed := u.counts[requirementIndex].listed; listed > 0 {
 		return 1 << bits.Len(uint(listed-1))
@@ -36,7 +36,7 @@
 	return u.position < other.position || u.position == other.position && u.id < other.id
 }
 
-// remove removes a worker from the unit. The last worker is moved to its index.
+// remove removes a worker from the unit. The last worker of the slice takes its index.
 func (u *unit) remove(leaving *worker) {
 	i := slices.Index(u.workers, leaving)
 	last := len(u.workers) - 1
@@ -45,12 +45,12 @@
 	u.workers = u.workers[:last]
 }
 
-// sortUnits returns the units in order of the ring. It is a bucket sort with a final insertion sort, in linear time, as positions
-// are distributed evenly.
+// sortUnits returns the units in order of their positions on the ring. It is a bucket sort followed by an insertion sort, which
+// takes linear time because positions are distributed evenly.
 func sortUnits(units []*unit) []*unit {
 	width := bits.Len(uint(len(units)))
 	bucketOf := func(u *unit) uint64 { return u.position >> (64 - width) }
-	next := make([]int, 1<<width+1) // index of the next unit, by bucket
+	next := make([]int, 1<<width+1) // index in sorted of the next unit, by bucket
 	for _, u := range units {
 		next[bucketOf(u)+1]++
 	}
--- a/internal/aperture/widening_test.go
+++ b/internal/aperture/widening_test.go
@@ -7,8 +7,8 @@
 	"valvecove/dispatch"
 )
 
-// The subset does not oscillate with a load near the threshold, for which a wide subset is sufficient and a narrow one is not:
-// each time that a narrowing is undone, the next one waits longer.
+// The subset does not oscillate at a load near the threshold, for which a wide subset is sufficient and a narrow one is not: each
+// time a narrowing is undone, the next narrowing requires a longer period of low load.
 func TestWideningDoesNotOscillate(t *testing.T) {
 	const (
 		stepInterval = 50 * time.Millisecond
@@ -17,7 +17,7 @@
 	policy := newRecordingPolicy(t)
 	aperture := New(policy, workerSettings(3, 50), testConfig)
 	policy.act = func(events []dispatch.Event) (actions []dispatch.Action) {
-		for _, event := range events { // in a narrow subset 11 or 9 jobs of a hundred, in turn, find no capacity
+		for _, event := range events { // in a narrow subset, 11% and 9% of jobs are delayed, alternating every 1000 jobs
 			job, ok := event.(dispatch.Job)
 			if ok && (aperture.widening.factor > 2 || job.ID%100 >= 11-job.ID/1000%2*2) {
 				actions = append(actions, dispatch.Send{Job: job.ID, Worker: 1})
@@ -40,29 +40,29 @@
 		}
 	}
 	if changes > 50 || wideSteps < steps/2*9/10 {
-		t.Errorf("%d changes in half an hour, wide in %d of %d steps of its second half", changes, wideSteps, steps/2)
+		t.Errorf("factor changed %d times in 30 minutes, subset wide in %d of the last %d steps", changes, wideSteps, steps/2)
 	}
-	for range int(30 * time.Minute / evaluationInterval) { // and back, with nothing more to do
+	for range int(30 * time.Minute / evaluationInterval) { // without load, the subset narrows to its original size
 		now += evaluationInterval
 		aperture.Step(now, nil, nil)
 	}
 	if size := aperture.Size(); size.Widening != 1 || size.Selected != 160 {
-		t.Errorf("half an hour after the load: %+v", size)
+		t.Errorf("30 minutes after the end of the load: %+v, want 160 selected without widening", size)
 	}
 }
 
-// There is no aperture with one scheduler, and one from the configured number of schedulers on.
+// An aperture is used from Config.MinSchedulers on, and never with one scheduler.
 func TestEnabledFromMinSchedulers(t *testing.T) {
 	config := DefaultConfig()
 	for schedulers, want := range map[int]bool{0: false, 1: false, 2: true, 300: true} {
 		if config.Enabled(schedulers) != want {
-			t.Errorf("by default, %d schedulers: %v", schedulers, !want)
+			t.Errorf("default configuration, %d schedulers: enabled %v", schedulers, !want)
 		}
 	}
 	config.MinSchedulers = 60
 	for schedulers, want := range map[int]bool{1: false, 59: false, 60: true} {
 		if config.Enabled(schedulers) != want {
-			t.Errorf("from 60 on, %d schedulers: %v", schedulers, !want)
+			t.Errorf("at least 60 schedulers required, %d schedulers: enabled %v", schedulers, !want)
 		}
 	}
 }
--- a/internal/aperture/worker.go
+++ b/internal/aperture/worker.go
@@ -8,32 +8,32 @@
 
 // worker is the state of a worker that is listed, or has attempts of this scheduler in flight.
 type worker struct {
-	dispatch.Worker        // as discovery lists it
-	unit            *unit  // nil: it is not listed
-	listVersion     uint64 // fleet.listVersion of the last list that contained it
-	inFlight        int    // attempts of this scheduler
+	dispatch.Worker        // status that discovery lists
+	unit            *unit  // nil: the worker is not listed
+	listVersion     uint64 // fleet.listVersion of the last update that contained the worker
+	inFlight        int    // number of attempts of this scheduler in flight
 
 	// The status that the policy has received.
-	reported      bool // it is in the policy's list
+	reported      bool // the worker is in the policy's list
 	reportedReady bool
 	reportedRank  slowStartRank
-	changed       bool // discovery has listed a change since
+	changed       bool // discovery has listed a change since the last report
 
 	// Responses.
-	awaitingSince time.Duration // since when a response is due; 0: none is due
-	awaited       bool          // it is in fleet.awaited
-	failures      int           // consecutive failures to reach it
-	unresponsive  bool
+	awaitingSince      time.Duration // time since which a response is due; 0: none is due
+	inAwaitingResponse bool          // the worker is in fleet.awaitingResponse
+	failures           int           // number of consecutive failures to reach the worker
+	unresponsive       bool
 }
 
-// resetResponses resets the state of its responses.
+// resetResponses resets the response state.
 func (w *worker) resetResponses() {
 	w.awaitingSince = 0
 	w.failures = 0
 	w.unresponsive = false
 }
 
-// report returns the status of a listed worker for the policy, and records that it is in the policy's list.
+// report returns the status of a listed worker for the policy, and records that the policy has received it.
 func (w *worker) report(ready bool) dispatch.Worker {
 	w.reported = true
 	w.reportedReady = ready
@@ -70,8 +70,8 @@
 // workerCounts contains numbers of workers.
 type workerCounts struct {
 	listed     int
-	ready      int // ready ones of listed
-	responsive int // responsive ones of ready
+	ready      int // number of listed workers that are ready
+	responsive int // number of ready workers that are responsive
 }
 
 // add adds other, multiplied by times.
