--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -7,36 +7,36 @@
 	"valvecove/internal/modeltest"
 )
 
-// Short names of units, for tables of instants.
+// Short names of units, for tables of durations.
 const (
 	msec = time.Millisecond
 	sec  = time.Second
 )
 
-// The limits of the protocol's page, independent of the code under test.
+// The limits that the protocol's documentation states, independent of the code under test.
 const (
 	specStaleness             = 6 * sec    // "counts as told 6 s after discovery had it and could be reached"
 	specServerChangeStaleness = 4 * sec    // "After SIGHUP it counts 4 s later"
-	specStopGrace             = 500 * msec // minimum of the setting for the time to stop sending
+	specStopGrace             = 500 * msec // minimum configurable time to stop sending to a worker after a change
 )
 
 const (
-	maxDelayAfterRecovery       = 2500 * msec // until a change is received that is due before the server is reachable again
-	maxDelayAfterRecoveryPushed = 500 * msec  // the same if lists are pushed: the time to stop sending
-	serverTimeout               = 3 * sec     // a request that is queued at the server for longer fails there
+	maxDelayAfterRecovery       = 2500 * msec // from the server's recovery to the receipt of an overdue change
+	maxDelayAfterRecoveryPushed = 500 * msec  // the same if lists are pushed: specStopGrace
+	serverTimeout               = 3 * sec     // the server fails requests that are queued for longer
 	never                       = time.Duration(1) << 62
 	startTime                   = 1000 * time.Hour
 	modelStep                   = 10 * msec
 )
 
-// listChange is a change of the list at the server.
+// listChange is a change of the list at the server that the scheduler has not received.
 type listChange struct {
 	madeAt          time.Duration
-	reachableAt     time.Duration // when the server first had it and was reachable; never: not yet
+	reachableAt     time.Duration // when the server first had the change and was reachable; never: not yet
 	recoveredAt     time.Duration // when the server last became reachable again
-	silentAt        time.Duration // when the watch that missed it became silent; never: none did
-	serverChangedAt time.Duration // when the server was changed after it; never: it was not
-	queueDelay      time.Duration // time that requests were queued at the server since
+	silentAt        time.Duration // when the watch that missed the change became silent; never: no watch missed it
+	serverChangedAt time.Duration // when another server was first configured after the change; never: not yet
+	queueDelay      time.Duration // how long requests have been queued at the server since the change
 }
 
 // stalenessDeadline returns the deadline of the change according to the protocol.
@@ -61,24 +61,24 @@
 	return deadline
 }
 
-// discoveryModel is a model of the server, of the network, and of one scheduler that watches the list.
+// discoveryModel simulates the server, the network, and one scheduler that watches the list.
 type discoveryModel struct {
 	*modeltest.Steps
-	config      Config
-	watch       *Watch
-	now         time.Duration
-	down        bool // the server refuses connections
-	partitioned bool // no packet is delivered
-	silentAt    time.Duration
-	watching    bool // lines are sent, unless the watch is silent
-	lastLine    time.Duration
-	connecting  bool
-	connected   bool
-	unanswered  bool          // the current connection is never established, as it was started during a partition
-	queueDelay  time.Duration // of the next request
-	answerAt    time.Duration // of the current request
-	pending     []listChange  // not received yet
-	connects    []time.Duration
+	config           Config
+	watch            *Watch
+	now              time.Duration
+	down             bool          // the server refuses connections
+	partitioned      bool          // no packet is delivered
+	silentAt         time.Duration // when the server stopped sending lines on the watch; never: it has not
+	watching         bool          // the response has started; the server sends lines unless silentAt is set
+	lastLine         time.Duration
+	connecting       bool            // a connection is being established, or its request has no response yet
+	connected        bool            // the current connection was established
+	neverEstablished bool            // the current connection is never established, as it was started during a partition
+	queueDelay       time.Duration   // how long the server queues the next request
+	respondAt        time.Duration   // when the server responds to the current request
+	pending          []listChange    // changes that the scheduler has not received
+	connects         []time.Duration // start times of the connections
 }
 
 func newDiscoveryModel(choices *modeltest.Steps) *discoveryModel {
@@ -89,7 +89,7 @@
 		Schedulers:   []int{1, 6, 300}[choices.Pick(3)],
 	}
 	model.watch = New(model.config, model.random, model.now)
-	if model.config.PollInterval == 10*sec { // longer than the limit of the protocol, which applies then
+	if model.config.PollInterval == 10*sec { // the protocol's lower limit applies, and the checks must use it
 		model.config.PollInterval = 0
 	}
 	model.watch.Start(model.now, choices.Pick(2) == 0)
@@ -116,7 +116,7 @@
 			return
 		}
 	}
-	d.Check(false, "%v: it never rests", d.now)
+	d.Check(false, "%v: actions are due without end", d.now)
 }
 
 func (d *discoveryModel) connect() {
@@ -126,14 +126,15 @@
 	d.silentAt = never
 	d.connects = append(d.connects, d.now)
 	d.watch.Connect(d.now)
-	d.unanswered = d.partitioned && d.Pick(2) == 0
+	d.neverEstablished = d.partitioned && d.Pick(2) == 0
 	if d.down && !d.partitioned {
 		d.connecting = false
 		d.watch.Ended(d.now, false)
 	}
 }
 
-// breakConnection ends the connection. A request that fails has not reached the server.
+// breakConnection ends the connection. If the request has no response yet, it counts as not having reached the server, so
+// the delay that is allowed after a recovery starts again.
 func (d *discoveryModel) breakConnection() {
 	if d.connecting {
 		for i := range d.pending {
@@ -165,14 +166,14 @@
 	}
 }
 
-// advanceRequest establishes the connection of a new watch, queues its request, and responds to it.
+// advanceRequest establishes a new connection, queues its request at the server, and responds to the request once it is due.
 func (d *discoveryModel) advanceRequest() {
-	if d.connecting && !d.connected && d.isReachable() && !d.unanswered {
+	if d.connecting && !d.connected && d.isReachable() && !d.neverEstablished {
 		d.connected = true
-		d.answerAt = d.now + d.queueDelay
+		d.respondAt = d.now + d.queueDelay
 		d.watch.Connected(d.now)
 	}
-	if d.connecting && d.connected && !d.partitioned && d.now >= d.answerAt {
+	if d.connecting && d.connected && !d.partitioned && d.now >= d.respondAt {
 		if d.queueDelay > serverTimeout {
 			d.breakConnection()
 		} else {
@@ -194,12 +195,13 @@
 	d.pending = d.pending[:0]
 }
 
-// checkDeadlines compares the staleness deadline, and the times at which changes are received, with the protocol.
+// checkDeadlines checks that the watch's staleness deadline is not later than the protocol's, and that no change is received too
+// late.
 func (d *discoveryModel) checkDeadlines() {
 	for _, change := range d.pending {
 		deadline := change.stalenessDeadline(d.config)
 		got := d.watch.StalenessDeadline()
-		d.Check(got <= deadline, "%v: a change of %v counts as known at %v, and the watch has %v", d.now, change.madeAt, deadline, got)
+		d.Check(got <= deadline, "%v: a change made at %v has the deadline %v, and the watch has %v", d.now, change.madeAt, deadline, got)
 		if deadline == never || !d.isReachable() || d.config.PollInterval > 0 {
 			continue
 		}
@@ -208,12 +210,12 @@
 			recovery = maxDelayAfterRecoveryPushed
 		}
 		latest := max(deadline+specStopGrace, change.recoveredAt+recovery) + change.queueDelay
-		d.Check(d.now <= latest, "%v: a change of %v, known at %v, in reach since %v, has not been received by %v; connections %v, %+v",
+		d.Check(d.now <= latest, "%v: a change made at %v, with deadline %v and server recovery at %v, was not received by %v; connections at %v, %+v",
 			d.now, change.madeAt, deadline, change.recoveredAt, latest, d.connects[max(0, len(d.connects)-6):], d.config)
 	}
 }
 
-// change changes the list; a watch that is not silent sends it at once.
+// change changes the list. Unless the server has stopped sending lines, an open watch receives the change at once.
 func (d *discoveryModel) change() {
 	if d.watching && d.silentAt == never {
 		d.receive()
@@ -229,6 +231,7 @@
 	d.pending = append(d.pending, change)
 }
 
+// markRecovered records the time of a recovery of the server or the network, if the server is reachable.
 func (d *discoveryModel) markRecovered() {
 	if !d.isReachable() {
 		return
@@ -238,8 +241,8 @@
 	}
 }
 
-// fallSilent has the server stop sending on the watch.
-func (d *discoveryModel) fallSilent() {
+// stopLines makes the server stop sending lines on the watch.
+func (d *discoveryModel) stopLines() {
 	if d.watching && d.silentAt == never {
 		d.silentAt = d.now
 	}
@@ -256,7 +259,7 @@
 func (d *discoveryModel) togglePartition() {
 	d.partitioned = !d.partitioned
 	if d.partitioned {
-		d.fallSilent()
+		d.stopLines()
 	}
 	d.markRecovered()
 }
@@ -280,34 +283,35 @@
 		d.Record("change")
 		d.change()
 	case 2:
-		d.Record("down or up")
+		d.Record("toggle server down")
 		d.toggleDown()
 	case 3:
-		d.Record("partitioned or mended")
+		d.Record("toggle partition")
 		d.togglePartition()
 	case 4:
-		d.Record("silent")
-		d.fallSilent()
+		d.Record("stop lines")
+		d.stopLines()
 	case 5:
-		d.Record("reset")
+		d.Record("connection reset")
 		d.breakConnection()
 	case 6:
 		d.queueDelay = []time.Duration{0, 0, sec, 2500 * msec, 3100 * msec, time.Hour}[d.Pick(6)]
 		d.Record("queue delay " + d.queueDelay.String())
 	case 7:
-		d.Record("other server")
+		d.Record("server change")
 		d.changeServer()
 	default:
 		span := []time.Duration{10 * msec, 300 * msec, sec, 3 * sec}[d.Pick(4)]
-		d.Record(span.String())
+		d.Record("advance " + span.String())
 		d.advance(span)
 	}
 	d.runActions()
 	d.checkDeadlines()
 }
 
-// With any faults of the server and the network, the staleness deadline is never later than the protocol's. If the server is
-// reachable and requests are not queued there, every change is received by that deadline plus the time to stop sending.
+// With random faults of the server and the network, the staleness deadline is never later than the protocol's. If the server is
+// reachable, every change is received by the protocol's deadline plus the time to stop sending, or shortly after a recovery, plus
+// the time that requests are queued at the server.
 func FuzzStalenessDeadline(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newDiscoveryModel(choices)
@@ -321,8 +325,8 @@
 		if len(model.pending) > 0 {
 			model.markRecovered()
 		}
-		model.advance(10 * sec) // reachable until the end: all changes are received
-		choices.Check(len(model.pending) == 0 || model.config.PollInterval > 0, "never received: %v", model.pending)
-		choices.Check(model.watch.State() == Watching, "it is %v at the end", model.watch.State())
+		model.advance(10 * sec) // the server stays reachable, so all changes are received
+		choices.Check(len(model.pending) == 0 || model.config.PollInterval > 0, "changes never received: %v", model.pending)
+		choices.Check(model.watch.State() == Watching, "state %v at the end", model.watch.State())
 	})
 }
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -16,7 +16,7 @@
 
 // Kinds of tokens.
 const (
-	TokenNone    TokenKind = iota // none: the data ends within an event or between two events
+	TokenNone    TokenKind = iota // no token is complete: the data ends within an event or between two events
 	TokenLineEnd                  // a line end outside of an event
 	TokenEvent                    // a whole event
 )
@@ -27,16 +27,16 @@
 	Event []byte // the JSON object of TokenEvent, valid until the next Scan
 }
 
-// EventScanner finds the events in the body of a watch's response: JSON objects on one line or indented over many, with spaces
-// and line ends between them. An event is complete with its last brace. The scanner checks braces and strings only; a JSON
-// decoder must check the rest. The zero value is ready for the start of a body.
+// EventScanner finds the events in the body of a watch's response: JSON objects that take one line or several, with whitespace
+// between them. An event is complete with its last brace. The scanner only counts braces and brackets outside of strings: the
+// syntax of an event must be checked by a JSON decoder. The zero value is ready for the start of a body.
 type EventScanner struct {
 	event    []byte // the received part of the current event
-	depth    int    // open braces and brackets
+	depth    int    // number of open braces and brackets
 	position lexicalPosition
 }
 
-// lexicalPosition is the position of the scanner with regard to JSON strings.
+// lexicalPosition is the position of the scanner relative to JSON strings.
 type lexicalPosition uint8
 
 const (
@@ -45,8 +45,8 @@
 	afterBackslash
 )
 
-// Scan reads data up to the end of the next event or line end, and returns the number of bytes read. After an error the scanner
-// must not be used.
+// Scan reads data up to the end of the next token, and returns the token and the number of bytes read. After an error, the
+// scanner must not be used.
 func (e *EventScanner) Scan(data []byte) (token Token, consumed int, err error) {
 	if e.depth == 0 {
 		e.event = e.event[:0]
@@ -72,7 +72,7 @@
 	return Token{}, len(data), nil
 }
 
-// Buffered returns the number of buffered bytes of an incomplete event.
+// Buffered returns the number of buffered bytes of the current event.
 func (e *EventScanner) Buffered() int { return len(e.event) }
 
 // scanByte reads one byte, and returns the kind of the token that it completes.
--- a/internal/discovery/scanner_test.go
+++ b/internal/discovery/scanner_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// scanAll scans a text in pieces of a size, and returns its events and the line ends between them.
+// scanAll scans a text in pieces of the given size, and returns its events, and "\n" for each line end between them.
 func scanAll(text string, size int) (tokens []string, err error) {
 	var scanner EventScanner
 	for from := 0; from < len(text); from += size {
@@ -30,31 +30,33 @@
 	return tokens, nil
 }
 
-// Events are found with any whitespace between them and in pieces of any size; braces in strings are ignored.
+// The scanner finds events that are separated by any whitespace and received in pieces of any size, and ignores braces in
+// strings.
 func TestScannerFindsEvents(t *testing.T) {
-	const tricky = `{"id":"}{\"]\\","list":[{"a":1}]}`
+	const bracesInString = `{"id":"}{\"]\\","list":[{"a":1}]}`
 	for text, want := range map[string][]string{
-		"\n":                          {"\n"},
-		" \t\r\n{}\n":                 {"\n", "{}", "\n"},
-		tricky + "\n" + tricky + "\n": {tricky, "\n", tricky, "\n"},
-		tricky + tricky:               {tricky, tricky},
-		"{\n \"a\": [\n1\n]\n}\n":     {"{\n \"a\": [\n1\n]\n}", "\n"},
-		"{}{\"a\"":                    {"{}"},
+		"\n":          {"\n"},
+		" \t\r\n{}\n": {"\n", "{}", "\n"},
+		bracesInString + "\n" + bracesInString + "\n": {bracesInString, "\n", bracesInString, "\n"},
+		bracesInString + bracesInString:               {bracesInString, bracesInString},
+		"{\n \"a\": [\n1\n]\n}\n":                     {"{\n \"a\": [\n1\n]\n}", "\n"},
+		"{}{\"a\"":                                    {"{}"},
 	} {
 		for _, size := range []int{len(text), 3, 1} {
 			got, err := scanAll(text, size)
 			if err != nil || !slices.Equal(got, want) {
-				t.Errorf("%q in pieces of %d: %q, %v, wanted %q", text, size, got, err, want)
+				t.Errorf("%q in pieces of %d bytes: tokens %q, error %v, want %q", text, size, got, err, want)
 			}
 		}
 	}
 }
 
-// A text that is not an object is an error, and so is an object without end, of which at most the limit and one piece are buffered.
+// A body that contains anything but objects is an error. An object without end is an error too, once more than MaxEventSize bytes
+// are buffered: at most that and one piece.
 func TestScannerErrors(t *testing.T) {
 	for _, text := range []string{"}", "word", "[]", "{}1"} {
 		if _, err := scanAll(text, 1); !errors.Is(err, ErrNotAnEvent) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want %v", text, err, ErrNotAnEvent)
 		}
 	}
 	const piece = 32 << 10
@@ -66,6 +68,6 @@
 		}
 	}
 	if !errors.Is(err, ErrEventTooLarge) || scanner.Buffered() > MaxEventSize+piece {
-		t.Errorf("an event without end: %v, %d bytes kept", err, scanner.Buffered())
+		t.Errorf("an event without end: error %v, %d bytes buffered", err, scanner.Buffered())
 	}
 }
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Limits of the protocol: a scheduler is expected to apply a change within this time after the server has it and can be reached.
+// Limits of the protocol: a scheduler is expected to apply a change within this time after the server has it and is reachable.
 const (
 	maxStaleness             = 6 * time.Second
-	maxServerChangeStaleness = 4 * time.Second // after a new configuration with another server
+	maxServerChangeStaleness = 4 * time.Second // after another server is configured
 )
 
-// stalenessClock contains the instants that determine the staleness deadline, together with the state.
+// stalenessClock contains the times that, together with the state of the watch, determine the staleness deadline.
 type stalenessClock struct {
-	lastReceived    time.Duration // earliest time of a change that has not been received
+	currentAt       time.Duration // all changes up to this time have been received
 	watchEndedAt    time.Duration // end of the last connection that received lines
-	serverChangedAt time.Duration // first change of the server since a line was received; 0: none
+	serverChangedAt time.Duration // first change of the server since the last received line; 0: none
 	missedLines     bool          // the last watch ended by a timeout, and may have missed changes
 }
 
-// received is called when all changes up to now are known.
+// received records that all changes up to now have been received.
 func (s *stalenessClock) received(now time.Duration) {
-	s.lastReceived = now
+	s.currentAt = now
 	s.serverChangedAt = 0
 	s.missedLines = false
 }
 
-// deadline returns the instant from which the scheduler may be expected to have applied a change that it has not received.
+// deadline returns the staleness deadline; see Watch.StalenessDeadline. watching means that the state of the watch is Watching.
 func (s *stalenessClock) deadline(config *Config, watching bool) time.Duration {
-	at := s.lastReceived + config.maxStaleness()
+	at := s.currentAt + config.maxStaleness()
 	if config.Pushed && !watching {
-		at = min(at, s.watchEndedAt) // a later change is effective at once; one that a silent watch missed has the ordinary limit
+		// A change after the end of the watch is effective at once. A change that a silent watch missed has the ordinary limit.
+		at = min(at, s.watchEndedAt)
 	}
 	if s.serverChangedAt > 0 {
 		at = min(at, s.serverChangedAt+maxServerChangeStaleness)
@@ -35,10 +36,10 @@
 	return at
 }
 
-// maxStaleness returns the time after which a change at the server is expected to be applied here.
+// maxStaleness returns the time within which the scheduler is expected to apply a change at the server.
 func (c *Config) maxStaleness() time.Duration { return min(maxStaleness, c.pollInterval()) }
 
-// pollInterval returns the configured poll interval, or the limit of the protocol if there is none.
+// pollInterval returns the configured poll interval, or the protocol's limit if none is configured.
 func (c *Config) pollInterval() time.Duration {
 	if c.PollInterval > 0 {
 		return c.PollInterval
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -11,7 +11,7 @@
 	BackingOff                     // no connection; the next one is scheduled
 	Connecting                     // the connection is not established yet
 	AwaitingFirstLine              // the connection is established, and nothing was received
-	Watching                       // lines are received
+	Watching                       // at least one line was received
 )
 
 // IsOpen reports whether there is a connection, which may not be established yet.
@@ -57,7 +57,7 @@
 	return valid
 }
 
-// after returns the state after an event, and whether the event is valid in s.
+// after returns the state that follows s after an event, and whether the event is valid in s.
 func (s State) after(e event) (next State, valid bool) {
 	switch e {
 	case eventStart:
@@ -85,8 +85,8 @@
 // Actions.
 const (
 	ActionNone    Action = iota
-	ActionConnect        // open a connection, and report Connect
-	ActionAbort          // close the connection, which has timed out, and report Ended
+	ActionConnect        // open a connection, and call Connect
+	ActionAbort          // close the connection, which has timed out, and call Ended
 )
 
 // String returns the name of the action.
--- a/internal/discovery/watch/connection.go
+++ b/internal/discovery/watch/connection.go
@@ -1,13 +1,13 @@
-// Package watch is the HTTP connection on which the discovery service sends the changes of the endpoint list.
+// Package watch implements the HTTP connection on which the discovery service sends the changes of the endpoint list.
 //
-// It executes the actions of the state machine of package discovery (when to connect, when to abort a connection), parses
-// the response and passes each watch event to the request table. It keeps no endpoint list itself. A Connection is used on the
-// goroutine of its event loop only.
+// It executes the actions of the state machine of package discovery (when to connect, when to abort a connection), parses the
+// response and passes each watch event to the request table. It keeps no endpoint list itself. A Connection must be used only on
+// the goroutine of its event loop.
 //
 // # Files
 //
-//   - connection.go: the Connection: when it connects, its events, and its end
-//   - exchange.go: its request, and the parsing of the response into watch events
+//   - connection.go: how a Connection is opened, handles I/O events, and ends
+//   - exchange.go: the request, and the parsing of the response into watch events
 package watch
 
 import (
@@ -24,19 +24,19 @@
 	"valvecove/internal/requests"
 )
 
-// Reasons for the end of a connection. Errors of the network and of the parsers are logged as they are.
+// Reasons for the end of a connection, besides errors of the network and of the parsers.
 var (
-	errTimedOut = errors.New("nothing received in time")
+	errTimedOut = errors.New("timed out")
 	errClosed   = errors.New("closed by the discovery service")
 	errRejected = errors.New("watch rejected")
-	errPanicked = errors.New("panic")
+	errPanicked = errors.New("panic while handling an event")
 )
 
 // EndpointTable is the endpoint list that the watch updates. *requests.Table implements it.
 type EndpointTable interface {
 	// Revision returns the revision of the current endpoint list.
 	Revision() int64
-	// ResetRevision forgets the revision: the next list is accepted whatever its revision is.
+	// ResetRevision discards the revision, so that the next list is accepted whatever its revision is.
 	ResetRevision()
 	// UpdateEndpoints applies a watch event.
 	UpdateEndpoints(list requests.EndpointList)
@@ -58,7 +58,7 @@
 
 // Connection watches the endpoint list of one server at a time. It reconnects when its state machine requires it, until Stop.
 type Connection struct {
-	eventloop.Stream // closed unless the state machine's state is open
+	eventloop.Stream // open only while the state machine's state is open; see discovery.State.IsOpen
 
 	loop    *eventloop.Loop
 	config  Config
@@ -66,7 +66,7 @@
 	machine *discovery.Watch
 	timer   *eventloop.Timer // for the state machine's next deadline
 
-	requestedRevision int64 // the list of this connection follows this revision
+	requestedRevision int64 // the connection requested the changes after this revision
 	isStreaming       bool  // the response header was read
 	hasReceivedEvent  bool  // since the connection was opened
 	response          http1.Response
@@ -74,10 +74,10 @@
 	scanner           discovery.EventScanner
 
 	lastLineAt     time.Duration // when a line was last received, on any connection; 0: never
-	previousLineAt time.Duration // the latest time before lastLineAt at which one was; 0: never
+	previousLineAt time.Duration // when a line was last received before lastLineAt; 0: never
 }
 
-// New returns a connection that is not open, and not scheduled to be opened.
+// New returns a Connection that is not open, and not scheduled to be opened.
 func New(loop *eventloop.Loop, config Config) *Connection {
 	return &Connection{
 		loop:    loop,
@@ -87,7 +87,7 @@
 	}
 }
 
-// Start schedules the first connection of the process. hasList reports that the process has a list to serve with until then.
+// Start schedules the first connection of the process. hasList means that the process already has a list to serve with.
 func (c *Connection) Start(hasList bool) {
 	c.machine.Start(c.loop.Now(), hasList)
 	c.resetTimer()
@@ -101,7 +101,7 @@
 	})
 }
 
-// Stop closes the connection and schedules no other one.
+// Stop closes the connection, and schedules no further one.
 func (c *Connection) Stop() {
 	c.Close()
 	c.machine.Stop()
@@ -109,8 +109,8 @@
 }
 
 // ChangeServer watches the list of another server from now on. The connection to the previous server is closed at once, so that
-// neither its end nor later input is attributed to the new one. Revisions of the two servers are unrelated, so the new server is
-// asked from revision 0 on, for its whole list.
+// neither its end nor later input is attributed to the new server. The revisions of two servers are unrelated, so the whole list
+// is requested from the new server, with revision 0.
 func (c *Connection) ChangeServer(server netip.AddrPort) {
 	c.server = server
 	c.config.Table.ResetRevision()
@@ -153,7 +153,7 @@
 	}
 }
 
-// connect opens a connection, for the changes since the current list.
+// connect opens a connection that requests the changes since the current list.
 func (c *Connection) connect() {
 	c.machine.Connect(c.loop.Now())
 	c.resetTimer()
@@ -209,7 +209,7 @@
 	}
 }
 
-// handleEvents returns the reason if the connection ends.
+// handleEvents is HandleEvents without the end of the connection. It returns the reason if the connection must end.
 func (c *Connection) handleEvents(events uint32) error {
 	if c.machine.State() == discovery.Connecting {
 		return c.completeConnect(events)
--- a/internal/discovery/watch/exchange.go
+++ b/internal/discovery/watch/exchange.go
@@ -13,10 +13,10 @@
 	"valvecove/internal/requests"
 )
 
-// watchPath is the start of the request target. The revision after which changes are requested is appended.
+// watchPath is the request target without the revision after which changes are requested, which is appended.
 const watchPath = "/discovery/hosts?stream=1&index="
 
-// completeConnect sends the request once the connection is established.
+// completeConnect sends the request if the connection is established, and returns an error if it could not be established.
 func (c *Connection) completeConnect(events uint32) error {
 	if err := c.ConnectError(); err != nil {
 		return err
@@ -31,7 +31,7 @@
 	return c.Send(append(request, "\r\n"...))
 }
 
-// readResponse parses the received part of the response.
+// readResponse parses the received input of the response.
 func (c *Connection) readResponse() error {
 	for !c.isStreaming {
 		complete, err := c.readResponseHeader()
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// readPiece handles a piece of the body, which may contain any part of any number of events.
+// readPiece handles a piece of the body, which may contain several events and parts of events.
 func (c *Connection) readPiece(piece []byte) error {
 	for len(piece) > 0 {
 		token, consumed, err := c.scanner.Scan(piece)
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// handleLine records the time of a line, which may be empty or an event.
+// handleLine records the receipt of a line, which is an event or empty.
 func (c *Connection) handleLine() {
 	now := c.loop.Now()
 	if now > c.lastLineAt {
@@ -117,7 +117,7 @@
 	c.resetTimer()
 }
 
-// applyEvent passes an event, which is JSON, to the request table.
+// applyEvent decodes an event, which is a JSON object, and passes it to the request table.
 func (c *Connection) applyEvent(event []byte) error {
 	var list requests.EndpointList
 	if err := jsoniter.ConfigDefault.Unmarshal(event, &list); err != nil {
@@ -125,7 +125,7 @@
 	}
 	if !c.hasReceivedEvent {
 		c.hasReceivedEvent = true
-		c.config.Log.Info("watch began", "discovery", c.server.String(), "after", c.requestedRevision, "revision", list.Revision,
+		c.config.Log.Info("watch started", "discovery", c.server.String(), "after", c.requestedRevision, "revision", list.Revision,
 			"snapshot", list.Reset, "entries", len(list.Endpoints))
 	}
 	list.Receipt = requests.Receipt{At: c.loop.Now(), LastViewAt: c.previousLineAt}
--- a/internal/discovery/watch/fixture_test.go
+++ b/internal/discovery/watch/fixture_test.go
@@ -18,27 +18,28 @@
 
 const watchResponse = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// watchLost is the loss of the list among revisions.
+// watchLost stands for the loss of the watch in a list of revisions.
 const watchLost = -1
 
+// chunk returns a text as a chunk of an HTTP body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // server is the remote end of a connection to a discovery service.
 type server struct {
 	*eventlooptest.Peer
-	address netip.AddrPort // that was dialed
+	address netip.AddrPort // the dialed address
 }
 
-// fixture is a request table that watches its endpoint list by a connection on an event loop.
+// fixture is a request table whose endpoint list is watched by a Connection on an event loop.
 type fixture struct {
 	*modeltest.Steps
 	*eventlooptest.Loop
-	watch      *Connection
-	table      *requests.Table
-	policy     *modeltest.ScriptedPolicy
-	dialed     []*server // the remote ends of connections, in the order of their opening
-	neverUp    bool      // the connections that are dialed are not established
-	dialErrors []error   // of the next dials
+	watch            *Connection
+	table            *requests.Table
+	policy           *modeltest.ScriptedPolicy
+	dialed           []*server // remote ends of the dialed connections, in order of dialing
+	neverEstablished bool      // connections are dialed, and never established
+	dialErrors       []error   // errors of the next dials
 }
 
 func newFixture(steps *modeltest.Steps, config discovery.Config, random func(n int64) int64) *fixture {
@@ -47,11 +48,11 @@
 		NextStep: func() (at time.Duration, ok bool) { return f.table.NextStep() },
 		Step:     func(now time.Duration) { f.table.Step(now) },
 	})
-	silent := slog.New(slog.DiscardHandler)
+	discard := slog.New(slog.DiscardHandler)
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
-	f.table = requests.New(6, names, func() requests.Policy { return f.policy }, endpoints, transport{f}, silent)
-	f.watch = New(f.Loop.Loop, Config{Discovery: config, Random: random, Table: f.table, Log: silent, Dial: f.dial})
+	f.table = requests.New(6, names, func() requests.Policy { return f.policy }, endpoints, transport{f}, discard)
+	f.watch = New(f.Loop.Loop, Config{Discovery: config, Random: random, Table: f.table, Log: discard, Dial: f.dial})
 	f.RunIterations()
 	return f
 }
@@ -63,14 +64,14 @@
 		return eventloop.NoDescriptor, err
 	}
 	peer, descriptor := eventlooptest.SocketPair(f.T)
-	if f.neverUp {
+	if f.neverEstablished {
 		eventlooptest.FillSocket(descriptor)
 	}
 	f.dialed = append(f.dialed, &server{peer, address})
 	return descriptor, nil
 }
 
-// transport has the watch restarted. No attempt is made.
+// transport restarts the watch on request, and starts no attempts at workers.
 type transport struct{ fixture *fixture }
 
 func (transport) Start(*requests.Attempt)     {}
@@ -80,11 +81,11 @@
 func (transport) CloseIdleConnections(uint64) {}
 func (t transport) Watch(int64)               { t.fixture.watch.Restart() }
 
-// minRandom and maxRandom return the smallest and the largest number that may be drawn.
+// minRandom and maxRandom always return the smallest and the largest possible random number.
 func minRandom(int64) int64   { return 0 }
 func maxRandom(n int64) int64 { return n - 1 }
 
-// newWatchingFixture returns a fixture that has requested the watch, and the server's end of the connection.
+// newWatchingFixture returns a fixture that has sent its watch request, and the server's end of the connection.
 func newWatchingFixture(t *testing.T) (*fixture, *server) {
 	t.Helper()
 	f := newFixture(&modeltest.Steps{T: t}, discovery.Config{PollInterval: 10 * time.Second}, minRandom)
@@ -96,8 +97,8 @@
 	return f, server
 }
 
-// takeRevisions returns the revisions of the list updates that the policy has received since the last call, and watchLost for each
-// loss.
+// takeRevisions returns the revisions of the list updates that the policy has received since the last call, with watchLost for
+// each loss of the watch.
 func (f *fixture) takeRevisions() (revisions []int64) {
 	for _, event := range f.policy.Received {
 		list, ok := event.(dispatch.WorkerList)
@@ -113,10 +114,10 @@
 	return revisions
 }
 
-// expectRevisions checks and takes the revisions received.
+// expectRevisions checks the result of takeRevisions.
 func (f *fixture) expectRevisions(t *testing.T, what string, want ...int64) {
 	t.Helper()
 	if got := f.takeRevisions(); !slices.Equal(got, want) {
-		t.Errorf("%s: revisions %v, wanted %v", what, got, want)
+		t.Errorf("%s: revisions %v, want %v", what, got, want)
 	}
 }
--- a/internal/discovery/watch/model_test.go
+++ b/internal/discovery/watch/model_test.go
@@ -12,14 +12,14 @@
 	"valvecove/internal/modeltest"
 )
 
-// watchModel is a discovery service that one loop watches, and what it has sent.
+// watchModel is a fixture with a simulated discovery service, and the events that the service has sent.
 type watchModel struct {
 	*fixture
 	server  *server
-	unsent  string
-	sent    []int // revisions of the events sent or to be sent, and not checked yet
-	lost    bool  // the watch has been broken
-	ignored int   // how many events the policy had received before the watch
+	unsent  string // part of the response that is not sent yet
+	sent    []int  // revisions of the events that were added to the response
+	lost    bool   // the watch was broken, and the loss must be reported
+	ignored int    // number of events that the policy received before the watch was opened
 }
 
 func newWatchModel(choices *modeltest.Steps) *watchModel {
@@ -35,7 +35,7 @@
 	return model
 }
 
-// step does one thing at random.
+// step executes one random step.
 func (w *watchModel) step() {
 	switch w.Pick(7) {
 	case 0, 1:
@@ -55,7 +55,7 @@
 	w.RunIterations()
 }
 
-// queueEvent has the next event sent, in two chunks.
+// queueEvent adds the next event to the unsent response, in two chunks.
 func (w *watchModel) queueEvent() {
 	revision := 1
 	if len(w.sent) > 0 {
@@ -67,7 +67,7 @@
 	w.sent = append(w.sent, revision)
 }
 
-// sendAll sends all and an empty line: while lines come in time, a watch lives on.
+// sendAll sends the unsent response and an empty line, and advances the time by less than the time limit of a line.
 func (w *watchModel) sendAll() {
 	w.server.Write([]byte(w.unsent + chunk("\n")))
 	w.unsent = ""
@@ -81,7 +81,7 @@
 	w.unsent = w.unsent[size:]
 }
 
-// breakWatch ends the watch by silence, by the end of the connection, or by what can't be read.
+// breakWatch ends the watch by silence, by the end of the connection, or by malformed input.
 func (w *watchModel) breakWatch() {
 	w.server.Write([]byte(w.unsent))
 	w.unsent = ""
@@ -90,15 +90,15 @@
 	case 0:
 		w.server.Write([]byte(chunk("\n")))
 		w.RunIterations()
-		w.Time += 3 * time.Second // a line is due every 2 s
+		w.Time += 3 * time.Second // the server must send a line every 2 s
 	case 1:
 		w.server.Close()
 	default:
-		w.server.Write([]byte(chunk("}") + chunk("\n"))) // a brace that opens might be an indented list
+		w.server.Write([]byte(chunk("}") + chunk("\n"))) // an opening brace would be valid: it may start an indented event
 	}
 }
 
-// changeServer has another service watched: whatever the one before still does or sends is not the new one's.
+// changeServer configures another server. Later input from the previous server, or its end, must have no effect.
 func (w *watchModel) changeServer() {
 	w.server.Write([]byte(w.unsent))
 	w.RunIterations()
@@ -114,31 +114,31 @@
 	w.server.Read(1 << 12)
 	previous.Read(1 << 12)
 	w.Check(w.server != previous && w.server.address == address && strings.Contains(string(w.server.Received), "&index=0 "),
-		"moved to %v, requested %q", w.server.address, w.server.Received)
-	w.Check(previous.Closed || previous.Ended, "the connection to the previous server goes on")
+		"after a change of the server: connected to %v, requested %q", w.server.address, w.server.Received)
+	w.Check(previous.Closed || previous.Ended, "the connection to the previous server is still open")
 	w.unsent = watchResponse
 }
 
-// check compares the list updates of the policy with what was sent.
+// check compares the list updates that the policy has received with the events that were sent.
 func (w *watchModel) check() {
 	unseen := w.sent
 	for _, event := range w.policy.Received[w.ignored:] {
 		list := event.(dispatch.WorkerList)
 		if list.Kind == dispatch.ListUnavailable {
-			w.Check(w.lost, "the list is reported as lost, and is not")
+			w.Check(w.lost, "the list is reported as unavailable, and the watch was not broken")
 			w.lost = false
 			continue
 		}
-		w.Check(len(unseen) > 0, "an update that was not sent")
+		w.Check(len(unseen) > 0, "the policy received an update that was not sent")
 		if w.table.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
 			unseen = unseen[1:]
 		}
 	}
-	w.Check(!w.lost && len(unseen) == 0, "loss not reported %v, updates not reported %v", w.lost, unseen)
+	w.Check(!w.lost && len(unseen) == 0, "not reported: loss of the watch %v, updates with revisions %v", w.lost, unseen)
 }
 
-// A watch takes lines in any pieces and reports each update once, in order; one that ends, breaks off or falls silent is
-// reported as lost.
+// A watch reads lines that are received in any pieces, and reports each update once, in order. The list is reported as
+// unavailable if the watch ends, is broken by malformed input, or receives no more lines.
 func FuzzWatch(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newWatchModel(choices)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// drawMax always returns the greatest random number, and drawMin the least.
+// drawMax always returns the largest possible random number, and drawMin the smallest.
 func drawMax(n int64) int64 { return n - 1 }
 func drawMin(int64) int64   { return 0 }
 
@@ -20,7 +20,7 @@
 	return w
 }
 
-// refuse has the next connections fail at once, and returns the time of the last failure.
+// refuse lets the next connections fail as soon as they are opened, and returns the time of the last failure.
 func refuse(w *Watch, times int) (last time.Duration) {
 	for range times {
 		last, _ = w.NextDeadline()
@@ -30,13 +30,14 @@
 	return last
 }
 
-// After any loss of the watch, the next connection is early enough that its response, within its time limits, is received before
-// the staleness deadline, even with the greatest random backoff; after silence, early enough for one more connection.
+// After any loss of the watch, and with the largest random backoff, the next connection is opened early enough that a response
+// within the time limits is received before the staleness deadline. After a watch that was silent, there is also time for one
+// more connection.
 func TestWorstCaseBackoff(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		lose   func(w *Watch) (since time.Duration)
-		within time.Duration // maximum time to the next connection
+		within time.Duration // maximum time from since to the next connection
 	}{
 		{"reset", func(w *Watch) time.Duration { w.Ended(startTime+sec, false); return startTime }, 3 * sec},
 		{"silent", func(w *Watch) time.Duration { w.Ended(startTime+3*sec, true); return startTime }, 5 * sec},
@@ -44,7 +45,8 @@
 			w.Ended(startTime, false)
 			return refuse(w, 12)
 		}, 2 * sec},
-		{"silent, then refused", func(w *Watch) time.Duration { // missed changes have their deadline whether or not the server is up
+		// A change that the silent watch missed has its deadline whether or not the server is reachable.
+		{"silent, then refused", func(w *Watch) time.Duration {
 			w.Ended(startTime+3*sec, true)
 			return refuse(w, 1)
 		}, 750 * msec},
@@ -54,13 +56,13 @@
 			w := newWatching(Config{PollInterval: 10 * sec, Schedulers: schedulers}, drawMax)
 			since := test.lose(w)
 			if next, ok := w.NextDeadline(); !ok || next-since > test.within {
-				t.Errorf("%s, %d schedulers: the next connection after %v, wanted within %v", test.name, schedulers, next-since, test.within)
+				t.Errorf("%s, %d schedulers: next connection after %v, want at most %v", test.name, schedulers, next-since, test.within)
 			}
 		}
 	}
 }
 
-// Many schedulers that lose their watches together, or start together, do not connect together.
+// Many schedulers that lose their watches or start at the same time do not connect at the same time.
 func TestManySchedulersSpreadConnections(t *testing.T) {
 	const schedulers = 300
 	config := Config{PollInterval: 10 * sec, Schedulers: schedulers}
@@ -93,13 +95,14 @@
 		}
 		for at, n := range connections {
 			if n > schedulers/5 {
-				t.Errorf("%s: %d of %d connect within a tenth of a second, at %v", name, n, schedulers, at*100*msec)
+				t.Errorf("%s: %d of %d schedulers connect in the 100 ms from %v on", name, n, schedulers, at*100*msec)
 			}
 		}
 	}
 }
 
-// A server that fails all connections is not connected to in a loop.
+// A scheduler does not connect in a loop to a server that refuses all connections: even with the smallest random backoff, it
+// opens at most 400 in a minute.
 func TestConnectionsToFailedServerAreBounded(t *testing.T) {
 	for _, schedulers := range []int{1, 300} {
 		w := New(Config{PollInterval: 10 * sec, Schedulers: schedulers}, drawMin, startTime)
@@ -109,13 +112,13 @@
 			now = refuse(w, 1)
 		}
 		if connections > 400 {
-			t.Errorf("%d schedulers: %d connections each in a minute", schedulers, connections)
+			t.Errorf("%d schedulers: %d connections in a minute by each, want at most 400", schedulers, connections)
 		}
 	}
 }
 
-// A process without a list connects at once, regardless of the number of schedulers; so does one whose list is pushed to its
-// server.
+// A process without a list connects at once, regardless of the number of schedulers. A process whose list is pushed to its server
+// does so too.
 func TestFirstConnection(t *testing.T) {
 	for _, test := range []struct {
 		config  Config
@@ -130,13 +133,13 @@
 		w := New(test.config, drawMax, startTime)
 		w.Start(startTime, test.hasList)
 		if at, ok := w.NextDeadline(); !ok || at != startTime+test.want {
-			t.Errorf("%+v, has a list %v: the first connection after %v, wanted %v", test.config, test.hasList, at-startTime, test.want)
+			t.Errorf("%+v, has a list %v: first connection after %v, want %v", test.config, test.hasList, at-startTime, test.want)
 		}
 	}
 }
 
-// If connections are spread, each process has its first list within its initial wait, with the maximum delay and an immediate
-// response.
+// If connections are spread, the initial wait is long enough for a process that connects after the maximum delay and receives an
+// immediate response.
 func TestInitialWait(t *testing.T) {
 	for _, test := range []struct {
 		config Config
@@ -151,12 +154,12 @@
 		at, _ := w.NextDeadline()
 		wait := w.InitialWait()
 		if (wait > 0) != test.waits || wait > 0 && startTime+wait < at+200*msec || wait > 3*sec {
-			t.Errorf("%+v: waits %v, connects after %v", test.config, wait, at-startTime)
+			t.Errorf("%+v: initial wait %v, connects after %v", test.config, wait, at-startTime)
 		}
 	}
 }
 
-// A server that is slow to accept connections is still reached: every second attempt has a longer timeout.
+// A server that is slow to accept connections is still reached, because every second attempt has a longer timeout.
 func TestSlowServerIsReached(t *testing.T) {
 	const within = 5 * sec
 	for _, acceptDelay := range []time.Duration{300 * msec, 700 * msec, 1200 * msec} {
@@ -174,15 +177,15 @@
 				}
 			}
 			if w.State() != AwaitingFirstLine {
-				t.Errorf("accepted after %v, %d schedulers: %v, and not reached within %v", acceptDelay, schedulers, w.State(), within)
+				t.Errorf("connections accepted after %v, %d schedulers: state %v after %v", acceptDelay, schedulers, w.State(), within)
 			}
 		}
 	}
 }
 
-// With changes of the server at any intervals, a connection is opened before the staleness deadline of the first one, though each
+// If the server is changed repeatedly, a connection is opened before the staleness deadline of the first change, although each
 // change may delay it.
-func TestServerChangesInARow(t *testing.T) {
+func TestRepeatedServerChanges(t *testing.T) {
 	for _, interval := range []time.Duration{msec, 100 * msec, 300 * msec, 600 * msec, 900 * msec} {
 		w := newWatching(Config{PollInterval: 10 * sec, Schedulers: 300}, drawMax)
 		now, connected := startTime, false
@@ -192,7 +195,7 @@
 			connected = at < now+interval
 		}
 		if at, _ := w.NextDeadline(); at > startTime+specServerChangeStaleness+minServerChangeDelay {
-			t.Errorf("another server every %v: the first connection after %v", interval, at-startTime)
+			t.Errorf("another server every %v: first connection after %v", interval, at-startTime)
 		}
 		if !connected && interval > minServerChangeDelay {
 			t.Errorf("another server every %v: no connection within %v", interval, now-startTime)
@@ -200,10 +203,11 @@
 	}
 }
 
-// The valid transitions, and the events that are not valid in a state.
+// Each event leads to the expected state, or is invalid in the current state.
 func TestTransitions(t *testing.T) {
 	const invalid = State(99)
-	for occurrence, want := range map[event][Watching + 1]State{ // by state: Disconnected, BackingOff, Connecting, AwaitingFirstLine, Watching
+	// Next states by current state: Disconnected, BackingOff, Connecting, AwaitingFirstLine, Watching.
+	for e, want := range map[event][Watching + 1]State{
 		eventStart:        {BackingOff, invalid, invalid, invalid, invalid},
 		eventStop:         {},
 		eventChangeServer: {BackingOff, BackingOff, BackingOff, BackingOff, BackingOff},
@@ -213,9 +217,9 @@
 		eventEnd:          {invalid, invalid, BackingOff, BackingOff, BackingOff},
 	} {
 		for from := Disconnected; from <= Watching; from++ {
-			next, valid := from.after(occurrence)
+			next, valid := from.after(e)
 			if valid != (want[from] != invalid) || valid && next != want[from] {
-				t.Errorf("%v, event %d: %v, valid %v", from, occurrence, next, valid)
+				t.Errorf("state %v, event %d: next state %v, valid %v, want next state %v", from, e, next, valid, want[from])
 			}
 		}
 	}
