--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -20,7 +20,7 @@
 	headerSize     = checkedOffset + 4 + 2
 )
 
-// kind is the kind of a message, its first byte.
+// kind is the kind of a message, which is its first byte.
 type kind byte
 
 // Kinds of messages. The numbers are part of the wire format.
@@ -33,34 +33,34 @@
 	kindLeaseQueued
 )
 
-// Resolution of numbers on the wire. The numbers of parts are powers of two, so that a received number is encoded again without
-// error.
+// Resolution and range of numbers on the wire. Slots and work are encoded as multiples of a power of two, so that a decoded
+// number is exact, and is encoded in the same way again.
 const (
-	slotParts  = 16   // parts of a slot
-	workParts  = 1024 // of a second of work
-	scoreSteps = math.MaxUint16
-	maxSlots   = 1 << 16
-	maxWork    = 1 << 20 // seconds
-	maxIndex   = math.MaxInt32
+	slotParts        = 16             // parts of a slot
+	workParts        = 1024           // parts of a second of work
+	probabilitySteps = math.MaxUint16 // a probability is a multiple of 1/probabilitySteps
+	maxSlots         = 1 << 16
+	maxWork          = 1 << 20 // seconds
+	maxIndex         = math.MaxInt32
 )
 
 // Errors of invalid datagrams.
 var (
 	ErrMalformed = errors.New("malformed datagram")
-	ErrVersion   = errors.New("unknown version")
-	ErrChecksum  = errors.New("wrong checksum")
-	ErrTooLong   = errors.New("datagram of over 256 bytes")
+	ErrVersion   = errors.New("unknown datagram version")
+	ErrChecksum  = errors.New("datagram checksum mismatch")
+	ErrTooLong   = errors.New("datagram exceeds 256 bytes")
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// header is the header of a datagram, without version and checksum.
+// header is the header of a datagram, without its version and checksum.
 type header struct {
 	incarnation uint32
 	sequence    uint16
 }
 
-// appendHeader appends the header of a datagram, with a checksum of 0 that seal replaces.
+// appendHeader appends the header of a datagram, with the checksum 0, which seal replaces.
 func appendHeader(b []byte, h header) []byte {
 	b = append(b, version, 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint32(b, h.incarnation)
@@ -111,7 +111,7 @@
 		b = appendID(append(b, byte(kindLeaseQueued)), message.ID)
 		return appendInt(b, int64(message.FreeSlots))
 	default:
-		panic("gossip: no such message")
+		panic("gossip: unknown message type")
 	}
 }
 
@@ -123,7 +123,7 @@
 	b = appendIndex(b, request.Class)
 	b = appendScaled(b, request.Demand, slotParts, maxSlots)
 	b = appendScaled(b, request.Work, workParts, maxWork)
-	b = binary.LittleEndian.AppendUint16(b, uint16(math.Round(inRange(request.LongChance, 1)*scoreSteps)))
+	b = binary.LittleEndian.AppendUint16(b, uint16(math.Round(inRange(request.LongChance, 1)*probabilitySteps)))
 	b = appendBool(b, request.Demoted)
 	b = appendInt(b, request.PromoteIn.Milliseconds())
 	b = append(b, byte(min(len(request.Excluded), dispatch.MaxExcluded)))
@@ -164,7 +164,7 @@
 	return binary.AppendUvarint(b, uint64(math.Ceil(inRange(number, limit)*parts)))
 }
 
-// inRange returns a number limited to the range from 0 to limit; 0 for NaN.
+// inRange returns a number limited to the range from 0 to limit, and 0 for NaN.
 func inRange(number, limit float64) float64 {
 	if math.IsNaN(number) {
 		return 0
@@ -180,7 +180,7 @@
 	return append(b, 0)
 }
 
-// parseMessages decodes all messages of a datagram. If one is malformed, it returns none.
+// parseMessages decodes all messages of a datagram. If one of them is malformed, it returns none.
 func parseMessages(b []byte) ([]dispatch.PeerMessage, error) {
 	reader := reader{unread: b}
 	var messages []dispatch.PeerMessage
@@ -193,13 +193,13 @@
 	return messages, nil
 }
 
-// reader decodes fields. After an error, failed is set and all fields are zero.
+// reader decodes fields. After an error, failed is set, and all further fields are zero.
 type reader struct {
 	unread []byte
 	failed bool
 }
 
-// message decodes a message with its kind.
+// message decodes the kind and the fields of a message.
 func (r *reader) message() dispatch.PeerMessage {
 	switch kind(r.byte()) {
 	case kindLeaseRequest:
@@ -227,7 +227,7 @@
 		Class:      r.index(),
 		Demand:     r.scaled(slotParts, maxSlots),
 		Work:       r.scaled(workParts, maxWork),
-		LongChance: float64(r.uint16()) / scoreSteps,
+		LongChance: float64(r.uint16()) / probabilitySteps,
 		Demoted:    r.bool(),
 		PromoteIn:  time.Duration(r.int()) * time.Millisecond,
 	}
@@ -256,7 +256,7 @@
 	return report
 }
 
-// take returns the next count bytes, or zeros if there are fewer.
+// take returns the next count bytes, or zeros if fewer are left.
 func (r *reader) take(count int) []byte {
 	if r.failed || len(r.unread) < count {
 		r.failed = true
@@ -271,7 +271,7 @@
 func (r *reader) uint16() uint16 { return binary.LittleEndian.Uint16(r.take(2)) }
 func (r *reader) uint64() uint64 { return binary.LittleEndian.Uint64(r.take(8)) }
 
-// bool decodes a value of appendBool.
+// bool decodes a value that appendBool has encoded.
 func (r *reader) bool() bool {
 	value := r.byte()
 	r.failed = r.failed || value > 1
@@ -285,7 +285,7 @@
 	return result
 }
 
-// uvarint decodes an unsigned number of variable length.
+// uvarint decodes an unsigned varint.
 func (r *reader) uvarint() uint64 {
 	value, size := binary.Uvarint(r.unread)
 	if r.failed || size <= 0 {
@@ -303,14 +303,14 @@
 	return dispatch.LeaseID(value)
 }
 
-// index decodes a number of appendIndex.
+// index decodes an index that appendIndex has encoded.
 func (r *reader) index() int {
 	value := r.uvarint()
 	r.failed = r.failed || value > maxIndex
 	return int(value)
 }
 
-// int decodes a number of appendInt.
+// int decodes a number that appendInt has encoded.
 func (r *reader) int() int {
 	value, size := binary.Varint(r.unread)
 	if r.failed || size <= 0 || value < math.MinInt32 || value > math.MaxInt32 {
@@ -321,7 +321,7 @@
 	return int(value)
 }
 
-// scaled decodes a number of appendScaled.
+// scaled decodes a number that appendScaled has encoded.
 func (r *reader) scaled(parts, limit float64) float64 {
 	number := float64(r.uvarint()) / parts
 	r.failed = r.failed || number > limit
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 )
 
-// sampleMessages contains one message of each kind, as in the golden files.
+// sampleMessages returns one message of each kind, by the name of its golden file.
 func sampleMessages() map[string]dispatch.PeerMessage {
 	return map[string]dispatch.PeerMessage{
 		"lease-request": dispatch.LeaseRequest{
@@ -26,7 +26,7 @@
 	}
 }
 
-// largestMessages contains one message of each kind with the largest values.
+// largestMessages returns one message of each kind, with the values that have the longest encodings.
 func largestMessages() []dispatch.PeerMessage {
 	report := dispatch.LeaseReport{Complete: true}
 	for range dispatch.MaxReported {
@@ -51,7 +51,7 @@
 	}
 }
 
-// drawMessage returns a random message whose values are encoded exactly.
+// drawMessage returns a random message whose values can be encoded exactly.
 func drawMessage(rng *rand.Rand) dispatch.PeerMessage {
 	id := dispatch.LeaseID(rng.Uint32() >> rng.IntN(32))
 	slots := float64(rng.IntN(maxSlots*slotParts+1)) / slotParts
@@ -60,7 +60,7 @@
 		request := dispatch.LeaseRequest{
 			ID: id, Shard: dispatch.Shard{Zone: rng.IntN(maxIndex), Number: rng.IntN(1000)}, Class: rng.IntN(20),
 			Demand: slots, Work: float64(rng.IntN(maxWork*workParts)) / workParts,
-			LongChance: float64(rng.IntN(scoreSteps+1)) / scoreSteps,
+			LongChance: float64(rng.IntN(probabilitySteps+1)) / probabilitySteps,
 			Demoted:    rng.IntN(2) == 0, PromoteIn: time.Duration(int32(rng.Uint32())) * time.Millisecond,
 		}
 		for range rng.IntN(dispatch.MaxExcluded + 1) {
--- a/internal/gossip/socket/counts.go
+++ b/internal/gossip/socket/counts.go
@@ -12,7 +12,7 @@
 // maxBudgetPercent bounds metrics.PeerCounts.BudgetPercent.
 const maxBudgetPercent = math.MaxInt32
 
-// Counts returns the figures of messages between schedulers since the start of the process. attemptsWritten is the number of
+// Counts returns the counters of the messages between schedulers since the start of the process. attemptsWritten is the number of
 // attempts that this scheduler has written to workers in that time.
 func (s *Socket) Counts(attemptsWritten uint64) metrics.PeerCounts {
 	counted := s.node.Counters()
--- a/internal/gossip/socket/counts_test.go
+++ b/internal/gossip/socket/counts_test.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/metrics"
 )
 
-// Each counter of the node has its field in the counts, and the bytes are compared with the budget.
+// Counts contains each counter of the node, and the percentage of the budget that the sent bytes spend.
 func TestPeerCounts(t *testing.T) {
 	f, _ := newFixtureWithPeer(t)
 	f.settings = dispatch.Settings{PeerCost: 0.01, PeerBudget: 0.02, Replicas: 2}
@@ -30,12 +30,12 @@
 	want.Dropped[metrics.DropUnsent], want.Dropped[metrics.DropDuplicate], want.Dropped[metrics.DropMalformed] = 1, 1, 1
 	want.Dropped[metrics.DropTooLong], want.Dropped[metrics.DropUnknownSender] = 1, 1
 	if counts := f.socket.Counts(0); counts != want {
-		t.Errorf("%+v, expected %+v", counts, want)
+		t.Errorf("without attempts: %+v, want %+v", counts, want)
 	}
 	f.leases = dispatch.LeaseCounts{Held: 1, Granted: 2, Waiting: 3}
 	want.Leases = f.leases
-	want.BudgetPercent = 3 // of 256 bytes a job, which cost half of the budget, 14 are 3%
+	want.BudgetPercent = 3 // 256 bytes per attempt spend half of the budget, so the 14 bytes that were sent spend 3%
 	if counts := f.socket.Counts(1); counts != want {
-		t.Errorf("%+v, expected %+v", counts, want)
+		t.Errorf("with one attempt: %+v, want %+v", counts, want)
 	}
 }
--- a/internal/gossip/socket/fixture_test.go
+++ b/internal/gossip/socket/fixture_test.go
@@ -14,18 +14,18 @@
 	"valvecove/internal/gossip"
 )
 
-// fixture is a socket on an event loop, and the messages that it has received.
+// fixture is the Socket of scheduler 0 on an event loop, with the messages that it has received.
 type fixture struct {
 	*eventlooptest.Loop
-	t          *testing.T
-	socket     *Socket
-	received   []dispatch.PeerMessageReceived
-	leases     dispatch.LeaseCounts
-	settings   dispatch.Settings
-	isReplaced bool
+	t               *testing.T
+	socket          *Socket
+	received        []dispatch.PeerMessageReceived
+	leases          dispatch.LeaseCounts
+	settings        dispatch.Settings
+	hasRelinquished bool
 }
 
-// newFixture returns scheduler 0, whose socket is not open yet.
+// newFixture returns a fixture whose socket is not open yet. peers contains the addresses of all schedulers, scheduler 0 first.
 func newFixture(t *testing.T, peers ...netip.AddrPort) *fixture {
 	t.Helper()
 	f := &fixture{Loop: eventlooptest.NewLoop(t, eventloop.Hooks{}), t: t}
@@ -34,7 +34,7 @@
 		Peers:           peers,
 		Count:           len(peers),
 		Receiver:        f,
-		HasRelinquished: func() bool { return f.isReplaced },
+		HasRelinquished: func() bool { return f.hasRelinquished },
 		Log:             slog.New(slog.DiscardHandler),
 		LeaseCounts:     func() dispatch.LeaseCounts { return f.leases },
 		BudgetSpent:     func(bytesPerAttempt float64) float64 { return f.settings.BudgetSpent(bytesPerAttempt) },
@@ -42,15 +42,15 @@
 	return f
 }
 
-// AddPeerMessages records the messages.
+// AddPeerMessages implements MessageReceiver, and records the messages.
 func (f *fixture) AddPeerMessages(from int, messages []dispatch.PeerMessage) {
 	for _, message := range messages {
 		f.received = append(f.received, dispatch.PeerMessageReceived{From: from, Message: message})
 	}
 }
 
-// tell sends a message to a peer.
-func (f *fixture) tell(to int, message dispatch.PeerMessage) {
+// sendMessage sends a message of scheduler 0 to a peer.
+func (f *fixture) sendMessage(to int, message dispatch.PeerMessage) {
 	f.socket.Queue(to, message)
 	f.socket.Flush()
 	f.RunIterations()
@@ -59,11 +59,11 @@
 func (f *fixture) expectReceived(want []dispatch.PeerMessageReceived) {
 	f.t.Helper()
 	if !reflect.DeepEqual(f.received, want) {
-		f.t.Errorf("received %+v, expected %+v", f.received, want)
+		f.t.Errorf("received %+v, want %+v", f.received, want)
 	}
 }
 
-// sendFrom sends a datagram to scheduler 0.
+// sendFrom sends a datagram to scheduler 0 from the socket of a descriptor.
 func (f *fixture) sendFrom(descriptor int, datagram []byte) {
 	_, sockaddr := eventloop.Sockaddr(f.socket.config.Listen)
 	if err := unix.Sendto(descriptor, datagram, 0, sockaddr); err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// failCalls has the next calls of a kind fail with the given errors.
+// failCalls makes the next calls of a kind fail with the given errors, one per call.
 func (f *fixture) failCalls(failing eventloop.Call, errnos ...unix.Errno) {
 	f.Syscalls().Interceptor = func(call eventloop.Call, _ int) (injection eventloop.Injection) {
 		if call == failing && len(errnos) > 0 {
@@ -88,14 +88,14 @@
 	return errnos
 }
 
-// remotePeer is a scheduler whose socket is the test's: number 1 of two.
+// remotePeer simulates scheduler 1 of two, with a socket of the test.
 type remotePeer struct {
 	fd      int
 	address netip.AddrPort
 	node    *gossip.Node
 }
 
-// newFixtureWithPeer returns number 0 of two schedulers, with an open socket, and the other one.
+// newFixtureWithPeer returns schedulers 0 and 1 of two. The socket of scheduler 0 is open.
 func newFixtureWithPeer(t *testing.T) (*fixture, *remotePeer) {
 	t.Helper()
 	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Peers: 2, Incarnation: 1})}
@@ -106,13 +106,13 @@
 	return f, remote
 }
 
-// datagram is one with a message, to scheduler 0.
+// datagram returns a datagram to scheduler 0 with a message.
 func (r *remotePeer) datagram(message dispatch.PeerMessage) []byte {
 	r.node.Queue(0, message)
 	return r.node.Flush()[0].Bytes
 }
 
-// queued is a message with the given lease ID, and queuedFrom1 the events of such messages from scheduler 1.
+// queued returns a LeaseQueued message with a lease ID, and queuedFrom1 the events of such messages from scheduler 1.
 func queued(id int) dispatch.PeerMessage { return dispatch.LeaseQueued{ID: dispatch.LeaseID(id)} }
 
 func queuedFrom1(ids ...int) (events []dispatch.PeerMessageReceived) {
--- a/internal/gossip/socket/socket.go
+++ b/internal/gossip/socket/socket.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	maxDatagramsPerEvent = 256                   // connections must be served during a flood of datagrams too
-	maxReceiveFailures   = 8                     // in one event, before the socket pauses
-	receivePause         = 50 * time.Millisecond // after an error that may last
-	minReopenBackoff     = 10 * time.Millisecond // doubles with each failure
+	maxDatagramsPerEvent = 256                   // so that connections are also served during a flood of datagrams
+	maxReceiveFailures   = 8                     // number of failures in one event after which receiving is paused
+	receivePause         = 50 * time.Millisecond // after an error that may persist
+	minReopenBackoff     = 10 * time.Millisecond // the backoff doubles with each failure
 	maxReopenBackoff     = 500 * time.Millisecond
 	incarnationUnit      = 16 * time.Millisecond // of Unix time: 32 bits of it wrap after two years
 )
@@ -31,17 +31,17 @@
 // Config configures a Socket.
 type Config struct {
 	Listen netip.AddrPort
-	Peers  []netip.AddrPort // by number, this scheduler included
+	Peers  []netip.AddrPort // addresses of all schedulers by number, including this one
 	Self   int              // number of this scheduler
-	Count  int              // of schedulers, this one included
+	Count  int              // number of schedulers, including this one
 
 	Receiver        MessageReceiver
-	HasRelinquished func() bool // reports whether a successor serves in place of this process
+	HasRelinquished func() bool // reports whether a successor serves instead of this process
 	Log             *slog.Logger
 
 	// LeaseCounts returns the counts of leases of the dispatch policy in use.
 	LeaseCounts func() dispatch.LeaseCounts
-	// BudgetSpent returns the fraction of the message budget that is spent at so many bytes per attempt.
+	// BudgetSpent returns the fraction of the message budget that a number of sent bytes per attempt spends.
 	BudgetSpent func(bytesPerAttempt float64) float64
 }
 
@@ -50,21 +50,21 @@
 	loop          *eventloop.Loop
 	config        Config
 	descriptor    int                    // eventloop.NoDescriptor while the socket is not open
-	numbers       map[netip.AddrPort]int // of peers, by the address that they send from
-	targets       []unix.Sockaddr        // of peers, by number
+	peerNumbers   map[netip.AddrPort]int // by the address that a peer sends from
+	peerSockaddrs []unix.Sockaddr        // by number
 	node          *gossip.Node
-	timer         *eventloop.Timer // for reopening, or for the end of a pause
-	reopenBackoff time.Duration    // before the next attempt to open; 0 after a success
+	timer         *eventloop.Timer // for reopening the socket, or for the end of a pause
+	reopenBackoff time.Duration    // before the next attempt to open the socket; 0 after a success
 }
 
-// New returns a socket that is not open yet. Its node's incarnation is the loop's time, which must be Unix time: it is greater
-// than that of any earlier process.
+// New returns a Socket that is not open yet. The incarnation of its node is derived from the loop's time, which must be Unix
+// time, so that it is greater than that of any earlier process.
 func New(loop *eventloop.Loop, config Config) *Socket {
 	socket := &Socket{
-		loop:       loop,
-		config:     config,
-		descriptor: eventloop.NoDescriptor,
-		numbers:    map[netip.AddrPort]int{},
+		loop:        loop,
+		config:      config,
+		descriptor:  eventloop.NoDescriptor,
+		peerNumbers: map[netip.AddrPort]int{},
 		node: gossip.New(gossip.Config{
 			Self:        config.Self,
 			Peers:       config.Count,
@@ -73,8 +73,8 @@
 	}
 	for number, address := range config.Peers {
 		_, sockaddr := eventloop.Sockaddr(address)
-		socket.targets = append(socket.targets, sockaddr)
-		socket.numbers[address] = number
+		socket.peerSockaddrs = append(socket.peerSockaddrs, sockaddr)
+		socket.peerNumbers[address] = number
 	}
 	return socket
 }
@@ -82,14 +82,15 @@
 // Queue queues a message for the peer with the given number, until the next Flush.
 func (s *Socket) Queue(to int, message dispatch.PeerMessage) { s.node.Queue(to, message) }
 
-// Restart notifies the peers, with the next datagram to each, that this scheduler has lost its state. Queued messages are dropped.
+// Restart notifies the peers, with the next datagram to each, that this scheduler has lost its state. Queued messages are
+// dropped.
 func (s *Socket) Restart() { s.node.Restart() }
 
 // IsOpen reports whether the socket is open.
 func (s *Socket) IsOpen() bool { return s.descriptor != eventloop.NoDescriptor }
 
-// Open opens the socket. After a failure it retries with a backoff until it succeeds or Close is called; meanwhile nothing is
-// received, and what is sent is lost. It does nothing once a successor serves.
+// Open opens the socket. After a failure, it retries with a backoff until it succeeds or Close is called. Meanwhile no datagram
+// is received, and datagrams to send are lost. Open does nothing once a successor serves.
 func (s *Socket) Open() {
 	if s.config.HasRelinquished() {
 		return
@@ -123,13 +124,13 @@
 	return nil
 }
 
-// scheduleOpen calls Open after a backoff.
+// scheduleOpen schedules a call of Open after a backoff.
 func (s *Socket) scheduleOpen(backoff time.Duration) {
 	s.reopenBackoff = backoff
 	s.timer = s.loop.StartTimer(backoff, s, s.Open)
 }
 
-// Close closes the socket, so that a successor can bind its address. Closing twice does nothing.
+// Close closes the socket, so that a successor can bind its address. Closing a closed socket has no effect.
 func (s *Socket) Close() {
 	s.loop.StopTimer(s.timer)
 	if s.IsOpen() {
@@ -145,9 +146,9 @@
 	s.scheduleOpen(minReopenBackoff)
 }
 
-// pause stops receiving for receivePause. Events are level-triggered: without the pause, a datagram that can't be received
-// would keep the loop busy.
-func (s *Socket) pause() {
+// pauseReceiving stops receiving for receivePause. Events are level-triggered: without the pause, a datagram that cannot be
+// received would keep the loop busy.
+func (s *Socket) pauseReceiving() {
 	s.loop.Modify(s.descriptor, 0)
 	s.loop.StopTimer(s.timer)
 	s.timer = s.loop.StartTimer(receivePause, s, func() { s.loop.Modify(s.descriptor, unix.EPOLLIN) })
@@ -172,21 +173,21 @@
 			s.reopen(err)
 			return
 		case !canRetry(class) || failures >= maxReceiveFailures:
-			s.pause()
+			s.pauseReceiving()
 			return
 		}
 	}
 }
 
-// canRetry reports whether a call may succeed when it is repeated at once: it was interrupted, or reported that an earlier
-// datagram could not be delivered.
+// canRetry reports whether a failed call may succeed if it is repeated at once: it was interrupted, or returned the error of an
+// earlier datagram that could not be delivered.
 func canRetry(class eventloop.ErrorClass) bool {
 	return class == eventloop.ErrorRetry || class == eventloop.ErrorConnectionLost
 }
 
-// receive passes the messages of a datagram to the receiver.
+// receive passes the messages of a datagram to Config.Receiver.
 func (s *Socket) receive(from netip.AddrPort, datagram []byte) {
-	number, ok := s.numbers[from]
+	number, ok := s.peerNumbers[from]
 	if !ok {
 		number = gossip.UnknownSender
 	}
@@ -196,7 +197,7 @@
 	}
 }
 
-// Flush sends all queued messages. Datagrams that can't be sent at once are lost, and counted.
+// Flush sends all queued messages. Datagrams that cannot be sent at once are lost and counted.
 func (s *Socket) Flush() {
 	for _, datagram := range s.node.Flush() {
 		if !s.send(datagram) {
@@ -205,7 +206,7 @@
 	}
 }
 
-// send reports whether the kernel has accepted a datagram.
+// send sends a datagram, and reports whether the kernel has accepted it.
 func (s *Socket) send(datagram gossip.Datagram) bool {
 	if !s.IsOpen() {
 		return false
@@ -220,7 +221,7 @@
 // sendOnce sends a datagram without blocking.
 func (s *Socket) sendOnce(datagram gossip.Datagram) error {
 	const flags = unix.MSG_DONTWAIT | unix.MSG_NOSIGNAL
-	return s.loop.Syscalls().Sendto(s.descriptor, datagram.Bytes, flags, s.targets[datagram.To])
+	return s.loop.Syscalls().Sendto(s.descriptor, datagram.Bytes, flags, s.peerSockaddrs[datagram.To])
 }
 
 // HandlePanic does nothing: the socket remains in use.
--- a/internal/gossip/socket/socket_test.go
+++ b/internal/gossip/socket/socket_test.go
@@ -11,8 +11,8 @@
 	"valvecove/internal/gossip"
 )
 
-// Datagrams from unknown addresses and datagrams that are too long are dropped and counted. The first 256 bytes of the long ones are
-// a valid datagram.
+// Datagrams from unknown addresses and datagrams that are too long are dropped and counted. This includes datagrams whose first
+// 256 bytes are a valid datagram.
 func TestUnknownSendersAndLongDatagramsAreDropped(t *testing.T) {
 	f, remote := newFixtureWithPeer(t)
 	unknown, _ := eventlooptest.OpenDatagramSocket(t, "127.0.0.4")
@@ -22,7 +22,7 @@
 	good := remote.datagram(queued(1))
 	f.sendFrom(unknown, good)
 	f.sendFrom(otherPort, good)
-	for range 110 { // of 2 bytes each at least: the first datagram is full
+	for range 110 { // more messages than fit into one datagram, so that the first datagram is full
 		remote.node.Queue(0, dispatch.LeaseStarted{ID: 1 << 31})
 	}
 	full := remote.node.Flush()[0].Bytes
@@ -35,12 +35,12 @@
 	f.expectReceived(queuedFrom1(1))
 	counters := f.socket.node.Counters()
 	if counters.UnknownSenders != 2 || counters.TooLong != 2 || counters.Malformed != 1 || counters.Received != 1 {
-		t.Errorf("%+v", counters)
+		t.Errorf("counters %+v, want 2 unknown senders, 2 too long, 1 malformed, 1 received", counters)
 	}
 }
 
 // While datagrams keep arriving, each event handles a bounded number of them.
-func TestFloodOfDatagrams(t *testing.T) {
+func TestDatagramsPerEventAreBounded(t *testing.T) {
 	f, remote := newFixtureWithPeer(t)
 	f.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
 		if call == eventloop.CallReceive {
@@ -51,23 +51,23 @@
 	for events := uint64(1); events <= 2; events++ {
 		f.socket.HandleEvents(unix.EPOLLIN)
 		if got := f.socket.node.Counters().Received; got != events*maxDatagramsPerEvent {
-			t.Errorf("%d received in %d events", got, events)
+			t.Errorf("%d datagrams received in %d events, want %d per event", got, events, maxDatagramsPerEvent)
 		}
 	}
 }
 
-// With any error of receiving, the loop does not spin, and the waiting datagram is received shortly after.
+// After any error of a receive call, the event loop does not spin, and the waiting datagram is received at once or after a pause.
 func TestReceiveFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		errnos   []unix.Errno
 		isPaused bool
 	}{
-		"interrupted":            {repeated(unix.EINTR, 3), false},
-		"earlier undeliverable":  {repeated(unix.ECONNREFUSED, 3), false},
-		"nothing":                {repeated(unix.EAGAIN, 1), false},
-		"no memory":              {repeated(unix.ENOMEM, 1), true},
-		"interrupted for long":   {repeated(unix.EINTR, 1000), true},
-		"undeliverable for long": {repeated(unix.EHOSTUNREACH, 1000), true},
+		"interrupted":                       {repeated(unix.EINTR, 3), false},
+		"error of an earlier datagram":      {repeated(unix.ECONNREFUSED, 3), false},
+		"no datagram":                       {repeated(unix.EAGAIN, 1), false},
+		"no memory":                         {repeated(unix.ENOMEM, 1), true},
+		"persistently interrupted":          {repeated(unix.EINTR, 1000), true},
+		"persistent errors of earlier ones": {repeated(unix.EHOSTUNREACH, 1000), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, remote := newFixtureWithPeer(t)
@@ -75,7 +75,7 @@
 			f.failCalls(eventloop.CallReceive, test.errnos...)
 			f.RunIterations()
 			if ready := f.ReadyDescriptors(); test.isPaused && (ready > 0 || len(f.received) > 0) {
-				t.Errorf("%d descriptors are ready, received %+v", ready, f.received)
+				t.Errorf("while receiving is paused: %d descriptors are ready, received %+v", ready, f.received)
 			}
 			f.failCalls(eventloop.CallReceive)
 			if test.isPaused {
@@ -87,27 +87,28 @@
 	}
 }
 
-// An unusable socket is reopened.
+// An unusable socket is reopened after a backoff. Messages that are sent meanwhile are lost and counted.
 func TestLostPeerSocketIsReopened(t *testing.T) {
 	f, remote := newFixtureWithPeer(t)
 	f.sendFrom(remote.fd, remote.datagram(queued(1)))
 	f.failCalls(eventloop.CallReceive, unix.EBADF)
 	f.RunIterations()
 	if f.socket.descriptor != eventloop.NoDescriptor {
-		t.Error("the socket is kept")
+		t.Error("the unusable socket is still open")
 	}
-	f.tell(1, queued(2)) // is lost
+	f.sendMessage(1, queued(2)) // lost
 	f.Time += minReopenBackoff
 	f.RunIterations()
 	f.sendFrom(remote.fd, remote.datagram(queued(3)))
 	f.RunIterations()
 	f.expectReceived(queuedFrom1(3))
 	if counters := f.socket.node.Counters(); counters.Unsent != 1 {
-		t.Errorf("%+v", counters)
+		t.Errorf("counters %+v, want 1 unsent datagram", counters)
 	}
 }
 
-// A socket that can't be opened is retried with a growing backoff, and blocks nothing.
+// A socket whose address is in use is opened again with an increasing backoff of at most maxReopenBackoff, until the address is
+// free.
 func TestPeerSocketAddressInUse(t *testing.T) {
 	other, address := eventlooptest.OpenDatagramSocket(t, "127.0.0.2")
 	remote, remoteAddress := eventlooptest.OpenDatagramSocket(t, "127.0.0.3")
@@ -118,7 +119,7 @@
 		f.Time += maxReopenBackoff
 		f.RunIterations()
 		if f.socket.descriptor != eventloop.NoDescriptor || f.socket.reopenBackoff > maxReopenBackoff {
-			t.Fatalf("open as %d, tried again after %v", f.socket.descriptor, f.socket.reopenBackoff)
+			t.Fatalf("address in use: descriptor %d, next attempt after %v", f.socket.descriptor, f.socket.reopenBackoff)
 		}
 	}
 	_ = unix.Close(other)
@@ -130,23 +131,24 @@
 	f.expectReceived(queuedFrom1(1))
 }
 
+// A send call is repeated once after an interruption or the error of an earlier datagram. Other errors lose the datagram.
 func TestSendFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		errnos     []unix.Errno
 		wantUnsent uint64
 	}{
-		"interrupted":             {repeated(unix.EINTR, 1), 0},
-		"error of an earlier one": {repeated(unix.ECONNREFUSED, 1), 0},
-		"out of reach":            {repeated(unix.EHOSTUNREACH, 2), 1},
-		"buffer full":             {repeated(unix.EAGAIN, 1), 1},
-		"no buffer":               {repeated(unix.ENOBUFS, 1), 1},
-		"address of no use":       {repeated(unix.EINVAL, 1), 1},
+		"interrupted":                  {repeated(unix.EINTR, 1), 0},
+		"error of an earlier datagram": {repeated(unix.ECONNREFUSED, 1), 0},
+		"host unreachable":             {repeated(unix.EHOSTUNREACH, 2), 1},
+		"send buffer full":             {repeated(unix.EAGAIN, 1), 1},
+		"no buffer space":              {repeated(unix.ENOBUFS, 1), 1},
+		"invalid address":              {repeated(unix.EINVAL, 1), 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, remote := newFixtureWithPeer(t)
 			f.failCalls(eventloop.CallSendMessage, test.errnos...)
-			f.tell(1, queued(1))
-			f.tell(1, queued(2))
+			f.sendMessage(1, queued(1))
+			f.sendMessage(1, queued(2))
 			got := 0
 			buffer := make([]byte, 2*gossip.MaxDatagram)
 			for {
@@ -162,7 +164,7 @@
 			}
 			unsent := f.socket.node.Counters().Unsent
 			if unsent != test.wantUnsent || got != 2-int(test.wantUnsent) {
-				t.Errorf("%d unsent, %d received", unsent, got)
+				t.Errorf("%d datagrams unsent, %d messages received, want %d and %d", unsent, got, test.wantUnsent, 2-int(test.wantUnsent))
 			}
 		})
 	}
