--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -68,9 +68,10 @@
 	}
 }
 
-// SetSchedulers changes the number of schedulers and this scheduler's index, which starts from 0. It takes effect at
-// the next step, for the subset and for the schedulers that may send to a worker during its slow start. The fewest workers move
-// between subsets if an added scheduler gets the next unused index, and if the last scheduler gets the index of a removed one.
+// SetSchedulers changes the number of schedulers and this scheduler's index, which starts from 0. The change takes effect at the
+// next step, for the subset and for the choice of the schedulers that may send to a worker during its slow start. The fewest
+// workers move between subsets if an added scheduler gets the next unused index, and if the last scheduler gets the index of a
+// removed one.
 func (a *Aperture) SetSchedulers(index, count int) { a.fleet.setReplica(newReplica(index, count)) }
 
 // Step passes the events that concern the subset to the policy, and appends the actions of the policy and of the aperture to dst.
@@ -193,7 +194,7 @@
 	return dst
 }
 
-// appendTimer sets a timer for the next time at which the policy or the aperture needs a step.
+// appendTimer sets a timer for the next step that the policy or the aperture needs, unless an earlier timer is set.
 func (a *Aperture) appendTimer(dst []dispatch.Action) []dispatch.Action {
 	next := a.evaluateAt
 	if a.fleet.needsRefresh {
--- a/internal/aperture/selection.go
+++ b/internal/aperture/selection.go
@@ -170,7 +170,7 @@
 }
 
 // isMetBy reports whether the workers found so far are enough, so that the next unit is not added. As units are added completely,
-// the number of workers nearest to the target is accepted, except for a constrained class.
+// too few workers are accepted if the next unit would exceed the target by at least as many, except for a constrained class.
 func (t target) isMetBy(found, next workerCounts) bool {
 	missing := t.responsive - found.responsive
 	if missing <= 0 || found.ready >= t.maxReady {
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -125,7 +125,7 @@
 	d.connected = false
 	d.silentAt = never
 	d.connects = append(d.connects, d.now)
-	d.watch.Connect(d.now)
+	d.watch.ConnectStarted(d.now)
 	d.neverEstablished = d.partitioned && d.Pick(2) == 0
 	if d.down && !d.partitioned {
 		d.connecting = false
@@ -191,7 +191,7 @@
 
 func (d *discoveryModel) receive() {
 	d.lastLine = d.now
-	d.watch.Received(d.now)
+	d.watch.LineReceived(d.now)
 	d.pending = d.pending[:0]
 }
 
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -85,7 +85,7 @@
 // Actions.
 const (
 	ActionNone    Action = iota
-	ActionConnect        // open a connection, and call Connect
+	ActionConnect        // open a connection, and call ConnectStarted
 	ActionAbort          // close the connection, which has timed out, and call Ended
 )
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Connect is called when the caller starts to connect because of ActionConnect.
-func (w *Watch) Connect(now time.Duration) {
+// ConnectStarted is called when the caller starts to connect because of ActionConnect.
+func (w *Watch) ConnectStarted(now time.Duration) {
 	if w.transition(eventConnect) {
 		w.connectStartedAt = now
 		w.deadline = now + w.connectTimeout()
@@ -106,8 +106,9 @@
 	}
 }
 
-// Received is called for each complete line, which is an event or empty. It means that all changes up to now have been received.
-func (w *Watch) Received(now time.Duration) {
+// LineReceived is called for each complete line, which is an event or empty. It means that all changes up to now have been
+// received.
+func (w *Watch) LineReceived(now time.Duration) {
 	if !w.transition(eventReceived) {
 		return
 	}
--- a/internal/discovery/watch/connection.go
+++ b/internal/discovery/watch/connection.go
@@ -155,7 +155,7 @@
 
 // connect opens a connection that requests the changes since the current list.
 func (c *Connection) connect() {
-	c.machine.Connect(c.loop.Now())
+	c.machine.ConnectStarted(c.loop.Now())
 	c.resetTimer()
 	c.requestedRevision = c.config.Table.Revision()
 	c.isStreaming = false
--- a/internal/discovery/watch/exchange.go
+++ b/internal/discovery/watch/exchange.go
@@ -113,7 +113,7 @@
 		c.previousLineAt = c.lastLineAt
 		c.lastLineAt = now
 	}
-	c.machine.Received(now)
+	c.machine.LineReceived(now)
 	c.resetTimer()
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,9 +14,9 @@
 func newWatching(config Config, random func(n int64) int64) *Watch {
 	w := New(config, random, startTime)
 	w.Restart(startTime)
-	w.Connect(startTime)
+	w.ConnectStarted(startTime)
 	w.Connected(startTime)
-	w.Received(startTime)
+	w.LineReceived(startTime)
 	return w
 }
 
@@ -24,7 +24,7 @@
 func refuse(w *Watch, times int) (last time.Duration) {
 	for range times {
 		last, _ = w.NextDeadline()
-		w.Connect(last)
+		w.ConnectStarted(last)
 		w.Ended(last, false)
 	}
 	return last
@@ -169,7 +169,7 @@
 			now := startTime
 			for now < startTime+within && w.State() != AwaitingFirstLine {
 				now, _ = w.NextDeadline()
-				w.Connect(now)
+				w.ConnectStarted(now)
 				if timeout, _ := w.NextDeadline(); timeout > now+acceptDelay {
 					w.Connected(now + acceptDelay)
 				} else {
--- a/internal/gossip/socket/socket.go
+++ b/internal/gossip/socket/socket.go
@@ -19,7 +19,7 @@
 	receivePause         = 50 * time.Millisecond // after an error that may persist
 	minReopenBackoff     = 10 * time.Millisecond // the backoff doubles with each failure
 	maxReopenBackoff     = 500 * time.Millisecond
-	incarnationUnit      = 16 * time.Millisecond // of Unix time: 32 bits of it wrap after two years
+	incarnationUnit      = 16 * time.Millisecond // of Unix time; incarnations have 32 bits and wrap around after two years
 )
 
 // MessageReceiver receives the messages of a datagram from the peer with the given number, in their order. *requests.Table
