--- a/internal/aperture/changes_test.go
+++ b/internal/aperture/changes_test.go
@@ -237,7 +237,7 @@
 		}
 	}
 	update(dispatch.ListCached, list)
-	aperture.SetSchedulers(1, 4) // another subset
+	aperture.SetSchedulers(1, 4) // selects another subset
 	advance()
 	if policy.listKnown {
 		t.Fatal("before the first list from discovery, the policy received an update that is not a cached list")
--- a/internal/aperture/selection.go
+++ b/internal/aperture/selection.go
@@ -179,5 +179,5 @@
 	return !t.constrained && found.responsive > 0 && 2*missing <= next.responsive
 }
 
-// ceil returns a number rounded up, limited to 32 bits.
+// ceil returns a number rounded up, and at most math.MaxInt32.
 func ceil(number float64) int { return int(math.Ceil(min(number, math.MaxInt32))) }
--- a/internal/aperture/size.go
+++ b/internal/aperture/size.go
@@ -57,7 +57,7 @@
 		s.Selected, s.Listed, s.SelectedReady, s.Ready, s.Unresponsive, s.Widening)
 }
 
-// sizeLog is the state of the log of sizes.
+// sizeLog contains the last logged size, and the reason for the next log line.
 type sizeLog struct {
 	reason   string // reason for the next log line; empty: none is due
 	last     Size
--- a/internal/aperture/worker.go
+++ b/internal/aperture/worker.go
@@ -74,9 +74,9 @@
 	responsive int // number of ready workers that are responsive
 }
 
-// add adds other, multiplied by times.
-func (w *workerCounts) add(other workerCounts, times int) {
-	w.listed += times * other.listed
-	w.ready += times * other.ready
-	w.responsive += times * other.responsive
+// add adds the counts of other, multiplied by sign, which is 1 or -1.
+func (w *workerCounts) add(other workerCounts, sign int) {
+	w.listed += sign * other.listed
+	w.ready += sign * other.ready
+	w.responsive += sign * other.responsive
 }
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// MaxEventSize is the maximum number of bytes of an incomplete event that is buffered.
+// MaxEventSize is the maximum number of buffered bytes of an incomplete event.
 const MaxEventSize = 4 << 20
 
 // Errors of EventScanner.Scan.
--- a/internal/discovery/watch/connection_test.go
+++ b/internal/discovery/watch/connection_test.go
@@ -117,7 +117,7 @@
 		second := f.dialed[1]
 		second.Read(1 << 12)
 		if got := string(second.Received); !strings.HasPrefix(got, "GET /discovery/hosts?stream=1&index=7 ") {
-			t.Errorf("requested %q", got)
+			t.Errorf("requested %q, want the changes since revision 7", got)
 		}
 		f.policy.Next = append(f.policy.Next, dispatch.Subscribe{}) // the policy subscribes while the watch is already reopened
 		f.table.DiscoveryFailed()
@@ -175,7 +175,7 @@
 	server.Write([]byte(watchResponse))
 	send(`{"generation":1,"reset":true,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`)
 	f.Time += time.Minute
-	send("") // nothing has changed
+	send("") // an empty line: the list has not changed
 	f.Time += 2 * time.Second
 	for _, test := range []struct{ listedAgo, wantAgo time.Duration }{
 		{time.Hour, 0},
@@ -258,7 +258,7 @@
 		}
 	}
 	if !strings.HasPrefix(string(last.Received), "GET /discovery/hosts?stream=1&index=0 ") {
-		t.Errorf("requested %q", last.Received)
+		t.Errorf("requested %q, want the list from revision 0 on", last.Received)
 	}
 	last.Write([]byte(watchResponse + chunk(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[]}`, revision))))
 	f.RunIterations()
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -7,7 +7,7 @@
 //
 // A datagram consists of a header and messages, without padding. Integers are little endian, or varints of encoding/binary:
 //
-//	version      1 byte, 1
+//	version      1 byte, always 1
 //	checksum     4 bytes, CRC-32C of all bytes that follow
 //	incarnation  4 bytes, identifies the sender's process
 //	sequence     2 bytes, counts the datagrams of that process to this peer
