--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,14 +23,15 @@
 	Management netip.AddrPort
 	// StateDir is the directory for state that a later process needs: $TMPDIR if Management is valid, else empty.
 	StateDir string
-	// PeerListen is the address for datagrams of other schedulers, and Peers contains the addresses that they are sent from, by the
-	// numbers of the schedulers, including this one. They are not valid and nil if schedulers exchange no messages.
+	// PeerListen is the local address for datagrams from other schedulers. Peers contains the source address of the datagrams of
+	// each scheduler, including this one, indexed by the scheduler's number. If schedulers exchange no messages, PeerListen is
+	// not valid and Peers is nil.
 	PeerListen netip.AddrPort
 	Peers      []netip.AddrPort
 	// Seed is the seed of all random numbers.
 	Seed   uint64
 	Limits Limits
-	// KnownEndpoints is the last endpoint list that the platform has. It may be old.
+	// KnownEndpoints is the last endpoint list that the platform had. It may be out of date.
 	KnownEndpoints requests.EndpointList
 	Settings       Settings
 	// PlatformSettings is the JSON from which Settings was decoded; see DecodeSettings.
@@ -61,7 +62,7 @@
 		return Config{}, []error{fmt.Errorf("PROXY_CONFIG: %w", err)}
 	}
 	config, errs := decode(text, env)
-	return config, errs.in(path)
+	return config, errs.withPath(path)
 }
 
 // LoadAll reads the platform's file like Load, and the operators' file like LoadOps. If the platform's file has no errors, it
@@ -76,11 +77,11 @@
 	if len(errs) == 0 {
 		ops.checkAgainst(config, &opsErrors)
 	}
-	return config, ops, append(errs, opsErrors.in(opsPath)...)
+	return config, ops, append(errs, opsErrors.withPath(opsPath)...)
 }
 
 // Reload reads the platform's file again for a running scheduler with configuration c. Settings that can't change in a running
-// process keep the values of c; kept contains the keys of those that differ in the file. With an error, next is c.
+// process keep the values of c; kept contains the keys of those that differ in the file. If there is an error, next is c.
 func (c Config) Reload(env func(string) string) (next Config, kept []string, err error) {
 	next, err = Load(env)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-func TestLoadNeedsAFile(t *testing.T) {
+func TestLoadWithoutConfigPath(t *testing.T) {
 	if _, err := Load(noEnvironment); err == nil || !strings.HasPrefix(err.Error(), "PROXY_CONFIG: not set") {
-		t.Errorf("%v", err)
+		t.Errorf("without PROXY_CONFIG: %v", err)
 	}
 }
 
-// What can't change in a running process stays, and is named; after an error everything stays.
+// Reload keeps the settings that can't change in a running process, and returns their keys. If the file has an error, Reload
+// keeps the whole configuration.
 func TestReload(t *testing.T) {
 	directory := t.TempDir()
 	env := environment(map[string]string{"PROXY_CONFIG": writeFile(t, directory, "config.json", validPlatform)})
@@ -27,22 +28,23 @@
 	next, kept, err := running.Reload(env)
 	if err != nil || next.Discovery.Port() != 8501 || next.Limits.Sockets != 512 || next.Listen != running.Listen ||
 		next.Settings.AttemptLimit != 6 || next.Seed != running.Seed || strings.Join(kept, " ") != "listen settings" {
-		t.Errorf("%+v, kept %v, %v", next, kept, err)
+		t.Errorf("%+v, kept keys %v, %v", next, kept, err)
 	}
 
 	writeFile(t, directory, "config.json", strings.Replace(validPlatform, `"127.0.0.1:8500"`, `"there"`, 1))
 	next, _, err = running.Reload(env)
 	if err == nil || !strings.Contains(err.Error(), `key "discovery"`) || next.Discovery != running.Discovery {
-		t.Errorf("%v, %v", next.Discovery, err)
+		t.Errorf("with an error in the file: discovery %v, %v", next.Discovery, err)
 	}
 }
 
-// All errors of both files are reported in order and with the file, and Load returns the first. What follows from an error
-// is not reported beside it.
+// LoadAll returns all errors of both files in order, each with the path of its file, and Load returns the first of them. Errors
+// that may only follow from another one are left out: those below a key with an error, those of missing keys if the platform's
+// file is malformed, and those of conflicts between the files if the platform's file has any error.
 func TestLoadAllErrors(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		platform []string // what is replaced in validPlatform, by what
+		platform []string // old and new texts, in pairs, that are replaced in validPlatform
 		ops      string
 		want     string
 	}{
@@ -89,7 +91,7 @@
 				messages = append(messages, strings.TrimPrefix(err.Error(), directory))
 			}
 			if got := strings.Join(messages, "; "); got != test.want {
-				t.Errorf("%s,\nexpected %s", got, test.want)
+				t.Errorf("errors: %s,\nexpected %s", got, test.want)
 			}
 			if _, err := Load(env); len(test.platform) > 0 && (err == nil || err.Error() != errs[0].Error()) {
 				t.Errorf("Load returns %v, expected %v", err, errs[0])
@@ -98,7 +100,7 @@
 	}
 }
 
-func TestLoadAllBoundsErrorsOfAFile(t *testing.T) {
+func TestLoadAllLimitsErrorsPerFile(t *testing.T) {
 	directory := t.TempDir()
 	var text strings.Builder
 	text.WriteString("[replay]\n")
@@ -111,7 +113,7 @@
 	}
 }
 
-// The socket between schedulers, and whom it hears, stay as they were at the start.
+// Reload keeps the address of the socket for messages between schedulers, and the addresses of the peers.
 func TestReloadKeepsPeers(t *testing.T) {
 	directory := t.TempDir()
 	env := environment(map[string]string{"PROXY_CONFIG": writeFile(t, directory, "config.json", withPeers())})
@@ -122,9 +124,9 @@
 	writeFile(t, directory, "config.json", withPeers(`"127.0.0.1:7946"`, `"127.0.0.1:7947"`, `"127.0.1.1:7946"`, `"127.0.1.9:7946"`))
 	next, kept, err := running.Reload(env)
 	if err != nil || !slices.Equal(kept, []string{"peer_listen", "peers"}) {
-		t.Errorf("kept %v, %v", kept, err)
+		t.Errorf("kept keys %v, %v", kept, err)
 	}
 	if next.PeerListen != running.PeerListen || !slices.Equal(next.Peers, running.Peers) {
-		t.Errorf("goes on at %v with %v", next.PeerListen, next.Peers)
+		t.Errorf("after Reload: PeerListen %v, Peers %v", next.PeerListen, next.Peers)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -54,7 +54,7 @@
 
 // MissingError is the error of a required key that is absent.
 type MissingError struct {
-	Variable string // environment variable with the default of the key; empty: none
+	Variable string // environment variable that sets the default of the key; empty: none
 }
 
 // Error returns the name of the environment variable, if there is one.
@@ -65,7 +65,7 @@
 	return "missing, and " + m.Variable + " is not set"
 }
 
-// PortConflictError is the error of a port that is also that of PROXY_LISTEN.
+// PortConflictError is the error of a port that PROXY_LISTEN already uses.
 type PortConflictError struct {
 	Port uint16
 }
@@ -148,8 +148,8 @@
 	return k[0]
 }
 
-// in returns the errors, each with the path of the file as a prefix unless that is empty.
-func (k keyErrors) in(path string) []error {
+// withPath returns the errors, each prefixed with the path of the file unless the path is empty.
+func (k keyErrors) withPath(path string) []error {
 	var list []error
 	for _, keyError := range k {
 		if path == "" {
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The parts of an error can be had without parsing its message.
+// Callers get the key and the cause of an error from its fields, without parsing its message.
 func TestKeyErrorParts(t *testing.T) {
 	platform := func(text string) error {
 		_, err := Decode([]byte(text), noEnvironment)
@@ -26,20 +26,20 @@
 		key  string
 		want error
 	}{
-		{"kind of value", platform(`{"settings":[]}`), "settings", &ValueError{Expected: "an object"}},
-		{"value of bounds", ops("[capture]\nfiles = 0"), "capture.files", &ValueError{Expected: "1 to 1000", Value: int64(0)}},
+		{"type of value", platform(`{"settings":[]}`), "settings", &ValueError{Expected: "an object"}},
+		{"value out of bounds", ops("[capture]\nfiles = 0"), "capture.files", &ValueError{Expected: "1 to 1000", Value: int64(0)}},
 		{"element", ops("[addresses]\nallow = ['x']"), "addresses.allow[0]", &ValueError{
 			Expected: `a range such as "10.20.0.0/16" or "fd00:5a::/48"`, Value: "x",
 		}},
 		{"missing", ops("[status]"), "status.listen_port", &MissingError{}},
 		{"missing, with variable", platform(`{}`), "listen", &MissingError{Variable: "PROXY_LISTEN"}},
 		{"unknown", ops("[log]\nfile = 'x'"), "log.file", ErrUnknownKey},
-		{"port", samePort, "status.listen_port", &PortConflictError{Port: 9000}},
+		{"port conflict", samePort, "status.listen_port", &PortConflictError{Port: 9000}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var keyError *KeyError
 			if !errors.As(test.err, &keyError) {
-				t.Fatalf("%v is no KeyError", test.err)
+				t.Fatalf("%v is not a *KeyError", test.err)
 			}
 			if keyError.Key != test.key || !reflect.DeepEqual(keyError.Err, test.want) {
 				t.Errorf("key %q: %#v, expected %q: %#v", keyError.Key, keyError.Err, test.key, test.want)
@@ -54,7 +54,7 @@
 	for format, err := range map[string]error{"JSON": jsonError, "TOML": tomlError} {
 		var syntaxError *SyntaxError
 		if !errors.As(err, &syntaxError) || syntaxError.Format != format || syntaxError.Err == nil {
-			t.Errorf("%s: %v", format, err)
+			t.Errorf("expected a *SyntaxError of %s, got %v", format, err)
 		}
 	}
 }
@@ -66,14 +66,15 @@
 	}
 }
 
-// Of several errors in recorded settings the same one is reported each time.
+// If recorded settings have several errors, Override returns the first one by the order of keys, so that the error does not
+// depend on the order of a map.
 func TestOverrideReportsSameError(t *testing.T) {
 	ops := decodeValidOps(t, "[replay.settings]\nzone = 1")
 	for range 50 {
 		_, err := ops.Override(json.RawMessage(`{"zone":0,"prices":1,"zones":1,"bounds":{"probes":1,"cancelling":1},"rules":1}`))
 		var keyError *KeyError
 		if !errors.As(err, &keyError) || keyError.Key != "replay.settings.bounds.cancelling" {
-			t.Fatalf("%v, expected the first error by the order of keys", err)
+			t.Fatalf("%v, expected an error of replay.settings.bounds.cancelling", err)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,11 +13,12 @@
 	"valvecove/internal/storedform"
 )
 
-// The platform writes these files, and their form is the platform's: the newest holds every key that is read, and some that
-// are passed over. They are never regenerated except under a new form number.
+// Golden files of testdata/golden: examples of the platform's file, whose format the platform defines. The newest one contains
+// every key that is read, and some that are skipped. They are never changed or regenerated; another format gets a file with a new
+// number.
 const (
 	goldenPlatform          = "platform-1.json"
-	goldenPlatformWithPeers = "platform-2.json" // and with what concerns messages between schedulers
+	goldenPlatformWithPeers = "platform-2.json" // like platform-1.json, with the keys for messages between schedulers
 )
 
 func TestGoldenPlatformFile(t *testing.T) {
@@ -37,7 +38,7 @@
 	checkGoldenPlatform(t, goldenPlatformWithPeers, want, "PeerBudget")
 }
 
-// goldenPlatformConfig is the configuration in the first golden file.
+// goldenPlatformConfig returns the configuration in goldenPlatform.
 func goldenPlatformConfig() Config {
 	return Config{
 		Name:       "s-eu-3",
@@ -85,8 +86,8 @@
 	}
 }
 
-// checkGoldenPlatform reads a golden file. It expects a value for each setting, but for those of which the file has no key:
-// they came with a later form, or are the operators'.
+// checkGoldenPlatform expects that a golden file decodes to a configuration, and that the file has a key for each setting except
+// settingsWithoutKey: the keys of those were added in a later format, or are in the operators' file.
 func checkGoldenPlatform(t *testing.T, file string, want Config, settingsWithoutKey ...string) {
 	t.Helper()
 	text := storedform.Golden(t, file)
@@ -97,35 +98,35 @@
 	platform := got.PlatformSettings
 	got.PlatformSettings = nil
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, expected %+v", got, want)
+		t.Errorf("decoded %+v, expected %+v", got, want)
 	}
-	checkNoneIsZero(t, settingsWithoutKey, reflect.ValueOf(got.Settings.Settings))
-	checkNoneIsZero(t, nil, reflect.ValueOf(got.Settings.Classes[0]), reflect.ValueOf(got.Settings.Classes[1]),
+	checkEachIsSet(t, settingsWithoutKey, reflect.ValueOf(got.Settings.Settings))
+	checkEachIsSet(t, nil, reflect.ValueOf(got.Settings.Classes[0]), reflect.ValueOf(got.Settings.Classes[1]),
 		reflect.ValueOf(got.Settings.Classes[2]))
-	// A capture keeps the settings as the text has them.
+	// Captures record PlatformSettings, which must be the unchanged text of the file.
 	if !bytes.Contains(text, platform) {
-		t.Errorf("the settings are kept as %s", platform)
+		t.Errorf("PlatformSettings is not a part of the file: %s", platform)
 	}
 	again, err := DecodeSettings(platform)
 	if err != nil || !reflect.DeepEqual(again, got.Settings) {
-		t.Errorf("the kept settings read as %+v, %v", again, err)
+		t.Errorf("PlatformSettings decodes to %+v, %v", again, err)
 	}
 }
 
-// checkNoneIsZero expects that each field has a value in one of the structs at least: each key is in the file. A field that
-// is added gets its key in a file of a further form number. Fields that have no key must be zero.
-func checkNoneIsZero(t *testing.T, withoutKey []string, structs ...reflect.Value) {
+// checkEachIsSet expects that each field is not zero in at least one of the structs, which shows that the golden file contains
+// its key. A field that is added gets its key in a golden file with a new number. The fields withoutKey must be zero.
+func checkEachIsSet(t *testing.T, withoutKey []string, structs ...reflect.Value) {
 	t.Helper()
 	for i, field := range reflect.VisibleFields(structs[0].Type()) {
-		isGiven := slices.ContainsFunc(structs, func(v reflect.Value) bool { return !v.Field(i).IsZero() })
+		isSet := slices.ContainsFunc(structs, func(v reflect.Value) bool { return !v.Field(i).IsZero() })
 		if slices.Contains(withoutKey, field.Name) {
-			if isGiven {
-				t.Errorf("%s has a value without a key", field.Name)
+			if isSet {
+				t.Errorf("%s is set, although the golden file has no key for it", field.Name)
 			}
 			continue
 		}
-		if !isGiven {
-			t.Errorf("no key of the golden file gives %s a value", field.Name)
+		if !isSet {
+			t.Errorf("%s is not set by any key of the golden file", field.Name)
 		}
 	}
 }
--- a/internal/config/helpers_test.go
+++ b/internal/config/helpers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// validPlatform is a platform's file without errors.
+// validPlatform is a text of the platform's file without errors.
 const validPlatform = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"8c1f","later":[1,{"x":2}],
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":{"generation":41,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"z","startedAtMs":7}]},
@@ -17,12 +17,12 @@
 "tenants":[{"name":"t","quota_per_s":12}],"bounds":{"try_limit":6,"connect_timeout":250000,"retry_after":true,"max_retry_after":2000000},
 "rules":{"cold":8800000,"cold_from":0.3},"telemetry":{"fields":["x0","x1"]}}}`
 
-// environment returns a lookup of variables.
+// environment returns a function that looks up environment variables.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
-// noEnvironment has no variable set.
+// noEnvironment is an environment without variables.
 func noEnvironment(string) string { return "" }
 
 // decodeValid decodes validPlatform.
@@ -45,7 +45,7 @@
 	return ops
 }
 
-// writeFile writes a file of a test's directory and returns its path.
+// writeFile writes a file in a directory and returns its path.
 func writeFile(t *testing.T, directory, name, text string) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// maxExactInteger bounds the integers that a JSON number represents exactly.
+	// maxExactInteger is the largest integer up to which a float64, to which JSON numbers are decoded, is exact.
 	maxExactInteger = 1 << 53
+	// maxMicroseconds is the longest time.Duration in microseconds.
 	maxMicroseconds = float64(math.MaxInt64 / int64(time.Microsecond))
 )
 
@@ -20,10 +21,10 @@
 	iterator *jsoniter.Iterator
 	path     []string // of the current value
 	errors   keyErrors
-	broken   bool // there was a syntax error: the rest can't be read
+	broken   bool // after a syntax error: the rest of the text can't be read
 }
 
-// newJSONReader returns a reader of a text whose value is at a path of its file.
+// newJSONReader returns a reader of a JSON text. path is the path of its value in the file.
 func newJSONReader(text []byte, path ...string) *jsonReader {
 	return &jsonReader{iterator: jsoniter.ParseBytes(jsoniter.ConfigDefault, text), path: path}
 }
@@ -60,7 +61,7 @@
 	j.checkSyntax()
 }
 
-// within reads the value of a key or an index. It reports whether more can be read after it.
+// within calls read for the value of a key or an index. It reports whether the text after the value can be read.
 func (j *jsonReader) within(element string, read func()) bool {
 	j.path = append(j.path, element)
 	read()
@@ -91,7 +92,7 @@
 // isPresent reports whether the next value is not null.
 func (j *jsonReader) isPresent() bool { return j.iterator.WhatIsNext() != jsoniter.NilValue }
 
-// expect reports whether the next value has a type. Any other value is skipped, and an error is added unless it is null.
+// expect reports whether the next value is of the given kind. Any other value is skipped, with an error unless it is null.
 func (j *jsonReader) expect(kind jsoniter.ValueType, expected string) bool {
 	next := j.iterator.WhatIsNext()
 	if j.broken {
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/aperture"
 )
 
-// Ops is the configuration in the operators' file: the form of the log, and the enabled features. A feature whose section is
+// Ops is the configuration in the operators' file: the settings of the log, and the enabled features. A feature whose section is
 // absent is nil, and disabled.
 type Ops struct {
 	Log       Log
@@ -29,7 +29,7 @@
 	if err != nil {
 		return Ops{}, err
 	}
-	if located := errs.in(path); len(located) > 0 {
+	if located := errs.withPath(path); len(located) > 0 {
 		return Ops{}, located[0]
 	}
 	return ops, nil
@@ -110,9 +110,9 @@
 	return netip.AddrPortFrom(config.Listen.Addr(), o.Status.Port)
 }
 
-// Override decodes recorded settings of the platform after it has replaced those in [replay.settings]. Errors are *KeyError with
-// a key under replay.settings, except for recorded settings that can't be parsed. The changes of ApplyTo are not included;
-// captures contain them separately.
+// Override replaces values in recorded settings of the platform by those in [replay.settings], and decodes the result. Errors are
+// *KeyError with a key under replay.settings, unless the recorded settings can't be parsed. Override does not make the changes of
+// ApplyTo; captures record those separately.
 func (o Ops) Override(recorded []byte) (Settings, error) {
 	path := []string{"replay", "settings"}
 	if o.Replay != nil && len(o.Replay.settings) > 0 {
--- a/internal/config/ops_capture.go
+++ b/internal/config/ops_capture.go
@@ -19,10 +19,10 @@
 	defaultCaptureFiles    = 4
 	maxCaptureFiles        = 1000
 
-	// maxRingDivisor is the minimum ratio of the memory limit to the size of the ring. There are two rings in memory while a copy
-	// is being written.
-	maxRingDivisor = 8
-	kbPerMB        = 1 << 10
+	// minMemoryToRingRatio is the minimum ratio of the memory limit to the size of the ring. While a copy of the ring is being
+	// written, memory holds it twice.
+	minMemoryToRingRatio = 8
+	kbPerMB              = 1 << 10
 )
 
 // decodeCapture decodes the section capture.
@@ -37,7 +37,7 @@
 
 // checkMemory adds an error if the ring is too large for the memory limit.
 func (c *Capture) checkMemory(limits Limits, errs *keyErrors) {
-	maxRingKB := limits.MemoryMB * kbPerMB / maxRingDivisor
+	maxRingKB := limits.MemoryMB * kbPerMB / minMemoryToRingRatio
 	if c.Dir != "" || c.MemoryKB <= maxRingKB {
 		return
 	}
--- a/internal/config/ops_gossip.go
+++ b/internal/config/ops_gossip.go
@@ -2,7 +2,7 @@
 
 // Gossip configures the messages between schedulers about leases, if the platform's settings allow them.
 type Gossip struct {
-	Budget float64 // maximum cost of the messages, as a fraction of the result
+	Budget float64 // maximum cost of the messages, as a fraction of the total utility
 }
 
 // defaultGossipBudget is the default of Gossip.Budget.
@@ -13,8 +13,8 @@
 	return Gossip{Budget: section.number("budget", defaultGossipBudget, 0, 1)}
 }
 
-// ApplyTo sets the dispatcher's settings that depend on the operators' file. Without the section gossip, messages between
-// schedulers are disabled.
+// ApplyTo changes the dispatcher's settings that depend on the operators' file. It disables messages between schedulers if the
+// file has no section gossip.
 func (o Ops) ApplyTo(settings *Settings) {
 	if o.Gossip == nil {
 		settings.PeerMessages = false
--- a/internal/config/ops_log.go
+++ b/internal/config/ops_log.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Log configures the form of the log. The zero value is the default: text, from level info on.
+// Log configures the log. The zero value is the default: lines of text, from level info on.
 type Log struct {
 	JSON  bool
 	Level slog.Level // minimum level of lines that are written
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// The deployment's file has no errors, and no conflict with the platform's. The status call is disabled there, and leases are enabled.
+// The operators' file of the deployment has no errors, and does not conflict with the platform's file. It disables the status
+// call and enables leases.
 func TestDecodeOpsOfDeployment(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/ops.toml")
 	if err != nil {
@@ -80,7 +81,7 @@
 		t.Errorf("%+v, %v", ops, err)
 	}
 	if ops.Gossip == nil || ops.Gossip.Budget != 0.02 {
-		t.Errorf("leases: %+v", ops.Gossip)
+		t.Errorf("section gossip: %+v", ops.Gossip)
 	}
 }
 
@@ -94,7 +95,7 @@
 		}
 	}
 	if want := (Log{}); decodeValidOps(t, "[log]\n").Log != want {
-		t.Error("the defaults are not the zero value")
+		t.Error("the default is not the zero value of Log")
 	}
 }
 
@@ -133,7 +134,7 @@
 	}
 }
 
-// The ring may have an eighth of the memory limit.
+// The ring may use at most an eighth of the memory limit.
 func TestCheckRejectsRingTooLargeForMemory(t *testing.T) {
 	ops := decodeValidOps(t, "[capture]\n")
 	config := decodeValid(t)
@@ -171,21 +172,21 @@
 	}
 }
 
-// Messages between schedulers are disabled without the section, and with a price and a budget of 0.
+// Messages between schedulers are disabled if the section is absent, or if its budget is 0 and messages have a cost.
 func TestGossipAppliesToSettings(t *testing.T) {
 	for _, test := range []struct {
-		name, ops         string
-		cost              float64
-		wantMessages      bool
-		wantBudget        float64
-		wantLeasesOfEight bool
+		name, ops    string
+		cost         float64
+		wantMessages bool
+		wantBudget   float64
+		wantLeases   bool
 	}{
 		{"no section", "", 0, false, 0, false},
 		{"default", "[gossip]", 0.03, true, 0.02, true},
-		{"price over the default", "[gossip]", 0.04, true, 0.02, false},
+		{"cost above the default budget", "[gossip]", 0.04, true, 0.02, false},
 		{"larger budget", "[gossip]\nbudget = 0.1", 0.04, true, 0.1, true},
-		{"no budget", "[gossip]\nbudget = 0", 0.001, false, 0, false},
-		{"no budget, no price", "[gossip]\nbudget = 0", 0, true, 0, true},
+		{"budget 0", "[gossip]\nbudget = 0", 0.001, false, 0, false},
+		{"budget 0, no cost", "[gossip]\nbudget = 0", 0, true, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings := Settings{Settings: dispatch.Settings{Replicas: 8, StartNotifications: true, PeerMessages: true, PeerCost: test.cost}}
@@ -193,15 +194,15 @@
 			if settings.PeerMessages != test.wantMessages || settings.PeerBudget != test.wantBudget {
 				t.Errorf("messages %v, budget %v", settings.PeerMessages, settings.PeerBudget)
 			}
-			if got := settings.UsesLeases(); got != test.wantLeasesOfEight {
-				t.Errorf("leases %v, expected %v", got, test.wantLeasesOfEight)
+			if got := settings.UsesLeases(); got != test.wantLeases {
+				t.Errorf("leases %v, expected %v", got, test.wantLeases)
 			}
 		})
 	}
 }
 
-// The section enables nothing that the platform's settings do not allow. The section of a replay's file does not change recorded settings, as
-// the effect of the recording scheduler's file is recorded too.
+// ApplyTo enables no messages that the platform's settings forbid. Override ignores the section gossip of the file that a replay
+// is given, as the capture also records the effect of that section on the scheduler that wrote it.
 func TestGossipOfRecordedSettings(t *testing.T) {
 	for _, test := range []struct {
 		ops, peers    string
@@ -218,10 +219,10 @@
 		ops := decodeValidOps(t, test.ops)
 		settings, err := ops.Override([]byte(recorded))
 		if err != nil || settings.PeerMessages != test.want || settings.PeerBudget != 0 {
-			t.Errorf("%q and peers %s: %v, budget %v, %v", test.ops, test.peers, settings.PeerMessages, settings.PeerBudget, err)
+			t.Errorf("%q and peers %s: messages %v, budget %v, %v", test.ops, test.peers, settings.PeerMessages, settings.PeerBudget, err)
 		}
 		if ops.ApplyTo(&settings); settings.PeerMessages != test.applied {
-			t.Errorf("%q and peers %s: applied, %v", test.ops, test.peers, settings.PeerMessages)
+			t.Errorf("%q and peers %s: messages %v after ApplyTo", test.ops, test.peers, settings.PeerMessages)
 		}
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -9,8 +9,8 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Decode decodes the text of a platform's file. env returns the value of an environment variable; see Load. The error is the first
-// *KeyError.
+// Decode decodes the text of a platform's file. env returns the value of an environment variable; see Load. The error is the
+// first *KeyError.
 func Decode(text []byte, env func(string) string) (Config, error) {
 	config, errs := decode(text, env)
 	return config, errs.first()
@@ -28,8 +28,8 @@
 	return decoder.config, decoder.errors
 }
 
-// platformDecoder decodes the platform's file. Its fields of type string are the values in the file, without the defaults of the
-// environment.
+// platformDecoder decodes the platform's file. Its string fields contain the values in the file, before the defaults from the
+// environment are applied.
 type platformDecoder struct {
 	*jsonReader
 	config                              Config
@@ -112,8 +112,8 @@
 	for i, text := range p.peers {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil || address.Port() == 0 {
-			fault := &ValueError{Expected: "an address and port", Value: text}
-			p.errors.add(newKeyError([]string{"peers", strconv.Itoa(i)}, fault))
+			invalid := &ValueError{Expected: "an address and port", Value: text}
+			p.errors.add(newKeyError([]string{"peers", strconv.Itoa(i)}, invalid))
 		}
 		p.config.Peers = append(p.config.Peers, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// null is equivalent to an absent value, also if the value has precedence over another one.
+// null is equivalent to an absent key, also for a key that takes precedence over another one.
 func TestDecodeNullStretch(t *testing.T) {
 	for text, want := range map[string]float64{`"aim_stretch":1.5`: 1.5, `"aim_stretch":null`: 2, `"later":null`: 2} {
 		config, err := Decode([]byte(strings.Replace(validPlatform, `"aim_stretch":1.5`, text, 1)), noEnvironment)
@@ -87,7 +87,7 @@
 		{"number for list", `"class_stretch":[2.5,2]`, `"class_stretch":2`, `key "settings.domain.class_stretch": expected a list`},
 		{"malformed endpoint", `"startedAtMs":7`, `"startedAtMs":"x"`, `key "known": not JSON`},
 		{"duration out of bounds", `"cold":8800000`, `"cold":1e300`, `key "settings.rules.cold": expected microseconds`},
-		{"cut off", `]}}}`, `]}}`, `not JSON`},
+		{"truncated", `]}}}`, `]}}`, `not JSON`},
 		{"no value", `"me":1`, `"me":`, `key "settings.me": expected a number`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Without a management address in the file or the environment there is none; the file's has precedence.
+// The management address in the file takes precedence over the one in the environment. With neither, there is no such address.
 func TestDecodeManagementAddress(t *testing.T) {
 	const remainder = `"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"classes":[{"name":"a","promise":1,"give_up":5}],` +
 		`"bounds":{"try_limit":1,"connect_timeout":5}}}`
@@ -130,6 +130,7 @@
 // peersOfTwo contains the keys of validPlatform that enable messages between two schedulers.
 const peersOfTwo = `"peer_listen":"127.0.0.1:7946","peers":["127.0.1.1:7946","127.0.1.2:7946"],"limits":`
 
+// withPeers returns validPlatform with messages between schedulers enabled, and then with replacements, which are pairs of texts.
 func withPeers(replacements ...string) string {
 	text := strings.NewReplacer(`"limits":`, peersOfTwo, `"try_limit":6`, `"try_limit":6,"peers":true`).Replace(validPlatform)
 	return strings.NewReplacer(replacements...).Replace(text)
@@ -146,23 +147,23 @@
 	}
 }
 
-// IPv4 addresses are compared with those of datagrams, whichever way they are written.
+// A peer's IPv4 address that is written in IPv6-mapped form is converted, so that it equals the source address of datagrams.
 func TestDecodePeersMappedToIPv6(t *testing.T) {
 	got, err := Decode([]byte(withPeers(`"127.0.1.2:7946"`, `"[::ffff:127.0.1.2]:7946"`)), noEnvironment)
 	if err != nil || got.Peers[1] != netip.MustParseAddrPort("127.0.1.2:7946") {
-		t.Errorf("%v, %v", got.Peers, err)
+		t.Errorf("peers %v, %v", got.Peers, err)
 	}
 }
 
-// Messages are disabled if the settings or one of the keys do not allow them, for any values of the other keys.
+// Messages are disabled if the settings do not allow them or one of the keys is missing, whatever the values of the other keys.
 func TestDecodeWithoutPeers(t *testing.T) {
 	for name, replacements := range map[string][]string{
-		"not allowed":               {`"peers":true`, `"peers":false`},
-		"not allowed, and faulty":   {`"peers":true`, `"peers":false`, `["127.0.1.1:7946","127.0.1.2:7946"]`, `["here"]`},
-		"not named by the settings": {`"peers":true`, `"others":true`},
-		"no addresses":              {`"peers":[`, `"others":[`},
-		"empty list":                {`["127.0.1.1:7946","127.0.1.2:7946"]`, `[]`},
-		"no own address":            {`"peer_listen"`, `"other_listen"`},
+		"not allowed":              {`"peers":true`, `"peers":false`},
+		"not allowed, and invalid": {`"peers":true`, `"peers":false`, `["127.0.1.1:7946","127.0.1.2:7946"]`, `["here"]`},
+		"not in the settings":      {`"peers":true`, `"others":true`},
+		"no addresses":             {`"peers":[`, `"others":[`},
+		"empty list":               {`["127.0.1.1:7946","127.0.1.2:7946"]`, `[]`},
+		"no own address":           {`"peer_listen"`, `"other_listen"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode([]byte(withPeers(replacements...)), noEnvironment)
@@ -175,13 +176,13 @@
 
 func TestDecodePeersErrorsNameTheKey(t *testing.T) {
 	for _, test := range []struct{ name, old, new, want string }{
-		{"too few", `,"127.0.1.2:7946"`, ``, `key "peers": expected an address for each of settings.replicas_of_me, got 1`},
-		{"too many", `"127.0.1.2:7946"`, `"127.0.1.2:7946","127.0.1.3:7946"`, `key "peers": expected an address for each of`},
+		{"too few peers", `,"127.0.1.2:7946"`, ``, `key "peers": expected an address for each of settings.replicas_of_me, got 1`},
+		{"too many peers", `"127.0.1.2:7946"`, `"127.0.1.2:7946","127.0.1.3:7946"`, `key "peers": expected an address for each of`},
 		{"malformed peer", `"127.0.1.2:7946"`, `"n2:7946"`, `key "peers[1]": expected an address and port, got "n2:7946"`},
 		{"peer without port", `"127.0.1.2:7946"`, `"127.0.1.2:0"`, `key "peers[1]": expected an address and port, got "127.0.1.2:0"`},
-		{"malformed own", `"127.0.0.1:7946"`, `"here"`, `key "peer_listen": expected an address and port, got "here"`},
+		{"malformed own address", `"127.0.0.1:7946"`, `"here"`, `key "peer_listen": expected an address and port, got "here"`},
 		{"number for list", `["127.0.1.1:7946","127.0.1.2:7946"]`, `7`, `key "peers": expected a list`},
-		{"own number", `"me":1`, `"me":2`, `key "settings.me": expected a number from 0 to 1, got 2`},
+		{"own number out of bounds", `"me":1`, `"me":2`, `key "settings.me": expected a number from 0 to 1, got 2`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Decode([]byte(withPeers(test.old, test.new)), noEnvironment)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,8 @@
 	"valvecove/internal/requests"
 )
 
-// Settings contains the deployment's settings: those of the dispatcher, and the names of classes, tenants, zones and machine types.
+// Settings contains the deployment's settings: those of the dispatcher, and the names of classes, tenants, zones and machine
+// types.
 type Settings struct {
 	dispatch.Settings
 	Names requests.NameTable
@@ -27,15 +28,15 @@
 	return decoder.settings, decoder.errors.first()
 }
 
-// settingsDecoder decodes the object settings. It stores values that are combined with others until all keys are read.
+// settingsDecoder decodes the object settings. Values that have to be combined with others are stored until all keys are read.
 type settingsDecoder struct {
 	*jsonReader
 	settings Settings
 
 	kindOfClass     []float64       // domain.class_kind; negative: any
 	stretchOfClass  []float64       // domain.class_stretch
-	explicitStretch map[int]float64 // classes[i].aim_stretch, which has precedence
-	sendRetryAfter  bool
+	explicitStretch map[int]float64 // classes[i].aim_stretch, which takes precedence
+	sendRetryAfter  bool            // bounds.retry_after: if false, maxRetryAfter is not used
 	maxRetryAfter   time.Duration
 	reportFields    []string // names of the fields of load reports, in order
 	meanings        reportMeanings
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// table is one table of the operators' file. Reading a value removes it, so that the remaining keys are unknown. An error is
-// added for each value that is out of bounds or has the wrong type; the returned value is undefined then.
+// table is one table of the operators' file. Reading a value removes it, so that the keys that remain at the end are unknown
+// ones. An error is added for each value that is out of bounds or has the wrong type; the value returned for it is undefined.
 type table struct {
 	path   []string       // in the file
 	keys   map[string]any // that were not read yet
@@ -33,8 +33,8 @@
 	t.report(key, &ValueError{Expected: expected, Value: value})
 }
 
-// reportKind adds an error about the type of a key's value.
-func (t *table) reportKind(key, expected string) { t.report(key, &ValueError{Expected: expected}) }
+// reportType adds an error about the type of a key's value.
+func (t *table) reportType(key, expected string) { t.report(key, &ValueError{Expected: expected}) }
 
 // take removes and returns the value of a key.
 func (t *table) take(key string) (value any, ok bool) {
@@ -65,7 +65,7 @@
 	}
 	keys, ok := value.(map[string]any)
 	if !ok {
-		t.reportKind(key, "a table")
+		t.reportType(key, "a table")
 		return nil
 	}
 	return &table{path: append(slices.Clone(t.path), key), keys: keys, errors: t.errors}
@@ -80,7 +80,7 @@
 	number, ok := value.(int64)
 	switch {
 	case !ok:
-		t.reportKind(key, "a whole number")
+		t.reportType(key, "a whole number")
 	case number < int64(minimum) || number > int64(maximum):
 		t.reportValue(key, fmt.Sprintf("%d to %d", minimum, maximum), number)
 	}
@@ -97,14 +97,14 @@
 	inBounds := number >= minimum && number <= maximum // false for NaN
 	switch {
 	case !ok:
-		t.reportKind(key, "a number")
+		t.reportType(key, "a number")
 	case !inBounds:
 		t.reportValue(key, fmt.Sprintf("%v to %v", minimum, maximum), number)
 	}
 	return number
 }
 
-// toFloat returns a number of either type.
+// toFloat converts a TOML integer or float.
 func toFloat(value any) (number float64, ok bool) {
 	switch value := value.(type) {
 	case int64:
@@ -129,7 +129,7 @@
 	}
 	text, ok := value.(string)
 	if !ok || text == "" {
-		t.reportKind(key, "text")
+		t.reportType(key, "text")
 	}
 	return text
 }
@@ -167,7 +167,7 @@
 	}
 	elements, ok := value.([]any)
 	if !ok {
-		t.reportKind(key, "a list")
+		t.reportType(key, "a list")
 	}
 	var list []netip.Prefix
 	for i, element := range elements {
