--- a/internal/capture/disk_test.go
+++ b/internal/capture/disk_test.go
@@ -14,14 +14,14 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// awaitQueue waits until the disk has had all that was enqueued.
+// awaitQueue waits until all enqueued writes have been executed.
 func (f *files) awaitQueue() {
 	done := make(chan struct{})
 	f.Enqueue(0, func() error { close(done); return nil })
 	<-done
 }
 
-// runWithDisk runs so many steps, with the disk in step.
+// runWithDisk runs a number of steps. After each it waits until the step's lines have been written.
 func (s *scheduler) runWithDisk(steps int) {
 	for range steps {
 		s.run(1)
@@ -29,7 +29,7 @@
 	}
 }
 
-// concatenated are the files of a disk, in order, as one text.
+// concatenated returns the contents of all files of a disk as one text, in the order of their paths.
 func concatenated(disk *filesystemtest.Disk) []byte {
 	contents := disk.Files()
 	var text []byte
@@ -40,12 +40,12 @@
 }
 
 // While the disk is full, the gap is logged once, losses are counted, and no earlier file is removed in favour of empty ones.
-// Once there is space again, recording continues, which is logged. Each file can be replayed, and a replay of all of them warns
-// of the gap.
-func TestFilesThroughFullDisk(t *testing.T) {
+// Once there is space again, recording continues, which is logged. Each file can be replayed, and a replay of the concatenated
+// files warns of the gap.
+func TestFilesWhileDiskIsFull(t *testing.T) {
 	disk := filesystemtest.New(map[string]string{"/dir/n0-00000007.jsonl": "kept\n"})
 	var log bytes.Buffer
-	s := newSchedulerOn(t, disk, slog.New(slog.NewTextHandler(&log, nil)), 1, config.Capture{Dir: "/dir", FileMB: 1, Files: 3})
+	s := newSchedulerWithDisk(t, disk, slog.New(slog.NewTextHandler(&log, nil)), 1, config.Capture{Dir: "/dir", FileMB: 1, Files: 3})
 	s.runWithDisk(100)
 	disk.SetFault(func(call filesystemtest.Call) filesystemtest.Fault {
 		if call.Operation == filesystemtest.Write {
@@ -58,14 +58,14 @@
 		s.Now += segmentRetryInterval
 	}
 	if got := disk.Files(); len(got) != 2 || got["/dir/n0-00000007.jsonl"] != "kept\n" {
-		t.Errorf("while the disk is full it has %v", slices.Sorted(maps.Keys(got)))
+		t.Errorf("files while the disk is full: %v", slices.Sorted(maps.Keys(got)))
 	}
 	disk.SetFault(nil)
 	s.Now += segmentRetryInterval
 	s.runWithDisk(100)
 	s.recorder.Close(time.Minute)
 	if s.recorder.Lost() < 6 || s.recorder.LostLines() == 0 {
-		t.Errorf("%d pieces and %d lines lost", s.recorder.Lost(), s.recorder.LostLines())
+		t.Errorf("%d writes and %d lines lost", s.recorder.Lost(), s.recorder.LostLines())
 	}
 	if text := log.String(); strings.Count(text, "capture gap started") != 1 || strings.Count(text, "capture gap ended") != 1 {
 		t.Errorf("log:\n%s", text)
@@ -80,17 +80,17 @@
 	}
 	got := replay(t, concatenated(disk)[len("kept\n"):], "")
 	if got.differences != 0 || got.err != nil || !strings.Contains(got.warnings, "the capture has a gap") {
-		t.Errorf("in a row: %d differences, %v, %q", got.differences, got.err, got.warnings)
+		t.Errorf("concatenated files: %d differences, %v, %q", got.differences, got.err, got.warnings)
 	}
 }
 
-// Whatever share of the calls fails, and wherever writes are cut: the files in a row replay without a difference, also where
-// the cut part of a line can't be removed and the next segment is glued to it.
+// One in ten calls of the disk fails, and a write that fails may be partial. The concatenated files replay without a difference.
+// Truncate always fails, so that an incomplete line stays in the file and the next segment follows it on the same line.
 func TestFilesUnderRandomFaults(t *testing.T) {
 	gaps := 0
 	for seed := range uint64(12) {
 		disk := filesystemtest.New(nil)
-		s := newSchedulerOn(t, disk, slog.New(slog.DiscardHandler), seed, config.Capture{Dir: "/dir", FileMB: 1, Files: 100})
+		s := newSchedulerWithDisk(t, disk, slog.New(slog.DiscardHandler), seed, config.Capture{Dir: "/dir", FileMB: 1, Files: 100})
 		fail := filesystemtest.FailShare(seed, 0.1)
 		disk.SetFault(func(call filesystemtest.Call) filesystemtest.Fault {
 			if call.Operation == filesystemtest.Truncate {
@@ -110,21 +110,22 @@
 		gaps += strings.Count(got.warnings, "gap")
 	}
 	if gaps < 12 {
-		t.Errorf("%d gaps: too few to say anything", gaps)
+		t.Errorf("%d gaps, expected at least 12: the test covers too few faults", gaps)
 	}
 }
 
-// A process starts while the disk is full, and begins to record once it isn't. A wrong directory still is an error.
+// A recorder that is created while the disk is full starts to record once there is space. In contrast to a missing directory, a
+// full disk is not an error; see TestNewFilesNeedsDirectory.
 func TestFilesStartOnFullDisk(t *testing.T) {
 	disk := filesystemtest.New(nil)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC))
-	s := newSchedulerOn(t, disk, slog.New(slog.DiscardHandler), 1, config.Capture{Dir: "/dir", FileMB: 1, Files: 3})
+	s := newSchedulerWithDisk(t, disk, slog.New(slog.DiscardHandler), 1, config.Capture{Dir: "/dir", FileMB: 1, Files: 3})
 	s.runWithDisk(10)
 	disk.SetFault(nil)
 	s.Now += segmentRetryInterval
 	s.runWithDisk(100)
 	s.recorder.Close(time.Minute)
 	if sends := checkReplaysSame(t, concatenated(disk)); sends == 0 {
-		t.Error("nothing is recorded")
+		t.Error("no sends are recorded")
 	}
 }
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -38,20 +38,20 @@
 	maxFiles      int
 	segment       int64        // number of the current segment, from 1
 	segmentBytes  int          // size of the current segment
-	segmentLost   bool         // a part of the current segment was lost
+	segmentLost   bool         // a part of the current segment was lost, so the rest is not written
 	failedSegment atomic.Int64 // number of the last segment in which a write failed
-	keptSegment   atomic.Int64 // number of the last segment whose first line is in a file
+	storedSegment atomic.Int64 // number of the last segment whose first line is in a file
 
 	// The fields below are used on the queue's goroutine only.
 	file       filesystem.File // nil: no file is open
 	filePath   string
 	fileBytes  int64  // size of the file
 	fileNumber int    // of the last file that was opened
-	strayPath  string // path of a file without a segment that could not be removed; empty: none
+	strayPath  string // path of a file that has no segment and could not be removed; empty: none
 }
 
 // newFiles returns a sink whose first file is open, or the error of the directory. An error of the disk that may be temporary,
-// such as a full disk, is not returned; the file is opened with the first segment then.
+// such as a full disk, is not returned: the file is then opened when the first segment is written.
 func newFiles(disk filesystem.FileSystem, capture config.Capture, schedulerName string) (*files, error) {
 	f := &files{
 		disk:         disk,
@@ -84,7 +84,7 @@
 	}, schedulerName)
 }
 
-// list returns the paths of this scheduler's files, oldest first.
+// list returns the paths of this scheduler's capture files, oldest first.
 func (f *files) list() ([]string, error) {
 	directory, namePrefix := filepath.Split(f.pathPrefix)
 	names, err := f.disk.ListNames(filepath.Dir(f.pathPrefix))
@@ -108,14 +108,14 @@
 	return hasPrefix && hasSuffix && len(number) == fileNumberDigits && strings.Trim(number, "0123456789") == ""
 }
 
-// numberOf returns the number in the path of one of the files.
+// numberOf returns the number in a path that list has returned.
 func (f *files) numberOf(path string) int {
 	digits := strings.TrimSuffix(strings.TrimPrefix(path, f.pathPrefix), fileSuffix)
-	number, _ := strconv.Atoi(digits) // list returns only paths with digits there
+	number, _ := strconv.Atoi(digits) // never fails: list returns only paths with digits there
 	return number
 }
 
-// openNextFile closes the file and opens the next one.
+// openNextFile closes the current file and opens the next one.
 func (f *files) openNextFile() error {
 	f.closeFile()
 	if f.strayPath != "" {
@@ -158,8 +158,8 @@
 	}
 }
 
-// discardFile removes the current file, which contains no segment. If it can't be removed, it is used for the next segment, so
-// that empty files do not replace earlier captures while the disk fails.
+// discardFile removes the current file, which contains no segment. If it can't be removed, the next segment is written to it:
+// otherwise, while the disk fails, removeOldest would remove earlier captures in favour of empty files.
 func (f *files) discardFile() {
 	f.closeFile()
 	remove := func() error { return f.disk.Remove(f.filePath) }
@@ -168,7 +168,8 @@
 	}
 }
 
-// removeOldest removes the oldest files beyond maxFiles. A file that can't be removed is removed after the next segment.
+// removeOldest removes the oldest files beyond maxFiles. If a removal fails, it is tried again after the start of the next
+// segment.
 func (f *files) removeOldest() {
 	paths, _ := f.list()
 	for len(paths) > f.maxFiles {
@@ -177,8 +178,9 @@
 	}
 }
 
-// write appends lines to the file of a segment. A failed write is truncated, and no more lines of the segment are written, so
-// that no line is missing in between. If the truncation fails too, the file ends with an incomplete line.
+// write appends lines to the file of a segment. If that fails, the file is truncated to its size before, and no more lines of the
+// segment are written, so that no line is missing between others. If the truncation fails too, the file ends with an incomplete
+// line.
 func (f *files) write(segment int64, lines []byte) error {
 	if f.failedSegment.Load() == segment {
 		return os.ErrClosed
@@ -193,9 +195,9 @@
 	return nil
 }
 
-// writeOpening writes the first line of a segment to a new file.
-func (f *files) writeOpening(segment int64, line []byte) error {
-	if segment > 1 || f.file == nil { // otherwise newFiles has opened the file
+// writeFirstLine writes the first line of a segment to a new file.
+func (f *files) writeFirstLine(segment int64, line []byte) error {
+	if segment > 1 || f.file == nil { // otherwise newFiles has opened the file of the first segment
 		if err := f.openNextFile(); err != nil {
 			f.failedSegment.Store(segment)
 			return err
@@ -205,7 +207,7 @@
 		f.discardFile()
 		return err
 	}
-	f.keptSegment.Store(segment)
+	f.storedSegment.Store(segment)
 	f.removeOldest()
 	return nil
 }
@@ -217,7 +219,7 @@
 	f.segmentBytes = len(line)
 	f.segmentLost = false
 	segment := f.segment
-	return f.enqueue(len(line), func() error { return f.writeOpening(segment, line) })
+	return f.enqueue(len(line), func() error { return f.writeFirstLine(segment, line) })
 }
 
 // add implements sink.
@@ -228,7 +230,7 @@
 	return f.enqueue(len(lines), func() error { return f.write(segment, lines) })
 }
 
-// enqueue adds a write to the queue. It returns false if a part of the segment is lost, now or before.
+// enqueue adds a write to the queue. It returns false if this or an earlier part of the segment is lost.
 func (f *files) enqueue(size int, write func() error) bool {
 	if !f.segmentLost {
 		f.segmentLost = f.failedSegment.Load() == f.segment || !f.Enqueue(size, write)
@@ -236,7 +238,7 @@
 	return !f.segmentLost
 }
 
-func (f *files) kept() bool                  { return f.keptSegment.Load() == f.segment }
+func (f *files) isStored() bool              { return f.storedSegment.Load() == f.segment }
 func (f *files) full() bool                  { return f.segmentBytes >= f.maxFileBytes }
 func (f *files) dump() []byte                { return nil }
 func (f *files) lost() uint64                { return f.Dropped() + f.Failed() }
--- a/internal/capture/files_test.go
+++ b/internal/capture/files_test.go
@@ -10,7 +10,8 @@
 	"valvecove/internal/filesystem"
 )
 
-// Each file replays without a difference. A second process has the same limit of files, and continues the numbers.
+// Each file replays without a difference. A second process continues the numbers of the files, and the maximum number of files
+// includes those of the first one.
 func TestFilesReplaySame(t *testing.T) {
 	directory := t.TempDir()
 	for process := range 2 {
@@ -18,7 +19,7 @@
 		s.recorder.sink.(*files).maxFileBytes = 64 << 10
 		s.run(2000)
 		if s.recorder.Close(time.Minute); s.recorder.Lost() > 0 || s.recorder.Dump() != nil {
-			t.Errorf("%d lost", s.recorder.Lost())
+			t.Errorf("%d lost, or a dump of a capture in files", s.recorder.Lost())
 		}
 	}
 	paths := filesIn(t, directory)
@@ -32,17 +33,17 @@
 
 func TestNewFilesNeedsDirectory(t *testing.T) {
 	if _, err := newFiles(filesystem.Disk, config.Capture{Dir: t.TempDir() + "/none"}, "n0"); err == nil {
-		t.Error("a directory that is not there was taken")
+		t.Error("no error for a missing directory")
 	}
 }
 
-// A failing disk leaves complete lines, and the losses are counted. Once it works again, a new segment is started, which can be
-// replayed.
+// While the disk fails, the file keeps only complete lines, and the losses are counted. Once the disk works again, a new segment
+// is started, which can be replayed.
 func TestFilesAfterDiskFailure(t *testing.T) {
 	directory := t.TempDir()
 	s := newScheduler(t, 1, config.Capture{Dir: directory, FileMB: 1, Files: 3})
 	sink := s.recorder.sink.(*files)
-	awaitQueue := func() { // until it has done all that was enqueued
+	awaitQueue := func() { // waits until all enqueued writes have been executed
 		done := make(chan struct{})
 		sink.EnqueueLarge(func() error { close(done); return nil })
 		<-done
@@ -54,7 +55,7 @@
 	awaitQueue()
 	s.run(1)
 	if s.recorder.Lost() == 0 || !s.recorder.segmentLost {
-		t.Errorf("%d lost under a closed file", s.recorder.Lost())
+		t.Errorf("%d lost after the file was closed", s.recorder.Lost())
 	}
 	s.Now += segmentRetryInterval
 	s.run(100)
@@ -67,6 +68,6 @@
 		checkReplaysSame(t, readFile(t, path))
 	}
 	if !bytes.Contains(readFile(t, paths[1]), []byte(reasonGap)) {
-		t.Error("the gap is not given as the reason")
+		t.Error("the second file does not contain the gap as the reason of its segment")
 	}
 }
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -11,13 +11,13 @@
 	"valvecove/internal/storedform"
 )
 
-// The files of testdata/golden were written by the build of d2a7518, and captures outlive builds: the files are never
-// regenerated except under a new form number, and those of the number before stay readable beside them. A change of what
-// the module decides is no new form; it adds a capture of its own, and its commit says so.
+// The files of testdata/golden were written by the build of commit d2a7518. Captures outlive the builds that write them. So the
+// files are never changed or regenerated: a new format gets files with a new number, and those with earlier numbers must stay
+// readable. A change of the dispatcher's decisions is not a new format; it adds another capture, and the commit message says so.
 const (
-	goldenCapture = "capture-1.jsonl"       // every kind of line but the next file's
+	goldenCapture = "capture-1.jsonl"       // every kind of line that the other files do not contain
 	goldenPanic   = "capture-panic-1.jsonl" // a dispatcher that panicked, and the one after it
-	goldenPeers   = "capture-peers-1.jsonl" // the lines of goldenPeerLines, which are no whole capture
+	goldenPeers   = "capture-peers-1.jsonl" // the lines of goldenPeerLines, which are not a complete capture
 )
 
 var goldenFiles = []string{goldenCapture, goldenPanic, goldenPeers}
@@ -37,7 +37,7 @@
 }
 
 func TestGoldenCaptureReplaysWithoutDifference(t *testing.T) {
-	const gap = "warning: before line 255 the capture has a gap: what happened in it is not replayed\n"
+	const gap = "warning: the capture has a gap before line 255: what happened in the gap is not replayed\n"
 	if sends := checkReplaysWithWarnings(t, storedform.Golden(t, goldenCapture), gap); sends < 50 {
 		t.Errorf("%d sends", sends)
 	}
@@ -47,8 +47,8 @@
 	checkPanicIsOnlyDifference(t, storedform.Golden(t, goldenPanic))
 }
 
-// What is read is written again to the same bytes, which it would not be if a field had another name or were not known.
-func TestGoldenCaptureIsWrittenToTheSameBytes(t *testing.T) {
+// Each golden line that is decoded and encoded again has the same bytes. A field that was renamed or removed would change them.
+func TestGoldenLinesAreEncodedToSameBytes(t *testing.T) {
 	for _, name := range goldenFiles {
 		for text := range bytes.Lines(storedform.Golden(t, name)) {
 			var line Line
@@ -57,13 +57,13 @@
 			}
 			recorder := Recorder{}
 			if recorder.write(line); !bytes.Equal(recorder.lines, text) {
-				t.Errorf("%s:\n%swritten again as\n%s", name, text, recorder.lines)
+				t.Errorf("%s:\n%sencoded again as\n%s", name, text, recorder.lines)
 			}
 		}
 	}
 }
 
-// The golden files hold every kind of line, every reason for a segment, and every field of a line.
+// The golden files contain every kind of line, every reason for starting a segment, and every field of a line.
 func TestGoldenCapturesAreComplete(t *testing.T) {
 	kinds, reasons, fields := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, line := range goldenLines(t) {
@@ -77,22 +77,22 @@
 	}
 	for _, kind := range slices.Concat(slices.Collect(maps.Keys(otherKinds)), slices.Collect(maps.Keys(stepKinds))) {
 		if !kinds[kind] {
-			t.Errorf("no line %q", kind)
+			t.Errorf("no line of kind %q", kind)
 		}
 	}
 	for _, reason := range []string{reasonStart, reasonRestart, reasonTakenOver, reasonSegmentFull, reasonGap} {
 		if !reasons[reason] {
-			t.Errorf("no segment opens with %q", reason)
+			t.Errorf("no segment starts for the reason %q", reason)
 		}
 	}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[Line]()) {
 		if !fields[field.Name] {
-			t.Errorf("no line has %s", field.Name)
+			t.Errorf("no line has the field %s", field.Name)
 		}
 	}
 }
 
-// Fields of jobs and workers that are mostly zero have a value somewhere in the golden files.
+// Fields of jobs and workers that are zero in most lines are not zero in some line of the golden files.
 func TestGoldenCapturesHaveRareFields(t *testing.T) {
 	hasRetry := func(line Line) bool {
 		return line.ArrivedJob != nil && line.ArrivedJob.Retry && line.ArrivedJob.Memory > 0
@@ -108,7 +108,7 @@
 	}
 }
 
-// The outcomes of requests are those of the protocol, as in the golden files.
+// The texts of outcomes, which captures store, have not changed, and the golden files contain no others.
 func TestGoldenCapturesHaveKnownOutcomes(t *testing.T) {
 	if want := [...]requests.Outcome{"served", "error", "turned away", "could not connect", "reset", "timed out"}; requests.Outcomes != want {
 		t.Errorf("outcomes are %q, expected %q", requests.Outcomes, want)
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -19,6 +19,7 @@
 	"valvecove/internal/requests"
 )
 
+// platform is the text of the platform's file.
 const platform = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","settings":{
 "domain":{"tells_start":true,"class_stretch":[2.5,2.0,1.75]},"discovery":"subscribe","zones":["z"],"kinds":["m"],
 "classes":[{"name":"status-check","promise":80000,"give_up":5000000,"idempotency":"pure","gain":2},
@@ -40,7 +41,7 @@
 	settings dispatch.Settings
 }
 
-// CheckHealth has the worker fail the check.
+// CheckHealth reports at once that the worker is healthy.
 func (s *scheduler) CheckHealth(worker uint64) { s.Table.HealthChecked(worker, nil) }
 
 // Watch updates the endpoint list at once.
@@ -48,17 +49,17 @@
 
 func newScheduler(tb testing.TB, seed uint64, capture config.Capture) *scheduler {
 	tb.Helper()
-	return newSchedulerOn(tb, filesystem.Disk, slog.New(slog.DiscardHandler), seed, capture)
+	return newSchedulerWithDisk(tb, filesystem.Disk, slog.New(slog.DiscardHandler), seed, capture)
 }
 
-// newSchedulerOn is newScheduler with a disk and a log of the recorder.
-func newSchedulerOn(tb testing.TB, disk filesystem.FileSystem, log *slog.Logger, seed uint64, capture config.Capture) *scheduler {
+// newSchedulerWithDisk is newScheduler whose recorder uses the given disk and log.
+func newSchedulerWithDisk(tb testing.TB, disk filesystem.FileSystem, log *slog.Logger, seed uint64, capture config.Capture) *scheduler {
 	tb.Helper()
-	return newSchedulerOf(tb, platform, disk, log, seed, capture)
+	return newSchedulerWithPlatform(tb, platform, disk, log, seed, capture)
 }
 
-// newSchedulerOf is newSchedulerOn with a text of the platform's file.
-func newSchedulerOf(
+// newSchedulerWithPlatform is newSchedulerWithDisk with the given text of the platform's file.
+func newSchedulerWithPlatform(
 	tb testing.TB, platform string, disk filesystem.FileSystem, log *slog.Logger, seed uint64, capture config.Capture,
 ) *scheduler {
 	tb.Helper()
@@ -88,7 +89,7 @@
 	return s
 }
 
-// updateEndpoints gives the table a list of 4 to 8 endpoints, as a snapshot or as an update.
+// updateEndpoints passes the table a list of 4 to 8 endpoints, as a full list or as an update.
 func (s *scheduler) updateEndpoints() {
 	list := requests.EndpointList{Revision: 1, Reset: s.random.IntN(2) == 0}
 	for n := range 4 + s.random.IntN(5) {
@@ -104,13 +105,14 @@
 	s.Table.UpdateEndpoints(list)
 }
 
-// run runs so many steps.
+// run runs a number of steps.
 func (s *scheduler) run(steps int) {
 	for range steps {
 		s.runStep()
 	}
 }
 
+// runStep runs one step after random requests, callbacks and changes of the workers.
 func (s *scheduler) runStep() {
 	s.Now += time.Duration(s.random.IntN(30_000_000))
 	for range s.random.IntN(3) {
@@ -146,7 +148,8 @@
 	}
 }
 
-// callBack has workers call back about some of the attempts. Of many, the earliest get no further callback.
+// callBack sends callbacks of workers about some of the attempts. If there are more than 20 attempts, the first 10 get no further
+// callbacks.
 func (s *scheduler) callBack() {
 	result := payload
 	for i := range s.Attempts {
@@ -183,14 +186,14 @@
 	return replayed{differences, output.String(), warnings.String(), err}
 }
 
-// checkReplaysSame expects that a capture replays without a difference or a warning, and holds no payload. It counts the
-// sends.
+// checkReplaysSame expects that a capture replays without a difference or a warning, and contains no payload. It returns the
+// number of recorded sends.
 func checkReplaysSame(t *testing.T, text []byte) int {
 	t.Helper()
 	return checkReplaysWithWarnings(t, text, "")
 }
 
-// checkReplaysWithWarnings is checkReplaysSame for a capture of which a replay warns.
+// checkReplaysWithWarnings is checkReplaysSame for a capture whose replay writes the given warnings.
 func checkReplaysWithWarnings(t *testing.T, text []byte, warnings string) int {
 	t.Helper()
 	got := replay(t, text, "")
@@ -203,8 +206,8 @@
 	return bytes.Count(text, []byte(`"out":"send"`))
 }
 
-// checkPanicIsOnlyDifference expects of a capture of a dispatcher that panicked that it replays but for the panic: the
-// dispatcher of the replay is sound.
+// checkPanicIsOnlyDifference expects that the only difference in the replay of a capture is a recorded panic of the dispatcher,
+// which does not occur in the replay.
 func checkPanicIsOnlyDifference(t *testing.T, text []byte) {
 	t.Helper()
 	got := replay(t, text, "")
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -27,8 +27,8 @@
 	Status         int     `json:"status,omitempty"` // HTTP status
 	State          string  `json:"state,omitempty"`  // of a callback
 	Outcome        string  `json:"outcome,omitempty"`
-	UnknownAttempt bool    `json:"unknown,omitempty"` // the callback is about no attempt in flight
-	Skipped        int     `json:"skipped,omitempty"` // number of lines of this kind that were omitted before it to limit their rate
+	UnknownAttempt bool    `json:"unknown,omitempty"` // the callback is not about an attempt in flight
+	Skipped        int     `json:"skipped,omitempty"` // number of lines of this kind that were omitted before this one to limit their rate
 	Progress       float64 `json:"share,omitempty"`   // from 0 to 1
 
 	// The dispatcher's events and actions.
@@ -54,8 +54,8 @@
 	Settings         jsoniter.RawMessage `json:"settings,omitempty"`
 	Snapshot         []byte              `json:"snapshot,omitempty"` // of the dispatcher
 	CallIDs          map[uint64]string   `json:"calls,omitempty"`    // of the open jobs
-	// PeerMessages and PeerBudget are those of the dispatcher's settings. They are recorded because they depend on the addresses of
-	// the peers and on the operators' file too, not on the platform's settings alone.
+	// PeerMessages and PeerBudget are those of the dispatcher's settings. They are recorded because they depend not only on the
+	// platform's settings but also on the addresses of the peers and on the operators' file.
 	PeerMessages bool    `json:"peers,omitempty"`
 	PeerBudget   float64 `json:"peer_budget,omitempty"`
 	// SnapshotWithLeases is set instead of Snapshot if schedulers exchange messages.
--- a/internal/capture/line_test.go
+++ b/internal/capture/line_test.go
@@ -10,10 +10,11 @@
 	"valvecove/internal/storedform"
 )
 
-// Lines of captures have their names in tags: renamed in Go, they are still read by builds before and after.
+// The fields of a Line have their stored names in tags. Without these, a Go field that is renamed would make captures unreadable
+// for other builds.
 func TestLineIsTagged(t *testing.T) { storedform.CheckTags(t, Line{}) }
 
-// Numbers are read from a line bit by bit as they were written.
+// Encoding and decoding a line preserves every bit of its numbers.
 func TestLineIsExact(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 20_000 {
--- a/internal/capture/names.go
+++ b/internal/capture/names.go
@@ -20,7 +20,8 @@
 	return names{workerNumbers: map[string]uint64{}, workerNames: map[uint64]string{}, callIDs: callIDs}
 }
 
-// resolve adds the names of a line's job and worker. If the line has no worker number, it sets the one of an earlier line.
+// resolve adds the names of a line's job and worker. If the line has no worker number, resolve sets the number that an earlier
+// line of the segment had for the worker.
 func (n *names) resolve(line *Line) error {
 	if line.Job != 0 && line.CallID != "" {
 		n.callIDs[line.Job] = line.CallID
@@ -34,7 +35,7 @@
 	}
 	line.WorkerNumber = n.workerNumbers[line.Worker]
 	if line.WorkerNumber == 0 {
-		return fmt.Errorf("worker %q has not been given a number", line.Worker)
+		return fmt.Errorf("worker %q has no number in an earlier line of its segment", line.Worker)
 	}
 	return nil
 }
--- a/internal/capture/observer.go
+++ b/internal/capture/observer.go
@@ -9,7 +9,7 @@
 // maxTextBytes is the maximum length of a path or an ID in a line.
 const maxTextBytes = 512
 
-// Observe implements requests.Observer. It records what is not part of the dispatcher's events.
+// Observe implements requests.Observer. It records the notifications that are not events of the dispatcher.
 func (r *Recorder) Observe(notification requests.Notification) {
 	r.protect(func() { r.observe(notification) })
 }
@@ -61,7 +61,7 @@
 	r.record(line)
 }
 
-// recordCallback records a callback, at a limited rate if it is about no attempt in flight.
+// recordCallback records a callback, at a limited rate if it is not about an attempt in flight.
 func (r *Recorder) recordCallback(notification requests.Notification) {
 	isUnknown := notification.Attempt == nil
 	if isUnknown && !r.limiter.allow(r.now()) {
@@ -104,7 +104,8 @@
 	floodRatePerSecond = 20  // lines per second, after a burst
 )
 
-// floodLimiter is a token bucket for lines that any client or worker can cause, so that they do not displace all others.
+// floodLimiter is a token bucket for lines that any client or worker can cause in any number. It keeps them from displacing all
+// other lines.
 type floodLimiter struct {
 	tokens    float64
 	updatedAt time.Duration
--- a/internal/capture/peermessage.go
+++ b/internal/capture/peermessage.go
@@ -35,7 +35,7 @@
 	case dispatch.PeerRestarted:
 		return &peerMessage{PeerRestarted: &message}
 	}
-	panic(fmt.Sprintf("a message that is not known: %T", message))
+	panic(fmt.Sprintf("unknown type of peer message: %T", message))
 }
 
 // message returns the message, or nil if there is none.
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// describePeerMessage returns a message in its stored form, in which all numbers are exact.
+// describePeerMessage returns the stored form of a message as JSON, in which all numbers are exact.
 func describePeerMessage(message dispatch.PeerMessage) string {
 	text, err := json.MarshalToString(newPeerMessage(message))
 	if err != nil {
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/storedform"
 )
 
-// goldenPeerMessages are of all kinds, with a value in each field.
+// goldenPeerMessages contains a message of each type, with a value in each field.
 var goldenPeerMessages = []dispatch.PeerMessage{
 	dispatch.LeaseRequest{
 		ID: 7, Shard: dispatch.Shard{Zone: 1, Number: 2}, Class: 3, Demand: 1.5, Work: 0.1, LongChance: 1.0 / 3, Demoted: true,
@@ -28,7 +28,8 @@
 	dispatch.PeerRestarted{},
 }
 
-// goldenPeerLines are those of goldenPeers: the opening of a segment, and each message from another scheduler and to one.
+// goldenPeerLines returns the lines of goldenPeers: the first line of a segment, and then each message as one that was received
+// and as one that was sent.
 func goldenPeerLines() []Line {
 	recorder := &Recorder{}
 	lines := []Line{{Input: inputStart, Reason: reasonStart, PeerMessages: true, PeerBudget: 0.03, SnapshotWithLeases: []byte{1, 2, 3}}}
@@ -44,11 +45,11 @@
 	return ok
 }
 
-// Messages between schedulers are written as the build wrote them that first did, and read exactly as they were.
+// Messages between schedulers are encoded as by the first build that recorded them, and decoding returns the original messages.
 func TestGoldenPeerMessages(t *testing.T) {
 	for _, message := range goldenPeerMessages {
 		if unset := storedform.Zero(message); len(unset) > 0 && !isPeerRestarted(message) {
-			t.Errorf("no value in %q", unset)
+			t.Errorf("fields without a value: %q", unset)
 		}
 	}
 	recorder := &Recorder{}
@@ -66,15 +67,15 @@
 		case line.Input == inputPeerMessage:
 			read = append(read, line.event().(dispatch.PeerMessageReceived).Message)
 		case line.Output == outputPeerMessage && !reflect.DeepEqual(line.action().(dispatch.SendPeerMessage).Message, read[len(read)-1]):
-			t.Errorf("%s is another message than the line before", text)
+			t.Errorf("%s has another message than the line before", text)
 		}
 	}
 	if !reflect.DeepEqual(read, goldenPeerMessages) {
-		t.Errorf("read %+v", read)
+		t.Errorf("decoded %+v", read)
 	}
 }
 
-// platformOfPeer is the platform's file of one of two schedulers that may tell each other of leases.
+// platformOfPeer returns the platform's file of one of two schedulers that may exchange messages about leases.
 func platformOfPeer(number int) string {
 	return strings.NewReplacer(
 		`"name":"n0"`, fmt.Sprintf(`"name":"n%d","peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"]`, number),
@@ -84,18 +85,18 @@
 	).Replace(platform)
 }
 
-// newPeers returns two schedulers that tell each other of leases: an eighth of their messages is lost, and one of them
-// restarts now and then, as far as the other can tell.
+// newPeers returns two schedulers that exchange messages about leases. One in 8 messages is lost. One in 200 of the others is
+// preceded by a PeerRestarted, although the sender has not restarted.
 func newPeers(t *testing.T, seed uint64, capture config.Capture) [2]*scheduler {
 	t.Helper()
 	var peers [2]*scheduler
 	for number := range peers {
-		peers[number] = newSchedulerOf(t, platformOfPeer(number), filesystem.Disk, slog.New(slog.DiscardHandler), seed+uint64(100*number), capture)
+		peers[number] = newSchedulerWithPlatform(t, platformOfPeer(number), filesystem.Disk, slog.New(slog.DiscardHandler), seed+uint64(100*number), capture)
 	}
 	for number, sender := range peers {
 		sender.Table.SendPeerMessage = func(to int, message dispatch.PeerMessage) {
 			if to != 1-number {
-				t.Errorf("scheduler %d told %d", number, to)
+				t.Errorf("scheduler %d sent a message to scheduler %d", number, to)
 			}
 			if sender.random.IntN(8) == 0 {
 				return
@@ -141,7 +142,7 @@
 	}
 }
 
-// A segment that opens while leases are asked for, granted and in use replays by itself.
+// A segment that starts while leases are requested, granted and in use can be replayed without the segments before it.
 func TestReplayOfLaterSegmentWithLeases(t *testing.T) {
 	for seed := range uint64(2) {
 		peers := newPeers(t, seed, config.Capture{MemoryKB: 256})
@@ -153,13 +154,13 @@
 		for _, peer := range peers {
 			text := peer.recorder.Dump()
 			if sends := checkReplaysSame(t, text); sends == 0 || !bytes.Contains(text, []byte(reasonSegmentFull)) {
-				t.Errorf("%d sends, or no later segment", sends)
+				t.Errorf("%d sends, or no segment after the first one", sends)
 			}
 		}
 	}
 }
 
-// hasLine reports whether one line has all parts.
+// hasLine reports whether one line of a text contains all parts.
 func hasLine(text []byte, parts ...string) bool {
 	for line := range bytes.Lines(text) {
 		missing := 0
@@ -175,7 +176,7 @@
 	return false
 }
 
-// A message to another peer, or with another value, is a difference.
+// The replay reports a difference if a recorded message has another recipient or another value.
 func TestReplayComparesPeerMessages(t *testing.T) {
 	peers := newPeers(t, 1, config.Capture{MemoryKB: 4 << 10})
 	for range 100 {
@@ -194,23 +195,24 @@
 	for was, now := range map[string]string{`"peer":1`: `"peer":3`, `"id":`: `"id":9`} {
 		changed := append(bytes.Clone(before), bytes.Replace(after, []byte(was), []byte(now), 1)...)
 		if got := replay(t, changed, ""); got.differences == 0 || got.err != nil {
-			t.Errorf("%s in place of %s: %d differences, %v", now, was, got.differences, got.err)
+			t.Errorf("%s instead of %s: %d differences, %v", now, was, got.differences, got.err)
 		}
 	}
 }
 
-// A capture of a scheduler without addresses of peers is replayed without messages, also if the settings allow them.
+// A scheduler without addresses of peers sends no messages, even if the settings allow them, and nor does the replay of its
+// capture.
 func TestReplayWithoutPeerAddresses(t *testing.T) {
 	withoutPeers := strings.NewReplacer(`"peer_listen":"127.0.0.1:1",`, "", `"peers":["127.0.0.1:1","127.0.0.1:2"]`, `"unused":0`).Replace(platformOfPeer(1))
-	s := newSchedulerOf(t, withoutPeers, filesystem.Disk, slog.New(slog.DiscardHandler), 1, config.Capture{MemoryKB: 4 << 10})
+	s := newSchedulerWithPlatform(t, withoutPeers, filesystem.Disk, slog.New(slog.DiscardHandler), 1, config.Capture{MemoryKB: 4 << 10})
 	s.run(200)
 	text := s.recorder.Dump()
 	if sends := checkReplaysSame(t, text); sends == 0 || bytes.Contains(text, []byte(`"out":"message sent"`)) {
-		t.Errorf("%d sends, or messages", sends)
+		t.Errorf("%d sends, or messages to peers", sends)
 	}
 }
 
-// A line of a message that has none does not replay.
+// The replay rejects a line about a message between schedulers that contains no message.
 func TestReplayRejectsLineWithoutMessage(t *testing.T) {
 	text := recordedText(t)
 	for _, line := range []string{`{"t":1,"in":"message received","peer":1}`, `{"t":1,"out":"message sent","peer":1,"message":{}}`} {
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -12,7 +12,7 @@
 
 // player replays the steps of a capture on a dispatcher, and compares its decisions with the recorded ones.
 type player struct {
-	ops         config.Ops // its replay settings replace recorded ones
+	ops         config.Ops // its section replay.settings replaces recorded settings
 	output      io.Writer  // a line is written for each decision that differs
 	differences int
 
@@ -20,14 +20,15 @@
 	names      names
 }
 
-// startSegment creates the segment's dispatcher. If the segment is the first one of a dispatcher, that is created anew and not
-// from the recorded state, so that replaced settings have an effect from its start.
+// startSegment creates the segment's dispatcher. In the first segment of a dispatcher, it creates a new one instead of restoring
+// the recorded state, so that replaced settings apply from the start.
 func (p *player) startSegment(line Line) error {
 	settings, err := p.ops.Override(line.Settings)
 	if err != nil {
 		return err
 	}
-	// Captures of builds without messages between schedulers, and of schedulers with them disabled, contain none.
+	// line.PeerMessages is false in captures of builds that had no messages between schedulers, and of schedulers that had them
+	// disabled.
 	settings.PeerMessages = settings.PeerMessages && line.PeerMessages
 	settings.PeerBudget = line.PeerBudget
 	seed, err := strconv.ParseUint(line.Seed, 16, 64)
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// play gives a step to the dispatcher, which must not be nil.
+// play replays a step on the dispatcher, which must not be nil, and compares the decisions.
 func (p *player) play(step []numberedLine) {
 	now := time.Duration(step[0].Milliseconds)*time.Millisecond + time.Duration(step[0].Nanoseconds)
 	var events []dispatch.Event
@@ -80,7 +81,8 @@
 	p.compare(step[0].number, recorded, decided)
 }
 
-// run calls the dispatcher's Step, and recovers from a panic: recorded events may be invalid after a decision that differs.
+// run calls the dispatcher's Step, and recovers from a panic: after a decision that differs, the recorded events may be invalid
+// for the dispatcher's state.
 func (p *player) run(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, panicked bool) {
 	defer func() {
 		if recover() != nil {
@@ -94,7 +96,7 @@
 // noDecision is the text for a subject without a decision.
 const noDecision = "nothing"
 
-// compare reports each decision that differs from the recorded one on the same subject, in the order of the record.
+// compare reports each decision that differs from the recorded one on the same subject, in the order of recording.
 func (p *player) compare(firstLine int, recorded, decided []decision) {
 	remaining := map[string][]string{}
 	for _, now := range decided {
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -14,10 +14,10 @@
 	warnings io.Writer
 
 	lineNumber   int
-	cut          *LineError     // the previous line, if it is malformed
+	malformed    *LineError     // the error of the previous line, if it is malformed
 	step         []numberedLine // the lines of the step that is being read
 	hasSegment   bool
-	skippedSteps int // steps that were not replayed for lack of a dispatcher
+	skippedSteps int // steps that were not replayed because there was no dispatcher
 }
 
 // numberedLine is a line and its number, from 1.
@@ -26,8 +26,8 @@
 	number int
 }
 
-// read reads a complete capture. A malformed line at the end, or before the start of a segment, is assumed to be cut off; any other
-// malformed line is an error.
+// read reads a complete capture. A malformed line at the end, or right before the start of a segment, is assumed to be truncated;
+// any other malformed line is an error.
 func (r *reader) read(from *bufio.Reader) error {
 	for ended := false; !ended; {
 		text, err := from.ReadBytes('\n')
@@ -55,8 +55,8 @@
 			return r.readMalformed(text, &LineError{r.lineNumber, err})
 		}
 	}
-	if r.cut != nil && line.Input != inputStart {
-		return r.cut
+	if r.malformed != nil && line.Input != inputStart {
+		return r.malformed
 	}
 	if !isLine {
 		return nil
@@ -67,13 +67,13 @@
 	return nil
 }
 
-// readMalformed handles a malformed line. It may have been cut off by a failing disk or a kill, and continue with the first line
-// of the next segment.
+// readMalformed handles a malformed line. A failing disk or a kill may have truncated it, and the first line of the next segment
+// may have been written right behind it.
 func (r *reader) readMalformed(text []byte, malformed *LineError) error {
-	if r.cut != nil {
-		return r.cut
+	if r.malformed != nil {
+		return r.malformed
 	}
-	r.cut = malformed
+	r.malformed = malformed
 	for offset := 1; ; {
 		found := bytes.Index(text[offset:], lineStart)
 		if found < 0 {
@@ -100,23 +100,23 @@
 // isCaptureLine reports whether a line belongs to a capture, not to a log that the capture was written into.
 func isCaptureLine(text []byte) bool { return text[0] == '{' && !bytes.HasPrefix(text, logPrefix) }
 
-// skipCut writes warnings about a line that was cut off and about its step, and discards both.
-func (r *reader) skipCut() {
-	if r.cut != nil {
-		r.warn("line %d is cut short and skipped: %v", r.cut.Line, r.cut.Err)
+// discardIncomplete warns of a truncated line and of an incomplete step, if there are such, and discards them.
+func (r *reader) discardIncomplete() {
+	if r.malformed != nil {
+		r.warn("line %d is cut short and skipped: %v", r.malformed.Line, r.malformed.Err)
 	}
 	if len(r.step) > 0 {
 		r.warn("the step from line %d on is cut short and skipped", r.step[0].number)
 	}
-	r.cut = nil
+	r.malformed = nil
 	r.step = nil
 }
 
 // finish writes warnings about skipped parts, and returns ErrNoCapture if there was no segment.
 func (r *reader) finish() error {
-	r.skipCut()
+	r.discardIncomplete()
 	if r.skippedSteps > 0 {
-		r.warn("%d steps before the first segment, or after the module had failed, are skipped", r.skippedSteps)
+		r.warn("%d steps before the first segment, or after a panic of the dispatcher, are skipped", r.skippedSteps)
 	}
 	if !r.hasSegment {
 		return ErrNoCapture
@@ -141,13 +141,13 @@
 	}
 	if kind != inputStart {
 		if len(r.step) > 0 {
-			return fmt.Errorf("%q within the step that began at line %d", kind, r.step[0].number)
+			return fmt.Errorf("a line of kind %q within the step that starts at line %d", kind, r.step[0].number)
 		}
 		return nil
 	}
-	r.skipCut()
+	r.discardIncomplete()
 	if r.hasSegment && line.Reason == reasonGap {
-		r.warn("before line %d the capture has a gap: what happened in it is not replayed", r.lineNumber)
+		r.warn("the capture has a gap before line %d: what happened in the gap is not replayed", r.lineNumber)
 	}
 	if err := r.player.startSegment(line); err != nil {
 		return err
@@ -158,8 +158,8 @@
 
 // Errors of lines without a field that their kind requires.
 var (
-	errNoJob     = errors.New("a job without what arrived")
-	errNoMessage = errors.New("no message")
+	errNoJob     = errors.New(`"arrived" is missing in the line of a job`)
+	errNoMessage = errors.New(`"message" is missing in the line of a message between schedulers`)
 )
 
 // addStepLine adds a line to the current step, and replays the step if it is complete.
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -19,9 +19,9 @@
 const (
 	// segmentRetryInterval is the time between the loss of a segment and the start of the next one.
 	segmentRetryInterval = 5 * time.Second
-	// maxKeptBuffer is the maximum capacity in bytes of a buffer of lines that is reused.
-	maxKeptBuffer = 256 << 10
-	kilobyte      = 1 << 10
+	// maxReusedBuffer is the maximum capacity in bytes of a line buffer that is kept for reuse.
+	maxReusedBuffer = 256 << 10
+	kilobyte        = 1 << 10
 )
 
 // Recorder writes a capture. It is an observer of the request table and wraps its dispatchers. It is used on the goroutine of the
@@ -47,9 +47,9 @@
 
 	namedWorkers map[uint64]bool // workers whose ID and number are in the segment
 	segmentLost  bool            // a part of the segment was lost, so the rest is not written
-	inGap        bool            // a loss was logged, and its end was not
-	lostLines    uint64          // lines that were not passed to the sink because their segment was lost
-	openedAt     time.Duration   // when a segment was last started or lost
+	inGap        bool            // the start of a gap was logged, and its end was not
+	lostLines    uint64          // lines that were not passed to the sink because of a loss in their segment
+	openedAt     time.Duration   // when a segment was last started, or a part of one was lost
 	lines        []byte          // lines that are passed to the sink together
 	limiter      floodLimiter
 }
@@ -103,7 +103,7 @@
 // Close waits until all pending lines are on the disk, or until the timeout.
 func (r *Recorder) Close(timeout time.Duration) { r.sink.close(timeout) }
 
-// protect runs a function of the recorder. A panic of it disables the recorder, and does not reach the dispatcher's caller.
+// protect runs a function of the recorder. If that panics, the recorder is disabled, and the panic does not reach the caller.
 func (r *Recorder) protect(record func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -131,33 +131,33 @@
 	} else {
 		line.Snapshot = r.current.Snapshot(nil)
 	}
-	r.write(stamped(r.now(), line))
+	r.write(withTime(r.now(), line))
 	r.segmentLost = !r.sink.open(r.lines)
 	if r.segmentLost {
-		r.beginGap()
+		r.logGapStart()
 	}
 	r.lines = r.lines[:0]
 }
 
-// beginGap logs the start of a gap, unless it was logged before.
-func (r *Recorder) beginGap() {
+// logGapStart logs the start of a gap, unless a gap has already started.
+func (r *Recorder) logGapStart() {
 	if !r.inGap {
 		r.inGap = true
 		r.log.Warn("capture gap started", "pieces_lost", r.Lost())
 	}
 }
 
-// endGapIfKept logs the end of a gap once a segment is being stored again.
-func (r *Recorder) endGapIfKept() {
-	if r.inGap && !r.segmentLost && r.sink.kept() {
+// logGapEnd logs the end of a gap once a segment is being stored again.
+func (r *Recorder) logGapEnd() {
+	if r.inGap && !r.segmentLost && r.sink.isStored() {
 		r.inGap = false
 		r.log.Info("capture gap ended", "pieces_lost", r.Lost(), "lines_lost", r.lostLines)
 	}
 }
 
-// openSegmentIfDue starts a segment if the current one is full, or was lost segmentRetryInterval ago.
+// openSegmentIfDue starts a segment if the current one is full, or if at least segmentRetryInterval has passed since it was lost.
 func (r *Recorder) openSegmentIfDue(now time.Duration) {
-	r.endGapIfKept()
+	r.logGapEnd()
 	switch {
 	case r.segmentLost && now-r.openedAt >= segmentRetryInterval:
 		r.openSegment(reasonGap)
@@ -181,19 +181,19 @@
 	if !r.segmentLost && len(r.lines) > 0 && !r.sink.add(r.lines) {
 		r.segmentLost = true
 		r.openedAt = r.now()
-		r.beginGap()
+		r.logGapStart()
 	}
 	if r.segmentLost {
 		r.lostLines += uint64(bytes.Count(r.lines, []byte{'\n'}))
 	}
 	r.lines = r.lines[:0]
-	if cap(r.lines) > maxKeptBuffer {
+	if cap(r.lines) > maxReusedBuffer {
 		r.lines = nil
 	}
 }
 
-// stamped returns a line with its time.
-func stamped(now time.Duration, line Line) Line {
+// withTime returns the line with its time set.
+func withTime(now time.Duration, line Line) Line {
 	line.Milliseconds = now.Milliseconds()
 	line.Nanoseconds = int64(now % time.Millisecond)
 	return line
@@ -207,9 +207,9 @@
 	return r.LookupEndpoint(worker)
 }
 
-// about returns a line with the ID of its worker. The worker's number is added on the first such line of a segment, and if the ID
-// is unknown.
-func (r *Recorder) about(worker uint64, line Line) Line {
+// lineOfWorker returns the line with the ID of its worker set. It also sets the worker's number if the line is the first one of
+// the segment about the worker, or the ID is unknown.
+func (r *Recorder) lineOfWorker(worker uint64, line Line) Line {
 	line.Worker = r.endpoint(worker).ID
 	if line.Worker == "" || !r.namedWorkers[worker] {
 		line.WorkerNumber = worker
@@ -221,18 +221,18 @@
 // Wrap returns a policy that runs a new dispatcher and records its steps.
 func (r *Recorder) Wrap(dispatcher *dispatch.Dispatcher) requests.Policy {
 	if r.dispatchers == 0 {
-		return r.begin(dispatcher, reasonStart)
+		return r.startDispatcher(dispatcher, reasonStart)
 	}
-	return r.begin(dispatcher, reasonRestart)
+	return r.startDispatcher(dispatcher, reasonRestart)
 }
 
 // Continue is Wrap for a dispatcher that was restored from the state of another process.
 func (r *Recorder) Continue(dispatcher *dispatch.Dispatcher) requests.Policy {
-	return r.begin(dispatcher, reasonTakenOver)
+	return r.startDispatcher(dispatcher, reasonTakenOver)
 }
 
-// begin makes a dispatcher the current one, and starts a segment.
-func (r *Recorder) begin(dispatcher *dispatch.Dispatcher, reason string) requests.Policy {
+// startDispatcher makes a dispatcher the current one, and starts a segment.
+func (r *Recorder) startDispatcher(dispatcher *dispatch.Dispatcher, reason string) requests.Policy {
 	r.dispatchers++
 	r.current = &recordedDispatcher{dispatcher, r}
 	r.protect(func() { r.openSegment(reason) })
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -23,14 +23,14 @@
 func (l *LineError) Unwrap() error { return l.Err }
 
 // ErrNoCapture is returned for a text without a segment.
-var ErrNoCapture = errors.New("no capture in it: no line opens a segment")
+var ErrNoCapture = errors.New("no capture in it: no line starts a segment")
 
 // readBufferBytes is the size of the buffer through which a capture is read.
 const readBufferBytes = 1 << 16
 
-// Replay replays the events of a capture on a dispatcher. ops may replace recorded settings. Replay writes a line to output for
-// each decision that differs from the recorded one, continues with the recorded events, and returns the number of differences. It
-// writes a line to warnings for each skipped part. The error is a *LineError, ErrNoCapture or an error of reading.
+// Replay replays the events of a capture on a dispatcher. ops may replace recorded settings. For each decision that differs from
+// the recorded one, Replay writes a line to output, and continues with the recorded events. It returns the number of differences.
+// For each skipped part it writes a line to warnings. The error is a *LineError, ErrNoCapture or an error of reading.
 func Replay(capture io.Reader, ops config.Ops, output, warnings io.Writer) (differences int, err error) {
 	reader := reader{player: player{ops: ops, output: output}, warnings: warnings}
 	err = reader.read(bufio.NewReaderSize(capture, readBufferBytes))
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -21,7 +21,7 @@
 		predecessor.run(150)
 		successor.Now = predecessor.Now
 		if !predecessor.Table.FlushEvents(predecessor.Now) {
-			t.Fatal("it never settles")
+			t.Fatal("the predecessor's events could not be flushed")
 		}
 		state, open := predecessor.Table.Snapshot()
 		responders := map[uint64]requests.Responder{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordedText is a capture of 400 steps behind a line of the log.
+// recordedText returns a line of a log followed by a capture of 400 steps.
 func recordedText(t *testing.T) []byte {
 	t.Helper()
 	s := newScheduler(t, 1, config.Capture{MemoryKB: 1 << 10})
@@ -52,7 +52,7 @@
 	return append([]byte("n0: listening at 127.0.0.1:1\n"), s.recorder.Dump()...)
 }
 
-// Another setting makes differences, each with its line, the job's id and both decisions.
+// With another setting, the replay reports differences, each with the number of the line, the job's ID and both decisions.
 func TestReplayWithOtherSettings(t *testing.T) {
 	text := recordedText(t)
 	got := replay(t, text, "[replay.settings.classes.cash-payout]\npromise = 5000000")
@@ -71,7 +71,7 @@
 	}
 }
 
-// A name that is not among the recorded settings, or a value that no scheduler could work with, does not replay.
+// The replay rejects replacements of settings that are not recorded, and invalid values.
 func TestReplayRejectsSettings(t *testing.T) {
 	text := recordedText(t)
 	for ops, want := range map[string]string{
@@ -86,11 +86,12 @@
 	}
 }
 
-// A dispatcher that panics is recorded up to that and replays; the one after it begins a segment of its own.
+// The steps of a dispatcher are recorded up to and including its panic, and can be replayed. The next dispatcher starts a new
+// segment.
 func TestReplayOfPanic(t *testing.T) {
 	s := newScheduler(t, 1, config.Capture{MemoryKB: 1 << 10})
 	s.run(100)
-	s.recorder.current.Dispatcher = &dispatch.Dispatcher{} // panics whatever event it is given
+	s.recorder.current.Dispatcher = &dispatch.Dispatcher{} // panics on any event
 	s.Table.DiscoveryFailed()
 	s.Table.Step(s.Now)
 	s.run(100)
@@ -101,8 +102,8 @@
 	checkPanicIsOnlyDifference(t, text)
 }
 
-// A last line that is cut anywhere is skipped with a warning, and with it the step that it was of; any other malformed
-// line is an error with its number; and nothing makes the replay panic.
+// A truncated last line is skipped with a warning, together with its step. Any other malformed line is an error that contains the
+// line's number. No text makes the replay panic.
 func FuzzReplayOfMalformedText(f *testing.F) {
 	s := newScheduler(f, 1, config.Capture{MemoryKB: 1 << 10})
 	s.run(40)
@@ -128,23 +129,23 @@
 	})
 }
 
-// checkCutAtEnd replays the lines before line n (from 0 on) and a part of it.
+// checkCutAtEnd replays the lines before line n, counted from 0, and a part of that line.
 func checkCutAtEnd(t *testing.T, before, part []byte, n int, isCut bool) {
 	t.Helper()
 	got := replay(t, slices.Concat(before, part), "")
 	if n == 0 {
 		if !errors.Is(got.err, ErrNoCapture) {
-			t.Errorf("without a whole line: %v", got.err)
+			t.Errorf("without a complete line: %v, expected ErrNoCapture", got.err)
 		}
 		return
 	}
 	warning := fmt.Sprintf("line %d is cut short", n+1)
 	if got.err != nil || got.differences != 0 || isCut && !strings.Contains(got.warnings, warning) {
-		t.Errorf("cut in line %d: %v, %q, %s", n+1, got.err, got.warnings, got.output)
+		t.Errorf("truncated in line %d: %v, %q, %s", n+1, got.err, got.warnings, got.output)
 	}
 }
 
-// checkCutBefore replays the lines before line n, a part of that, and another line.
+// checkCutBefore replays the lines before line n, a part of that line, and another line.
 func checkCutBefore(t *testing.T, before, part []byte, n int, after []byte) {
 	t.Helper()
 	got := replay(t, slices.Concat(before, part, []byte("\n"), after), "")
--- a/internal/capture/ring.go
+++ b/internal/capture/ring.go
@@ -10,17 +10,17 @@
 
 // ring is a sink that stores the latest segments in memory. Its size exceeds maxBytes by one step at most.
 type ring struct {
-	maxBytes     int
-	segments     [][]byte // oldest first
-	bytes        int      // of all segments
-	openingBytes int      // of the first line of the last segment
-	lostSegments uint64
+	maxBytes       int
+	segments       [][]byte // oldest first
+	bytes          int      // of all segments
+	firstLineBytes int      // of the first line of the last segment
+	lostSegments   uint64
 }
 
-// segmentBytes returns the size at which a segment is full: 1/ringSegments of the ring, but at least half of that more than its
-// first line, so that the ring does not consist of first lines only.
-func (r *ring) segmentBytes(openingBytes int) int {
-	return max(r.maxBytes/ringSegments, openingBytes+r.maxBytes/(2*ringSegments))
+// segmentBytes returns the size at which a segment is full. That is maxBytes/ringSegments, but at least the first line plus half
+// of that quotient, so that the ring does not consist of first lines only.
+func (r *ring) segmentBytes(firstLineBytes int) int {
+	return max(r.maxBytes/ringSegments, firstLineBytes+r.maxBytes/(2*ringSegments))
 }
 
 // open implements sink. A first line larger than half of the ring is lost.
@@ -29,7 +29,7 @@
 		r.lostSegments++
 		return false
 	}
-	r.openingBytes = len(line)
+	r.firstLineBytes = len(line)
 	segment := make([]byte, 0, r.segmentBytes(len(line)))
 	r.segments = append(r.segments, append(segment, line...))
 	r.bytes += len(line)
@@ -46,7 +46,7 @@
 	return true
 }
 
-// trim removes the oldest segments, except the last one, while the ring is too large.
+// trim removes the oldest segments while the ring is too large, but never the last one.
 func (r *ring) trim() {
 	for r.bytes > r.maxBytes && len(r.segments) > 1 {
 		r.bytes -= len(r.segments[0])
@@ -57,7 +57,7 @@
 // full implements sink.
 func (r *ring) full() bool {
 	last := r.segments[len(r.segments)-1]
-	return r.bytes > r.maxBytes || len(last) >= r.segmentBytes(r.openingBytes)
+	return r.bytes > r.maxBytes || len(last) >= r.segmentBytes(r.firstLineBytes)
 }
 
 // dump implements sink. The result is not nil, even if the ring is empty.
@@ -69,6 +69,6 @@
 	return all
 }
 
-func (r *ring) kept() bool          { return true }
+func (r *ring) isStored() bool      { return true }
 func (r *ring) lost() uint64        { return r.lostSegments }
 func (r *ring) close(time.Duration) {}
--- a/internal/capture/ring_test.go
+++ b/internal/capture/ring_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/config"
 )
 
-// What remains of a ring replays without a difference, whether its beginning was overwritten or not. The ring exceeds its
+// The content of a ring replays without a difference, whether its oldest segments were overwritten or not. The ring exceeds its
 // size by one step at most.
 func TestRingReplaysSame(t *testing.T) {
 	for seed := range uint64(12) {
@@ -30,12 +30,12 @@
 
 // A state that is too large for the ring is counted as lost; the ring stays bounded, and its content can be replayed.
 func TestRingTooSmallForState(t *testing.T) {
-	for _, kb := range []int{1, 10} { // too little for any opening line; for that of a busy dispatcher
+	for _, kb := range []int{1, 10} { // too small for any first line of a segment; too small only for that of a busy dispatcher
 		s := newScheduler(t, 1, config.Capture{MemoryKB: kb})
 		s.run(600)
 		text := s.recorder.Dump()
 		if s.recorder.Lost() == 0 || text == nil || len(text) > kb<<10+4<<10 || kb == 1 && len(text) > 0 {
-			t.Errorf("%d lost, %d bytes in %d KB", s.recorder.Lost(), len(text), kb)
+			t.Errorf("%d lost, %d bytes in a ring of %d KB", s.recorder.Lost(), len(text), kb)
 		}
 		if len(text) > 0 {
 			checkReplaysSame(t, text)
--- a/internal/capture/sink.go
+++ b/internal/capture/sink.go
@@ -6,10 +6,10 @@
 type sink interface {
 	// open starts a segment with its first line. It returns false if the segment is lost.
 	open(line []byte) bool
-	// add adds lines to the segment. It returns false if they, and with them the rest of the segment, are lost.
+	// add adds lines to the segment. It returns false if they are lost, and with them the rest of the segment.
 	add(lines []byte) bool
-	// kept reports whether the first line of the segment is stored. Later lines may still be lost.
-	kept() bool
+	// isStored reports whether the first line of the segment is stored. Later lines may still be lost.
+	isStored() bool
 	// full reports whether the next segment should be started.
 	full() bool
 	// dump returns a copy of all segments in memory, or nil if the sink stores none there.
--- a/internal/capture/step.go
+++ b/internal/capture/step.go
@@ -13,7 +13,7 @@
 	recorder *Recorder
 }
 
-// Step calls the dispatcher's Step and records it, also if it panics.
+// Step calls the dispatcher's Step and records it, even if it panics.
 func (r *recordedDispatcher) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	recorder := r.recorder
 	recorder.protect(func() { recorder.beforeStep(now, events) })
@@ -30,8 +30,8 @@
 	return dst
 }
 
-// beforeStep starts a segment if one is due, and stores the dispatcher's estimates for the keys of new jobs, which the step may
-// change.
+// beforeStep starts a segment if one is due. It also stores the dispatcher's estimates for the keys of new jobs, as the step may
+// change them.
 func (r *Recorder) beforeStep(now time.Duration, events []dispatch.Event) {
 	r.openSegmentIfDue(now)
 	r.keyWork = r.keyWork[:0]
@@ -58,7 +58,7 @@
 		if line.CallID == "" && line.Job != 0 {
 			line.CallID = r.callIDs[line.Job]
 		}
-		line = stamped(now, line)
+		line = withTime(now, line)
 		if i > 0 {
 			line.Nanoseconds = 0
 		} else if len(lines) > 1 {
@@ -73,7 +73,7 @@
 	r.forgotten = r.forgotten[:0]
 }
 
-// stepLines returns the lines of a step, without time and call IDs.
+// stepLines returns the lines of a step, without times and call IDs.
 func (r *Recorder) stepLines(events []dispatch.Event, actions []dispatch.Action) []Line {
 	lines := make([]Line, 0, len(events)+len(actions))
 	keyWork := r.keyWork
@@ -99,29 +99,29 @@
 	case dispatch.Job:
 		return Line{Input: inputJob, Job: event.ID, ArrivedJob: &event}
 	case dispatch.Outcome:
-		return r.about(event.Worker, Line{
+		return r.lineOfWorker(event.Worker, Line{
 			Input: inputOutcome, Job: event.Job, Attempt: event.Attempt, Result: event.Result, Closed: event.Closed, Report: event.Report,
 		})
 	case dispatch.Started:
-		return r.about(event.Worker, Line{Input: inputStarted, Job: event.Job, Attempt: event.Attempt})
+		return r.lineOfWorker(event.Worker, Line{Input: inputStarted, Job: event.Job, Attempt: event.Attempt})
 	case dispatch.Progressed:
-		return r.about(event.Worker, Line{Input: inputProgress, Job: event.Job, Attempt: event.Attempt, Progress: event.Share})
+		return r.lineOfWorker(event.Worker, Line{Input: inputProgress, Job: event.Job, Attempt: event.Attempt, Progress: event.Share})
 	case dispatch.ClientDisconnected:
 		return Line{Input: inputDisconnected, Job: event.Job}
 	case dispatch.HealthChecked:
-		return r.about(event.Worker, Line{Input: inputHealthChecked, Result: event.Result, Report: event.Report})
+		return r.lineOfWorker(event.Worker, Line{Input: inputHealthChecked, Result: event.Result, Report: event.Report})
 	case dispatch.TimerFired:
 		return Line{Input: inputTimer}
 	case dispatch.Cordoned:
-		return r.about(event.Worker, Line{Input: inputCordoned})
+		return r.lineOfWorker(event.Worker, Line{Input: inputCordoned})
 	case dispatch.Uncordoned:
-		return r.about(event.Worker, Line{Input: inputUncordoned})
+		return r.lineOfWorker(event.Worker, Line{Input: inputUncordoned})
 	case dispatch.PeerMessageReceived:
 		return Line{Input: inputPeerMessage, Peer: event.From, Message: newPeerMessage(event.Message)}
 	case dispatch.WorkerList:
 		return r.workerListLine(event)
 	}
-	panic(fmt.Sprintf("an event that is not known: %T", event))
+	panic(fmt.Sprintf("unknown type of event: %T", event))
 }
 
 // workerListLine returns the line of an endpoint list.
@@ -137,11 +137,12 @@
 	return line
 }
 
-// actionLine returns the line of an action. The Output is empty for an action that is not recorded, such as a timer or a log line.
+// actionLine returns the line of an action. The Output is empty for an action that is not recorded, such as a timer or a log
+// line.
 func (r *Recorder) actionLine(action dispatch.Action) Line {
 	switch action := action.(type) {
 	case dispatch.Send:
-		return r.about(action.Worker, Line{Output: outputSend, Job: action.Job, DelayNanoseconds: int64(action.AttemptTimeout)})
+		return r.lineOfWorker(action.Worker, Line{Output: outputSend, Job: action.Job, DelayNanoseconds: int64(action.AttemptTimeout)})
 	case dispatch.Reject:
 		return Line{Output: outputReject, Job: action.Job, DelayNanoseconds: int64(action.RetryAfter)}
 	case dispatch.Fail:
@@ -149,9 +150,9 @@
 	case dispatch.Cancel:
 		return Line{Output: outputCancel, Job: action.Job, Attempt: action.Attempt}
 	case dispatch.HealthCheck:
-		return r.about(action.Worker, Line{Output: outputHealthCheck})
+		return r.lineOfWorker(action.Worker, Line{Output: outputHealthCheck})
 	case dispatch.CloseIdleConnections:
-		return r.about(action.Worker, Line{Output: outputCloseIdle})
+		return r.lineOfWorker(action.Worker, Line{Output: outputCloseIdle})
 	case dispatch.Subscribe:
 		return Line{Output: outputSubscribe}
 	case dispatch.SendPeerMessage:
