--- a/internal/logging/limited_handler.go
+++ b/internal/logging/limited_handler.go
@@ -9,30 +9,30 @@
 	"golang.org/x/time/rate"
 )
 
-// The budget of a logger: so many lines at once, and so many a second after that. Its errors have as many to themselves.
+// The line budget of a logger. Lines of level error have a second budget of the same size.
 const (
 	burstLines     = 200
-	linesPerSecond = 5
+	linesPerSecond = 5 // after a burst
 )
 
-// limitedHandler is a handler whose lines have budgets.
+// limitedHandler is a handler that limits the rate of lines.
 type limitedHandler struct {
 	slog.Handler
 	level   slog.Level
 	budgets *lineBudgets
 }
 
-// lineBudgets are the budgets of one logger and of those derived from it.
+// lineBudgets contains the budgets that a logger shares with the loggers derived from it.
 type lineBudgets struct {
 	now    func() time.Time
-	usual  lineBudget // of lines below the level of errors
+	usual  lineBudget // of lines below level error
 	errors lineBudget
 }
 
-// lineBudget bounds the rate of lines. It is safe for concurrent use.
+// lineBudget limits the rate of lines. It is safe for concurrent use.
 type lineBudget struct {
 	limiter *rate.Limiter
-	skipped atomic.Uint64 // lines left out since the last one that was written
+	skipped atomic.Uint64 // lines omitted since the last one that was written
 }
 
 func newLineBudgets(now func() time.Time) *lineBudgets {
@@ -51,7 +51,8 @@
 	return &b.usual
 }
 
-// Enabled reports whether a line of a level is to be written. One that the budget has no room for counts as skipped.
+// Enabled reports whether a line of a level may be written. If it may not because the budget is used up, it is counted as
+// skipped.
 func (h *limitedHandler) Enabled(_ context.Context, level slog.Level) bool {
 	if level < h.level {
 		return false
@@ -64,7 +65,7 @@
 	return false
 }
 
-// Handle writes a line, unless another goroutine has used up the budget since Enabled was asked.
+// Handle writes a line, unless another goroutine has used up the budget since the call of Enabled.
 func (h *limitedHandler) Handle(ctx context.Context, record slog.Record) error {
 	budget := h.budgets.forLevel(record.Level)
 	if !budget.limiter.AllowN(h.budgets.now(), 1) {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the loggers of a scheduler: log/slog handlers in text or JSON form, each line one Write, whose
-// attributes begin with the scheduler's name. Lines of one logger have a budget of their own, so that no part of the
-// program crowds out another. It owns no goroutine and no file, and never waits but for its writer.
+// Package logging creates the loggers of a scheduler. They use log/slog, write each line as text or JSON with a single Write, and
+// add the scheduler's name as the first attribute. The rate of lines is limited for each logger separately, so that one part of
+// the program can't displace the lines of another. The package starts no goroutine, opens no file, and blocks only in its writer.
 package logging
 
 import (
@@ -14,7 +14,7 @@
 	"valvecove/internal/config"
 )
 
-// Factory makes the loggers of one scheduler. All of them write to the same writer.
+// Factory creates the loggers of one scheduler. All of them write to the same writer.
 type Factory struct {
 	handler slog.Handler
 	level   slog.Level
@@ -37,14 +37,14 @@
 	}
 }
 
-// NewLogger returns a logger with a line budget of its own, which loggers derived from it share. Lines beyond the budget
-// are left out, and their number is the attribute "skipped" of the next line that is written. For them Enabled, which
-// slog asks once a line, is false too.
+// NewLogger returns a logger with its own line budget, which loggers derived from it share. Lines beyond the budget are omitted,
+// and the attribute "skipped" of the next line that is written is their number. Enabled, which slog calls once for each line,
+// returns false for them.
 func (f *Factory) NewLogger() *slog.Logger {
 	return slog.New(&limitedHandler{Handler: f.handler, level: f.level, budgets: newLineBudgets(f.now)})
 }
 
-// FormatLine returns the text of a line that is outside all budgets and is written whatever the configured level.
+// FormatLine returns the text of a line. It is not limited by a budget, and does not depend on the configured level.
 func FormatLine(conf config.Log, scheduler string, level slog.Level, message string, attrs ...slog.Attr) string {
 	var text bytes.Buffer
 	conf.Level = min(conf.Level, level)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,8 +13,8 @@
 	"valvecove/internal/config"
 )
 
-// A logger has its burst, and then so many lines a second; the next line that is written says how many were left out.
-// Another logger, and errors of the same one, have budgets of their own. A line that is not written allocates nothing.
+// A logger writes a burst of lines, and then a limited number per second. The next line that is written contains the number of
+// omitted ones. Another logger, and the errors of the same logger, have separate budgets. An omitted line allocates nothing.
 func TestBudgets(t *testing.T) {
 	var output bytes.Buffer
 	var now time.Time
@@ -39,20 +39,21 @@
 			one.LogAttrs(context.Background(), level, "x", slog.String("request", "9b1f"), slog.Int("status", 200))
 		}
 		if n := testing.AllocsPerRun(9, line); n != 0 {
-			t.Errorf("%v allocations for a line that is not written", n)
+			t.Errorf("%v allocations for an omitted line", n)
 		}
 	}
 	now = now.Add(time.Second)
 	write(linesPerSecond+1, linesPerSecond, one.Info)
 	if strings.Count(output.String(), "skipped") != 1 || !strings.Contains(output.String(), " skipped=17\n") {
-		t.Errorf("17 lines skipped, got %s", &output)
+		t.Errorf("17 lines were omitted, got %s", &output)
 	}
 	now = now.Add(time.Hour)
 	write(2*burstLines, burstLines, one.Info)
 }
 
-// Each level writes its own lines and those above, in either form with the same attributes, whatever is in them.
-func TestLineForms(t *testing.T) {
+// A logger writes the lines of its minimum level and above. Text and JSON have the same attributes, even if a value contains
+// quotes and line breaks.
+func TestLineFormats(t *testing.T) {
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
 	for i, minLevel := range levels {
 		var text, js bytes.Buffer
@@ -72,7 +73,7 @@
 			}
 		}
 		if line := FormatLine(config.Log{Level: minLevel}, "n3", slog.LevelInfo, "lost"); !strings.HasSuffix(line, " level=INFO msg=lost scheduler=n3\n") {
-			t.Errorf("%v: the line outside budgets is %q", minLevel, line)
+			t.Errorf("%v: FormatLine returned %q", minLevel, line)
 		}
 	}
 }
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -23,7 +23,7 @@
 
 // group contains the counts of one tenant and class.
 type group struct {
-	active           bool // there was a request
+	active           bool // a request was admitted; otherwise no gauges are exported
 	openRequests     int
 	attemptsInFlight int
 	jobs             [len(requests.Outcomes)][responseKinds]uint64 // ended
@@ -66,7 +66,8 @@
 	}
 }
 
-// isRejectedJob reports whether a RequestRejected notification is about a readable request that was rejected for lack of capacity.
+// isRejectedJob reports whether a RequestRejected notification is about a readable request that was rejected for lack of
+// capacity.
 func isRejectedJob(notification requests.Notification) bool {
 	return notification.Request != nil && notification.Status == 503
 }
@@ -74,7 +75,7 @@
 // group returns the counts of a request's tenant and class.
 func (c *Counters) group(request *requests.Request) *group { return &c.groups[c.groupIndex(request)] }
 
-// groupIndex returns the index of a request's group. The index of a tenant without a name is limited to the range of the names.
+// groupIndex returns the index of a request's group. A tenant outside the range of the names is limited to that range.
 func (c *Counters) groupIndex(request *requests.Request) int {
 	if request.Job.Class < 0 || request.Job.Class >= len(c.names.Classes) {
 		return len(c.groups) - 1
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -20,19 +20,19 @@
 func (r *responseCounts) RespondRejected(time.Duration) { r[requests.ResponseRejected]++ }
 func (r *responseCounts) RespondFailed()                { r[requests.ResponseFailed]++ }
 
-// countersModel is counters, and what is expected of them.
+// countersModel contains counters and the counts that are expected of them.
 type countersModel struct {
 	*modeltest.Steps
 	*fixture
 	open         []*requests.Request
 	responses    responseCounts
-	admitted     int // also those rejected at admission
-	disconnected int // clients that left without a response
-	written      int
+	arrived      int // requests, including those rejected at admission
+	disconnected int // clients that disconnected without a response
+	written      int // attempts
 	exportedJobs int
 }
 
-// step takes one random step.
+// step executes one random step.
 func (c *countersModel) step() {
 	var request *requests.Request
 	if len(c.open) > 0 {
@@ -52,20 +52,20 @@
 		c.disconnect(request)
 	case choice == 6:
 		c.Table.ReportRejection(&requests.Arrival{}, 503)
-		c.Table.ReportRejection(nil, 400) // no job
+		c.Table.ReportRejection(nil, 400) // unreadable, so not counted as a job
 		c.responses[requests.ResponseRejected]++
-		c.admitted++
+		c.arrived++
 	}
 	c.Table.Wake()
 	c.Table.Step(c.Now)
 }
 
-// queue has the policy take an action in the next step.
+// queue makes the policy return an action in the next step.
 func (c *countersModel) queue(action dispatch.Action) { c.Policy.Next = append(c.Policy.Next, action) }
 
 func (c *countersModel) admit() {
-	c.admitted++
-	arrival := requests.Arrival{CallID: strconv.Itoa(c.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &c.responses}
+	c.arrived++
+	arrival := requests.Arrival{CallID: strconv.Itoa(c.arrived), Job: dispatch.Job{Remaining: time.Hour}, Responder: &c.responses}
 	request, err := c.Table.Admit(c.Now, arrival)
 	if err != nil {
 		c.T.Fatal(err)
@@ -87,16 +87,16 @@
 	c.open = slices.DeleteFunc(c.open, func(other *requests.Request) bool { return other == request })
 }
 
-// check compares the counters with what clients got, and then the exported jobs with the counters.
+// check compares the counters with the responses that clients got, and the exported jobs with the counters.
 func (c *countersModel) check() {
 	ended := 0
 	for _, response := range []requests.Response{requests.ResponseResult, requests.ResponseRejected, requests.ResponseFailed} {
 		counted := int(c.counters.Responses(response, 0))
 		ended += counted
-		c.Check(counted == c.responses[response], "response %d: %d counted, %d given", response, counted, c.responses[response])
+		c.Check(counted == c.responses[response], "response %d: %d counted, %d sent to clients", response, counted, c.responses[response])
 	}
-	c.Check(c.admitted == ended+c.disconnected+c.Table.OpenCount(), "%d admitted, %d ended, %d disconnected, %d open",
-		c.admitted, ended, c.disconnected, c.Table.OpenCount())
+	c.Check(c.arrived == ended+c.disconnected+c.Table.OpenCount(), "%d arrived, %d ended, %d disconnected, %d open",
+		c.arrived, ended, c.disconnected, c.Table.OpenCount())
 	c.Check(int(c.counters.attemptsWritten) == c.written, "%d attempts counted, %d written", c.counters.attemptsWritten, c.written)
 	c.flush()
 	for _, match := range exportedJobs.FindAllStringSubmatch(c.target.text(), -1) {
@@ -109,9 +109,9 @@
 
 var exportedJobs = regexp.MustCompile(`valvecove\.jobs:(\d+)`)
 
-// Each job that has ended is counted once by its response; those whose client left are counted by none; what was rejected
-// at admission counts as rejected. The exporter has the same jobs, and those whose client left once no attempt of them is in
-// flight.
+// Each job that has ended is counted once, by its response. A job whose client disconnected is not counted by response. A request
+// that was rejected at admission is counted as rejected. The exporter counts the same jobs and, once none of their attempts is in
+// flight, those whose client disconnected.
 func FuzzCounters(f *testing.F) {
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	modeltest.Fuzz(f, func(steps *modeltest.Steps) {
@@ -123,7 +123,7 @@
 	})
 }
 
-// The text of the operators' call has each figure, by class for all tenants together.
+// The text of the operators' metrics call contains each metric. Counts by class are sums over all tenants.
 func TestAppendText(t *testing.T) {
 	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	for tenant, id := range []string{"a", "b"} {
@@ -142,7 +142,7 @@
 	}
 }
 
-// A request of a class without a name counts in no named class, and ends nothing.
+// A request whose class has no name is exported without a class, and is not counted for any named class.
 func TestUnnamedClass(t *testing.T) {
 	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	for _, class := range []int{-1, len(names.Classes)} {
@@ -158,7 +158,7 @@
 	}
 }
 
-// Text that has room for all figures needs no other memory.
+// AppendText allocates nothing if the capacity of dst is sufficient for all metrics.
 func TestAppendTextAllocatesNothing(t *testing.T) {
 	counters, text := NewCounters(requests.NameTable{Classes: []string{"a", "b"}}), []byte(nil)
 	allocations := testing.AllocsPerRun(100, func() { text = counters.AppendText(text[:0], Gauges{OpenRequests: 5}) })
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -37,8 +37,7 @@
 	jobs, attempts [len(requests.Outcomes)]uint64
 }
 
-// NewExporter returns an exporter of counters that observe the same request table. now returns the time since the Unix
-// epoch.
+// NewExporter returns an exporter of counters that observe the same request table. now returns the time since the Unix epoch.
 func NewExporter(conf config.Metrics, counters *Counters, now func() time.Duration, targets ...Target) *Exporter {
 	return &Exporter{
 		conf:     conf,
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -14,8 +14,8 @@
 	"valvecove/internal/requests"
 )
 
-// A job that is served, in both forms, with all the figures that it makes.
-func TestLineForms(t *testing.T) {
+// The lines of all metrics of a job that is served, in both formats.
+func TestLineFormats(t *testing.T) {
 	for format, want := range map[string]string{
 		"statsd": "valvecove.time:40.000|ms|#tenant:mardan-society,class:account-credit,outcome:served\n" +
 			"valvecove.held:15.000|ms|#tenant:mardan-society,class:account-credit,outcome:served\n" +
@@ -44,7 +44,7 @@
 	}
 }
 
-// Names with anything in them can't end a tag or a line, in either form.
+// Names with reserved characters and line breaks can't end a tag or a line, in either format.
 func TestTagsAreEscaped(t *testing.T) {
 	odd := requests.NameTable{Tenants: []string{"a,b=c d|e#f:g\nh\\"}, Classes: []string{strings.Repeat("x", 300)}}
 	for format, want := range map[string]string{
@@ -61,7 +61,7 @@
 	}
 }
 
-// exporterModel is an exporter, and what is expected of it.
+// exporterModel contains an exporter and the metrics that it is expected to send.
 type exporterModel struct {
 	*modeltest.Steps
 	*fixture
@@ -89,7 +89,7 @@
 	}
 }
 
-// step takes one random step.
+// step executes one random step.
 func (e *exporterModel) step(number int) {
 	var job *modelJob
 	index := 0
@@ -133,7 +133,7 @@
 	e.open = append(e.open, job)
 }
 
-// end expects what the end of a job makes.
+// end removes a job that has ended, and expects the metrics of its end.
 func (e *exporterModel) end(index int, outcome string) {
 	tags := e.open[index].tags
 	e.open = append(e.open[:index], e.open[index+1:]...)
@@ -142,10 +142,10 @@
 	e.expected["valvecove.openg|#"+tags]--
 }
 
-// sum adds up what was sent, and checks the size of the batches.
+// sum adds the metrics that were sent to those sent before, and checks the size of the batches.
 func (e *exporterModel) sum() {
 	for _, batch := range e.target.batches {
-		e.Check(len(batch) < e.maxBatchBytes || strings.Count(batch, "\n") == 1, "a batch of %d, under %d", len(batch), e.maxBatchBytes)
+		e.Check(len(batch) < e.maxBatchBytes || strings.Count(batch, "\n") == 1, "a batch of %d bytes, where the limit is %d", len(batch), e.maxBatchBytes)
 	}
 	for _, line := range strings.Fields(e.target.text()) {
 		name, valueAndTags, _ := strings.Cut(line, ":")
@@ -162,9 +162,10 @@
 	}
 }
 
-func isZero(_ string, value int) bool { return value == 0 } // a gauge may be
+// isZero reports whether a value is 0. A gauge that is 0 is equivalent to one that was never sent.
+func isZero(_ string, value int) bool { return value == 0 }
 
-// checkSums sends what is left and compares it with what is expected.
+// checkSums sends the pending metrics, and compares all metrics that were sent with the expected ones.
 func (e *exporterModel) checkSums() {
 	e.flush()
 	e.sum()
@@ -173,7 +174,7 @@
 	e.Check(maps.Equal(e.sent, e.expected), "sent %v, expected %v", e.sent, e.expected)
 }
 
-// checkFailingTarget has the target fail for one flush, and checks that the next one reports it.
+// checkFailingTarget makes the target fail during one flush, and checks that the next flush reports the number of failed batches.
 func (e *exporterModel) checkFailingTarget() {
 	e.target.failing = true
 	e.flush()
@@ -187,9 +188,9 @@
 	e.Check(failed > 0 && strings.Contains(e.target.text(), report), "%q is not in %q", report, e.target.batches)
 }
 
-// Whatever happens, and however small a batch may be, each job, attempt and unreadable request is counted once, gauges are
-// what is open and in flight, batches hold whole lines and stay under the limit but for a line that is longer by itself,
-// and batches that no target takes are counted.
+// For any events and any maximum size of batches, each job, attempt and unreadable request is counted once, and gauges are the
+// numbers of open requests and of attempts in flight. Batches contain whole lines, and are smaller than the limit unless they
+// consist of a single line. Batches that the target could not send are counted.
 func FuzzExporter(f *testing.F) {
 	modeltest.Fuzz(f, func(steps *modeltest.Steps) {
 		model := newExporterModel(steps)
@@ -201,7 +202,7 @@
 	})
 }
 
-// What waits stays under its bound: the oldest lines are dropped whole, and counted.
+// The pending lines are bounded: beyond the bound the oldest lines are dropped as a whole, and counted.
 func TestPendingLinesAreBounded(t *testing.T) {
 	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	const jobs = 5000
@@ -211,12 +212,12 @@
 		f.Apply(dispatch.Reject{Job: request.ID})
 		buffer := &f.exporter.buffer
 		if pending := len(buffer.pending()); pending > maxPendingBytes || cap(buffer.lines) > 4*maxPendingBytes {
-			t.Fatalf("%d bytes pending, in %d", pending, cap(buffer.lines))
+			t.Fatalf("%d bytes pending, in a buffer of %d", pending, cap(buffer.lines))
 		}
 	}
 	f.flush()
 	lines := f.target.lines()
-	f.flush() // reports what was dropped during the first one
+	f.flush() // reports the lines that were dropped during the first flush
 	timers, dropped := 0, 0
 	for _, line := range lines {
 		if strings.HasPrefix(line, "valvecove.time:") {
@@ -229,6 +230,6 @@
 		dropped += count
 	}
 	if dropped == 0 || timers+dropped != jobs || !strings.HasPrefix(lines[timers-1], "valvecove.time:4.999|ms|") {
-		t.Errorf("%d timers and %d dropped of %d, the last %q", timers, dropped, jobs, lines[timers-1])
+		t.Errorf("%d timers and %d dropped lines of %d jobs, the last timer is %q", timers, dropped, jobs, lines[timers-1])
 	}
 }
--- a/internal/metrics/fixture_test.go
+++ b/internal/metrics/fixture_test.go
@@ -17,7 +17,7 @@
 	Classes: []string{"status-check", "account-credit"},
 }
 
-// batchTarget keeps the batches that it takes.
+// batchTarget is a target that stores its batches.
 type batchTarget struct {
 	batches []string
 	failing bool
@@ -37,7 +37,7 @@
 	return strings.Split(strings.TrimSuffix(b.text(), "\n"), "\n")
 }
 
-// fixture is a request table with counters and an exporter.
+// fixture is a request table with counters and an exporter as observers.
 type fixture struct {
 	*observertest.Fixture
 	counters *Counters
@@ -58,7 +58,7 @@
 	return f
 }
 
-// flush sends all metrics, and has the target keep only what that sent.
+// flush sends all metrics. The target then contains only the batches of this flush.
 func (f *fixture) flush() {
 	f.target.batches = nil
 	f.exporter.Gather()
--- a/internal/metrics/peers_test.go
+++ b/internal/metrics/peers_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// Each figure of messages between schedulers has its line in the operators' text; where there are no messages there is none.
+// The text of the operators' metrics call contains a line for each metric of messages between schedulers, and none of these lines
+// if schedulers exchange no messages.
 func TestAppendTextOfPeers(t *testing.T) {
 	want := "edge_proxy.peer_datagrams_sent=5\nedge_proxy.peer_bytes_sent=400\n" +
 		"edge_proxy.peer_datagrams_received=4\nedge_proxy.peer_bytes_received=300\n" +
@@ -28,11 +29,11 @@
 		t.Errorf("text %q, expected %q after %q", text, want, without)
 	}
 	if text := appendPeerCounts(nil, PeerCounts{Sent: 5}); len(text) > 0 {
-		t.Errorf("text %q without messages", text)
+		t.Errorf("text %q although no messages are exchanged", text)
 	}
 }
 
-// Counters are exported as what was added since the last flush, gauges as they are.
+// Counters are exported as the difference since the last flush, and gauges as their current value.
 func TestExporterOfPeers(t *testing.T) {
 	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 10_000}, names)
 	counts := peerCounts()
@@ -49,10 +50,10 @@
 	}
 	counts.Sent += 2
 	if f.flush(); f.target.text() != "valvecove.peer_datagrams:2|c|#direction:sent\n"+gauges {
-		t.Errorf("then sent %q", f.target.text())
+		t.Errorf("after two more datagrams: sent %q", f.target.text())
 	}
 	counts.Enabled = false
 	if f.flush(); f.target.text() != "" {
-		t.Errorf("sent %q without messages", f.target.text())
+		t.Errorf("sent %q although no messages are exchanged", f.target.text())
 	}
 }
--- a/internal/metrics/push/push_test.go
+++ b/internal/metrics/push/push_test.go
@@ -18,7 +18,7 @@
 
 const interval = time.Second
 
-// receive returns the datagrams that wait at a socket.
+// receive returns the datagrams that are pending at a socket.
 func receive(descriptor int) (datagrams []string) {
 	buffer := make([]byte, 1<<16)
 	for {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Each interval the figures are sent, in datagrams without a line end, and at the end once more.
-func TestFiguresArePushedEachInterval(t *testing.T) {
+// The metrics are sent once per interval, in datagrams that do not end with a line break, and once more by Flush.
+func TestMetricsAreSentEachInterval(t *testing.T) {
 	loop := eventlooptest.NewLoop(t, eventloop.Hooks{})
 	descriptor, address := eventlooptest.OpenDatagramSocket(t, "127.0.0.2")
 	defer func() { _ = unix.Close(descriptor) }()
@@ -41,7 +41,7 @@
 	counters.Observe(requests.Notification{Kind: requests.RequestAdmitted, Request: &requests.Request{Job: dispatch.Job{}}})
 	loop.Advance(interval - 1)
 	if got := receive(descriptor); got != nil {
-		t.Errorf("received %q before the interval is over", got)
+		t.Errorf("received %q before the end of the interval", got)
 	}
 	for range 2 {
 		loop.Advance(interval)
@@ -52,11 +52,11 @@
 	}
 	pusher.Flush()
 	if len(receive(descriptor)) < 2 {
-		t.Error("nothing is sent at the end")
+		t.Error("Flush sent nothing")
 	}
 }
 
-// A batch that is lost leaves the socket open where it can be used further; else the next batch opens another one.
+// If sending a batch fails and the socket is still usable, the socket is kept. Otherwise the next batch opens another one.
 func TestCollectorReopensUnusableSocket(t *testing.T) {
 	for errno, keepsSocket := range map[unix.Errno]bool{
 		unix.ECONNREFUSED: true, unix.EAGAIN: true, unix.EMSGSIZE: true, unix.ENETDOWN: false, unix.EBADF: false,
@@ -75,7 +75,7 @@
 		}}
 		collector := NewCollector(&syscalls, address)
 		if err := collector.Send([]byte("lost\n")); err == nil {
-			t.Errorf("%v is not returned", errno)
+			t.Errorf("no error is returned for %v", errno)
 		}
 		isFailing = false
 		if err := collector.Send([]byte("sent\n")); err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Metrics that can't be sent because the machine lacks something are dropped, and later ones are sent.
-func TestCollectorSocketOutlastsShortages(t *testing.T) {
+// Metrics that can't be sent because a resource of the machine is exhausted are dropped. Later ones are sent.
+func TestCollectorRecoversFromResourceShortage(t *testing.T) {
 	receiver, address := eventlooptest.OpenDatagramSocket(t, "127.0.0.1")
 	t.Cleanup(func() { _ = unix.Close(receiver) })
 	injector := faultinjection.New(1, nil)
--- a/internal/metrics/push/pusher.go
+++ b/internal/metrics/push/pusher.go
@@ -1,7 +1,5 @@
-// Package push sends metrics to their targets at the exporter's interval, on an event loop. It contains the
-// UDP socket to a collector. The content is that of package metrics.
-//
-// Everything in this package is used on the goroutine of the event loop.
+// Package push sends the metrics of package metrics to their targets at the exporter's interval, on an event loop. It contains
+// the UDP socket to a collector. Everything in this package is used on the goroutine of the event loop.
 package push
 
 import (
@@ -13,7 +11,7 @@
 // delayed.
 const maxBatchesPerIteration = 16
 
-// Pusher gathers the metrics of an exporter and sends them, once per interval of the exporter.
+// Pusher gathers and sends the metrics of an exporter once per interval of the exporter.
 type Pusher struct {
 	loop     *eventloop.Loop
 	exporter *metrics.Exporter
--- a/internal/status/entry.go
+++ b/internal/status/entry.go
@@ -13,7 +13,7 @@
 
 // States of a request.
 const (
-	StateWaiting State = "waiting" // no attempt is running, as far as is known
+	StateWaiting State = "waiting" // no attempt is known to be running
 	StateRunning State = "running" // an attempt is running
 	StateEnded   State = "ended"   // it has an outcome
 )
@@ -71,8 +71,8 @@
 	}
 }
 
-// applyCallback records a worker's callback about an attempt in flight. A callback about the end of the attempt changes nothing, as
-// AttemptEnded follows.
+// applyCallback records a worker's callback about an attempt in flight. A callback about the end of the attempt changes nothing,
+// because an AttemptEnded notification follows.
 func (e *entry) applyCallback(reported *requests.Attempt, callback *requests.Callback) {
 	known := e.attempt(reported.Number)
 	if known == nil {
--- a/internal/status/model_test.go
+++ b/internal/status/model_test.go
@@ -18,14 +18,14 @@
 // tableModel is a status table with its expected entries.
 type tableModel struct {
 	*fixture
-	jobs map[string]*modelJob // by id
+	jobs map[string]*modelJob // by call ID
 }
 
 // modelJob is the expected entry of one job.
 type modelJob struct {
 	request      *requests.Request
 	open         bool
-	disconnected bool              // its client has left
+	disconnected bool              // its client has disconnected
 	attempts     map[string]string // in flight, by worker: "sent", "started", or the progress reported last
 	outcome      string
 	endedAt      time.Duration
@@ -41,7 +41,7 @@
 	worker, job := "s-"+strconv.Itoa(t.Pick(2)), t.jobs[id]
 	choice := t.Pick(12)
 	switch {
-	case job == nil || choice == 0 && !job.open && len(job.attempts) == 0: // an id may come again
+	case job == nil || choice == 0 && !job.open && len(job.attempts) == 0: // an ID may be reused
 		t.jobs[id] = &modelJob{request: t.Admit(id, 0, 0), open: true, attempts: map[string]string{}}
 		t.Record("admit " + id)
 	case choice < 3:
@@ -85,7 +85,7 @@
 	}
 }
 
-// endAttempt updates the expectation by the end of an attempt.
+// endAttempt updates the expected entry at the end of an attempt.
 func (m *modelJob) endAttempt(callback string, now time.Duration) {
 	if !m.open {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// giveUp updates the expectation by a rejection or a failure.
+// giveUp updates the expected entry after the policy has rejected or failed the job.
 func (m *modelJob) giveUp(now time.Duration) {
 	switch {
 	case !m.open || m.disconnected:
@@ -110,6 +110,7 @@
 	}
 }
 
+// disconnect updates the expected entry after the client has disconnected.
 func (m *modelJob) disconnect(now time.Duration) {
 	m.disconnected = m.disconnected || m.open
 	if m.open && len(m.attempts) == 0 {
@@ -131,7 +132,7 @@
 	m.endedAt = now
 }
 
-// expected returns the state of a job, and its progress in the report, if any.
+// expected returns the expected state and progress in the report. The progress is empty if there is none.
 func (m *modelJob) expected() (state State, progress string) {
 	if !m.open {
 		return StateEnded, ""
@@ -153,7 +154,7 @@
 	for id, job := range t.jobs {
 		report, ok := t.find(id)
 		isKept := job.open || t.Now-job.endedAt < modelRetention
-		t.Check(ok == isKept, "%s: found %v, expected %v", id, ok, isKept)
+		t.Check(ok == isKept, "%s: entry found: %v, expected %v", id, ok, isKept)
 		if !ok {
 			continue
 		}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -71,7 +71,7 @@
 	checkKnown("c:waiting d:waiting e:waiting ")
 	f.Apply(dispatch.Fail{Job: a.ID})
 	checkKnown("c:waiting d:waiting e:waiting ")
-	f.Table.ReportRejection(&requests.Arrival{CallID: "c"}, 503) // with an open request's id
+	f.Table.ReportRejection(&requests.Arrival{CallID: "c"}, 503) // with the ID of an open request
 	checkKnown("c:waiting d:waiting e:waiting ")
 	f.Table.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 	checkKnown("a:endedturned away d:waiting e:waiting ")
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -26,7 +26,7 @@
 	startNotifications bool
 	now                func() time.Duration
 	entries            map[string]*entry // by call ID
-	open, ended        list.List         // of *entry, in order of admission, and of the end
+	open, ended        list.List         // of *entry; open is in order of admission, ended in order of the end
 }
 
 // New returns an empty table. startNotifications is whether workers send a callback at the start of a job. Otherwise a job is
@@ -57,8 +57,8 @@
 	}
 }
 
-// addRejected records a request that was rejected at admission for lack of capacity. If there is an
-// entry with the same call ID, that is not changed.
+// addRejected records a request that was rejected at admission for lack of capacity. It does not change an existing entry with
+// the same call ID.
 func (t *Table) addRejected(notification requests.Notification) {
 	request := notification.Request
 	if request != nil && notification.Status == 503 && t.entries[request.CallID] == nil {
--- a/internal/status/tags_test.go
+++ b/internal/status/tags_test.go
@@ -6,5 +6,5 @@
 	"valvecove/internal/storedform"
 )
 
-// The JSON of the status call has its names in tags.
+// The names in the JSON of the status call are set by tags, so that renaming a Go field does not change them.
 func TestReportIsTagged(t *testing.T) { storedform.CheckTags(t, Report{}) }
