--- a/internal/asyncwriter/queue.go
+++ b/internal/asyncwriter/queue.go
@@ -1,6 +1,6 @@
-// Package asyncwriter hands work to something that may be slow or gone, such as standard error or a disk, without ever
-// waiting for it. It owns one goroutine per queue, which runs tasks in order; what does not fit is dropped and counted. It
-// never retries and never reorders.
+// Package asyncwriter runs tasks that may block or fail, such as writes to standard error or a disk, without blocking the caller.
+// Each queue has one goroutine, which runs its tasks in order. Tasks beyond the bound of a queue are dropped and counted. Tasks
+// are not retried and not reordered.
 package asyncwriter
 
 import (
@@ -9,43 +9,43 @@
 	"time"
 )
 
-// Queue runs tasks in order on a goroutine of its own. It is bounded in bytes and safe for concurrent use.
+// Queue runs tasks in order on its own goroutine. The size of its pending tasks is bounded. It is safe for concurrent use.
 type Queue struct {
 	maxBytes int
-	wake     chan struct{} // holds one signal at most: there may be something to run, or the queue was closed
+	wake     chan struct{} // contains at most one signal: there may be a task to run, or the queue was closed
 	done     chan struct{} // closed once the last task has run
 	dropped  atomic.Uint64
 	failed   atomic.Uint64
 
 	mu           sync.Mutex
-	tasks        []task // not begun yet
-	pendingBytes int    // of tasks that have not ended
-	hasLarge     bool   // a large task has not ended
+	tasks        []task // not started yet
+	pendingBytes int    // size of the tasks that have not ended, except large ones
+	hasLarge     bool   // there is a large task that has not ended
 	closed       bool
 }
 
-// task is a piece of work, and what it counts against the bound.
+// task is a function, and the size that counts against the bound of the queue.
 type task struct {
-	size  int
-	large bool
+	size  int  // in bytes; 0 for a large task
+	large bool // does not count against the bound
 	run   func() error
 }
 
-// NewQueue returns a queue whose tasks, large ones aside, stand for at most maxBytes bytes. Close ends its goroutine.
+// NewQueue returns a queue whose pending tasks, except large ones, have at most maxBytes bytes. Close ends its goroutine.
 func NewQueue(maxBytes int) *Queue {
 	q := &Queue{maxBytes: maxBytes, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Enqueue adds a task that stands for size bytes until it has ended. It returns false, and counts the task as dropped, if
-// there is no room or the queue is closed.
+// Enqueue adds a task that counts as size bytes until it has ended. It returns false, and counts the task as dropped, if that
+// would exceed the bound or the queue is closed.
 func (q *Queue) Enqueue(size int, run func() error) bool {
 	return q.enqueue(task{size: size, run: run})
 }
 
-// EnqueueLarge adds a task whatever its size, but holds one such task at a time. It returns false, and counts the task as
-// dropped, if another one has not ended or the queue is closed.
+// EnqueueLarge adds a task that does not count against the bound. There may be only one such task at a time: it returns false,
+// and counts the task as dropped, if another one has not ended or the queue is closed.
 func (q *Queue) EnqueueLarge(run func() error) bool { return q.enqueue(task{large: true, run: run}) }
 
 func (q *Queue) enqueue(added task) bool {
@@ -62,7 +62,7 @@
 	return true
 }
 
-// signal wakes the goroutine, now or when it next waits.
+// signal wakes the goroutine, or makes its next wait return at once.
 func (q *Queue) signal() {
 	select {
 	case q.wake <- struct{}{}:
@@ -70,13 +70,13 @@
 	}
 }
 
-// Dropped returns how many tasks were dropped.
+// Dropped returns the number of tasks that were dropped.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
-// Failed returns how many tasks returned an error.
+// Failed returns the number of tasks that returned an error.
 func (q *Queue) Failed() uint64 { return q.failed.Load() }
 
-// Close takes no more tasks and waits until all have ended, for timeout at most.
+// Close makes the queue reject further tasks, and waits until all have ended, or until the timeout.
 func (q *Queue) Close(timeout time.Duration) {
 	q.mu.Lock()
 	q.closed = true
@@ -122,7 +122,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.tasks) == 0 {
-		q.tasks = nil // gives up the memory of a burst
+		q.tasks = nil // releases the memory that a burst of tasks has used
 		return task{}, false
 	}
 	next := q.tasks[0]
--- a/internal/asyncwriter/queue_test.go
+++ b/internal/asyncwriter/queue_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A task that never ends holds up neither whoever enqueues nor, for longer than the timeout, whoever closes.
-func TestStuckTaskHoldsNobodyUp(t *testing.T) {
+// A task that never ends does not block Enqueue, and does not block Close for longer than the timeout.
+func TestBlockedTaskDoesNotBlockCallers(t *testing.T) {
 	queue, stuck := NewQueue(10), make(chan struct{})
 	defer close(stuck)
 	queue.Enqueue(5, func() error { <-stuck; return nil })
 	if queue.Enqueue(6, func() error { return nil }) || queue.Dropped() != 1 {
-		t.Error("more is pending than allowed")
+		t.Error("a task was accepted beyond the bound, or not counted as dropped")
 	}
 	queue.Close(time.Millisecond)
 	if queue.Enqueue(1, func() error { return nil }) {
-		t.Error("accepted after the queue was closed")
+		t.Error("a task was accepted after the queue was closed")
 	}
 }
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -6,33 +6,33 @@
 	"io"
 )
 
-// ErrNotWritten reports that text was dropped, or that earlier text could not be written.
+// ErrNotWritten means that text was dropped, or that earlier text could not be written.
 var ErrNotWritten = errors.New("text not written")
 
-// Writer is an io.Writer that writes to another one by way of a Queue. The text of each Write is written whole or dropped
-// whole. Write and TryWrite are for one goroutine at a time.
+// Writer is an io.Writer that passes text to another one through a Queue. The text of one call is called a piece. It is passed on
+// completely, or dropped completely. Write and TryWrite must not be called concurrently.
 type Writer struct {
 	*Queue
 	destination      io.Writer
 	dropNotice       func(pieces uint64) string
-	reportedDrops    uint64 // pieces that a drop notice has counted
-	reportedFailures uint64 // failed pieces that TryWrite has returned an error for
+	reportedDrops    uint64 // dropped pieces that a drop notice has reported
+	reportedFailures uint64 // failed pieces that TryWrite has reported by an error
 }
 
-// NewWriter returns a writer to a destination, with at most maxBytes bytes of text pending. dropNotice, unless it is nil,
-// returns the text that stands in place of so many dropped pieces once there is room again.
+// NewWriter returns a writer to a destination, with at most maxBytes bytes of pending text. dropNotice, unless it is nil, returns
+// the text that is written in place of a number of dropped pieces once there is space again.
 func NewWriter(destination io.Writer, maxBytes int, dropNotice func(pieces uint64) string) *Writer {
 	return &Writer{Queue: NewQueue(maxBytes), destination: destination, dropNotice: dropNotice}
 }
 
-// Write copies and enqueues text. It never fails and never waits.
+// Write copies and enqueues text. It does not block, and returns no error.
 func (w *Writer) Write(text []byte) (int, error) {
-	_ = w.TryWrite(text) // what is dropped is counted
+	_ = w.TryWrite(text) // dropped text is counted
 	return len(text), nil
 }
 
-// TryWrite copies and enqueues text, and never waits. It returns ErrNotWritten if this text was dropped, or else once for each
-// earlier text that could not be written.
+// TryWrite copies and enqueues text. It does not block. It returns ErrNotWritten if this text was dropped. Otherwise it also
+// returns ErrNotWritten if the write of an earlier text has failed, but only once for each failed write.
 func (w *Writer) TryWrite(text []byte) error {
 	if !w.enqueueDropNotice() || !w.Enqueue(len(text), w.writeTask(bytes.Clone(text))) {
 		return ErrNotWritten
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// enqueueDropNotice enqueues a notice of dropped pieces if there are new ones. It returns false if there is no room for that: the
-// notice is then counted as dropped, in place of the text that was to follow it.
+// enqueueDropNotice enqueues a notice if pieces were dropped since the last one. It returns false if there is no space for it. In
+// that case the notice is counted as dropped, instead of the text that was to follow it.
 func (w *Writer) enqueueDropNotice() bool {
 	dropped := w.Dropped()
 	if dropped == w.reportedDrops || w.dropNotice == nil {
@@ -59,8 +59,8 @@
 	return true
 }
 
-// WriteLarge enqueues text of any size without copying it: the caller must not change it afterwards. It returns false if
-// an earlier large text has not been written yet.
+// WriteLarge enqueues text of any size without copying it, so the caller must not change it afterwards. It returns false if an
+// earlier large text has not been written yet.
 func (w *Writer) WriteLarge(text []byte) bool { return w.EnqueueLarge(w.writeTask(text)) }
 
 func (w *Writer) writeTask(text []byte) func() error {
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -10,10 +10,10 @@
 	"valvecove/internal/modeltest"
 )
 
-// steppedWriter takes a piece each time it is let to.
+// steppedWriter blocks each Write until the test allows it to proceed.
 type steppedWriter struct {
-	proceed chan struct{}
-	written chan struct{}
+	proceed chan struct{} // the test sends a value for each Write
+	written chan struct{} // Write sends a value at its end
 	text    bytes.Buffer
 }
 
@@ -24,20 +24,20 @@
 	return len(text), nil
 }
 
-// writerModel is a writer, and what is expected of it.
+// writerModel contains a writer and its expected state.
 type writerModel struct {
 	*modeltest.Steps
 	writer      *Writer
 	destination *steppedWriter
 	pending     []string // not written yet, oldest first
-	bytes       int      // of those, large ones aside
+	bytes       int      // size of the pending pieces, except large ones
 	hasLarge    bool
-	expected    string // all that was written
+	expected    string // all text that was written
 	dropped     uint64
-	reported    uint64 // dropped pieces that a notice counts
+	reported    uint64 // dropped pieces that were reported by a notice
 }
 
-// maxPending bounds the bytes that wait in the model test. Only large pieces are longer.
+// maxPending is the maximum number of pending bytes in the model test. Only large pieces are longer.
 const maxPending = 200
 
 func newWriterModel(steps *modeltest.Steps) *writerModel {
@@ -47,7 +47,7 @@
 
 func dropNotice(pieces uint64) string { return fmt.Sprintf("lost %d\n", pieces) }
 
-// enqueue expects a piece to be accepted if there is room, and else to be dropped.
+// enqueue expects that a piece is accepted if there is space, and otherwise dropped.
 func (m *writerModel) enqueue(text string) bool {
 	if m.bytes+len(text) > maxPending {
 		m.dropped++
@@ -84,7 +84,7 @@
 	m.hasLarge = true
 }
 
-// finishOne lets the oldest piece be written, and waits until the queue has counted it.
+// finishOne allows the oldest piece to be written, and waits until the queue no longer counts it as pending.
 func (m *writerModel) finishOne() {
 	if len(m.pending) == 0 {
 		return
@@ -104,15 +104,15 @@
 	}
 }
 
-// isSettled reports whether the queue counts as pending what the model does.
+// isSettled reports whether the queue's pending tasks are those of the model.
 func (m *writerModel) isSettled() bool {
 	m.writer.mu.Lock()
 	defer m.writer.mu.Unlock()
 	return m.writer.pendingBytes == m.bytes && m.writer.hasLarge == m.hasLarge
 }
 
-// Whatever is written, and whenever the destination takes it: it gets whole pieces in order, no more than allowed is
-// pending, and dropped pieces are counted in a notice before the next one that is not dropped.
+// For any order of writes and ends of writes, the destination receives whole pieces in order, and the pending bytes stay within
+// the bound. If pieces are dropped, a notice with their number is written before the next piece that is not dropped.
 func FuzzWriter(f *testing.F) {
 	modeltest.Fuzz(f, func(steps *modeltest.Steps) {
 		model := newWriterModel(steps)
@@ -136,7 +136,7 @@
 	})
 }
 
-// failingWriter fails for as long as it is set to.
+// failingWriter is a writer that fails while fails is true.
 type failingWriter struct{ fails bool }
 
 func (w *failingWriter) Write(text []byte) (int, error) {
@@ -146,7 +146,7 @@
 	return len(text), nil
 }
 
-// Each text that could not be written is reported once, also when several fail between two calls.
+// TryWrite reports each failed write once, even if several fail between two calls.
 func TestTryWriteReportsEachFailure(t *testing.T) {
 	destination := &failingWriter{fails: true}
 	writer := NewWriter(destination, maxPending, nil)
@@ -156,7 +156,7 @@
 		<-done
 	}
 	for range 5 {
-		_, _ = writer.Write([]byte("a")) // reports at most the failures before it
+		_, _ = writer.Write([]byte("a")) // may already report some of the failures
 	}
 	await()
 	destination.fails = false
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -60,13 +60,13 @@
 		maxFiles:     capture.Files,
 	}
 	earlier, err := f.list()
-	if err != nil && !filesystem.MayPass(err) {
+	if err != nil && !filesystem.IsTemporary(err) {
 		return nil, err
 	}
 	if len(earlier) > 0 {
 		f.fileNumber = f.numberOf(earlier[len(earlier)-1])
 	}
-	if err := f.openNextFile(); err != nil && !filesystem.MayPass(err) {
+	if err := f.openNextFile(); err != nil && !filesystem.IsTemporary(err) {
 		return nil, err
 	}
 	f.Queue = asyncwriter.NewQueue(maxPendingBytes)
--- a/internal/filesystem/filesystem.go
+++ b/internal/filesystem/filesystem.go
@@ -1,6 +1,6 @@
-// Package filesystem is the seam between the scheduler and the disk: the few calls by which it keeps files, and what makes
-// writes complete in spite of interruptions. Tests put a disk that fails in its place: see package filesystemtest. It is for
-// files that are kept off the serving path, and decides nothing about what stands in them.
+// Package filesystem is the interface between the scheduler and the disk. It contains the calls that the scheduler needs to store
+// files, and functions that complete interrupted writes. Tests replace the disk by one that fails; see package filesystemtest.
+// The package is for files that are not accessed while a request is being handled. It does not interpret their content.
 package filesystem
 
 import (
@@ -11,29 +11,29 @@
 	"syscall"
 )
 
-// FileSystem is what keeps files. Implementations are safe for concurrent use.
+// FileSystem stores files. Implementations are safe for concurrent use.
 type FileSystem interface {
-	// OpenFile opens a file to write to. flags are those of os.OpenFile.
+	// OpenFile opens a file for writing. flags are those of os.OpenFile.
 	OpenFile(path string, flags int, mode fs.FileMode) (File, error)
-	// OpenReader opens a file to read from.
+	// OpenReader opens a file for reading.
 	OpenReader(path string) (io.ReadSeekCloser, error)
 	// ListNames returns the names in a directory, sorted.
 	ListNames(directory string) ([]string, error)
-	// Rename gives a file another name, in place of the file that had it.
+	// Rename renames a file. It replaces a file that has the new name.
 	Rename(oldPath, newPath string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncDirectory makes the names in a directory durable.
+	// SyncDirectory makes earlier changes of the names in a directory durable.
 	SyncDirectory(directory string) error
 }
 
-// File is a file that is open to be written to.
+// File is a file that is open for writing.
 type File interface {
-	// Write may write less than it is given, in which case it returns an error.
+	// Write returns an error if it writes only a part of the data.
 	io.Writer
-	// Truncate cuts the file to a size.
+	// Truncate reduces the file to a size.
 	Truncate(size int64) error
-	// Sync makes what was written durable.
+	// Sync makes the written data durable.
 	Sync() error
 	Close() error
 }
@@ -46,7 +46,7 @@
 func (disk) OpenFile(path string, flags int, mode fs.FileMode) (File, error) {
 	file, err := os.OpenFile(path, flags, mode)
 	if err != nil {
-		return nil, err // and no *os.File that is nil
+		return nil, err // not file: a nil *os.File would be a File that is not nil
 	}
 	return file, nil
 }
@@ -81,7 +81,7 @@
 		return err
 	}
 	err = opened.Sync()
-	if errors.Is(err, syscall.EINVAL) { // this kind of file system has nothing to sync
+	if errors.Is(err, syscall.EINVAL) { // this kind of file system does not sync directories
 		err = nil
 	}
 	if closeErr := opened.Close(); err == nil {
--- a/internal/filesystem/filesystemtest/crash.go
+++ b/internal/filesystem/filesystemtest/crash.go
@@ -6,19 +6,21 @@
 	"slices"
 )
 
-// maxPendingChanges bounds the changes of names whose subsets are looked at. A test with more makes too many.
+// maxPendingChanges is the maximum number of name changes that are not synced when AfterPowerLoss is called, which returns at
+// least one disk for each subset of them.
 const maxPendingChanges = 8
 
-// AfterKill returns the disk that a kill of the process leaves now: all that was written, durable or not.
+// AfterKill returns the disk after a kill of the process at this time. It contains all written data, durable or not.
 func (d *Disk) AfterKill() *Disk { return New(d.Files()) }
 
-// AfterPowerLoss returns each disk that a power failure may leave now. Of what was written and not synced, any part from the
-// start on may be there, or zeros in its place; of the names that were changed and not synced, any may be as before.
+// AfterPowerLoss returns all states of the disk that are possible after a power failure at this time. Of data that was written
+// but not synced, any prefix may be present, or zeros instead of the content. Of changes of names that were not synced, any
+// subset may be lost.
 func (d *Disk) AfterPowerLoss() []*Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.pending) > maxPendingChanges {
-		panic("too many changes of names for a test of all their subsets")
+		panic("too many unsynced changes of names to return a disk for each subset")
 	}
 	var disks []*Disk
 	for kept := range 1 << len(d.pending) {
@@ -33,7 +35,7 @@
 	return disks
 }
 
-// disksWithContents returns a disk for each combination of the contents that the files may have.
+// disksWithContents returns a disk for each combination of possible contents of the files.
 func disksWithContents(names map[string]*inode) []*Disk {
 	disks := []*Disk{New(nil)}
 	for _, path := range slices.Sorted(maps.Keys(names)) {
@@ -50,7 +52,7 @@
 	return disks
 }
 
-// possibleContents returns what a power failure may leave of a file.
+// possibleContents returns the contents that a file may have after a power failure.
 func (f *inode) possibleContents() [][]byte {
 	if bytes.Equal(f.content, f.durable) {
 		return [][]byte{f.durable}
--- a/internal/filesystem/filesystemtest/disk.go
+++ b/internal/filesystem/filesystemtest/disk.go
@@ -1,5 +1,5 @@
-// Package filesystemtest is a disk in memory whose calls fail as a test asks for. It tells what was written from what is
-// durable, so that a test can look at what each kind of crash leaves. It is for tests alone.
+// Package filesystemtest is a disk in memory for tests, which specify the calls that fail. It distinguishes between written and
+// durable data, so that a test can inspect the state of the disk after each kind of crash.
 package filesystemtest
 
 import (
@@ -16,13 +16,13 @@
 	"valvecove/internal/filesystem"
 )
 
-// ErrKilled is what every call returns from the kill of the process on, without any effect.
+// ErrKilled is the error of the call at which the process is killed, and of all later calls. Later calls have no effect.
 var ErrKilled = errors.New("the process was killed")
 
 // Operation is a kind of call.
 type Operation string
 
-// The operations.
+// Kinds of calls.
 const (
 	Open          Operation = "open"
 	OpenReader    Operation = "open to read"
@@ -38,17 +38,17 @@
 
 // Call is one call of the disk.
 type Call struct {
-	Number    int // from 0 on
+	Number    int // from 0
 	Operation Operation
 	Path      string
-	Size      int // of a write
+	Size      int // number of bytes of a write
 }
 
-// Fault is how a call fails.
+// Fault describes how a call fails.
 type Fault struct {
 	Err   error // nil: it does not fail
-	Bytes int   // of a write, how many bytes are written all the same
-	After bool  // the call has all of its effect before it fails
+	Bytes int   // number of bytes that a failing write writes nevertheless
+	After bool  // the call takes full effect before it fails
 }
 
 // Disk is a file system in memory.
@@ -58,24 +58,24 @@
 	calls   []Call
 	killed  bool
 	names   map[string]*inode
-	durable map[string]*inode // the names that a power failure leaves
-	pending []nameChange      // since durable, oldest first
+	durable map[string]*inode // the synced names, which survive a power failure
+	pending []nameChange      // changes since the last sync of the names, oldest first
 }
 
-// inode is a file, whatever its name.
+// inode is a file, regardless of its name.
 type inode struct {
 	content []byte
-	durable []byte // what a power failure leaves at least
+	durable []byte // the synced content, which survives a power failure
 }
 
-// nameChange is one change of a directory. Of a rename both names change together.
+// nameChange is one change of a directory. A rename is a single change that removes a name and adds another.
 type nameChange struct {
 	removed string // empty: none
 	added   string // empty: none
 	file    *inode
 }
 
-// New returns a disk with these files, all of them durable.
+// New returns a disk with files, which are durable. The keys are their paths.
 func New(files map[string]string) *Disk {
 	disk := &Disk{names: map[string]*inode{}, durable: map[string]*inode{}}
 	for path, content := range files {
@@ -90,21 +90,21 @@
 	d.durable[path] = file
 }
 
-// SetFault has every call ask how it is to fail; nil: none does.
+// SetFault sets the function that returns the fault of each call. If it is nil, no call fails.
 func (d *Disk) SetFault(fault func(Call) Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = fault
 }
 
-// Calls returns the calls so far.
+// Calls returns all calls so far.
 func (d *Disk) Calls() []Call {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.calls)
 }
 
-// Files returns the files as a process sees them, by path.
+// Files returns the contents of the files as a process reads them, by path.
 func (d *Disk) Files() map[string]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,7 +115,7 @@
 	return files
 }
 
-// begin counts a call and returns how it is to fail. The caller holds the lock.
+// begin records a call and returns its fault. The caller must hold the lock.
 func (d *Disk) begin(operation Operation, path string, size int) Fault {
 	if d.killed {
 		return Fault{Err: ErrKilled}
@@ -130,7 +130,7 @@
 	return fault
 }
 
-// call makes a call that has its whole effect or none.
+// call executes a call that takes full effect or none.
 func (d *Disk) call(operation Operation, path string, effect func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// OpenFile opens a file, which is appended to whatever the flags.
+// OpenFile opens a file. Writes append to it, regardless of the flags.
 func (d *Disk) OpenFile(path string, flags int, _ fs.FileMode) (filesystem.File, error) {
 	opened := &file{disk: d, path: path}
 	err := d.call(Open, path, func() error {
@@ -186,7 +186,7 @@
 	return opened, nil
 }
 
-// OpenReader opens a file to read from.
+// OpenReader opens a file for reading.
 func (d *Disk) OpenReader(path string) (reader io.ReadSeekCloser, err error) {
 	err = d.call(OpenReader, path, func() error {
 		file := d.names[path]
@@ -199,7 +199,7 @@
 	return reader, err
 }
 
-// openReader is a file that is open to be read from.
+// openReader is a file that is open for reading.
 type openReader struct{ *bytes.Reader }
 
 // Close closes the file.
@@ -219,7 +219,7 @@
 	return names, err
 }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (d *Disk) Rename(oldPath, newPath string) error {
 	return d.call(Rename, oldPath, func() error {
 		file := d.names[oldPath]
@@ -242,7 +242,7 @@
 	})
 }
 
-// SyncDirectory makes all names durable, whatever the directory.
+// SyncDirectory makes all names durable, not only those in the directory.
 func (d *Disk) SyncDirectory(directory string) error {
 	return d.call(SyncDirectory, directory, func() error {
 		d.durable = maps.Clone(d.names)
@@ -258,7 +258,7 @@
 	inode *inode
 }
 
-// Write appends data, or a part of it if it fails.
+// Write appends data, or only a part of it if it fails.
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -274,7 +274,7 @@
 	return size, nil
 }
 
-// Truncate cuts the file.
+// Truncate reduces the file to a size.
 func (f *file) Truncate(size int64) error {
 	return f.disk.call(Truncate, f.path, func() error {
 		f.inode.content = f.inode.content[:min(int(size), len(f.inode.content))]
--- a/internal/filesystem/filesystemtest/faults.go
+++ b/internal/filesystem/filesystemtest/faults.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// Errors are those that a test of a failing disk goes through.
+// Errors contains the errors that tests of a failing disk cover.
 var Errors = []error{syscall.ENOSPC, syscall.EIO, syscall.EINTR, syscall.EROFS, syscall.EDQUOT}
 
-// FailCall has one call, by its number, fail.
+// FailCall makes the call with a number fail.
 func FailCall(number int, fault Fault) func(Call) Fault {
 	return func(call Call) Fault {
 		if call.Number == number {
@@ -18,12 +18,12 @@
 	}
 }
 
-// KillAt kills the process at a call, a write after so many of its bytes.
+// KillAt kills the process at the call with a number. If that is a write, some of its bytes are written.
 func KillAt(number, bytes int) func(Call) Fault {
 	return FailCall(number, Fault{Err: ErrKilled, Bytes: bytes})
 }
 
-// FailAll has every call of these operations fail, or every call if none is named.
+// FailAll makes all calls of the given operations fail, or all calls if none is given.
 func FailAll(err error, operations ...Operation) func(Call) Fault {
 	return func(call Call) Fault {
 		for _, operation := range operations {
@@ -38,12 +38,13 @@
 	}
 }
 
-// FailShare has a share of the calls, drawn by a seed, fail with one of Errors: a write with any part of it written, any
-// other call with its effect or without.
-func FailShare(seed uint64, share float64) func(Call) Fault {
+// FailShare makes each call fail with a probability, with one of Errors. A write that fails may have written any part of
+// its data. An open that fails has no effect; any other call that fails may have its full effect or none. All choices depend on
+// the seed.
+func FailShare(seed uint64, probability float64) func(Call) Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(call Call) Fault {
-		if random.Float64() >= share {
+		if random.Float64() >= probability {
 			return Fault{}
 		}
 		fault := Fault{Err: Errors[random.IntN(len(Errors))], Bytes: random.IntN(call.Size + 1)}
--- a/internal/filesystem/lines.go
+++ b/internal/filesystem/lines.go
@@ -8,18 +8,19 @@
 	"slices"
 )
 
-// LineWriter writes texts of whole lines to a destination that may fail and work again. Where a write was cut, the line that
-// it stopped in is completed before the next text, and the lines after it are lost: no line is glued to a part of another one.
-// It is for one goroutine at a time.
+// LineWriter writes whole lines to a destination that may fail for some time. If a write fails in the middle of a line, the next
+// write completes that line before its own text, so that no line follows a part of another one. The lines of the failed write
+// that come after it are lost. A LineWriter is not safe for concurrent use.
 type LineWriter struct {
 	destination io.Writer
-	remainder   []byte // of the line that was cut
+	remainder   []byte // rest of a line that was written in part
 }
 
 // NewLineWriter returns a writer to a destination.
 func NewLineWriter(destination io.Writer) *LineWriter { return &LineWriter{destination: destination} }
 
-// Write writes a text that ends with a line's end. After an error, the line that was cut is completed by a later call.
+// Write writes a text, which must end with a line break. After an error, the line that was written in part is completed by a
+// later call.
 func (w *LineWriter) Write(text []byte) (int, error) {
 	written, err := WriteAll(w.destination, w.remainder)
 	w.remainder = w.remainder[written:]
@@ -33,7 +34,7 @@
 	return written, err
 }
 
-// lineRemainder returns the start of a text up to the first line's end, with that.
+// lineRemainder returns the start of a text up to and including the first line break.
 func lineRemainder(text []byte) []byte {
 	if end := bytes.IndexByte(text, '\n'); end >= 0 {
 		return text[:end+1]
@@ -41,8 +42,8 @@
 	return text
 }
 
-// LineFile appends texts of whole lines to a file, through a LineWriter. While the file can't be opened, as the disk is full,
-// writes fail. It is for one goroutine at a time.
+// LineFile appends whole lines to a file through a LineWriter. While the file can't be opened, for example because the disk is
+// full, writes fail. A LineFile is not safe for concurrent use.
 type LineFile struct {
 	files  FileSystem
 	path   string
@@ -51,11 +52,11 @@
 	writer *LineWriter
 }
 
-// OpenLineFile opens a file, or creates it. It returns an error if the path or a right is wrong, and none if it is the disk that
-// fails or is full: the file is opened by a later write then.
+// OpenLineFile opens or creates a file. It returns an error if the path is wrong or a permission is missing. If the disk fails or
+// is full, it returns no error, and the file is opened by a later write.
 func OpenLineFile(files FileSystem, path string, mode fs.FileMode) (*LineFile, error) {
 	opened := &LineFile{files: files, path: path, mode: mode}
-	if err := opened.open(); err != nil && !MayPass(err) {
+	if err := opened.open(); err != nil && !IsTemporary(err) {
 		return nil, err
 	}
 	return opened, nil
@@ -69,21 +70,22 @@
 		}
 		f.file = file
 		f.writer = NewLineWriter(file)
-		if f.endsInLine() { // a process was killed while it wrote that
+		if f.endsWithPartialLine() { // a process was killed while it wrote a line
 			f.writer.remainder = []byte{'\n'}
 		}
 		return nil
 	})
 }
 
-// endsInLine reports whether the file ends within a line. Of what can't be read, such as a pipe, it says no.
-func (f *LineFile) endsInLine() bool {
+// endsWithPartialLine reports whether the file ends with a part of a line. It returns false for a file that can't be read, such
+// as a pipe.
+func (f *LineFile) endsWithPartialLine() bool {
 	reader, err := f.files.OpenReader(f.path)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = reader.Close() }()
-	if _, err := reader.Seek(-1, io.SeekEnd); err != nil { // empty, or no file
+	if _, err := reader.Seek(-1, io.SeekEnd); err != nil { // empty, or not a regular file
 		return false
 	}
 	last := make([]byte, 1)
@@ -91,7 +93,7 @@
 	return err == nil && last[0] != '\n'
 }
 
-// Write appends a text that ends with a line's end.
+// Write appends a text, which must end with a line break.
 func (f *LineFile) Write(text []byte) (int, error) {
 	if f.file == nil {
 		if err := f.open(); err != nil {
--- a/internal/filesystem/lines_test.go
+++ b/internal/filesystem/lines_test.go
@@ -23,8 +23,8 @@
 	return file
 }
 
-// Whatever share of the calls fails, and wherever writes are cut: each line of the file is one that was written, in order, and
-// no text of which the write succeeded is missing.
+// Of the disk's calls, 40% fail, and a write that fails may be partial. Each line of the file is one that was written, in the
+// order of the writes, and no text is missing whose write returned no error.
 func TestLineFileUnderRandomFaults(t *testing.T) {
 	lost, total := 0, 0
 	for seed := range uint64(100) {
@@ -49,29 +49,29 @@
 		total += len(written) + 1
 	}
 	if lost == 0 || lost > total/2 {
-		t.Errorf("%d of %d lines lost: the faults say nothing", lost, total)
+		t.Errorf("%d of %d lines lost, expected some, and half of them at most", lost, total)
 	}
 }
 
-// checkLines expects a part of all lines, in order, with those that must be there.
-func checkLines(t *testing.T, seed uint64, got, all, must []string) {
+// checkLines expects that got contains only lines of all, in their order, and each of the required lines.
+func checkLines(t *testing.T, seed uint64, got, all, required []string) {
 	t.Helper()
 	next := 0
 	for _, line := range got {
 		found := slices.Index(all[next:], line)
 		if found < 0 {
-			t.Fatalf("seed %d: %q was not written after %q", seed, line, all[:next])
+			t.Fatalf("seed %d: %q was not written, or not after %q", seed, line, all[:next])
 		}
 		next += found + 1
 	}
-	for _, line := range must {
+	for _, line := range required {
 		if !slices.Contains(got, line) {
-			t.Fatalf("seed %d: %q was written without an error, and is missing", seed, line)
+			t.Fatalf("seed %d: %q is missing, although its write returned no error", seed, line)
 		}
 	}
 }
 
-// A process that is killed at any byte of a write leaves a part of a line; the next process begins a line of its own.
+// A process that is killed at any byte of a write may leave a part of a line. The next process then starts a new line.
 func TestLineFileAfterKill(t *testing.T) {
 	for size := range len("one\ntwo\n") + 1 {
 		disk := filesystemtest.New(map[string]string{linesPath: "zero\n"})
@@ -93,7 +93,7 @@
 	}
 }
 
-// A full disk at the start is waited for; a wrong path is an error.
+// On a full disk, OpenLineFile returns no error, and a later write opens the file. A missing permission is an error.
 func TestOpenLineFile(t *testing.T) {
 	disk := filesystemtest.New(nil)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC))
@@ -110,6 +110,6 @@
 	}
 	disk.SetFault(filesystemtest.FailAll(syscall.EACCES))
 	if _, err := filesystem.OpenLineFile(disk, linesPath, 0); !errors.Is(err, syscall.EACCES) {
-		t.Errorf("without the right: %v", err)
+		t.Errorf("without permission: %v", err)
 	}
 }
--- a/internal/filesystem/retry.go
+++ b/internal/filesystem/retry.go
@@ -6,16 +6,17 @@
 	"syscall"
 )
 
-// maxInterruptions bounds how often a call that a signal has interrupted is made anew.
+// maxInterruptions is the maximum number of times that a call is repeated because signals have interrupted it.
 const maxInterruptions = 100
 
-// MayPass reports whether an error is one of a disk that fails or is full, which may pass, and not of a wrong path or right.
-func MayPass(err error) bool {
+// IsTemporary reports whether an error may be temporary: the disk fails or is full, or a signal has interrupted the call. Errors
+// of a wrong path or a missing permission are not temporary.
+func IsTemporary(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EIO) ||
 		errors.Is(err, syscall.EINTR)
 }
 
-// RetryInterrupted makes a call, and makes it anew as long as it is interrupted.
+// RetryInterrupted makes a call, and repeats it up to maxInterruptions times while signals interrupt it.
 func RetryInterrupted(call func() error) error {
 	err := call()
 	for range maxInterruptions {
@@ -27,8 +28,8 @@
 	return err
 }
 
-// WriteAll writes all of data, in several calls if one is interrupted or writes less than it was given. It returns how much
-// was written, and an error if that is not all.
+// WriteAll writes all data, in several calls if one is interrupted by a signal or writes only a part. It returns the number of
+// written bytes, and an error if not all were written.
 func WriteAll(destination io.Writer, data []byte) (written int, err error) {
 	for interruptions := 0; written < len(data); {
 		size, err := destination.Write(data[written:])
--- a/internal/filesystem/retry_test.go
+++ b/internal/filesystem/retry_test.go
@@ -13,7 +13,8 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// Interrupted and short writes go on where they stopped; any other error ends the write, and returns how much was written.
+// After an interrupted or short write, WriteAll continues with the rest of the data. After any other error it returns the number
+// of written bytes.
 func TestWriteAll(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -26,7 +27,7 @@
 		{"short", []filesystemtest.Fault{{Err: io.ErrShortWrite, Bytes: 1}, {Err: io.ErrShortWrite, Bytes: 4}}, "abcdef", nil},
 		{"no progress", []filesystemtest.Fault{{Err: io.ErrShortWrite}}, "", io.ErrShortWrite},
 		{"full", []filesystemtest.Fault{{Err: io.ErrShortWrite, Bytes: 2}, {Err: syscall.ENOSPC, Bytes: 1}}, "abc", syscall.ENOSPC},
-		{"never but interrupted", slices.Repeat([]filesystemtest.Fault{{Err: syscall.EINTR}}, 1000), "", syscall.EINTR},
+		{"always interrupted", slices.Repeat([]filesystemtest.Fault{{Err: syscall.EINTR}}, 1000), "", syscall.EINTR},
 	} {
 		disk := filesystemtest.New(nil)
 		file, err := disk.OpenFile("/f", os.O_CREATE, 0)
@@ -48,7 +49,7 @@
 	}
 }
 
-// The calls of the operating system's file system do what their names say.
+// Disk performs each call on the file system of the operating system.
 func TestDisk(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "a")
@@ -69,12 +70,12 @@
 	content, _ := io.ReadAll(reader)
 	names, err := filesystem.Disk.ListNames(directory)
 	if string(content) != "te" || !slices.Equal(names, []string{"b"}) || err != nil {
-		t.Errorf("%q, %v, %v", content, names, err)
+		t.Errorf("content %q, names %v, %v", content, names, err)
 	}
 	if err := errors.Join(reader.Close(), filesystem.Disk.Remove(moved)); err != nil {
 		t.Error(err)
 	}
 	if file, err := filesystem.Disk.OpenFile(moved, os.O_WRONLY, 0); file != nil || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v, %v", file, err)
+		t.Errorf("opened a removed file: %v, %v", file, err)
 	}
 }
