--- a/internal/filesystem/filesystemtest/faults.go
+++ b/internal/filesystem/filesystemtest/faults.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// KillAt kills the process at the call with a number. If that is a write, some of its bytes are written.
+// KillAt kills the process at the call with a number. If that is a write, the given number of its bytes is written.
 func KillAt(number, bytes int) func(Call) Fault {
 	return FailCall(number, Fault{Err: ErrKilled, Bytes: bytes})
 }
--- a/internal/modeltest/modeltest.go
+++ b/internal/modeltest/modeltest.go
@@ -1,5 +1,5 @@
-// Package modeltest runs model tests: it turns a fuzzer's bytes into random steps, which a model and the code under test
-// both take. It knows neither the steps nor the code, and is for tests alone.
+// Package modeltest runs model tests. It derives random choices from a fuzzer's bytes; a test uses them to choose the steps that
+// it executes both on a model and on the code under test. The package is independent of both, and is used only by tests.
 package modeltest
 
 import (
@@ -7,27 +7,28 @@
 	"testing"
 )
 
-// Seeded sequences of Fuzz: how many, and the bytes of the shortest and by which each is longer than the one before.
+// The seed inputs of Fuzz.
 const (
 	seedCount     = 120
-	seedBytes     = 20
-	seedIncrement = 4
+	seedBytes     = 20 // length of the first one
+	seedIncrement = 4  // number of bytes by which each one is longer than the one before
 )
 
-// maxSteps bounds the bytes of a run, which take a step each at most: longer runs find nothing that shorter ones do not.
+// maxSteps is the maximum number of bytes of a run, and so of its steps, as each uses at least one byte. Longer runs find no
+// faults that shorter ones do not find.
 const maxSteps = 1000
 
-// Steps makes the random choices of one run until its bytes are used up.
+// Steps makes the random choices of one run, until the bytes of the run are used up.
 type Steps struct {
 	T         *testing.T
 	remaining []byte
 	history   []string
 }
 
-// More reports whether another step is to be taken.
+// More reports whether there are bytes for another step.
 func (s *Steps) More() bool { return len(s.remaining) > 0 }
 
-// Pick returns a choice from 0 to n-1, which takes one byte. It returns 0 once the bytes are used up.
+// Pick returns a random number from 0 to n-1, for which it uses one byte. It returns 0 once the bytes are used up.
 func (s *Steps) Pick(n int) int {
 	if len(s.remaining) == 0 {
 		return 0
@@ -37,10 +38,10 @@
 	return choice
 }
 
-// Record adds a step to the history that a failure shows.
+// Record adds a step to the history, which the message of a failed Check contains.
 func (s *Steps) Record(step string) { s.history = append(s.history, step) }
 
-// Check fails the test, with the history, unless ok.
+// Check fails the test with the history if ok is false.
 func (s *Steps) Check(ok bool, format string, args ...any) {
 	s.T.Helper()
 	if !ok {
@@ -48,7 +49,7 @@
 	}
 }
 
-// Fuzz runs a model on seeded sequences, which are the same each time, and on whatever the fuzzer finds.
+// Fuzz runs a model with the seed inputs, which are always the same, and with the inputs that the fuzzer generates.
 func Fuzz(f *testing.F, model func(steps *Steps)) {
 	f.Helper()
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/modeltest/modeltest_test.go
+++ b/internal/modeltest/modeltest_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// A run takes its choices from its bytes and ends with them.
+// A run derives its choices from its bytes, and ends when they are used up.
 func TestStepsEndWithTheirBytes(t *testing.T) {
 	steps := &Steps{T: t, remaining: []byte{7, 8}}
 	if first, second := steps.Pick(5), steps.Pick(3); first != 2 || second != 2 {
 		t.Errorf("picked %d and %d, expected 2 and 2", first, second)
 	}
 	if steps.More() || steps.Pick(5) != 0 {
-		t.Error("more steps than bytes")
+		t.Error("there are steps after the last byte")
 	}
 }
--- a/internal/modeltest/observertest/fixture.go
+++ b/internal/modeltest/observertest/fixture.go
@@ -1,5 +1,5 @@
-// Package observertest is for tests of what observes a request table: it has a table, and stands in for its clients,
-// its workers and its dispatch policy. It opens no socket and reads no clock.
+// Package observertest is for tests of observers of a request table. It provides a table, and simulates its clients, its workers
+// and its dispatch policy. It opens no socket and reads no clock.
 package observertest
 
 import (
@@ -13,23 +13,23 @@
 	"valvecove/internal/requests"
 )
 
-// workerCount is how many workers a fixture has. Their ids are s-0, s-1, ...
+// workerCount is the number of workers of a fixture. Their IDs are s-0, s-1, ...
 const workerCount = 2
 
-// startTime is the clock of a new fixture, since the Unix epoch.
+// startTime is the initial time of a fixture, since the Unix epoch.
 const startTime = 1718000000 * time.Second
 
-// attemptLimit is how many attempts a request may have.
+// attemptLimit is the maximum number of attempts of a request.
 const attemptLimit = 6
 
-// Fixture is a request table with a scripted policy. It is the table's transport and the responder of its requests: its
-// workers have each attempt at once, and its clients ignore their responses.
+// Fixture is a request table with a scripted policy. It is also the table's transport and the responder of its requests: it marks
+// each attempt as written at once, and ignores the responses to clients.
 type Fixture struct {
 	T        testing.TB
 	Table    *requests.Table
 	Policy   *modeltest.ScriptedPolicy
-	Attempts []*requests.Attempt // all that were started, in order
-	Now      time.Duration       // the table's clock, which moves only if a test sets it
+	Attempts []*requests.Attempt // all attempts that were started, in order
+	Now      time.Duration       // the table's clock, which only a test changes
 	workers  []dispatch.Worker
 }
 
@@ -51,14 +51,14 @@
 	return f
 }
 
-// Apply has the policy take an action.
+// Apply makes the policy return an action, and runs a step.
 func (f *Fixture) Apply(action dispatch.Action) {
 	f.Policy.Next = append(f.Policy.Next, action)
-	f.Table.DiscoveryFailed() // an event, so that there is something to step for
+	f.Table.DiscoveryFailed() // an event, without which Step would not run the policy
 	f.Table.Step(f.Now)
 }
 
-// Admit admits a request. Its id must not be that of an open one.
+// Admit admits a request. Its ID must not be that of an open request.
 func (f *Fixture) Admit(id string, tenant, class int) *requests.Request {
 	f.T.Helper()
 	request, err := f.Table.Admit(f.Now, requests.Arrival{
@@ -67,12 +67,12 @@
 		Job:       dispatch.Job{Tenant: tenant, Class: class, Remaining: time.Hour},
 	})
 	if err != nil {
-		f.T.Fatalf("admitting %s: %v", id, err)
+		f.T.Fatalf("admitting request %s: %v", id, err)
 	}
 	return request
 }
 
-// Send has the policy send a request to a worker, and reports whether an attempt was started.
+// Send makes the policy send a request to a worker, and reports whether an attempt was started.
 func (f *Fixture) Send(request *requests.Request, workerID string) bool {
 	before := len(f.Attempts)
 	index := workerID[len("s-")] - '0'
@@ -80,13 +80,13 @@
 	return len(f.Attempts) > before
 }
 
-// SendCallback has a worker call back on a request.
+// SendCallback passes a worker's callback about a request to the table.
 func (f *Fixture) SendCallback(id, workerID, state string, progress float64) {
 	f.T.Helper()
 	result := "r"
 	callback := requests.Callback{CallID: id, EndpointID: workerID, State: state, Progress: progress, Result: &result}
 	if _, err := f.Table.HandleCallback(callback); err != nil {
-		f.T.Fatalf("callback of %s on %s: %v", workerID, id, err)
+		f.T.Fatalf("callback of worker %s about request %s: %v", workerID, id, err)
 	}
 }
 
@@ -99,13 +99,13 @@
 // RespondFailed ignores a response.
 func (f *Fixture) RespondFailed() {}
 
-// Start keeps an attempt. Its worker has it whole at once.
+// Start stores an attempt, and marks it as written at once.
 func (f *Fixture) Start(attempt *requests.Attempt) {
 	attempt.Stage = requests.StageWritten
 	f.Attempts = append(f.Attempts, attempt)
 }
 
-// Cancel has the worker confirm at once.
+// Cancel confirms the cancellation at once.
 func (f *Fixture) Cancel(attempt *requests.Attempt) { f.Table.CancelCompleted(attempt, true) }
 
 // Abandon does nothing, as do the other methods of requests.Transport.
--- a/internal/modeltest/scripted_policy.go
+++ b/internal/modeltest/scripted_policy.go
@@ -6,14 +6,14 @@
 	"valvecove/dispatch"
 )
 
-// ScriptedPolicy is a dispatch policy that takes the actions it is given and keeps the events it receives.
+// ScriptedPolicy is a dispatch policy that returns the actions that a test sets, and stores the events that it receives.
 type ScriptedPolicy struct {
-	Next     []dispatch.Action // taken in the next step
+	Next     []dispatch.Action // returned by the next step
 	Received []dispatch.Event  // in order
-	Panic    bool              // the next step panics in place of acting
+	Panic    bool              // the next step panics instead of returning actions
 }
 
-// Step appends the actions of the script to dst.
+// Step stores the events, and appends the actions in Next to dst.
 func (p *ScriptedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	if p.Panic {
 		p.Panic = false
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -7,7 +7,7 @@
 	"valvecove/dispatch"
 )
 
-// resultsByCode are the results of attempts and health checks by the protocol's completion codes.
+// resultsByCode maps the protocol's completion codes to the results of attempts and health checks.
 var resultsByCode = map[int64]dispatch.Result{
 	200: dispatch.OK,
 	410: dispatch.NotSent,
@@ -19,6 +19,7 @@
 	598: dispatch.ConnectionReset,
 }
 
+// listKinds maps the values of the field kind of a DISCOVERY line.
 var listKinds = map[string]dispatch.ListKind{
 	"incr":      dispatch.ListDelta,
 	"total":     dispatch.ListFull,
@@ -32,7 +33,8 @@
 	progressShare   = 2
 )
 
-// decoders are the messages by the first word of their line, but for DISCOVERY, which is more than a line.
+// decoders maps the first word of a line to the function that decodes the line. DISCOVERY is not included, as it is followed by
+// further lines.
 var decoders = map[string]func(line *fields) Message{
 	"ENLIST":              decodeStart,
 	"DETACH":              func(*fields) Message { return Stop{} },
@@ -46,7 +48,7 @@
 	"PEER_DATA":           decodePeerDatagram,
 }
 
-// decodeInput decodes an event line and, for a worker list, the entries that follow it.
+// decodeInput decodes the line of an event and, for a worker list, the entries that follow it.
 func (r *Reader) decodeInput(line string) (Input, error) {
 	name, fields := splitLine(line)
 	if name == "M" || name == "ROUND" {
@@ -87,7 +89,7 @@
 	}}
 }
 
-// attemptID is what names an attempt.
+// attemptID identifies an attempt.
 type attemptID struct {
 	job     uint64
 	attempt int
@@ -140,7 +142,7 @@
 	return Event{dispatch.ClientDisconnected{Job: line.id("txn")}}
 }
 
-// readWorkerList decodes a DISCOVERY line, and reads its entries.
+// readWorkerList decodes a DISCOVERY line and the lines of its entries.
 func (r *Reader) readWorkerList(line *fields) (dispatch.WorkerList, error) {
 	kind, ok := listKinds[line.text("kind")]
 	if !ok {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -12,34 +12,34 @@
 	"valvecove/internal/config"
 )
 
-// presence says whether a line must have a field.
+// presence is whether a line must have a field.
 type presence int
 
 const (
-	optional presence = iota // 0 where it is missing
+	optional presence = iota // if it is missing, its value is 0
 	required
 )
 
-// fields are the name=value pairs of a line. Its methods return the value of a field, and keep the first error in err.
+// fields contains the name=value pairs of a line. Its methods return the value of a field, and store the first error in err.
 type fields struct {
 	pairs string
 	err   error
 }
 
-// splitLine returns the first word of a line, and its fields.
+// splitLine returns the first word of a line, and the fields after it.
 func splitLine(line string) (string, *fields) {
 	name, pairs, _ := strings.Cut(line, " ")
 	return name, &fields{pairs: pairs}
 }
 
-// fail keeps an error unless there is one already.
+// fail stores an error, unless there already is one.
 func (f *fields) fail(field, expected, value string) {
 	if f.err == nil {
 		f.err = &FieldError{Field: field, Expected: expected, Value: quotable(value)}
 	}
 }
 
-// find returns the value of the first field of a name, and whether there is one.
+// find returns the value of the first field with a name, and whether there is one.
 func (f *fields) find(name string) (string, bool) {
 	for pair := range strings.SplitSeq(f.pairs, " ") {
 		if key, value, ok := strings.Cut(pair, "="); ok && key == name {
@@ -54,7 +54,7 @@
 	return value
 }
 
-// bytes returns a required field in base64 with padding; "-" stands for none.
+// bytes decodes a required field, which is base64 with padding, or "-" for no bytes.
 func (f *fields) bytes(name string) []byte {
 	value, _ := f.find(name)
 	if value == "-" {
@@ -79,7 +79,7 @@
 	return parsed
 }
 
-// id returns a required number that is not negative.
+// id returns a required whole number that is not negative.
 func (f *fields) id(name string) uint64 {
 	id := f.integer(name, required)
 	if id < 0 {
@@ -88,7 +88,7 @@
 	return uint64(id)
 }
 
-// seed returns a required number of 64 bits, with or without a sign.
+// seed returns a required integer of 64 bits, which may be signed or unsigned.
 func (f *fields) seed(name string) uint64 {
 	if seed, err := strconv.ParseUint(f.text(name), 10, 64); err == nil {
 		return seed
@@ -96,7 +96,7 @@
 	return uint64(f.integer(name, required))
 }
 
-// duration returns a number of microseconds.
+// duration returns a duration, which is a whole number of microseconds in the line.
 func (f *fields) duration(name string, must presence) time.Duration {
 	const limit = int64(math.MaxInt64 / time.Microsecond)
 	microseconds := f.integer(name, must)
@@ -119,7 +119,7 @@
 	return parsed
 }
 
-// flag returns whether an optional field is 1.
+// flag reports whether an optional field is 1.
 func (f *fields) flag(name string) bool {
 	value, ok := f.find(name)
 	if ok && value != "0" && value != "1" {
@@ -128,7 +128,7 @@
 	return value == "1"
 }
 
-// result returns the result that a completion code stands for.
+// result returns the result for a required completion code.
 func (f *fields) result(name string) dispatch.Result {
 	result, ok := resultsByCode[f.integer(name, required)]
 	if !ok {
@@ -137,7 +137,8 @@
 	return result
 }
 
-// numbers returns optional numbers with commas between them. One that is empty or "-" is absent, which NaN stands for.
+// numbers returns an optional list of numbers that are separated by commas. An element that is empty or "-" is absent, and is NaN
+// in the result.
 func (f *fields) numbers(name string) []float64 {
 	value, ok := f.find(name)
 	if !ok || value == "" {
@@ -151,14 +152,14 @@
 		}
 		number, err := strconv.ParseFloat(part, 64)
 		if err != nil {
-			f.fail(name, "numbers set apart by commas", value)
+			f.fail(name, "numbers separated by commas", value)
 		}
 		parsed = append(parsed, number)
 	}
 	return parsed
 }
 
-// settings returns the settings of a JSON object, which is the rest of the line.
+// settings decodes the settings in a required JSON object, which is the rest of the line.
 func (f *fields) settings(name string) dispatch.Settings {
 	_, object, ok := strings.Cut(" "+f.pairs, " "+name+"=")
 	if !ok {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -1,6 +1,6 @@
-// Package simwire reads and writes the simulator's line protocol: batches of events for any number of scheduler instances,
-// and replies with their actions. It translates between lines and the dispatch package's types. It decides nothing and keeps
-// no state of an instance.
+// Package simwire reads and writes the simulator's line protocol, which consists of batches of events for any number of scheduler
+// instances, and of replies with the instances' actions. It converts between lines and the types of package dispatch. It makes no
+// decisions, and stores no state of an instance.
 package simwire
 
 import (
@@ -9,7 +9,7 @@
 	"valvecove/dispatch"
 )
 
-// Batch is all that happened at one instant.
+// Batch contains all inputs of one point in time.
 type Batch struct {
 	Now    time.Duration // the simulator's clock
 	Inputs []Input       // in order
@@ -21,13 +21,13 @@
 	Message  Message
 }
 
-// Message is what an input says: Start, Stop, Event or Ignored.
+// Message is the content of an input: a Start, Stop, Event, PeerDatagram or Ignored.
 type Message interface{ isMessage() }
 
-// Start begins an instance, in place of an earlier one of that number.
+// Start starts an instance. It replaces an earlier instance with the same number.
 type Start struct {
 	Settings dispatch.Settings
-	Seed     uint64 // of its random choices
+	Seed     uint64 // of the instance's random numbers
 }
 
 // Stop ends an instance.
@@ -36,13 +36,13 @@
 // Event is an event for an instance's dispatch policy.
 type Event struct{ Event dispatch.Event }
 
-// PeerDatagram is a datagram that another instance of the tier has sent.
+// PeerDatagram is a datagram from another instance of the same deployment.
 type PeerDatagram struct {
-	From    int // its dispatch.Settings.ReplicaIndex
+	From    int // dispatch.Settings.ReplicaIndex of the sender
 	Payload []byte
 }
 
-// Ignored is a message of the protocol that the dispatch policy has no use for.
+// Ignored is a message of the protocol that the dispatch policy does not use.
 type Ignored struct{}
 
 func (Start) isMessage()        {}
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -14,7 +14,7 @@
 // Reader reads batches.
 type Reader struct {
 	input      *bufio.Reader
-	lineNumber int // of the line read last, from 1
+	lineNumber int // of the line that was read last, from 1
 }
 
 // NewReader returns a Reader of an input.
@@ -22,7 +22,7 @@
 	return &Reader{input: bufio.NewReaderSize(input, bufferBytes)}
 }
 
-// Read fills batch with the next batch, and reuses its slice. It returns io.EOF at the end of input, and a *LineError for
+// Read reads the next batch into batch, whose slice it reuses. It returns io.EOF at the end of the input, and a *LineError for
 // input that the protocol does not allow. After an error no further batch can be read.
 func (r *Reader) Read(batch *Batch) error {
 	batch.Inputs = batch.Inputs[:0]
@@ -48,7 +48,7 @@
 	}
 }
 
-// readStart reads the line that begins a batch. Blank lines may stand before it.
+// readStart reads the first line of a batch, and skips blank lines before it.
 func (r *Reader) readStart(batch *Batch) error {
 	line := ""
 	for line == "" {
@@ -86,14 +86,14 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
-// lineError returns an error about the line read last.
+// lineError returns an error about the line that was read last.
 func (r *Reader) lineError(err error) error { return &LineError{Line: r.lineNumber, Err: err} }
 
 func (r *Reader) unexpectedLine(expected, line string) error {
 	return r.lineError(fmt.Errorf("expected %s, got %q", expected, quotable(line)))
 }
 
-// endOfInputError returns an error about the line that is missing.
+// endOfInputError returns an error about the line that is missing after the last one.
 func (r *Reader) endOfInputError(expected string) error {
 	return &LineError{Line: r.lineNumber + 1, Err: fmt.Errorf("expected %s, got %w", expected, errEndOfInput)}
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -12,7 +12,7 @@
 	"valvecove/dispatch"
 )
 
-// Writer writes replies. Errors of its output show in End.
+// Writer writes replies. End returns the errors of its output.
 type Writer struct {
 	output *bufio.Writer
 	line   []byte // reused
@@ -46,7 +46,8 @@
 	case dispatch.CloseIdleConnections:
 		w.writeLine("FREE_LINKS", instance, field{"worker", action.Worker})
 	case dispatch.SetTimer:
-		// Rounded up, so that the timer never fires early. The tag may have any value: an instance has one timer.
+		// The offset is rounded up, so that the timer never fires early. The tag may have any value, as an instance has only one
+		// timer.
 		offset := microseconds(action.After + time.Microsecond - 1)
 		w.writeLine("ARM", instance, field{"tag", 1}, field{"offset", offset})
 	case dispatch.Subscribe:
@@ -58,17 +59,17 @@
 	}
 }
 
-// PeerDatagram adds a datagram from an instance to another one of its tier.
+// PeerDatagram adds to the reply a datagram from an instance to another one of the same deployment.
 func (w *Writer) PeerDatagram(instance, to int, payload []byte) {
 	fmt.Fprintf(w.output, "MEMO_TO i=%d peer=%d payload=%s\n", instance, to, base64.StdEncoding.EncodeToString(payload))
 }
 
-// Fault adds to the reply that an instance failed.
+// Fault adds to the reply an internal error of an instance.
 func (w *Writer) Fault(instance int, text string) { w.writeText("INTERNAL_ERROR", instance, text) }
 
-// End ends the reply and flushes it.
+// End completes the reply and flushes it.
 func (w *Writer) End() error {
-	_, _ = w.output.WriteString("NEXT\n") // an error shows in Flush
+	_, _ = w.output.WriteString("NEXT\n") // Flush returns the error
 	if err := w.output.Flush(); err != nil {
 		return fmt.Errorf("writing the reply: %w", err)
 	}
@@ -81,7 +82,7 @@
 	value uint64
 }
 
-// microseconds returns a duration in the unit of the protocol. One that is negative becomes 0.
+// microseconds returns a duration in the unit of the protocol, or 0 if it is negative.
 func microseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Microseconds())) }
 
 func (w *Writer) writeLine(name string, instance int, fields ...field) {
@@ -97,10 +98,10 @@
 	}
 	line = append(line, '\n')
 	w.line = line
-	_, _ = w.output.Write(line) // an error shows in End
+	_, _ = w.output.Write(line) // End returns the error
 }
 
-// writeText writes a line that ends with text, in which control characters become spaces.
+// writeText writes a line that ends with a text, in which control characters are replaced by spaces.
 func (w *Writer) writeText(name string, instance int, text string) {
 	visible := strings.Map(func(char rune) rune {
 		if char < ' ' {
--- a/internal/storedform/storedform.go
+++ b/internal/storedform/storedform.go
@@ -1,6 +1,7 @@
-// Package storedform is what tests of stored forms share: of bytes that outlive the build which wrote them, as the frames of
-// a hot restart, captures and kept files do. It checks that the names of such a form stand in tags rather than follow from
-// Go names, and compares with golden files. It is used by tests only and knows none of the forms.
+// Package storedform contains helpers for tests of stored formats. Data in such a format outlives the build that wrote it: the
+// frames of a hot restart, captures and state files. The package checks that the names in a format are set by tags and not
+// derived from Go names, and compares encoded data with golden files. It is used only by tests, and does not depend on any of the
+// formats.
 package storedform
 
 import (
@@ -14,12 +15,12 @@
 	"testing"
 )
 
-// Untagged walks the types of the roots, and all types that encoding reaches from them. It lists each exported field
-// without a name in a json tag, as a rename would change what is written, and each field whose type says nothing of what
-// is written there, as an interface does. A field that is tagged "-" is none of the form.
+// Untagged inspects the types of the roots, and all types that their encoding contains. It lists each exported field without a
+// name in a json tag, as renaming that field would change the encoding. It also lists each field whose type does not determine
+// the encoding, such as an interface. A field with the tag "-" is not part of the format.
 func Untagged(roots ...any) []string { return UntaggedBy("json", roots...) }
 
-// UntaggedBy is Untagged for another reader's tags, such as toml, or name for those of the command line.
+// UntaggedBy is Untagged for tags with another key, such as "toml", or "name" for the command line.
 func UntaggedBy(key string, roots ...any) []string {
 	w := walk{key: key, seen: map[reflect.Type]bool{}}
 	for _, root := range roots {
@@ -28,13 +29,13 @@
 	return w.faults
 }
 
-// CheckTags fails a test for what Untagged lists.
+// CheckTags fails a test if Untagged lists anything.
 func CheckTags(tb testing.TB, roots ...any) {
 	tb.Helper()
 	CheckTagsBy(tb, "json", roots...)
 }
 
-// CheckTagsBy fails a test for what UntaggedBy lists.
+// CheckTagsBy fails a test if UntaggedBy lists anything.
 func CheckTagsBy(tb testing.TB, key string, roots ...any) {
 	tb.Helper()
 	for _, fault := range UntaggedBy(key, roots...) {
@@ -42,10 +43,11 @@
 	}
 }
 
+// walk is a traversal of types.
 type walk struct {
 	key    string // of the tags
 	seen   map[reflect.Type]bool
-	faults []string
+	faults []string // the entries of the list that Untagged returns
 }
 
 var marshaler = reflect.TypeFor[json.Marshaler]()
@@ -60,7 +62,7 @@
 	}
 	w.seen[t] = true
 	if t.Implements(marshaler) || reflect.PointerTo(t).Implements(marshaler) {
-		return // it has a form of its own
+		return // it defines its own encoding
 	}
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
@@ -71,7 +73,7 @@
 	case reflect.Struct:
 		w.fields(t)
 	case reflect.Interface, reflect.Func, reflect.Chan, reflect.UnsafePointer:
-		w.faults = append(w.faults, fmt.Sprintf("%s: %v does not say what is written", place, t))
+		w.faults = append(w.faults, fmt.Sprintf("%s: type %v does not determine the encoding", place, t))
 	}
 }
 
@@ -90,13 +92,13 @@
 	}
 }
 
-// Zero lists the exported fields, however deep, that have their type's zero value somewhere in a value, and what holds
-// nothing. A golden file of a value for which it lists none shows every field of the form.
+// Zero lists the exported fields at any depth of a value that are zero, and the lists that are empty. If it lists nothing, a
+// golden file of the value contains every field of the format.
 func Zero(value any) []string {
 	return unsetFields(reflect.ValueOf(value), fmt.Sprintf("%T", value))
 }
 
-// unsetFields is Zero for a value that stands at a place.
+// unsetFields is Zero for a part of a value. place is the path of the part.
 func unsetFields(value reflect.Value, place string) (unset []string) {
 	if value.IsZero() {
 		return []string{place}
@@ -116,7 +118,7 @@
 	return unset
 }
 
-// unsetElements is Zero for a list. Bytes are one value: any of them may be zero.
+// unsetElements is Zero for a list. A list of bytes is a single value: any of its bytes may be zero.
 func unsetElements(list reflect.Value, place string) (unset []string) {
 	if list.Len() == 0 {
 		return []string{place}
@@ -132,9 +134,9 @@
 
 // Golden reads a golden file of the package under test.
 //
-// Golden files are what a build before has written. They are never written anew to make a test pass: a build that does not
-// read them, or writes other bytes, can't go on from what runs today. A form that has to change gets a new number, and
-// golden files of its own beside these.
+// Golden files contain what an earlier build has written. They are never regenerated to make a test pass: a build that can't read
+// them, or writes other bytes, can't continue with the data of the builds that run today. A format that has to change gets a new
+// number and additional golden files.
 func Golden(tb testing.TB, name string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -144,7 +146,7 @@
 	return text
 }
 
-// CheckGolden fails a test if what is written today is not what a golden file has.
+// CheckGolden fails a test if the data that is encoded today differs from a golden file.
 func CheckGolden(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	want := Golden(tb, name)
@@ -156,6 +158,6 @@
 		at++
 	}
 	from := max(0, at-40)
-	tb.Errorf("%s: %d bytes, expected %d; from byte %d on they differ: %q, expected %q", name, len(got), len(want), at,
+	tb.Errorf("%s: %d bytes, expected %d; they differ from byte %d on: %q, expected %q", name, len(got), len(want), at,
 		got[from:min(len(got), at+40)], want[from:min(len(want), at+40)])
 }
--- a/internal/storedform/storedform_test.go
+++ b/internal/storedform/storedform_test.go
@@ -25,13 +25,13 @@
 	Itself  *outer                      `json:"itself"`
 }
 
-// Every field that a rename would change is found, wherever it stands, and nothing else.
+// Untagged lists each field whose renaming would change the encoding, at any depth, and nothing else.
 func TestUntagged(t *testing.T) {
 	want := []string{
 		"storedform.Embedded.Bare: no name in a json tag",
 		"storedform.inner.Unnamed: no name in a json tag",
 		"struct { X int }.X: no name in a json tag",
-		"storedform.outer.Any: interface {} does not say what is written",
+		"storedform.outer.Any: type interface {} does not determine the encoding",
 	}
 	if got := Untagged(outer{}); !slices.Equal(got, want) {
 		t.Errorf("%q, expected %q", got, want)
@@ -44,15 +44,15 @@
 type base struct{ Bare int }
 
 type options struct {
-	base                  // its fields are promoted, though it is not exported
+	base                  // its fields are promoted although its type is not exported
 	List    []base        `name:"list"`
 	Wait    time.Duration `name:"wait"`
-	At      time.Time     `name:"at"` // which has a form of its own
+	At      time.Time     `name:"at"` // defines its own encoding
 	Unnamed int           `json:"unnamed" name:""`
 	Skipped outer         `name:"-"`
 }
 
-// So it is by the tags of another reader, and an embedded struct's fields count though its type is not exported.
+// UntaggedBy does the same for other tags. The fields of an embedded struct are listed even if its type is not exported.
 func TestUntaggedBy(t *testing.T) {
 	want := []string{"storedform.base.Bare: no name in a name tag", "storedform.options.Unnamed: no name in a name tag"}
 	if got := UntaggedBy("name", []options{}); !slices.Equal(got, want) {
--- a/internal/tools/wordcheck/main.go
+++ b/internal/tools/wordcheck/main.go
@@ -7,14 +7,14 @@
 //
 // Each line of LIST is a rule; blank lines and lines that begin with # are skipped:
 //
-//	word PATTERN     no identifier has it as one of its words (heldJobs has held and jobs), and no text has it
+//	word PATTERN     no identifier has it as one of its words (heldJobs has the words held and jobs), and no text has it
 //	name PATTERN     no identifier has it as one of its words; texts may use it
 //	whole PATTERN    no identifier is exactly that, in any case
-//	phrase PATTERN   no comment or log message has this phrase, also not over several lines
-//	allow PATTERN    texts may hold this phrase although it contains a word or phrase
+//	phrase PATTERN   no comment or log message has this phrase, not even across a line break
+//	allow PATTERN    texts may contain this phrase, although it contains a withdrawn word or phrase
 //
-// A pattern is a regular expression in lower case that has to match the whole word, identifier or phrase. Tests and the
-// folders testdata are searched too. The exit code is 0 if nothing is found, 1 if something is, 2 if it could not search.
+// A pattern is a regular expression in lower case that has to match the whole word, identifier or phrase. Tests are searched too,
+// and DIR may be a folder testdata. The exit code is 0 if nothing is found, 1 if something is found, and 2 if the search failed.
 package main
 
 import (
@@ -72,7 +72,7 @@
 	return exitClean
 }
 
-// rules are the patterns of a list. Each matches a whole word, identifier or phrase in lower case.
+// rules contains the patterns of a list. Each matches a whole word, identifier or phrase in lower case.
 type rules struct {
 	textWords   *regexp.Regexp // in identifiers and texts
 	phrases     *regexp.Regexp // in texts only
@@ -145,7 +145,7 @@
 	return compiled, errors.Join(failures...)
 }
 
-// checkDir returns a line for each finding in the Go files of one folder, without those below it.
+// checkDir returns a line for each finding in the Go files of one folder. Its subfolders are not searched.
 func checkDir(r *rules, dir string) ([]string, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -165,7 +165,7 @@
 	return findings, nil
 }
 
-// fileCheck collects what is found in one file.
+// fileCheck collects the findings in one file.
 type fileCheck struct {
 	rules    *rules
 	files    *token.FileSet
@@ -203,7 +203,7 @@
 	}
 }
 
-// node checks what a node declares, and the messages that it logs.
+// node checks the identifiers that a node declares, and the message that it logs.
 func (c *fileCheck) node(node ast.Node) bool {
 	switch node := node.(type) {
 	case *ast.FuncDecl:
@@ -255,7 +255,7 @@
 	}
 }
 
-// logMessage checks the message of a call to a logger: the first argument, a literal, of a method named after a level.
+// logMessage checks the message of a call to a logger: a literal that is the first argument of a method named after a level.
 func (c *fileCheck) logMessage(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -277,8 +277,8 @@
 	quotedText = regexp.MustCompile("`[^`]*`|\"[^\"]*\"")
 )
 
-// prose returns a text in lower case, without what is allowed. In comments, what is in quotes is a name on the wire or in a
-// setting, and is left out too.
+// prose returns a text in lower case, without the allowed phrases. In comments, it also leaves out quoted text, which is assumed
+// to be a name on the wire or in a setting.
 func (c *fileCheck) prose(what, text string) string {
 	prose := strings.ToLower(text)
 	if what == "comment" {
@@ -287,7 +287,7 @@
 	return c.rules.allowedText.ReplaceAllString(prose, " ")
 }
 
-// phrase checks a text for phrases. White space in it counts as one blank.
+// phrase checks a text for withdrawn phrases. Any white space in the text is equivalent to one blank.
 func (c *fileCheck) phrase(pos token.Pos, what, text string) {
 	prose := strings.Join(strings.Fields(c.prose(what, text)), " ")
 	if phrase := c.rules.phrases.FindString(prose); phrase != "" {
@@ -295,7 +295,7 @@
 	}
 }
 
-// text checks a text word by word.
+// text checks each word of a text.
 func (c *fileCheck) text(pos token.Pos, what, text string) {
 	prose := c.prose(what, text)
 	for _, word := range textWord.FindAllString(prose, -1) {
@@ -306,13 +306,13 @@
 	}
 }
 
-// firstLine shortens a text for a finding.
+// firstLine returns the first line of a text.
 func firstLine(text string) string {
 	line, _, _ := strings.Cut(text, "\n")
 	return line
 }
 
-// identifierWords splits a name at its capitals, digits and underscores: HTTPRequest2 is http and request.
+// identifierWords splits a name at its capitals, digits and underscores: HTTPRequest2 has the words http and request.
 func identifierWords(name string) []string {
 	var words []string
 	runes := []rune(name)
@@ -336,7 +336,7 @@
 	return words
 }
 
-// beginsWord reports whether the capital at i begins a word: it follows a small letter, or a small letter follows it.
+// beginsWord reports whether the capital at i begins a word: there is a small letter right before or after it.
 func beginsWord(runes []rune, i int) bool {
 	followsSmall := i > 0 && unicode.IsLower(runes[i-1])
 	precedesSmall := i+1 < len(runes) && unicode.IsLower(runes[i+1])
--- a/internal/tools/wordcheck/main_test.go
+++ b/internal/tools/wordcheck/main_test.go
@@ -28,9 +28,9 @@
 	tests := []struct {
 		name   string
 		source string
-		want   string // part of what is printed; none: nothing is found
+		want   string // part of the output; empty: nothing is found
 	}{
-		{"clean", "package a\n\n// The heir apparent, and \"heir\" on the wire.\nvar leftmost, head2toe = 1, 2\n", `"head" is withdrawn`},
+		{"allowed text, withdrawn name", "package a\n\n// The heir apparent, and \"heir\" on the wire.\nvar leftmost, head2toe = 1, 2\n", `"head" is withdrawn`},
 		{"allowed text", "package a\n\n// The heir apparent, and \"heir\" on the wire, at the head.\nvar leftmost int\n", ""},
 		{"function", "package a\n\nfunc theHeir() {}\n", "identifier theHeir"},
 		{"type", "package a\n\ntype Heir struct{}\n", "identifier Heir"},
@@ -44,8 +44,8 @@
 		{"phrase over two lines", "package a\n\n// It takes\n// in a job.\nvar x int\n", `"takes in" is withdrawn`},
 		{"phrase of a log message", "package a\n\nfunc f(log interface{ Info(string) }) { log.Info(\"jobs take in\") }\n", `"take in" is withdrawn`},
 		{"part of a phrase", "package a\n\n// It takes inputs, \"takes in\" on the wire, and takes in laundry.\nvar takesIn int\n", ""},
-		{"other literal", "package a\n\nvar s = \"the heir\"\n", ""},
-		{"use of another's name", "package a\n\nimport \"x\"\n\nvar s = x.Heir\n", ""},
+		{"literal that is not logged", "package a\n\nvar s = \"the heir\"\n", ""},
+		{"use of an imported name", "package a\n\nimport \"x\"\n\nvar s = x.Heir\n", ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,10 +82,10 @@
 	writeFile(t, good, list)
 	writeFile(t, bad, "word heir\nwrod elder\n")
 	tests := map[string][]string{
-		"no arguments":     nil,
-		"missing list":     {filepath.Join(dir, "none.txt"), dir},
-		"unknown rule":     {bad, dir},
-		"folder of no use": {good, dir},
+		"no arguments": nil,
+		"missing list": {filepath.Join(dir, "none.txt"), dir},
+		"unknown rule": {bad, dir},
+		"no Go files":  {good, dir},
 	}
 	for name, arguments := range tests {
 		t.Run(name, func(t *testing.T) {
