--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -66,7 +66,7 @@
 		_, err := fmt.Sscanf(difference, "line %d: %s was %s", &number, &subject, &was)
 		if err != nil || number < 2 || number > len(lines) ||
 			was != "nothing," && !strings.Contains(lines[number-1], subject) && !strings.Contains(subject+was, "host") {
-			t.Errorf("%q: %v", difference, err)
+			t.Errorf("malformed difference %q: %v", difference, err)
 		}
 	}
 }
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -65,7 +65,7 @@
 
 func TestDecodeOpsOfEmptyFile(t *testing.T) {
 	if ops := decodeValidOps(t, "# nothing"); ops != (Ops{}) {
-		t.Errorf("%+v", ops)
+		t.Errorf("decoded %+v, expected the zero value", ops)
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	ops := decodeValidOps(t, string(text))
 	if err := ops.Check(decodeValid(t)); err != nil || ops.Capture == nil || ops.Status != nil {
-		t.Errorf("%+v, %v", ops, err)
+		t.Errorf("decoded %+v, check: %v", ops, err)
 	}
 	if ops.Gossip == nil || ops.Gossip.Budget != 0.02 {
 		t.Errorf("section gossip: %+v", ops.Gossip)
@@ -116,21 +116,21 @@
 	ops := decodeValidOps(t, "[status]\nlisten_port = 9001")
 	config := decodeValid(t)
 	if got := ops.StatusAddr(config).String(); got != "127.0.0.1:9001" || ops.Check(config) != nil {
-		t.Errorf("%s, %v", got, ops.Check(config))
+		t.Errorf("address %s, check: %v", got, ops.Check(config))
 	}
 }
 
 func TestCheckRejectsPortOfListen(t *testing.T) {
 	ops := decodeValidOps(t, "[status]\nlisten_port = 9000")
 	if err := ops.Check(decodeValid(t)); err == nil || !strings.Contains(err.Error(), `key "status.listen_port"`) {
-		t.Errorf("%v", err)
+		t.Errorf("%v, expected an error of status.listen_port", err)
 	}
 }
 
 func TestDecodeOpsCapture(t *testing.T) {
 	ops := decodeValidOps(t, "[capture]\n")
 	if *ops.Capture != (Capture{MemoryKB: 512, FileMB: 8, Files: 4}) {
-		t.Errorf("%+v", ops.Capture)
+		t.Errorf("section capture: %+v", ops.Capture)
 	}
 }
 
@@ -168,7 +168,7 @@
 	addresses := decodeValidOps(t, `[addresses]
 allow = ["10.20.1.1/16", "::ffff:10.0.0.0/104", "fd00:5a::/48"]`).Addresses
 	if fmt.Sprint(addresses.Allow) != "[10.20.0.0/16 10.0.0.0/8 fd00:5a::/48]" || addresses.Deny != nil || addresses.TrustedProxies != nil {
-		t.Errorf("%+v", addresses)
+		t.Errorf("section addresses: %+v", addresses)
 	}
 }
 
