--- a/internal/capture/doc.go
+++ b/internal/capture/doc.go
@@ -3,6 +3,6 @@
 // dispatcher, and the resulting decisions. It consists of segments, each of which starts with the dispatcher's complete state, so
 // that the rest of a ring whose oldest segments were overwritten can be replayed exactly.
 //
-// The form of captures is stable across builds. Recording does not change or delay a decision: an error of the recorder ends the
-// capture, not the scheduler. Payloads are not recorded.
+// The format of captures is stable across builds. Recording does not change or delay a decision: an error of the recorder ends
+// the capture, not the scheduler. Payloads are not recorded.
 package capture
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -22,7 +22,7 @@
 	fileNumberDigits = 8
 	filePermissions  = 0o640
 	megabyte         = 1 << 20
-	// maxPendingBytes is the maximum number of bytes that wait for the disk.
+	// maxPendingBytes is the maximum number of bytes that are queued for the disk.
 	maxPendingBytes = megabyte
 	// maxTakenNumbers is the maximum number of consecutive file numbers that are skipped because another process has used them.
 	maxTakenNumbers = 100
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -7,7 +7,7 @@
 )
 
 // Line is one line of a capture. Either Input is the kind of a received event, or Output the kind of a decision; the other one is
-// empty. The kind determines which further fields are set. The names and the order of the tags are the stored form.
+// empty. The kind determines which further fields are set. The names and the order of the tags are the stored format.
 type Line struct {
 	Milliseconds int64 `json:"t"`            // Unix time
 	Nanoseconds  int64 `json:"ns,omitempty"` // remainder of the time, on the first line of a step
--- a/internal/capture/observer.go
+++ b/internal/capture/observer.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/requests"
 )
 
-// maxTextBytes is the maximum length of a path or an ID in a line.
+// maxTextBytes is the maximum length of a path, or of a text from a callback, in a line.
 const maxTextBytes = 512
 
 // Observe implements requests.Observer. It records the notifications that are not events of the dispatcher.
--- a/internal/capture/reader_cut_test.go
+++ b/internal/capture/reader_cut_test.go
@@ -11,7 +11,7 @@
 
 // A capture is truncated at any byte of its first steps, and the next process's capture follows on the same line or the next one.
 // The replay has no differences, and warns of the skipped line.
-func TestReplayOfCutCaptureFollowedByAnother(t *testing.T) {
+func TestReplayOfTruncatedCaptureFollowedByAnother(t *testing.T) {
 	first, second := newScheduler(t, 1, config.Capture{MemoryKB: 512}), newScheduler(t, 2, config.Capture{MemoryKB: 512})
 	first.run(30)
 	second.run(30)
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -119,9 +119,9 @@
 		before := bytes.Join(lines[:n], nil)
 		cut := lines[n][:int(length)%len(lines[n])]
 		isCut := len(cut) > 0 && len(cut) < len(lines[n])-1
-		checkCutAtEnd(t, before, cut, n, isCut)
+		checkTruncatedAtEnd(t, before, cut, n, isCut)
 		if isCut {
-			checkCutBefore(t, before, cut, n, lines[len(lines)-1])
+			checkTruncatedBeforeLine(t, before, cut, n, lines[len(lines)-1])
 		}
 		if n > 0 {
 			replay(t, slices.Concat(before, other, []byte("\n"), bytes.Join(lines[n:], nil)), "")
@@ -129,8 +129,8 @@
 	})
 }
 
-// checkCutAtEnd replays the lines before line n, counted from 0, and a part of that line.
-func checkCutAtEnd(t *testing.T, before, part []byte, n int, isCut bool) {
+// checkTruncatedAtEnd replays the lines before line n, counted from 0, and a part of that line.
+func checkTruncatedAtEnd(t *testing.T, before, part []byte, n int, isCut bool) {
 	t.Helper()
 	got := replay(t, slices.Concat(before, part), "")
 	if n == 0 {
@@ -145,8 +145,8 @@
 	}
 }
 
-// checkCutBefore replays the lines before line n, a part of that line, and another line.
-func checkCutBefore(t *testing.T, before, part []byte, n int, after []byte) {
+// checkTruncatedBeforeLine replays the lines before line n, a part of that line, and another line.
+func checkTruncatedBeforeLine(t *testing.T, before, part []byte, n int, after []byte) {
 	t.Helper()
 	got := replay(t, slices.Concat(before, part, []byte("\n"), after), "")
 	if got.err == nil || !strings.HasPrefix(got.err.Error(), fmt.Sprintf("line %d: ", n+1)) {
--- a/internal/config/settings_domain.go
+++ b/internal/config/settings_domain.go
@@ -29,7 +29,7 @@
 // meaningFreeSlots is the only meaning that the dispatcher uses.
 const meaningFreeSlots = "free slots"
 
-// field returns the meaning of the field with a name.
+// field returns the meaning of the load report's field with a name.
 func (r reportMeanings) field(name string) dispatch.ReportField {
 	if name == "x0" && r.x0 == meaningFreeSlots || name == "x1" && r.x1 == meaningFreeSlots {
 		return dispatch.ReportFieldFreeSlots
--- a/internal/logging/limited_handler.go
+++ b/internal/logging/limited_handler.go
@@ -18,15 +18,15 @@
 // limitedHandler is a handler that limits the rate of lines.
 type limitedHandler struct {
 	slog.Handler
-	level   slog.Level
-	budgets *lineBudgets
+	minLevel slog.Level
+	budgets  *lineBudgets
 }
 
 // lineBudgets contains the budgets that a logger shares with the loggers derived from it.
 type lineBudgets struct {
-	now    func() time.Time
-	usual  lineBudget // of lines below level error
-	errors lineBudget
+	now       func() time.Time
+	nonErrors lineBudget // of lines below level error
+	errors    lineBudget // of lines of level error and above
 }
 
 // lineBudget limits the rate of lines. It is safe for concurrent use.
@@ -37,9 +37,9 @@
 
 func newLineBudgets(now func() time.Time) *lineBudgets {
 	return &lineBudgets{
-		now:    now,
-		usual:  lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
-		errors: lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
+		now:       now,
+		nonErrors: lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
+		errors:    lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
 	}
 }
 
@@ -48,13 +48,13 @@
 	if level >= slog.LevelError {
 		return &b.errors
 	}
-	return &b.usual
+	return &b.nonErrors
 }
 
 // Enabled reports whether a line of a level may be written. If it may not because the budget is used up, it is counted as
 // skipped.
 func (h *limitedHandler) Enabled(_ context.Context, level slog.Level) bool {
-	if level < h.level {
+	if level < h.minLevel {
 		return false
 	}
 	budget := h.budgets.forLevel(level)
@@ -80,10 +80,10 @@
 
 // WithAttrs returns a handler with more attributes and the same budgets.
 func (h *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limitedHandler{Handler: h.Handler.WithAttrs(attrs), level: h.level, budgets: h.budgets}
+	return &limitedHandler{Handler: h.Handler.WithAttrs(attrs), minLevel: h.minLevel, budgets: h.budgets}
 }
 
 // WithGroup returns a handler whose attributes are in a group, with the same budgets.
 func (h *limitedHandler) WithGroup(name string) slog.Handler {
-	return &limitedHandler{Handler: h.Handler.WithGroup(name), level: h.level, budgets: h.budgets}
+	return &limitedHandler{Handler: h.Handler.WithGroup(name), minLevel: h.minLevel, budgets: h.budgets}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,9 +16,9 @@
 
 // Factory creates the loggers of one scheduler. All of them write to the same writer.
 type Factory struct {
-	handler slog.Handler
-	level   slog.Level
-	now     func() time.Time
+	handler  slog.Handler
+	minLevel slog.Level
+	now      func() time.Time
 }
 
 // NewFactory returns a factory whose loggers write to destination, which must not block.
@@ -31,9 +31,9 @@
 		handler = slog.NewTextHandler(destination, options)
 	}
 	return &Factory{
-		handler: handler.WithAttrs([]slog.Attr{slog.String("scheduler", scheduler)}),
-		level:   conf.Level,
-		now:     clock.Now,
+		handler:  handler.WithAttrs([]slog.Attr{slog.String("scheduler", scheduler)}),
+		minLevel: conf.Level,
+		now:      clock.Now,
 	}
 }
 
@@ -41,7 +41,7 @@
 // and the attribute "skipped" of the next line that is written is their number. Enabled, which slog calls once for each line,
 // returns false for them.
 func (f *Factory) NewLogger() *slog.Logger {
-	return slog.New(&limitedHandler{Handler: f.handler, level: f.level, budgets: newLineBudgets(f.now)})
+	return slog.New(&limitedHandler{Handler: f.handler, minLevel: f.minLevel, budgets: newLineBudgets(f.now)})
 }
 
 // FormatLine returns the text of a line. It is not limited by a budget, and does not depend on the configured level.
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,4 +1,4 @@
-// Package metrics counts jobs and attempts by their outcome, and writes the counts in two forms: statsd or influx lines for a
+// Package metrics counts jobs and attempts by their outcome, and writes the counts in two formats: statsd or influx lines for a
 // collector (Exporter), and the text of the operators' metrics call (Counters.AppendText). Each count is stored once, in
 // Counters, which observes the request table. Tags are names from the settings and outcomes, never text of a client.
 package metrics
--- a/internal/metrics/line.go
+++ b/internal/metrics/line.go
@@ -39,7 +39,7 @@
 	influxFields = [...]string{counter: "count", gauge: "value", timer: "ms"}
 )
 
-// appendStatsd appends a statsd line, with its tags after "|#". The form has no escape sequences: reserved and invisible
+// appendStatsd appends a statsd line, with its tags after "|#". The format has no escape sequences: reserved and invisible
 // characters are replaced by underscores.
 func appendStatsd(dst []byte, line metric) []byte {
 	dst = append(dst, lineNamePrefix...)
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%s: expected %s, got %q", e.Field, e.Expected, e.Value)
 }
 
-// errEndOfInput is returned at the end of the input, which is regular only between batches.
+// errEndOfInput is returned at the end of the input, which is valid only between batches.
 var errEndOfInput = errors.New("end of input")
 
 // maxQuotedBytes is the maximum length of the part of a line or a value that an error quotes.
