--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -65,11 +65,12 @@
 
 func TestDecodeOpsOfEmptyFile(t *testing.T) {
 	if ops := decodeValidOps(t, "# nothing"); ops != (Ops{}) {
-		t.Errorf("%+v", ops)
+		t.Errorf("decoded %+v, expected the zero value", ops)
 	}
 }
 
-// The deployment's file has no errors, and no conflict with the platform's. The status call is disabled there, and leases are enabled.
+// The operators' file of the deployment has no errors, and does not conflict with the platform's file. It disables the status
+// call and enables leases.
 func TestDecodeOpsOfDeployment(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/ops.toml")
 	if err != nil {
@@ -77,10 +78,10 @@
 	}
 	ops := decodeValidOps(t, string(text))
 	if err := ops.Check(decodeValid(t)); err != nil || ops.Capture == nil || ops.Status != nil {
-		t.Errorf("%+v, %v", ops, err)
+		t.Errorf("decoded %+v, check: %v", ops, err)
 	}
 	if ops.Gossip == nil || ops.Gossip.Budget != 0.02 {
-		t.Errorf("leases: %+v", ops.Gossip)
+		t.Errorf("section gossip: %+v", ops.Gossip)
 	}
 }
 
@@ -94,7 +95,7 @@
 		}
 	}
 	if want := (Log{}); decodeValidOps(t, "[log]\n").Log != want {
-		t.Error("the defaults are not the zero value")
+		t.Error("the default is not the zero value of Log")
 	}
 }
 
@@ -115,25 +116,25 @@
 	ops := decodeValidOps(t, "[status]\nlisten_port = 9001")
 	config := decodeValid(t)
 	if got := ops.StatusAddr(config).String(); got != "127.0.0.1:9001" || ops.Check(config) != nil {
-		t.Errorf("%s, %v", got, ops.Check(config))
+		t.Errorf("address %s, check: %v", got, ops.Check(config))
 	}
 }
 
 func TestCheckRejectsPortOfListen(t *testing.T) {
 	ops := decodeValidOps(t, "[status]\nlisten_port = 9000")
 	if err := ops.Check(decodeValid(t)); err == nil || !strings.Contains(err.Error(), `key "status.listen_port"`) {
-		t.Errorf("%v", err)
+		t.Errorf("%v, expected an error of status.listen_port", err)
 	}
 }
 
 func TestDecodeOpsCapture(t *testing.T) {
 	ops := decodeValidOps(t, "[capture]\n")
 	if *ops.Capture != (Capture{MemoryKB: 512, FileMB: 8, Files: 4}) {
-		t.Errorf("%+v", ops.Capture)
+		t.Errorf("section capture: %+v", ops.Capture)
 	}
 }
 
-// The ring may have an eighth of the memory limit.
+// The ring may use at most an eighth of the memory limit.
 func TestCheckRejectsRingTooLargeForMemory(t *testing.T) {
 	ops := decodeValidOps(t, "[capture]\n")
 	config := decodeValid(t)
@@ -167,25 +168,25 @@
 	addresses := decodeValidOps(t, `[addresses]
 allow = ["10.20.1.1/16", "::ffff:10.0.0.0/104", "fd00:5a::/48"]`).Addresses
 	if fmt.Sprint(addresses.Allow) != "[10.20.0.0/16 10.0.0.0/8 fd00:5a::/48]" || addresses.Deny != nil || addresses.TrustedProxies != nil {
-		t.Errorf("%+v", addresses)
+		t.Errorf("section addresses: %+v", addresses)
 	}
 }
 
-// Messages between schedulers are disabled without the section, and with a price and a budget of 0.
+// Messages between schedulers are disabled if the section is absent, or if its budget is 0 and messages have a cost.
 func TestGossipAppliesToSettings(t *testing.T) {
 	for _, test := range []struct {
-		name, ops         string
-		cost              float64
-		wantMessages      bool
-		wantBudget        float64
-		wantLeasesOfEight bool
+		name, ops    string
+		cost         float64
+		wantMessages bool
+		wantBudget   float64
+		wantLeases   bool
 	}{
 		{"no section", "", 0, false, 0, false},
 		{"default", "[gossip]", 0.03, true, 0.02, true},
-		{"price over the default", "[gossip]", 0.04, true, 0.02, false},
+		{"cost above the default budget", "[gossip]", 0.04, true, 0.02, false},
 		{"larger budget", "[gossip]\nbudget = 0.1", 0.04, true, 0.1, true},
-		{"no budget", "[gossip]\nbudget = 0", 0.001, false, 0, false},
-		{"no budget, no price", "[gossip]\nbudget = 0", 0, true, 0, true},
+		{"budget 0", "[gossip]\nbudget = 0", 0.001, false, 0, false},
+		{"budget 0, no cost", "[gossip]\nbudget = 0", 0, true, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings := Settings{Settings: dispatch.Settings{Replicas: 8, StartNotifications: true, PeerMessages: true, PeerCost: test.cost}}
@@ -193,15 +194,15 @@
 			if settings.PeerMessages != test.wantMessages || settings.PeerBudget != test.wantBudget {
 				t.Errorf("messages %v, budget %v", settings.PeerMessages, settings.PeerBudget)
 			}
-			if got := settings.UsesLeases(); got != test.wantLeasesOfEight {
-				t.Errorf("leases %v, expected %v", got, test.wantLeasesOfEight)
+			if got := settings.UsesLeases(); got != test.wantLeases {
+				t.Errorf("leases %v, expected %v", got, test.wantLeases)
 			}
 		})
 	}
 }
 
-// The section enables nothing that the platform's settings do not allow. The section of a replay's file does not change recorded settings, as
-// the effect of the recording scheduler's file is recorded too.
+// ApplyTo enables no messages that the platform's settings forbid. Override ignores the section gossip of the file that a replay
+// is given, as the capture also records the effect of that section on the scheduler that wrote it.
 func TestGossipOfRecordedSettings(t *testing.T) {
 	for _, test := range []struct {
 		ops, peers    string
@@ -218,10 +219,10 @@
 		ops := decodeValidOps(t, test.ops)
 		settings, err := ops.Override([]byte(recorded))
 		if err != nil || settings.PeerMessages != test.want || settings.PeerBudget != 0 {
-			t.Errorf("%q and peers %s: %v, budget %v, %v", test.ops, test.peers, settings.PeerMessages, settings.PeerBudget, err)
+			t.Errorf("%q and peers %s: messages %v, budget %v, %v", test.ops, test.peers, settings.PeerMessages, settings.PeerBudget, err)
 		}
 		if ops.ApplyTo(&settings); settings.PeerMessages != test.applied {
-			t.Errorf("%q and peers %s: applied, %v", test.ops, test.peers, settings.PeerMessages)
+			t.Errorf("%q and peers %s: messages %v after ApplyTo", test.ops, test.peers, settings.PeerMessages)
 		}
 	}
 }
--- a/internal/logging/limited_handler.go
+++ b/internal/logging/limited_handler.go
@@ -9,37 +9,37 @@
 	"golang.org/x/time/rate"
 )
 
-// The budget of a logger: so many lines at once, and so many a second after that. Its errors have as many to themselves.
+// The line budget of a logger. Lines of level error have a second budget of the same size.
 const (
 	burstLines     = 200
-	linesPerSecond = 5
+	linesPerSecond = 5 // after a burst
 )
 
-// limitedHandler is a handler whose lines have budgets.
+// limitedHandler is a handler that limits the rate of lines.
 type limitedHandler struct {
 	slog.Handler
-	level   slog.Level
-	budgets *lineBudgets
+	minLevel slog.Level
+	budgets  *lineBudgets
 }
 
-// lineBudgets are the budgets of one logger and of those derived from it.
+// lineBudgets contains the budgets that a logger shares with the loggers derived from it.
 type lineBudgets struct {
-	now    func() time.Time
-	usual  lineBudget // of lines below the level of errors
-	errors lineBudget
+	now       func() time.Time
+	nonErrors lineBudget // of lines below level error
+	errors    lineBudget // of lines of level error and above
 }
 
-// lineBudget bounds the rate of lines. It is safe for concurrent use.
+// lineBudget limits the rate of lines. It is safe for concurrent use.
 type lineBudget struct {
 	limiter *rate.Limiter
-	skipped atomic.Uint64 // lines left out since the last one that was written
+	skipped atomic.Uint64 // lines omitted since the last one that was written
 }
 
 func newLineBudgets(now func() time.Time) *lineBudgets {
 	return &lineBudgets{
-		now:    now,
-		usual:  lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
-		errors: lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
+		now:       now,
+		nonErrors: lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
+		errors:    lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
 	}
 }
 
@@ -48,12 +48,13 @@
 	if level >= slog.LevelError {
 		return &b.errors
 	}
-	return &b.usual
+	return &b.nonErrors
 }
 
-// Enabled reports whether a line of a level is to be written. One that the budget has no room for counts as skipped.
+// Enabled reports whether a line of a level may be written. If it may not because the budget is used up, it is counted as
+// skipped.
 func (h *limitedHandler) Enabled(_ context.Context, level slog.Level) bool {
-	if level < h.level {
+	if level < h.minLevel {
 		return false
 	}
 	budget := h.budgets.forLevel(level)
@@ -64,7 +65,7 @@
 	return false
 }
 
-// Handle writes a line, unless another goroutine has used up the budget since Enabled was asked.
+// Handle writes a line, unless another goroutine has used up the budget since the call of Enabled.
 func (h *limitedHandler) Handle(ctx context.Context, record slog.Record) error {
 	budget := h.budgets.forLevel(record.Level)
 	if !budget.limiter.AllowN(h.budgets.now(), 1) {
@@ -79,10 +80,10 @@
 
 // WithAttrs returns a handler with more attributes and the same budgets.
 func (h *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limitedHandler{Handler: h.Handler.WithAttrs(attrs), level: h.level, budgets: h.budgets}
+	return &limitedHandler{Handler: h.Handler.WithAttrs(attrs), minLevel: h.minLevel, budgets: h.budgets}
 }
 
 // WithGroup returns a handler whose attributes are in a group, with the same budgets.
 func (h *limitedHandler) WithGroup(name string) slog.Handler {
-	return &limitedHandler{Handler: h.Handler.WithGroup(name), level: h.level, budgets: h.budgets}
+	return &limitedHandler{Handler: h.Handler.WithGroup(name), minLevel: h.minLevel, budgets: h.budgets}
 }
