--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -10,35 +10,35 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// arrivals is when jobs fall due, and what they are. Each tenant's jobs of a class are a stream of their own with
-// random numbers of its own, drawn one job ahead: nothing that schedulers do shifts them. Only a closed load waits
-// for answers, as it must; there each client's n-th job is the same in every run of a seed.
+// arrivals generates the jobs of a run. The jobs of each tenant and class are a separate stream with its own random numbers,
+// drawn one job ahead, so that the behaviour of schedulers does not change them. In a closed load a client sends its next job
+// only after the previous one is settled; there the n-th job of each client is the same in every run with a seed.
 type arrivals struct {
 	clients       *clients
-	length        time.Duration
+	runLength     time.Duration
 	shape         loadShape
 	sources       []*jobSource
-	cumulative    []float64 // by cell: the share of all jobs that are of it or of one before it
+	cumulative    []float64 // by source: the share of all jobs that come from it or an earlier one
 	closedClients int
-	burstStreams  int // streams of bursts so far
+	burstStreams  int // bursts started so far, which number their random streams
 	buckets       []quotaBucket
 }
 
-// jobSource is the jobs of one class and one tenant.
+// jobSource generates the jobs of one class and one tenant.
 type jobSource struct {
 	class, tenant int
-	rate          float64 // jobs a second on the mean
-	quietFactors  []*float64
-	thinning      *rand.Rand // which of its jobs fall away while it is quiet
+	rate          float64    // mean jobs per second
+	quietFactors  []*float64 // of the active bursts with a factor below 1
+	thinning      *rand.Rand // draws which jobs are skipped while quietFactors apply
 }
 
-// arrivalStream is a Poisson process of jobs, thinned to the load's shape: candidates come at the rate of its peak, and as
-// many of them are jobs as the shape has then.
+// arrivalStream generates jobs as an inhomogeneous Poisson process by thinning: candidates arrive at the peak rate of the load's
+// shape, and each becomes a job with the probability level / peak.
 type arrivalStream struct {
 	arrivals *arrivals
 	source   *jobSource
 	rng      *rand.Rand
-	rate     float64 // candidates a second
+	rate     float64 // candidates per second
 	at       time.Duration
 	stopped  bool
 	fire     func()
@@ -48,47 +48,46 @@
 type closedClient struct {
 	arrivals   *arrivals
 	rng        *rand.Rand
-	sources    []*jobSource // that it draws its jobs from, by reach
+	sources    []*jobSource // of its jobs, drawn by cumulative
 	cumulative []float64
-	last       time.Duration
+	lastDueAt  time.Duration
 	stopped    bool
 }
 
-// quotaBucket meters what is within a tenant's share.
+// quotaBucket is a token bucket that meters which of a tenant's jobs are within its quota.
 type quotaBucket struct {
 	rate, capacity, tokens float64
 	updatedAt              time.Duration
 }
 
-// quotaWindow is how far a tenant's jobs may run ahead of its share: what it asked too little of in so long a span, it
-// may ask for later.
-const quotaWindow = 2 * time.Second
+// quotaBurstWindow sets the capacity of a tenant's token bucket: quota that was unused over this time may be used later.
+const quotaBurstWindow = 2 * time.Second
 
-// thinkTime is the least time between two jobs of one client of a closed load.
-const thinkTime = time.Millisecond
+// minThinkTime is the minimum time between two jobs of one client of a closed load.
+const minThinkTime = time.Millisecond
 
 func newArrivals(clients *clients) *arrivals {
 	spec := clients.env.Spec
-	arrivals := &arrivals{clients: clients, length: spec.Length.Std(), closedClients: spec.Load.ClosedClients}
-	arrivals.shape = newLoadShape(&spec.Load, arrivals.length, clients.env.rng("shape", 0))
-	classes, tenants := 0.0, 0.0
+	arrivals := &arrivals{clients: clients, runLength: spec.Length.Std(), closedClients: spec.Load.ClosedClients}
+	arrivals.shape = newLoadShape(&spec.Load, arrivals.runLength, clients.env.rng("shape", 0))
+	classShares, quotas := 0.0, 0.0
 	for i := range spec.Classes {
-		classes += spec.Classes[i].Share
+		classShares += spec.Classes[i].Share
 	}
 	for _, t := range spec.Tenants {
-		tenants += t.Quota
+		quotas += t.Quota
 	}
 	sum := 0.0
 	for i := range spec.Classes {
 		for j, t := range spec.Tenants {
-			part := spec.Classes[i].Share / classes * t.Quota / tenants * t.Usage
-			if !(part > 0) { // nor where nobody has a share
+			share := spec.Classes[i].Share / classShares * t.Quota / quotas * t.Usage
+			if !(share > 0) { // also true for NaN, if all shares are 0
 				continue
 			}
-			sum += part
+			sum += share
 			arrivals.cumulative = append(arrivals.cumulative, sum)
 			arrivals.sources = append(arrivals.sources, &jobSource{
-				class: i, tenant: j, rate: part * spec.Rate(),
+				class: i, tenant: j, rate: share * spec.Rate(),
 				thinning: clients.env.rng("quiet", i*len(spec.Tenants)+j),
 			})
 		}
@@ -98,35 +97,35 @@
 	}
 	for i := range spec.Tenants {
 		rate := spec.QuotaRate(i)
-		most := max(1, rate*quotaWindow.Seconds())
-		arrivals.buckets = append(arrivals.buckets, quotaBucket{rate, most, most, 0})
+		capacity := max(1, rate*quotaBurstWindow.Seconds())
+		arrivals.buckets = append(arrivals.buckets, quotaBucket{rate, capacity, capacity, 0})
 	}
 	return arrivals
 }
 
 func (a *arrivals) start() {
-	for _, k := range a.sources {
+	for _, source := range a.sources {
 		if a.closedClients == 0 {
-			a.startStream(k, a.clients.env.rng("arrivals", k.class*len(a.clients.env.Spec.Tenants)+k.tenant), 1)
+			a.startStream(source, a.clients.env.rng("arrivals", source.class*len(a.clients.env.Spec.Tenants)+source.tenant), 1)
 		}
 	}
 	a.addClosedClients(a.sources, a.cumulative, a.closedClients, "closed", 0)
-	a.clients.env.schedule(a.length, func() {}) // the run isn't over before, whether or not jobs come
+	a.clients.env.schedule(a.runLength, func() {}) // keeps the run going until then even if no jobs arrive
 }
 
-// startStream starts a stream of a cell's jobs, at so many times the cell's own rate.
-func (a *arrivals) startStream(k *jobSource, rng *rand.Rand, times float64) *arrivalStream {
-	s := &arrivalStream{arrivals: a, source: k, rng: rng, rate: k.rate * times * a.shape.peak(), at: a.clients.env.now}
-	s.fire = s.arrive
-	if s.rate > 0 {
-		s.scheduleNext()
-	}
-	return s
+// startStream starts a stream of a source's jobs, at rateFactor times the rate of the source.
+func (a *arrivals) startStream(source *jobSource, rng *rand.Rand, rateFactor float64) *arrivalStream {
+	stream := &arrivalStream{arrivals: a, source: source, rng: rng, rate: source.rate * rateFactor * a.shape.peak(), at: a.clients.env.now}
+	stream.fire = stream.arrive
+	if stream.rate > 0 {
+		stream.scheduleNext()
+	}
+	return stream
 }
 
 func (a *arrivalStream) scheduleNext() {
 	gap := a.rng.ExpFloat64() / a.rate
-	if remaining := (a.arrivals.length - a.at).Seconds(); gap >= remaining {
+	if remaining := (a.arrivals.runLength - a.at).Seconds(); gap >= remaining {
 		return
 	}
 	a.at += time.Duration(gap * float64(time.Second))
@@ -146,7 +145,7 @@
 	a.scheduleNext()
 }
 
-// keepsJob tells whether a job that would fall due does, as some don't while the cell is quiet.
+// keepsJob draws whether a job is kept, as some are skipped while quietFactors apply.
 func (j *jobSource) keepsJob() bool {
 	for _, share := range j.quietFactors {
 		if j.thinning.Float64() >= *share {
@@ -156,23 +155,23 @@
 	return true
 }
 
-// startBurst multiplies what a tenant (-1: all), and of a class (-1: all), asks for until undo. What comes on top has
-// streams of its own, so that all else falls due as it would have. Bursts that overlap add up, those below 1
-// multiply. To a closed load more clients come, as many as are a part of it; it never has fewer.
+// startBurst multiplies the load of a tenant (-1: all) and a class (-1: all) by factor until undo is called. The additional
+// jobs come from separate streams, so that the other jobs arrive as without the burst. Overlapping bursts add up; factors below
+// 1 multiply. To a closed load it adds clients in proportion; a factor below 1 removes none of them.
 func (c *clients) startBurst(tenant, class int, factor float64) (undo func()) {
-	struck, cumulative := c.arrivals.matchingSources(tenant, class)
+	sources, cumulative := c.arrivals.matchingSources(tenant, class)
 	if factor < 1 {
-		return startQuiet(struck, factor)
+		return startQuiet(sources, factor)
 	}
 	c.arrivals.burstStreams++
 	if c.arrivals.closedClients > 0 {
-		return c.arrivals.addBurstClients(struck, cumulative, factor)
+		return c.arrivals.addBurstClients(sources, cumulative, factor)
 	}
-	return c.arrivals.addBurstStreams(struck, factor)
+	return c.arrivals.addBurstStreams(sources, factor)
 }
 
-// matchingSources is the sources of a tenant's jobs (-1: all) of a class (-1: all), and their cumulative shares of the
-// load.
+// matchingSources returns the sources of the jobs of a tenant (-1: all) and a class (-1: all), and their cumulative shares of
+// the load.
 func (a *arrivals) matchingSources(tenant, class int) (sources []*jobSource, cumulative []float64) {
 	share, before := 0.0, 0.0
 	for i, source := range a.sources {
@@ -186,7 +185,7 @@
 	return sources, cumulative
 }
 
-// startQuiet multiplies what sources ask for by a factor below 1, until undo.
+// startQuiet multiplies the load of sources by a factor below 1 until undo is called.
 func startQuiet(sources []*jobSource, factor float64) (undo func()) {
 	for _, source := range sources {
 		source.quietFactors = append(source.quietFactors, &factor)
@@ -198,7 +197,8 @@
 	}
 }
 
-// addBurstClients adds clients to a closed load until undo: what sources have of it, times factor-1.
+// addBurstClients adds clients to a closed load until undo is called: the number that corresponds to the sources' share of the
+// load, times factor-1.
 func (a *arrivals) addBurstClients(sources []*jobSource, cumulative []float64, factor float64) (undo func()) {
 	share := 0.0
 	if len(cumulative) > 0 {
@@ -216,7 +216,7 @@
 	}
 }
 
-// addBurstStreams adds streams of jobs to an open load until undo: of each source one at factor-1 times its rate.
+// addBurstStreams adds streams of jobs to an open load until undo is called: one for each source, at factor-1 times its rate.
 func (a *arrivals) addBurstStreams(sources []*jobSource, factor float64) (undo func()) {
 	var added []*arrivalStream
 	for i, source := range sources {
@@ -230,28 +230,28 @@
 	}
 }
 
-// addClosedClients lets n clients of a closed load begin, spread over a tenth of a second.
-func (a *arrivals) addClosedClients(cells []*jobSource, reach []float64, n int, name string, first int) []*closedClient {
-	if len(cells) == 0 {
+// addClosedClients starts n clients of a closed load, spread over a tenth of a second.
+func (a *arrivals) addClosedClients(sources []*jobSource, cumulative []float64, n int, name string, first int) []*closedClient {
+	if len(sources) == 0 {
 		return nil
 	}
 	list := make([]*closedClient, n)
 	for i := range list {
-		s := &closedClient{arrivals: a, rng: a.clients.env.rng(name, first+i), sources: cells, cumulative: reach}
-		s.last = a.clients.env.now + time.Duration(s.rng.Int64N(int64(100*time.Millisecond))) - thinkTime
-		list[i] = s
-		s.sendNext()
+		client := &closedClient{arrivals: a, rng: a.clients.env.rng(name, first+i), sources: sources, cumulative: cumulative}
+		client.lastDueAt = a.clients.env.now + time.Duration(client.rng.Int64N(int64(100*time.Millisecond))) - minThinkTime
+		list[i] = client
+		client.sendNext()
 	}
 	return list
 }
 
-// sendNext has the client ask for its next job at once.
+// sendNext schedules the client's next job, minThinkTime after the previous one at the earliest.
 func (c *closedClient) sendNext() {
-	start := max(c.arrivals.clients.env.now, c.last+thinkTime)
-	if start >= c.arrivals.length {
+	start := max(c.arrivals.clients.env.now, c.lastDueAt+minThinkTime)
+	if start >= c.arrivals.runLength {
 		return
 	}
-	c.last = start
+	c.lastDueAt = start
 	c.arrivals.clients.env.schedule(start, func() {
 		if c.stopped {
 			return
@@ -263,11 +263,11 @@
 	})
 }
 
-// drawJob draws a job.
-func (a *arrivals) drawJob(rng *rand.Rand, k *jobSource) *job {
-	spec := &a.clients.env.Spec.Classes[k.class]
-	load, acts := &a.clients.env.Spec.Load, &a.clients.env.Spec.Clients
-	job := &job{class: k.class, tenant: k.tenant, firstRiskAt: -1}
+// drawJob draws the properties of a job from a source.
+func (a *arrivals) drawJob(rng *rand.Rand, source *jobSource) *job {
+	spec := &a.clients.env.Spec.Classes[source.class]
+	load, clientSpec := &a.clients.env.Spec.Load, &a.clients.env.Spec.Clients
+	job := &job{class: source.class, tenant: source.tenant, firstRiskAt: -1}
 	job.work = drawWork(rng, spec)
 	job.slots = drawSlots(rng, spec.Slots)
 	hint := 0.0
@@ -280,33 +280,33 @@
 		hint = job.work * load.HintFactor
 	}
 	if hint > 0 {
-		// Whole microseconds, as on the wire, and an hour at most.
+		// Whole microseconds, the unit on the wire, and at most an hour.
 		job.costHint = time.Duration(max(1, min(hint, 3600)*1e6)) * time.Microsecond
 	}
 	job.bodyLength = 100 + rng.IntN(300)
-	job.honoursRetryAfter = rng.Float64() < acts.HonourRetryAfter
-	if acts.Impatient > 0 && rng.Float64() < acts.Impatient {
+	job.honoursRetryAfter = rng.Float64() < clientSpec.HonourRetryAfter
+	if clientSpec.Impatient > 0 && rng.Float64() < clientSpec.Impatient {
 		job.leavesAfter = 1 + time.Duration(rng.Int64N(int64(spec.Deadline.Std())))
 	}
 	return job
 }
 
-// isOverQuota meters a tenant's jobs: whether one that falls due now is beyond its share.
+// isOverQuota takes a token for a job of a tenant that arrives now, and reports whether the job is over the tenant's quota.
 func (a *arrivals) isOverQuota(tenant int, now time.Duration) bool {
-	b := &a.buckets[tenant]
-	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.updatedAt).Seconds())
-	b.updatedAt = now
-	if b.rate <= 0 { // shares mean nothing here
+	bucket := &a.buckets[tenant]
+	bucket.tokens = min(bucket.capacity, bucket.tokens+bucket.rate*(now-bucket.updatedAt).Seconds())
+	bucket.updatedAt = now
+	if bucket.rate <= 0 { // no quota applies
 		return false
 	}
-	if b.tokens < 1 {
+	if bucket.tokens < 1 {
 		return true
 	}
-	b.tokens--
+	bucket.tokens--
 	return false
 }
 
-// drawWork draws a job's run time on a standard core, in seconds; never 0.
+// drawWork draws the run time of a job on a standard core, in seconds, at least 1e-6.
 func drawWork(rng *rand.Rand, c *scenario.Class) float64 {
 	mean := c.Work.Std().Seconds()
 	work := mean
@@ -323,7 +323,7 @@
 	return max(work, 1e-6)
 }
 
-// drawSlots draws 1, 2, 4, ... slots by their shares.
+// drawSlots draws a number of slots: 1<<i with a probability proportional to shares[i].
 func drawSlots(rng *rand.Rand, shares []float64) float64 {
 	sum := 0.0
 	for _, s := range shares {
@@ -344,53 +344,53 @@
 	return last
 }
 
-// loadShape is how the load's level moves about its mean of 1 in the course of a run, swinging by so much at most.
+// loadShape is how the level of the load varies around its mean of 1 during a run, by at most swing.
 //
-//	steady       it does not
-//	bursty       it jumps between 1+swing and 1-swing, and stays at each for a time drawn exponentially, 1 s on the
-//	             mean: a Poisson process modulated by a chain of two states
-//	swell        it rises from 1-swing to 1+swing at 2/3 of the length and falls back, along half cosines
-//	month_start  it falls evenly from 1+swing to 1-swing
+//	steady       constant
+//	bursty       alternates between 1+swing and 1-swing, and stays at each for an exponentially distributed time with a mean
+//	             of 1 s: a Markov-modulated Poisson process with two states
+//	swell        rises from 1-swing to 1+swing at 2/3 of the length and falls back, along half cosines
+//	month_start  falls linearly from 1+swing to 1-swing
 type loadShape struct {
-	kind      string
-	swing     float64
-	length    float64
-	rng       *rand.Rand
-	startsLow bool            // bursty begins with 1-swing
-	jumps     []time.Duration // of bursty, as far as they are drawn
+	kind            string
+	swing           float64
+	length          float64
+	rng             *rand.Rand
+	burstyStartsLow bool            // the first level is 1-swing
+	burstyJumps     []time.Duration // changes of level that have been drawn so far
 }
 
-const burstyHold = time.Second
+const burstyMeanHold = time.Second
 
 func newLoadShape(l *scenario.Load, length time.Duration, rng *rand.Rand) loadShape {
 	s := loadShape{kind: l.Shape, swing: max(0, min(l.Swing, 1)), length: max(length.Seconds(), 1e-9), rng: rng}
 	if s.kind == "" || s.kind == "steady" {
 		s.kind, s.swing = "steady", 0
 	}
-	s.startsLow = rng.IntN(2) == 0
+	s.burstyStartsLow = rng.IntN(2) == 0
 	return s
 }
 
 func (l *loadShape) peak() float64 { return 1 + l.swing }
 
-// level is the level at an instant.
+// level returns the level at a time.
 func (l *loadShape) level(instant time.Duration) float64 {
 	progress := instant.Seconds() / l.length
 	switch l.kind {
 	case "bursty":
-		n := len(l.jumps)
-		for n == 0 || l.jumps[n-1] <= instant {
+		n := len(l.burstyJumps)
+		for n == 0 || l.burstyJumps[n-1] <= instant {
 			last := time.Duration(0)
 			if n > 0 {
-				last = l.jumps[n-1]
+				last = l.burstyJumps[n-1]
 			}
-			l.jumps = append(l.jumps, last+1+time.Duration(l.rng.ExpFloat64()*float64(burstyHold)))
+			l.burstyJumps = append(l.burstyJumps, last+1+time.Duration(l.rng.ExpFloat64()*float64(burstyMeanHold)))
 			n++
 		}
-		for n > 1 && l.jumps[n-2] > instant { // a step of the run that was late asks of the past
+		for n > 1 && l.burstyJumps[n-2] > instant { // a late step asks for a past time, before jumps that are drawn
 			n--
 		}
-		if l.startsLow == (n%2 == 1) {
+		if l.burstyStartsLow == (n%2 == 1) {
 			return 1 - l.swing
 		}
 		return 1 + l.swing
--- a/internal/testbed/environment/client_jobs.go
+++ b/internal/testbed/environment/client_jobs.go
@@ -8,77 +8,77 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the life of a job: it falls due, is sent as one request after another, and is settled once.
+// This file holds the lifecycle of a job: it arrives, is sent as one request after another, and is settled once.
 
-// minBudget is the least time with which a client asks: budgets are whole milliseconds.
+// minBudget is the smallest budget that a request is sent with, as budgets are whole milliseconds.
 const minBudget = time.Millisecond
 
-// job is what a client wants.
+// job is a unit of work that a client wants done, by as many requests as it takes.
 type job struct {
 	number            uint64
 	class, tenant     int
 	zone              int
-	requests          int
+	requests          int // sent so far, and the number of the next
 	status            int // of the response to the last request
 	bodyLength        int
 	honoursRetryAfter bool
-	overQuota         bool
+	settled           bool
 	work, slots       float64
 	costHint          time.Duration
 	dueAt, deadline   time.Duration
-	leavesAfter       time.Duration // its client goes away so long after it fell due; 0: it doesn't
-	firstRiskAt       time.Duration // when the first request was sent that may have run; -1: none was
+	leavesAfter       time.Duration // time from arrival until its client gives up; 0: it doesn't
+	firstRiskAt       time.Duration // when the first request that may have run was sent; -1: none was
 	key               string
-	open              *request      // the open one
-	client            *closedClient // whose job it is, under a closed load
+	openRequest       *request
+	client            *closedClient // the client, in a closed load
 }
 
-// request is a client's request, as the environment knows it.
+// request is one request of a client for a job.
 type request struct {
 	id     string
 	jobID  uint64
-	number int // which of the job's requests
+	number int // index among the job's requests
 	class  int
 	key    string
-	work   float64 // s on a standard core, before the noise of a run
+	work   float64 // seconds on a standard core, before the noise of a run
 	slots  float64
 
-	job      *job     // nil: it has ended
-	previous *request // the job's earlier one
-	conn     *clientConn
-	sentAt   time.Duration
-	tenant   int32
-	stage    requestStage
-	read     bool // the request has reached the scheduler
-	resent   bool // it has been sent a second time
+	job             *job     // nil: the request has ended
+	previous        *request // the job's previous request
+	conn            *clientConn
+	sentAt          time.Duration
+	tenant          int32
+	stage           requestStage
+	readByScheduler bool // it has reached the scheduler
+	resent          bool // it was sent again because its connection closed before it was read
 }
 
 type requestStage uint8
 
 const (
-	requestSeeking requestStage = iota // for a connection
+	requestConnecting requestStage = iota // waits for a connection
 	requestSent
 	requestEnded
 )
 
-// How a request ends.
+// requestOutcome is how a request ends.
 type requestOutcome uint8
 
 const (
 	outcomeServed    requestOutcome = iota
-	outcomeRejected                 // 429 or 503: trying again is harmless
-	outcomeUnreached                // no connection came up
-	outcomeFailed                   // it may have run
+	outcomeRejected                 // 429 or 503: it did not run, so a retry is safe
+	outcomeUnreached                // no connection was established
+	outcomeFailed                   // any other failure: it may have run
 )
 
-// jobDue is the moment at which a job falls due; the testbed meant it to at meant.
-func (c *clients) jobDue(job *job, meant time.Duration) {
+// jobDue handles the arrival of a job. It was planned for plannedAt; the difference is reported as the testbed's lateness.
+func (c *clients) jobDue(job *job, plannedAt time.Duration) {
 	class := c.classes[job.class]
-	c.unsettled++
+	c.unsettledJobs++
 	job.dueAt, job.deadline = c.env.now, c.env.now+class.Deadline.Std()
 	job.number = c.jobs.add(job)
 	if c.zones > 1 {
-		job.zone = int(c.drawBits(job.number, 0, drawZone) % uint64(c.zones))
+		job.zone = int(c.randomBits(job.number, 0, drawForZone) % uint64(c.zones))
 	}
 	if class.idempotentWithKey {
 		job.key = c.idempotencyKey(job.number)
@@ -86,7 +86,7 @@
 	objective := min(class.LatencyObjective.Std()+time.Duration(class.ObjectiveStretch*job.work*float64(time.Second)), class.Deadline.Std())
 	c.env.record(trace.Event{
 		Kind: trace.JobDue, JobID: job.number, Class: job.class, Tenant: job.tenant, Work: job.work, Slots: job.slots,
-		IdempotencyKey: job.key, LatencyObjective: objective, Deadline: class.Deadline.Std(), OverQuota: c.arrivals.isOverQuota(job.tenant, c.env.now), Lateness: c.env.now - meant,
+		IdempotencyKey: job.key, LatencyObjective: objective, Deadline: class.Deadline.Std(), OverQuota: c.arrivals.isOverQuota(job.tenant, c.env.now), Lateness: c.env.now - plannedAt,
 	})
 	class.deadlines.add(job.number)
 	if job.leavesAfter > 0 {
@@ -95,9 +95,9 @@
 	c.sendNext(job)
 }
 
-// sendNext begins the job's next request.
+// sendNext starts the job's next request.
 func (c *clients) sendNext(job *job) {
-	if job.overQuota {
+	if job.settled {
 		return
 	}
 	t := &request{
@@ -107,52 +107,52 @@
 	t.id = c.requestID(job.number, job.requests)
 	t.previous = c.jobs.setRequest(t)
 	job.requests++
-	job.open, job.status = t, 0
+	job.openRequest, job.status = t, 0
 	c.connPools[job.zone].acquire(t)
 }
 
-// writeRequest writes a request on a connection. Not ok: its time is up.
+// writeRequest writes a request to a connection; not ok: too little time is left, or the deduplication window is over.
 func (c *clients) writeRequest(t *request, clientConn *clientConn) (ok bool) {
 	job, class, now := t.job, c.classes[t.class], c.env.now
 	budget := min(job.deadline-now, class.requestTimeout) / time.Millisecond * time.Millisecond
 	if budget < minBudget || class.outsideWindow(job, now) {
 		return false
 	}
-	t.stage, t.sentAt, t.conn, t.read, clientConn.request = requestSent, now, clientConn, false, t
-	c.awaiting++
+	t.stage, t.sentAt, t.conn, t.readByScheduler, clientConn.request = requestSent, now, clientConn, false, t
+	c.inFlight++
 	c.recentRequests[c.recentNext%len(c.recentRequests)] = t
 	c.recentNext++
 	if class.requestTimeout < class.Deadline.Std() && job.deadline-now > class.requestTimeout {
 		class.requestDeadlines.add(t.jobID<<requestBits | uint64(t.number))
 	}
-	a := &simapi.ClientRequest{
+	message := &simapi.ClientRequest{
 		RequestID: t.id, Class: t.class, Tenant: job.tenant, IdempotencyKey: t.key, Budget: budget, CostHint: job.costHint,
 		Slots: t.slots, BodyLength: job.bodyLength, Retry: t.number > 0 && c.env.Spec.Clients.MarkRetry,
 	}
 	c.env.record(c.describe(t, trace.Event{
 		Kind: trace.RequestSent, Scheduler: clientConn.conn.scheduler, Conn: uint64(clientConn.conn.id), Budget: budget,
-		Resent: a.Retry,
+		Resent: message.Retry,
 	}))
-	clientConn.sendRequest(a)
+	clientConn.sendRequest(message)
 	return true
 }
 
-// endRequest ends a request, and settles its job or has it sent again.
-func (c *clients) endRequest(t *request, how requestOutcome, after time.Duration) {
+// endRequest ends a request, and settles its job or plans the next request. retryAfter is the scheduler's advice; 0: none.
+func (c *clients) endRequest(t *request, outcome requestOutcome, retryAfter time.Duration) {
 	job, class := t.job, c.classes[t.class]
 	if t.stage == requestSent {
-		c.awaiting--
+		c.inFlight--
 	}
-	if how == outcomeFailed && job.firstRiskAt < 0 {
+	if outcome == outcomeFailed && job.firstRiskAt < 0 {
 		job.firstRiskAt = t.sentAt
 	}
-	t.stage, t.job, t.conn, job.open = requestEnded, nil, nil, nil
-	if how == outcomeServed || job.requests > c.env.Spec.Clients.Retries || job.requests >= maxRequests ||
-		how == outcomeFailed && !class.idempotent && !class.hasRetries {
+	t.stage, t.job, t.conn, job.openRequest = requestEnded, nil, nil, nil
+	if outcome == outcomeServed || job.requests > c.env.Spec.Clients.Retries || job.requests >= maxRequests ||
+		outcome == outcomeFailed && !class.idempotent && !class.retryableWithKey {
 		c.settleJob(job)
 		return
 	}
-	at := c.env.now + c.retryDelay(job, after)
+	at := c.env.now + c.retryDelay(job, retryAfter)
 	if at > job.deadline-minBudget || class.outsideWindow(job, at) {
 		c.settleJob(job)
 		return
@@ -160,18 +160,18 @@
 	c.env.schedule(at, func() { c.sendNext(job) })
 }
 
-// outsideWindow tells whether an instant is outside the window in which a keyed job may be repeated.
+// outsideWindow reports whether a job that needs its key for a retry may no longer be retried at a time.
 func (c *class) outsideWindow(j *job, at time.Duration) bool {
-	return c.hasRetries && j.firstRiskAt >= 0 && at >= j.firstRiskAt+c.DeduplicationWindow.Std()
+	return c.retryableWithKey && j.firstRiskAt >= 0 && at >= j.firstRiskAt+c.DeduplicationWindow.Std()
 }
 
-// retryDelay is how long a client waits before its job's next request. Of after, the scheduler's advice, only storms and the
-// client's own ways keep it.
-func (c *clients) retryDelay(j *job, after time.Duration) time.Duration {
-	if j.honoursRetryAfter && after > 0 && len(c.retryFactors) == 0 {
-		return after
+// retryDelay returns the time that a client waits before its job's next request. It is retryAfter, the scheduler's advice, if
+// there is one, the client honours it and no retry storm is active; else an exponential backoff with jitter.
+func (c *clients) retryDelay(j *job, retryAfter time.Duration) time.Duration {
+	if j.honoursRetryAfter && retryAfter > 0 && len(c.retryFactors) == 0 {
+		return retryAfter
 	}
-	wait := float64(c.env.Spec.Clients.Backoff.Std()) * (0.5 + unitInterval(c.drawBits(j.number, j.requests, drawWait)))
+	wait := float64(c.env.Spec.Clients.Backoff.Std()) * (0.5 + unitInterval(c.randomBits(j.number, j.requests, drawForBackoff)))
 	wait *= float64(uint64(1) << min(j.requests-1, 30))
 	for _, f := range c.retryFactors {
 		wait /= *f
@@ -179,10 +179,10 @@
 	return time.Duration(min(wait, float64(time.Hour)))
 }
 
-// settleJob is the end of a job.
+// settleJob settles a job, with the status of its last request.
 func (c *clients) settleJob(j *job) {
-	j.overQuota = true
-	c.unsettled--
+	j.settled = true
+	c.unsettledJobs--
 	c.jobs.settle(j.number)
 	c.classes[j.class].retained.add(j.number)
 	c.env.record(trace.Event{
@@ -194,18 +194,19 @@
 	}
 }
 
-// clientLeaves is an impatient client's going away.
+// clientLeaves handles an impatient client that gives up its job.
 func (c *clients) clientLeaves(j *job) {
-	if j.overQuota {
+	if j.settled {
 		return
 	}
 	c.abandonRequest(j, trace.ClientLeft)
 	c.settleJob(j)
 }
 
-// isUnsettled tells whether a job's deadline is still to come, and jobDeadline is it.
+// isUnsettled reports whether a job is not settled.
 func (c *clients) isUnsettled(n uint64) bool { return c.jobs.openJob(n) != nil }
 
+// jobDeadline settles a job that was not settled by its deadline plus the slack.
 func (c *clients) jobDeadline(n uint64) {
 	j := c.jobs.openJob(n)
 	c.abandonRequest(j, trace.ClientTimedOut)
@@ -213,63 +214,65 @@
 }
 
 // abandonRequest ends a job's open request without a response, if it has one.
-func (c *clients) abandonRequest(job *job, why trace.Kind) {
-	t := job.open
+func (c *clients) abandonRequest(job *job, kind trace.Kind) {
+	t := job.openRequest
 	if t == nil {
 		return
 	}
 	if t.stage == requestSent {
-		c.awaiting--
-		c.closeConn(t, why)
+		c.inFlight--
+		c.closeConn(t, kind)
 	} else {
 		c.env.record(c.describe(t, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: -1}))
 	}
-	t.stage, t.job, t.conn, job.open = requestEnded, nil, nil, nil
+	t.stage, t.job, t.conn, job.openRequest = requestEnded, nil, nil, nil
 }
 
-// requestUnreached ends a request that reached no scheduler; -1: it was led to none.
+// requestUnreached ends a request that reached no scheduler. sched is the one that it was assigned to; -1: none was.
 func (c *clients) requestUnreached(t *request, sched int) {
 	c.env.record(c.describe(t, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: sched}))
 	c.endRequest(t, outcomeUnreached, 0)
 }
 
-// isOpenRequest tells whether the end of a request's time is still to come, and requestDeadline is it. Its job has time for more.
+// isOpenRequest reports whether a request has been sent and has not ended.
 func (c *clients) isOpenRequest(id uint64) bool {
 	j := c.jobs.openJob(id >> requestBits)
-	return j != nil && j.open != nil && j.open.number == int(id%maxRequests) && j.open.stage == requestSent
+	return j != nil && j.openRequest != nil && j.openRequest.number == int(id%maxRequests) && j.openRequest.stage == requestSent
 }
 
+// requestDeadline handles the timeout of an open request. Its job's deadline is later, so that there may be a retry.
 func (c *clients) requestDeadline(id uint64) {
-	t := c.jobs.openJob(id >> requestBits).open
-	if c.env.now < t.sentAt+c.classes[t.class].requestTimeout+c.slack { // it was sent a second time, and has that one's time
+	t := c.jobs.openJob(id >> requestBits).openRequest
+	if c.env.now < t.sentAt+c.classes[t.class].requestTimeout+c.deadlineSlack { // it was sent again, and has a later timeout
 		return
 	}
 	c.closeConn(t, trace.ClientTimedOut)
 	c.endRequest(t, outcomeFailed, 0)
 }
 
-// closeConn closes the connection that a request waits on.
-func (c *clients) closeConn(t *request, why trace.Kind) {
-	l := t.conn
-	c.env.record(c.describe(t, trace.Event{Kind: why, Scheduler: l.conn.scheduler, Conn: uint64(l.conn.id)}))
-	l.request = nil
-	l.close()
+// closeConn closes the connection on which a request awaits its response, and records the given kind of event.
+func (c *clients) closeConn(t *request, kind trace.Kind) {
+	conn := t.conn
+	c.env.record(c.describe(t, trace.Event{Kind: kind, Scheduler: conn.conn.scheduler, Conn: uint64(conn.conn.id)}))
+	conn.request = nil
+	conn.close()
 }
 
-// describe says in a trace event which request it is of.
-func (c *clients) describe(t *request, s trace.Event) trace.Event {
-	s.RequestID, s.JobID, s.Number, s.Class, s.Tenant, s.IdempotencyKey = t.id, t.jobID, t.number, t.class, int(t.tenant), t.key
-	return s
+// describe sets the fields of a trace event that identify a request.
+func (c *clients) describe(t *request, event trace.Event) trace.Event {
+	event.RequestID, event.JobID, event.Number, event.Class, event.Tenant, event.IdempotencyKey = t.id, t.jobID, t.number, t.class, int(t.tenant), t.key
+	return event
 }
 
-// startRetryStorm has clients come back factor times as soon, and heed no Retry-After, until undo. Storms multiply.
+// startRetryStorm divides the backoff of clients by factor and makes them ignore Retry-After, until undo is called. The factors
+// of overlapping storms multiply.
 func (c *clients) startRetryStorm(factor float64) (undo func()) {
 	f := &factor
 	c.retryFactors = append(c.retryFactors, f)
 	return func() { c.retryFactors = slices.DeleteFunc(c.retryFactors, func(o *float64) bool { return o == f }) }
 }
 
-// response is an answer as it stands on the wire, and the request that it is meant for.
+// response is a response of a scheduler, with the ID of the request that it answers.
 type response struct {
 	requestID, body string
 	status          int
@@ -286,25 +289,25 @@
 	return outcomeFailed
 }
 
-// responseReceived is the arrival of an answer. Whatever it is, it is seen; one that is not for the request that the
-// connection carries ends nothing.
+// responseReceived handles the arrival of a response. Each response is recorded; one that does not answer the request on the
+// connection ends no request.
 func (c *clientConn) responseReceived(response response) {
 	clients, t := c.pool.clients, c.request
 	event := trace.Event{
 		Kind: trace.ResponseReceived, Status: response.status, RetryAfter: response.retryAfter, Text: response.body, Scheduler: c.conn.scheduler,
 		Conn: uint64(c.conn.id),
 	}
-	own := t != nil && t.id == response.requestID
-	if own {
+	expected := t != nil && t.id == response.requestID
+	if expected {
 		event = clients.describe(t, event)
-	} else if o := clients.findRequest(response.requestID); o != nil {
-		event = clients.describe(o, event)
+	} else if request := clients.findRequest(response.requestID); request != nil {
+		event = clients.describe(request, event)
 	}
 	event.RequestID = response.requestID
 	clients.env.record(event)
-	if !own {
+	if !expected {
 		if t == nil {
-			c.close() // it can't be trusted any more
+			c.close() // its responses can't be matched to requests any more
 		}
 		return
 	}
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -7,19 +7,19 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds the clients of the environment as one: who they are, how they start, and what reaches them from
-// schedulers.
+// This file holds the state that all clients share, how they start, and how they handle the outputs of schedulers.
 
-// clients is all clients: their jobs, each with its requests, of which one is open at a time, and the connections that
-// they share (load_balancer.go). A job is settled exactly once.
+// clients holds all clients: their jobs, each with its requests, of which at most one is open at a time, and the connections
+// that they share (load_balancer.go). A job is settled exactly once.
 //
-// A request waits for a connection, then for its response, and ends with one trace event: ResponseReceived,
-// ConnectionLost, ClientLeft, ClientTimedOut or SchedulerUnreachable. It may be followed by another, with a new id, after
-// a rejection or where no scheduler was reached; after any other failure only if its class is idempotent, or idempotent
-// with a key that all workers recognise, and then within the window of the first request that may have run. No request
-// begins once the job's deadline has passed.
+// A request waits for a connection, then for its response, and ends with one trace event: ResponseReceived, ConnectionLost,
+// ClientLeft, ClientTimedOut or SchedulerUnreachable. The job is retried with another request, which has a new ID, after a
+// rejection or if no scheduler was reached. After any other failure it is retried only if its class is idempotent, or is
+// idempotent with a key that all workers deduplicate; in the latter case only within the deduplication window, which starts
+// with the first request that may have run. No request is sent after the job's deadline.
 //
-// A client listens for the rules' slack beyond its deadline before it closes, as an answer counts until then.
+// A client waits for a response until its deadline plus the rules' slack before it closes the connection, as a response counts
+// until then.
 type clients struct {
 	env            *Environment
 	arrivals       *arrivals
@@ -28,45 +28,45 @@
 	jobs           jobTable
 	requestIDs     permutation
 	salt           uint64
-	slack          time.Duration
+	deadlineSlack  time.Duration
 	connPools      []*connPool
 	lastConn       simapi.Conn
 	retryFactors   []*float64
-	unsettled      int
-	awaiting       int
-	recentRequests [64]*request // asked last, in turn
+	unsettledJobs  int
+	inFlight       int
+	recentRequests [64]*request // ring buffer of the requests that were sent last
 	recentNext     int
 }
 
-// requestRetention is how long a request is known after its job was settled; by then a scheduler sends it no more. That of a
-// keyed class is known for its window longer.
+// requestRetention is how long requests are kept after their job is settled; no scheduler sends an attempt after that. Those of
+// a class with idempotency keys are kept longer by the deduplication window.
 const requestRetention = 30 * time.Second
 
-// answerSlack is the rules' slack where a scenario gives none, that of simulated time.
-const answerSlack = 16 * time.Millisecond
+// defaultDeadlineSlack is the slack if the scenario sets none; it is the slack of runs in simulated time.
+const defaultDeadlineSlack = 16 * time.Millisecond
 
-// class is a class of jobs, and its jobs by when their time is up.
+// class is a class of jobs, with the timeouts of its jobs and requests.
 type class struct {
 	*scenario.Class
-	idempotent, idempotentWithKey, hasRetries bool
-	requestTimeout                            time.Duration // that one request may take
-	deadlines                                 *timeoutQueue // jobs, by when their time is up
-	requestDeadlines                          *timeoutQueue // requests, by when theirs is, where a job may have several
-	retained                                  *timeoutQueue // settled jobs, by when they may be forgotten
+	idempotent, idempotentWithKey, retryableWithKey bool
+	requestTimeout                                  time.Duration // of one request
+	deadlines                                       *timeoutQueue // numbers of jobs
+	requestDeadlines                                *timeoutQueue // IDs of requests with a timeout before their job's deadline
+	retained                                        *timeoutQueue // numbers of settled jobs, until their requests are forgotten
 }
 
 func newClients(environment *Environment) *clients {
 	spec := environment.Spec
-	clients := &clients{env: environment, zones: max(1, len(spec.Fleet.Zones)), slack: spec.Rules.Slack.Std()}
-	if clients.slack <= 0 {
-		clients.slack = answerSlack
+	clients := &clients{env: environment, zones: max(1, len(spec.Fleet.Zones)), deadlineSlack: spec.Rules.Slack.Std()}
+	if clients.deadlineSlack <= 0 {
+		clients.deadlineSlack = defaultDeadlineSlack
 	}
 	rng := environment.rng("ids", 0)
 	clients.requestIDs, clients.salt = newPermutation(rng.Uint64(), rng.Uint64()), rng.Uint64()
 	for i := range spec.Classes {
 		class := &class{Class: &spec.Classes[i]}
 		class.idempotent, class.idempotentWithKey = class.Idempotency == "safe", class.Idempotency == "keyed"
-		class.hasRetries = class.idempotentWithKey && class.DeduplicationScope == "all"
+		class.retryableWithKey = class.idempotentWithKey && class.DeduplicationScope == "all"
 		class.requestTimeout = class.Deadline.Std()
 		if share := spec.Clients.RequestTimeoutShare; share > 0 && share < 1 {
 			class.requestTimeout = time.Duration(float64(class.requestTimeout) * share)
@@ -75,8 +75,8 @@
 		if class.idempotentWithKey {
 			window = class.DeduplicationWindow.Std()
 		}
-		class.deadlines = newTimeoutQueue(environment, class.Deadline.Std()+clients.slack, 0, clients.isUnsettled, clients.jobDeadline)
-		class.requestDeadlines = newTimeoutQueue(environment, class.requestTimeout+clients.slack, 0, clients.isOpenRequest, clients.requestDeadline)
+		class.deadlines = newTimeoutQueue(environment, class.Deadline.Std()+clients.deadlineSlack, 0, clients.isUnsettled, clients.jobDeadline)
+		class.requestDeadlines = newTimeoutQueue(environment, class.requestTimeout+clients.deadlineSlack, 0, clients.isOpenRequest, clients.requestDeadline)
 		class.retained = newTimeoutQueue(environment, requestRetention+window, time.Second, nil, clients.jobs.forget)
 		clients.classes = append(clients.classes, class)
 	}
@@ -92,20 +92,20 @@
 	c.startMisbehaving()
 }
 
-// finished tells whether all jobs are settled and none will come.
-func (c *clients) finished() bool { return c.unsettled == 0 && c.env.now >= c.arrivals.length }
+// finished reports whether all jobs are settled and no more will arrive.
+func (c *clients) finished() bool { return c.unsettledJobs == 0 && c.env.now >= c.arrivals.runLength }
 
-// RequestsInFlight is how many requests clients wait for an answer to.
-func (e *Environment) RequestsInFlight() int { return e.clients.awaiting }
+// RequestsInFlight returns the number of requests that await a response.
+func (e *Environment) RequestsInFlight() int { return e.clients.inFlight }
 
-// QuotaPerS is how many jobs a second are within a tenant's share.
+// QuotaPerS returns the quota of a tenant in jobs per second.
 func (e *Environment) QuotaPerS(tenant int) float64 { return e.Spec.QuotaRate(tenant) }
 
-// Capacity is how many seconds of work a second the warm fleet can do, on standard cores.
+// Capacity returns the seconds of work on a standard core that the warm fleet can do per second.
 func (e *Environment) Capacity() float64 { return e.Spec.Capacity() }
 
-// openConn is a client's connection to a scheduler; nil: its client has closed it, or there never was one. What is for
-// that goes nowhere.
+// openConn returns a client's connection to a scheduler; nil: both sides have closed it, or it never existed. Outputs for such
+// a connection have no effect.
 func (c *clients) openConn(scheduler int, id simapi.Conn) *conn {
 	conn := c.env.conns[id]
 	if conn == nil || id.IsWorkerConn() || conn.scheduler != scheduler {
@@ -114,29 +114,29 @@
 	return conn
 }
 
-// responseWritten takes a scheduler's answer.
+// responseWritten handles a response that a scheduler has written.
 func (c *clients) responseWritten(scheduler int, message *simapi.ResponseWritten) {
 	conn := c.openConn(scheduler, message.Conn)
 	if conn == nil {
 		return
 	}
-	a := response{message.RequestID, message.Result, message.Status, message.RetryAfter}
+	response := response{message.RequestID, message.Result, message.Status, message.RetryAfter}
 	switch far := conn.far.(type) {
 	case *clientConn:
-		far.sendResponse(a)
+		far.sendResponse(response)
 	case *misbehavingClient:
-		c.env.toFarEnd(conn, func() { far.responseReceived(conn, a) })
+		c.env.toFarEnd(conn, func() { far.responseReceived(conn, response) })
 	}
 }
 
-// schedulerClosed takes a scheduler's close of a connection.
+// schedulerClosed handles a scheduler's close of a connection.
 func (c *clients) schedulerClosed(scheduler int, id simapi.Conn) {
 	if conn := c.openConn(scheduler, id); conn != nil {
 		c.env.closeSide(conn, schedulerSide)
 	}
 }
 
-// connFailed takes it that a connection never came up.
+// connFailed handles the report that a connection was never established.
 func (c *clients) connFailed(scheduler int, id simapi.Conn) {
 	if conn := c.openConn(scheduler, id); conn != nil {
 		conn.closed[schedulerSide], conn.closed[farSide] = true, true
@@ -145,7 +145,7 @@
 	}
 }
 
-// nextConn numbers a client's connection.
+// nextConn returns the number of a new client connection.
 func (c *clients) nextConn() simapi.Conn {
 	c.lastConn++
 	return c.lastConn
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -6,33 +6,33 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// The sides of a connection.
+// The sides of a connection, as indices of the arrays of conn.
 const (
 	schedulerSide = iota // the scheduler's
 	farSide              // the client's or the worker's
 )
 
-// conn is a connection between a scheduler and a client or a worker. Each side closes for itself; the other
-// learns of it as of anything else, after the network's delay and in order.
+// conn is a connection between a scheduler and a client or a worker. When one side closes it, the other side is notified after
+// the network's delay, in order with the data that was sent before.
 type conn struct {
 	id                simapi.Conn
 	scheduler         int
-	incarnation       int // which of the scheduler's processes it belongs to
-	worker            int // of a link
-	workerIncarnation int // of a link: which of the worker's processes it leads to
-	up                bool
-	closed            [2]bool          // by side: closed there, or known there to be closed
-	resetSilently     [2]bool          // by side: closed there by a reset that the other side knows nothing of
-	arrivesBy         [2]time.Duration // when the last thing sent to that side arrives
-	lastUsed          time.Duration    // when something last went over it, either way
+	incarnation       int              // of the scheduler's process that it belongs to
+	worker            int              // number of the worker, of a worker's connection
+	workerIncarnation int              // of the worker's process that it leads to, likewise
+	up                bool             // it is established
+	closed            [2]bool          // by side: closed by that side, or that side was notified of the close
+	resetUnnoticed    [2]bool          // by side: closed, unnoticed by the other side as a middlebox dropped it
+	arrivesBy         [2]time.Duration // by side: when the last data sent to it arrives
+	lastUsed          time.Duration    // when data was last sent over it, either way
 	far               farEnd
-	state             any // what the far end keeps with it
+	state             any // state of the far end, a *workerConn for a worker's connection
 }
 
-// farEnd is a client or a worker, at its end of a connection.
+// farEnd is the client's or worker's end of a connection.
 type farEnd interface {
 	endpoint() endpoint
-	connClosed(c *conn) // the scheduler has closed it, or its process is gone
+	connClosed(c *conn) // the scheduler has closed it, or its process has ended
 }
 
 func (e *Environment) openConn(c *conn) *conn {
@@ -41,12 +41,12 @@
 	return c
 }
 
-// toSched brings something over a connection to its scheduler: do runs when it arrives there, in order, unless that
-// side is closed by then. What a cut holds up arrives after that. What the network swallows never arrives: whoever
-// waits for it has a timeout of its own.
+// toSched sends data over a connection to its scheduler: do is called when it arrives, in order, unless the scheduler's side is
+// closed by then. Data that a partition holds up arrives after that. Data for a connection that a middlebox has forgotten
+// never arrives: whoever waits for it has a timeout.
 func (e *Environment) toSched(c *conn, do func()) { e.transmit(c, schedulerSide, do) }
 
-// toFarEnd is the same the other way.
+// toFarEnd does the same in the other direction.
 func (e *Environment) toFarEnd(c *conn, do func()) { e.transmit(c, farSide, do) }
 
 func (e *Environment) transmit(conn *conn, side int, onArrival func()) {
@@ -54,13 +54,13 @@
 	if side == schedulerSide {
 		from, target = target, from
 	}
-	if cut := e.network.partitionBetween(from, target); cut != nil {
-		cut.held = append(cut.held, func() { e.transmit(conn, side, onArrival) })
+	if partition := e.network.partitionBetween(from, target); partition != nil {
+		partition.held = append(partition.held, func() { e.transmit(conn, side, onArrival) })
 		return
 	}
 	if d := e.network.idleDropAfter(from, target); d > 0 && e.now-conn.lastUsed > d {
-		conn.resetSilently[1-side] = conn.closed[1-side] // its close has come to nobody's knowledge
-		e.tear(conn, 1-side)
+		conn.resetUnnoticed[1-side] = conn.closed[1-side] // what is dropped here is the sender's close
+		e.sendReset(conn, 1-side)
 		return
 	}
 	conn.lastUsed = e.now
@@ -69,15 +69,15 @@
 		switch {
 		case !conn.closed[side]:
 			onArrival()
-		case conn.resetSilently[side]:
-			e.tear(conn, 1-side)
+		case conn.resetUnnoticed[side]:
+			e.sendReset(conn, 1-side)
 		}
 	})
 }
 
-// tear has a side that has sent something learn that its connection is known no more where that went. The other side,
-// if that did not close it itself, learns nothing.
-func (e *Environment) tear(conn *conn, side int) {
+// sendReset resets a connection at the given side, which has sent data to a middlebox or peer that no longer knows the
+// connection. The other side is not notified: its end stays open unless it was closed before.
+func (e *Environment) sendReset(conn *conn, side int) {
 	from, to := conn.far.endpoint(), endpoint{schedulerEndpoint, conn.scheduler}
 	if side == farSide {
 		from, to = to, from
@@ -91,12 +91,12 @@
 		if conn.closed[side] {
 			return
 		}
-		conn.resetSilently[side] = !conn.closed[1-side]
+		conn.resetUnnoticed[side] = !conn.closed[1-side]
 		e.connLost(conn, side)
 	})
 }
 
-// connLost tells a side that its connection is over.
+// connLost notifies a side that its connection is closed, and forgets the connection once both sides are closed.
 func (e *Environment) connLost(conn *conn, side int) {
 	conn.closed[side] = true
 	if conn.closed[1-side] {
@@ -128,7 +128,7 @@
 	e.transmit(c, 1-side, func() { e.connLost(c, 1-side) })
 }
 
-// dropConns ends all connections of a scheduler's process that is gone. Its kernel resets them.
+// dropConns closes all connections of a scheduler's process that has ended, as its kernel resets them.
 func (e *Environment) dropConns(sched int) {
 	var own []*conn
 	for _, c := range e.conns {
@@ -136,7 +136,7 @@
 			own = append(own, c)
 		}
 	}
-	sortConns(own) // map order decides nothing
+	sortConns(own) // the random map order must not affect the run
 	for _, c := range own {
 		e.closeSide(c, schedulerSide)
 	}
--- a/internal/testbed/environment/discovery_faults.go
+++ b/internal/testbed/environment/discovery_faults.go
@@ -7,9 +7,9 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds the faults of discovery, each of which holds until it is undone.
+// This file holds the faults of discovery, each of which lasts until its undo is called.
 
-// reportAcceptMode lets a process driver know of how the address at an index takes connections.
+// reportAcceptMode notifies the process driver of how the address with an index answers connection attempts.
 func (d *discovery) reportAcceptMode(index int) {
 	mode := simapi.AcceptAll
 	if d.outages > 0 || index != d.address {
@@ -18,7 +18,7 @@
 	d.env.inputs = append(d.env.inputs, simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Discovery: index, Mode: mode}})
 }
 
-// startOutage: it answers nothing, and watches end.
+// startOutage makes discovery refuse all calls, and ends the watches.
 func (d *discovery) startOutage() (undo func()) {
 	d.outages++
 	d.endWatches(d.address)
@@ -29,7 +29,7 @@
 	}
 }
 
-// endWatches ends all calls and watches that came in at the addresses up to index.
+// endWatches ends all calls and watches at the addresses up to index.
 func (d *discovery) endWatches(index int) {
 	for _, v := range d.views {
 		if c := v.call; c != nil && c.address <= index && c.stage != watchSending {
@@ -38,20 +38,21 @@
 	}
 }
 
-// delayNotices: it comes to know so much later of what happens from now on.
+// delayNotices makes discovery notice events from now on later by the given time.
 func (d *discovery) delayNotices(by time.Duration) (undo func()) {
 	d.noticeDelay += by
 	return func() { d.noticeDelay -= by }
 }
 
-// listWrongly: it lists these as up, though they are down, draining or silent.
-func (d *discovery) listWrongly(nodes []int) (undo func()) {
-	return d.countFaults(d.wrongEntries, nodes, nil, nil)
+// listWrongly makes discovery list the given workers as up even if they are down, draining or silent.
+func (d *discovery) listWrongly(workers []int) (undo func()) {
+	return d.countFaults(d.wronglyListed, workers, nil, nil)
 }
 
-// isolate: nothing passes between it and these. It takes them for silent in time, and what they would tell waits.
-func (d *discovery) isolate(nodes []int) (undo func()) {
-	return d.countFaults(d.cutCounts, nodes, func(n int) {
+// isolate partitions discovery from the given workers. After the notice delay for silence they are unlisted. Their events are
+// held, and noticed after the partition ends.
+func (d *discovery) isolate(workers []int) (undo func()) {
+	return d.countFaults(d.isolationCounts, workers, func(n int) {
 		e := d.entryOf[n]
 		d.env.after(d.drawNoticeDelay(n, lifeSilent), func() { d.setReachable(e, false) })
 	}, func(n int) {
@@ -59,7 +60,7 @@
 		d.env.after(d.drawNoticeDelay(n, lifeStarted), func() {
 			var held []lifeEventNotice
 			d.heldEvents = slices.DeleteFunc(d.heldEvents, func(x lifeEventNotice) bool {
-				own := d.entries[x.entry].worker == n && d.cutCounts[n] == 0
+				own := d.entries[x.entry].worker == n && d.isolationCounts[n] == 0
 				if own {
 					held = append(held, x)
 				}
@@ -73,39 +74,39 @@
 	})
 }
 
-// setReachable records that it can reach an entry's machine or not, if that is still so.
-func (d *discovery) setReachable(i int, does bool) {
-	if e := &d.entries[i]; does == (d.cutCounts[e.worker] == 0) && e.unreachable == does {
-		e.unreachable = !does
+// setReachable records whether discovery can reach the machine of an entry, unless that has changed again.
+func (d *discovery) setReachable(i int, reachable bool) {
+	if e := &d.entries[i]; reachable == (d.isolationCounts[e.worker] == 0) && e.unreachable == reachable {
+		e.unreachable = !reachable
 		d.markChanged(i)
 	}
 }
 
-// countFaults counts one more of something for each of some workers, until undo; first and last are for those of which
-// there was none, and is none any more.
-func (d *discovery) countFaults(counts []int, nodes []int, first, last func(n int)) (undo func()) {
-	step := func(by, edge int, iteration func(n int)) {
-		for _, n := range nodes {
-			if counts[n] += by; counts[n] == edge && iteration != nil {
-				iteration(n)
+// countFaults adds one to the counts of the given workers until undo is called. first is called for each worker whose count
+// rises from 0, last for each whose count falls to 0; both may be nil.
+func (d *discovery) countFaults(counts []int, workers []int, first, last func(n int)) (undo func()) {
+	addToAll := func(by, threshold int, notify func(n int)) {
+		for _, n := range workers {
+			if counts[n] += by; counts[n] == threshold && notify != nil {
+				notify(n)
 			}
 			d.markChanged(d.entryOf[n])
 		}
 	}
-	step(1, 1, first)
-	return func() { step(-1, 0, last) }
+	addToAll(1, 1, first)
+	return func() { addToAll(-1, 0, last) }
 }
 
-// freezeList: it answers with the list and generation of this moment, whatever happens after.
+// freezeList makes discovery publish nothing, so that it answers with the present list and revision.
 func (d *discovery) freezeList() (undo func()) {
-	d.staleAnswers++
+	d.listFreezes++
 	return func() {
-		d.staleAnswers--
-		d.planPublish()
+		d.listFreezes--
+		d.schedulePublish()
 	}
 }
 
-// slowDown: its capacity is divided by this.
+// slowDown divides the capacity of discovery by factor.
 func (d *discovery) slowDown(factor float64) (undo func()) {
 	d.slowFactors = append(d.slowFactors, factor)
 	return func() {
@@ -114,11 +115,12 @@
 	}
 }
 
-// changeAddress: it answers at another address from now on. The old one accepts nothing more, and ends its watches in 1.5 s.
+// changeAddress moves discovery to another address. The old one accepts no more calls, and its watches end after
+// oldAddressGrace.
 func (d *discovery) changeAddress() {
 	d.address++
 	old := d.address - 1
 	d.reportAcceptMode(old)
 	d.reportAcceptMode(d.address)
-	d.env.after(moveGrace, func() { d.endWatches(old) })
+	d.env.after(oldAddressGrace, func() { d.endWatches(old) })
 }
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -12,19 +12,19 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Whatever befalls workers, discovery, the network and schedulers: once all is well again, each scheduler that
-// has applied what it was told has discovery's list, that list is true, and what counts as told is what is so.
+// Under random faults of workers, discovery, the network and schedulers: once all faults have ended, each scheduler that applies
+// the updates it receives has discovery's list, that list is correct, and the recorded notifications agree with it.
 func FuzzDiscovery(f *testing.F) { modeltest.Fuzz(f, runDiscovery) }
 
-// discoveryModel puts a fleet through random faults, and knows what its schedulers should have heard of it.
+// discoveryModel applies random faults to a fleet, and checks what its schedulers have been notified of.
 type discoveryModel struct {
 	*faultHarness
-	steps *modeltest.Steps
-	undos []func() // of the faults that hold
+	steps       *modeltest.Steps
+	activeUndos []func() // of the active faults
 }
 
 func runDiscovery(s *modeltest.Steps) {
-	spec := quiet(2+s.Pick(7), 1+s.Pick(3))
+	spec := idleScenario(2+s.Pick(7), 1+s.Pick(3))
 	if s.Pick(2) == 0 {
 		spec.Discovery.Capacity = 20
 	}
@@ -32,256 +32,257 @@
 	for s.More() {
 		m.step()
 	}
-	for _, undo := range m.undos {
-		m.do(undo)
+	for _, undo := range m.activeUndos {
+		m.doNow(undo)
 	}
-	m.run(100 * time.Second) // the longest drain is 30 s, and lists a line each 50 ms
-	want := m.endpoints()
-	for i, x := range m.scheds {
-		s.Check(x.revision == m.w.discovery.revision, "scheduler %d has generation %d of %d", i, x.revision, m.w.discovery.revision)
-		s.Check(maps.Equal(x.list, want), "scheduler %d has %v, and so it is: %v", i, x.list, want)
+	m.runFor(100 * time.Second) // the longest drain takes 30 s, and the service of a list 50 ms per line
+	want := m.expectedEndpoints()
+	for i, scheduler := range m.schedulers {
+		s.Check(scheduler.revision == m.env.discovery.revision, "scheduler %d has revision %d of %d", i, scheduler.revision, m.env.discovery.revision)
+		s.Check(maps.Equal(scheduler.list, want), "scheduler %d has the list %v, want %v", i, scheduler.list, want)
 		m.checkNotified(i, want)
 	}
-	d := m.w.discovery
-	s.Check(len(d.heldEvents) == 0 && len(d.calls) == 0 && d.serving == nil && d.noticeDelay == 0, "something is left over")
+	d := m.env.discovery
+	s.Check(len(d.heldEvents) == 0 && len(d.calls) == 0 && d.serving == nil && d.noticeDelay == 0, "events, calls or a notice delay are left over")
 }
 
-// step draws a fault, the end of one, or a while in which nothing else happens.
+// step draws a fault, the end of a fault, or a time without further changes.
 func (d *discoveryModel) step() {
-	n, sched := d.w.workers[d.steps.Pick(len(d.w.workers))], d.w.schedulers[d.steps.Pick(len(d.w.schedulers))]
-	back := time.Duration(d.steps.Pick(8)) * 700 * time.Millisecond
+	worker, sched := d.env.workers[d.steps.Pick(len(d.env.workers))], d.env.schedulers[d.steps.Pick(len(d.env.schedulers))]
+	restartDelay := time.Duration(d.steps.Pick(8)) * 700 * time.Millisecond
 	undo := func() {}
 	what := d.steps.Pick(20)
 	switch {
 	case what > 16:
-		d.run(time.Duration(1+d.steps.Pick(40)) * 150 * time.Millisecond)
+		d.runFor(time.Duration(1+d.steps.Pick(40)) * 150 * time.Millisecond)
 		return
 	case what == 16:
-		d.do(d.endFault)
+		d.doNow(d.endFault)
 	case what >= 12:
-		d.do(func() { undo = d.disturbOthers(what, n, sched, back) })
+		d.doNow(func() { undo = d.startOtherFault(what, worker, sched, restartDelay) })
 	case what >= 6:
-		d.do(func() { undo = d.disturbDiscovery(what, d.twoWorkers(n)) })
+		d.doNow(func() { undo = d.startDiscoveryFault(what, d.twoWorkers(worker)) })
 	default:
-		d.do(func() { d.endWorker(what, n, back) })
+		d.doNow(func() { d.endWorker(what, worker, restartDelay) })
 	}
-	d.undos = append(d.undos, undo)
+	d.activeUndos = append(d.activeUndos, undo)
 }
 
-// twoWorkers is a worker and the next one.
-func (d *discoveryModel) twoWorkers(n *worker) []int {
-	return []int{n.number, (n.number + 1) % len(d.w.workers)}
+// twoWorkers returns the numbers of a worker and the next one.
+func (d *discoveryModel) twoWorkers(worker *worker) []int {
+	return []int{worker.number, (worker.number + 1) % len(d.env.workers)}
 }
 
-// endWorker ends a worker's process, or has it drain.
-func (d *discoveryModel) endWorker(what int, n *worker, back time.Duration) {
+// endWorker ends a worker's process, or makes it drain.
+func (d *discoveryModel) endWorker(what int, worker *worker, restartDelay time.Duration) {
 	switch what {
 	case 0:
-		n.crash(back)
+		worker.crash(restartDelay)
 	case 1:
-		n.vanish(back)
+		worker.vanish(restartDelay)
 	case 2:
-		n.restart(back)
+		worker.restart(restartDelay)
 	case 3:
-		n.replace(back)
+		worker.replace(restartDelay)
 	case 4:
-		n.drain()
+		worker.drain()
 	case 5:
-		if n.number > 0 {
-			n.remove()
+		if worker.number > 0 {
+			worker.remove()
 		}
 	}
 }
 
-// disturbDiscovery begins a fault of discovery.
-func (d *discoveryModel) disturbDiscovery(what int, some []int) (undo func()) {
-	discovery := d.w.discovery
+// startDiscoveryFault starts a fault of discovery.
+func (d *discoveryModel) startDiscoveryFault(what int, workers []int) (undo func()) {
+	discovery := d.env.discovery
 	switch what {
 	case 6:
 		return discovery.startOutage()
 	case 7:
-		if discovery.noticeDelay < 10*time.Second { // else nothing would be known in the end
+		if discovery.noticeDelay < 10*time.Second { // longer delays would outlast the end of the run
 			return discovery.delayNotices(2 * time.Second)
 		}
 	case 8:
-		return discovery.listWrongly(some)
+		return discovery.listWrongly(workers)
 	case 9:
 		return discovery.freezeList()
 	case 10:
 		return discovery.slowDown(3)
 	case 11:
 		discovery.changeAddress()
-		for _, x := range d.w.schedulers {
+		for _, x := range d.env.schedulers {
 			x.reload()
 		}
 	}
 	return func() {}
 }
 
-// disturbOthers cuts discovery off, or ends or freezes a scheduler.
-func (d *discoveryModel) disturbOthers(what int, n *worker, sched *scheduler, back time.Duration) (undo func()) {
-	disco := endpointGroup{kind: discoveryEndpoint}
+// startOtherFault partitions discovery from schedulers or workers, or kills or freezes a scheduler.
+func (d *discoveryModel) startOtherFault(what int, worker *worker, sched *scheduler, restartDelay time.Duration) (undo func()) {
+	discoveryGroup := endpointGroup{kind: discoveryEndpoint}
 	switch what {
 	case 12:
-		return d.w.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, disco, d.steps.Pick(2) == 0)
+		return d.env.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, discoveryGroup, d.steps.Pick(2) == 0)
 	case 13:
-		some := d.twoWorkers(n)
-		pass, reach := d.w.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{some[0]: true, some[1]: true}}, disco, false),
-			d.w.discovery.isolate(some)
-		return func() { pass(); reach() }
+		workers := d.twoWorkers(worker)
+		heal, reconnect := d.env.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{workers[0]: true, workers[1]: true}}, discoveryGroup, false),
+			d.env.discovery.isolate(workers)
+		return func() { heal(); reconnect() }
 	case 14:
-		sched.kill(back + time.Millisecond)
+		sched.kill(restartDelay + time.Millisecond)
 	case 15:
-		sched.freeze(back)
+		sched.freeze(restartDelay)
 	}
 	return func() {}
 }
 
-// endFault ends one of the faults that hold.
+// endFault ends one of the active faults.
 func (d *discoveryModel) endFault() {
-	if len(d.undos) > 0 {
-		i := d.steps.Pick(len(d.undos))
-		d.undos[i]()
-		d.undos = append(d.undos[:i], d.undos[i+1:]...)
+	if len(d.activeUndos) > 0 {
+		i := d.steps.Pick(len(d.activeUndos))
+		d.activeUndos[i]()
+		d.activeUndos = append(d.activeUndos[:i], d.activeUndos[i+1:]...)
 	}
 }
 
-// endpoints is what discovery's list should say in the end.
-func (d *discoveryModel) endpoints() map[string]requests.Endpoint {
+// expectedEndpoints returns the list that discovery should have in the end.
+func (d *discoveryModel) expectedEndpoints() map[string]requests.Endpoint {
 	list := map[string]requests.Endpoint{}
-	for _, n := range d.w.workers {
-		if n.process.state != workerUp || n.removed {
+	for _, worker := range d.env.workers {
+		if worker.process.state != workerUp || worker.removed {
 			continue
 		}
-		entry := &d.w.discovery.entries[d.w.discovery.entryOf[n.number]]
-		list[n.id] = requests.Endpoint{
-			ID: n.id, Addr: d.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
-			Lifecycle: map[bool]string{false: "up", true: "draining"}[n.process.draining], Weight: entry.endpoint.Weight, StartedAtMs: n.startedMs(),
+		entry := &d.env.discovery.entries[d.env.discovery.entryOf[worker.number]]
+		list[worker.id] = requests.Endpoint{
+			ID: worker.id, Addr: d.env.WorkerAddr(worker.placeIndex()), Zone: "a", MachineType: worker.kind.Name, Cell: worker.cell,
+			Lifecycle: map[bool]string{false: "up", true: "draining"}[worker.process.draining], Weight: entry.endpoint.Weight, StartedAtMs: worker.startedMs(),
 		}
 	}
 	return list
 }
 
-// checkNotified checks of what a scheduler counts as told that it is so, and that of each worker.
+// checkNotified checks that the last notification of a scheduler about each worker agrees with the list.
 func (d *discoveryModel) checkNotified(i int, want map[string]requests.Endpoint) {
 	s := d.steps
 	notified := map[int]trace.Kind{}
-	for _, e := range d.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
-		if e.Scheduler != i {
+	for _, event := range d.eventsOfKinds(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
+		if event.Scheduler != i {
 			continue
 		}
-		if e.Kind == trace.SchedulerStarted {
+		if event.Kind == trace.SchedulerStarted {
 			notified = map[int]trace.Kind{}
 			continue
 		}
-		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || d.w.workers[e.Worker].process.incarnation > 1,
-			"told twice of the drain of a worker that never started again")
-		notified[e.Worker] = e.Kind
+		s.Check(event.Kind == trace.StartNotified || notified[event.Worker] != event.Kind || d.env.workers[event.Worker].process.incarnation > 1,
+			"notified twice of the drain of a worker that was never restarted")
+		notified[event.Worker] = event.Kind
 	}
-	for _, n := range d.w.workers {
-		h, listed := want[n.id]
-		s.Check(!listed || d.w.discovery.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
-		s.Check((notified[n.number] == trace.DrainNotified) == (!listed && notified[n.number] != 0 || h.Lifecycle == "draining"),
-			"scheduler %d: %s is %q, and was last told of by trace event %d", i, n.id, h.Lifecycle, notified[n.number])
+	for _, worker := range d.env.workers {
+		endpoint, listed := want[worker.id]
+		s.Check(!listed || d.env.discovery.knowsStart(i, worker), "scheduler %d was not notified of the start of %s", i, worker.id)
+		s.Check((notified[worker.number] == trace.DrainNotified) == (!listed && notified[worker.number] != 0 || endpoint.Lifecycle == "draining"),
+			"scheduler %d: %s is %q, and its last notification is trace event %d", i, worker.id, endpoint.Lifecycle, notified[worker.number])
 	}
 }
 
-// When a drain counts as told.
+// When a scheduler counts as notified of a drain.
 func TestNotificationTimes(t *testing.T) {
 	const drained = 20 * time.Second
 	scheds := endpointGroup{kind: schedulerEndpoint}
 	disco := endpointGroup{kind: discoveryEndpoint}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		before      func(f *faultHarness)
 		after       func(f *faultHarness)
-		from, until time.Duration // of when it was listed
+		from, until time.Duration // bounds of the time since the drain was listed
 	}{
 		"over a watch": {from: 0, until: 5 * time.Millisecond},
 		"on a watch that is cut off": {
-			before: func(f *faultHarness) { f.w.network.partition(disco, scheds, true) },
+			before: func(f *faultHarness) { f.env.network.partition(disco, scheds, true) },
 			from:   6 * time.Second, until: 6 * time.Second,
 		},
 		"without a watch": {
-			before: func(f *faultHarness) { f.scheds[0].silent = true; f.w.discovery.startOutage()() },
+			before: func(f *faultHarness) { f.schedulers[0].neverCalls = true; f.env.discovery.startOutage()() },
 			from:   9 * time.Second, until: 10 * time.Second,
-		}, // ask_every, from when it had the watch
+		}, // the poll interval, from the end of the watch
 		"after a call that failed": {
 			before: func(f *faultHarness) {
-				f.w.discovery.startOutage()
-				f.w.after(2*time.Second, func() { f.scheds[0].silent = true })
+				f.env.discovery.startOutage()
+				f.env.after(2*time.Second, func() { f.schedulers[0].neverCalls = true })
 			},
 			from: 38 * time.Second, until: 40 * time.Second,
 		},
 		"after SIGHUP": {
-			before: func(f *faultHarness) { f.w.discovery.startOutage() }, after: func(f *faultHarness) { f.w.schedulers[0].reload() },
+			before: func(f *faultHarness) { f.env.discovery.startOutage() }, after: func(f *faultHarness) { f.env.schedulers[0].reload() },
 			from: 8 * time.Second, until: 8100 * time.Millisecond,
 		},
 		"by the next process": {
-			before: func(f *faultHarness) { f.w.schedulers[0].kill(10 * time.Second) },
+			before: func(f *faultHarness) { f.env.schedulers[0].kill(10 * time.Second) },
 			from:   5 * time.Second, until: 6 * time.Second,
 		},
-		"frozen": {before: func(f *faultHarness) { f.w.schedulers[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
+		"frozen": {before: func(f *faultHarness) { f.env.schedulers[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
 	} {
-		f := newFaultHarness(t, quiet(4, 1), 1)
-		f.run(drained - 3*time.Second)
-		if x.before != nil {
-			f.do(func() { x.before(f) })
+		f := newFaultHarness(t, idleScenario(4, 1), 1)
+		f.runFor(drained - 3*time.Second)
+		if test.before != nil {
+			f.doNow(func() { test.before(f) })
 		}
-		f.run(drained - f.w.now)
-		gen := f.w.discovery.revision
-		f.do(f.w.workers[2].drain)
-		for f.w.discovery.revision == gen {
-			f.run(time.Millisecond)
+		f.runFor(drained - f.env.now)
+		revision := f.env.discovery.revision
+		f.doNow(f.env.workers[2].drain)
+		for f.env.discovery.revision == revision {
+			f.runFor(time.Millisecond)
 		}
-		listed := f.w.now
-		if x.after != nil {
-			f.run(4 * time.Second)
-			f.do(func() { x.after(f) })
+		listed := f.env.now
+		if test.after != nil {
+			f.runFor(4 * time.Second)
+			f.doNow(func() { test.after(f) })
 		}
-		f.run(45 * time.Second)
-		notified := f.all(0, trace.DrainNotified)
-		if len(notified) != 1 || notified[0].Worker != 2 || notified[0].At < listed+x.from-2*time.Millisecond ||
-			notified[0].At > listed+x.until {
-			t.Errorf("%s: listed at %v, told: %v", name, listed, notified)
+		f.runFor(45 * time.Second)
+		notified := f.eventsOfKinds(0, trace.DrainNotified)
+		if len(notified) != 1 || notified[0].Worker != 2 || notified[0].At < listed+test.from-2*time.Millisecond ||
+			notified[0].At > listed+test.until {
+			t.Errorf("%s: listed at %v, notifications: %v", name, listed, notified)
 		}
 	}
 }
 
-// Notices come late, each by its kind, and a machine that is cut off from discovery is silent to it.
-func TestNotices(t *testing.T) {
-	cut := func(f *faultHarness) { f.w.discovery.isolate([]int{1}) }
-	crash := func(f *faultHarness) { f.w.workers[1].crash(0) }
-	for name, x := range map[string]struct {
+// Discovery notices each kind of event after its delay. A machine that is partitioned from discovery counts as silent.
+func TestNoticeDelays(t *testing.T) {
+	partition := func(f *faultHarness) { f.env.discovery.isolate([]int{1}) }
+	crash := func(f *faultHarness) { f.env.workers[1].crash(0) }
+	for name, test := range map[string]struct {
 		do       func(f *faultHarness)
-		from, to int // ms
+		from, to int // milliseconds until the change is published
 		state    string
 	}{
-		"drain":       {func(f *faultHarness) { f.w.workers[1].drain() }, 700, 1800, "draining"},
-		"crash":       {crash, 700, 1800, "removed"},
-		"vanish":      {func(f *faultHarness) { f.w.workers[1].vanish(0) }, 5600, 10900, "removed"},
-		"cut":         {cut, 5600, 10900, "removed"},
-		"cut, crash":  {func(f *faultHarness) { cut(f); crash(f) }, 5600, 10900, "removed"},
-		"crash, late": {func(f *faultHarness) { f.w.discovery.delayNotices(5 * time.Second); crash(f) }, 5700, 6800, "removed"},
+		"drain":                  {func(f *faultHarness) { f.env.workers[1].drain() }, 700, 1800, "draining"},
+		"crash":                  {crash, 700, 1800, "removed"},
+		"vanish":                 {func(f *faultHarness) { f.env.workers[1].vanish(0) }, 5600, 10900, "removed"},
+		"partition":              {partition, 5600, 10900, "removed"},
+		"partition, crash":       {func(f *faultHarness) { partition(f); crash(f) }, 5600, 10900, "removed"},
+		"crash, delayed notices": {func(f *faultHarness) { f.env.discovery.delayNotices(5 * time.Second); crash(f) }, 5700, 6800, "removed"},
 	} {
 		for seed := range uint64(5) {
-			f := newFaultHarness(t, quiet(4, 1), seed)
-			f.run(10 * time.Second)
+			f := newFaultHarness(t, idleScenario(4, 1), seed)
+			f.runFor(10 * time.Second)
 			from := len(f.inputs)
-			f.do(func() { x.do(f) })
-			at := f.w.now
-			for len(arrived[simapi.ListReceived](f, from)) == 0 && f.w.now < at+15*time.Second {
-				f.run(10 * time.Millisecond)
+			f.doNow(func() { test.do(f) })
+			at := f.env.now
+			for len(messagesOf[simapi.ListReceived](f, from)) == 0 && f.env.now < at+15*time.Second {
+				f.runFor(10 * time.Millisecond)
 			}
-			lists := arrived[simapi.ListReceived](f, from)
-			if len(lists) != 1 || len(lists[0].message.List.Endpoints) != 1 || lists[0].message.List.Endpoints[0].Lifecycle != x.state ||
-				(f.w.now-at).Milliseconds() < int64(x.from) || (f.w.now-at).Milliseconds() > int64(x.to) {
-				t.Errorf("%s: after %v: %v", name, f.w.now-at, lists)
+			lists := messagesOf[simapi.ListReceived](f, from)
+			if len(lists) != 1 || len(lists[0].message.List.Endpoints) != 1 || lists[0].message.List.Endpoints[0].Lifecycle != test.state ||
+				(f.env.now-at).Milliseconds() < int64(test.from) || (f.env.now-at).Milliseconds() > int64(test.to) {
+				t.Errorf("%s: lists received within %v: %v, want one %q", name, f.env.now-at, lists, test.state)
 			}
 		}
 	}
 }
 
-// describeLists says in short what a scheduler heard of the list, in order: which worker's line it was is left out.
+// describeLists returns a short description of the messages that a scheduler received from discovery, in order, without the
+// names of the workers.
 func describeLists(inputs []simapi.Input) (description string) {
 	for _, in := range inputs {
 		switch message := in.Message.(type) {
@@ -289,7 +290,7 @@
 			switch description {
 			case "":
 				description = "end "
-			case "end ": // and again and again
+			case "end ": // further failures are not repeated
 				description += "failed "
 			}
 		case simapi.ListReceived:
@@ -306,72 +307,73 @@
 	case len(list.Endpoints) != 1:
 		return ""
 	}
-	h := list.Endpoints[0]
+	endpoint := list.Endpoints[0]
 	switch {
-	case h.Lifecycle != "up":
-		return h.Lifecycle + " "
-	case h.StartedAtMs == 0:
+	case endpoint.Lifecycle != "up":
+		return endpoint.Lifecycle + " "
+	case endpoint.StartedAtMs == 0:
 		return "up1 "
 	}
 	return "up2 "
 }
 
-// What is done to discovery, and what a scheduler then hears of the list, in order.
-func TestListFaults(t *testing.T) {
+// Sequences of faults and worker events, and the messages that a scheduler receives from discovery as a result.
+func TestDiscoveryFaults(t *testing.T) {
 	var undo func()
-	one := func(f *faultHarness) *worker { return f.w.workers[1] }
+	target := func(f *faultHarness) *worker { return f.env.workers[1] }
 	type act func(f *faultHarness)
-	crash, start := func(f *faultHarness) { one(f).crash(0) }, func(f *faultHarness) { one(f).start() }
+	crash, start := func(f *faultHarness) { target(f).crash(0) }, func(f *faultHarness) { target(f).start() }
 	off := func(*faultHarness) { undo() }
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		acts []act // with 20 s after each
 		want string
 	}{
-		"well":         {[]act{crash, start}, "removed up2 "},
-		"wrong":        {[]act{func(f *faultHarness) { undo = f.w.discovery.listWrongly([]int{1}) }, crash, start, crash, off}, "up2 removed "},
-		"wrong, later": {[]act{crash, func(f *faultHarness) { undo = f.w.discovery.listWrongly([]int{1}) }, off}, "removed up1 removed "},
-		"old":          {[]act{func(f *faultHarness) { undo = f.w.discovery.freezeList() }, crash, off}, "removed "},
-		"down": {
-			[]act{func(f *faultHarness) { undo = f.w.discovery.startOutage() }, crash, func(f *faultHarness) { f.scheds[0].silent = true; undo() }},
+		"no fault":                 {[]act{crash, start}, "removed up2 "},
+		"wrong list":               {[]act{func(f *faultHarness) { undo = f.env.discovery.listWrongly([]int{1}) }, crash, start, crash, off}, "up2 removed "},
+		"wrong list after a crash": {[]act{crash, func(f *faultHarness) { undo = f.env.discovery.listWrongly([]int{1}) }, off}, "removed up1 removed "},
+		"frozen list":              {[]act{func(f *faultHarness) { undo = f.env.discovery.freezeList() }, crash, off}, "removed "},
+		"outage": {
+			[]act{func(f *faultHarness) { undo = f.env.discovery.startOutage() }, crash, func(f *faultHarness) { f.schedulers[0].neverCalls = true; undo() }},
 			"end failed ",
 		},
-		"cut": {[]act{func(f *faultHarness) { f.w.after(9*time.Second, f.w.discovery.isolate([]int{1})) }}, "removed up1 "},
-		"cut, then drains unseen": {[]act{
-			func(f *faultHarness) { undo = f.w.discovery.isolate([]int{1}) },
-			func(f *faultHarness) { one(f).drain() }, off,
+		"short partition": {[]act{func(f *faultHarness) { f.env.after(9*time.Second, f.env.discovery.isolate([]int{1})) }}, "removed up1 "},
+		"drain during a partition": {[]act{
+			func(f *faultHarness) { undo = f.env.discovery.isolate([]int{1}) },
+			func(f *faultHarness) { target(f).drain() }, off,
 		}, "removed draining "},
-		"moved": {[]act{
-			func(f *faultHarness) { f.w.discovery.changeAddress() }, func(f *faultHarness) { f.scheds[0].silent = true; f.w.schedulers[0].reload() },
+		"address change": {[]act{
+			func(f *faultHarness) { f.env.discovery.changeAddress() }, func(f *faultHarness) { f.schedulers[0].neverCalls = true; f.env.schedulers[0].reload() },
 			crash,
 		}, "end failed whole removed "},
 	} {
-		f := newFaultHarness(t, quiet(4, 1), 2)
-		f.run(10 * time.Second)
+		f := newFaultHarness(t, idleScenario(4, 1), 2)
+		f.runFor(10 * time.Second)
 		from := len(f.inputs)
-		for _, a := range x.acts {
-			f.do(func() { a(f) })
-			f.run(20 * time.Second)
+		for _, a := range test.acts {
+			f.doNow(func() { a(f) })
+			f.runFor(20 * time.Second)
 		}
 		got := describeLists(f.inputs[from:])
-		if got != x.want {
-			t.Errorf("%s: heard %q, and should have %q", name, got, x.want)
+		if got != test.want {
+			t.Errorf("%s: received %q, want %q", name, got, test.want)
 		}
-		// What is new in a line that is heard counts as told, and once.
-		updates := strings.Count(x.want, "up") + strings.Count(x.want, "removed")
-		if notified := f.all(0, trace.DrainNotified, trace.StartNotified); len(notified) != updates {
-			t.Errorf("%s: counts as told: %v", name, notified)
+		// Each start or removal that the scheduler received is recorded as one notification.
+		updates := strings.Count(test.want, "up") + strings.Count(test.want, "removed")
+		if notified := f.eventsOfKinds(0, trace.DrainNotified, trace.StartNotified); len(notified) != updates {
+			t.Errorf("%s: %d notifications, want %d: %v", name, len(notified), updates, notified)
 		}
 	}
 }
 
-// A call is answered by what changed since the generation that it names; by the whole list, where that says nothing.
-func TestSince(t *testing.T) {
-	f := newFaultHarness(t, quiet(6, 1), 1)
-	for _, n := range f.w.workers[:4] {
-		f.do(n.drain)
-		f.run(3 * time.Second)
+// A call is answered with the changes since the revision that it names, or with the whole list if that revision is unknown or
+// too old.
+func TestChangesSince(t *testing.T) {
+	f := newFaultHarness(t, idleScenario(6, 1), 1)
+	for _, n := range f.env.workers[:4] {
+		f.doNow(n.drain)
+		f.runFor(3 * time.Second)
 	}
-	d := f.w.discovery
+	d := f.env.discovery
 	for after, want := range map[int64]int{0: -6, d.revision + 1: -6, d.revision - historyLength - 1: -6, d.revision: 0, d.revision - 3: 3} {
 		if m := d.changesSince(after); m.reset != (want < 0) || len(m.entries) != max(want, -want) || m.revision != d.revision {
 			t.Errorf("after %d of %d: %+v", after, d.revision, m)
@@ -379,20 +381,20 @@
 	}
 }
 
-// Calls are handled in turn, by the lines of their lists, and fail once they have waited too long.
-func TestCapacity(t *testing.T) {
-	spec := quiet(10, 3)
+// Calls are served one at a time, for a time proportional to the lines of their lists, and fail once they have waited too long.
+func TestDiscoveryCapacity(t *testing.T) {
+	spec := idleScenario(10, 3)
 	spec.Discovery.Capacity = 5 // a list of ten takes 2 s
 	f := newFaultHarness(t, spec, 1)
-	for _, s := range f.scheds {
-		s.silent = true
+	for _, s := range f.schedulers {
+		s.neverCalls = true
 	}
-	f.run(time.Second)
-	for i := range f.scheds {
-		f.scheds[i].revision = 0
-		f.watchDiscovery(i, f.w.now)
+	f.runFor(time.Second)
+	for i := range f.schedulers {
+		f.schedulers[i].revision = 0
+		f.watchDiscovery(i, f.env.now)
 	}
-	f.run(8 * time.Second)
+	f.runFor(8 * time.Second)
 	var got []string
 	for _, in := range f.inputs {
 		switch in.Message.(type) {
@@ -403,17 +405,17 @@
 		}
 	}
 	if len(got) != 3 || got[0] != "list" || got[1] != "failed" || got[2] != "list" {
-		t.Errorf("three calls at once came to %v", got) // after 2 s, 3 s and 4 s
+		t.Errorf("results of three calls at once: %v", got) // after 2 s, 3 s and 4 s
 	}
-	f.do(func() {
-		f.scheds[0].revision, f.scheds[1].revision = 0, 0
-		f.watchDiscovery(0, f.w.now)
-		f.watchDiscovery(1, f.w.now)
-		f.w.after(time.Second, func() { f.w.schedulers[0].kill(0) }) // and with it what was made for it
+	f.doNow(func() {
+		f.schedulers[0].revision, f.schedulers[1].revision = 0, 0
+		f.watchDiscovery(0, f.env.now)
+		f.watchDiscovery(1, f.env.now)
+		f.env.after(time.Second, func() { f.env.schedulers[0].kill(0) }) // which cancels the service of its call
 	})
 	from := len(f.inputs)
-	f.run(3100 * time.Millisecond)
-	if lists := arrived[simapi.ListReceived](f, from); len(lists) != 1 || lists[0].scheduler != 1 {
-		t.Errorf("the list after one that nobody waits for any more: %v", lists)
+	f.runFor(3100 * time.Millisecond)
+	if lists := messagesOf[simapi.ListReceived](f, from); len(lists) != 1 || lists[0].scheduler != 1 {
+		t.Errorf("lists received after the call of a killed scheduler: %v, want one at scheduler 1", lists)
 	}
 }
--- a/internal/testbed/environment/discovery_watches.go
+++ b/internal/testbed/environment/discovery_watches.go
@@ -9,23 +9,23 @@
 
 // This file holds the calls and watches by which schedulers follow the list.
 
-// watchCall is a call for the watch, and then the watch.
+// watchCall is a call that opens a watch, and the watch once it is open.
 type watchCall struct {
-	view        *schedulerView
-	stage       watchCallStage
-	address     int // of the address that was called
-	incarnation int // of the scheduler
-	after       int64
-	wasOpen     bool           // it was open once
-	queue       []watchMessage // on the way to the scheduler, in order
+	view          *schedulerView
+	stage         watchCallStage
+	address       int // index of the address that was called
+	incarnation   int // of the scheduler's process
+	afterRevision int64
+	wasOpen       bool           // the watch was opened, so that the call has not failed
+	queue         []watchMessage // messages in transit to the scheduler, in order
 }
 
 type watchCallStage uint8
 
 const (
-	watchSending watchCallStage = iota // on its way
-	watchWaiting                       // for its turn
-	watchServed
+	watchSending watchCallStage = iota // in transit
+	watchWaiting                       // to be served
+	watchServed                        // being served
 	watchOpen
 	watchEnded
 )
@@ -33,7 +33,7 @@
 // watchMessage is what discovery writes on a watch: a *listUpdate, a watchHeartbeat or a watchEnd.
 type watchMessage interface{ watchMessage() }
 
-// listUpdate is a line of changes of the list.
+// listUpdate is a message with changes of the list, or with the whole list if reset is set.
 type listUpdate struct {
 	revision int64
 	reset    bool
@@ -41,43 +41,43 @@
 	versions []version
 }
 
-// watchHeartbeat is an empty line.
+// watchHeartbeat is an empty line, which shows that the watch is alive.
 type watchHeartbeat struct{}
 
-// watchEnd is the end of the watch, or of a call for it that failed.
+// watchEnd is the end of the watch, or the failure of the call.
 type watchEnd struct{}
 
 func (*listUpdate) watchMessage()    {}
 func (watchHeartbeat) watchMessage() {}
 func (watchEnd) watchMessage()       {}
 
-// watchRequested takes a scheduler's call for the watch. An earlier one of the same scheduler's is left by that.
+// watchRequested handles a scheduler's call for a watch. It replaces an earlier call or watch of the same scheduler.
 func (d *discovery) watchRequested(number int, revision int64) {
-	scheduler, v := d.env.schedulers[number], d.views[number]
+	scheduler, view := d.env.schedulers[number], d.views[number]
 	if !scheduler.alive {
 		return
 	}
-	watchCall := &watchCall{view: v, address: scheduler.discovery, incarnation: scheduler.incarnation, after: revision}
-	if v.call == nil {
-		v.askingSince = d.env.now
+	call := &watchCall{view: view, address: scheduler.discovery, incarnation: scheduler.incarnation, afterRevision: revision}
+	if view.call == nil {
+		view.callingSince = d.env.now
 	}
-	d.abandonWatch(v)
-	v.call = watchCall
-	v.touch()
-	me, it := endpoint{schedulerEndpoint, scheduler.number}, endpoint{discoveryEndpoint, 0}
-	way, back, ok := d.env.network.connectDelays(me, it)
+	d.abandonWatch(view)
+	view.call = call
+	view.recordContact()
+	from, to := endpoint{schedulerEndpoint, scheduler.number}, endpoint{discoveryEndpoint, 0}
+	delay, returnDelay, ok := d.env.network.connectDelays(from, to)
 	if !ok {
-		return // it never comes up, and the scheduler has a timeout of its own
+		return // the connection is never established, and the scheduler has a timeout
 	}
-	d.env.after(way+back, func() {
-		if watchCall.stage == watchSending {
+	d.env.after(delay+returnDelay, func() {
+		if call.stage == watchSending {
 			d.env.deliver(simapi.Input{Scheduler: scheduler.number, Message: simapi.WatchConnected{}})
 		}
-		d.env.network.send(me, it, func() { d.callReceived(watchCall) })
+		d.env.network.send(from, to, func() { d.callReceived(call) })
 	})
 }
 
-// abandonWatch forgets a scheduler's watch or call, as nobody is at its other end.
+// abandonWatch drops the watch or call of a scheduler that has given it up or has ended.
 func (d *discovery) abandonWatch(v *schedulerView) {
 	c := v.call
 	if v.call = nil; c != nil {
@@ -85,11 +85,11 @@
 	}
 }
 
-// endCall is the end of a call or a watch. If it was handled just now, it is the next one's turn.
+// endCall ends a call or a watch. If it was being served, the next call is.
 func (d *discovery) endCall(c *watchCall) {
-	was := c.stage
+	previous := c.stage
 	c.stage = watchEnded
-	switch was {
+	switch previous {
 	case watchWaiting:
 		d.calls = slices.DeleteFunc(d.calls, func(x *watchCall) bool { return x == c })
 	case watchServed:
@@ -98,36 +98,36 @@
 	}
 }
 
-func (d *discovery) callReceived(watchCall *watchCall) {
-	if watchCall.stage != watchSending {
+func (d *discovery) callReceived(call *watchCall) {
+	if call.stage != watchSending {
 		return
 	}
-	if d.outages > 0 || watchCall.address != d.address {
-		d.endWatch(watchCall)
+	if d.outages > 0 || call.address != d.address {
+		d.endWatch(call)
 		return
 	}
-	watchCall.stage = watchWaiting
-	d.calls = append(d.calls, watchCall)
+	call.stage = watchWaiting
+	d.calls = append(d.calls, call)
 	d.env.after(d.env.Spec.Discovery.Timeout.Std(), func() {
-		if watchCall.stage == watchWaiting {
-			d.endWatch(watchCall)
+		if call.stage == watchWaiting {
+			d.endWatch(call)
 		}
 	})
 	d.serveNext()
 }
 
-// serveNext handles the next call.
+// serveNext serves the next waiting call, unless one is being served.
 func (d *discovery) serveNext() {
 	if d.serving != nil || len(d.calls) == 0 {
 		return
 	}
-	watchCall := d.calls[0]
+	call := d.calls[0]
 	d.calls = slices.Delete(d.calls, 0, 1)
-	watchCall.stage, d.serving = watchServed, watchCall
+	call.stage, d.serving = watchServed, call
 	done := func() {
-		if d.serving == watchCall {
+		if d.serving == call {
 			d.serving = nil
-			d.openWatch(watchCall)
+			d.openWatch(call)
 			d.serveNext()
 		}
 	}
@@ -139,19 +139,19 @@
 		done()
 		return
 	}
-	lines := max(1, len(d.changesSince(watchCall.after).entries))
+	lines := max(1, len(d.changesSince(call.afterRevision).entries))
 	d.env.after(time.Duration(float64(lines)/capacity*float64(time.Second)), done)
 }
 
-// openWatch answers a call: what changed since the version that it names, or all.
+// openWatch answers a call with the changes since the revision that it names, or with the whole list.
 func (d *discovery) openWatch(c *watchCall) {
 	c.stage, c.wasOpen = watchOpen, true
-	d.send(c, d.changesSince(c.after))
-	c.view.touch()
+	d.send(c, d.changesSince(c.afterRevision))
+	c.view.recordContact()
 	d.env.after(heartbeatInterval, func() { d.sendHeartbeat(c) })
 }
 
-// sendHeartbeat writes an empty line every so often.
+// sendHeartbeat sends a heartbeat, and plans the next after heartbeatInterval.
 func (d *discovery) sendHeartbeat(c *watchCall) {
 	if s := d.env.schedulers[c.view.scheduler]; c.stage != watchOpen || !s.alive || s.incarnation != c.incarnation {
 		return
@@ -160,19 +160,19 @@
 	d.env.after(heartbeatInterval, func() { d.sendHeartbeat(c) })
 }
 
-// changesSince is what has changed after a generation; the whole list, if it can't tell.
+// changesSince returns the changes since a revision, or the whole list if the revision is 0, unknown or too old.
 func (d *discovery) changesSince(after int64) *listUpdate {
-	m := &listUpdate{revision: d.revision, reset: after <= 0 || after > d.revision || after < d.revision-historyLength}
+	update := &listUpdate{revision: d.revision, reset: after <= 0 || after > d.revision || after < d.revision-historyLength}
 	for i := range d.entries {
 		e := &d.entries[i]
-		if m.reset && e.listed.state != endpointAbsent || !m.reset && e.revision > after {
-			m.entries, m.versions = append(m.entries, i), append(m.versions, e.listed)
+		if update.reset && e.listed.state != endpointAbsent || !update.reset && e.revision > after {
+			update.entries, update.versions = append(update.entries, i), append(update.versions, e.listed)
 		}
 	}
-	return m
+	return update
 }
 
-// send writes something on a watch. All arrives in order, however long the network takes for each.
+// send sends a message on a watch. Messages arrive in order, whatever the network's delay of each.
 func (d *discovery) send(c *watchCall, m watchMessage) {
 	c.queue = append(c.queue, m)
 	d.env.network.send(endpoint{discoveryEndpoint, 0}, endpoint{schedulerEndpoint, c.view.scheduler}, func() {
@@ -189,5 +189,5 @@
 	}
 	d.endCall(c)
 	d.send(c, watchEnd{})
-	c.view.touch()
+	c.view.recordContact()
 }
--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -1,10 +1,10 @@
-// Package environment is the testbed's model of all that is round schedulers: workers, discovery, the network, clients
-// and their load balancer, and their faults. It does no I/O and reads no clock. All that is random follows from one
-// seed, and each party draws from a stream of its own, so that what one does shifts no draw of another: two schedulers
-// meet the same environment.
+// Package environment simulates everything around the schedulers: workers, discovery, the network, clients and their load
+// balancer, and the faults of all of these. It does no I/O and reads no clock. All random numbers derive from one seed, and
+// each party has its own stream, so that the actions of one don't change the draws of another: two scheduler versions are
+// tested in the same environment.
 //
-// The interface to schedulers is package simapi. Both drivers call Step; between two calls nothing happens. What clients,
-// workers and discovery observed goes to a trace.Observer.
+// Package simapi defines the messages that are exchanged with schedulers. Both drivers (simulation and process) call Step;
+// nothing happens between two calls. What clients, workers and discovery observe is reported to a trace.Observer.
 package environment
 
 import (
@@ -25,15 +25,15 @@
 	Spec  *scenario.Scenario
 	Epoch time.Duration // Unix time of the run's start
 
-	// WorkerAddrs gives machines other addresses than NodeAddr's own; nil: it doesn't.
+	// WorkerAddrs overrides the addresses that WorkerAddr returns; nil: no override.
 	WorkerAddrs func(place int) string
 
 	seed     uint64
 	now      time.Duration
 	events   eventQueue
-	inputs   []simapi.Input // of this step
+	inputs   []simapi.Input // inputs produced by the current step
 	observer trace.Observer
-	event    trace.Event // reused
+	event    trace.Event // reused by record to avoid allocations
 
 	network    *network
 	peers      *peerNetwork
@@ -46,10 +46,10 @@
 	conns      map[simapi.Conn]*conn
 }
 
-// New draws an environment from a checked scenario.
-func New(spec *scenario.Scenario, seed uint64, epoch time.Duration, watch trace.Observer) *Environment {
-	environment := &Environment{Spec: spec, Epoch: epoch, seed: seed, observer: watch, conns: map[simapi.Conn]*conn{}}
-	if watch == nil {
+// New returns the environment of a scenario, which must have passed its Check.
+func New(spec *scenario.Scenario, seed uint64, epoch time.Duration, observer trace.Observer) *Environment {
+	environment := &Environment{Spec: spec, Epoch: epoch, seed: seed, observer: observer, conns: map[simapi.Conn]*conn{}}
+	if observer == nil {
 		environment.observer = func(*trace.Event) {}
 	}
 	environment.network = newNetwork(environment)
@@ -62,7 +62,7 @@
 	environment.faults = newFaultTimeline(environment)
 	environment.discovery.start()
 	for _, n := range environment.workers {
-		n.begin()
+		n.beginRun()
 	}
 	for _, s := range environment.schedulers {
 		s.scheduleStart()
@@ -72,10 +72,10 @@
 	return environment
 }
 
-// Next tells when the environment wants to run at the latest; not ok: nothing will happen any more by itself.
+// Next returns the time of the next planned event, by which Step must be called; not ok: no event is planned.
 func (e *Environment) Next() (at time.Duration, ok bool) { return e.events.nextAt() }
 
-// Step takes what schedulers did, lets all happen that is due by now, and appends what reaches schedulers.
+// Step applies the outputs of schedulers, runs all events that are due by now, and appends the inputs for schedulers to dst.
 func (e *Environment) Step(now time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
 	e.now, e.inputs = max(now, e.now), dst
 	for i := range outs {
@@ -92,24 +92,26 @@
 	return dst
 }
 
-// Finished tells whether every job is settled and no further one comes.
+// Finished reports whether every job is settled and no more jobs will arrive.
 func (e *Environment) Finished() bool { return e.clients.finished() }
 
-// schedule puts something on the event queue. What falls on one instant happens in the order in which it was put there.
+// schedule plans a call of do at t, or now if t is in the past. Events at the same time run in the order in which they were
+// scheduled.
 func (e *Environment) schedule(t time.Duration, do func()) { e.events.schedule(max(t, e.now), do) }
 
 func (e *Environment) after(d time.Duration, do func()) { e.schedule(e.now+max(d, 0), do) }
 
-// deliver hands something to a scheduler. What reaches one that does not run is lost; what reaches a frozen one waits at
-// its sockets, which is the driver's to model.
+// deliver appends an input for a scheduler. An input for one whose process does not run is lost. Inputs for a frozen process
+// wait in its sockets; the driver models that.
 func (e *Environment) deliver(input simapi.Input) {
-	if e.schedulers[input.Scheduler].alive || actsOnNoProcess(input.Message) {
+	if e.schedulers[input.Scheduler].alive || needsNoProcess(input.Message) {
 		e.inputs = append(e.inputs, input)
 	}
 }
 
-// actsOnNoProcess reports whether a message is for a scheduler that does not run, or runs no more.
-func actsOnNoProcess(message simapi.InputMessage) bool {
+// needsNoProcess reports whether a message is also delivered to a scheduler whose process does not run: Start, or Kill, which
+// is delivered after the process has ended.
+func needsNoProcess(message simapi.InputMessage) bool {
 	switch message.(type) {
 	case simapi.Start, simapi.Kill:
 		return true
@@ -117,7 +119,7 @@
 	return false
 }
 
-// apply takes something that a scheduler did. What a process did that is gone by now is not known to its successor.
+// apply applies an output of a scheduler. Outputs of a process that has ended in the meantime don't affect its successor.
 func (e *Environment) apply(output *simapi.Output) {
 	switch message := output.Message.(type) {
 	case simapi.Ready, simapi.Unready, simapi.Exited:
@@ -143,18 +145,18 @@
 	case simapi.DatagramWritten:
 		e.peers.send(output.Scheduler, &message)
 	case simapi.CallbackAnswered:
-		e.workers[message.Worker].applyAck(output.Scheduler, &message)
+		e.workers[message.Worker].sendCallbackAnswer(output.Scheduler, &message)
 	}
 }
 
-// rng is a stream of random numbers of a party's own.
+// rng returns a random number generator that derives from the seed, the name and n alone.
 func (e *Environment) rng(name string, n int) *rand.Rand {
 	return rand.New(rand.NewPCG(e.seed^xxhash.Sum64String(name), uint64(n)))
 }
 
-// record reports a trace event, as of now.
-func (e *Environment) record(s trace.Event) {
-	e.event = s
+// record reports a trace event with the current time.
+func (e *Environment) record(event trace.Event) {
+	e.event = event
 	e.event.At = e.now
 	e.observer(&e.event)
 }
--- a/internal/testbed/environment/event_queue.go
+++ b/internal/testbed/environment/event_queue.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// eventQueue is what is to happen, by time and then by the order in which it was put there. It is a heap of its own, since
-// a run spends a good part of its time here: the actions lie apart, so that an entry has 16 bytes and no pointer, and the
-// four below another share a cache line.
+// eventQueue is a priority queue of planned events, ordered by time and then by insertion. It is a 4-ary heap instead of
+// container/heap because a run spends much of its time here: the actions are stored separately, so that a heap entry has
+// 16 bytes and no pointer, and the four children of an entry fit in a cache line.
 type eventQueue struct {
 	items   []queuedEvent
 	actions []func()
-	free    []uint32 // unused places in actions
+	free    []uint32 // unused indices of actions
 	lastID  uint64
 }
 
 type queuedEvent struct {
 	at time.Duration
-	id uint64 // counts entries; its last bits are the place in actions
+	id uint64 // sequence number of the entry, and in the low indexBits its index in actions
 }
 
 const (
-	slotBits = 26 // so many may be on the event queue at once, and the rest counts 2.7e11 in a run
-	slotMask = 1<<slotBits - 1
+	indexBits = 26 // up to 1<<26 events at once; the other bits allow 2.7e11 events in a run
+	indexMask = 1<<indexBits - 1
 )
 
 func (q *queuedEvent) before(o *queuedEvent) bool { return q.at < o.at || q.at == o.at && q.id < o.id }
@@ -31,40 +31,40 @@
 	return e.items[0].at, true
 }
 
-func (e *eventQueue) schedule(instant time.Duration, do func()) {
-	place := uint64(len(e.actions))
+func (e *eventQueue) schedule(dueAt time.Duration, do func()) {
+	index := uint64(len(e.actions))
 	if n := len(e.free); n > 0 {
-		place = uint64(e.free[n-1])
+		index = uint64(e.free[n-1])
 		e.free = e.free[:n-1]
-		e.actions[place] = do
+		e.actions[index] = do
 	} else {
 		e.actions = append(e.actions, do)
 	}
-	if place > slotMask {
+	if index > indexMask {
 		panic("environment: the event queue is full")
 	}
 	e.lastID++
-	queuedEvent := queuedEvent{instant, e.lastID<<slotBits | place}
-	e.items = append(e.items, queuedEvent)
+	event := queuedEvent{dueAt, e.lastID<<indexBits | index}
+	e.items = append(e.items, event)
 	i := len(e.items) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !queuedEvent.before(&e.items[up]) {
+		parent := (i - 1) / 4
+		if !event.before(&e.items[parent]) {
 			break
 		}
-		e.items[i] = e.items[up]
-		i = up
+		e.items[i] = e.items[parent]
+		i = parent
 	}
-	e.items[i] = queuedEvent
+	e.items[i] = event
 }
 
 func (e *eventQueue) pop() func() {
-	place := e.items[0].id & slotMask
-	action := e.actions[place]
-	e.actions[place] = nil
-	e.free = append(e.free, uint32(place))
+	index := e.items[0].id & indexMask
+	action := e.actions[index]
+	e.actions[index] = nil
+	e.free = append(e.free, uint32(index))
 	last := len(e.items) - 1
-	queuedEvent := e.items[last]
+	event := e.items[last]
 	e.items = e.items[:last]
 	if last == 0 {
 		return action
@@ -75,17 +75,17 @@
 		if least >= last {
 			break
 		}
-		for k, end := least+1, min(least+4, last); k < end; k++ {
-			if items[k].before(&items[least]) {
-				least = k
+		for child, end := least+1, min(least+4, last); child < end; child++ {
+			if items[child].before(&items[least]) {
+				least = child
 			}
 		}
-		if !items[least].before(&queuedEvent) {
+		if !items[least].before(&event) {
 			break
 		}
 		items[i] = items[least]
 		i = least
 	}
-	items[i] = queuedEvent
+	items[i] = event
 	return action
 }
--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Whatever is put there and taken in between, what is on the event queue comes by time, and of one time in the order in
-// which it was put there.
+// Events run in order of time, and at the same time in the order in which they were scheduled, however schedule and pop
+// alternate.
 func TestEventQueueKeepsOrder(t *testing.T) {
 	type put struct {
 		at  time.Duration
@@ -22,7 +22,7 @@
 			if len(a.items) > 0 && rng.IntN(3) == 0 {
 				a.pop()()
 			}
-			// Never before what has been taken: the past is over.
+			// Not before the last event that was popped, as time doesn't go back.
 			low := time.Duration(0)
 			if len(got) > 0 {
 				low = got[len(got)-1].at
@@ -41,14 +41,15 @@
 			return x.seq - y.seq
 		})
 		if !slices.Equal(got, want) {
-			t.Fatalf("seed %d: out of order", seed)
+			t.Fatalf("seed %d: events out of order", seed)
 		}
 	}
 }
 
-// The case that once failed, laid out as the heap holds it: under the ninth entry the scan for the least child ran on,
-// from one that was less to the next, until it came to the thirteenth's children, which are less than what had gone up.
-func TestEventQueueTakesAChild(t *testing.T) {
+// A fault in pop: the scan for the smallest child of the ninth entry moved its range along with the smallest one found, until
+// it reached the children of the thirteenth entry, which are smaller than the entry that had been moved up. The heap below
+// leads to that case.
+func TestEventQueueDeepHeap(t *testing.T) {
 	lines := []struct{ n, at int }{
 		{1, 0},
 		{1, 1},
@@ -88,7 +89,7 @@
 	for last := time.Duration(0); len(a.items) > 0; {
 		at, _ := a.nextAt()
 		if at < last {
-			t.Fatalf("%d after %d", at, last)
+			t.Fatalf("event at %d popped after one at %d", at, last)
 		}
 		last = at
 		a.pop()
--- a/internal/testbed/environment/fault_description.go
+++ b/internal/testbed/environment/fault_description.go
@@ -9,10 +9,10 @@
 
 // This file describes faults in the trace.
 
-// Targets are named up to this number, and counted beyond.
+// maxNamedTargets is the largest number of targets that are named one by one; more are only counted.
 const maxNamedTargets = 4
 
-// describe says what a fault does to whom, as in "slow 3: w-1, w-7, for 8s".
+// describe returns the fault's kind, size, targets and duration, as in "slow 3: w-1, w-7, for 8s".
 func (a *activeFault) describe() string {
 	text := a.Kind
 	if a.Size != 0 {
@@ -27,7 +27,8 @@
 	return text
 }
 
-// describeTargets names whom the fault strikes. All workers or schedulers at a side of the network go without saying.
+// describeTargets names the targets of the fault. A side of a network fault that consists of all workers or all schedulers is
+// not named again.
 func (a *activeFault) describeTargets() (targets []string) {
 	spec := a.timeline.env.Spec
 	scope := scenario.FaultKinds[a.Kind]
@@ -54,7 +55,7 @@
 	return targets
 }
 
-// describePlannerNetwork names the planners and schedulers that a fault between them is limited to.
+// describePlannerNetwork names the planners and schedulers that a fault of the planners' network is limited to.
 func (a *activeFault) describePlannerNetwork() (targets []string) {
 	if len(a.Target.Planners) > 0 {
 		targets = append(targets, nameTargets(a.Target.Planners, "p", 1, "planners"))
--- a/internal/testbed/environment/fault_schedulers.go
+++ b/internal/testbed/environment/fault_schedulers.go
@@ -37,10 +37,10 @@
 	case "planner_drop":
 		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.BreakConnections{}})
 		a.end()
-	case "planner_slow": // of two that hold at once the later one counts, until either ends
+	case "planner_slow": // of two active at once the later one counts, until either ends
 		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{Delay: time.Duration(a.Size * float64(time.Millisecond))}})
 		a.endLater(func() { scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{}}) })
 	default:
-		panic("environment: no such fault of a scheduler: " + a.Kind)
+		panic("environment: unknown kind of scheduler fault: " + a.Kind)
 	}
 }
--- a/internal/testbed/environment/fault_shared.go
+++ b/internal/testbed/environment/fault_shared.go
@@ -7,10 +7,9 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// This file applies the faults that strike all of their targets at once: those of the network, of discovery and of the
-// load.
+// This file applies the faults that affect all of their targets at once: those of the network, of discovery and of the load.
 
-// applyToAll strikes all targets at once. A fault that is over with that has no undo.
+// applyToAll applies the fault to all targets at once. undo is nil for a fault that ends at once.
 func (a *activeFault) applyToAll() (undo func()) {
 	switch scenario.FaultKinds[a.Kind] {
 	case scenario.FaultScopeNetwork, scenario.FaultScopePlannerNetwork:
@@ -21,19 +20,19 @@
 	clients := a.timeline.env.clients
 	switch a.Kind {
 	case "half_open":
-		return a.timeline.env.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, a.partyGroup("nodes"), durationOf(a.Size))
+		return a.timeline.env.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, a.sideEndpoints("nodes"), durationOf(a.Size))
 	case "burst":
 		return clients.startBurst(a.tenantIndex(), a.classIndex(), a.Size)
 	case "storm":
 		return clients.startRetryStorm(a.Size)
 	}
-	panic("environment: no such fault: " + a.Kind)
+	panic("environment: unknown kind of fault: " + a.Kind)
 }
 
-// applyToNetwork strikes what passes between two groups of endpoints.
+// applyToNetwork applies a fault to the network between two groups of endpoints.
 func (a *activeFault) applyToNetwork() (undo func()) {
 	network := a.timeline.env.network
-	from, target := a.partyGroup(a.Between), a.partyGroup(a.And)
+	from, target := a.sideEndpoints(a.Between), a.sideEndpoints(a.And)
 	if a.Between == "schedulers" && a.And == "schedulers" {
 		target = a.otherSchedulers()
 	}
@@ -44,19 +43,19 @@
 		if a.onPlanners {
 			return network.partition(from, target, a.Kind == "planner_cut_one_way")
 		}
-		return func() {} // what passes between planners and schedulers is the driver's
+		return func() {} // the driver simulates the network between planners and schedulers
 	case "delay":
 		return network.addDelay(from, target, time.Duration(a.Size*float64(time.Millisecond)))
 	case "drop_idle":
 		return network.dropIdle(from, target, durationOf(a.Size))
 	}
-	panic("environment: no such fault of the network: " + a.Kind)
+	panic("environment: unknown kind of network fault: " + a.Kind)
 }
 
-// partition cuts the network between two groups. Discovery takes the workers that are cut off from it for silent.
+// partition partitions two groups of endpoints. Workers that it separates from discovery count as silent there.
 func (a *activeFault) partition(from, target endpointGroup) (undo func()) {
 	heal := a.timeline.env.network.partition(from, target, a.Kind == "cut_one_way")
-	if !a.isBetween("discovery") || !a.isBetween("nodes") {
+	if !a.involves("discovery") || !a.involves("nodes") {
 		return heal
 	}
 	reach := a.timeline.env.discovery.isolate(a.workers)
@@ -66,7 +65,7 @@
 	}
 }
 
-// applyToDiscovery strikes discovery.
+// applyToDiscovery applies a fault of discovery.
 func (a *activeFault) applyToDiscovery() (undo func()) {
 	discovery := a.timeline.env.discovery
 	switch a.Kind {
@@ -85,15 +84,15 @@
 		a.end()
 		return nil
 	}
-	panic("environment: no such fault of discovery: " + a.Kind)
+	panic("environment: unknown kind of discovery fault: " + a.Kind)
 }
 
-// tenantIndex is the index of the tenant that the target names; -1: none.
+// tenantIndex returns the index of the tenant that the target names; -1: it names none.
 func (a *activeFault) tenantIndex() int {
 	return slices.IndexFunc(a.timeline.env.Spec.Tenants, func(t scenario.Tenant) bool { return t.Name == a.Target.Tenant })
 }
 
-// classIndex is the index of the class that the target names; -1: none.
+// classIndex returns the index of the class that the target names; -1: it names none.
 func (a *activeFault) classIndex() int {
 	return slices.IndexFunc(a.timeline.env.Spec.Classes, func(c scenario.Class) bool { return c.Name == a.Target.Class })
 }
--- a/internal/testbed/environment/fault_targets.go
+++ b/internal/testbed/environment/fault_targets.go
@@ -8,16 +8,16 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// This file chooses whom a fault strikes.
+// This file chooses the targets of faults.
 
-// chooseTargets settles whom the fault strikes. number is its place in the timeline.
+// chooseTargets chooses the targets of the fault. number is its index in the scenario.
 func (a *activeFault) chooseTargets(number int) {
 	scope := scenario.FaultKinds[a.Kind]
-	a.onWorkers = scope == scenario.FaultScopeWorker || a.Kind == "disco_wrong" || scope == scenario.FaultScopeNetwork && a.isBetween("nodes")
-	a.onSchedulers = scope == scenario.FaultScopeScheduler || scope == scenario.FaultScopeNetwork && a.isBetween("schedulers")
-	a.onPlanners = scope == scenario.FaultScopePlanner || scope == scenario.FaultScopePlannerNetwork && a.isBetween("discovery")
+	a.onWorkers = scope == scenario.FaultScopeWorker || a.Kind == "disco_wrong" || scope == scenario.FaultScopeNetwork && a.involves("nodes")
+	a.onSchedulers = scope == scenario.FaultScopeScheduler || scope == scenario.FaultScopeNetwork && a.involves("schedulers")
+	a.onPlanners = scope == scenario.FaultScopePlanner || scope == scenario.FaultScopePlannerNetwork && a.involves("discovery")
 	if a.onWorkers {
-		a.workers = a.timeline.drawShare(a.timeline.matching(a.Fault), a.Target.Share, number)
+		a.workers = a.timeline.drawShare(a.timeline.matchingWorkers(a.Fault), a.Target.Share, number)
 	}
 	if a.onPlanners {
 		a.planners = a.timeline.drawShare(a.matchingPlanners(), a.Target.Share, number)
@@ -30,10 +30,10 @@
 	}
 }
 
-// isBetween reports whether a group of endpoints stands at one side of a fault of the network.
-func (a *activeFault) isBetween(name string) bool { return a.Between == name || a.And == name }
+// involves reports whether a group of endpoints is one side of a network fault.
+func (a *activeFault) involves(name string) bool { return a.Between == name || a.And == name }
 
-// matchingPlanners is the planners that match the target, by their numbers, which count on after the schedulers.
+// matchingPlanners returns the numbers of the planners that match the target; they are numbered after the schedulers.
 func (a *activeFault) matchingPlanners() (list []int) {
 	spec := a.timeline.env.Spec
 	for i := range spec.Planners.Count {
@@ -44,10 +44,10 @@
 	return list
 }
 
-// matchingSchedulers is the schedulers that match the target.
+// matchingSchedulers returns the numbers of the schedulers that match the target.
 func (a *activeFault) matchingSchedulers() (list []int) {
 	count := a.timeline.env.Spec.Schedulers.Count
-	if a.Kind == "sched_reload" && len(a.Target.Schedulers) == 0 { // planners have the same address
+	if a.Kind == "sched_reload" && len(a.Target.Schedulers) == 0 { // planners use the same discovery address
 		count = len(a.timeline.env.schedulers)
 	}
 	for i := range count {
@@ -58,8 +58,8 @@
 	return list
 }
 
-// matching is the workers that match all that the target names.
-func (f *faultTimeline) matching(spec *scenario.Fault) (list []int) {
+// matchingWorkers returns the numbers of the workers that match all criteria of the target.
+func (f *faultTimeline) matchingWorkers(spec *scenario.Fault) (list []int) {
 	t := &spec.Target
 	for i, n := range f.env.workers {
 		if (len(t.Names) == 0 || slices.Contains(t.Names, "w-"+strconv.Itoa(i))) &&
@@ -71,7 +71,7 @@
 	return list
 }
 
-// otherSchedulers is the schedulers that the fault does not strike; all, if it strikes them all.
+// otherSchedulers returns the schedulers that are not targets of the fault; all, if all are targets.
 func (a *activeFault) otherSchedulers() endpointGroup {
 	group := endpointGroup{kind: schedulerEndpoint}
 	if count := a.timeline.env.Spec.Schedulers.Count; len(a.schedulers) < count {
@@ -83,7 +83,7 @@
 	return group
 }
 
-// drawShare draws a share of those who match, one at least; 0: all.
+// drawShare draws a share of the given targets, at least one; share 0: all.
 func (f *faultTimeline) drawShare(list []int, share float64, fault int) []int {
 	if share <= 0 || len(list) == 0 {
 		return list
@@ -95,9 +95,9 @@
 	return list
 }
 
-// partyGroup is who stands at one side of a fault of the network.
-func (a *activeFault) partyGroup(name string) endpointGroup {
-	some := func(kind endpointKind, list []int, all int) endpointGroup {
+// sideEndpoints returns the endpoints at one side of a network fault.
+func (a *activeFault) sideEndpoints(name string) endpointGroup {
+	group := func(kind endpointKind, list []int, all int) endpointGroup {
 		c := endpointGroup{kind: kind}
 		if len(list) < all {
 			c.members = make(map[int]bool, len(list))
@@ -109,11 +109,11 @@
 	}
 	switch name {
 	case "schedulers":
-		return some(schedulerEndpoint, a.schedulers, len(a.timeline.env.schedulers))
+		return group(schedulerEndpoint, a.schedulers, len(a.timeline.env.schedulers))
 	case "nodes":
-		return some(workerEndpoint, a.workers, len(a.timeline.env.workers))
+		return group(workerEndpoint, a.workers, len(a.timeline.env.workers))
 	case "planners":
-		return some(schedulerEndpoint, a.planners, len(a.timeline.env.schedulers))
+		return group(schedulerEndpoint, a.planners, len(a.timeline.env.schedulers))
 	case "discovery":
 		return endpointGroup{kind: discoveryEndpoint}
 	}
--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -10,15 +10,15 @@
 
 // workerFaults counts and lists the active faults of a worker.
 type workerFaults struct {
-	hangs       int
-	fulls       int
-	mutes       int
-	refusals    int
-	silences    int
-	slowReads   int
-	slowFactors []float64 // in order of time, as the next two
-	errorRates  []float64
-	resetBytes  []float64
+	hangs         int
+	rejectAlls    int
+	callbackDrops int
+	refusals      int
+	silences      int
+	slowReads     int
+	slowFactors   []float64 // of the active faults in order of their starts, like the next two
+	errorRates    []float64
+	resetBytes    []float64
 }
 
 // applyToWorker applies the fault to one worker.
@@ -45,7 +45,7 @@
 	case "slow", "errors", "reset_at":
 		target.addSize(target.sizes())
 	default:
-		panic("environment: no such fault of a worker: " + a.Kind)
+		panic("environment: unknown kind of worker fault: " + a.Kind)
 	}
 }
 
@@ -99,9 +99,9 @@
 	case "hang":
 		return &f.faults.hangs, f.worker.setHang
 	case "full":
-		return &f.faults.fulls, f.worker.setFull
+		return &f.faults.rejectAlls, f.worker.setRejectAll
 	case "no_notes":
-		return &f.faults.mutes, f.worker.setMute
+		return &f.faults.callbackDrops, f.worker.setDropCallbacks
 	case "refuse":
 		return &f.faults.refusals, f.worker.setRefusing
 	case "never_up":
--- a/internal/testbed/environment/faults.go
+++ b/internal/testbed/environment/faults.go
@@ -48,7 +48,7 @@
 	schedulers   []int
 	onPlanners   bool
 	planners     []int // numbered after the schedulers
-	remaining    int   // targets at which it has not ended
+	remaining    int   // number of targets at which it has not ended
 }
 
 // start applies the fault to its targets, spread over time if it has a spread.
--- a/internal/testbed/environment/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -14,112 +14,114 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// However faults overlap, once the last of them is over all is as it was before the first.
+// However faults overlap, the state after the last has ended is the state before the first.
 func FuzzFaults(f *testing.F) { modeltest.Fuzz(f, runFaults) }
 
 func runFaults(s *modeltest.Steps) {
-	spec := quiet(6, 2)
+	spec := idleScenario(6, 2)
 	spec.Name, spec.Discovery.Capacity = "faults", 100
 	spec.Planners.Count, spec.Drivers = 2, []string{scenario.DriverSimulation}
 	last := time.Duration(0)
 	for s.More() && len(spec.Faults) < 30 {
-		x, ok := drawFault(s)
+		fault, ok := drawFault(s)
 		if !ok {
 			continue
 		}
-		spec.Faults = append(spec.Faults, x)
-		last = max(last, (x.At + x.Duration).Std())
+		spec.Faults = append(spec.Faults, fault)
+		last = max(last, (fault.At + fault.Duration).Std())
 	}
 	f := newFaultHarness(s.T, spec, uint64(s.Pick(4)))
-	f.run(500 * time.Millisecond)
-	before := f.state()
-	f.run(last + 60*time.Second) // drains, notices, lists and restarts take their time
-	if after := f.state(); !reflect.DeepEqual(before, after) {
+	f.runFor(500 * time.Millisecond)
+	before := f.faultableState()
+	f.runFor(last + 60*time.Second) // time for drains, notices, lists and restarts
+	if after := f.faultableState(); !reflect.DeepEqual(before, after) {
 		s.Check(false, "%+v\nwas before\n%+v\nfaults: %s", after, before, scenario.Encode(spec))
 	}
 	f.checkEnds(s)
 	f.checkWorkerEnds(s)
 }
 
-// drawFault draws a fault that leaves nothing behind once it is over. Not ok: its kind does.
-func drawFault(s *modeltest.Steps) (x scenario.Fault, ok bool) {
+// drawFault draws a fault that leaves no effect once it has ended; not ok: its kind does.
+func drawFault(s *modeltest.Steps) (fault scenario.Fault, ok bool) {
 	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
-	x = scenario.Fault{Kind: kinds[s.Pick(len(kinds))], At: scenario.Duration(4+s.Pick(60)) * scenario.Duration(time.Second) / 4}
-	x.Duration = scenario.Duration(1+s.Pick(40)) * scenario.Duration(time.Second) / 8
-	switch scenario.FaultKinds[x.Kind] {
+	fault = scenario.Fault{Kind: kinds[s.Pick(len(kinds))], At: scenario.Duration(4+s.Pick(60)) * scenario.Duration(time.Second) / 4}
+	fault.Duration = scenario.Duration(1+s.Pick(40)) * scenario.Duration(time.Second) / 8
+	switch scenario.FaultKinds[fault.Kind] {
 	case "net":
-		x.Between, x.And = "schedulers", []string{"nodes", "clients", "discovery"}[s.Pick(3)]
-		if x.And == "discovery" && x.Kind == "drop_idle" {
-			x.And = "nodes"
+		fault.Between, fault.And = "schedulers", []string{"nodes", "clients", "discovery"}[s.Pick(3)]
+		if fault.And == "discovery" && fault.Kind == "drop_idle" {
+			fault.And = "nodes"
 		}
 	case "node", "planner":
-		x.Target.Share = float64(s.Pick(10)) / 10
+		fault.Target.Share = float64(s.Pick(10)) / 10
 	case "planners":
-		x.Between, x.And = "planners", []string{"schedulers", "planners", "discovery"}[s.Pick(3)]
+		fault.Between, fault.And = "planners", []string{"schedulers", "planners", "discovery"}[s.Pick(3)]
 	}
-	switch x.Kind {
+	switch fault.Kind {
 	case "drain", "gone", "early_202_crash", "sched_term", "planner_term":
-		return x, false // they change the fleet for good, or end when something else happens
+		return fault, false // they change the fleet for good, or end at another event
 	case "handback", "sched_reload", "sched_replace", "disco_moves", "planner_start", "planner_drop":
-		x.Duration = 0
+		fault.Duration = 0
 	case "planner_slow", "slow", "disco_slow", "burst", "storm", "half_open", "disco_late", "delay", "drop_idle":
-		x.Size = float64(2 + s.Pick(4))
+		fault.Size = float64(2 + s.Pick(4))
 	case "errors":
-		x.Size = 0.5
+		fault.Size = 0.5
 	case "reset_at":
-		x.Size = float64(1 + s.Pick(99))
+		fault.Size = float64(1 + s.Pick(99))
 	}
-	return x, true
+	return fault, true
 }
 
-// checkEnds checks that each fault that began has ended, once.
+// checkEnds checks that each fault that has started has ended once.
 func (f *faultHarness) checkEnds(s *modeltest.Steps) {
-	on, off := map[string]int{}, map[string]int{}
-	for _, x := range f.all(0, trace.FaultStarted) {
-		on[x.Text]++
+	started, ended := map[string]int{}, map[string]int{}
+	for _, event := range f.eventsOfKinds(0, trace.FaultStarted) {
+		started[event.Text]++
 	}
-	for _, x := range f.all(0, trace.FaultEnded) {
-		off[x.Text]++
-		s.Check(off[x.Text] <= on[x.Text], "%q ends %d times", x.Text, off[x.Text])
+	for _, event := range f.eventsOfKinds(0, trace.FaultEnded) {
+		ended[event.Text]++
+		s.Check(ended[event.Text] <= started[event.Text], "%q ends %d times", event.Text, ended[event.Text])
 	}
-	s.Check(maps.Equal(on, off), "began: %v, ended: %v, of %s", on, off, scenario.Encode(f.spec))
+	s.Check(maps.Equal(started, ended), "started: %v, ended: %v, faults: %s", started, ended, scenario.Encode(f.spec))
 }
 
-// checkWorkerEnds checks the same of each worker that a fault struck.
+// checkWorkerEnds checks the same for each worker that was a target of a fault.
 func (f *faultHarness) checkWorkerEnds(s *modeltest.Steps) {
-	holds := map[string]int{} // by worker and what strikes it
-	for _, x := range f.events {
-		switch at := x.Text + " w-" + strconv.Itoa(x.Worker); x.Kind {
+	active := map[string]int{} // number of active faults, by kind and worker
+	for _, event := range f.events {
+		switch key := event.Text + " w-" + strconv.Itoa(event.Worker); event.Kind {
 		case trace.WorkerFaultStarted:
-			holds[at]++
+			active[key]++
 		case trace.WorkerFaultEnded:
-			holds[at]--
-			s.Check(holds[at] >= 0, "%s is spared too often", at)
+			active[key]--
+			s.Check(active[key] >= 0, "%s ends more often than it starts", key)
 		}
 	}
-	for at, n := range holds {
-		s.Check(n == 0, "%s still strikes", at)
+	for key, n := range active {
+		s.Check(n == 0, "%s has not ended", key)
 	}
 }
 
-// state is what faults may change, but for what they leave behind by their nature: new processes and machines.
-func (f *faultHarness) state() (all []any) {
-	for i, n := range f.w.workers {
-		t := f.w.WorkerState(i)
-		t.Speed = math.Round(1000 * t.Speed / n.machine.coreSpeed)
-		all = append(all, t, n.machine.slowFactor, n.machine.errorRate, n.machine.refusesConns, n.machine.acceptsSilently, n.machine.slowReads, n.machine.resetBytes, n.process.hanging, n.process.rejectsAll, n.process.silencesCallbacks, n.process.state)
-	}
-	for _, s := range f.w.schedulers {
-		all = append(all, s.alive, s.ready, s.frozen, s.terminated, f.w.balancer.admitted[s.number])
-	}
-	d := f.w.discovery
-	return append(all, len(f.w.network.partitions), len(f.w.network.delays), len(f.w.network.idleDrops), d.outages, d.staleAnswers, d.noticeDelay, len(d.slowFactors),
-		slices.Clone(d.wrongEntries), slices.Clone(d.cutCounts), len(d.heldEvents), len(f.w.clients.retryFactors))
+// faultableState returns all state that faults may change, except for new processes and machines, which remain after some
+// faults.
+func (f *faultHarness) faultableState() (all []any) {
+	for i, worker := range f.env.workers {
+		state := f.env.WorkerState(i)
+		state.Speed = math.Round(1000 * state.Speed / worker.machine.coreSpeed)
+		all = append(all, state, worker.machine.slowFactor, worker.machine.errorRate, worker.machine.refusesConns, worker.machine.acceptsSilently, worker.machine.slowReads, worker.machine.resetBytes, worker.process.hanging, worker.process.rejectsAll, worker.process.dropsCallbacks, worker.process.state)
+	}
+	for _, s := range f.env.schedulers {
+		all = append(all, s.alive, s.ready, s.frozen, s.terminated, f.env.balancer.admitted[s.number])
+	}
+	d := f.env.discovery
+	return append(all, len(f.env.network.partitions), len(f.env.network.delays), len(f.env.network.idleDrops), d.outages, d.listFreezes, d.noticeDelay, len(d.slowFactors),
+		slices.Clone(d.wronglyListed), slices.Clone(d.isolationCounts), len(d.heldEvents), len(f.env.clients.retryFactors))
 }
 
-// Targets are all that match what is named, less all but a share; the seed says which, and nothing else does.
-func TestTargets(t *testing.T) {
-	spec := quiet(40, 3)
+// The targets of a fault are all workers or schedulers that match its criteria, or a share of them that depends only on the
+// seed and the fault's index.
+func TestFaultTargets(t *testing.T) {
+	spec := idleScenario(40, 3)
 	spec.Name, spec.Fleet.Zones = "targets", []string{"a", "b"}
 	at := scenario.Duration(time.Second)
 	spec.Faults = []scenario.Fault{
@@ -131,10 +133,10 @@
 		{Kind: "full", At: at, Target: scenario.Target{Names: []string{"w-5"}, Share: 0.01}},
 		{Kind: "sched_freeze", At: at, Duration: at, Target: scenario.Target{Share: 0.5}},
 	}
-	struck := func(seed uint64, less int) (all [][]int) {
+	targets := func(seed uint64, omitted int) (all [][]int) {
 		short := spec.Clone()
-		short.Faults = short.Faults[:len(short.Faults)-less]
-		f := newFaultTimeline(newFaultHarness(t, short, seed).w)
+		short.Faults = short.Faults[:len(short.Faults)-omitted]
+		f := newFaultTimeline(newFaultHarness(t, short, seed).env)
 		for i := range short.Faults {
 			x := &activeFault{Fault: &short.Faults[i], timeline: f}
 			x.chooseTargets(i)
@@ -142,10 +144,10 @@
 		}
 		return all
 	}
-	one, other := struck(1, 0), struck(2, 0)
+	one, other := targets(1, 0), targets(2, 0)
 	if !slices.Equal(one[0], []int{3, 12}) || len(one[1]) != 4 || len(one[2]) != 20 || len(one[3]) != 8 ||
 		!slices.IsSorted(one[3]) || !slices.Equal(one[5], []int{5}) || len(one[6]) != 2 {
-		t.Errorf("struck: %v", one)
+		t.Errorf("targets: %v", one)
 	}
 	for _, n := range one[1] {
 		if n%2 == 0 {
@@ -153,17 +155,17 @@
 		}
 	}
 	if slices.Equal(one[3], one[4]) || slices.Equal(one[3], other[3]) {
-		t.Errorf("the same is drawn for two faults, or by two seeds: %v, %v, %v", one[3], one[4], other[3])
+		t.Errorf("two faults or two seeds drew the same targets: %v, %v, %v", one[3], one[4], other[3])
 	}
-	if again := struck(1, 2); !reflect.DeepEqual(again, one[:5]) {
-		t.Errorf("fewer faults draw %v, and were %v", again, one)
+	if again := targets(1, 2); !reflect.DeepEqual(again, one[:5]) {
+		t.Errorf("targets with fewer faults: %v, with all: %v", again, one)
 	}
 }
 
-// Faults that overlap on a worker add up, and each takes away what it added.
-func TestOverlap(t *testing.T) {
+// Overlapping faults of a worker combine, and the end of each removes only its own effect.
+func TestOverlappingFaults(t *testing.T) {
 	s := scenario.Duration(time.Second)
-	spec := quiet(1, 1)
+	spec := idleScenario(1, 1)
 	spec.Name = "overlap"
 	spec.Faults = []scenario.Fault{
 		{Kind: "slow", At: 2 * s, Duration: 4 * s, Size: 2},
@@ -176,7 +178,7 @@
 		{Kind: "refuse", At: 4 * s, Duration: 4 * s},
 	}
 	f := newFaultHarness(t, spec, 1)
-	n := f.w.workers[0]
+	n := f.env.workers[0]
 	for _, want := range [][]any{
 		{1.0, -1.0, 0, false},
 		{2.0, 0.7, 9, true},
@@ -184,18 +186,18 @@
 		{3.0, 0.2, 9, true},
 		{1.0, -1.0, 0, false},
 	} {
-		f.run(time.Second)
+		f.runFor(time.Second)
 		if got := []any{n.machine.slowFactor, n.machine.errorRate, n.machine.resetBytes, n.machine.refusesConns}; !slices.Equal(got, want) {
-			t.Errorf("at %v it is %v, and should be %v", f.w.now, got, want)
+			t.Errorf("at %v: got %v, want %v", f.env.now, got, want)
 		}
-		f.run(time.Second)
+		f.runFor(time.Second)
 	}
 }
 
-// Workers are struck in turn, for as long each, and the fault is over with the last of them.
-func TestSpread(t *testing.T) {
+// A fault with a spread affects its workers one after another, each for its duration, and ends with the last of them.
+func TestFaultSpread(t *testing.T) {
 	s := scenario.Duration(time.Second)
-	spec := quiet(4, 1)
+	spec := idleScenario(4, 1)
 	spec.Name = "spread"
 	spec.Faults = []scenario.Fault{
 		{Kind: "hang", At: 2 * s, Duration: 3 * s, Spread: 8 * s},
@@ -203,17 +205,17 @@
 		{Kind: "crash", At: 30 * s, Target: scenario.Target{Names: []string{"w-1"}}},
 	}
 	f := newFaultHarness(t, spec, 1)
-	f.run(time.Minute)
+	f.runFor(time.Minute)
 	var got []int
-	for _, x := range f.all(0, trace.FaultStarted, trace.WorkerHung, trace.WorkerRecovered, trace.WorkerStopped, trace.WorkerStarted, trace.FaultEnded) {
+	for _, x := range f.eventsOfKinds(0, trace.FaultStarted, trace.WorkerHung, trace.WorkerRecovered, trace.WorkerStopped, trace.WorkerStarted, trace.FaultEnded) {
 		got = append(got, int(x.At.Seconds()))
 	}
 	if want := []int{2, 2, 4, 5, 6, 7, 8, 9, 11, 11, 20, 20, 22, 22, 30, 30}; !slices.Equal(got, want) {
-		t.Errorf("%v, and should be at %v", got, want)
+		t.Errorf("events at seconds %v, want %v", got, want)
 	}
-	for _, x := range f.all(0, trace.FaultStarted)[1:2] {
+	for _, x := range f.eventsOfKinds(0, trace.FaultStarted)[1:2] {
 		if x.Text != "crash: w-1, for 2s" {
-			t.Errorf("told as %q", x.Text)
+			t.Errorf("described as %q", x.Text)
 		}
 	}
 }
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -9,108 +9,108 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// stage is clients, their front and a network, with schedulers that do as a test says.
-type stage struct {
-	w       *Environment
+// clientHarness is an environment of clients, a load balancer and a network, with schedulers that the test scripts.
+type clientHarness struct {
+	env     *Environment
 	events  []trace.Event
 	outputs []simapi.Output    // for the next step
-	check   func(*trace.Event) // instead of told
+	onEvent func(*trace.Event) // called for each event, which is not added to events then; may be nil
 }
 
-// calm is the co-operative's deployment with one zone and so many schedulers.
-func calm(scheds int, length time.Duration) *scenario.Scenario {
+// defaultScenario returns the default scenario with the given number of schedulers and length.
+func defaultScenario(schedulers int, length time.Duration) *scenario.Scenario {
 	s := scenario.Default()
-	s.Schedulers.Count, s.Length = scheds, scenario.Duration(length)
+	s.Schedulers.Count, s.Length = schedulers, scenario.Duration(length)
 	return s
 }
 
-func newStage(spec *scenario.Scenario, seed uint64) *stage {
-	t := &stage{}
-	w := &Environment{Spec: spec, seed: seed, conns: map[simapi.Conn]*conn{}}
-	w.observer = func(s *trace.Event) {
-		if t.check != nil {
-			t.check(s)
+func newClientHarness(spec *scenario.Scenario, seed uint64) *clientHarness {
+	harness := &clientHarness{}
+	environment := &Environment{Spec: spec, seed: seed, conns: map[simapi.Conn]*conn{}}
+	environment.observer = func(event *trace.Event) {
+		if harness.onEvent != nil {
+			harness.onEvent(event)
 		} else {
-			t.events = append(t.events, *s)
+			harness.events = append(harness.events, *event)
 		}
 	}
-	w.network = newNetwork(w)
+	environment.network = newNetwork(environment)
 	for i := range spec.Schedulers.Count {
-		w.schedulers = append(w.schedulers, &scheduler{env: w, number: i})
+		environment.schedulers = append(environment.schedulers, &scheduler{env: environment, number: i})
 	}
-	w.balancer, w.clients = newLoadBalancer(w), newClients(w)
-	t.w = w
-	return t
+	environment.balancer, environment.clients = newLoadBalancer(environment), newClients(environment)
+	harness.env = environment
+	return harness
 }
 
-// begin has all schedulers run, and the clients begin.
-func (s *stage) begin() *stage {
-	for i := range s.w.schedulers {
-		s.up(i)
+// start starts all schedulers and the clients.
+func (s *clientHarness) start() *clientHarness {
+	for i := range s.env.schedulers {
+		s.startScheduler(i)
 	}
-	s.w.clients.start()
+	s.env.clients.start()
 	return s
 }
 
-func (s *stage) up(i int) {
-	if scheduler := s.w.schedulers[i]; !scheduler.alive {
+func (s *clientHarness) startScheduler(i int) {
+	if scheduler := s.env.schedulers[i]; !scheduler.alive {
 		scheduler.alive, scheduler.ready, scheduler.incarnation = true, true, scheduler.incarnation+1
-		s.w.balancer.schedulerChanged(scheduler)
+		s.env.balancer.schedulerChanged(scheduler)
 	}
 }
 
-func (s *stage) kill(i int) {
-	if scheduler := s.w.schedulers[i]; scheduler.alive {
+func (s *clientHarness) killScheduler(i int) {
+	if scheduler := s.env.schedulers[i]; scheduler.alive {
 		scheduler.alive, scheduler.ready = false, false
-		s.w.dropConns(i)
-		s.w.balancer.schedulerChanged(scheduler)
+		s.env.dropConns(i)
+		s.env.balancer.schedulerChanged(scheduler)
 	}
 }
 
-// run plays to an instant; act is told what reaches schedulers, and what it appends to outs happens at once.
-func (s *stage) run(to time.Duration, act func(in *simapi.Input)) {
+// runUntil runs until a time. It calls handle for each input of schedulers, and applies the outputs that handle adds at once.
+func (s *clientHarness) runUntil(to time.Duration, handle func(in *simapi.Input)) {
 	for {
-		at, ok := s.w.Next()
+		at, ok := s.env.Next()
 		if len(s.outputs) > 0 {
-			at = s.w.now
+			at = s.env.now
 		} else if !ok || at > to {
-			s.w.now = to
+			s.env.now = to
 			return
 		}
 		outs := s.outputs
 		s.outputs = nil
-		for _, in := range s.w.Step(at, outs, nil) {
-			act(&in)
+		for _, in := range s.env.Step(at, outs, nil) {
+			handle(&in)
 		}
 	}
 }
 
-// end plays until all jobs are settled.
-func (s *stage) end(act func(in *simapi.Input)) {
-	for !s.w.Finished() {
-		s.run(s.w.now+time.Second, act)
+// runToEnd runs until all jobs are settled.
+func (s *clientHarness) runToEnd(handle func(in *simapi.Input)) {
+	for !s.env.Finished() {
+		s.runUntil(s.env.now+time.Second, handle)
 	}
 }
 
-// reply has a request answered.
-func (s *stage) reply(in *readRequest, status int, after time.Duration) {
-	s.outputs = append(s.outputs, simapi.Output{Scheduler: in.scheduler, Message: simapi.ResponseWritten{
-		Conn: in.Conn, RequestID: in.Request.RequestID, Status: status, RetryAfter: after, Result: "r",
+// answer answers a request.
+func (s *clientHarness) answer(request *readRequest, status int, after time.Duration) {
+	s.outputs = append(s.outputs, simapi.Output{Scheduler: request.scheduler, Message: simapi.ResponseWritten{
+		Conn: request.Conn, RequestID: request.Request.RequestID, Status: status, RetryAfter: after, Result: "r",
 	}})
 }
 
-// closeConn has a scheduler close a client's connection.
-func (s *stage) closeConn(scheduler int, conn simapi.Conn) {
+// closeConn closes a client's connection from the scheduler's side.
+func (s *clientHarness) closeConn(scheduler int, conn simapi.Conn) {
 	s.outputs = append(s.outputs, simapi.Output{Scheduler: scheduler, Message: simapi.ClientConnClosed{Conn: conn}})
 }
 
-// readRequest is a request that a scheduler has read.
+// readRequest is a request that a scheduler has received.
 type readRequest struct {
 	scheduler int
 	simapi.RequestReceived
 }
 
-// requestOf is the request that an input brings; nil: it brings none.
+// requestOf returns the request of an input; nil: it is another message.
 func requestOf(in *simapi.Input) *readRequest {
 	message, ok := in.Message.(simapi.RequestReceived)
 	if !ok {
@@ -119,111 +119,113 @@
 	return &readRequest{in.Scheduler, message}
 }
 
-// serve answers everything at once.
-func (s *stage) serve(in *simapi.Input) {
-	if q := requestOf(in); q != nil {
-		s.reply(q, 200, 0)
+// answerOK answers each request with 200 at once.
+func (s *clientHarness) answerOK(in *simapi.Input) {
+	if request := requestOf(in); request != nil {
+		s.answer(request, 200, 0)
 	}
 }
 
-// of is what was seen of a kind.
-func (s *stage) of(what trace.Kind) (list []trace.Event) {
+// eventsOfKind returns the events of a kind so far.
+func (s *clientHarness) eventsOfKind(kind trace.Kind) (list []trace.Event) {
 	for _, event := range s.events {
-		if event.Kind == what {
+		if event.Kind == kind {
 			list = append(list, event)
 		}
 	}
 	return list
 }
 
-// witness knows what clients may do, and holds them to it trace event by trace event.
-type witness struct {
-	spec  *scenario.Scenario
-	check func(ok bool, format string, args ...any)
-	jobs  map[uint64]*witnessed
-	calls map[string]uint64
+// clientChecker checks from the trace events that clients keep the rules for requests and retries.
+type clientChecker struct {
+	spec         *scenario.Scenario
+	check        func(ok bool, format string, args ...any)
+	jobs         map[uint64]*jobHistory
+	jobOfRequest map[string]uint64
 }
 
-type witnessed struct {
-	dueEvent trace.Event
-	open     *trace.Event // the try that was asked and has not ended
-	tries    int
-	status   int
-	risked   time.Duration
-	settled  bool
+type jobHistory struct {
+	dueEvent    trace.Event
+	openRequest *trace.Event // event of the request that was sent and has not ended
+	requests    int          // started so far
+	status      int
+	firstRiskAt time.Duration
+	settled     bool
 }
 
-func newWitness(spec *scenario.Scenario, s *modeltest.Steps) *witness {
-	return &witness{spec: spec, check: s.Check, jobs: map[uint64]*witnessed{}, calls: map[string]uint64{}}
+func newClientChecker(spec *scenario.Scenario, s *modeltest.Steps) *clientChecker {
+	return &clientChecker{spec: spec, check: s.Check, jobs: map[uint64]*jobHistory{}, jobOfRequest: map[string]uint64{}}
 }
 
-func (w *witness) see(s *trace.Event) {
-	j := w.jobs[s.JobID]
-	if s.Kind == trace.ResponseReceived && (j == nil || !j.awaits(s)) {
-		return // nobody waited for it
+func (w *clientChecker) observe(event *trace.Event) {
+	job := w.jobs[event.JobID]
+	if event.Kind == trace.ResponseReceived && (job == nil || !job.isOfOpenRequest(event)) {
+		return // a response that no request awaits
 	}
-	w.check(s.Kind == trace.JobDue == (j == nil), "trace event %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
-	if s.Kind == trace.JobDue {
-		w.jobs[s.JobID] = &witnessed{dueEvent: *s, risked: -1}
-		w.check(s.LatencyObjective <= s.Deadline && s.Work > 0 && s.Slots >= 1, "a job of no sense: %+v", *s)
+	w.check(event.Kind == trace.JobDue == (job == nil), "trace event %d of job %d, known: %v", event.Kind, event.JobID, job != nil)
+	if event.Kind == trace.JobDue {
+		w.jobs[event.JobID] = &jobHistory{dueEvent: *event, firstRiskAt: -1}
+		w.check(event.LatencyObjective <= event.Deadline && event.Work > 0 && event.Slots >= 1, "invalid job: %+v", *event)
 		return
 	}
-	w.check(!j.settled, "trace event %d of a settled job", s.Kind)
-	switch s.Kind {
+	w.check(!job.settled, "trace event %d of a settled job", event.Kind)
+	switch event.Kind {
 	case trace.RequestSent:
-		w.requestSent(j, s)
+		w.requestSent(job, event)
 	case trace.JobSettled:
-		w.check(j.open == nil, "settled with an open try")
-		w.check(s.Status == j.status && s.At <= w.deadline(j)+w.spec.Rules.Slack.Std(), "settled with %d at %v", s.Status, s.At-w.deadline(j))
-		j.settled = true
-	case trace.SchedulerUnreachable: // perhaps of one that nobody had read
-		w.check(s.Number+1 >= j.tries, "an old try ends again")
-		j.tries, j.status = s.Number+1, 0
-		j.open = nil
+		w.check(job.openRequest == nil, "settled with an open request")
+		w.check(event.Status == job.status && event.At <= w.deadline(job)+w.spec.Rules.Slack.Std(), "settled with %d at %v", event.Status, event.At-w.deadline(job))
+		job.settled = true
+	case trace.SchedulerUnreachable: // the request may have been sent before, if its connection closed before it was read
+		w.check(event.Number+1 >= job.requests, "an earlier request ends again")
+		job.requests, job.status = event.Number+1, 0
+		job.openRequest = nil
 	case trace.ResponseReceived, trace.ConnectionLost, trace.ClientTimedOut, trace.ClientLeft:
-		w.check(j.awaits(s), "trace event %d of no open try", s.Kind)
-		w.requestEnded(j, s)
+		w.check(job.isOfOpenRequest(event), "trace event %d without an open request", event.Kind)
+		w.requestEnded(job, event)
 	default:
-		w.check(false, "trace event %d", s.Kind)
+		w.check(false, "unexpected trace event %d", event.Kind)
 	}
 }
 
-// awaits reports whether an event is of the job's open try, on its connection.
-func (w *witnessed) awaits(s *trace.Event) bool {
-	return w.open != nil && w.open.RequestID == s.RequestID && w.open.Conn == s.Conn
+// isOfOpenRequest reports whether an event belongs to the job's open request and its connection.
+func (w *jobHistory) isOfOpenRequest(event *trace.Event) bool {
+	return w.openRequest != nil && w.openRequest.RequestID == event.RequestID && w.openRequest.Conn == event.Conn
 }
 
-func (w *witness) deadline(j *witnessed) time.Duration { return j.dueEvent.At + j.dueEvent.Deadline }
+func (w *clientChecker) deadline(job *jobHistory) time.Duration {
+	return job.dueEvent.At + job.dueEvent.Deadline
+}
 
-// requestSent checks a try that is sent, for the first time or once more.
-func (w *witness) requestSent(j *witnessed, s *trace.Event) {
-	class, deadline := &w.spec.Classes[j.dueEvent.Class], w.deadline(j)
-	w.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
-	if j.open == nil {
-		w.check(w.calls[s.RequestID] == 0, "id %s comes twice", s.RequestID)
-		w.check(s.Number >= j.tries && s.Number <= w.spec.Clients.Retries, "try %d after %d", s.Number, j.tries)
-		j.tries = s.Number + 1
+// requestSent checks a request that is sent, for the first time or again on another connection.
+func (w *clientChecker) requestSent(job *jobHistory, event *trace.Event) {
+	class, deadline := &w.spec.Classes[job.dueEvent.Class], w.deadline(job)
+	w.check(job.openRequest == nil || job.openRequest.RequestID == event.RequestID && job.openRequest.Conn != event.Conn, "two open requests of a job")
+	if job.openRequest == nil {
+		w.check(w.jobOfRequest[event.RequestID] == 0, "request ID %s is used twice", event.RequestID)
+		w.check(event.Number >= job.requests && event.Number <= w.spec.Clients.Retries, "request %d after %d requests", event.Number, job.requests)
+		job.requests = event.Number + 1
 	}
-	w.calls[s.RequestID] = s.JobID
-	w.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
-		"a budget of %v with %v left", s.Budget, deadline-s.At)
-	w.check(s.IdempotencyKey == j.dueEvent.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
-	if j.risked >= 0 {
-		within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && s.At < j.risked+class.DeduplicationWindow.Std()
-		w.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
-			s.At-j.risked)
+	w.jobOfRequest[event.RequestID] = event.JobID
+	w.check(event.Budget >= time.Millisecond && event.Budget%time.Millisecond == 0 && event.At+event.Budget <= deadline,
+		"budget %v with %v left", event.Budget, deadline-event.At)
+	w.check(event.IdempotencyKey == job.dueEvent.IdempotencyKey && (event.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", event.IdempotencyKey)
+	if job.firstRiskAt >= 0 {
+		within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && event.At < job.firstRiskAt+class.DeduplicationWindow.Std()
+		w.check(class.Idempotency == "safe" || within, "%s retried %v after a request that may have run", class.Name,
+			event.At-job.firstRiskAt)
 	}
-	open := *s
-	j.open = &open
+	open := *event
+	job.openRequest = &open
 }
 
-// requestEnded checks the end of the open try.
-func (w *witness) requestEnded(j *witnessed, s *trace.Event) {
-	if j.status = s.Status; s.Status != 200 && s.Status != 429 && s.Status != 503 && j.risked < 0 {
-		j.risked = j.open.At
+// requestEnded checks the end of the open request.
+func (w *clientChecker) requestEnded(job *jobHistory, event *trace.Event) {
+	if job.status = event.Status; event.Status != 200 && event.Status != 429 && event.Status != 503 && job.firstRiskAt < 0 {
+		job.firstRiskAt = job.openRequest.At
 	}
-	waited, slack := s.At-j.open.At, w.spec.Rules.Slack.Std()
-	w.check(waited <= j.open.Budget+slack+time.Millisecond, "waited %v of %v", waited, j.open.Budget)
-	w.check(s.Kind != trace.ClientTimedOut || waited >= j.open.Budget+slack, "gave up after %v", waited)
-	j.open = nil
+	waited, slack := event.At-job.openRequest.At, w.spec.Rules.Slack.Std()
+	w.check(waited <= job.openRequest.Budget+slack+time.Millisecond, "waited %v with a budget of %v", waited, job.openRequest.Budget)
+	w.check(event.Kind != trace.ClientTimedOut || waited >= job.openRequest.Budget+slack, "timed out after %v", waited)
+	job.openRequest = nil
 }
--- a/internal/testbed/environment/job_table.go
+++ b/internal/testbed/environment/job_table.go
@@ -1,17 +1,17 @@
 package environment
 
-// This file holds the table of jobs, by their numbers.
+// This file holds the table of jobs and their requests.
 
-// jobTable is the jobs by their numbers, which count from 1.
+// jobTable maps the numbers of jobs, which count from 1, to their records.
 type jobTable struct {
-	records []jobRecord // in a ring of a power of two
-	first   uint64      // the oldest job that is known
-	next    uint64
+	records []jobRecord // ring buffer; its length is a power of two
+	first   uint64      // number of the oldest job that has a record
+	next    uint64      // number of the next job
 }
 
 type jobRecord struct {
 	job     *job     // nil: settled
-	request *request // nil: forgotten
+	request *request // the latest request; nil: none yet, or forgotten
 }
 
 func (j *jobTable) record(n uint64) *jobRecord { return &j.records[n&uint64(len(j.records)-1)] }
@@ -32,7 +32,7 @@
 	return j.next - 1
 }
 
-// openJob is a job that is not settled; nil: it is, or there is none.
+// openJob returns a job that is not settled; nil: it is settled, or there is none with that number.
 func (j *jobTable) openJob(n uint64) *job {
 	if n < j.first || n >= j.next {
 		return nil
@@ -40,16 +40,17 @@
 	return j.record(n).job
 }
 
-// setRequest enters a job's latest request, and returns the one before.
-func (j *jobTable) setRequest(t *request) *request {
-	p := j.record(t.jobID)
-	before := p.request
-	p.request = t
-	return before
+// setRequest records the latest request of a job and returns the previous one.
+func (j *jobTable) setRequest(request *request) *request {
+	record := j.record(request.jobID)
+	previous := record.request
+	record.request = request
+	return previous
 }
 
 func (j *jobTable) settle(n uint64) { j.record(n).job = nil }
 
+// forget drops the requests of a settled job.
 func (j *jobTable) forget(n uint64) {
 	j.record(n).request = nil
 	for j.first < j.next && j.record(j.first).job == nil && j.record(j.first).request == nil {
@@ -61,12 +62,12 @@
 	if job < j.first || job >= j.next {
 		return nil
 	}
-	t := j.record(job).request
-	for t != nil && t.number > n {
-		t = t.previous
+	request := j.record(job).request
+	for request != nil && request.number > n {
+		request = request.previous
 	}
-	if t == nil || t.number != n {
+	if request == nil || request.number != n {
 		return nil
 	}
-	return t
+	return request
 }
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -7,42 +7,43 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// loadBalancer spreads clients' connections over the schedulers that it takes to be there: in turn over those of the
-// client's zone, or over all where it has none. It admits a scheduler as soon as that is ready, drops one that says
-// it is not within half of its notice, as it asks so often, and one that is dead or frozen after the whole. Until
-// then connections are led there.
+// loadBalancer distributes clients' connections over the schedulers that it considers healthy: round robin over those of the
+// client's zone, or over all if there are none in that zone. It admits a scheduler as soon as that is ready. It drops an unready
+// scheduler after half of NoticeDelay, which is the interval of the readiness checks, and a dead or frozen one after all of
+// NoticeDelay. Until then that scheduler is still assigned connections.
 type loadBalancer struct {
 	env        *Environment
 	admitted   []bool
-	dropAt     []time.Duration // when a scheduler will be dropped; -1: it is well
-	connCounts []int           // clients' connections, those not up yet included
-	maxConns   int             // of these
-	next       []int           // by zone
+	dropAt     []time.Duration // by scheduler: when it is to be dropped; -1: it is healthy
+	connCounts []int           // by scheduler: clients' connections, including those being opened
+	maxConns   int             // limit of connCounts
+	next       []int           // by zone: the scheduler to try first
 }
 
-// A third of a scheduler's descriptors is the most that clients' connections take up. Requests that find all of them
-// busy wait for one.
+// clientConnShare is the divisor of a scheduler's file descriptors that gives the limit of client connections: a third.
+// Requests wait for a connection while all are busy.
 const clientConnShare = 3
 
-// connectTimeout is how long a client waits for a connection to come up. What comes up later is not used.
+// connectTimeout is a client's timeout for the establishment of a connection. One that takes longer is never used.
 const connectTimeout = time.Second
 
-func newLoadBalancer(w *Environment) *loadBalancer {
-	n := len(w.schedulers)
-	f := &loadBalancer{
-		env: w, admitted: make([]bool, n), dropAt: make([]time.Duration, n), connCounts: make([]int, n),
-		next: make([]int, max(1, len(w.Spec.Fleet.Zones))),
+func newLoadBalancer(environment *Environment) *loadBalancer {
+	n := len(environment.schedulers)
+	balancer := &loadBalancer{
+		env: environment, admitted: make([]bool, n), dropAt: make([]time.Duration, n), connCounts: make([]int, n),
+		next: make([]int, max(1, len(environment.Spec.Fleet.Zones))),
 	}
-	for i := range f.dropAt {
-		f.dropAt[i] = -1
+	for i := range balancer.dropAt {
+		balancer.dropAt[i] = -1
 	}
-	if f.maxConns = int(^uint(0) >> 1); w.Spec.Schedulers.Sockets > 0 {
-		f.maxConns = max(1, w.Spec.Schedulers.Sockets/clientConnShare)
+	if balancer.maxConns = int(^uint(0) >> 1); environment.Spec.Schedulers.Sockets > 0 {
+		balancer.maxConns = max(1, environment.Spec.Schedulers.Sockets/clientConnShare)
 	}
-	return f
+	return balancer
 }
 
-// schedulerChanged is told that a scheduler became ready, unready, died, ended, froze or woke.
+// schedulerChanged handles a change of a scheduler's readiness: it became ready or unready, or its process ended, was frozen or
+// was resumed.
 func (l *loadBalancer) schedulerChanged(scheduler *scheduler) {
 	if l.tryAdmit(scheduler) || !l.admitted[scheduler.number] {
 		return
@@ -63,35 +64,37 @@
 	})
 }
 
-// tryAdmit admits a scheduler if it is well.
+// tryAdmit admits a scheduler if it is healthy, and reports whether it is.
 func (l *loadBalancer) tryAdmit(s *scheduler) bool {
 	if !s.alive || !s.ready || s.draining || s.frozen {
 		return false
 	}
 	l.admitted[s.number], l.dropAt[s.number] = true, -1
-	l.roomChanged()
+	l.assignRequests()
 	return true
 }
 
 func (l *loadBalancer) drop(s *scheduler) {
 	l.admitted[s.number], l.dropAt[s.number] = false, -1
-	l.roomChanged()
-	l.watchFrozen(s)
+	l.assignRequests()
+	l.recheckFrozen(s)
 }
 
-// watchFrozen looks again at one that was dropped while frozen: nobody else may tell when it wakes.
-func (l *loadBalancer) watchFrozen(s *scheduler) {
+// recheckFrozen rechecks a scheduler that was dropped while frozen, until it can be admitted. Its resumption may not be
+// reported otherwise.
+func (l *loadBalancer) recheckFrozen(s *scheduler) {
 	if s.alive && s.frozen {
 		l.env.after(max(l.env.Spec.LoadBalancer.NoticeDelay.Std()/2, 100*time.Millisecond), func() {
 			if !l.admitted[s.number] && !l.tryAdmit(s) {
-				l.watchFrozen(s)
+				l.recheckFrozen(s)
 			}
 		})
 	}
 }
 
-// pick is the next scheduler in turn with fewer connections than most, or -1; exists tells whether there is one at all.
-func (l *loadBalancer) pick(zone, most int) (sched int, exists bool) {
+// pick returns the next scheduler, round robin, that has fewer than maxConns connections; -1: none has. exists reports whether
+// any scheduler is admitted.
+func (l *loadBalancer) pick(zone, maxConns int) (sched int, exists bool) {
 	for _, own := range [...]bool{true, false} {
 		for i := range l.admitted {
 			s := (l.next[zone] + i) % len(l.admitted)
@@ -99,7 +102,7 @@
 				continue
 			}
 			exists = true
-			if l.connCounts[s] < most {
+			if l.connCounts[s] < maxConns {
 				l.next[zone] = s + 1
 				return s, true
 			}
@@ -111,47 +114,48 @@
 	return -1, exists
 }
 
-// roomChanged is told that there may be room for connections that wait for it, or none any more.
-func (l *loadBalancer) roomChanged() {
+// assignRequests opens connections for waiting requests where there is room now, and fails them if no scheduler is admitted. It
+// is called when either may have changed.
+func (l *loadBalancer) assignRequests() {
 	if l.env.clients == nil {
 		return
 	}
 	for _, connPool := range l.env.clients.connPools {
-		for connPool.unassigned.len() > 0 {
-			t := *connPool.unassigned.first()
-			if t.stage != requestSeeking {
-				connPool.unassigned.pop()
+		for connPool.waitingForDial.len() > 0 {
+			t := *connPool.waitingForDial.first()
+			if t.stage != requestConnecting {
+				connPool.waitingForDial.pop()
 				continue
 			}
 			sched, exists := l.pick(connPool.zone, l.maxConns)
 			if exists && sched < 0 {
 				break
 			}
-			connPool.unassigned.pop()
+			connPool.waitingForDial.pop()
 			connPool.dial(t, sched)
 		}
 	}
 }
 
-// connPool is the connections that the clients of a zone keep. Which idle one a request takes is drawn, as they belong to
-// many clients; when all are busy another is opened, and whichever is free first carries the request.
+// connPool holds the connections of the clients of a zone. A request takes a random idle one, as they belong to many clients.
+// If all are busy another is opened, and the request uses whichever connection is free first.
 type connPool struct {
-	clients    *clients
-	zone       int
-	idle       []*clientConn
-	waiting    queue[*request] // for a connection; some may have got theirs
-	unassigned queue[*request] // those of them for which none is being opened
+	clients        *clients
+	zone           int
+	idle           []*clientConn
+	waitingForConn queue[*request] // requests that wait for a connection; some may have one by now, or have ended
+	waitingForDial queue[*request] // those of them for which no connection is being opened
 }
 
-// clientConn is a client's connection to a scheduler, at its end.
+// clientConn is the client's end of a connection.
 type clientConn struct {
 	pool      *connPool
 	conn      *conn
-	openedFor *request // for which it is being opened; nil: it is up
-	request   *request // whose request it carries
-	idleIndex int      // among the idle ones; -1: it is none
+	dialedFor *request // request for which it is being opened; nil: it is established
+	request   *request // request whose response is awaited on this connection
+	idleIndex int      // index in connPool.idle; -1: it is not idle
 
-	// What is on its way, of which there is hardly ever more than one: these save a closure each time.
+	// The request and the response in transit. There is rarely more than one of each; these fields save a closure for each.
 	pendingRequest  *simapi.ClientRequest
 	deliverRequest  func()
 	pendingResponse response
@@ -159,46 +163,46 @@
 	deliverResponse func()
 }
 
-// acquire finds a connection for a request.
+// acquire sends a request on an idle connection, or makes it wait for one.
 func (c *connPool) acquire(t *request) {
-	t.stage = requestSeeking
+	t.stage = requestConnecting
 	if n := len(c.idle); n > 0 {
-		l := c.idle[c.clients.drawBits(t.jobID, t.number, drawConn)%uint64(n)]
-		l.removeIdle()
-		if !c.clients.writeRequest(t, l) {
-			l.addIdle()
+		conn := c.idle[c.clients.randomBits(t.jobID, t.number, drawForConn)%uint64(n)]
+		conn.removeIdle()
+		if !c.clients.writeRequest(t, conn) {
+			conn.addIdle()
 			c.clients.requestUnreached(t, -1)
 		}
 		return
 	}
-	c.waiting.push(t)
+	c.waitingForConn.push(t)
 	sched, exists := c.clients.env.balancer.pick(c.zone, c.clients.env.balancer.maxConns)
 	if exists && sched < 0 {
-		c.unassigned.push(t)
+		c.waitingForDial.push(t)
 		return
 	}
 	c.dial(t, sched)
 }
 
-// dial opens a connection to a scheduler, for a request; -1: the load balancer has none, and refuses it.
+// dial opens a connection to a scheduler for a request; -1: the load balancer has no scheduler and refuses the connection.
 func (c *connPool) dial(t *request, sched int) {
-	environment, f := c.clients.env, c.clients.env.balancer
+	environment, balancer := c.clients.env, c.clients.env.balancer
 	if sched < 0 {
 		environment.after(2*environment.Spec.Network.ClientDelay.Std(), func() { c.requestFailed(t, sched) })
 		return
 	}
-	f.connCounts[sched]++
-	way, back, ok := environment.network.connectDelays(endpoint{clientEndpoint, c.zone}, endpoint{schedulerEndpoint, sched})
-	if !ok || way+back+environment.Spec.Network.Handshake.Std() > connectTimeout {
+	balancer.connCounts[sched]++
+	delay, returnDelay, ok := environment.network.connectDelays(endpoint{clientEndpoint, c.zone}, endpoint{schedulerEndpoint, sched})
+	if !ok || delay+returnDelay+environment.Spec.Network.Handshake.Std() > connectTimeout {
 		environment.after(connectTimeout, func() { c.dialFailed(t, sched) })
 		return
 	}
-	environment.after(way, func() {
+	environment.after(delay, func() {
 		if !environment.schedulers[sched].alive {
-			environment.after(back, func() { c.dialFailed(t, sched) })
+			environment.after(returnDelay, func() { c.dialFailed(t, sched) })
 			return
 		}
-		clientConn := &clientConn{pool: c, openedFor: t, idleIndex: -1}
+		clientConn := &clientConn{pool: c, dialedFor: t, idleIndex: -1}
 		clientConn.deliverRequest = func() { a := clientConn.pendingRequest; clientConn.pendingRequest = nil; clientConn.requestArrived(a) }
 		clientConn.deliverResponse = func() {
 			a := clientConn.pendingResponse
@@ -206,32 +210,32 @@
 			clientConn.responseReceived(a)
 		}
 		clientConn.conn = environment.openConn(&conn{id: c.clients.nextConn(), scheduler: sched, up: true, far: clientConn})
-		environment.after(back+environment.Spec.Network.Handshake.Std(), func() {
-			if clientConn.openedFor != nil {
-				clientConn.openedFor = nil
+		environment.after(returnDelay+environment.Spec.Network.Handshake.Std(), func() {
+			if clientConn.dialedFor != nil {
+				clientConn.dialedFor = nil
 				clientConn.release()
 			}
 		})
 	})
 }
 
-// dialFailed ends the opening of a connection.
+// dialFailed handles a connection that was not established.
 func (c *connPool) dialFailed(t *request, sched int) {
 	c.clients.env.balancer.connCounts[sched]--
 	c.requestFailed(t, sched)
-	c.clients.env.balancer.roomChanged()
+	c.clients.env.balancer.assignRequests()
 }
 
-// requestFailed ends a request for which no connection came up, unless it has one by now.
+// requestFailed ends a request whose connection was not established, unless it has another connection by now.
 func (c *connPool) requestFailed(t *request, sched int) {
-	if t.stage == requestSeeking {
+	if t.stage == requestConnecting {
 		c.clients.requestUnreached(t, sched)
 	}
 }
 
 func (c *clientConn) endpoint() endpoint { return endpoint{clientEndpoint, c.pool.zone} }
 
-// sendRequest brings a request to the scheduler, and read is its arrival.
+// sendRequest sends a request to the scheduler, where requestArrived handles it.
 func (c *clientConn) sendRequest(a *simapi.ClientRequest) {
 	if c.pendingRequest != nil {
 		c.pool.clients.env.toSched(c.conn, func() { c.requestArrived(a) })
@@ -243,12 +247,12 @@
 
 func (c *clientConn) requestArrived(a *simapi.ClientRequest) {
 	if c.request != nil && c.request.id == a.RequestID {
-		c.request.read = true
+		c.request.readByScheduler = true
 	}
 	c.pool.clients.env.deliver(simapi.Input{Scheduler: c.conn.scheduler, Message: simapi.RequestReceived{Conn: c.conn.id, Request: a}})
 }
 
-// sendResponse brings an answer to the client.
+// sendResponse sends a response to the client, where responseReceived handles it.
 func (c *clientConn) sendResponse(a response) {
 	if c.responsePending {
 		c.pool.clients.env.toFarEnd(c.conn, func() { c.responseReceived(a) })
@@ -258,24 +262,24 @@
 	c.pool.clients.env.toFarEnd(c.conn, c.deliverResponse)
 }
 
-// release gives a connection to whoever has waited longest for one, or keeps it. One that the scheduler has closed
-// behind its last answer is not used again, as that answer said so.
+// release sends the request that has waited longest on a connection that is free now, or makes the connection idle. One that
+// the scheduler has closed after its last response is not reused, as the response announced the close.
 func (c *clientConn) release() {
 	if c.conn.closed[schedulerSide] {
 		c.close()
 		return
 	}
-	p := c.pool
-	for p.waiting.len() > 0 {
-		t := *p.waiting.first()
-		p.waiting.pop()
-		if t.stage != requestSeeking {
+	pool := c.pool
+	for pool.waitingForConn.len() > 0 {
+		t := *pool.waitingForConn.first()
+		pool.waitingForConn.pop()
+		if t.stage != requestConnecting {
 			continue
 		}
-		if p.clients.writeRequest(t, c) {
+		if pool.clients.writeRequest(t, c) {
 			return
 		}
-		p.clients.requestUnreached(t, -1)
+		pool.clients.requestUnreached(t, -1)
 	}
 	c.addIdle()
 }
@@ -297,34 +301,35 @@
 	c.idleIndex = -1
 }
 
-// close is the client's closing of it.
+// close closes the connection from the client's side.
 func (c *clientConn) close() {
 	c.pool.clients.env.closeSide(c.conn, farSide)
-	c.lost()
+	c.detach()
 }
 
-func (c *clientConn) lost() {
+// detach removes the connection from the pool and from the load balancer's count.
+func (c *clientConn) detach() {
 	c.removeIdle()
-	f := c.pool.clients.env.balancer
-	f.connCounts[c.conn.scheduler]--
-	f.roomChanged()
+	balancer := c.pool.clients.env.balancer
+	balancer.connCounts[c.conn.scheduler]--
+	balancer.assignRequests()
 }
 
-// connClosed is the scheduler's closing of it. A request that crossed the close, so that nobody has read it, is sent once
-// more over a new connection, as it is.
+// connClosed handles the close of the connection by the scheduler. A request that the scheduler has not read, because it
+// crossed the close, is sent unchanged once more over another connection.
 func (c *clientConn) connClosed(*conn) {
-	clients, p, t, maker := c.pool.clients, c.pool, c.request, c.openedFor
-	c.request, c.openedFor = nil, nil
-	c.lost()
+	clients, pool, request, dialedFor := c.pool.clients, c.pool, c.request, c.dialedFor
+	c.request, c.dialedFor = nil, nil
+	c.detach()
 	switch {
-	case maker != nil:
-		p.requestFailed(maker, c.conn.scheduler)
-	case t != nil && !t.read && !t.resent:
-		clients.awaiting--
-		t.resent, t.conn = true, nil
-		p.acquire(t)
-	case t != nil:
-		clients.env.record(clients.describe(t, trace.Event{Kind: trace.ConnectionLost, Scheduler: c.conn.scheduler, Conn: uint64(c.conn.id)}))
-		clients.endRequest(t, outcomeFailed, 0)
+	case dialedFor != nil:
+		pool.requestFailed(dialedFor, c.conn.scheduler)
+	case request != nil && !request.readByScheduler && !request.resent:
+		clients.inFlight--
+		request.resent, request.conn = true, nil
+		pool.acquire(request)
+	case request != nil:
+		clients.env.record(clients.describe(request, trace.Event{Kind: trace.ConnectionLost, Scheduler: c.conn.scheduler, Conn: uint64(c.conn.id)}))
+		clients.endRequest(request, outcomeFailed, 0)
 	}
 }
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -9,35 +9,35 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// misbehavingSource is the misbehaving clients of one kind: they connect at random, with random numbers of their own. What they do on
-// their connections is bytes, so only a process driver plays it and tells what came of it.
+// misbehavingSource generates the misbehaving clients of one kind, as a Poisson process with its own random numbers. What they
+// write to their connections is defined in bytes, so only the process driver carries it out and reports the responses.
 type misbehavingSource struct {
 	clients *clients
 	spec    *scenario.MisbehavingClients
 	rng     *rand.Rand
 	nextAt  time.Duration
-	until   time.Duration
+	endsAt  time.Duration
 	count   uint64
 }
 
-// misbehavingClient is a misbehaving client.
+// misbehavingClient is the client's end of a misbehaving client's connection.
 type misbehavingClient struct {
-	clients  *clients
-	kind     string
-	answered bool // it has had an answer
+	clients          *clients
+	kind             string
+	responseRecorded bool // a response, or the lack of one, has been recorded
 }
 
-// misbehavingTimeout is how long a misbehaving client stays whom nobody answers.
+// misbehavingTimeout is how long a misbehaving client keeps its connection open.
 const misbehavingTimeout = 30 * time.Second
 
 func (c *clients) startMisbehaving() {
 	for i := range c.env.Spec.Misbehaving {
-		b := &c.env.Spec.Misbehaving[i]
-		m := &misbehavingSource{clients: c, spec: b, rng: c.env.rng("bad", i), nextAt: b.At.Std(), until: c.arrivals.length}
-		if b.Duration > 0 {
-			m.until = min(m.until, (b.At + b.Duration).Std())
+		spec := &c.env.Spec.Misbehaving[i]
+		source := &misbehavingSource{clients: c, spec: spec, rng: c.env.rng("bad", i), nextAt: spec.At.Std(), endsAt: c.arrivals.runLength}
+		if spec.Duration > 0 {
+			source.endsAt = min(source.endsAt, (spec.At + spec.Duration).Std())
 		}
-		m.scheduleNext()
+		source.scheduleNext()
 	}
 }
 
@@ -46,7 +46,7 @@
 		return
 	}
 	gap := m.rng.ExpFloat64() / m.spec.Rate
-	if remaining := (m.until - m.nextAt).Seconds(); gap >= remaining {
+	if remaining := (m.endsAt - m.nextAt).Seconds(); gap >= remaining {
 		return
 	}
 	m.nextAt += time.Duration(gap * float64(time.Second))
@@ -56,7 +56,8 @@
 	})
 }
 
-// connectNext is the next misbehaving client's. The load balancer leads it like any other, but it heeds no limit.
+// connectNext connects the next misbehaving client. The load balancer assigns it a scheduler as for any other client, but
+// without a limit of connections.
 func (m *misbehavingSource) connectNext() {
 	environment := m.clients.env
 	m.count++
@@ -64,11 +65,11 @@
 	if sched < 0 || !environment.schedulers[sched].alive {
 		return
 	}
-	o := &misbehavingClient{clients: m.clients, kind: m.spec.Kind}
-	conn := environment.openConn(&conn{id: m.clients.nextConn(), scheduler: sched, up: true, far: o})
-	environment.record(trace.Event{Kind: trace.MisbehavingClientConnected, Scheduler: sched, Conn: uint64(conn.id), Text: o.kind})
-	message := simapi.ClientMisbehaves{Conn: conn.id, Kind: o.kind, Number: m.count - 1}
-	switch o.kind {
+	client := &misbehavingClient{clients: m.clients, kind: m.spec.Kind}
+	conn := environment.openConn(&conn{id: m.clients.nextConn(), scheduler: sched, up: true, far: client})
+	environment.record(trace.Event{Kind: trace.MisbehavingClientConnected, Scheduler: sched, Conn: uint64(conn.id), Text: client.kind})
+	message := simapi.ClientMisbehaves{Conn: conn.id, Kind: client.kind, Number: m.count - 1}
+	switch client.kind {
 	case "stolen_id", "flood", "insist":
 		message.RequestID = m.clients.recentOpenRequest()
 	}
@@ -76,12 +77,12 @@
 	environment.after(misbehavingTimeout, func() { environment.closeSide(conn, farSide) })
 }
 
-// recentOpenRequest is the id of an open request, the one asked last; empty: of the last ones none is open.
+// recentOpenRequest returns the ID of the open request that was sent last; empty: none of recentRequests is open.
 func (c *clients) recentOpenRequest() string {
 	for i := range c.recentRequests {
-		t := c.recentRequests[(c.recentNext-1-i+len(c.recentRequests)*2)%len(c.recentRequests)]
-		if t != nil && t.stage == requestSent {
-			return t.id
+		request := c.recentRequests[(c.recentNext-1-i+len(c.recentRequests)*2)%len(c.recentRequests)]
+		if request != nil && request.stage == requestSent {
+			return request.id
 		}
 	}
 	return ""
@@ -89,16 +90,16 @@
 
 func (m *misbehavingClient) endpoint() endpoint { return endpoint{clientEndpoint, 0} }
 
-func (m *misbehavingClient) responseReceived(conn *conn, a response) {
-	if !m.answered || a.status == 200 {
-		m.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Status: a.status, Text: m.kind})
+func (m *misbehavingClient) responseReceived(conn *conn, response response) {
+	if !m.responseRecorded || response.status == 200 {
+		m.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Status: response.status, Text: m.kind})
 	}
-	m.answered = true
+	m.responseRecorded = true
 }
 
 func (m *misbehavingClient) connClosed(conn *conn) {
-	if !m.answered {
+	if !m.responseRecorded {
 		m.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Text: m.kind})
 	}
-	m.answered = true
+	m.responseRecorded = true
 }
--- a/internal/testbed/environment/network.go
+++ b/internal/testbed/environment/network.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// endpoint is one end of a way through the network.
+// endpoint is a sender or receiver on the network.
 type endpoint struct {
 	kind   endpointKind
 	number int
@@ -18,16 +18,16 @@
 type endpointKind uint8
 
 const (
-	clientEndpoint endpointKind = iota // n: any
+	clientEndpoint endpointKind = iota // number: the zone of the client, or 0
 	schedulerEndpoint
 	workerEndpoint
 	discoveryEndpoint
 )
 
-// network says how long things take from party to party, and which never arrive.
+// network models the delays between endpoints, partitions, and middleboxes that drop idle connections.
 type network struct {
 	env        *Environment
-	dice       drawSource
+	keyedRand  keyedRand
 	zones      int
 	sigma      float64 // log-normal spread of delays; 0: none
 	partitions []*networkRule
@@ -35,32 +35,32 @@
 	idleDrops  []*networkRule
 }
 
-// networkRule is something that holds between two crowds for a while.
+// networkRule is a partition, an added delay or an idle timeout between two groups of endpoints.
 type networkRule struct {
 	a, b     endpointGroup
 	oneWay   bool
-	duration time.Duration
-	held     []func() // by a cut, in the order in which it was sent
+	duration time.Duration // the delay, or the idle timeout
+	held     []func()      // sends that a partition holds up, in order
 }
 
 func (n *networkRule) applies(from, to endpoint) bool {
 	return n.a.contains(from) && n.b.contains(to) || !n.oneWay && n.a.contains(to) && n.b.contains(from)
 }
 
-func newNetwork(w *Environment) *network {
-	n := &network{env: w, dice: newDrawSource(w.seed, "network"), zones: max(1, len(w.Spec.Fleet.Zones))}
-	if cv := w.Spec.Network.Jitter; cv > 0 {
+func newNetwork(environment *Environment) *network {
+	n := &network{env: environment, keyedRand: newKeyedRand(environment.seed, "network"), zones: max(1, len(environment.Spec.Fleet.Zones))}
+	if cv := environment.Spec.Network.Jitter; cv > 0 {
 		n.sigma = math.Sqrt(math.Log1p(cv * cv))
 	}
-	// What drops idle connections as a matter of course stands between schedulers and workers.
-	if d := w.Spec.Network.DropsIdleAfter.Std(); d > 0 {
+	// The scenario's idle timeout is that of a middlebox between schedulers and workers.
+	if d := environment.Spec.Network.DropsIdleAfter.Std(); d > 0 {
 		n.dropIdle(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, d)
 	}
 	return n
 }
 
-// arrival is when something sent now arrives; not ok: never. A cut swallows what goes by arrival; send and
-// connections hold it up instead.
+// arrival returns when a message that is sent now arrives; not ok: never, because a partition drops it. In contrast, send and
+// connections hold messages up until the partition ends.
 func (n *network) arrival(from, to endpoint) (at time.Duration, ok bool) {
 	if n.partitionBetween(from, to) != nil {
 		return 0, false
@@ -68,19 +68,19 @@
 	return n.env.now + n.delay(from, to), true
 }
 
-// send brings something from party to party: do runs when it arrives. What a cut holds up sets out again when that
-// ends, in the order in which it was sent.
+// send sends a message: do is called when it arrives. Messages that a partition holds up are sent again when it ends, in their
+// original order.
 func (n *network) send(from, to endpoint, do func()) {
-	if cut := n.partitionBetween(from, to); cut != nil {
-		cut.held = append(cut.held, func() { n.send(from, to, do) })
+	if partition := n.partitionBetween(from, to); partition != nil {
+		partition.held = append(partition.held, func() { n.send(from, to, do) })
 		return
 	}
 	n.env.after(n.delay(from, to), do)
 }
 
-// connectDelays is how an attempt to connect fares, apart from what the far end's process does with it: its way there, and
-// the way back. Net.Handshake is not in it: a connection that comes up takes that besides.
-func (n *network) connectDelays(from, to endpoint) (way, back time.Duration, ok bool) {
+// connectDelays returns the delays of an attempt to connect, there and back, whether or not the far end accepts it; not ok:
+// a partition blocks it. Network.Handshake is not included: an established connection takes that in addition.
+func (n *network) connectDelays(from, to endpoint) (delay, returnDelay time.Duration, ok bool) {
 	if n.partitionBetween(from, to) != nil || n.partitionBetween(to, from) != nil {
 		return 0, 0, false
 	}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// idleDropAfter is after how long something on the way forgets an idle connection between the two; 0: never.
+// idleDropAfter returns the shortest idle timeout of the middleboxes between two endpoints; 0: there is none.
 func (n *network) idleDropAfter(from, to endpoint) time.Duration {
 	least := time.Duration(0)
 	for _, r := range n.idleDrops {
@@ -107,12 +107,12 @@
 	return least
 }
 
-// delay draws how long the way takes now. The draw follows from the instant and the two parties alone, so what
-// others send shifts nothing, and nothing needs to be kept for each pair.
+// delay draws the current one-way delay. The draw depends only on the seed, the time and the two endpoints, so that other
+// traffic does not change it and no state is kept for each pair.
 func (n *network) delay(from, to endpoint) time.Duration {
 	mean := n.meanDelay(from, to)
 	if n.sigma > 0 || len(n.delays) > 0 {
-		r := n.dice.stream(uint64(n.env.now), from.hash()<<32|to.hash())
+		r := n.keyedRand.stream(uint64(n.env.now), from.hash()<<32|to.hash())
 		if n.sigma > 0 {
 			mean = time.Duration(float64(mean) * math.Exp(n.sigma*(r.NormFloat64()-n.sigma/2)))
 		}
@@ -127,8 +127,8 @@
 
 func (e endpoint) hash() uint64 { return uint64(e.kind)<<28 | uint64(e.number)&(1<<28-1) }
 
-// meanDelay is the one-way delay between two parties on the mean. Clients are near their scheduler whatever its zone, and
-// discovery is near everybody.
+// meanDelay returns the mean one-way delay without added delays. Clients are equally near to schedulers of all zones, and
+// discovery is in the same zone as everyone.
 func (n *network) meanDelay(from, to endpoint) time.Duration {
 	net := &n.env.Spec.Network
 	switch {
@@ -140,75 +140,75 @@
 	return net.CrossZone.Std()
 }
 
-// zoneOf is the zone of a scheduler or worker: both are dealt out in turn.
-func (n *network) zoneOf(p endpoint) int { return p.number % n.zones }
+// zoneOf returns the zone of a scheduler or worker. Both are assigned to zones round robin.
+func (n *network) zoneOf(party endpoint) int { return party.number % n.zones }
 
-// endpointGroup is some of the parties of a kind; only nil: all of them.
+// endpointGroup is a set of endpoints of one kind; members nil: all of that kind.
 type endpointGroup struct {
 	kind    endpointKind
 	members map[int]bool
 }
 
-func (e *endpointGroup) contains(p endpoint) bool {
-	return e.kind == p.kind && (e.members == nil || e.members[p.number])
+func (e *endpointGroup) contains(party endpoint) bool {
+	return e.kind == party.kind && (e.members == nil || e.members[party.number])
 }
 
-// partition holds up all that goes between two crowds (oneWay: from a to b only) until undo. What a connection's peer sent
-// meanwhile arrives then, unless the connection is over; new connections never come up.
+// partition blocks all traffic between two groups (oneWay: from a to b only) until undo is called. Data sent over existing
+// connections meanwhile arrives after that, unless the connection is closed by then; new connections are never established.
 func (n *network) partition(a, b endpointGroup, oneWay bool) (undo func()) {
-	r := &networkRule{a: a, b: b, oneWay: oneWay}
-	end := n.addRule(&n.partitions, r)
+	rule := &networkRule{a: a, b: b, oneWay: oneWay}
+	end := n.addRule(&n.partitions, rule)
 	return func() {
 		end()
-		held := r.held
-		r.held = nil
-		for _, again := range held {
-			again()
+		held := rule.held
+		rule.held = nil
+		for _, resend := range held {
+			resend()
 		}
 	}
 }
 
-// addDelay adds to delays between two crowds, both ways, a mean of d, spread evenly from 0 to twice that, until undo.
+// addDelay adds a delay, uniform between 0 and 2d, to all messages between two groups, both ways, until undo is called.
 func (n *network) addDelay(a, b endpointGroup, d time.Duration) (undo func()) {
 	return n.addRule(&n.delays, &networkRule{a: a, b: b, duration: d})
 }
 
-// dropIdle forgets connections between two crowds that have been idle for longer than d, unseen: what is sent over one
-// from then on is answered by a reset, until undo.
+// dropIdle makes a middlebox silently forget connections between two groups that have been idle for longer than d, until undo
+// is called: data sent over such a connection is answered by a reset.
 func (n *network) dropIdle(a, b endpointGroup, d time.Duration) (undo func()) {
 	return n.addRule(&n.idleDrops, &networkRule{a: a, b: b, duration: d})
 }
 
-// addRule puts a rule in force. Its undo may be called more than once.
-func (n *network) addRule(in *[]*networkRule, r *networkRule) (undo func()) {
-	*in = append(*in, r)
+// addRule adds a rule. undo removes it, and may be called more than once.
+func (n *network) addRule(rules *[]*networkRule, r *networkRule) (undo func()) {
+	*rules = append(*rules, r)
 	return func() {
-		if i := slices.Index(*in, r); i >= 0 {
-			*in = slices.Delete(*in, i, i+1)
+		if i := slices.Index(*rules, r); i >= 0 {
+			*rules = slices.Delete(*rules, i, i+1)
 		}
 	}
 }
 
-// drawSource draws random numbers that follow from what they are for, and not from how many were drawn before. One roll's
-// numbers are to be drawn before the next roll.
-type drawSource struct {
+// keyedRand draws random numbers that depend on a key and not on earlier draws. Its streams share one generator: the numbers of
+// one stream must be drawn before the next call of stream.
+type keyedRand struct {
 	salt  uint64
 	state *splitMix
 	rng   *rand.Rand
 }
 
-func newDrawSource(seed uint64, name string) drawSource {
+func newKeyedRand(seed uint64, name string) keyedRand {
 	m := &splitMix{}
-	return drawSource{mix64(seed ^ xxhash.Sum64String(name)), m, rand.New(m)}
+	return keyedRand{mix64(seed ^ xxhash.Sum64String(name)), m, rand.New(m)}
 }
 
-// stream is the stream of random numbers for the two.
-func (d *drawSource) stream(a, b uint64) *rand.Rand {
+// stream returns the stream of random numbers for the key (a, b).
+func (d *keyedRand) stream(a, b uint64) *rand.Rand {
 	d.state.state = mix64(mix64(d.salt^a) ^ b)
 	return d.rng
 }
 
-// splitMix is SplitMix64, which, unlike a larger generator, costs nothing to seed.
+// splitMix is the SplitMix64 generator, which, unlike generators with more state, is cheap to seed.
 type splitMix struct{ state uint64 }
 
 func (s *splitMix) Uint64() uint64 {
--- a/internal/testbed/environment/peers.go
+++ b/internal/testbed/environment/peers.go
@@ -9,51 +9,51 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// reorderDelay is the greatest delay of a datagram that others overtake.
+// reorderDelay is the maximum additional delay of a datagram that is to be reordered.
 const reorderDelay = 50 * time.Millisecond
 
-// unknownSender is the sender of datagrams that come from no scheduler.
+// unknownSender is the sender of forged datagrams, which come from no scheduler.
 const unknownSender = -1
 
-// peerNetwork carries datagrams between schedulers. What a cut or the scenario's losses take is gone for good.
+// peerNetwork carries datagrams between schedulers. Datagrams that a partition or the scenario's loss drops are not resent.
 type peerNetwork struct {
-	env  *Environment
-	spec *scenario.Peers
-	dice drawSource
-	sent uint64 // datagrams so far
+	env       *Environment
+	spec      *scenario.Peers
+	keyedRand keyedRand
+	sent      uint64 // datagrams sent so far
 }
 
-func newPeerNetwork(w *Environment) *peerNetwork {
-	return &peerNetwork{env: w, spec: &w.Spec.Peers, dice: newDrawSource(w.seed, "peers")}
+func newPeerNetwork(environment *Environment) *peerNetwork {
+	return &peerNetwork{env: environment, spec: &environment.Spec.Peers, keyedRand: newKeyedRand(environment.seed, "peers")}
 }
 
-// send brings a datagram to another scheduler, or not.
+// send sends a datagram to another scheduler, subject to the scenario's faults of datagrams.
 func (p *peerNetwork) send(from int, message *simapi.DatagramWritten) {
 	if !p.spec.On || message.To < 0 || message.To >= p.env.Spec.Schedulers.Count {
 		return
 	}
 	p.sent++
-	draws := p.dice.stream(p.sent, uint64(from)<<32|uint64(message.To))
+	rng := p.keyedRand.stream(p.sent, uint64(from)<<32|uint64(message.To))
 	copies := 1
-	if isDrawn(draws, p.spec.Loss) {
+	if drawBool(rng, p.spec.Loss) {
 		copies = 0
 	}
-	if isDrawn(draws, p.spec.Duplicate) {
+	if drawBool(rng, p.spec.Duplicate) {
 		copies++
 	}
 	for range copies {
-		p.deliver(from, message.To, p.tear(draws, message.Bytes), p.furtherDelay(draws))
+		p.deliver(from, message.To, p.corrupt(rng, message.Bytes), p.furtherDelay(rng))
 	}
-	if isDrawn(draws, p.spec.Forged) {
-		p.deliver(unknownSender, message.To, message.Bytes, p.furtherDelay(draws))
+	if drawBool(rng, p.spec.Forged) {
+		p.deliver(unknownSender, message.To, message.Bytes, p.furtherDelay(rng))
 	}
 }
 
-// deliver has a datagram arrive, unless a cut takes it.
+// deliver delivers a datagram after the network's delay and a further one, unless a partition drops it.
 func (p *peerNetwork) deliver(from, to int, payload []byte, further time.Duration) {
 	source, target := endpoint{schedulerEndpoint, from}, endpoint{schedulerEndpoint, to}
 	if from == unknownSender {
-		source = target // it is near
+		source = target // its delay is that within a zone
 	}
 	at, ok := p.env.network.arrival(source, target)
 	if !ok {
@@ -64,31 +64,33 @@
 	})
 }
 
-// furtherDelay draws the delay of a datagram besides the network's.
-func (p *peerNetwork) furtherDelay(draws *rand.Rand) time.Duration {
+// furtherDelay draws the delay of a datagram in addition to the network's.
+func (p *peerNetwork) furtherDelay(rng *rand.Rand) time.Duration {
 	delay := p.spec.Delay.Std()
 	if spread := p.spec.DelayMax.Std() - delay; spread > 0 {
-		delay += time.Duration(draws.Float64() * float64(spread))
+		delay += time.Duration(rng.Float64() * float64(spread))
 	}
-	if isDrawn(draws, p.spec.Reorder) {
-		delay += time.Duration(draws.Float64() * float64(reorderDelay))
+	if drawBool(rng, p.spec.Reorder) {
+		delay += time.Duration(rng.Float64() * float64(reorderDelay))
 	}
 	return delay
 }
 
-// tear returns the payload as it arrives: whole, or short or with a wrong byte.
-func (p *peerNetwork) tear(draws *rand.Rand, payload []byte) []byte {
-	if !isDrawn(draws, p.spec.Torn) || len(payload) == 0 {
+// corrupt returns the payload as it arrives: unchanged, truncated, or with one wrong byte.
+func (p *peerNetwork) corrupt(rng *rand.Rand, payload []byte) []byte {
+	if !drawBool(rng, p.spec.Torn) || len(payload) == 0 {
 		return payload
 	}
-	at := draws.IntN(len(payload))
-	if draws.IntN(2) == 0 {
-		return payload[:at]
+	index := rng.IntN(len(payload))
+	if rng.IntN(2) == 0 {
+		return payload[:index]
 	}
-	torn := bytes.Clone(payload)
-	torn[at] ^= byte(1 + draws.IntN(255))
-	return torn
+	corrupted := bytes.Clone(payload)
+	corrupted[index] ^= byte(1 + rng.IntN(255))
+	return corrupted
 }
 
-// isDrawn draws whether something that befalls a share befalls this one.
-func isDrawn(draws *rand.Rand, share float64) bool { return share > 0 && draws.Float64() < share }
+// drawBool returns true with the given probability. At probability 0 it draws nothing.
+func drawBool(rng *rand.Rand, probability float64) bool {
+	return probability > 0 && rng.Float64() < probability
+}
--- a/internal/testbed/environment/peers_test.go
+++ b/internal/testbed/environment/peers_test.go
@@ -10,19 +10,19 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// datagrams returns what scheduler 1 receives of one datagram of scheduler 0.
-func datagrams(t *testing.T, peers scenario.Peers, before func(f *faultHarness)) (received []simapi.DatagramReceived) {
+// receivedDatagrams returns the datagrams that scheduler 1 receives after scheduler 0 has sent one. before may inject a fault.
+func receivedDatagrams(t *testing.T, peers scenario.Peers, before func(f *faultHarness)) (received []simapi.DatagramReceived) {
 	t.Helper()
-	spec := quiet(2, 3)
+	spec := idleScenario(2, 3)
 	spec.Peers = peers
 	f := newFaultHarness(t, spec, 1)
-	f.run(time.Second)
+	f.runFor(time.Second)
 	if before != nil {
-		f.do(func() { before(f) })
+		f.doNow(func() { before(f) })
 	}
 	f.inputs = f.inputs[:0]
 	f.outputs = append(f.outputs, simapi.Output{Message: simapi.DatagramWritten{To: 1, Bytes: []byte("payload")}})
-	f.run(time.Second)
+	f.runFor(time.Second)
 	for _, input := range f.inputs {
 		if datagram, ok := input.Message.(simapi.DatagramReceived); ok && input.Scheduler == 1 {
 			received = append(received, datagram)
@@ -31,11 +31,11 @@
 	return received
 }
 
-func TestPeersShareOfDatagrams(t *testing.T) {
+func TestPeerDatagramFaults(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		peers scenario.Peers
-		from  []int // senders of what arrives
+		from  []int // senders of the datagrams that arrive
 		torn  bool
 	}{
 		{"off", scenario.Peers{}, nil, false},
@@ -45,7 +45,7 @@
 		{"torn", scenario.Peers{On: true, Torn: 1}, []int{0}, true},
 		{"forged", scenario.Peers{On: true, Forged: 1}, []int{unknownSender, 0}, false},
 	} {
-		received := datagrams(t, test.peers, nil)
+		received := receivedDatagrams(t, test.peers, nil)
 		var from []int
 		for _, datagram := range received {
 			from = append(from, datagram.From)
@@ -60,32 +60,32 @@
 	}
 }
 
-func TestPeersDelay(t *testing.T) {
-	spec := quiet(2, 3)
+func TestPeerDatagramDelay(t *testing.T) {
+	spec := idleScenario(2, 3)
 	spec.Peers = scenario.Peers{On: true, Delay: scenario.Duration(time.Second), DelayMax: scenario.Duration(2 * time.Second)}
 	f := newFaultHarness(t, spec, 1)
-	f.run(time.Second)
+	f.runFor(time.Second)
 	f.outputs = append(f.outputs, simapi.Output{Message: simapi.DatagramWritten{To: 1, Bytes: []byte("payload")}})
 	isDatagram := func(input simapi.Input) bool {
 		_, ok := input.Message.(simapi.DatagramReceived)
 		return ok
 	}
-	f.run(900 * time.Millisecond)
+	f.runFor(900 * time.Millisecond)
 	if slices.ContainsFunc(f.inputs, isDatagram) {
-		t.Error("it arrived before its least delay")
+		t.Error("datagram arrived before its minimum delay")
 	}
-	f.run(1200 * time.Millisecond)
+	f.runFor(1200 * time.Millisecond)
 	if !slices.ContainsFunc(f.inputs, isDatagram) {
-		t.Error("it has not arrived after its greatest delay")
+		t.Error("datagram has not arrived after its maximum delay")
 	}
 }
 
-// What a cut between schedulers or the death of the receiver takes is gone.
-func TestPeersFaults(t *testing.T) {
+// Datagrams that meet a partition between schedulers, or whose receiver does not run, are lost.
+func TestPeerDatagramsUnderSchedulerFaults(t *testing.T) {
 	on := scenario.Peers{On: true}
 	cut := func(schedulers ...int) func(f *faultHarness) {
 		return func(f *faultHarness) {
-			fault := &activeFault{timeline: f.w.faults, Fault: &scenario.Fault{
+			fault := &activeFault{timeline: f.env.faults, Fault: &scenario.Fault{
 				Kind: "cut", Between: "schedulers", And: "schedulers", Target: scenario.Target{Schedulers: schedulers},
 			}}
 			fault.chooseTargets(0)
@@ -97,12 +97,12 @@
 		before func(f *faultHarness)
 		count  int
 	}{
-		{"cut off from all", cut(1), 0},
-		{"on one side", cut(0, 1), 1},
-		{"all cut", cut(), 0},
-		{"killed", func(f *faultHarness) { f.w.schedulers[1].kill(0) }, 0},
+		{"partitioned from all others", cut(1), 0},
+		{"both on one side of a partition", cut(0, 1), 1},
+		{"partition with all as targets", cut(), 0},
+		{"killed", func(f *faultHarness) { f.env.schedulers[1].kill(0) }, 0},
 	} {
-		if received := datagrams(t, on, test.before); len(received) != test.count {
+		if received := receivedDatagrams(t, on, test.before); len(received) != test.count {
 			t.Errorf("%s: %d datagrams, want %d", test.name, len(received), test.count)
 		}
 	}
--- a/internal/testbed/environment/request_ids.go
+++ b/internal/testbed/environment/request_ids.go
@@ -4,26 +4,26 @@
 	"strings"
 )
 
-// This file holds the ids of requests, the idempotency keys, and the random numbers of each job. All follow from the seed
-// and the job's number.
+// This file derives the IDs of requests, the idempotency keys and the random numbers of each job from the seed and the job's
+// number.
 
-// A request's id is its job's number and its own among the job's requests, scrambled: it follows from the seed alone,
-// never comes twice, and leads back to the job without a table.
+// The ID of a request is a permutation, which depends on the seed, of the job's number and the request's number within the
+// job. So it is deterministic, unique, and can be inverted to find the job without a table.
 const (
-	requestBits = 8
+	requestBits = 8 // bits of the request's number
 	maxRequests = 1 << requestBits
 )
 
-// permutation is a permutation of 64-bit numbers that can be undone.
+// permutation is an invertible permutation of the 64-bit numbers.
 type permutation struct{ add, mul, inv uint64 }
 
-func newPermutation(a, b uint64) permutation {
-	s := permutation{add: a, mul: b | 1}
-	s.inv = s.mul // right in its last 3 bits; each turn doubles those
+func newPermutation(add, mul uint64) permutation {
+	p := permutation{add: add, mul: mul | 1}
+	p.inv = p.mul // the inverse in the low 3 bits; each iteration doubles the number of correct bits
 	for range 5 {
-		s.inv *= 2 - s.mul*s.inv
+		p.inv *= 2 - p.mul*p.inv
 	}
-	return s
+	return p
 }
 
 func (p permutation) apply(x uint64) uint64 {
@@ -66,34 +66,35 @@
 	return string(b[:])
 }
 
-// findRequest finds a request by its id; nil: no client sent it. Requests are known for as long as an attempt of theirs may be
-// anywhere.
-func (c *clients) findRequest(call string) *request {
-	if len(call) != 16 {
+// findRequest returns the request with the given ID; nil: no client sent it, or it has been forgotten. Requests are kept for
+// as long as an attempt at them may exist.
+func (c *clients) findRequest(id string) *request {
+	if len(id) != 16 {
 		return nil
 	}
 	var x uint64
-	for i := range len(call) {
-		d := strings.IndexByte(hexDigits, call[i])
-		if d < 0 {
+	for i := range len(id) {
+		digit := strings.IndexByte(hexDigits, id[i])
+		if digit < 0 {
 			return nil
 		}
-		x = x<<4 | uint64(d)
+		x = x<<4 | uint64(digit)
 	}
 	x = c.requestIDs.invert(x)
 	return c.jobs.find(x>>requestBits, int(x%maxRequests))
 }
 
-// What a job's own random numbers are drawn for. They follow from its number and the request's alone.
+// The purposes of the random numbers of a job.
 const (
-	drawZone = iota
-	drawConn
-	drawWait
+	drawForZone = iota
+	drawForConn
+	drawForBackoff
 )
 
-func (c *clients) drawBits(job uint64, number, what int) uint64 {
-	return mix64(mix64(c.salt+job<<requestBits+uint64(number)) + uint64(what)*0x9e3779b97f4a7c15)
+// randomBits returns random bits that depend only on the seed, the job, the number of the request and the purpose.
+func (c *clients) randomBits(job uint64, number, purpose int) uint64 {
+	return mix64(mix64(c.salt+job<<requestBits+uint64(number)) + uint64(purpose)*0x9e3779b97f4a7c15)
 }
 
-// unitInterval turns random bits into a number from 0 up to 1.
+// unitInterval converts random bits to a number in [0, 1).
 func unitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/internal/testbed/environment/running_heap.go
+++ b/internal/testbed/environment/running_heap.go
@@ -1,8 +1,8 @@
 package environment
 
-// This file holds a heap of the attempts that run.
+// This file holds a heap of running attempts.
 
-// runningHeap is what runs, what ends first at its head.
+// runningHeap is a heap of running attempts, ordered by the progress at which they end.
 type runningHeap []*attempt
 
 func (r runningHeap) less(i, j int) bool {
--- a/internal/testbed/environment/scheduler_faults.go
+++ b/internal/testbed/environment/scheduler_faults.go
@@ -48,7 +48,7 @@
 	if !s.alive || duration <= 0 {
 		return
 	}
-	s.thawsAt = max(s.thawsAt, s.env.now+duration)
+	s.resumesAt = max(s.resumesAt, s.env.now+duration)
 	if !s.frozen {
 		s.frozen = true
 		s.record(trace.SchedulerFrozen, 0)
@@ -56,7 +56,7 @@
 		s.env.balancer.schedulerChanged(s)
 	}
 	s.afterInProcess(duration, func() {
-		if !s.frozen || s.thawsAt > s.env.now {
+		if !s.frozen || s.resumesAt > s.env.now {
 			return
 		}
 		s.frozen = false
@@ -66,8 +66,8 @@
 	})
 }
 
-// reload sets the configuration to the present address of discovery and sends SIGHUP, once the process is ready (a
-// planner needn't be) and minReloadAge old. It is not sent after SIGTERM.
+// reload sets the configuration to the present address of discovery and sends SIGHUP, once the process is ready (a planner
+// needn't be) and at least minReloadAge old. SIGHUP is not sent after SIGTERM.
 func (s *scheduler) reload() {
 	if !s.alive || s.terminated || s.reloadPending {
 		return
