--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -8,29 +8,34 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// schedulerView is what a scheduler has been notified of by discovery, and what counts as notified.
+// schedulerView is what discovery has sent to a scheduler, and what the scheduler counts as notified of.
 //
-// A change counts as notified once it has reached the scheduler's socket. Where it has not, it counts 6 s after it was
-// listed and a watch, or a call for one, was there to send it on, whatever the network does to that; without one, once
-// the scheduler has neither watched nor polled for as long as the rules allow, or four times as long after a call that
-// failed; and 4 s after a SIGHUP that came later than the change. Each is recorded once (trace.DrainNotified,
-// trace.StartNotified), and again for a process that starts with a list that says so.
+// A scheduler counts as notified of a change once the change has reached the scheduler's socket. If the change does not arrive,
+// the scheduler counts as notified at the first of:
+//   - with a watch or a call for one: notifiedWithin after the change was listed and the call began, whatever the network
+//     does to the messages;
+//   - without one: the rules' poll interval after the change and the last contact, or four times as long if the last call
+//     failed;
+//   - notifiedAfterReload after a SIGHUP that came after the change.
+//
+// Each notification is recorded once (trace.DrainNotified, trace.StartNotified), and again for a process that starts with a
+// list that contains it.
 type schedulerView struct {
 	discovery      *discovery
 	scheduler      int
-	versions       []version // by entry: what the scheduler's list says
+	versions       []version // by entry: the version in the scheduler's list
 	revision       int64
-	knownStarts    []int // by worker: the last start that it was told of
-	drainedStarts  []int // by worker: the start of which it was told that it drains or is gone; 0: none
+	knownStarts    []int // by worker: incarnation of the last start that it was notified of
+	drainedStarts  []int // by worker: incarnation that it was notified is draining or gone; 0: none
 	pending        []pendingChange
-	nextCheck      time.Duration // when what is pending is looked at next; 0: never
+	nextCheck      time.Duration // when pending is checked next; 0: never
 	call           *watchCall
-	askingSince    time.Duration // when it began to ask or watch, without a break but for calls that it gave up
-	lastContact    time.Duration // when it last asked, or had a watch
-	lastCallFailed bool          // its last call did
+	callingSince   time.Duration // start of the present series of calls and watches; a call that replaces another continues it
+	lastContact    time.Duration // when it last called, or had a watch
+	lastCallFailed bool          // its last call failed
 }
 
-// pendingChange is something listed that has not reached the scheduler.
+// pendingChange is a change that is listed and has not reached the scheduler.
 type pendingChange struct {
 	entry    int
 	version  version
@@ -41,65 +46,66 @@
 const (
 	notifiedWithin      = 6 * time.Second
 	notifiedAfterReload = 4 * time.Second
-	failedCallFactor    = 4 // times the rules' span, after a call that failed
+	failedCallFactor    = 4 // multiple of the rules' poll interval, after a call that failed
 )
 
 func newSchedulerView(d *discovery, sched int) *schedulerView {
 	v := &schedulerView{discovery: d, scheduler: sched, knownStarts: make([]int, len(d.env.workers)), drainedStarts: make([]int, len(d.env.workers))}
-	for i, n := range d.env.workers {
-		v.knownStarts[i] = n.process.incarnation // long ago
+	for i, worker := range d.env.workers {
+		v.knownStarts[i] = worker.process.incarnation // the start before the run
 	}
 	return v
 }
 
-// endpointList is the list as the scheduler last had it.
+// endpointList returns the list as the scheduler last received it.
 func (s *schedulerView) endpointList() requests.EndpointList {
-	g := requests.EndpointList{Revision: s.revision, Reset: true, Endpoints: make([]requests.Endpoint, 0, len(s.discovery.entryOf))}
+	list := requests.EndpointList{Revision: s.revision, Reset: true, Endpoints: make([]requests.Endpoint, 0, len(s.discovery.entryOf))}
 	for i, x := range s.versions {
 		if x.state != endpointAbsent {
-			g.Endpoints = append(g.Endpoints, s.discovery.entries[i].endpointAt(x))
+			list.Endpoints = append(list.Endpoints, s.discovery.entries[i].endpointAt(x))
 		}
 	}
-	return g
+	return list
 }
 
-// processStarted is told that a process of the scheduler starts with the list as it last had it: it knows that, and no more.
+// processStarted handles the start of a process of the scheduler, which knows the list that its predecessor last received and
+// nothing else.
 func (s *schedulerView) processStarted() {
 	s.discovery.abandonWatch(s)
 	s.lastCallFailed, s.pending = false, s.pending[:0]
 	for i := range s.knownStarts {
-		s.knownStarts[i], s.drainedStarts[i] = 1, 0 // first starts are of long ago
+		s.knownStarts[i], s.drainedStarts[i] = 1, 0 // first incarnations started before the run, so that they are known
 	}
 	for i := range s.discovery.entries {
 		e := &s.discovery.entries[i]
 		if i < len(s.versions) && s.versions[i].state != endpointAbsent {
-			s.learn(i, s.versions[i])
+			s.markNotified(i, s.versions[i])
 		}
 		if e.revision > s.revision {
 			s.pending = append(s.pending, pendingChange{i, e.listed, e.revision, s.discovery.env.now})
 		}
 	}
-	s.touch()
+	s.recordContact()
 }
 
-// published is told that the list has a new generation.
+// published handles a new revision of the list.
 func (s *schedulerView) published(changed []int) {
 	if !s.discovery.env.schedulers[s.scheduler].alive {
 		return
 	}
-	m := &listUpdate{revision: s.discovery.revision, entries: changed}
+	update := &listUpdate{revision: s.discovery.revision, entries: changed}
 	for _, i := range changed {
-		as := s.discovery.entries[i].listed
-		m.versions = append(m.versions, as)
-		s.pending = append(s.pending, pendingChange{i, as, s.discovery.revision, s.discovery.env.now})
+		listed := s.discovery.entries[i].listed
+		update.versions = append(update.versions, listed)
+		s.pending = append(s.pending, pendingChange{i, listed, s.discovery.revision, s.discovery.env.now})
 	}
 	if c := s.call; c != nil && c.stage == watchOpen {
-		s.discovery.send(c, m)
+		s.discovery.send(c, update)
 	}
-	s.planCheck()
+	s.scheduleCheck()
 }
 
-// messageArrived is told of what has come over a watch to the scheduler's socket.
+// messageArrived handles a message on a watch that has reached the scheduler's socket.
 func (s *schedulerView) messageArrived(call *watchCall, message watchMessage) {
 	scheduler := s.discovery.env.schedulers[s.scheduler]
 	if s.call != call || !scheduler.alive || scheduler.incarnation != call.incarnation {
@@ -116,12 +122,12 @@
 	case watchEnd:
 		input = simapi.WatchEnded{}
 		s.lastCallFailed, s.call = !call.wasOpen, nil
-		s.touch()
+		s.recordContact()
 	}
 	s.discovery.env.deliver(simapi.Input{Scheduler: s.scheduler, Message: input})
 }
 
-// updateOf is a line of changes as it stands on the wire.
+// updateOf returns an update in the form that the scheduler receives.
 func (s *schedulerView) updateOf(update *listUpdate) *requests.EndpointList {
 	list := &requests.EndpointList{Revision: update.revision, Reset: update.reset, Endpoints: make([]requests.Endpoint, len(update.entries))}
 	for i, e := range update.entries {
@@ -130,7 +136,7 @@
 	return list
 }
 
-// applyList records what a list says.
+// applyList records an update that the scheduler has received.
 func (s *schedulerView) applyList(update *listUpdate) {
 	for len(s.versions) < len(s.discovery.entries) {
 		s.versions = append(s.versions, version{})
@@ -142,7 +148,7 @@
 				next++
 				continue
 			}
-			// A start may have counted as told and never have arrived.
+			// The scheduler may count as notified of a start that never arrived.
 			closed := version{endpointAbsent, previous.incarnation, previous.startedMs}
 			if n := s.discovery.entries[i].worker; s.discovery.entryOf[n] == i {
 				closed.incarnation = max(closed.incarnation, s.knownStarts[n])
@@ -150,12 +156,12 @@
 				continue
 			}
 			s.versions[i] = closed
-			s.learn(i, closed)
+			s.markNotified(i, closed)
 		}
 	}
 	for i, e := range update.entries {
 		s.versions[e] = update.versions[i]
-		s.learn(e, update.versions[i])
+		s.markNotified(e, update.versions[i])
 	}
 	s.revision = update.revision
 	remaining := s.pending[:0]
@@ -167,40 +173,41 @@
 	s.pending = remaining
 }
 
-// learn has a version of an entry count as told. What was said of a process before the last one told says nothing.
-func (s *schedulerView) learn(entry int, state version) {
-	n := s.discovery.entries[entry].worker
-	if state.incarnation < s.knownStarts[n] {
+// markNotified counts the scheduler as notified of a version of an entry. Versions of earlier processes than the last one that
+// it was notified of have no effect.
+func (s *schedulerView) markNotified(entry int, state version) {
+	worker := s.discovery.entries[entry].worker
+	if state.incarnation < s.knownStarts[worker] {
 		return
 	}
-	up := state.state != endpointAbsent && state.incarnation > s.knownStarts[n]
-	if up || state.state == endpointUp && s.drainedStarts[n] == state.incarnation {
-		s.knownStarts[n], s.drainedStarts[n] = state.incarnation, 0
-		s.record(trace.Event{Kind: trace.StartNotified, Scheduler: s.scheduler, Worker: n, Incarnation: state.incarnation})
+	up := state.state != endpointAbsent && state.incarnation > s.knownStarts[worker]
+	if up || state.state == endpointUp && s.drainedStarts[worker] == state.incarnation {
+		s.knownStarts[worker], s.drainedStarts[worker] = state.incarnation, 0
+		s.record(trace.Event{Kind: trace.StartNotified, Scheduler: s.scheduler, Worker: worker, Incarnation: state.incarnation})
 	}
-	if state.state != endpointUp && s.drainedStarts[n] != state.incarnation {
-		s.drainedStarts[n] = state.incarnation
-		s.record(trace.Event{Kind: trace.DrainNotified, Scheduler: s.scheduler, Worker: n, Incarnation: state.incarnation})
+	if state.state != endpointUp && s.drainedStarts[worker] != state.incarnation {
+		s.drainedStarts[worker] = state.incarnation
+		s.record(trace.Event{Kind: trace.DrainNotified, Scheduler: s.scheduler, Worker: worker, Incarnation: state.incarnation})
 	}
 }
 
-// record reports a trace event, if it is a scheduler's.
+// record records a trace event of a scheduler, not of a planner.
 func (s *schedulerView) record(event trace.Event) {
 	if !s.discovery.env.schedulers[s.scheduler].planner {
 		s.discovery.env.record(event)
 	}
 }
 
-// touch records that scheduler and discovery had to do with each other just now.
-func (s *schedulerView) touch() {
+// recordContact records that the scheduler is in contact with discovery now.
+func (s *schedulerView) recordContact() {
 	s.lastContact = s.discovery.env.now
-	s.planCheck()
+	s.scheduleCheck()
 }
 
-// dueAt is when a change counts as told, as things are.
-func (s *schedulerView) dueAt(c *pendingChange) time.Duration {
-	if w := s.call; w != nil && w.stage != watchEnded {
-		return max(c.listedAt, s.askingSince) + notifiedWithin
+// notifiedBy returns when the scheduler counts as notified of a pending change, in the present state of its call or watch.
+func (s *schedulerView) notifiedBy(c *pendingChange) time.Duration {
+	if call := s.call; call != nil && call.stage != watchEnded {
+		return max(c.listedAt, s.callingSince) + notifiedWithin
 	}
 	wait := s.discovery.env.Spec.Rules.PollInterval.Std()
 	if s.lastCallFailed {
@@ -209,11 +216,11 @@
 	return max(c.listedAt, s.lastContact) + wait
 }
 
-// planCheck sees to it that what is pending is looked at when the first of it is due.
-func (s *schedulerView) planCheck() {
+// scheduleCheck plans a check of the pending changes for when the scheduler counts as notified of the first.
+func (s *schedulerView) scheduleCheck() {
 	first := time.Duration(-1)
 	for i := range s.pending {
-		if at := s.dueAt(&s.pending[i]); first < 0 || at < first {
+		if at := s.notifiedBy(&s.pending[i]); first < 0 || at < first {
 			first = at
 		}
 	}
@@ -224,22 +231,22 @@
 	s.discovery.env.schedule(first, func() {
 		if s.nextCheck == first {
 			s.nextCheck = 0
-			s.learnOverdue(func(c *pendingChange) bool { return s.dueAt(c) <= s.discovery.env.now })
-			s.planCheck()
+			s.markOverdueNotified(func(c *pendingChange) bool { return s.notifiedBy(c) <= s.discovery.env.now })
+			s.scheduleCheck()
 		}
 	})
 }
 
-// learnOverdue has what is pending count as told if late says so.
-func (s *schedulerView) learnOverdue(late func(c *pendingChange) bool) {
+// markOverdueNotified counts the scheduler as notified of the pending changes for which overdue returns true.
+func (s *schedulerView) markOverdueNotified(overdue func(c *pendingChange) bool) {
 	if !s.discovery.env.schedulers[s.scheduler].alive {
 		s.pending = s.pending[:0]
 		return
 	}
 	remaining := s.pending[:0]
 	for i := range s.pending {
-		if c := s.pending[i]; late(&c) {
-			s.learn(c.entry, c.version)
+		if c := s.pending[i]; overdue(&c) {
+			s.markNotified(c.entry, c.version)
 		} else {
 			remaining = append(remaining, c)
 		}
@@ -247,17 +254,17 @@
 	s.pending = remaining
 }
 
-// reloaded is told that the scheduler was sent a SIGHUP.
+// reloaded handles a SIGHUP that was sent to the scheduler.
 func (s *schedulerView) reloaded() {
-	at, sprout := s.discovery.env.now, s.discovery.env.schedulers[s.scheduler].incarnation
+	at, incarnation := s.discovery.env.now, s.discovery.env.schedulers[s.scheduler].incarnation
 	s.discovery.env.after(notifiedAfterReload, func() {
-		if s.discovery.env.schedulers[s.scheduler].incarnation == sprout {
-			s.learnOverdue(func(c *pendingChange) bool { return c.listedAt <= at })
+		if s.discovery.env.schedulers[s.scheduler].incarnation == incarnation {
+			s.markOverdueNotified(func(c *pendingChange) bool { return c.listedAt <= at })
 		}
 	})
 }
 
-// knowsStart tells whether a scheduler was told of a worker's last start.
-func (d *discovery) knowsStart(sched int, n *worker) bool {
-	return d.views[sched].knownStarts[n.number] >= n.process.incarnation
+// knowsStart reports whether a scheduler counts as notified of a worker's last start.
+func (d *discovery) knowsStart(sched int, worker *worker) bool {
+	return d.views[sched].knownStarts[worker.number] >= worker.process.incarnation
 }
--- a/internal/testbed/environment/schedulers.go
+++ b/internal/testbed/environment/schedulers.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// scheduler is a scheduler: one process after another. A fault of a scheduler that doesn't run has no effect, except that
+// scheduler is a scheduler: one process after another. Faults have no effect on a scheduler that doesn't run, except a change
 // of the discovery address, which its next process reads from its configuration. Planners have the same type, and are
 // numbered after the schedulers; they are never ready, so that no client connects to them, and their events are not recorded.
 type scheduler struct {
@@ -26,7 +26,7 @@
 	discovery     int // index of the discovery address that its process uses
 	startedAt     time.Duration
 	terminated    bool // SIGTERM was sent
-	thawsAt       time.Duration
+	resumesAt     time.Duration
 	restartDelay  time.Duration // from its planned exit to the next start; 0: never
 	reloadPending bool          // a SIGHUP is sent as soon as it may be
 	startWaiters  []func()      // called once when the next process starts
@@ -36,8 +36,8 @@
 	crashRestartDelay = time.Second // from an unplanned exit to the next start
 	minReloadAge      = time.Second // age of a process before which no SIGHUP is sent
 
-	// After SIGTERM the load balancer opens new connections for between balancerMinDelay and that plus
-	// balancerDelaySpread. SIGKILL is sent after the longest deadline, maxDeadlineWait at most, and killGrace.
+	// After SIGTERM the load balancer opens new connections for balancerMinDelay plus up to balancerDelaySpread. SIGKILL is
+	// sent after the longest deadline, or maxDeadlineWait if that is shorter, plus killGrace.
 	balancerMinDelay    = 200 * time.Millisecond
 	balancerDelaySpread = 200 * time.Millisecond
 	maxDeadlineWait     = 3 * time.Second
@@ -91,7 +91,7 @@
 	s.terminated = false
 	s.reloadPending = false
 	s.startedAt = s.env.now
-	s.thawsAt = 0
+	s.resumesAt = 0
 	s.discovery = s.env.discovery.address
 	s.record(trace.SchedulerStarted, 0)
 	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Start{
--- a/internal/testbed/environment/schedulers_test.go
+++ b/internal/testbed/environment/schedulers_test.go
@@ -8,23 +8,23 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// What becomes of a scheduler's process, as trace events with the milliseconds at which they come, within 1 ms.
-func TestSchedulersLife(t *testing.T) {
+// Trace events of a scheduler's process after each operation, with their times in milliseconds, exact to 1 ms.
+func TestSchedulerLifecycle(t *testing.T) {
 	type step struct {
 		what trace.Kind
 		ms   int
 	}
 	again := []step{{trace.SchedulerStarted, 1000}, {trace.SchedulerReady, 1000}}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		do   func(f *faultHarness)
 		want []step
 	}{
 		"kill": {
-			func(f *faultHarness) { f.w.schedulers[0].kill(2 * time.Second) },
+			func(f *faultHarness) { f.env.schedulers[0].kill(2 * time.Second) },
 			[]step{{trace.SchedulerKilled, 0}, {trace.SchedulerStarted, 2000}, {trace.SchedulerReady, 2000}},
 		},
-		"kill for good": {func(f *faultHarness) { f.w.schedulers[0].kill(0) }, []step{{trace.SchedulerKilled, 0}}},
-		"planned restart": {func(f *faultHarness) { f.w.schedulers[0].terminate(time.Second) }, // the longest deadline counts as 3 s
+		"kill for good": {func(f *faultHarness) { f.env.schedulers[0].kill(0) }, []step{{trace.SchedulerKilled, 0}}},
+		"planned restart": {func(f *faultHarness) { f.env.schedulers[0].terminate(time.Second) }, // maxDeadlineWait is 3 s
 			[]step{
 				{trace.SchedulerTerminated, 0},
 				{trace.SchedulerKilled, 3700},
@@ -32,24 +32,24 @@
 				{trace.SchedulerReady, 4700},
 			}},
 		"planned restart, ends by itself": {
-			func(f *faultHarness) { f.exit = true; f.w.schedulers[0].terminate(time.Second) },
+			func(f *faultHarness) { f.exitsOnTerminate = true; f.env.schedulers[0].terminate(time.Second) },
 			append([]step{{trace.SchedulerTerminated, 0}, {trace.SchedulerExited, 0}}, again...),
 		},
 		"crash": {func(f *faultHarness) {
 			f.outputs = append(f.outputs, simapi.Output{Message: simapi.Exited{Status: 2}})
-			f.scheds[0].up = false
+			f.schedulers[0].up = false
 		}, append([]step{{trace.SchedulerExited, 0}}, again...)},
 		"freeze twice": {
 			func(f *faultHarness) {
-				f.w.schedulers[0].freeze(3 * time.Second)
-				f.w.schedulers[0].freeze(time.Second)
+				f.env.schedulers[0].freeze(3 * time.Second)
+				f.env.schedulers[0].freeze(time.Second)
 			},
 			[]step{{trace.SchedulerFrozen, 0}, {trace.SchedulerResumed, 3000}},
 		},
 		"freeze, killed, frozen again": {func(f *faultHarness) {
-			f.w.schedulers[0].freeze(9 * time.Second)
-			f.w.schedulers[0].kill(time.Second)
-			f.w.after(2*time.Second, func() { f.w.schedulers[0].freeze(time.Second) })
+			f.env.schedulers[0].freeze(9 * time.Second)
+			f.env.schedulers[0].kill(time.Second)
+			f.env.after(2*time.Second, func() { f.env.schedulers[0].freeze(time.Second) })
 		}, []step{
 			{trace.SchedulerFrozen, 0},
 			{trace.SchedulerKilled, 0},
@@ -58,94 +58,94 @@
 			{trace.SchedulerFrozen, 2000},
 			{trace.SchedulerResumed, 3000},
 		}},
-		"reload": {func(f *faultHarness) { f.w.discovery.changeAddress(); f.w.schedulers[0].reload() }, []step{{trace.SchedulerReloaded, 0}}},
+		"reload": {func(f *faultHarness) { f.env.discovery.changeAddress(); f.env.schedulers[0].reload() }, []step{{trace.SchedulerReloaded, 0}}},
 		"reload in the first second": {func(f *faultHarness) {
-			f.w.schedulers[0].kill(time.Second)
-			f.w.after(1200*time.Millisecond, func() { f.w.schedulers[0].reload(); f.w.schedulers[0].reload() })
+			f.env.schedulers[0].kill(time.Second)
+			f.env.after(1200*time.Millisecond, func() { f.env.schedulers[0].reload(); f.env.schedulers[0].reload() })
 		}, []step{{trace.SchedulerKilled, 0}, {trace.SchedulerStarted, 1000}, {trace.SchedulerReady, 1000}, {trace.SchedulerReloaded, 2000}}},
 	} {
-		f := newFaultHarness(t, quiet(4, 1), 3)
-		f.run(5 * time.Second)
-		from, at := len(f.events), f.w.now
-		f.do(func() { x.do(f) })
-		f.run(12 * time.Second)
-		got := f.all(from, trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed,
+		f := newFaultHarness(t, idleScenario(4, 1), 3)
+		f.runFor(5 * time.Second)
+		from, at := len(f.events), f.env.now
+		f.doNow(func() { test.do(f) })
+		f.runFor(12 * time.Second)
+		got := f.eventsOfKinds(from, trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed,
 			trace.SchedulerReloaded, trace.SchedulerExited)
-		ok := len(got) == len(x.want)
+		ok := len(got) == len(test.want)
 		for i := 0; ok && i < len(got); i++ {
 			after := int((got[i].At - at).Milliseconds())
-			ok = got[i].Kind == x.want[i].what && after >= x.want[i].ms && after <= x.want[i].ms+1
+			ok = got[i].Kind == test.want[i].what && after >= test.want[i].ms && after <= test.want[i].ms+1
 		}
 		if !ok {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got %v, want %v", name, got, test.want)
 		}
 	}
 }
 
-// A process starts with what the one before it had, by another seed, and at where discovery is.
-func TestBoot(t *testing.T) {
-	f := newFaultHarness(t, quiet(30, 2), 5)
-	f.run(5 * time.Second)
-	f.do(func() { f.w.workers[3].drain(); f.w.workers[7].crash(0) })
-	f.run(5 * time.Second)
-	f.do(func() {
-		f.w.schedulers[1].kill(4 * time.Second)
-		f.w.workers[4].drain() // it can't know
-		f.w.discovery.changeAddress()
-		f.w.schedulers[0].reload()
+// A process starts with the endpoint list of its predecessor, another seed, and the present address of discovery.
+func TestStartMessage(t *testing.T) {
+	f := newFaultHarness(t, idleScenario(30, 2), 5)
+	f.runFor(5 * time.Second)
+	f.doNow(func() { f.env.workers[3].drain(); f.env.workers[7].crash(0) })
+	f.runFor(5 * time.Second)
+	f.doNow(func() {
+		f.env.schedulers[1].kill(4 * time.Second)
+		f.env.workers[4].drain() // the stopped scheduler is not notified of this
+		f.env.discovery.changeAddress()
+		f.env.schedulers[0].reload()
 	})
-	f.run(5 * time.Second)
-	boots := arrived[simapi.Start](f, 0)
-	if len(boots) != 3 || boots[0].message.Name != "s1" || boots[2].scheduler != 1 || boots[2].message.Name != "s2" ||
-		boots[0].message.Seed == boots[1].message.Seed || boots[1].message.Seed == boots[2].message.Seed || boots[2].message.Discovery != 1 {
-		t.Fatalf("boots: %v", boots)
+	f.runFor(5 * time.Second)
+	starts := messagesOf[simapi.Start](f, 0)
+	if len(starts) != 3 || starts[0].message.Name != "s1" || starts[2].scheduler != 1 || starts[2].message.Name != "s2" ||
+		starts[0].message.Seed == starts[1].message.Seed || starts[1].message.Seed == starts[2].message.Seed || starts[2].message.Discovery != 1 {
+		t.Fatalf("start messages: %v", starts)
 	}
 	states := map[string]string{}
-	for _, h := range boots[2].message.KnownEndpoints.Endpoints {
+	for _, h := range starts[2].message.KnownEndpoints.Endpoints {
 		states[h.ID] = h.Lifecycle
 	}
 	if len(states) != 29 || states["w-3"] != "draining" || states["w-7"] != "" || states["w-4"] != "up" {
-		t.Errorf("known: %v", states)
+		t.Errorf("known endpoints: %v", states)
 	}
-	if notified := f.all(0, trace.DrainNotified); len(notified) < 3 || notified[len(notified)-3].Worker+notified[len(notified)-2].Worker != 3+4 {
-		t.Errorf("told: %v", notified) // w-3 again by its start, w-4 by the watch of either
+	if notified := f.eventsOfKinds(0, trace.DrainNotified); len(notified) < 3 || notified[len(notified)-3].Worker+notified[len(notified)-2].Worker != 3+4 {
+		t.Errorf("notifications: %v", notified) // w-3 again at the start of the process, w-4 on the watch of each scheduler
 	}
 }
 
-// After SIGTERM the load balancer goes on for a moment, whatever /up says.
-func TestFrontAtPlannedRestart(t *testing.T) {
+// After SIGTERM the load balancer keeps assigning connections for 200 to 400 ms, whatever the readiness check answers.
+func TestLoadBalancerAtPlannedRestart(t *testing.T) {
 	for seed := range uint64(8) {
-		f := newFaultHarness(t, quiet(4, 2), seed)
-		f.run(5 * time.Second)
+		f := newFaultHarness(t, idleScenario(4, 2), seed)
+		f.runFor(5 * time.Second)
 		f.outputs = append(f.outputs, simapi.Output{Message: simapi.Unready{}})
-		f.do(func() { f.w.schedulers[0].terminate(0) })
-		at := f.w.now
-		for f.w.balancer.admitted[0] {
-			f.run(time.Millisecond)
+		f.doNow(func() { f.env.schedulers[0].terminate(0) })
+		at := f.env.now
+		for f.env.balancer.admitted[0] {
+			f.runFor(time.Millisecond)
 		}
-		if after := f.w.now - at; after < 200*time.Millisecond || after > 401*time.Millisecond {
-			t.Errorf("the front stopped after %v", after)
+		if after := f.env.now - at; after < 200*time.Millisecond || after > 401*time.Millisecond {
+			t.Errorf("seed %d: the load balancer stopped after %v", seed, after)
 		}
 	}
 }
 
-// A process that is gone has no connections, and what it did is not its successor's.
-func TestDeathEndsConnections(t *testing.T) {
-	f := newFaultHarness(t, quiet(4, 1), 1)
-	f.run(5 * time.Second)
-	link := simapi.WorkerConn(0, 1)
-	f.outputs = append(f.outputs, simapi.Output{Message: simapi.WorkerDialed{Conn: link, Worker: 1}})
-	f.run(time.Second)
-	if c := f.w.conns[link]; c == nil || !c.up {
-		t.Fatal("no connection came up")
+// The end of a process closes its connections, and outputs that follow its end are ignored.
+func TestProcessEndClosesConnections(t *testing.T) {
+	f := newFaultHarness(t, idleScenario(4, 1), 1)
+	f.runFor(5 * time.Second)
+	conn := simapi.WorkerConn(0, 1)
+	f.outputs = append(f.outputs, simapi.Output{Message: simapi.WorkerDialed{Conn: conn, Worker: 1}})
+	f.runFor(time.Second)
+	if c := f.env.conns[conn]; c == nil || !c.up {
+		t.Fatal("connection was not established")
 	}
-	f.do(func() { f.w.schedulers[0].kill(time.Second) })
-	f.run(500 * time.Millisecond)
+	f.doNow(func() { f.env.schedulers[0].kill(time.Second) })
+	f.runFor(500 * time.Millisecond)
 	for _, message := range []simapi.OutputMessage{simapi.Ready{}, simapi.Exited{}, simapi.WatchRequested{}} {
 		f.outputs = append(f.outputs, simapi.Output{Message: message})
 	}
-	f.run(400 * time.Millisecond)
-	if s := f.w.schedulers[0]; f.w.conns[link] != nil || s.ready || s.alive {
-		t.Errorf("connection %v, ready %v, alive %v", f.w.conns[link], s.ready, s.alive)
+	f.runFor(400 * time.Millisecond)
+	if s := f.env.schedulers[0]; f.env.conns[conn] != nil || s.ready || s.alive {
+		t.Errorf("after the end of the process: connection %v, ready %v, alive %v", f.env.conns[conn], s.ready, s.alive)
 	}
 }
--- a/internal/testbed/environment/worker.go
+++ b/internal/testbed/environment/worker.go
@@ -9,8 +9,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// worker is a worker: a machine, and on it one process after another. It joins the parts that own their state: machine,
-// workerProcess, workerJobs, workerConnSet, warmUpState and callbackQueue.
+// worker is a worker: a machine, and on it one process after another. Its state is divided into machine, workerProcess,
+// workerJobs, workerConnSet, warmUpState and callbackQueue.
 //
 // An attempt that it has received ends exactly once, as trace event AttemptRejected, AttemptFinished, AttemptReturned or
 // AttemptDied.
@@ -41,13 +41,14 @@
 	resultCount     uint64        // results made by all processes
 }
 
-// drawSpeed draws the speed of a machine's cores, from a uniform distribution, which bounds it in a fleet of any size.
+// drawSpeed draws the speed of a machine's cores. The distribution is uniform, so that the speed is bounded in a fleet of any
+// size.
 func (w *worker) drawSpeed() float64 {
 	return w.kind.Speed * max(0.1, 1+w.kind.Spread*math.Sqrt(3)*(2*w.rng.Float64()-1))
 }
 
-// begin records the worker at the start of a run, and plans its pauses.
-func (w *worker) begin() {
+// beginRun records the worker at the start of a run, and plans its pauses.
+func (w *worker) beginRun() {
 	w.env.record(trace.Event{
 		Kind: trace.WorkerPresent, Worker: w.number, Incarnation: w.process.incarnation, Slots: float64(w.kind.Slots), Text: w.kind.Name,
 	})
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -24,24 +24,24 @@
 	incarnation int           // of the process that received it
 
 	class             int
-	conn              *workerConn // that its 202 is owed on; nil: answered, or given up before
-	mayNotify         bool        // its 202 is due or past: callbacks may be sent
-	notifiesEarly     bool        // callbacks may be sent before
+	conn              *workerConn // on which it awaits its response; nil: answered, or cancelled before
+	mayNotify         bool        // its 202 is sent, or would be on an open connection: callbacks may be sent
+	notifiesEarly     bool        // callbacks may be sent before its 202
 	expiresAt         time.Duration
 	slots             float64
-	work              float64 // of this run, for each slot, in seconds at speed 1
+	work              float64 // of this run, per slot, in seconds at speed 1
 	fails             bool    // this run ends with an error
-	failsBeforeAccept bool    // before its 202
+	failsBeforeAccept bool    // that error is answered in place of the 202
 
 	state            attemptState
 	number           uint64
 	allIndex         int     // in workerJobs.all
 	heapIndex        int     // in workerJobs.running
 	startProgress    float64 // workerJobs.progressPerSlot at its start
-	endProgress      float64 // the same when it is done
+	endProgress      float64 // workerJobs.progressPerSlot at which it is done
 	nextProgressAt   time.Duration
 	keyRecord        *keyRecord
-	pendingCallbacks []*callback // that wait for its 202
+	pendingCallbacks []*callback // callbacks that wait for its 202
 	result           string
 }
 
@@ -51,20 +51,21 @@
 type attemptState uint8
 
 const (
-	attemptQueued attemptState = iota // for slots
+	attemptQueued attemptState = iota // waits for slots
 	attemptRunning
-	attemptDuplicate // it waits for the run of another with its key
+	attemptDuplicate // waits for the run of another attempt with its key
 	attemptEnded
 )
 
 // How a worker applies the protocol:
-//   - An ID that no client sent, or an idempotency key other than the client's, is answered 400; no ID, 404.
-//   - An attempt for which there is no room is rejected: 503, X-Rejected. So is one whose ID is in flight, cancelled or
-//     not, whose class its kind may not run, that needs more slots than there are, or that arrives while it drains.
+//   - An ID that no client sent, or an idempotency key other than the client's, is answered 400; a missing ID, 404.
+//   - An attempt for which there is no room is rejected: 503 with X-Rejected. So is one whose ID is in flight, cancelled or
+//     not, whose class the worker's kind may not run, that needs more slots than the worker has, or that arrives while the
+//     worker drains.
 //   - A job of k slots does k times its run time of work. While more slots are in use than there are cores, all jobs
 //     share the cores evenly.
 //   - Of attempts that end with an error, a quarter get a 500 in place of the 202. The others are reported as failed
-//     after a part of their work, drawn evenly from a tenth to all of it.
+//     after a part of their work, drawn uniformly from a tenth to all of it.
 
 // earlyErrorShare is the share of errors that are answered in place of a 202.
 const earlyErrorShare = 0.25
@@ -115,8 +116,8 @@
 	return 0
 }
 
-// canAdmit reports whether the worker admits an attempt. keyRecord is the record of its key; nil: there is none, so that
-// the attempt needs room of its own.
+// canAdmit reports whether the worker admits an attempt. keyRecord is the record of its key; nil: there is none, so that the
+// attempt needs slots or a place in the queue. Expired attempts in the queue may be dropped to make room.
 func (w *worker) canAdmit(attempt *attempt, keyRecord *keyRecord) bool {
 	class := &w.shared.classes[attempt.class]
 	switch {
@@ -139,7 +140,7 @@
 	w.respond(conn, http.StatusInternalServerError, false)
 }
 
-// admitAttempt admits an attempt, which then runs, waits for slots, or waits for the run of another with its key.
+// admitAttempt admits an attempt, which then runs, waits for slots, or waits for the run of another attempt with its key.
 func (w *worker) admitAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
 	attempt.conn = conn
 	conn.awaitingAnswer = attempt
@@ -181,7 +182,7 @@
 
 // drawOutcome draws the work and the result of a run. They depend on the request and the worker alone.
 func (w *worker) drawOutcome(attempt *attempt, work, noise float64) {
-	rng := w.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(w.number))
+	rng := w.shared.keyedRand.stream(xxhash.Sum64String(attempt.requestID), uint64(w.number))
 	deviation := rng.NormFloat64()
 	failureDraw := rng.Float64()
 	partDone := rng.Float64()
@@ -200,7 +201,7 @@
 	}
 }
 
-// accept answers an attempt with 202, unless its connection is closed, and sends the callbacks that waited for that.
+// accept answers an attempt with 202, unless its connection is closed, and sends the callbacks that waited for the 202.
 func (w *worker) accept(attempt *attempt) {
 	if conn := attempt.conn; conn != nil {
 		attempt.conn = nil
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -10,13 +10,14 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// callbackQueue holds the callbacks of a worker that are neither answered nor given up. Each is sent, by calls with a
-// timeout, until a call is answered 200 or 204, to whichever process of the scheduler runs then.
+// callbackQueue holds the callbacks of a worker that are neither answered nor given up. Each is sent by calls with a timeout
+// until a call is answered 200 or 204, or callbackAttempts calls have failed. A call goes to whichever process of the scheduler
+// runs then.
 type callbackQueue struct {
 	firstID       uint64         // ID, without the worker's part, of the first of callbacks
 	callbacks     []*callback    // in order of creation; nil: answered or given up
-	outstanding   int            // those of the process, without those of the machine's agent
-	held          []*callback    // while the process hangs
+	outstanding   int            // number of callbacks of the process, without those of the machine's agent
+	held          []*callback    // held up while the process hangs
 	pendingCalls  []callbackCall // in order of deadline
 	expiryPlanned bool           // an entry for the first deadline is on the event queue
 }
@@ -27,7 +28,7 @@
 	scheduler int
 	sendings  int
 	byAgent   bool // sent by the machine's agent, whatever becomes of the process
-	awaiting  bool // the answer to a call
+	awaiting  bool // it awaits the answer to a call
 	closed    bool // answered or given up
 	body      requests.Callback
 	result    string
@@ -104,7 +105,7 @@
 	callback.body.Progress = progress
 	w.callbacks.outstanding++
 	switch {
-	case w.process.silencesCallbacks:
+	case w.process.dropsCallbacks:
 		w.loseCallback(callback)
 	case attempt.mayNotify || attempt.notifiesEarly:
 		w.sendCallback(callback)
@@ -140,7 +141,7 @@
 		return
 	}
 	if !callback.byAgent {
-		if w.process.silencesCallbacks {
+		if w.process.dropsCallbacks {
 			w.loseCallback(callback)
 			return
 		}
@@ -163,7 +164,7 @@
 func (w *worker) deliverCallback(callback *callback) {
 	delay := time.Duration(0)
 	if w.kind.CallbackLossShare > 0 || w.kind.CallbackDelay > 0 {
-		rng := w.shared.dice.stream(callback.id, uint64(callback.sendings))
+		rng := w.shared.keyedRand.stream(callback.id, uint64(callback.sendings))
 		if rng.Float64() < w.kind.CallbackLossShare {
 			return
 		}
@@ -180,8 +181,8 @@
 	})
 }
 
-// applyAck sends a scheduler's answer to a callback over the network; status 0: the call has failed.
-func (w *worker) applyAck(scheduler int, message *simapi.CallbackAnswered) {
+// sendCallbackAnswer sends a scheduler's answer to a callback over the network; status 0: the call has failed.
+func (w *worker) sendCallbackAnswer(scheduler int, message *simapi.CallbackAnswered) {
 	arrival, ok := w.env.network.arrival(endpoint{schedulerEndpoint, scheduler}, w.endpoint())
 	if !ok {
 		return
@@ -216,7 +217,7 @@
 // sendsTwice draws whether a callback is sent again although it has been answered.
 func (w *worker) sendsTwice(id uint64) bool {
 	share := w.kind.CallbackTwiceShare
-	return share > 0 && w.shared.dice.stream(id, 0).Float64() < share
+	return share > 0 && w.shared.keyedRand.stream(id, 0).Float64() < share
 }
 
 // expireCalls handles the calls whose deadline is over, and plans the next expiry.
--- a/internal/testbed/environment/worker_conn_set.go
+++ b/internal/testbed/environment/worker_conn_set.go
@@ -3,7 +3,7 @@
 // workerConnSet holds the connections at a worker's end.
 type workerConnSet struct {
 	open     []*workerConn // of the running process, in no order; workerConn.index is the index
-	halfOpen []*workerConn // of processes whose machine fell silent, as open
+	halfOpen []*workerConn // of processes whose machine fell silent; indexed likewise
 }
 
 // add adds a connection that the running process has accepted.
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -10,19 +10,19 @@
 
 // workerConn is a connection at a worker's end.
 type workerConn struct {
-	worker         *worker
-	conn           *conn
-	machine        int // number of the machine that it leads to; -1: it is never established
-	index          int // in its list of workerConnSet; -1: in neither
-	fresh          bool
-	reading        int      // requests that are being read
-	abandoned      bool     // the process no longer handles it
-	halfOpen       bool     // the machine fell silent, see workerConnSet
-	usedSince      bool     // it was written to after that
-	resetBytes     int      // see setResetBytes
-	unreadAttempt  *attempt // wholly written to it, and not read yet
-	awaitingAnswer *attempt // not answered yet
-	pendingAccept  *attempt // its 202 is in transit
+	worker              *worker
+	conn                *conn
+	machine             int // number of the machine that it leads to; -1: it is never established
+	index               int // in its list of workerConnSet; -1: in neither
+	fresh               bool
+	reading             int      // requests that are being read
+	abandoned           bool     // the process no longer handles it
+	halfOpen            bool     // the machine has fallen silent, see workerConnSet
+	writtenSinceSilence bool     // the scheduler has written to it since then
+	resetBytes          int      // see setResetBytes
+	unreadAttempt       *attempt // wholly written to it, and not read yet
+	awaitingAnswer      *attempt // not answered yet
+	pendingAccept       *attempt // its 202 is in transit
 }
 
 // dialed handles a scheduler's attempt to connect, which arrives later.
@@ -189,14 +189,14 @@
 	if !workerConn.halfOpen || workerConn.machine != w.machine.number {
 		return
 	}
-	workerConn.usedSince = true
+	workerConn.writtenSinceSilence = true
 	if w.process.state != workerSilent {
 		w.conns.remove(workerConn)
 		w.env.closeSide(workerConn.conn, farSide)
 	}
 }
 
-// schedulerClosed is the end of a connection for its scheduler.
+// schedulerClosed handles the end of a connection at its scheduler's side: an attempt that was written and not read is recorded.
 func (w *workerConn) schedulerClosed() {
 	if a := w.unreadAttempt; a != nil {
 		w.unreadAttempt = nil
@@ -215,9 +215,9 @@
 	w.whenRunning(func() {
 		workerConn.abandoned = true
 		w.conns.remove(workerConn)
-		// That cancels an attempt that has not been answered, and one whose 202 has not arrived.
+		// The close cancels an attempt that has not been answered, or whose 202 has not arrived.
 		reason := ""
-		if conn.resetSilently[farSide] {
+		if conn.resetUnnoticed[farSide] {
 			reason = "forgotten"
 		}
 		switch a := workerConn.awaitingAnswer; {
--- a/internal/testbed/environment/worker_cores.go
+++ b/internal/testbed/environment/worker_cores.go
@@ -16,7 +16,7 @@
 	w.warming.workDone += w.jobs.advance(w.env.now)
 }
 
-// addOverhead adds work that needs no slot, of a handshake or a health check. Unless a core is free, the running attempts
+// addOverhead adds the work of a handshake or a health check, which needs no slot. Unless a core is free, the running attempts
 // lose that much progress.
 func (w *worker) addOverhead(work time.Duration) {
 	if w.jobs.usedSlots+1 <= w.kind.Cores || len(w.jobs.running) == 0 || work <= 0 {
@@ -47,7 +47,7 @@
 const workTolerance = 1e-8
 
 // planTick sets the progress rate, and plans a tick for when the next running attempt is done or the next warm-up step
-// begins. Only the entry at nextTick counts: if nothing is due then, it plans anew; later entries have no effect.
+// begins. Only the entry at nextTick has an effect: if nothing is due then, it plans another tick. Later entries are ignored.
 func (w *worker) planTick() {
 	w.jobs.progressRate = 0
 	if w.process.state != workerUp || w.process.hanging || w.isPaused() {
--- a/internal/testbed/environment/worker_faults.go
+++ b/internal/testbed/environment/worker_faults.go
@@ -9,10 +9,10 @@
 
 // This file holds the faults of a worker.
 //
-// restartDelay is the time until the next process starts, cold; 0: never. A fault that ends the process of a worker that
-// has none changes only the time of the next start; a worker that is overloaded or removed stays down. What setHang,
-// pause, setFull, setMute and dieAtAccept set ends with the process. The speed, the error rate and how connections are
-// accepted and read are the machine's, and outlast it.
+// restartDelay is the time until the next process starts, cold; 0: never. A fault that would end the process of a worker
+// without one changes only the time of the next start; a worker that is overloaded or removed stays down. The effects of
+// setHang, pause, setRejectAll, setDropCallbacks and dieAtAccept end with the process. The speed, the error rate and how
+// connections are accepted and read are properties of the machine, and outlast the process.
 
 // crash ends the process: connections are reset and new ones refused. In half of all crashes the machine's agent reports
 // the attempts that were answered 202 as lost; in the others nothing reports them.
@@ -36,7 +36,7 @@
 		w.planTick()
 		return
 	}
-	w.recovered()
+	w.recordRecovered()
 	w.planTick()
 	w.sendHeld()
 	w.whenRunning(w.runDue)
@@ -51,7 +51,7 @@
 	incarnation := w.process.incarnation
 	w.env.after(duration, func() {
 		if w.isRunning(incarnation) && !w.isPaused() {
-			w.recovered()
+			w.recordRecovered()
 		}
 	})
 }
@@ -65,20 +65,21 @@
 	previous := w.machine.slowFactor
 	w.machine.slowFactor = max(factor, minSlowFactor)
 	if w.machine.slowFactor <= 1 && previous > 1 {
-		w.recovered()
+		w.recordRecovered()
 	}
 	w.planTick()
 }
 
-func (w *worker) recovered() {
+// recordRecovered records that a fault which slowed or stopped the worker has ended.
+func (w *worker) recordRecovered() {
 	w.env.record(trace.Event{Kind: trace.WorkerRecovered, Worker: w.number})
 }
 
 // setErrorRate sets the share of attempts that end with an error; < 0: that of the worker's kind.
 func (w *worker) setErrorRate(rate float64) { w.machine.errorRate = rate }
 
-// setFull makes the process reject all attempts and health checks with 503.
-func (w *worker) setFull(on bool) { w.process.rejectsAll = on && w.process.state == workerUp }
+// setRejectAll makes the process reject all attempts and health checks with 503, or ends that.
+func (w *worker) setRejectAll(on bool) { w.process.rejectsAll = on && w.process.state == workerUp }
 
 // drain makes the process finish its attempts and reject new ones until it ends. Queued attempts are returned if the
 // worker's kind does that.
@@ -146,8 +147,10 @@
 	})
 }
 
-// setMute makes the process drop its callbacks. Those dropped are never sent.
-func (w *worker) setMute(on bool) { w.process.silencesCallbacks = on && w.process.state == workerUp }
+// setDropCallbacks makes the process drop its callbacks, or ends that. Dropped callbacks are never sent.
+func (w *worker) setDropCallbacks(on bool) {
+	w.process.dropsCallbacks = on && w.process.state == workerUp
+}
 
 // dieAtAccept makes the process crash as it answers the next attempt with 202.
 func (w *worker) dieAtAccept(restartDelay time.Duration) {
@@ -168,9 +171,9 @@
 	w.reportAcceptMode()
 }
 
-// setResetBytes makes the machine reset each new connection after it has read that many bytes. The driver carries it out,
-// as it has the length of requests: only those read to their end reach the worker. < 0: after that many bytes of the
-// first response are written; 0: never.
+// setResetBytes makes the machine reset each new connection after it has read that many bytes. The driver carries this out, as
+// it knows the length of requests: only those that are read to their end reach the worker. < 0: after -bytes of the first
+// response are written; 0: never.
 func (w *worker) setResetBytes(bytes int) { w.machine.resetBytes = bytes }
 
 // setSlowRead makes the machine read the last byte of each request slowReadFor late.
--- a/internal/testbed/environment/worker_jobs.go
+++ b/internal/testbed/environment/worker_jobs.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// workerJobs holds the attempts that a worker's process has admitted and not ended: queued, running, and duplicates that
-// wait for the run of another. All running attempts progress at the same rate for each slot.
+// workerJobs holds the attempts that a worker's process has admitted and that have not ended: queued, running, and duplicates
+// that wait for the run of another attempt. All running attempts progress at the same rate per slot.
 type workerJobs struct {
 	byRequest       map[string]*attempt
 	all             []*attempt // in no order; attempt.allIndex is the index
 	queue           []*attempt // in order of arrival
 	running         runningHeap
 	usedSlots       float64
-	progressPerSlot float64 // work done for each slot since the process started, in seconds at speed 1
-	progressRate    float64 // growth of progressPerSlot a second
+	progressPerSlot float64 // work done per slot since the process started, in seconds at speed 1
+	progressRate    float64 // growth of progressPerSlot per second
 	progressAt      time.Duration
 	queuedWork      float64 // sum over the queue of slots x work
 	runningEndSum   float64 // sum over the running attempts of slots x endProgress
@@ -39,7 +39,8 @@
 	return done * j.usedSlots
 }
 
-// addOverhead takes work from the progress of the running attempts, evenly. A tick that is planned is too early by that.
+// addOverhead subtracts work evenly from the progress of the running attempts. A tick that is already planned is then too
+// early, and plans another.
 func (j *workerJobs) addOverhead(work time.Duration) {
 	j.progressPerSlot -= work.Seconds() / j.usedSlots
 }
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -7,7 +7,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// keyStore holds the idempotency keys that groups of workers have seen. It outlasts the processes of a group's workers.
+// keyStore holds the idempotency keys that deduplication scopes (a cell, a zone or the whole fleet) have seen. It outlasts the
+// processes of the workers.
 type keyStore struct {
 	records  map[keyID]*keyRecord
 	expiring []keyExpiryQueue // by class, each in order of expiry
@@ -23,9 +24,9 @@
 type keyRecord struct {
 	id      keyID
 	until   time.Duration
-	runner  *attempt // whose result is awaited; nil: its run succeeded
+	runner  *attempt // the attempt whose result is awaited; nil: it succeeded
 	result  string
-	waiters []*attempt // duplicates, which get its result
+	waiters []*attempt // duplicates, which get the result of the runner
 }
 
 type keyExpiryQueue struct {
@@ -51,7 +52,7 @@
 	return id
 }
 
-// findKey returns the record of an attempt's key in the worker's group; nil: there is none, or the class has no keys.
+// findKey returns the record of an attempt's key in the worker's scope; nil: there is none, or the class has no keys.
 func (w *workerShared) findKey(worker *worker, attempt *attempt) *keyRecord {
 	if attempt.key == "" || !w.classes[attempt.class].idempotentWithKey {
 		return nil
--- a/internal/testbed/environment/worker_lifecycle.go
+++ b/internal/testbed/environment/worker_lifecycle.go
@@ -18,7 +18,7 @@
 	w.startWarmUp()
 	// The machine has no state of the connections from before it fell silent, and resets those that were written to.
 	for _, conn := range slices.Clone(w.conns.halfOpen) {
-		if conn.usedSince {
+		if conn.writtenSinceSilence {
 			w.conns.remove(conn)
 			w.env.closeSide(conn.conn, farSide)
 		}
@@ -30,8 +30,8 @@
 	w.shared.onLifeEvent(w, lifeStarted)
 }
 
-// end ends the process and starts the next after restartDelay; 0: never. If no process runs, it changes the state of the
-// machine, unless that is silent, and the time of the next start.
+// end ends the process and starts the next after restartDelay; 0: never. If no process runs, it changes only the state of the
+// machine, unless the machine is silent, and the time of the next start.
 func (w *worker) end(state workerState, reason string, restartDelay time.Duration) {
 	if w.overloaded || w.removed && w.process.state != workerUp {
 		return
@@ -66,8 +66,8 @@
 	})
 }
 
-// agentReportsShare is the share of the processes that die whose lost attempts the machine's agent reports. Of the
-// others, schedulers see only the end of their connections.
+// agentReportsShare is the share of crashed processes whose lost attempts are reported by the machine's agent. Of the others,
+// schedulers notice only that their connections end.
 const agentReportsShare = 0.5
 
 // discardState discards the connections, attempts and callbacks of the process, which ends in the given state.
@@ -155,9 +155,9 @@
 	}
 }
 
-// hasExitDue reports whether the process is to exit once it has nothing left, and has nothing left.
+// hasExitDue reports whether the process is to exit once it is idle, and is idle.
 func (w *worker) hasExitDue() bool {
-	return w.process.leaving && len(w.jobs.all) == 0 && w.callbacks.outstanding == 0
+	return w.process.exitPending && len(w.jobs.all) == 0 && w.callbacks.outstanding == 0
 }
 
 // maybeExit ends a process whose exit is due. It is called whenever an attempt or a callback ends.
@@ -172,10 +172,10 @@
 	})
 }
 
-// maxDrainTime is the longest that a process which is to exit finishes its attempts and callbacks.
+// maxDrainTime is the maximum time for which a process that is to exit finishes its attempts and callbacks.
 const maxDrainTime = 30 * time.Second
 
-// drainThenExit drains the process, and ends it once it has nothing left or maxDrainTime is over.
+// drainThenExit drains the process, and ends it once it has neither attempts nor callbacks, or after maxDrainTime.
 func (w *worker) drainThenExit(restartDelay time.Duration) {
 	w.drain()
 	w.process.exitWhenIdle(restartDelay)
--- a/internal/testbed/environment/worker_view.go
+++ b/internal/testbed/environment/worker_view.go
@@ -42,7 +42,7 @@
 	return state
 }
 
-// View is a worker's true state as it matters to one scheduler.
+// View is a worker's true state from the point of view of one scheduler.
 type View struct {
 	WorkerState               // Up: it admits attempts that reach it, and will report their end
 	Reachable   bool          // the network delivers between the two, both ways
--- a/internal/testbed/environment/worker_warmup.go
+++ b/internal/testbed/environment/worker_warmup.go
@@ -28,7 +28,7 @@
 	warmUpSteps = 64
 	// warmUpWorkShare is the work that ends a warm-up by work, as a share of what a warm process does in the kind's WarmUp.
 	warmUpWorkShare = 0.25
-	// overloadSlack is the work that a cold worker bears beyond its budget, in mean jobs.
+	// overloadSlack is the work that a cold worker tolerates beyond its budget, in mean jobs.
 	overloadSlack = 1.25
 )
 
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -10,13 +10,13 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// workerShared is the state that all workers share.
+// workerShared is the state and the callbacks that all workers share.
 type workerShared struct {
 	env           *Environment
 	classes       []classRules
 	keys          keyStore
-	dice          drawSource
-	overloadSlack float64 // work that a cold worker bears beyond its budget, in seconds at speed 1
+	keyedRand     keyedRand
+	overloadSlack float64 // work that a cold worker tolerates beyond its budget, in seconds at speed 1
 
 	findRequest func(call string) *request
 	knowsStart  func(sched int, n *worker) bool
@@ -28,14 +28,14 @@
 	idempotentWithKey bool
 	scope             string
 	window            time.Duration
-	kind              int // index of the only kind that runs it; -1: any
+	kind              int // index of the only worker kind that runs the class; -1: all kinds do
 	noise             float64
 }
 
 func newWorkers(environment *Environment) []*worker {
 	spec := environment.Spec
 	shared := &workerShared{
-		env: environment, dice: newDrawSource(environment.seed, "attempts"), keys: newKeyStore(len(spec.Classes)),
+		env: environment, keyedRand: newKeyedRand(environment.seed, "attempts"), keys: newKeyStore(len(spec.Classes)),
 		overloadSlack: overloadSlack * spec.MeanCost(),
 	}
 	shared.findRequest = func(call string) *request { return environment.clients.findRequest(call) }
@@ -49,7 +49,7 @@
 			noise: class.Noise,
 		})
 	}
-	kinds := dealKinds(spec, environment.rng("kinds", 0))
+	kinds := assignKinds(spec, environment.rng("kinds", 0))
 	zones := max(1, len(spec.Fleet.Zones))
 	cellSize := max(1, spec.Fleet.CellSize)
 	workers := make([]*worker, spec.Fleet.Workers)
@@ -59,7 +59,7 @@
 			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: environment.rng("node", i),
 			process: workerProcess{incarnation: 1, startedBeforeRun: true}, jobs: workerJobs{byRequest: map[string]*attempt{}},
 		}
-		// Cells are racks: each takes its workers from one zone, apart from those in which a zone ends.
+		// Cells are racks: the workers of each are in one zone, except in cells where one zone ends and the next begins.
 		place := i / zones
 		for z := range worker.zone {
 			place += (len(workers) - z + zones - 1) / zones
@@ -73,9 +73,9 @@
 	return workers
 }
 
-// dealKinds returns the kind of each worker: each kind has its share of the fleet, rounded to whole workers, in a drawn
-// order.
-func dealKinds(spec *scenario.Scenario, rng *rand.Rand) []int {
+// assignKinds returns the index of the kind of each worker: each kind has its share of the fleet, rounded to whole workers, in
+// random order.
+func assignKinds(spec *scenario.Scenario, rng *rand.Rand) []int {
 	kinds := make([]int, spec.Fleet.Workers)
 	total := 0.0
 	for i := range spec.Fleet.Kinds {
@@ -104,10 +104,10 @@
 }
 
 // Work returns the true work of a client's request, in seconds on a standard core, and its slots.
-func (e *Environment) Work(call string) (work, slots float64, ok bool) {
-	t := e.clients.findRequest(call)
-	if t == nil {
+func (e *Environment) Work(id string) (work, slots float64, ok bool) {
+	request := e.clients.findRequest(id)
+	if request == nil {
 		return 0, 0, false
 	}
-	return t.work, t.slots, true
+	return request.work, request.slots, true
 }
