--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// A fault in pop: the scan for the smallest child of the ninth entry moved its range along with the smallest one found, until
-// it reached the children of the thirteenth entry, which are smaller than the entry that had been moved up. The heap below
-// leads to that case.
+// Guards against a fault of pop: the scan for the smallest child of the ninth entry moved its range along with the smallest one
+// found, until it reached the children of the thirteenth entry, which are smaller than the entry that had been moved up. The
+// heap below leads to that case.
 func TestEventQueueDeepHeap(t *testing.T) {
 	lines := []struct{ n, at int }{
 		{1, 0},
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -17,7 +17,7 @@
 	onEvent func(*trace.Event) // called for each event, which is not added to events then; may be nil
 }
 
-// defaultScenario returns the default scenario with the given number of schedulers and length.
+// defaultScenario returns the default scenario, which has one zone, with the given number of schedulers and length.
 func defaultScenario(schedulers int, length time.Duration) *scenario.Scenario {
 	s := scenario.Default()
 	s.Schedulers.Count, s.Length = schedulers, scenario.Duration(length)
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -27,7 +27,7 @@
 	responseRecorded bool // a response, or the lack of one, has been recorded
 }
 
-// misbehavingTimeout is how long a misbehaving client keeps its connection open.
+// misbehavingTimeout is how long a misbehaving client keeps its connection open unless the scheduler closes it.
 const misbehavingTimeout = 30 * time.Second
 
 func (c *clients) startMisbehaving() {
