--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -64,9 +64,9 @@
 	for next := d.timers.popDue(d.now); next != nil; next = d.timers.popDue(d.now) {
 		d.handleTimer(next)
 	}
-	d.leases.exchange(d.now)
+	d.leases.processMessages(d.now)
 	d.dispatchQueued()
-	d.leases.exchange(d.now)
+	d.leases.processMessages(d.now)
 	if at, ok := d.timers.nextCallerTimer(); ok {
 		d.emit(SetTimer{After: at - d.now})
 	}
--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -5,15 +5,15 @@
 // usableWorker is in leasegrants.go.
 type leaseAdapter struct{ dispatcher *Dispatcher }
 
-// sendOnLease implements leasedJobs.
-func (l *leaseAdapter) sendOnLease(job *jobInfo, worker *workerInfo) *attemptInfo {
+// sendWithLease implements leasedJobs.
+func (l *leaseAdapter) sendWithLease(job *jobInfo, worker *workerInfo) *attemptInfo {
 	l.dispatcher.queue.remove(job)
 	attempt := l.dispatcher.send(job, worker)
 	l.dispatcher.reindex(worker)
 	return attempt
 }
 
-// requeue implements leasedJobs. The job gets a new entry by its promotion, too.
+// requeue implements leasedJobs. The job also gets a new entry in the order of promotion.
 func (l *leaseAdapter) requeue(job *jobInfo) {
 	if !job.isQueued() {
 		return
--- a/dispatch/leasebudget.go
+++ b/dispatch/leasebudget.go
@@ -1,16 +1,16 @@
 package dispatch
 
-// Whether slots are leased at all, by what the messages for it cost. The paper and the design have no
-// sentence on this: the cost of messages is a figure of the platform.
+// Slots are leased only if the messages for it stay within a budget. The paper and the design do not cover
+// this: what messages cost depends on the platform.
 const (
-	defaultPeerBudget = 0.02 // share of the result that messages may cost
+	defaultPeerBudget = 0.02 // fraction of the total utility that messages may cost
 	leaseBytesPerJob  = 160  // bytes: a request, its answers, a start, an end, and a part of the reports
-	peerCostBytes     = 256  // bytes per job that Settings.PeerCost is the price of
+	peerCostBytes     = 256  // bytes of messages per job that cost Settings.PeerCost
 )
 
 // UsesLeases reports whether slots are leased. They are not if there is only one dispatcher, if messages
-// are not allowed or exceed their budget, or if workers send no start notifications: a coordinator measures
-// by these how many jobs a worker has capacity for.
+// are not allowed or exceed their budget, or if workers send no start notifications: from these a
+// coordinator learns how many jobs a worker has capacity for.
 func (s *Settings) UsesLeases() bool {
 	if !s.PeerMessages || !s.StartNotifications {
 		return false
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// The client requests leases for queued jobs, and sends a job once slots are granted. This carries out the
+// The client requests leases for queued jobs, and sends a job once slots are granted. This implements the
 // design's choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random
 // among ties, among those able to start the job now"): the coordinator of a shard knows the slots of all
-// dispatchers and makes the choice. If no coordinator answers in time, the dispatcher chooses by what it
-// knows itself, as it does without leases.
+// dispatchers and makes the choice. If no coordinator answers in time, the dispatcher chooses by its own
+// state, as it does without leases.
 const (
 	leaseAnswerTimeout     = 60 * time.Millisecond  // a request and its answer take up to 32 ms
-	unansweredRequestLimit = 2                      // then another coordinator is asked
-	leaseWaitLimit         = 250 * time.Millisecond // without any answer; then no lease is used
-	retryWaitLimit         = time.Second            // of a job with excluded workers: there may be no other
+	unansweredRequestLimit = 2                      // consecutive ones; then another coordinator is used
+	leaseWaitLimit         = 250 * time.Millisecond // without any answer; then a job is sent without a lease
+	retryWaitLimit         = time.Second            // for a job with excluded workers: there may be no others
 	queuedRequestInterval  = 300 * time.Millisecond // between repetitions of a queued request
 	leaseReportInterval    = time.Second            // between reports of the leases in use
 	leaseRequestsPerJob    = 2                      // at the same time, in different shards
-	shardsDrawn            = 2                      // for one request
+	shardsDrawn            = 2                      // per request: the one with more free slots is used
 	maxUnusableGrants      = MaxExcluded            // of one job; then it is sent without a lease
 	maxDeniedRequests      = 8                      // consecutive ones, after which a coordinator is skipped
 	deniedRequestsSpan     = 4 * time.Second        // if they span at least this
@@ -34,14 +34,14 @@
 
 // leasedJobs is what a lease client needs of the queue, and of the rules for sending a job.
 type leasedJobs interface {
-	// usableWorker returns the worker that a coordinator has granted slots of; nil: the job must not be
-	// sent there.
+	// usableWorker returns the worker whose slots a coordinator has granted; nil: the job must not be sent
+	// there.
 	usableWorker(job *jobInfo, worker uint64, shard Shard) *workerInfo
-	// sendOnLease removes a job from the queue and sends it.
-	sendOnLease(job *jobInfo, worker *workerInfo) *attemptInfo
-	// requeue moves a queued job among those that wait for no lease.
+	// sendWithLease removes a job from the queue and sends it.
+	sendWithLease(job *jobInfo, worker *workerInfo) *attemptInfo
+	// requeue moves a queued job to those that do not wait for a lease.
 	requeue(job *jobInfo)
-	// warmUpWork returns the work that a job takes of a warming worker's budget.
+	// warmUpWork returns the cost of a job against the budget of a warming worker.
 	warmUpWork(job *jobInfo) float64
 }
 
@@ -50,7 +50,7 @@
 	send(to int, message PeerMessage)
 }
 
-// leaseClient holds the leases that a dispatcher has requested or uses.
+// leaseClient requests leases for a dispatcher's jobs, and holds those that are requested or in use.
 type leaseClient struct {
 	settings  *Settings
 	rng       *rand.Rand
@@ -61,11 +61,11 @@
 
 	byID       map[LeaseID]*leaseInfo
 	lastID     LeaseID
-	granted    []*leaseInfo           // and not used yet
-	freeSlots  map[Shard]int          // as coordinators last answered
+	granted    []*leaseInfo           // not used yet
+	freeSlots  map[Shard]int          // by the latest answers of the coordinators
 	denied     map[int]deniedRequests // by coordinator
-	reportAt   time.Duration
-	readyZones []int // zones that have ready workers, in ascending order
+	reportAt   time.Duration          // earliest time of the next report
+	readyZones []int                  // zones that have ready workers, in ascending order
 }
 
 // clear forgets all leases.
@@ -89,14 +89,14 @@
 	slices.Sort(l.readyZones)
 }
 
-// requestFirst requests slots for a job that no slots are requested for yet.
-func (l *leaseClient) requestFirst(now time.Duration, job *jobInfo) {
+// requestIfNone requests slots for a job, unless some are requested for it already.
+func (l *leaseClient) requestIfNone(now time.Duration, job *jobInfo) {
 	if !job.leases.isAwaited() {
 		l.request(now, job)
 	}
 }
 
-// request requests slots for a queued job, in a shard where none are requested for it yet.
+// request requests slots for a queued job, in a shard in which none are requested for it yet.
 func (l *leaseClient) request(now time.Duration, job *jobInfo) {
 	if lease := l.newRequest(now, job); lease != nil {
 		l.sendRequest(now, lease)
@@ -110,7 +110,7 @@
 	}
 }
 
-// newRequest returns a request for a job that is not sent yet; nil: none is to be made.
+// newRequest returns a new request for a job, which the caller has to send; nil: none is to be made.
 func (l *leaseClient) newRequest(now time.Duration, job *jobInfo) *leaseInfo {
 	isEnough := len(job.leases.requested) >= leaseRequestsPerJob
 	if !l.settings.UsesLeases() || job.leases.isDisabled || isEnough {
@@ -118,7 +118,7 @@
 	}
 	shard, ok := l.chooseShard(now, job)
 	if !ok || job.isBoundByAttempts() {
-		l.goOnWithoutLease(job)
+		l.dispatchIfNoRequests(job)
 		return nil
 	}
 	lease := l.newLease(shard, job.demand)
@@ -137,8 +137,8 @@
 	return lease
 }
 
-// isBoundByAttempts reports whether earlier attempts leave a job only workers that share its idempotency
-// key. A request can't name these.
+// isBoundByAttempts reports whether earlier attempts restrict a job to the cell or zone that deduplicates its
+// idempotency key. A request cannot express this restriction.
 func (j *jobInfo) isBoundByAttempts() bool {
 	return j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope != ScopeAll &&
 		slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
@@ -166,9 +166,10 @@
 	return best, ok
 }
 
-// requestZones returns the zones to request slots in: the dispatcher's own for the first request, and where
-// another zone costs more than a slot in use. Otherwise, or if its own has no worker for the job, all that
-// have one.
+// requestZones returns the zones to request slots in. The first request for a job goes to the dispatcher's
+// own zone, and so do further ones if crossing zones costs at least as much as a slot in use. Otherwise, and
+// if the own zone has no ready worker or the class excludes it, these are all allowed zones with ready
+// workers.
 func (l *leaseClient) requestZones(job *jobInfo) []int {
 	var zones []int
 	for _, zone := range l.readyZones {
@@ -189,7 +190,7 @@
 	if !ok {
 		job := lease.job
 		l.drop(lease)
-		l.goOnWithoutLease(job)
+		l.dispatchIfNoRequests(job)
 		return
 	}
 	if peer != lease.peer {
@@ -224,7 +225,7 @@
 	}
 }
 
-// repeatRequests sends a job's requests again, with what has changed about it.
+// repeatRequests sends the requests for a job again, after its priority has changed.
 func (l *leaseClient) repeatRequests(now time.Duration, job *jobInfo) {
 	for _, lease := range slices.Clone(job.leases.requested) {
 		if lease.job != nil && !lease.isGranted {
@@ -233,13 +234,13 @@
 	}
 }
 
-// handleTimer repeats a request. A coordinator that has not answered unansweredRequestLimit requests is
-// skipped.
+// handleTimer repeats a request, or has its job sent without a lease if that has waited for too long. A
+// coordinator that has not answered unansweredRequestLimit requests is skipped.
 func (l *leaseClient) handleTimer(now time.Duration, lease *leaseInfo) {
 	if lease.job == nil || lease.isGranted {
 		return
 	}
-	if lease.peer == noPeer { // set by requestOnTimer: the time before does not count
+	if lease.peer == noPeer { // created by requestOnTimer: its waiting time begins now
 		lease.requestedAt = now
 		lease.createdAt = now
 		l.sendRequest(now, lease)
@@ -250,7 +251,7 @@
 		l.dispatchWithoutLease(lease.job)
 		return
 	}
-	if lease.isQueued { // the timeouts start again with this repetition
+	if lease.isQueued { // its timeouts begin again with this repetition
 		lease.isQueued = false
 		lease.requestAttempts = 0
 		lease.requestedAt = now
@@ -258,7 +259,7 @@
 		return
 	}
 	if lease.requestAttempts >= unansweredRequestLimit {
-		l.directory.avoid(lease.peer, now)
+		l.directory.avoidUnresponsive(lease.peer, now)
 	}
 	if now-lease.requestedAt >= leaseWaitLimit {
 		l.dispatchWithoutLease(lease.job)
@@ -267,21 +268,21 @@
 	l.sendRequest(now, lease)
 }
 
-// goOnWithoutLease has a job sent without a lease, unless other requests for it are open.
-func (l *leaseClient) goOnWithoutLease(job *jobInfo) {
+// dispatchIfNoRequests has a job sent without a lease, unless other requests for it are open.
+func (l *leaseClient) dispatchIfNoRequests(job *jobInfo) {
 	if !job.leases.isAwaited() {
 		l.dispatchWithoutLease(job)
 	}
 }
 
-// dispatchWithoutLease has a job sent to a worker that this dispatcher chooses itself.
+// dispatchWithoutLease withdraws a job's requests, and has it sent to a worker that this dispatcher chooses.
 func (l *leaseClient) dispatchWithoutLease(job *jobInfo) {
 	job.leases.isDisabled = true
 	l.withdraw(job)
 	l.jobs.requeue(job)
 }
 
-// withdraw releases all that was requested for a job.
+// withdraw withdraws all requests for a job, and releases leases that were granted for it and not used.
 func (l *leaseClient) withdraw(job *jobInfo) {
 	for job.leases.isAwaited() {
 		lease := job.leases.requested[len(job.leases.requested)-1]
@@ -290,7 +291,7 @@
 	}
 }
 
-// drop forgets a lease. Its coordinator is not notified.
+// drop removes a lease without notifying its coordinator.
 func (l *leaseClient) drop(lease *leaseInfo) {
 	if lease.job != nil {
 		lease.job.leases.remove(lease)
@@ -305,8 +306,8 @@
 	l.peers.send(lease.peer, LeaseReleased{ID: lease.id, Result: result})
 }
 
-// where returns the leases that a predicate holds of, in the order of their IDs.
-func (l *leaseClient) where(matches func(lease *leaseInfo) bool) []*leaseInfo {
+// filter returns the leases for which matches is true, in the order of their IDs.
+func (l *leaseClient) filter(matches func(lease *leaseInfo) bool) []*leaseInfo {
 	var found []*leaseInfo
 	for _, lease := range l.byID {
 		if matches(lease) {
--- a/dispatch/leaseclient_test.go
+++ b/dispatch/leaseclient_test.go
@@ -12,7 +12,8 @@
 	return settings
 }
 
-// leaseHarness is one of several dispatchers, which coordinates no shard. The test plays its peers.
+// leaseHarness returns a harness with one of several dispatchers, which does not coordinate the only shard, and the dispatchers
+// that may. The test sends the messages of these.
 func leaseHarness(t *testing.T, workers int) (s *harness, coordinators []int) {
 	t.Helper()
 	settings := leaseSettings()
@@ -28,7 +29,7 @@
 	return s, coordinators
 }
 
-// peerMessages returns the messages of one kind, and their recipients.
+// peerMessages returns the sent messages of one type, and their recipients.
 func peerMessages[M PeerMessage](actions []Action) (messages []M, peers []int) {
 	for _, action := range actions {
 		if sent, ok := action.(SendPeerMessage); ok {
@@ -50,25 +51,25 @@
 	return found
 }
 
-// request adds a job, and returns its request.
+// request adds a job, and returns the request for a lease that is sent for it.
 func (s *harness) request(job Job) LeaseRequest {
 	s.t.Helper()
 	s.step(job)
 	requests, _ := peerMessages[LeaseRequest](s.take())
 	if len(requests) != 1 {
-		s.t.Fatalf("%d requests for a job", len(requests))
+		s.t.Fatalf("%d requests were sent for a job, expected 1", len(requests))
 	}
 	return requests[0]
 }
 
-// If no coordinator answers, a job is sent without a lease after leaseWaitLimit, and its slots are reported.
-func TestJobGoesWithoutAnswer(t *testing.T) {
+// If no coordinator answers, a job is sent without a lease after leaseWaitLimit, and the next report lists its slots.
+func TestJobIsSentWithoutLeaseIfNoCoordinatorAnswers(t *testing.T) {
 	t.Parallel()
 	s, _ := leaseHarness(t, 2)
 	s.request(s.job(1, 0, 100*ms))
 	s.wait(leaseWaitLimit - ms)
 	if sent := sends(s.take()); len(sent) > 0 {
-		t.Fatalf("sent %v before its coordinators had their time", sent)
+		t.Fatalf("sent %v before leaseWaitLimit had passed", sent)
 	}
 	s.wait(leaseAnswerTimeout + ms)
 	sent := sends(s.take())
@@ -77,44 +78,45 @@
 	s.wait(2 * time.Second)
 	reports, _ := peerMessages[LeaseReport](s.take())
 	if len(reports) == 0 || len(reports[0].Leases) != 1 || !reports[0].Complete {
-		t.Fatalf("reported %v", reports)
+		t.Fatalf("reported %v, expected a complete report with one lease", reports)
 	}
 }
 
-// A grant is used once. A grant by a second coordinator, or for a job that is finished, is released.
+// A grant is used only once. A grant by a second coordinator, or for a job that has ended, is released.
 func TestGrantIsUsedOnce(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	request := s.request(s.job(1, 0, 100*ms))
-	s.wait(2*leaseAnswerTimeout + ms) // the next coordinator gets the request
+	s.wait(2*leaseAnswerTimeout + ms) // the request is sent to the next coordinator
 	s.take()
 	grant := func(peer int, worker uint64) []Action {
 		s.step(PeerMessageReceived{From: coordinators[peer], Message: LeaseGranted{ID: request.ID, Worker: worker}})
 		return s.take()
 	}
 	if sent := sends(grant(0, 2)); len(sent) != 1 || sent[0].Worker != 2 {
-		t.Fatalf("sent %v", sent)
+		t.Fatalf("sent %v, expected one attempt at worker 2", sent)
 	}
 	for range 2 {
 		actions := grant(1, 3)
 		released, peers := peerMessages[LeaseReleased](actions)
 		if len(sends(actions)) > 0 || len(released) != 1 || released[0].Result != NotSent || peers[0] != coordinators[1] {
-			t.Fatalf("a second grant was answered by %v", actions)
+			t.Fatalf("the grant of a second coordinator caused %v, expected only a release to it", actions)
 		}
 	}
 	if released, _ := peerMessages[LeaseReleased](grant(0, 2)); len(released) > 0 {
-		t.Fatal("a repeated grant was released, though it is in use")
+		t.Fatal("a repeated grant was released though its lease is in use")
 	}
 	s.step(Outcome{Job: 1, Worker: 2, Closed: true})
 	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].Result != OK {
-		t.Fatalf("the end of the attempt was reported as %v", released)
+		t.Fatalf("released %v after the end of the attempt, expected one release with result OK", released)
 	}
 	if released, _ := peerMessages[LeaseReleased](grant(0, 2)); len(released) != 1 {
-		t.Fatal("a grant for a finished job was not released")
+		t.Fatal("a grant for a job that has ended was not released")
 	}
 }
 
-// An unlisted worker is sent nothing, whatever a coordinator grants.
+// A worker that is not listed is sent nothing, even if a coordinator grants its slots. After maxUnusableGrants such grants the
+// job is sent without a lease.
 func TestGrantOfUnusableWorker(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 2)
@@ -122,22 +124,22 @@
 		s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 99}})
 		actions := s.take()
 		if released, _ := peerMessages[LeaseReleased](actions); len(released) != 1 {
-			t.Fatalf("answered by %v", actions)
+			t.Fatalf("an unusable grant caused %v, expected one release", actions)
 		}
 		requests, _ := peerMessages[LeaseRequest](actions)
 		if try == maxUnusableGrants-1 {
-			expectJobs(t, sends(actions), 1) // without a lease
+			expectJobs(t, sends(actions), 1) // without a lease, as there were too many unusable grants
 			return
 		}
 		if len(requests) != 1 || !slices.Contains(requests[0].Excluded, 99) {
-			t.Fatalf("requested again by %v", requests)
+			t.Fatalf("requested %v, expected one request that excludes worker 99", requests)
 		}
 		request = requests[0]
 	}
 }
 
 // The request of a hedge is withdrawn when the response of the first attempt begins.
-func TestStreamingJobAsksNoMore(t *testing.T) {
+func TestHedgeRequestIsWithdrawnWhenResponseStarts(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	request := s.request(s.job(1, 0, 100*ms))
@@ -148,15 +150,15 @@
 		if requests, peers := peerMessages[LeaseRequest](s.take()); len(requests) > 0 {
 			s.step(ResponseStarted{Job: 1, Worker: 1})
 			if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].ID != requests[0].ID {
-				t.Fatalf("of the request to %v only %v is withdrawn", peers, released)
+				t.Fatalf("the request to %v was not withdrawn: released %v", peers, released)
 			}
 			return
 		}
 	}
-	t.Fatal("no hedge requested slots: the test covers nothing")
+	t.Fatal("no hedge requested slots: the test has covered nothing")
 }
 
-// Attempts at a worker whose process has ended take no slots any more.
+// Attempts at a worker whose process has ended use no slots any more: their leases are released once.
 func TestUncordonReleasesLeases(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
@@ -166,33 +168,33 @@
 	s.take()
 	s.step(Uncordoned{Worker: 1})
 	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].ID != request.ID {
-		t.Fatalf("released %v", released)
+		t.Fatalf("released %v, expected the lease of job 1", released)
 	}
 	s.step(Outcome{Job: 1, Worker: 1, Result: ConnectionReset, Closed: true})
 	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) > 0 {
-		t.Fatalf("released again: %v", released)
+		t.Fatalf("released again at the end of the attempt: %v", released)
 	}
 }
 
-// A job for which no coordinator is left is sent without a lease, and is not delayed by jobs that wait for theirs.
-func TestJobWithoutCoordinatorIsNotHeldUp(t *testing.T) {
+// A job for which no coordinator is left is sent without a lease at once, even while other jobs wait for leases.
+func TestJobWithoutCoordinatorIsSentAtOnce(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	first := s.request(s.job(1, 0, 100*ms))
 	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseQueued{ID: first.ID}})
 	for _, peer := range coordinators {
-		s.d.leases.directory.distrust(peer, s.now)
+		s.d.leases.directory.avoidDenying(peer, s.now)
 	}
 	s.take()
 	s.step(s.job(2, 0, 200*ms))
 	sent := sends(s.take())
 	expectJobs(t, sent, 2)
 	s.step(Started{Job: 2, Worker: sent[0].Worker})
-	s.wait(queuedRequestInterval + ms) // and the first finds no coordinator
+	s.wait(queuedRequestInterval + ms) // the request for job 1 is due again, and no coordinator is left for it
 	expectJobs(t, sends(s.take()), 1)
 }
 
-// A job whose workers are all excluded does not wait for one that does not exist.
+// A retry whose request excludes all workers does not wait for a lease for more than retryWaitLimit: it is sent without one.
 func TestRetryWithoutOtherWorkers(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 1)
@@ -211,10 +213,10 @@
 			s.step(PeerMessageReceived{From: peers[i], Message: LeaseQueued{ID: requests[i].ID}})
 		}
 	}
-	t.Fatal("the retry waits for a lease forever")
+	t.Fatal("the retry was not sent within 2 s")
 }
 
-// A restored dispatcher requests slots for its queued jobs again, and reports the slots of its attempts.
+// A dispatcher that is restored without leases requests slots for its queued jobs again, and reports the slots of its attempts.
 func TestRestoredDispatcherResumesLeases(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
@@ -229,21 +231,21 @@
 		t.Fatal(err)
 	}
 	s.d = restored
-	s.now += 200 * ms // no message was received meanwhile
+	s.now += 200 * ms // no message was received during the restart
 	s.step(TimerFired{})
 	requests, _ := peerMessages[LeaseRequest](s.actions)
 	if len(requests) != 1 || len(sends(s.actions)) > 0 {
-		t.Fatalf("after the restart: %v", s.actions)
+		t.Fatalf("the first step after the restart returned %v, expected one request and no send", s.actions)
 	}
 	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseQueued{ID: requests[0].ID}})
 	s.wait(maintenanceInterval)
 	actions := s.take()
 	reports, _ := peerMessages[LeaseReport](actions)
 	if len(reports) != 1 || len(reports[0].Leases) != 1 || reports[0].Leases[0].Worker != 1 || !reports[0].Leases[0].Started {
-		t.Fatalf("reported %v", reports)
+		t.Fatalf("reported %v, expected the lease of the attempt at worker 1, as started", reports)
 	}
 	if len(restored.leases.coordinator.leases)+len(restored.leases.coordinator.slots) > 0 {
-		t.Fatal("it has kept what it granted before")
+		t.Fatal("the restored dispatcher has kept leases that it had granted")
 	}
 	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: requests[0].ID, Worker: 2}})
 	expectJobs(t, sends(s.take()), 2)
--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// The coordinator leases the slots of a shard's workers to all dispatchers. This carries out the design's
+// The coordinator leases the slots of a shard's workers to all dispatchers. This implements the design's
 // choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random among
-// ties, among those able to start the job now"), with the slots in use of all dispatchers in place of one's
-// own.
+// ties, among those able to start the job now"), but counts the slots in use by all
+// dispatchers, not by one.
 const (
-	leaseExpiry    = 4 * time.Second        // since a lease was last reported
-	reportMaxDelay = 250 * time.Millisecond // a complete report says nothing of leases granted within this
+	leaseExpiry    = 4 * time.Second        // after a lease was last reported
+	reportMaxDelay = 250 * time.Millisecond // a complete report may omit leases granted more recently
 	maxGranted     = 1 << 17                // leases
-	// minPeersPerTable bounds what one dispatcher takes of a coordinator's tables: a part of
-	// 1/minPeersPerTable, or of one over the number of dispatchers if these are fewer.
+	// minPeersPerTable limits each dispatcher to 1/minPeersPerTable of the entries of a coordinator's tables,
+	// or to an equal share if there are fewer dispatchers.
 	minPeersPerTable = 8
 
 	maxLeaseSlots       = 1 << 10 // of one lease
 	maxLeaseWorkSeconds = 1e6     // of one lease
 	maxScannedMembers   = 256     // workers evaluated for one request
 
-	freeSlotsMaxAge = 20 * time.Millisecond // the free slots of a shard are counted again after this
+	freeSlotsMaxAge = 20 * time.Millisecond // after this the free slots of a shard are counted again
 )
 
 // coordinatedFleet is what a coordinator needs of the fleet.
@@ -35,17 +35,17 @@
 
 // workerLookup finds workers.
 type workerLookup interface {
-	// allWorkers returns the known workers, in an order that only events decide. The caller must not change
-	// the slice.
+	// allWorkers returns the known workers, in an order that depends only on events. The caller must not
+	// change the slice.
 	allWorkers() []*workerInfo
 	// findWorker returns the worker with an ID; nil: it is not known.
 	findWorker(id uint64) *workerInfo
 }
 
-// workerCapacity says what a worker may be sent, whoever sends it.
+// workerCapacity says how much a worker may be sent by all dispatchers together.
 type workerCapacity interface {
 	isEjected(worker *workerInfo) bool
-	// maxSlots returns the most slots that workers of its kind are known to run; +Inf: not known.
+	// maxSlots returns the greatest number of slots that workers of its kind can run; +Inf: not known.
 	maxSlots(worker *workerInfo) float64
 	// isWarmingUp reports whether a worker is in slow start.
 	isWarmingUp(worker *workerInfo) bool
@@ -54,11 +54,11 @@
 	warmUpLeaseBudget(worker *workerInfo) float64
 }
 
-// slotObserver learns how many slots workers have, from the starts of all dispatchers.
+// slotObserver estimates how many slots workers have from the start delays of all dispatchers' attempts.
 type slotObserver interface {
-	// observePromptSlots records that a worker runs so many slots after a prompt start.
+	// observePromptSlots records how many slots a worker runs after a prompt start.
 	observePromptSlots(worker *workerInfo, running float64)
-	// observeLateSlots records that an attempt started late at a worker that runs so many slots.
+	// observeLateSlots records how many slots a worker runs when an attempt is late to start there.
 	observeLateSlots(worker *workerInfo, running float64)
 }
 
@@ -69,47 +69,47 @@
 }
 
 // leaseCoordinator grants leases of the shards that a dispatcher coordinates. It sends nothing: its methods
-// return the messages to send. All figures in messages are untrusted, and its tables are bounded for each
-// dispatcher.
+// return the messages to send. It trusts no value in a message, and bounds the entries of each dispatcher in
+// its tables.
 type leaseCoordinator struct {
 	settings        *Settings
 	rng             *rand.Rand
 	directory       *peerDirectory
 	fleet           coordinatedFleet
-	placementGroups []int // by class: the first class that the same workers may serve
+	placementGroups []int // by class: the first class whose jobs may go to the same workers
 
 	slots          map[uint64]*workerSlots // by worker
 	leases         map[leaseKey]*grantedLease
-	grants         []*grantedLease // all of leases; one that is removed is replaced by the last
+	grants         []*grantedLease // all of leases; the last one replaces a removed one
 	waiting        []*waitingRequest
 	waitingByKey   map[leaseKey]*waitingRequest
 	requestedSlots map[Shard]float64       // sum over waiting
 	peers          map[int]peerUse         // by dispatcher
-	free           map[Shard]freeSlots     // counted at most every freeSlotsMaxAge
-	members        map[Shard][]*workerInfo // nil: the list of workers has changed
-	since          time.Duration           // when the first message was received; 0: none was
+	freeCounts     map[Shard]freeSlotCount // counted at most every freeSlotsMaxAge
+	members        map[Shard][]*workerInfo // nil: to be determined again
+	firstMessageAt time.Duration           // when the first message was received; 0: none was
 	nothingFreed   bool                    // since waiting requests were last evaluated
 }
 
 // peerUse counts the entries of a dispatcher in the coordinator's tables.
 type peerUse struct{ leases, waiting int }
 
-// freeSlots are the free slots of a shard at an instant.
-type freeSlots struct {
+// freeSlotCount are the free slots of a shard at an instant.
+type freeSlotCount struct {
 	countedAt time.Duration
 	slots     float64
 }
 
 // grantedLease is a lease in use by a dispatcher, or granted and not used yet.
 type grantedLease struct {
-	key          leaseKey
-	worker       uint64
-	demand       float64 // slots
-	position     int     // in leaseCoordinator.grants
-	grantedAt    time.Duration
-	reportedAt   time.Duration // last time
-	isLimitBound bool          // the concurrency limit was what bounded the worker at the grant
-	isStarted    bool
+	key            leaseKey
+	worker         uint64
+	demand         float64 // slots
+	position       int     // in leaseCoordinator.grants
+	grantedAt      time.Duration
+	reportedAt     time.Duration // last time
+	grantedAtLimit bool          // it used the worker up to its concurrency limit
+	isStarted      bool
 }
 
 // clear forgets all grants, requests and observations.
@@ -121,13 +121,14 @@
 	l.waitingByKey = map[leaseKey]*waitingRequest{}
 	l.requestedSlots = map[Shard]float64{}
 	l.peers = map[int]peerUse{}
-	l.free = map[Shard]freeSlots{}
+	l.freeCounts = map[Shard]freeSlotCount{}
 	l.members = nil
-	l.since = 0
+	l.firstMessageAt = 0
 	l.nothingFreed = false
 }
 
-// forgetMembers has the shards' workers determined anew. It is called when a worker is added or removed.
+// forgetMembers discards the shards' workers, which membersOf then determines again. Call it after a worker
+// is added or removed.
 func (l *leaseCoordinator) forgetMembers() { l.members = nil }
 
 // handleWorkerList updates what depends on the list of workers.
@@ -139,7 +140,7 @@
 // counts returns the numbers of granted leases and of waiting requests.
 func (l *leaseCoordinator) counts() (granted, waiting int) { return len(l.leases), len(l.waiting) }
 
-// handleRequest grants a request, or has it wait. It returns the answer; nil: the request is invalid.
+// handleRequest grants a request or queues it, and returns the answer; nil: the request is invalid.
 func (l *leaseCoordinator) handleRequest(
 	now time.Duration, from int, request LeaseRequest,
 ) (answer PeerMessage) {
@@ -164,18 +165,18 @@
 	return l.grantedAnswer(now, lease, request.Shard)
 }
 
-// isValid reports whether the figures of a request are within their bounds.
+// isValid reports whether the values of a request are within their ranges.
 func (l *leaseCoordinator) isValid(request *LeaseRequest) bool {
 	isKnownClass := request.Class >= 0 && request.Class < len(l.settings.Classes)
-	isWork := request.Work >= 0 && request.Work <= maxLeaseWorkSeconds
-	return isKnownClass && isLeaseDemand(request.Demand) && isWork && !math.IsNaN(request.LongChance)
+	isValidWork := request.Work >= 0 && request.Work <= maxLeaseWorkSeconds
+	return isKnownClass && isLeaseDemand(request.Demand) && isValidWork && !math.IsNaN(request.LongChance)
 }
 
 func isLeaseDemand(demand float64) bool { return demand > 0 && demand <= maxLeaseSlots }
 
 func (l *leaseCoordinator) recordFirstMessage(now time.Duration) {
-	if l.since == 0 {
-		l.since = now
+	if l.firstMessageAt == 0 {
+		l.firstMessageAt = now
 	}
 }
 
@@ -187,8 +188,8 @@
 	return LeaseQueued{ID: request.ID, FreeSlots: l.freeSlotsOf(now, request.Shard)}
 }
 
-// hasRoom reports whether a table that holds count entries, own of them of one dispatcher, has room for one
-// more of that dispatcher.
+// hasRoom reports whether a table has room for one more entry of a dispatcher. The table holds count entries,
+// own of them of that dispatcher, and limit at most.
 func (l *leaseCoordinator) hasRoom(own, count, limit int) bool {
 	return count < limit && own < limit/min(max(1, l.settings.Replicas), minPeersPerTable)
 }
@@ -208,7 +209,7 @@
 	}
 }
 
-// grant leases slots of the least-occupied worker that can start a job; nil: there is none.
+// grant leases slots of the least-occupied worker that can start a job; nil: no worker can.
 func (l *leaseCoordinator) grant(now time.Duration, key leaseKey, request *LeaseRequest) *grantedLease {
 	if !l.hasRoomForLease(key.peer) {
 		return nil
@@ -218,24 +219,24 @@
 		return nil
 	}
 	slots := l.slotsOf(worker.ID)
-	isLimitBound := slots.isLimitBound(request.Demand)
+	reachesLimit := slots.reachesLimit(request.Demand)
 	if l.fleet.isWarmingUp(worker) {
 		slots.leasedWork = append(slots.leasedWork, workSample{at: now, work: request.Work})
 	}
 	lease := &grantedLease{
-		key:          key,
-		worker:       worker.ID,
-		demand:       request.Demand,
-		grantedAt:    now,
-		reportedAt:   now,
-		isLimitBound: isLimitBound,
+		key:            key,
+		worker:         worker.ID,
+		demand:         request.Demand,
+		grantedAt:      now,
+		reportedAt:     now,
+		grantedAtLimit: reachesLimit,
 	}
 	l.add(lease)
 	return lease
 }
 
-// chooseWorker returns the least-occupied worker of a shard that can start a job now, drawn among equals by
-// speed; nil: there is none. Of a large shard it evaluates a sample.
+// chooseWorker returns the least-occupied worker of a shard that can start a job now; nil: there is none.
+// Ties are broken by a random draw weighted by speed. Of a large shard it evaluates a sample.
 func (l *leaseCoordinator) chooseWorker(now time.Duration, request *LeaseRequest) (chosen *workerInfo) {
 	members := l.membersOf(request.Shard)
 	first, count := 0, len(members)
@@ -276,9 +277,9 @@
 	return hasRoom && l.warmUpAllows(now, request, worker, slots)
 }
 
-// warmUpAllows reports whether a lease stays within the lease budget of a warming worker. A coordinator
-// does not know what others have granted during the window before its first message, and leases nothing of
-// a warming worker then.
+// warmUpAllows reports whether a lease stays within the lease budget of a warming worker. During one window
+// after its first message a coordinator leases no slots of warming workers, as it does not know what earlier
+// coordinators have granted.
 func (l *leaseCoordinator) warmUpAllows(
 	now time.Duration, request *LeaseRequest, worker *workerInfo, slots *workerSlots,
 ) bool {
@@ -287,7 +288,7 @@
 		return true
 	}
 	window := l.settings.OverloadWindow
-	if now-l.since <= window {
+	if now-l.firstMessageAt <= window {
 		return false
 	}
 	return slots.warmUpWork(now, window, request.Work) <= l.fleet.warmUpLeaseBudget(worker)
@@ -307,7 +308,7 @@
 func (l *leaseCoordinator) membersOf(shard Shard) []*workerInfo {
 	if l.members == nil {
 		l.members = map[Shard][]*workerInfo{}
-		clear(l.free)
+		clear(l.freeCounts)
 		for _, worker := range l.fleet.allWorkers() {
 			of := l.directory.shardOf(&worker.Worker)
 			l.members[of] = append(l.members[of], worker)
@@ -316,16 +317,16 @@
 	return l.members[shard]
 }
 
-// freeSlotsOf returns the free slots of a shard less those that waiting requests want. It may be negative.
+// freeSlotsOf returns the free slots of a shard, less the demand of waiting requests. It may be negative.
 func (l *leaseCoordinator) freeSlotsOf(now time.Duration, shard Shard) int {
 	members := l.membersOf(shard)
 	if len(members) == 0 {
 		return 0
 	}
-	free, isCounted := l.free[shard]
+	free, isCounted := l.freeCounts[shard]
 	if !isCounted || now-free.countedAt >= freeSlotsMaxAge {
-		free = freeSlots{countedAt: now, slots: l.countFreeSlots(now, members)}
-		l.free[shard] = free
+		free = freeSlotCount{countedAt: now, slots: l.countFreeSlots(now, members)}
+		l.freeCounts[shard] = free
 	}
 	return int(free.slots - l.requestedSlots[shard])
 }
@@ -380,7 +381,7 @@
 }
 
 // handleReport updates a dispatcher's leases to those that it reports. Leases that are not known were
-// granted by an earlier coordinator, or are slots taken without a lease.
+// granted by an earlier coordinator, or stand for slots taken without a lease.
 func (l *leaseCoordinator) handleReport(now time.Duration, from int, report LeaseReport) {
 	l.recordFirstMessage(now)
 	for _, held := range report.Leases[:min(len(report.Leases), MaxReported)] {
@@ -416,8 +417,7 @@
 	l.removeWhere(func(lease *grantedLease) bool { return lease.key.peer == peer })
 }
 
-// expire frees leases that are not reported any more, and forgets workers that are not known and have no
-// lease.
+// expire removes leases that are not reported any more, and the slots of unknown workers without leases.
 func (l *leaseCoordinator) expire(now time.Duration) {
 	l.removeWhere(func(lease *grantedLease) bool { return now-lease.reportedAt > leaseExpiry })
 	for id, slots := range l.slots {
@@ -425,7 +425,7 @@
 			delete(l.slots, id)
 		}
 	}
-	l.nothingFreed = false // workers warm up, and ejections end
+	l.nothingFreed = false // workers may have warmed up, and ejections ended
 }
 
 func (l *leaseCoordinator) add(lease *grantedLease) {
@@ -448,8 +448,8 @@
 	l.nothingFreed = false
 }
 
-// removeWhere removes the leases that a predicate holds of. It visits the last first, as that replaces a
-// removed one.
+// removeWhere removes the leases for which matches is true. It iterates backwards, as the last lease replaces
+// a removed one.
 func (l *leaseCoordinator) removeWhere(matches func(lease *grantedLease) bool) {
 	for i := len(l.grants) - 1; i >= 0; i-- {
 		if lease := l.grants[i]; matches(lease) {
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// coordinatorHarness is a dispatcher that coordinates the only shard, whose workers are idle. The test plays its peers.
+// coordinatorHarness returns a harness with a dispatcher that coordinates the only shard, whose workers are idle. The test sends
+// the messages of the other dispatchers.
 func coordinatorHarness(tb testing.TB, workers int, change func(*Settings)) *harness {
 	tb.Helper()
 	settings := leaseSettings()
@@ -25,7 +26,7 @@
 
 func noChange(*Settings) {}
 
-// peer returns the index of another dispatcher than the tested one.
+// peer returns the index of one of the other dispatchers, which are numbered from 0.
 func (s *harness) peer(number int) int {
 	if number >= s.d.settings.ReplicaIndex {
 		number++
@@ -33,7 +34,7 @@
 	return number
 }
 
-// receive delivers messages of a peer, and returns what is granted.
+// receive delivers messages of a peer, and returns the grants that they cause.
 func (s *harness) receive(peer int, messages ...PeerMessage) (granted []LeaseGranted) {
 	var events []Event
 	for _, message := range messages {
@@ -52,12 +53,13 @@
 	return ids
 }
 
-// Requests that may have their full utility are granted before deprioritized ones; those over tau first, the oldest first, then by score.
+// Requests of jobs that may have their full utility are granted before those of deprioritized jobs. Of the former, those of jobs
+// queued for longer than tau are first, the oldest first; the others follow by score.
 func TestOrderOfGrants(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 1, noChange)
 	if granted := s.receive(0, LeaseRequest{ID: 1, Demand: 1}); len(granted) != 1 || granted[0].Worker != 1 {
-		t.Fatalf("granted %v", granted)
+		t.Fatalf("granted %v, expected one lease at worker 1", granted)
 	}
 	far := time.Hour
 	s.receive(1,
@@ -68,13 +70,13 @@
 		LeaseRequest{ID: 15, Demand: 1, LongChance: 0.2, PromoteIn: far},
 		LeaseRequest{ID: 16, Demand: 1, LongChance: 0.1, PromoteIn: far},
 	)
-	s.receive(1, LeaseRequest{ID: 16, Demand: 1, Demoted: true}) // it has been demoted meanwhile
+	s.receive(1, LeaseRequest{ID: 16, Demand: 1, Demoted: true}) // its job has been deprioritized since
 	var got []LeaseID
 	holder := LeaseReleased{ID: 1}
 	for peer := 0; len(got) < 6; peer = 1 {
 		ids := grantedIDs(s.receive(peer, holder))
 		if len(ids) != 1 {
-			t.Fatalf("after %v: granted %v", got, ids)
+			t.Fatalf("after %v: granted %v, expected one more lease", got, ids)
 		}
 		got = append(got, ids...)
 		holder = LeaseReleased{ID: ids[0]}
@@ -91,7 +93,7 @@
 		"release": func(s *harness) { s.receive(0, LeaseReleased{ID: 1, Result: OK}) },
 		"report":  func(s *harness) { s.receive(0, LeaseReport{Complete: true}) },
 		"restart": func(s *harness) { s.receive(0, PeerRestarted{}) },
-		"silence": func(s *harness) { s.wait(leaseExpiry + maintenanceInterval) },
+		"expiry":  func(s *harness) { s.wait(leaseExpiry + maintenanceInterval) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -101,19 +103,19 @@
 			held := HeldLease{ID: 1, Worker: 1, Demand: 1.3, Started: true}
 			s.receive(0, LeaseReport{Complete: true, Leases: []HeldLease{held}})
 			if used := s.d.leases.coordinator.slots[1].used; used != 1.3 {
-				t.Fatalf("%v slots in use", used)
+				t.Fatalf("%v slots in use after the report, expected 1.3", used)
 			}
 			s.wait(reportMaxDelay + ms)
 			free(s)
 			if slots := s.d.leases.coordinator.slots[1]; slots.used != 0 || slots.running != 0 || len(s.d.leases.coordinator.peers) > 0 {
-				t.Errorf("%v slots in use, %v running, by %v", slots.used, slots.running, s.d.leases.coordinator.peers)
+				t.Errorf("%v slots in use, %v running, peers %v; expected none", slots.used, slots.running, s.d.leases.coordinator.peers)
 			}
 		})
 	}
 }
 
-// Figures out of bounds change nothing, and no peer fills a table.
-func TestCoordinatorBoundsPeers(t *testing.T) {
+// Values out of range in messages leave the counts valid, and no single peer can fill a table.
+func TestCoordinatorBoundsUseByPeers(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 4, func(settings *Settings) { settings.ZoneCount = 2 })
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -126,27 +128,27 @@
 	}
 	for worker, slots := range s.d.leases.coordinator.slots {
 		if !(slots.used >= 0 && slots.used <= 60*8*maxLeaseSlots) || !(slots.running >= 0 && slots.running <= slots.used) {
-			t.Errorf("worker %d: %v slots in use, %v running", worker, slots.used, slots.running)
+			t.Errorf("worker %d: implausible counts: %v slots in use, %v running", worker, slots.used, slots.running)
 		}
 	}
-	if shards := len(s.d.leases.directory.ranked) + len(s.d.leases.client.freeSlots) + len(s.d.leases.coordinator.free); shards > 6 {
-		t.Errorf("%d shards are known", shards)
+	if shards := len(s.d.leases.directory.ranked) + len(s.d.leases.client.freeSlots) + len(s.d.leases.coordinator.freeCounts); shards > 6 {
+		t.Errorf("%d entries for shards, expected at most 6", shards)
 	}
 	for id := range LeaseID(2 * maxWaiting) {
 		s.receive(0, LeaseRequest{ID: 1000 + id, Demand: 1})
 	}
 	if waiting := len(s.d.leases.coordinator.waiting); waiting > maxWaiting/minPeersPerTable+8*60 {
-		t.Errorf("%d requests wait, most of one peer", waiting)
+		t.Errorf("%d requests wait, most of them of one peer", waiting)
 	}
 	s.wait(leaseExpiry + time.Second)
 	coordinator := &s.d.leases.coordinator
 	if len(coordinator.leases)+len(coordinator.waitingByKey)+len(coordinator.peers)+len(coordinator.requestedSlots) > 0 {
-		t.Errorf("after leases have expired: %d leases, %d requests of %d peers in %d shards", len(coordinator.leases),
+		t.Errorf("left after the expiry of all: %d leases, %d requests, %d peers, %d shards with requested slots", len(coordinator.leases),
 			len(coordinator.waitingByKey), len(coordinator.peers), len(coordinator.requestedSlots))
 	}
 }
 
-// One peer alone suspends no worker, however many failures it reports.
+// Failures reported by one peer alone suspend no worker, as the fault may be the peer's. Those of two peers do.
 func TestOnePeerSuspendsNoWorker(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 1, noChange)
@@ -157,28 +159,28 @@
 	}
 	for id := range LeaseID(10) {
 		if !fail(0, id) {
-			t.Fatalf("suspended after %d failures, all reported by one peer", id)
+			t.Fatalf("the worker was suspended after %d failures, all reported by one peer", id)
 		}
 	}
 	if !fail(1, 1) || fail(2, 1) {
-		t.Error("not suspended after failures reported by several")
+		t.Error("expected the worker to be suspended after a failure that a second peer reported, and not before")
 	}
 }
 
-// What two coordinators without messages between them lease of a warming worker, and what is sent there without leases, stays
-// within the budget of the rule in sum.
+// The work that two coordinators lease of a warming worker without knowing of each other, and the work that is sent there without
+// leases, stay within the budget of the platform's rule in total.
 func TestWarmUpBudgetOverLeases(t *testing.T) {
 	t.Parallel()
 	testWarmUpBudget(t, 2)
 }
 
-// The same of three coordinators, as after two partitions.
+// The same with three coordinators, as after two network partitions.
 func TestWarmUpBudgetOverThreeCoordinators(t *testing.T) {
 	t.Parallel()
 	testWarmUpBudget(t, 3)
 }
 
-// testWarmUpBudget has coordinators lease what they may of a warming worker.
+// testWarmUpBudget lets each of some coordinators lease as much as it can of one warming worker.
 func testWarmUpBudget(t *testing.T, coordinators int) {
 	t.Helper()
 	const work, kindSlots = 0.02, 1.0
@@ -194,7 +196,7 @@
 		s.receive(0, LeaseReport{})
 		s.wait(s.d.settings.OverloadWindow / 2)
 		if granted := s.receive(0, LeaseRequest{ID: 1, Demand: 1, Work: work}); len(granted) > 0 {
-			t.Fatal("leased by one that does not know yet what others were granted")
+			t.Fatal("leased within a window after the first message, when grants of earlier coordinators are unknown")
 		}
 		s.receive(0, LeaseReleased{ID: 1})
 		s.wait(s.d.settings.OverloadWindow)
@@ -203,30 +205,30 @@
 			s.receive(0, LeaseReleased{ID: id, Result: OK})
 		}
 		if granted := s.receive(0, LeaseRequest{ID: 2000, Demand: 1, Work: -1}); len(granted) > 0 {
-			t.Fatal("leased for less than no work")
+			t.Fatal("leased for a request with negative work")
 		}
 	}
 	worker := s.d.fleet.byID[1]
 	share := worker.warmUpShare(&s.d.settings, s.d.now)
 	rule := s.d.settings.OverloadFactor * kindSlots * share * s.d.settings.OverloadWindow.Seconds()
 	unleased := s.d.slowStart.budget(worker, s.d.now)
-	t.Logf("leased %.3f, without leases up to %.3f, of %.3f", leased, unleased, rule)
+	t.Logf("%.3f leased, up to %.3f without leases, %.3f allowed", leased, unleased, rule)
 	if leased == 0 {
-		t.Error("nothing was leased: the test covers nothing")
+		t.Error("nothing was leased: the test has covered nothing")
 	}
 	if leased+unleased > rule {
-		t.Errorf("%.3f leased and %.3f without leases, of %.3f", leased, unleased, rule)
+		t.Errorf("%.3f leased and up to %.3f without leases, %.3f allowed", leased, unleased, rule)
 	}
 }
 
-// Without peers, or if messages cost too much, no message is sent, whatever is received.
+// If leases are not used, no message is sent, not even in answer to one.
 func TestNoMessagesWithoutPeers(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*Settings){
-		"not allowed": func(settings *Settings) { settings.PeerMessages = false },
-		"alone":       func(settings *Settings) { settings.Replicas = 1 },
-		"no starts":   func(settings *Settings) { settings.StartNotifications = false },
-		"too dear": func(settings *Settings) {
+		"messages not allowed":   func(settings *Settings) { settings.PeerMessages = false },
+		"a single dispatcher":    func(settings *Settings) { settings.Replicas = 1 },
+		"no start notifications": func(settings *Settings) { settings.StartNotifications = false },
+		"messages over their budget": func(settings *Settings) {
 			settings.PeerCost = defaultPeerBudget * peerCostBytes / leaseBytesPerJob * 1.01
 		},
 	} {
@@ -245,7 +247,7 @@
 	}
 }
 
-// The rules hold, and each job gets exactly one answer, whatever messages peers send.
+// Whatever messages peers send, the rules hold, and each job gets exactly one answer.
 func FuzzRulesAmongPeerMessages(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed, uint16(200))
@@ -265,7 +267,7 @@
 		}
 		r, log := run()
 		if len(r.violations) > 0 {
-			t.Fatalf("%d faults, the first: %s", len(r.violations), r.violations[0])
+			t.Fatalf("%d violations, the first: %s", len(r.violations), r.violations[0])
 		}
 		if _, again := run(); !reflect.DeepEqual(log, again) {
 			t.Fatal("two runs differ")
@@ -273,7 +275,8 @@
 	})
 }
 
-// BenchmarkGrantWaiting measures a release at a coordinator whose workers are all in use, with requests waiting.
+// BenchmarkGrantWaiting measures a new request and a release at a coordinator whose workers are all in use, with requests
+// waiting.
 func BenchmarkGrantWaiting(b *testing.B) {
 	s := coordinatorHarness(b, 3200, func(settings *Settings) { settings.Replicas = 900 })
 	held, lastID := []LeaseID{}, LeaseID(0)
@@ -287,8 +290,8 @@
 	for b.Loop() {
 		id := held[0]
 		lastID++
-		again := LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)}
-		s.receive(int(lastID)%800, again)
+		request := LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)}
+		s.receive(int(lastID)%800, request)
 		held = append(held[1:], grantedIDs(s.receive(int(id)%800, LeaseReleased{ID: id, Result: OK}))...)
 	}
 	b.ReportMetric(float64(len(s.d.leases.coordinator.waiting)), "waiting")
--- a/dispatch/leasedirectory.go
+++ b/dispatch/leasedirectory.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// The directory assigns workers to shards and shards to coordinators. The paper and the design know one
-// dispatcher only and have no sentence on this. Each dispatcher computes the same assignment by rendezvous
+// The directory assigns workers to shards and shards to coordinators. The paper and the design cover
+// only a single dispatcher, and not this. Each dispatcher computes the same assignment by rendezvous
 // hashing, without messages. While two dispatchers disagree on the coordinator of a shard, the same slots
-// may be granted twice: that costs waiting time at a worker, and breaks no rule.
+// may be granted twice: then jobs may have to wait at a worker, but no rule is broken.
 const (
-	dispatchersPerShard   = 20 // mean number of dispatchers that share a shard
-	coordinatorCandidates = 8  // dispatchers ranked per shard
-	unansweredAvoidance   = 3 * time.Second
-	deniedAvoidance       = 10 * time.Second
+	dispatchersPerShard   = 20               // mean number of dispatchers that share a shard
+	coordinatorCandidates = 8                // dispatchers ranked per shard
+	unansweredAvoidance   = 3 * time.Second  // for which a dispatcher that did not answer is skipped
+	deniedAvoidance       = 10 * time.Second // for which one that grants nothing is skipped
 )
 
 // peerDirectory says which shard a worker belongs to and which dispatcher coordinates a shard. It also
-// holds the coordinators that are skipped for some time. Dispatchers are identified by their
+// records which dispatchers are skipped as coordinators for some time. Dispatchers are identified by their
 // Settings.ReplicaIndex.
 type peerDirectory struct {
-	dispatchers     int
-	shardsPerZone   int
-	ranked          map[Shard][]int       // cache of rank
-	avoidedUntil    map[int]time.Duration // by dispatcher that did not answer
-	distrustedUntil map[int]time.Duration // by dispatcher that answers and grants nothing
+	dispatchers       int
+	shardsPerZone     int
+	ranked            map[Shard][]int       // cache of rank
+	unresponsiveUntil map[int]time.Duration // by dispatcher that did not answer: skipped until then
+	denyingUntil      map[int]time.Duration // by dispatcher that grants nothing: skipped until then
 }
 
 func newPeerDirectory(settings *Settings) peerDirectory {
 	zones := max(1, settings.ZoneCount)
 	shards := (settings.Replicas + dispatchersPerShard - 1) / dispatchersPerShard
 	return peerDirectory{
-		dispatchers:     settings.Replicas,
-		shardsPerZone:   max(1, (shards+zones-1)/zones),
-		ranked:          map[Shard][]int{},
-		avoidedUntil:    map[int]time.Duration{},
-		distrustedUntil: map[int]time.Duration{},
+		dispatchers:       settings.Replicas,
+		shardsPerZone:     max(1, (shards+zones-1)/zones),
+		ranked:            map[Shard][]int{},
+		unresponsiveUntil: map[int]time.Duration{},
+		denyingUntil:      map[int]time.Duration{},
 	}
 }
 
@@ -79,7 +79,7 @@
 // coordinatorOf returns the first ranked dispatcher of a shard that is not skipped. ok is false if all are.
 func (p *peerDirectory) coordinatorOf(shard Shard, now time.Duration) (dispatcher int, ok bool) {
 	for _, candidate := range p.rank(shard) {
-		if p.avoidedUntil[candidate] <= now && p.distrustedUntil[candidate] <= now {
+		if p.unresponsiveUntil[candidate] <= now && p.denyingUntil[candidate] <= now {
 			return candidate, true
 		}
 	}
@@ -91,15 +91,15 @@
 	return slices.Contains(p.rank(shard), dispatcher)
 }
 
-// avoid skips a dispatcher that did not answer, until it answers or unansweredAvoidance has passed.
-func (p *peerDirectory) avoid(dispatcher int, now time.Duration) {
-	p.avoidedUntil[dispatcher] = now + unansweredAvoidance
+// avoidUnresponsive skips a dispatcher that did not answer until it answers, or for unansweredAvoidance.
+func (p *peerDirectory) avoidUnresponsive(dispatcher int, now time.Duration) {
+	p.unresponsiveUntil[dispatcher] = now + unansweredAvoidance
 }
 
-// distrust skips a dispatcher that answers and grants nothing, for deniedAvoidance.
-func (p *peerDirectory) distrust(dispatcher int, now time.Duration) {
-	p.distrustedUntil[dispatcher] = now + deniedAvoidance
+// avoidDenying skips a dispatcher that answers but grants nothing, for deniedAvoidance.
+func (p *peerDirectory) avoidDenying(dispatcher int, now time.Duration) {
+	p.denyingUntil[dispatcher] = now + deniedAvoidance
 }
 
-// recordAnswer ends the effect of avoid.
-func (p *peerDirectory) recordAnswer(dispatcher int) { delete(p.avoidedUntil, dispatcher) }
+// recordAnswer ends the effect of avoidUnresponsive.
+func (p *peerDirectory) recordAnswer(dispatcher int) { delete(p.unresponsiveUntil, dispatcher) }
--- a/dispatch/leaseexchange.go
+++ b/dispatch/leaseexchange.go
@@ -17,7 +17,7 @@
 // LeaseCounts returns the present counts of leases.
 func (d *Dispatcher) LeaseCounts() LeaseCounts { return d.leases.counts() }
 
-// leaseExchange joins the lease client, the coordinator and the directory of a dispatcher. It routes their
+// leaseExchange connects the lease client, the coordinator and the directory of a dispatcher. It routes their
 // messages: those to this dispatcher itself are handled within the same step. It decides nothing.
 type leaseExchange struct {
 	settings    *Settings
@@ -70,8 +70,8 @@
 	l.coordinator.handleWorkerList()
 }
 
-// handleMessage handles a message of another dispatcher. One that claims to be of this dispatcher or of none
-// is ignored.
+// handleMessage handles a message from another dispatcher. A message whose sender's index is out of range, or
+// that of this dispatcher, is ignored.
 func (l *leaseExchange) handleMessage(now time.Duration, event PeerMessageReceived) {
 	isPeer := event.From >= 0 && event.From < l.settings.Replicas && event.From != l.settings.ReplicaIndex
 	if !l.settings.UsesLeases() || !isPeer {
@@ -114,9 +114,9 @@
 	}
 }
 
-// exchange delivers the messages to this dispatcher itself, grants what waits and uses what was granted,
-// until nothing is left.
-func (l *leaseExchange) exchange(now time.Duration) {
+// processMessages delivers the messages to this dispatcher itself, grants waiting requests and uses granted
+// leases, until nothing of these is left.
+func (l *leaseExchange) processMessages(now time.Duration) {
 	for {
 		l.deliverOwnMessages(now)
 		l.grantWaiting(now)
@@ -152,8 +152,8 @@
 	l.grantWaiting(now)
 }
 
-// resume has a restored dispatcher, which holds no lease, request slots for its queued jobs in its next step,
-// and report its attempts in flight.
+// resume prepares a dispatcher that was restored without leases: it requests slots for its queued jobs in its
+// next step, and its next report lists its attempts in flight.
 func (l *leaseExchange) resume(now time.Duration, workers []*workerInfo, jobs map[uint64]*jobInfo) {
 	l.client.updateReadyZones(workers)
 	if !l.settings.UsesLeases() {
@@ -163,7 +163,7 @@
 		job := jobs[id]
 		for _, attempt := range job.attempts {
 			if !attempt.ended && !attempt.orphaned {
-				l.client.takeSlots(now, attempt)
+				l.client.recordUnleased(now, attempt)
 			}
 		}
 		if job.isQueued() {
@@ -172,9 +172,9 @@
 	}
 }
 
-// dropAll has all jobs and attempts go on without leases.
+// dropAll removes all leases: jobs and attempts continue without them.
 func (l *leaseExchange) dropAll() {
-	for _, lease := range l.client.where(func(*leaseInfo) bool { return true }) {
+	for _, lease := range l.client.filter(func(*leaseInfo) bool { return true }) {
 		if lease.attempt != nil {
 			lease.attempt.lease = nil
 		}
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// How the client handles a coordinator's answers, and the use of what was granted. This carries out the
-// design's "among those able to start the job now": a grant is used only if this dispatcher's own rules
-// allow the worker too.
+// How the client handles a coordinator's answers and uses granted leases. This implements the design's
+// "among those able to start the job now": a grant is used only if this dispatcher's own rules allow the
+// worker too.
 
-// handleGranted notes a granted lease for use. One that can't be used is released: its job is finished, or
-// has a lease of another coordinator.
+// handleGranted records a granted lease, for useGrants. It releases a grant that is not wanted: the request is
+// closed, or was granted by another coordinator already, or the sender may not coordinate the shard.
 func (l *leaseClient) handleGranted(from int, message LeaseGranted) {
 	lease := l.byID[message.ID]
 	isWanted := lease != nil && l.directory.canCoordinate(from, lease.shard) &&
@@ -28,7 +28,7 @@
 	l.granted = append(l.granted, lease)
 }
 
-// handleQueued requests slots for the job in another shard too.
+// handleQueued records that a request waits, and requests slots for its job in another shard too.
 func (l *leaseClient) handleQueued(now time.Duration, from int, message LeaseQueued) {
 	lease := l.byID[message.ID]
 	if lease == nil {
@@ -48,7 +48,7 @@
 }
 
 // recordDenied counts a request that a coordinator did not grant. After maxDeniedRequests consecutive ones
-// the coordinator is skipped: its slot counts, or its list of workers, may be wrong.
+// the coordinator is skipped, as its slot counts or its list of workers may be wrong.
 func (l *leaseClient) recordDenied(now time.Duration, peer int) {
 	denied := l.denied[peer]
 	if denied.count == 0 {
@@ -58,7 +58,7 @@
 	l.denied[peer] = denied
 	if denied.count >= maxDeniedRequests && now-denied.since >= deniedRequestsSpan {
 		delete(l.denied, peer)
-		l.directory.distrust(peer, now)
+		l.directory.avoidDenying(peer, now)
 	}
 }
 
@@ -68,7 +68,7 @@
 // useGrants sends jobs on the leases that were granted.
 func (l *leaseClient) useGrants(now time.Duration) {
 	for _, lease := range l.granted {
-		if lease.job != nil { // else another lease of its job was used first
+		if lease.job != nil { // else another lease for the job was used first
 			l.useGrant(now, lease)
 		}
 	}
@@ -86,11 +86,12 @@
 	job.leases.remove(lease)
 	lease.job = nil
 	l.withdraw(job)
-	lease.attempt = l.jobs.sendOnLease(job, worker)
+	lease.attempt = l.jobs.sendWithLease(job, worker)
 	lease.attempt.lease = lease
 }
 
-// rejectGrant releases a granted lease that its job can't use, and requests another one.
+// rejectGrant releases a granted lease that its job cannot use, and requests another one. After
+// maxUnusableGrants of them the job is sent without a lease.
 func (l *leaseClient) rejectGrant(now time.Duration, lease *leaseInfo) {
 	job := lease.job
 	l.drop(lease)
--- a/dispatch/leaseinfo.go
+++ b/dispatch/leaseinfo.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// noPeer is the coordinator of a lease that none is known for.
+// noPeer stands for the coordinator of a lease that has none.
 const noPeer = -1
 
 // leaseInfo is a lease that was requested, or slots that were taken without one.
@@ -13,8 +13,8 @@
 	id              LeaseID
 	shard           Shard
 	peer            int          // coordinator of the last request or report; noPeer: none
-	job             *jobInfo     // that it was requested for; nil: it is in use
-	attempt         *attemptInfo // that uses it
+	job             *jobInfo     // the job that waits for it; nil: it is in use
+	attempt         *attemptInfo // the attempt that uses it
 	demand          float64      // slots
 	worker          uint64
 	requestedAt     time.Duration // the first request since the last answer
@@ -22,7 +22,7 @@
 	requestAttempts int  // since the last answer
 	isQueued        bool // the coordinator has answered that the request waits
 	isGranted       bool
-	timer           timer // when it is to be requested again
+	timer           timer // fires when it is to be requested again
 }
 
 func (l *leaseInfo) isUsed() bool { return l.attempt != nil }
@@ -30,7 +30,7 @@
 // jobLeases are the leases of a queued job.
 type jobLeases struct {
 	requested       []*leaseInfo
-	unusableWorkers []uint64 // workers whose slots were granted and can't be used
+	unusableWorkers []uint64 // workers whose slots were granted but cannot be used
 	isDisabled      bool     // the job is sent without a lease
 }
 
--- a/dispatch/leasemessages.go
+++ b/dispatch/leasemessages.go
@@ -27,9 +27,11 @@
 		Demand     float64 `json:"demand"` // slots
 		Work       float64 `json:"work"`   // seconds on a standard core, times slots
 		LongChance float64 `json:"score"`  // the job's score, from 0 to 1
-		// Demoted: the job's answer can no longer have its full utility. It is granted after those that can.
+		// Demoted: the job's answer can no longer have its full utility. The request is granted after those
+		// of jobs that still can.
 		Demoted bool `json:"demoted"`
-		// PromoteIn is the time until the job has been queued for longer than tau, the promotion threshold; negative if it has been.
+		// PromoteIn is the time until the job will have been queued for longer than tau, the promotion
+		// threshold; negative: it has been already.
 		PromoteIn time.Duration `json:"promote_ns"`
 		Excluded  []uint64      `json:"excluded,omitempty"` // workers not to be granted, MaxExcluded at most
 	}
@@ -39,8 +41,8 @@
 		ID     LeaseID `json:"id"`
 		Prompt bool    `json:"prompt"`
 	}
-	// LeaseReleased ends a lease, or withdraws a request. Result is that of the attempt; NotSent: there was
-	// none.
+	// LeaseReleased ends a lease, or withdraws a request. Result is that of the attempt; NotSent: no
+	// attempt was sent.
 	LeaseReleased struct {
 		ID     LeaseID `json:"id"`
 		Result Result  `json:"result"`
@@ -53,8 +55,8 @@
 	}
 )
 
-// The messages of a coordinator answer a request, by its ID. FreeSlots are the free slots of its shard less
-// those that waiting requests want.
+// The messages of a coordinator, which answer the request with the same ID. FreeSlots is the number of free
+// slots of its shard, less the demand of waiting requests; it may be negative.
 type (
 	// LeaseGranted grants slots at a worker.
 	LeaseGranted struct {
@@ -83,8 +85,8 @@
 
 // Bounds of the lists in messages.
 const (
-	MaxExcluded = 4
-	MaxReported = 14 // leases; with the largest figures a report fits into a datagram
+	MaxExcluded = 4  // workers
+	MaxReported = 14 // leases; even with the largest values a report then fits into a datagram
 )
 
 func (LeaseRequest) peerMessage()  {}
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// What the client reports of the leases in use: the design's limit of a worker "grows by one when a job
-// starts promptly and halves on 'full' or failure", so that a coordinator needs starts and results. Reports
-// repeat what it may have missed.
+// What the client reports about the leases in use. The design's limit of a worker "grows by one when a job
+// starts promptly and halves on 'full' or failure", so a coordinator needs the starts and results. The
+// periodic reports make up for lost messages.
 
-// takeSlots records an attempt that was sent without a lease. The next report has it.
-func (l *leaseClient) takeSlots(now time.Duration, attempt *attemptInfo) {
+// recordUnleased records an attempt that was sent without a lease. The next report includes it.
+func (l *leaseClient) recordUnleased(now time.Duration, attempt *attemptInfo) {
 	if !l.settings.UsesLeases() {
 		return
 	}
@@ -51,7 +51,7 @@
 	l.reportAt = now + leaseReportInterval
 	reports := map[int][]HeldLease{}
 	var peers []int // in the order in which reports are sent
-	for _, lease := range l.where((*leaseInfo).isUsed) {
+	for _, lease := range l.filter((*leaseInfo).isUsed) {
 		if peer, ok := l.directory.coordinatorOf(lease.shard, now); ok {
 			lease.peer = peer
 		}
@@ -78,14 +78,14 @@
 	}
 }
 
-// handlePeerRestart repeats the requests that a restarted dispatcher has lost, and reports the leases in
-// use at once.
+// handlePeerRestart makes the requests that a restarted dispatcher has lost due at once, and the report of
+// the leases in use due at the next maintenance.
 func (l *leaseClient) handlePeerRestart(now time.Duration, peer int) {
 	l.reportAt = now
 	isLost := func(lease *leaseInfo) bool {
 		return lease.job != nil && !lease.isGranted && lease.peer == peer
 	}
-	for _, lease := range l.where(isLost) {
+	for _, lease := range l.filter(isLost) {
 		lease.isQueued = false
 		l.timers.set(&lease.timer, now, now)
 	}
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// The slots of a worker as its coordinator counts them, over all dispatchers. This carries out the
+// The slots of a worker as its coordinator counts them, over all dispatchers. This implements the
 // concurrency limit of the design ("Each worker starts with room for one job. Room grows by one when a job
 // starts promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each
-// prompt start that it bounded, and halves on a rejection or failure.
+// prompt start of a lease that was granted at the limit, and halves on a rejection or failure.
 const (
-	// warmUpLeaseFraction is the fraction of the work that overloads a warming worker which one coordinator
-	// leases. Two may do so at the same time, and jobs without a lease take warmUpBudgetFraction besides.
+	// warmUpLeaseFraction is the fraction that one coordinator may lease of the work that would overload a
+	// warming worker. Two coordinators may do so at the same time, and jobs without a lease may use
+	// warmUpBudgetFraction in addition.
 	warmUpLeaseFraction = 0.25
 
 	minSuspension     = 500 * time.Millisecond // doubles with each further failure
 	maxSuspension     = 8 * time.Second
-	toleratedFailures = 1 // consecutive failures that suspend no worker
+	toleratedFailures = 1 // consecutive failures; one more suspends the worker
 )
 
 // workerSlots are the slots of one worker, with what its coordinator has observed of its starts and
@@ -21,7 +22,7 @@
 type workerSlots struct {
 	slotLimit      // of the slots that are leased
 	leases         int
-	failures       int // consecutive ones, each reported by another dispatcher than the one before
+	failures       int // consecutive ones, each reported by a different dispatcher than the one before
 	lastFailedPeer int // dispatcher that reported the last failure
 	suspension     time.Duration
 	suspendedUntil time.Duration
@@ -31,17 +32,16 @@
 // isSuspended reports whether consecutive failures keep leases from the worker.
 func (w *workerSlots) isSuspended(now time.Duration) bool { return now < w.suspendedUntil }
 
-// hasRoom reports whether the worker can start a job of so many slots. maxSlots bounds it besides the
-// limit. An idle worker has room for a job of any size.
+// hasRoom reports whether the worker has room for a lease of a demand, within both the limit and maxSlots. An
+// idle worker has room for any demand.
 func (w *workerSlots) hasRoom(demand, maxSlots float64) bool {
 	return w.used == 0 || w.fits(demand, maxSlots)
 }
 
-// isLimitBound reports whether the limit would allow less than one further slot after a lease of so many
-// slots.
-func (w *workerSlots) isLimitBound(demand float64) bool { return w.used+demand+1 > w.limit }
+// reachesLimit reports whether a lease of a demand would leave less than one slot free below the limit.
+func (w *workerSlots) reachesLimit(demand float64) bool { return w.used+demand+1 > w.limit }
 
-// free returns the slots that can be leased; maxSlots bounds them besides the limit.
+// free returns the slots that can be leased, within both the limit and maxSlots.
 func (w *workerSlots) free(maxSlots float64) float64 { return max(0, min(w.limit, maxSlots)-w.used) }
 
 // start counts a lease's attempt as running.
@@ -50,11 +50,11 @@
 	w.running += lease.demand
 }
 
-// observePromptStart counts a lease's attempt as running, and raises the limit if it was what bounded the
-// worker. It reports whether the limit may have grown.
+// observePromptStart counts a lease's attempt as running, and raises the limit if the lease was granted at
+// the limit. It reports whether the limit may have grown.
 func (w *workerSlots) observePromptStart(lease *grantedLease) (raised bool) {
 	w.start(lease)
-	if !lease.isLimitBound {
+	if !lease.grantedAtLimit {
 		return false
 	}
 	w.increase(lease.demand)
@@ -67,8 +67,8 @@
 	w.decrease(now)
 }
 
-// observeEnd adjusts the limit by the result of a lease's attempt. Consecutive failures that several
-// dispatchers report suspend the worker.
+// observeEnd adjusts the limit by the result of a lease's attempt. Consecutive failures suspend the worker
+// if several dispatchers report them.
 func (w *workerSlots) observeEnd(now time.Duration, lease *grantedLease, result Result) {
 	switch result {
 	case OK:
@@ -103,21 +103,21 @@
 	w.used += lease.demand
 }
 
-// remove reverses add.
+// remove removes a lease from the counts.
 func (w *workerSlots) remove(lease *grantedLease) {
 	w.leases--
 	w.used = max(0, w.used-lease.demand)
 	if lease.isStarted {
 		w.running = max(0, w.running-lease.demand)
 	}
-	if w.leases == 0 { // clears the rounding error of the sums
+	if w.leases == 0 { // clears rounding errors of the sums
 		w.used = 0
 		w.running = 0
 	}
 }
 
-// warmUpWork returns work plus what was leased of a warming worker within the window that ends now, in
-// seconds on a standard core, times slots.
+// warmUpWork returns the given work plus that of the leases granted at a warming worker within the window
+// that ends now, in seconds on a standard core, times slots.
 func (w *workerSlots) warmUpWork(now, window time.Duration, work float64) float64 {
 	w.leasedWork.expire(window, now)
 	return w.leasedWork.sumWith(work, window, now)
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The section on leases of a snapshot, which follows all others: each type writes and reads its own part. A
-// dispatcher that does not lease slots drops what it has read.
+// The section on leases of a snapshot, which is the last one: each type writes and reads its own part. A
+// dispatcher that does not use leases drops those that it has read.
 
-// leaseSectionVersion begins the section on leases.
+// leaseSectionVersion is the version of the section on leases, and its first value.
 const leaseSectionVersion = 1
 
 // serialize writes or reads the section on leases.
@@ -33,7 +33,7 @@
 
 // serialize writes or reads the dispatchers that are skipped.
 func (p *peerDirectory) serialize(codec *codec) {
-	for _, until := range []map[int]time.Duration{p.avoidedUntil, p.distrustedUntil} {
+	for _, until := range []map[int]time.Duration{p.unresponsiveUntil, p.denyingUntil} {
 		sortedMap(codec, until, func(dispatcher *int, until *time.Duration) {
 			codec.int(dispatcher)
 			codec.instant(until)
@@ -47,13 +47,13 @@
 	codec.instant(&l.reportAt)
 	var leases []*leaseInfo
 	if codec.writing {
-		leases = l.where(func(*leaseInfo) bool { return true })
+		leases = l.filter(func(*leaseInfo) bool { return true })
 	}
 	list(codec, &leases, func(lease **leaseInfo) {
 		l.serializeReference(codec, lease)
 		(*lease).serialize(codec)
 	})
-	codec.check(len(leases) == len(l.byID)) // else a timer belongs to none of them, or an ID occurs twice
+	codec.check(len(leases) == len(l.byID)) // else a timer's lease is missing, or an ID occurs twice
 	shardMap(codec, l.freeSlots, func(free *int) { codec.int(free) })
 	sortedMap(codec, l.denied, func(peer *int, denied *deniedRequests) {
 		codec.int(peer)
@@ -66,8 +66,8 @@
 	list(codec, &l.readyZones, func(zone *int) { codec.int(zone) })
 }
 
-// serializeReference writes or reads a reference to a lease. One that is read may precede the lease itself, which
-// is then filled in later.
+// serializeReference writes or reads a reference to a lease. A reference may be read before the lease itself,
+// whose fields are then filled in later.
 func (l *leaseClient) serializeReference(codec *codec, lease **leaseInfo) {
 	var id LeaseID
 	if codec.writing {
@@ -86,7 +86,8 @@
 	*lease = known
 }
 
-// serialize writes or reads a lease, with a reference to the job that waits for it or to the attempt that uses it.
+// serialize writes or reads a lease, with a reference to the job that waits for it or the attempt that uses
+// it.
 func (l *leaseInfo) serialize(codec *codec) {
 	codec.shard(&l.shard)
 	codec.int(&l.peer)
@@ -118,8 +119,8 @@
 	})
 }
 
-// serializeMembers writes or reads whether the shards' workers have been determined since the list last changed.
-// Determining them discards the counts of free slots, so that it comes before these.
+// serializeMembers writes or reads whether the shards' workers have been determined since the list last
+// changed. Determining them discards the counts of free slots, and therefore precedes reading these.
 func (l *leaseCoordinator) serializeMembers(codec *codec) {
 	isKnown := l.members != nil
 	codec.flags(&isKnown)
@@ -128,9 +129,9 @@
 	}
 }
 
-// serialize writes or reads the granted leases, the waiting requests and what is counted of both.
+// serialize writes or reads the granted leases, the waiting requests and the counts of both.
 func (l *leaseCoordinator) serialize(codec *codec) {
-	codec.instant(&l.since)
+	codec.instant(&l.firstMessageAt)
 	codec.flags(&l.nothingFreed)
 	sortedMap(codec, l.slots, func(worker *uint64, slots **workerSlots) {
 		if !codec.writing {
@@ -157,7 +158,7 @@
 	})
 	codec.check(len(l.waitingByKey) == len(l.waiting))
 	shardMap(codec, l.requestedSlots, func(slots *float64) { codec.float(slots) })
-	shardMap(codec, l.free, func(free *freeSlots) {
+	shardMap(codec, l.freeCounts, func(free *freeSlotCount) {
 		codec.instant(&free.countedAt)
 		codec.float(&free.slots)
 	})
@@ -183,7 +184,7 @@
 	codec.uint(&g.worker)
 	codec.float(&g.demand)
 	codec.instant(&g.grantedAt, &g.reportedAt)
-	codec.flags(&g.isLimitBound, &g.isStarted)
+	codec.flags(&g.grantedAtLimit, &g.isStarted)
 }
 
 func (w *waitingRequest) serialize(codec *codec) {
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// leasingPair are two dispatchers that lease slots from each other, each beside one that is restored from its snapshots with
+// leasingPair runs two dispatchers that lease slots from each other, and for each a copy that is restored from its snapshots with
 // leases.
 type leasingPair struct {
 	rng         *rand.Rand
 	now         time.Duration
 	dispatchers [2]*Dispatcher
-	beside      [2]*restoredCopy
+	copies      [2]*restoredCopy
 	events      [2][]Event
 	jobs        uint64
-	observed    map[string]int // kinds of state that snapshots have had
+	stateCounts map[string]int // by kind of state: how often a dispatcher had it before a step
 }
 
 func leasingSettings(index int) Settings {
@@ -27,10 +27,10 @@
 
 func newLeasingPair(t *testing.T, seed uint64, clockAhead time.Duration) *leasingPair {
 	t.Helper()
-	pair := &leasingPair{rng: rand.New(rand.NewPCG(seed, 4)), now: 2 * time.Hour, observed: map[string]int{}}
+	pair := &leasingPair{rng: rand.New(rand.NewPCG(seed, 4)), now: 2 * time.Hour, stateCounts: map[string]int{}}
 	for index := range pair.dispatchers {
 		pair.dispatchers[index] = New(leasingSettings(index), seed+uint64(index))
-		pair.beside[index] = &restoredCopy{
+		pair.copies[index] = &restoredCopy{
 			t: t, rng: rand.New(rand.NewPCG(seed, 5)), interval: 1 + int(seed%3)*10, clockAhead: clockAhead,
 		}
 	}
@@ -52,7 +52,8 @@
 	}
 }
 
-// step steps both dispatchers. Messages are delivered with the next step, but an eighth is lost.
+// step steps both dispatchers and their copies. Messages are delivered with the next step of their recipient, but an eighth is
+// lost.
 func (p *leasingPair) step() {
 	p.now += time.Duration(p.rng.Int64N(int64(30 * ms)))
 	if p.rng.IntN(50) == 0 {
@@ -71,40 +72,41 @@
 		}
 		events := p.events[index]
 		p.events[index] = nil
-		p.beside[index].observe(dispatcher, p.now, events, nil)
-		p.observe(dispatcher)
+		p.copies[index].observe(dispatcher, p.now, events, nil)
+		p.countState(dispatcher)
 		actions := dispatcher.Step(p.now, events, []Action{})
-		p.beside[index].observe(dispatcher, p.now, events, actions)
+		p.copies[index].observe(dispatcher, p.now, events, actions)
 		for _, action := range actions {
-			p.take(index, action)
+			p.perform(index, action)
 		}
 	}
 }
 
-// hotRestart replaces a dispatcher by one restored without leases, which requests them again.
+// hotRestart replaces a dispatcher with one that is restored without leases, and requests them again.
 func (p *leasingPair) hotRestart(index int) {
 	restored, err := Restore(leasingSettings(index), p.dispatchers[index].Snapshot(nil))
 	if err != nil {
-		p.beside[index].t.Fatal(err)
+		p.copies[index].t.Fatal(err)
 	}
-	p.dispatchers[index], p.beside[index].restored = restored, nil
-	p.observed["restarts"]++
+	p.dispatchers[index], p.copies[index].restored = restored, nil
+	p.stateCounts["restarts"]++
 }
 
-func (p *leasingPair) observe(dispatcher *Dispatcher) {
-	p.observed["waiting"] += len(dispatcher.leases.coordinator.waiting)
-	p.observed["granted"] += len(dispatcher.leases.coordinator.leases)
+func (p *leasingPair) countState(dispatcher *Dispatcher) {
+	p.stateCounts["waiting"] += len(dispatcher.leases.coordinator.waiting)
+	p.stateCounts["granted"] += len(dispatcher.leases.coordinator.leases)
 	for _, lease := range dispatcher.leases.client.byID {
 		if lease.isUsed() {
-			p.observed["used"]++
+			p.stateCounts["used"]++
 		} else {
-			p.observed["requested"]++
+			p.stateCounts["requested"]++
 		}
 	}
 }
 
-// take carries out an action. Most attempts end, some of them after a start; of the others nothing is notified.
-func (p *leasingPair) take(index int, action Action) {
+// perform carries out an action. Most attempts are started and most end, independently of each other; the others cause no
+// notifications.
+func (p *leasingPair) perform(index int, action Action) {
 	switch action := action.(type) {
 	case SendPeerMessage:
 		if p.rng.IntN(8) > 0 {
@@ -124,8 +126,8 @@
 	}
 }
 
-// A dispatcher that is restored while leases are requested, granted and in use acts as the original one, also on another
-// clock, and has the same snapshot.
+// A dispatcher that is restored while leases are requested, granted and in use returns the same actions as the original, also on
+// another clock, and has the same snapshot.
 func TestSnapshotWithLeases(t *testing.T) {
 	for _, clockAhead := range []time.Duration{0, -time.Hour, 3 * time.Second} {
 		for seed := range uint64(3) {
@@ -134,16 +136,16 @@
 				pair.step()
 			}
 			for _, kind := range []string{"waiting", "granted", "used", "requested", "restarts"} {
-				if pair.observed[kind] == 0 {
-					t.Errorf("seed %d: nothing is counted as %s", seed, kind)
+				if pair.stateCounts[kind] == 0 {
+					t.Errorf("seed %d: no snapshot covers the state %s", seed, kind)
 				}
 			}
 		}
 	}
 }
 
-// A dispatcher whose settings allow no messages drops the leases of its snapshot and sends its jobs without. One that leases
-// slots starts from a snapshot without leases.
+// A dispatcher whose settings allow no messages drops the leases of the snapshot that it is restored from, and sends its jobs
+// without leases. One that uses leases can be restored from a snapshot without them.
 func TestSnapshotWithLeasesTurnedOffAndOn(t *testing.T) {
 	pair := newLeasingPair(t, 1, 0)
 	for range 100 {
@@ -158,7 +160,7 @@
 		}
 		isOfLease := func(x *timer) bool { return x.purpose == leaseOverdue }
 		if len(off.leases.client.byID)+len(off.leases.coordinator.leases) > 0 || slices.ContainsFunc(off.timers.heap.items, isOfLease) {
-			t.Error("leases are left")
+			t.Error("a dispatcher that does not use leases has kept some from its snapshot")
 		}
 		on, err := Restore(leasingSettings(index), off.Snapshot(nil))
 		if err != nil {
@@ -169,7 +171,7 @@
 	}
 }
 
-// checkServes ends all attempts in flight, and expects that each open job is sent or has its final answer.
+// checkServes lets all further attempts succeed, and checks that no open job stays queued.
 func checkServes(t *testing.T, dispatcher *Dispatcher, now time.Duration) {
 	t.Helper()
 	var events []Event
@@ -187,31 +189,32 @@
 	}
 	for _, job := range dispatcher.jobs {
 		if !job.closed && job.inFlight == 0 {
-			t.Errorf("job %d is still queued", job.ID)
+			t.Errorf("job %d has no answer and no attempt in flight", job.ID)
 		}
 	}
 }
 
-// No bytes on leases make Restore panic, or give a dispatcher that can't take a step.
+// Truncated bytes are rejected, and no bytes of the section on leases make RestoreWithLeases panic, or give a dispatcher that
+// cannot be stored again.
 func FuzzRestoreOfLeases(f *testing.F) {
-	var whole []byte
+	var full []byte
 	f.Add(uint16(0), byte(0))
 	for at := range uint16(200) {
 		f.Add(at*31, byte(at*7))
 	}
 	f.Fuzz(func(t *testing.T, at uint16, value byte) {
-		if whole == nil {
+		if full == nil {
 			pair := newLeasingPair(t, 2, 0)
 			for range 60 {
 				pair.step()
 			}
-			whole = pair.dispatchers[0].SnapshotWithLeases(nil)
+			full = pair.dispatchers[0].SnapshotWithLeases(nil)
 		}
-		cut := whole[:int(at)%len(whole)]
+		cut := full[:int(at)%len(full)]
 		if _, err := RestoreWithLeases(leasingSettings(0), cut); err == nil {
-			t.Errorf("%d of %d bytes are taken for a whole snapshot", len(cut), len(whole))
+			t.Errorf("a snapshot truncated to %d of %d bytes was accepted", len(cut), len(full))
 		}
-		changed := slices.Clone(whole)
+		changed := slices.Clone(full)
 		changed[len(changed)-1-int(at)%(len(changed)/2)] = value
 		if restored, err := RestoreWithLeases(leasingSettings(0), changed); err == nil {
 			restored.SnapshotWithLeases(nil)
@@ -219,22 +222,22 @@
 	})
 }
 
-// LeaseCounts has the leases in use, those granted and the waiting requests.
+// LeaseCounts returns the numbers of leases in use, of granted leases and of waiting requests.
 func TestLeaseCounts(t *testing.T) {
 	pair := newLeasingPair(t, 1, 0)
 	seen := LeaseCounts{}
 	for range 60 {
 		pair.step()
 		for _, dispatcher := range pair.dispatchers {
-			used := dispatcher.leases.client.where((*leaseInfo).isUsed)
+			used := dispatcher.leases.client.filter((*leaseInfo).isUsed)
 			counts := dispatcher.LeaseCounts()
 			if counts != (LeaseCounts{len(used), len(dispatcher.leases.coordinator.leases), len(dispatcher.leases.coordinator.waiting)}) {
-				t.Fatalf("%+v", counts)
+				t.Fatalf("counts %+v, not those of the leases", counts)
 			}
 			seen = LeaseCounts{max(seen.Held, counts.Held), max(seen.Granted, counts.Granted), max(seen.Waiting, counts.Waiting)}
 		}
 	}
 	if seen.Held == 0 || seen.Granted == 0 || seen.Waiting == 0 {
-		t.Errorf("at most %+v", seen)
+		t.Errorf("greatest counts %+v, expected all above 0: the test has covered too little", seen)
 	}
 }
--- a/dispatch/leasewaiting.go
+++ b/dispatch/leasewaiting.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// The requests that wait at a coordinator. This carries out the design's order of the queue ("At each
+// The requests that wait at a coordinator. This implements the design's order of the queue ("At each
 // release jobs held over tau = 3 × mu_short leave first, oldest first; otherwise the lowest score leaves,
 // ties to the oldest") over the jobs of all dispatchers.
 const (
-	waitingRequestExpiry = time.Second // since it was last repeated
-	maxWaiting           = 4096        // requests; further ones are answered as queued and forgotten
+	waitingRequestExpiry = time.Second // after it was last repeated
+	maxWaiting           = 4096        // requests; further ones are answered as queued, but not kept
 	maxPromoteIn         = time.Hour
 )
 
-// waitingRequest is a request that no worker was found for.
+// waitingRequest is a request for which no worker was found.
 type waitingRequest struct {
 	key        leaseKey
 	request    LeaseRequest
 	receivedAt time.Duration
-	promoteAt  time.Duration // when its job has been queued for longer than tau
+	promoteAt  time.Duration // when its job will have been queued for longer than tau
 	repeatedAt time.Duration // last time
 }
 
-// requestShape is what requests have in common that the same workers may be leased for.
+// requestShape identifies the requests that may be granted slots of the same workers.
 type requestShape struct {
 	shard Shard
 	group int // of classes
@@ -36,7 +36,7 @@
 	message PeerMessage
 }
 
-// addWaiting has a request wait, if there is room for it and its shard has workers.
+// addWaiting adds a request to those that wait, if there is room for it and its shard has workers.
 func (l *leaseCoordinator) addWaiting(now time.Duration, key leaseKey, request *LeaseRequest) {
 	hasRoom := l.hasRoom(l.peers[key.peer].waiting, len(l.waiting), maxWaiting)
 	if !hasRoom || len(l.membersOf(request.Shard)) == 0 {
@@ -51,7 +51,7 @@
 	l.countUse(key.peer, 0, 1)
 }
 
-// withdraw forgets the waiting requests that a predicate holds of.
+// withdraw removes the waiting requests for which matches is true.
 func (l *leaseCoordinator) withdraw(matches func(waiting *waitingRequest) bool) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(waiting *waitingRequest) bool {
 		if !matches(waiting) {
@@ -92,9 +92,9 @@
 	return dst
 }
 
-// grantWaitingRequest grants a waiting request; nil: it can't. ungranted has, by shape, the last request
-// that could not be granted since slots became free: one that wants at least as much can't be granted
-// either.
+// grantWaitingRequest grants a waiting request; nil: it cannot be granted now. ungranted holds, by shape, the
+// last request that could not be granted in this call of grantWaiting: one of at least the same demand and
+// work cannot be granted either.
 func (l *leaseCoordinator) grantWaitingRequest(
 	now time.Duration, waiting *waitingRequest, ungranted map[requestShape]LeaseRequest,
 ) *grantedLease {
@@ -111,7 +111,7 @@
 	return lease
 }
 
-// compareWaiting is the order in which requests are granted.
+// compareWaiting compares requests by the order in which they are granted.
 func compareWaiting(now time.Duration, a, b *waitingRequest) int {
 	rank := a.rank(now)
 	if byRank := cmp.Compare(rank, b.rank(now)); byRank != 0 {
@@ -132,7 +132,7 @@
 const (
 	rankPromoted waitingRank = iota // its job has been queued for longer than tau
 	rankByScore
-	rankDemoted // its job's answer can't have its full utility any more
+	rankDemoted // its job's answer can no longer have its full utility
 )
 
 func (w *waitingRequest) rank(now time.Duration) waitingRank {
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -67,7 +67,7 @@
 		job.promoteAt = job.arrivedAt + seconds(tauFactor*d.workload.meanShortSojourn*tauFraction)
 		d.queue.pushPromotion(job)
 	}
-	d.leases.client.requestFirst(d.now, job)
+	d.leases.client.requestIfNone(d.now, job)
 }
 
 // dispatchQueued is a dispatch cycle: it sends queued jobs, in order, while some worker can start them now.
@@ -132,7 +132,7 @@
 	switch {
 	case worker != nil:
 		d.queue.remove(job)
-		d.leases.client.takeSlots(d.now, d.send(job, worker))
+		d.leases.client.recordUnleased(d.now, d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
 		d.queue.demandClasses[job.demandClass].blocked = true
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -45,7 +45,7 @@
 		return
 	}
 	d.addAttempt(attempt)
-	d.leases.client.takeSlots(d.now, attempt)
+	d.leases.client.recordUnleased(d.now, attempt)
 	worker.connections.open = max(worker.connections.open, len(worker.inFlight))
 	d.fleet.markDirty(worker)
 	if isStartNotified {
