--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -25,7 +25,7 @@
 	s.step(s.done(1, 1, moved[0].Worker, OK), s.job(2, 0, 600*ms), s.job(3, 0, 600*ms))
 	for _, a := range s.take() {
 		if c, ok := a.(Cancel); ok {
-			t.Fatalf("cancelled %v", c)
+			t.Fatalf("cancelled %v, expected no cancellation", c)
 		}
 		if next, ok := a.(Send); ok && next.Worker == first {
 			t.Fatalf("job %d was sent to a worker at which an attempt waits", next.Job)
@@ -68,7 +68,7 @@
 	for n := range 2 {
 		send := taken[Send](s)
 		if len(send) != 1 {
-			t.Fatalf("attempt %d: %v", n, send)
+			t.Fatalf("attempt %d: sent %v, expected one", n, send)
 		}
 		s.now += ms
 		s.step(s.done(1, n, send[0].Worker, ConnectFailed))
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -52,9 +52,10 @@
 // part of the same event, and does not lower the limit again.
 func (s *slotLimit) predatesDecrease(sentAt time.Duration) bool { return sentAt < s.decreasedAt }
 
-// backoffState is how long a worker is sent nothing after a rejection.
+// backoffState is how long a worker is sent nothing after a rejection, or after a late start at a limit of
+// one.
 type backoffState struct {
-	delay time.Duration // doubles with each rejection; 0: the latest attempt started promptly
+	delay time.Duration // doubles each time; 0: the latest attempt started promptly
 	until time.Duration
 }
 
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -73,7 +73,8 @@
 // observe counts the outcome of an attempt on a connection that had been idle. An idle time of 0 means a new
 // connection, which is not counted. On a failure, the bound becomes the longest idle time from which on there
 // were at least two recent failures, and more failures than successes. Then the connections are at fault and
-// not the workers: if one rack of workers becomes silent, it has only a part of the idle connections.
+// not the workers: if only one rack of workers had become silent, attempts on idle connections to the others
+// would still succeed.
 func (c *connectionHistory) observe(idle time.Duration, success bool, now time.Duration) {
 	if idle == 0 {
 		return
--- a/dispatch/cordon.go
+++ b/dispatch/cordon.go
@@ -54,9 +54,9 @@
 	d.cordons.updateCoverage(d.fleet.workers)
 }
 
-// handleUncordoned ends a cordon. The worker counts as restarted now, unless it is listed with a start after
-// the cordon began: it warms up, its attempts in flight use no slots any more, and their jobs are retried
-// elsewhere.
+// handleUncordoned ends a cordon. The worker counts as restarted: its attempts in flight use no slots any
+// more, and their jobs are retried elsewhere. It warms up from now on, or from its listed start if that is
+// after the cordon began.
 func (d *Dispatcher) handleUncordoned(id uint64) {
 	since, wasCordoned := d.cordons.remove(id)
 	d.cordons.updateCoverage(d.fleet.workers)
@@ -76,9 +76,9 @@
 	d.fleet.markDirty(worker)
 }
 
-// acceptsLate reports whether a worker may be sent a job although the job would be late there. That holds for
-// idempotent jobs, and for workers that have been sent nothing for uncordonedIdleDelay after their cordon
-// ended.
+// acceptsLate reports whether a worker may be sent a job although the job would be late there. That holds
+// only if the job is idempotent, and the worker has been sent nothing for uncordonedIdleDelay after its
+// cordon ended.
 func (w *workerInfo) acceptsLate(job *jobInfo, now time.Duration) bool {
 	isIdle := w.uncordonedAt > 0 && now-w.uncordonedAt > uncordonedIdleDelay
 	return isIdle && job.class.Idempotency == Idempotent
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -98,10 +98,10 @@
 	return &decisionHash{sum: sha256.New(), counts: map[string]int{}}
 }
 
-func (h *decisionHash) add(label string, figures ...uint64) {
+func (h *decisionHash) add(label string, values ...uint64) {
 	h.counts[label]++
 	h.sum.Write([]byte(label))
-	for _, x := range figures {
+	for _, x := range values {
 		h.sum.Write(binary.LittleEndian.AppendUint64(nil, x))
 	}
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -59,8 +59,8 @@
 //     (leasecoordinator.go, leasewaiting.go, leaseslots.go);
 //   - peerDirectory says which dispatcher coordinates which shard (leasedirectory.go).
 //
-// leaseExchange joins them and routes their messages, and leaseAdapter is the only place where they use the
-// queue, the rules and the fleet of the Dispatcher. Leases are not a package of their own, as the two
-// packages would import each other: jobs, attempts and timers refer to leases, and leases to them. Messages
-// carry a Result. One codec writes all of them to snapshots, in which each refers to the others.
+// leaseExchange connects them and routes their messages, and leaseAdapter is the only place where they use
+// the queue, the rules and the fleet of the Dispatcher. Leases are not a package of their own, as the two
+// packages would import each other: jobs, attempts and timers refer to leases, and leases to them; messages
+// carry a Result; and one codec writes all of these to snapshots, where they refer to each other.
 package dispatch
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -91,7 +91,7 @@
 	s.workers(2)
 	s.step(Cordoned{Worker: 1}, Cordoned{Worker: 2}, s.job(1, 0, 10*ms))
 	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
-		t.Fatalf("rejected %v", got)
+		t.Fatalf("rejected %v, expected job 1", got)
 	}
 	s.step(Uncordoned{Worker: 2}, s.job(2, 0, 10*ms))
 	expectJobs(t, taken[Send](s), 2)
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -128,8 +128,8 @@
 	// Cordoned stops new attempts at a worker until Uncordoned, whatever lists say. It may precede the
 	// worker's entry.
 	Cordoned struct{ Worker uint64 }
-	// Uncordoned ends the cordon of a worker, however often that was cordoned. The worker's process counts as
-	// started now.
+	// Uncordoned ends the cordon of a worker, even after several Cordoned. The worker's process counts as
+	// restarted; see handleUncordoned.
 	Uncordoned struct{ Worker uint64 }
 	// ModelUpdate contains the estimates that another dispatcher had Age ago, as written by
 	// Dispatcher.ModelSnapshot. It is for a dispatcher without observations of its own, which has the list of
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -58,6 +58,7 @@
 	return set
 }
 
+// later schedules an event in one of the three queues.
 func (f *fleet) later(which int, d time.Duration, e Event) {
 	f.events[which].events = append(f.events[which].events, scheduledEvent{f.now + d, e})
 }
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -127,25 +127,25 @@
 // checkGoldenState checks the state of the golden snapshot that concerns the whole dispatcher.
 func checkGoldenState(t *testing.T, d *Dispatcher) {
 	t.Helper()
-	type figures struct {
+	type summary struct {
 		jobs, queued, workers, keys, cordoned int
 		now, cordonedAt                       time.Duration
 	}
-	got := figures{
+	got := summary{
 		jobs: len(d.jobs), queued: d.queue.length, workers: len(d.fleet.byID), keys: len(d.workload.keyWork), cordoned: len(d.cordons.since),
 		now: d.now, cordonedAt: d.cordons.since[3<<40],
 	}
-	want := figures{
+	want := summary{
 		jobs: 68, queued: 59, workers: 9, keys: 4, cordoned: 1, now: time.Hour + 1270*ms, cordonedAt: time.Hour,
 	}
 	if got != want {
-		t.Errorf("%+v, expected %+v", got, want)
+		t.Errorf("state %+v, expected %+v", got, want)
 	}
 	if want := (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}); d.latestReplicas != want {
 		t.Errorf("latest replicas %+v, expected %+v", d.latestReplicas, want)
 	}
 	if d.reservation.worker == nil || d.reservation.worker.ID != 1<<40 || d.reservation.job.ID != 11 || d.reservation.job.Slots != 2 {
-		t.Errorf("reserved %+v for %+v", d.reservation.worker, d.reservation.job)
+		t.Errorf("reserved worker %+v for job %+v, expected worker 1 for job 11", d.reservation.worker, d.reservation.job)
 	}
 }
 
@@ -153,27 +153,27 @@
 func checkGoldenJobs(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	if started, unstarted, ended := countAttempts(d); started != 5 || unstarted != 4 || ended != 5 {
-		t.Errorf("%d attempts have started, %d have not, %d have ended", started, unstarted, ended)
+		t.Errorf("%d attempts are running, %d have not started, %d have ended; expected 5, 4, 5", started, unstarted, ended)
 	}
 	j := d.jobs[500]
 	if j == nil || len(j.attempts) != 2 {
-		t.Fatalf("job 500: %+v", j)
+		t.Fatalf("job 500: %+v, expected two attempts", j)
 	}
 	first, second := j.attempts[0], j.attempts[1]
 	if first.result != ConnectionReset || second.worker.ID != 2<<40 || !second.started || j.arrivedAt != d.now-20*ms {
-		t.Errorf("job 500: %+v", j)
+		t.Errorf("job 500: %+v, expected a connection reset and a running attempt", j)
 	}
 }
 
 // checkGoldenWorkers checks the workers of the golden snapshot.
 func checkGoldenWorkers(t *testing.T, d *Dispatcher) {
 	t.Helper()
-	type figures struct {
+	type summary struct {
 		ready, backedOff        bool
 		limit, used, runs, size float64
 		inFlight, samples       int
 	}
-	for i, want := range []figures{
+	for i, want := range []summary{
 		{ready: true, backedOff: true, limit: 2, runs: 12, size: 2},
 		{ready: true, limit: 5.5, used: 6.5, runs: 15, size: 3, inFlight: 4},
 		{limit: 1, size: 4},
@@ -189,7 +189,7 @@
 			t.Errorf("worker %d is missing", i+1)
 			continue
 		}
-		got := figures{
+		got := summary{
 			ready: w.Ready, backedOff: w.backoff.until > d.now, limit: w.slots.limit, used: w.slots.used, runs: w.speed.samples, size: w.Size,
 			inFlight: len(w.inFlight), samples: len(w.slowStart.sent),
 		}
@@ -234,7 +234,7 @@
 		t.Errorf("expected work %v, the dispatcher that the model is from has %v", got, want)
 	}
 	if *d.workload.kinds[0] != *source.workload.kinds[0] || *d.workload.kinds[1] != *source.workload.kinds[1] || d.workload.kinds[1].samples != 47 || d.workload.kinds[1].maxSlots != 5 {
-		t.Errorf("kinds %+v, %+v", d.workload.kinds[0], d.workload.kinds[1])
+		t.Errorf("machine kinds %+v and %+v, not those of the dispatcher that the model is from", d.workload.kinds[0], d.workload.kinds[1])
 	}
 	for _, want := range []struct {
 		worker      uint64
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -55,6 +55,7 @@
 	s.step(list)
 }
 
+// step passes events to the dispatcher. It keeps the actions for take, and carries out none of them but SetTimer.
 func (s *harness) step(events ...Event) {
 	for _, e := range events {
 		if j, ok := e.(Job); ok {
@@ -107,12 +108,14 @@
 	}
 }
 
+// take returns the actions since the last call of take or taken.
 func (s *harness) take() []Action {
 	a := s.actions
 	s.actions = nil
 	return a
 }
 
+// taken returns the actions of one type since the last call of take or taken, and drops the others.
 func taken[T Action](s *harness) (found []T) {
 	for _, a := range s.take() {
 		if x, ok := a.(T); ok {
@@ -147,6 +150,7 @@
 	return ids
 }
 
+// expectJobs fails the test unless exactly the given jobs were sent, in their order.
 func expectJobs(t *testing.T, sends []Send, want ...uint64) {
 	t.Helper()
 	if got := sentJobs(sends); !slices.Equal(got, want) {
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -15,7 +15,7 @@
 		s.workers(2)
 		s.step(s.job(1, 0, 20*ms))
 		if sent := taken[Send](s); len(sent) != 1 {
-			t.Fatalf("limit %d: sent %v", limit, sent)
+			t.Fatalf("limit %d: sent %v, expected one attempt", limit, sent)
 		}
 		s.wait(time.Second) // no notification from the worker
 		if cancelled := taken[Cancel](s); (len(cancelled) > 0) != wantCancelled {
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -6,8 +6,9 @@
 // "among those able to start the job now": a grant is used only if this dispatcher's own rules allow the
 // worker too.
 
-// handleGranted records a granted lease, for useGrants. It releases a grant that is not wanted: the request is
-// closed, or was granted by another coordinator already, or the sender may not coordinate the shard.
+// handleGranted records a granted lease, for useGrants. It releases a grant that is not wanted: if the
+// request is closed, or was granted by another coordinator already, or the sender may not coordinate the
+// shard.
 func (l *leaseClient) handleGranted(from int, message LeaseGranted) {
 	lease := l.byID[message.ID]
 	isWanted := lease != nil && l.directory.canCoordinate(from, lease.shard) &&
--- a/dispatch/machine.go
+++ b/dispatch/machine.go
@@ -6,8 +6,8 @@
 
 import "math"
 
-// minLateOverflows is how many attempts beyond the greatest number of slots seen on a kind of machine must
-// start late before that number bounds what its workers are sent.
+// minLateOverflows is how many attempts beyond the greatest number of slots seen on a machine kind must start
+// late before that number bounds what its workers are sent.
 const minLateOverflows = 2
 
 // machineInfo holds the estimates for one machine kind, from all of its workers.
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, most := range []int{0, 700, 1000, 4000} {
 		if got := len(s.d.ModelSnapshot(most, nil)); got > max(most, 400) {
-			t.Errorf("%d bytes, %d allowed", got, most)
+			t.Errorf("a model snapshot has %d bytes, %d are allowed", got, most)
 		}
 	}
 	snapshot := s.d.ModelSnapshot(4000, nil)
@@ -61,12 +61,12 @@
 // No bytes make a dispatcher panic, or leave it with numbers that are infinite, NaN or out of range.
 func FuzzModelUpdate(f *testing.F) {
 	_, d, _ := randomRun(5, 300)
-	whole := d.ModelSnapshot(1000, nil)
-	f.Add(whole, int64(time.Second), 0.5)
-	for i := range whole {
-		spoilt := slices.Clone(whole)
-		spoilt[i] ^= 0xff
-		f.Add(spoilt, int64(-1), math.Inf(1))
+	full := d.ModelSnapshot(1000, nil)
+	f.Add(full, int64(time.Second), 0.5)
+	for i := range full {
+		corrupted := slices.Clone(full)
+		corrupted[i] ^= 0xff
+		f.Add(corrupted, int64(-1), math.Inf(1))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, age int64, part float64) {
 		d := New(d.settings, 1)
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -92,7 +92,7 @@
 			}
 		}
 		if step%20 == 19 {
-			change = wholeList(workers)
+			change = fullList(workers)
 		}
 		for _, d := range dispatchers {
 			d.Step(time.Hour+time.Duration(step)*time.Second, []Event{change}, nil)
@@ -103,7 +103,7 @@
 	}
 }
 
-func wholeList(workers map[uint64]Worker) WorkerList {
+func fullList(workers map[uint64]Worker) WorkerList {
 	list := WorkerList{Kind: ListFull}
 	for _, worker := range workers {
 		list.Workers = append(list.Workers, worker)
@@ -111,7 +111,7 @@
 	return list
 }
 
-// checkPreferences compares the order of each dispatcher with that of a new one that gets the whole list. It also checks at which
+// checkPreferences compares the order of each dispatcher with that of a new one that gets the full list. It also checks at which
 // position in the first dispatcher's order each one begins.
 func checkPreferences(t *testing.T, dispatchers []*Dispatcher, workers map[uint64]Worker) {
 	t.Helper()
@@ -121,7 +121,7 @@
 	}
 	for index, d := range dispatchers {
 		fresh := New(d.settings, 1)
-		fresh.Step(time.Hour, []Event{wholeList(workers)}, nil)
+		fresh.Step(time.Hour, []Event{fullList(workers)}, nil)
 		for id, worker := range workers {
 			position, size := d.fleet.byID[id].index.preference, sizes[worker.Kind]
 			if want := fresh.fleet.byID[id].index.preference; position != want {
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -50,7 +50,7 @@
 	return first
 }
 
-// hasStalePromotion reports whether a job's entry in the order of promotion is void: the job is not queued
+// hasStalePromotion reports whether a job's entry in the order of promotion is stale: the job is not queued
 // any more, or its priority is lowered.
 func (j *jobInfo) hasStalePromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
 
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -61,7 +61,7 @@
 	s := newHarness(t, set)
 	s.workers(1)
 	s.startOnWorker1(1)
-	s.d.fleet.byID[1].slots.limit, s.d.workload.meanShortSojourn = 1, 0.1 // tau is 0.3 s, and less than half of that for a weight of 8
+	s.d.fleet.byID[1].slots.limit, s.d.workload.meanShortSojourn = 1, 0.1 // tau is 0.3 s, less than half for a weight of 8
 	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
 	s.wait(200 * ms)
 	s.step(s.done(1, 0, 1, OK))
--- a/dispatch/shared_fleet_test.go
+++ b/dispatch/shared_fleet_test.go
@@ -63,10 +63,10 @@
 	return last
 }
 
-func newSharedFleet(schedulers, workers, kinds, slots int, work time.Duration, settings Settings) *sharedFleet {
+func newSharedFleet(dispatchers, workers, kinds, slots int, work time.Duration, settings Settings) *sharedFleet {
 	f := &sharedFleet{
 		settings: settings, slots: slots, work: work, idleTimeout: settings.ConnIdleTimeout * 3 / 4, delay: 200 * time.Microsecond, workers: map[uint64]*sharedWorker{},
-		rng: rand.New(rand.NewPCG(uint64(schedulers), uint64(workers))), now: time.Hour,
+		rng: rand.New(rand.NewPCG(uint64(dispatchers), uint64(workers))), now: time.Hour,
 	}
 	list := WorkerList{Kind: ListFull}
 	for id := range workers {
@@ -74,9 +74,9 @@
 		f.workers[number] = &sharedWorker{}
 		list.Workers = append(list.Workers, Worker{ID: number, Kind: id % kinds, Ready: true})
 	}
-	for index := range schedulers {
+	for index := range dispatchers {
 		own := settings
-		own.Replicas, own.ReplicaIndex = schedulers, index
+		own.Replicas, own.ReplicaIndex = dispatchers, index
 		s := &sharedDispatcher{
 			d: New(own, uint64(index+1)), attempts: map[uint64]int{}, closed: map[uint64]bool{},
 			connections: map[uint64][]time.Duration{},
@@ -181,7 +181,7 @@
 }
 
 // serve simulates random arrivals of jobs for a time, with a rate for each dispatcher.
-func (f *sharedFleet) serve(rates func(scheduler int) float64, span time.Duration) {
+func (f *sharedFleet) serve(rates func(dispatcher int) float64, span time.Duration) {
 	end := f.now + span
 	for index, s := range f.dispatchers {
 		rate := rates(index)
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -82,8 +82,8 @@
 	work := worker.slowStart.sent.sumWith(cost, window, now)
 	budget := s.budget(worker, now)
 	rank, assignees := group.assigneeRank(worker)
-	// Divided equally among many dispatchers, a part would be too small for any job: for each worker all
-	// dispatchers choose the same few of them.
+	// Divided equally among many dispatchers, a part would be too small for any job. Therefore only a few
+	// dispatchers may send the worker jobs: all dispatchers compute the same ones.
 	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*s.arrivals.meanCost+divisionGuard))))
 	// A cordon ends at all dispatchers at once, and none can see whether others have sent the worker a job:
 	// all may do so if the budget holds such a job from each.
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -284,7 +284,7 @@
 
 func newLottery(t *testing.T, replicas int, capacity float64) *lottery {
 	t.Helper()
-	workers := lotteryWarm + lotteryWarming + 1 // their ids count from 1
+	workers := lotteryWarm + lotteryWarming + 1 // their IDs count from 1
 	l := &lottery{
 		t: t, set: testSettings(), rng: rand.New(rand.NewPCG(5, 6)), start: time.Hour, list: WorkerList{Kind: ListFull},
 		all: make([]*Dispatcher, replicas), attempts: make([]map[uint64]int, replicas),
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -118,7 +118,7 @@
 		codec.float(&logs[0], &logs[1], &logs[2], &logs[3])
 	})
 	for _, table := range [][]float64{d.workload.overrunRatio, d.workload.weights} {
-		fixedList(codec, table, func(figure *float64) { codec.float(figure) })
+		fixedList(codec, table, func(value *float64) { codec.float(value) })
 	}
 	fixedList(codec, d.quotas.buckets, func(bucket *tokenBucket) { codec.float(&bucket.tokens) })
 	fixedList(codec, d.objectives.firstTryTimeouts, func(timeout *time.Duration) { codec.duration(timeout) })
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -156,18 +156,18 @@
 	s := &harness{d: d, now: time.Hour, jobs: map[uint64]*harnessJob{}}
 	s.workers(2)
 	s.step(Job{ID: 1, Key: 9, Remaining: time.Second}, Job{ID: 2, Remaining: time.Second})
-	whole := d.Snapshot(nil)
-	if _, err := Restore(Settings{Classes: set.Classes[:1]}, whole); err == nil {
+	full := d.Snapshot(nil)
+	if _, err := Restore(Settings{Classes: set.Classes[:1]}, full); err == nil {
 		f.Error("a snapshot with other classes was accepted")
 	}
-	f.Add(whole)
-	for i := range whole {
-		f.Add(whole[:i])
+	f.Add(full)
+	for i := range full {
+		f.Add(full[:i])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := Restore(set, b)
-		if bytes.Equal(b, whole) != (err == nil) && bytes.HasPrefix(whole, b) {
-			t.Errorf("%d of %d bytes: %v", len(b), len(whole), err)
+		if bytes.Equal(b, full) != (err == nil) && bytes.HasPrefix(full, b) {
+			t.Errorf("%d of %d bytes were restored with error %v", len(b), len(full), err)
 		}
 		if err == nil {
 			r.Snapshot(nil)
--- a/dispatch/snapshotworkers.go
+++ b/dispatch/snapshotworkers.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// machine writes or reads a kind of machine.
+// machine writes or reads a machine kind and its estimates.
 func (c *codec) machine(kind *int, machine **machineInfo) {
 	if *machine == nil {
 		*machine = &machineInfo{}
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -64,7 +64,8 @@
 	d.fleet.rings.update(worker)
 	d.fleet.markDirty(worker)
 	if worker.Ready {
-		// Without waiting for maintenance, as jobs whose objective seems unreachable are rejected.
+		// Not left to the next maintenance: with too low a speed, objectives would seem unreachable, and jobs
+		// would be rejected.
 		d.workload.maxLogSpeed = max(d.workload.maxLogSpeed, worker.speed.log)
 	}
 	return worker
--- a/dispatch/workload.go
+++ b/dispatch/workload.go
@@ -26,7 +26,7 @@
 
 	keyWork     map[uint64]float64   // by key: the work observed in its last run
 	keysOmitted int                  // known keys whose work a snapshot omitted
-	kinds       map[int]*machineInfo // by kind of machine
+	kinds       map[int]*machineInfo // by machine kind
 	maxLogSpeed float64              // of the ready workers
 }
 
