--- a/cmd/valvecove-testbed/agreement.go
+++ b/cmd/valvecove-testbed/agreement.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// agreementScenarios are run by both drivers unless others are named.
+// agreementScenarios are the scenarios that are run if the command line names none.
 var agreementScenarios = []string{
 	"calm", "busy", "crash_cold", "hang", "society_rush", "drain", "planned_restart", "stale_list",
 	"errors", "eid_swell",
@@ -18,13 +18,14 @@
 	Scenarios        []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: ten of the library."`
 	Seeds            int      `name:"seeds" help:"Live runs of each." default:"3"`
 	First            uint64   `name:"first" help:"The first seed." default:"1"`
-	ExtraSimulations int      `name:"more" help:"Further simulated runs, for their spread." default:"27"`
-	Parallelism      int      `name:"at" help:"Live runs at once; those that were late are void." default:"1"`
+	ExtraSimulations int      `name:"more" help:"Further simulated runs of each, which show how much such runs vary." default:"27"`
+	Parallelism      int      `name:"at" help:"Live runs at once; runs in which the testbed was too late are void." default:"1"`
 	Binary           string   `name:"binary" help:"The scheduler's program." type:"path"`
 	JSON             string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 }
 
-// Run runs the scenarios with both drivers.
+// Run runs the scenarios with both drivers. It returns exitViolation as an error if their figures don't agree or a rule was
+// broken.
 func (c *agreementCommand) Run(ctx context.Context, streams *standardStreams) error {
 	names := c.Scenarios
 	if len(names) == 0 {
--- a/cmd/valvecove-testbed/baselines.go
+++ b/cmd/valvecove-testbed/baselines.go
@@ -10,7 +10,7 @@
 
 type baselinesCommand struct {
 	Scenarios  []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
-	FleetSizes []int    `name:"fleets" help:"Instead: the calm and the busy scenario at these numbers of workers." placeholder:"N,N"`
+	FleetSizes []int    `name:"fleets" help:"Scale the scenarios (default: calm and busy) to each of these numbers of workers." placeholder:"N,N"`
 	Jobs       float64  `name:"jobs" help:"With --fleets: jobs of each run." default:"20000"`
 	Policies   []string `name:"policies" help:"Policies; none: all." placeholder:"NAME,NAME"`
 	Metric     string   `name:"figure" help:"The figure that is shown." default:"mix"`
--- a/cmd/valvecove-testbed/binary.go
+++ b/cmd/valvecove-testbed/binary.go
@@ -13,8 +13,8 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// schedulerBinary finds the scheduler's program: the one named, the one beside this program, or a new build. The caller
-// calls remove when it is done, which deletes what was built.
+// schedulerBinary finds the scheduler's program: the one named, valvecove in this program's folder, or a new build. The caller
+// calls remove when it is done, which deletes the build if there is one.
 func schedulerBinary(ctx context.Context, named string, streams *standardStreams) (path string, remove func(), err error) {
 	if named != "" {
 		return named, func() {}, nil
@@ -61,7 +61,7 @@
 	return remove, nil
 }
 
-// revisionDigits is how much of a revision a build's name has.
+// revisionDigits is how many digits of the revision a build's name has.
 const revisionDigits = 12
 
 // buildName describes this build: its revision, whether that was modified, and the Go version.
--- a/cmd/valvecove-testbed/check.go
+++ b/cmd/valvecove-testbed/check.go
@@ -9,7 +9,7 @@
 	Files []string `arg:"" name:"files" help:"Scenario files."`
 }
 
-// Run checks all files, also those after a faulty one.
+// Run checks all files, including those after an invalid one.
 func (c *checkCommand) Run(streams *standardStreams) error {
 	faulty := 0
 	for _, name := range c.Files {
--- a/cmd/valvecove-testbed/compare.go
+++ b/cmd/valvecove-testbed/compare.go
@@ -16,11 +16,11 @@
 	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
 	Driver    string   `name:"driver" help:"virtual (simulated time) or live (real processes)." enum:"virtual,live" default:"virtual"`
 	A         string   `name:"a" help:"One side: a policy, or (live) a scheduler's program." default:"logic"`
-	B         string   `name:"b" help:"The other side; the same kinds." default:""`
+	B         string   `name:"b" help:"The other side: a policy, or (live) a scheduler's program; default: as A." default:""`
 	ASet      []string `name:"a-set" help:"Change a key of the scenario for A." sep:"none" placeholder:"KEY=VALUE"`
 	BSet      []string `name:"b-set" help:"Change a key of the scenario for B." sep:"none" placeholder:"KEY=VALUE"`
-	ATestbed  string   `name:"a-testbed" aliases:"a-lab" help:"A is run by another build's valvecove-testbed." type:"existingfile"`
-	BTestbed  string   `name:"b-testbed" aliases:"b-lab" help:"B is run by another build's valvecove-testbed." type:"existingfile"`
+	ATestbed  string   `name:"a-testbed" aliases:"a-lab" help:"Run A with another build's valvecove-testbed." type:"existingfile"`
+	BTestbed  string   `name:"b-testbed" aliases:"b-lab" help:"Run B with another build's valvecove-testbed." type:"existingfile"`
 	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 	Report    string   `name:"report" help:"Write a page of HTML for each scenario into this folder." type:"path" placeholder:"DIR"`
 	seedFlags
@@ -53,7 +53,7 @@
 	return c.writeResults(results, streams)
 }
 
-// subjects are the two sides, which differ.
+// subjects returns the two sides, or an error if they are the same.
 func (c *compareCommand) subjects() ([]experiment.Subject, error) {
 	nameA, nameB := c.A, c.B
 	if nameB == "" {
@@ -74,7 +74,8 @@
 	return []experiment.Subject{a, b}, nil
 }
 
-// subject is one side. Its name says how it differs from others, and is the side's letter if nothing does.
+// subject returns one side. Its name has the testbed, the policy or program, and the changes, as far as they are given; without
+// any it is the side's letter.
 func (c *compareCommand) subject(letter, name string, changes []string, testbed string) experiment.Subject {
 	subject := experiment.Subject{Set: changes, Testbed: testbed}
 	if c.Driver == scenario.DriverProcess {
@@ -93,8 +94,8 @@
 	return subject
 }
 
-// prepareBinaries gives sides without a program the scheduler's own, with the process driver. The caller calls remove when
-// the comparison is done.
+// prepareBinaries sets the program of each side that names none to the one that schedulerBinary finds. It does nothing in the
+// simulation. The caller calls remove when the comparison is done.
 func (c *compareCommand) prepareBinaries(
 	ctx context.Context, job *experiment.Job, subjects []experiment.Subject, streams *standardStreams,
 ) (remove func(), err error) {
@@ -113,7 +114,8 @@
 	return remove, nil
 }
 
-// writeResults writes the JSON, the pages of HTML, and the pages on standard output.
+// writeResults writes the JSON, the pages of HTML, and the pages on standard output. It returns exitViolation as an error if a
+// rule was broken.
 func (c *compareCommand) writeResults(results []*report.Comparison, streams *standardStreams) error {
 	if c.JSON != "" {
 		if err := saveJSON(c.JSON, results, streams); err != nil {
--- a/cmd/valvecove-testbed/demo.go
+++ b/cmd/valvecove-testbed/demo.go
@@ -12,8 +12,8 @@
 )
 
 type demoCommand struct {
-	Stay   bool   `name:"stay" help:"Keep everything up at the end, with commands to try, until interrupted."`
-	Binary string `name:"binary" help:"The scheduler's program. Default: valvecove beside this one, or else built." type:"path"`
+	Stay   bool   `name:"stay" help:"Keep everything running at the end, until interrupted, and print commands to try."`
+	Binary string `name:"binary" help:"The scheduler's program. Default: valvecove in this program's folder, or else a new build." type:"path"`
 	Seed   uint64 `name:"seed" help:"Seed." default:"1"`
 	Length string `name:"length" help:"How long clients submit jobs." default:"20s"`
 	outputFlags
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer remove()
-	fmt.Fprintf(streams.stderr, "%s\n%d workers, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
+	fmt.Fprintf(streams.stderr, "%s\n%d workers, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this program.\n\n",
 		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
 	display := newProgressDisplay(streams.stderr)
 	printLine := func(line string) { display.printLine(streams.stderr, line) }
@@ -49,7 +49,7 @@
 	return verdictError(result)
 }
 
-// job is the demo's run. printLine gets a line for each event worth one.
+// job returns the demo's run. printLine is called with a line for each event that is worth showing.
 func (c *demoCommand) job(spec *scenario.Scenario, binary string, display *progressDisplay, printLine func(line string)) experiment.Job {
 	var addresses process.Addresses
 	job := experiment.Job{
@@ -91,13 +91,13 @@
 	}
 }
 
-// demoInstructions are commands to try on a demo that stays up.
+// demoInstructions returns the text with commands to try while the demo is kept running.
 func demoInstructions(addresses *process.Addresses, spec *scenario.Scenario) string {
-	text := "\nIt stays up until you interrupt it (Ctrl-C), and is checked then. Try:\n\n"
+	text := "\nThe demo keeps running until you interrupt it (Ctrl-C); its run is checked then. Try:\n\n"
 	if len(addresses.Schedulers) > 0 {
 		address := addresses.Schedulers[0]
 		class := spec.Classes[0]
-		// A budget below the deadline would look like a client's retry, whose objective is past.
+		// With a budget below the deadline the request would look like a client's retry, whose latency objective has passed.
 		budget := class.Deadline.Std().Milliseconds()
 		text += fmt.Sprintf("  curl -i http://%s/up\n", address)
 		text += fmt.Sprintf("  curl -i -X POST http://%s/%s/42 -H 'X-Call-Id: 00000000000000a1' -H 'X-Call-Class: %s' "+
@@ -109,7 +109,7 @@
 	return text
 }
 
-// describeEvent is the line for an event of the demo; empty if it is not worth one.
+// describeEvent returns the line for an event of the demo, or "" if the event is not worth showing.
 func describeEvent(event *trace.Event) string {
 	text := ""
 	switch event.Kind {
@@ -120,7 +120,7 @@
 	case trace.FaultStarted:
 		text = "fault: " + event.Text
 	case trace.FaultEnded:
-		text = "over: " + event.Text
+		text = "fault over: " + event.Text
 	case trace.WorkerStopped:
 		text = fmt.Sprintf("worker w-%d is down", event.Worker)
 	case trace.WorkerStarted:
@@ -128,7 +128,7 @@
 			text = fmt.Sprintf("worker w-%d is up again, cold", event.Worker)
 		}
 	case trace.DrainNotified:
-		text = fmt.Sprintf("scheduler %d hears that w-%d is gone or drains", event.Scheduler, event.Worker)
+		text = fmt.Sprintf("scheduler %d is notified that w-%d drains or is gone", event.Scheduler, event.Worker)
 	}
 	if text == "" {
 		return ""
--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -15,43 +15,44 @@
 	"valvecove/internal/testbed/fleet"
 )
 
-// Processes that a measurement starts from this program, as values of --as.
+// Values of --as. A measurement starts this program again with each, as a further process.
 const (
 	roleRig   = "rig"
 	roleProxy = "proxy"
 )
 
-// fleetCommand measures schedulers in front of large fleets. It is also the processes that a measurement starts.
+// fleetCommand measures schedulers in front of large fleets. With --as it runs as a process that a
+// measurement starts.
 type fleetCommand struct {
 	Nodes     []int         `name:"nodes" help:"Numbers of workers." default:"10,100,1000,3000"`
 	Notices   []string      `name:"notices" help:"Whether workers notify the scheduler of starts." enum:"on,off" default:"on,off"`
-	Hints     []string      `name:"hints" help:"Factors that hints of the work are wrong by: 1, 1/30, 30; none: no hints." default:"1,1/30,30"`
-	Binary    []string      `name:"binary" help:"The scheduler's program, as PATH or NAME=PATH; may be given again. Default: valvecove beside this one, or else built." sep:"none" placeholder:"NAME=PATH"`
+	Hints     []string      `name:"hints" help:"Factors by which hints of the work are wrong: 1, 1/30, 30; none: no hints." default:"1,1/30,30"`
+	Binary    []string      `name:"binary" help:"The scheduler's program, as PATH or NAME=PATH; may be repeated. Default: valvecove in this program's folder, or else a new build." sep:"none" placeholder:"NAME=PATH"`
 	Baselines []string      `name:"baselines" aliases:"yardsticks" help:"Also measured at each number of workers: the reverse proxy, and clients that call workers directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
-	For       time.Duration `name:"for" help:"How long is measured." default:"10s"`
-	WarmUp    time.Duration `name:"warm" help:"Warm-up before that." default:"3s"`
+	For       time.Duration `name:"for" help:"Length of the measurement." default:"10s"`
+	WarmUp    time.Duration `name:"warm" help:"Length of the warm-up before it." default:"3s"`
 	Runs      int           `name:"runs" help:"Measurements of each configuration." default:"1"`
 	Clients   int           `name:"clients" help:"Clients that each wait for their response." default:"200"`
 	Work      time.Duration `name:"work" help:"Run time of a job." default:"20ms"`
-	Burst     int           `name:"burst" help:"So many further jobs in the first second, while the whole endpoint list arrives; nothing is warm then." default:"0"`
+	Burst     int           `name:"burst" help:"Number of further jobs in the first second, while the whole endpoint list arrives; there is no warm-up then." default:"0"`
 	Restart   bool          `name:"restart-third" help:"A third of the workers restart within 10 s."`
-	Silent    float64       `name:"silent" help:"This share of the workers, all in one place, is silent for a third of the time." default:"0"`
-	Freeze    time.Duration `name:"freeze" help:"The scheduler is stopped for so long." default:"0s"`
-	Seconds   bool          `name:"seconds" help:"Also print what was served second by second; implied by any of the four above."`
-	JSON      string        `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE"`
-	With      []string      `name:"with" help:"Include the measurements of an earlier --json FILE; may be given again. With --runs=0 nothing is measured." sep:"none" placeholder:"FILE" type:"existingfile"`
+	Silent    float64       `name:"silent" help:"Share of the workers, adjacent in the endpoint list, that is silent for a third of the time." default:"0"`
+	Freeze    time.Duration `name:"freeze" help:"How long the scheduler is stopped." default:"0s"`
+	Seconds   bool          `name:"seconds" help:"Also print what was served in each second; implied by --burst, --restart-third, --silent and --freeze."`
+	JSON      string        `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, which then gets nothing else." placeholder:"FILE"`
+	With      []string      `name:"with" help:"Include the measurements of an earlier --json FILE; may be repeated. With --runs=0 nothing is measured." sep:"none" placeholder:"FILE" type:"existingfile"`
 	Logs      string        `name:"logs" help:"Keep schedulers' configurations and logs under this folder." type:"path"`
 	Seed      uint64        `name:"seed" help:"Seed of ids." default:"1"`
-	Role      string        `name:"as" hidden:"" enum:",rig,proxy" default:"" help:"Be one of the processes that a measurement starts, configured by standard input."`
+	Role      string        `name:"as" hidden:"" enum:",rig,proxy" default:"" help:"Run as one of the processes that a measurement starts, configured by standard input."`
 }
 
 // Help is appended to the subcommand's help.
 func (c *fleetCommand) Help() string {
 	return `One scheduler on a core to itself, fake workers with four slots each, and clients that each wait for their
-response, on sockets of 127.0.0.0/8. Stop all else on the machine: processor time and delay are measured.`
+response, on sockets of 127.0.0.0/8. Stop everything else on the machine first: processor time and delay are measured.`
 }
 
-// Run measures all configurations, run by run, so that what changes on the machine affects all of them alike.
+// Run measures all configurations once before it measures any again, so that changes on the machine affect all of them alike.
 func (c *fleetCommand) Run(ctx context.Context, streams *standardStreams) error {
 	switch c.Role {
 	case roleRig:
@@ -99,7 +100,7 @@
 	return c.writeReport(report, streams)
 }
 
-// earlierMeasurements is a report with the measurements of the files that --with names.
+// earlierMeasurements returns a report with the measurements of the files that --with names.
 func (c *fleetCommand) earlierMeasurements() (*fleet.Report, error) {
 	report := &fleet.Report{Cores: runtime.NumCPU(), Measurements: []fleet.Measurement{}}
 	for _, name := range c.With {
@@ -116,10 +117,11 @@
 	return report, nil
 }
 
-// namedBuild is a build of the scheduler that is measured.
+// namedBuild is a build of the scheduler to be measured.
 type namedBuild struct{ name, path string }
 
-// builds are those that --binary names, or the scheduler's own program. The caller calls remove also after an error.
+// builds returns the builds that --binary names, or else the program that schedulerBinary finds. The caller calls remove, also
+// after an error.
 func (c *fleetCommand) builds(ctx context.Context, streams *standardStreams) (all []namedBuild, remove func(), err error) {
 	remove = func() {}
 	for _, value := range c.Binary {
@@ -129,10 +131,10 @@
 		}
 		isNameTaken := slices.ContainsFunc(all, func(other namedBuild) bool { return other.name == build.name })
 		if isNameTaken || !isBuildName(build.name) {
-			return nil, remove, fmt.Errorf("--binary %s: %q is no name for a build, or not its alone", value, build.name)
+			return nil, remove, fmt.Errorf("--binary %s: %q is not a valid name for a build, or is used twice", value, build.name)
 		}
 		if !isExecutable(build.path) {
-			return nil, remove, fmt.Errorf("--binary %s: no program", value)
+			return nil, remove, fmt.Errorf("--binary %s: not an executable file", value)
 		}
 		all = append(all, build)
 	}
@@ -156,7 +158,7 @@
 	return namedBuild{name, path}, err
 }
 
-// isBuildName reports whether a name can stand for a build: it is no path, and no baseline has it.
+// isBuildName reports whether a build can have a name, which must be neither a path nor a baseline's name.
 func isBuildName(name string) bool {
 	switch name {
 	case "", fleet.Proxy, fleet.Direct, fleet.Ceiling:
@@ -165,7 +167,7 @@
 	return name == filepath.Base(name)
 }
 
-// binaryOf is the program of a build; empty for a baseline.
+// binaryOf returns the path of a build's program, or "" for a baseline.
 func binaryOf(builds []namedBuild, name string) string {
 	for _, build := range builds {
 		if build.name == name {
@@ -175,7 +177,7 @@
 	return ""
 }
 
-// configurations are what is measured in each run.
+// configurations returns what each run measures.
 func (c *fleetCommand) configurations(builds []namedBuild) ([]fleet.TableRow, error) {
 	var all []fleet.TableRow
 	for _, build := range builds {
@@ -194,7 +196,7 @@
 	return append(all, c.baselines()...), nil
 }
 
-// baselines are the configurations without a scheduler.
+// baselines returns the configurations without a scheduler.
 func (c *fleetCommand) baselines() []fleet.TableRow {
 	var all []fleet.TableRow
 	for _, baseline := range []string{fleet.Proxy, fleet.Direct} {
@@ -211,7 +213,7 @@
 	return all
 }
 
-// options are what all measurements have in common.
+// options returns the options that all measurements have in common.
 func (c *fleetCommand) options() (fleet.Options, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -228,7 +230,8 @@
 	return options, nil
 }
 
-// logDir makes the folder of a measurement's logs, both numbers from 0; empty: none is kept.
+// logDir creates and returns the folder for a measurement's logs, or returns "" if logs are not kept. The run and the
+// configuration are counted from 0.
 func (c *fleetCommand) logDir(run, configuration int) (string, error) {
 	if c.Logs == "" {
 		return "", nil
@@ -237,7 +240,7 @@
 	return dir, os.MkdirAll(dir, 0o755)
 }
 
-// writeReport writes the JSON and the tables.
+// writeReport writes the JSON and the tables. It returns exitInvalid as an error if a measurement is invalid.
 func (c *fleetCommand) writeReport(report *fleet.Report, streams *standardStreams) error {
 	if c.JSON != "" {
 		if err := saveJSON(c.JSON, report, streams); err != nil {
--- a/cmd/valvecove-testbed/list.go
+++ b/cmd/valvecove-testbed/list.go
@@ -8,7 +8,7 @@
 
 type listCommand struct{}
 
-// Run lists the library.
+// Run lists the scenarios of the library.
 func (listCommand) Run(streams *standardStreams) error {
 	for _, name := range scenarios.Names() {
 		spec, err := scenarios.Open(name)
--- a/cmd/valvecove-testbed/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -18,15 +18,15 @@
 )
 
 type loadCommand struct {
-	Target string        `name:"target" help:"Address and port on 127.0.0.0/8; empty: a responder of the testbed's own, which answers at once." default:""`
+	Target string        `name:"target" help:"Address and port on 127.0.0.0/8; empty: the testbed's own responder, which responds at once." default:""`
 	Rate   float64       `name:"rate" help:"Requests a second." default:"30000"`
 	Conns  int           `name:"conns" help:"Connections." default:"256"`
-	Cores  int           `name:"cores" help:"Threads that make the load." default:"2"`
-	For    time.Duration `name:"for" help:"How long requests fall due." default:"10s"`
+	Cores  int           `name:"cores" help:"Threads that generate the load." default:"2"`
+	For    time.Duration `name:"for" help:"For how long requests become due." default:"10s"`
 	Seed   uint64        `name:"seed" help:"Seed of the arrival times." default:"1"`
 }
 
-// Run applies the load, and prints the latency from when requests were due.
+// Run applies the load, and prints the latency, measured from when each request was due.
 func (c *loadCommand) Run(ctx context.Context, streams *standardStreams) error {
 	target := c.Target
 	if target == "" {
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -1,6 +1,6 @@
-// Command valvecove-testbed runs scenarios against schedulers, in simulated time or with real processes, checks that the
-// invariants held, and reports the figures. It has one subcommand a file. It is a tool for development: nothing of it is
-// on the serving path, and it connects to nothing but what it starts itself.
+// Command valvecove-testbed runs scenarios against schedulers, in simulated time or with real processes, checks their
+// invariants, and reports the figures. Each subcommand has a file of its own. It is a development tool: none of it is on the
+// serving path, and it connects only to what it starts itself.
 package main
 
 import (
@@ -20,8 +20,8 @@
 const (
 	exitOK        = 0
 	exitViolation = 1 // a rule was broken, an expectation not met, or the drivers disagree
-	exitUsage     = 2 // wrong usage, a faulty file, something this machine could not do, or interrupted
-	exitInvalid   = 3 // the testbed itself was too late: the run is no result
+	exitUsage     = 2 // wrong usage, an invalid file, something that this machine could not do, or an interrupt
+	exitInvalid   = 3 // the testbed itself was too late, so the run is invalid
 )
 
 // garbageCollectionPercent lets the heap grow to five times the live data: a run allocates much and retains little.
@@ -29,18 +29,18 @@
 
 // commands are the subcommands.
 type commands struct {
-	Demo      demoCommand      `cmd:"" name:"demo" help:"Start discovery, workers, a scheduler and clients, kill a worker on the way, and check the run."`
+	Demo      demoCommand      `cmd:"" name:"demo" help:"Start discovery, workers, a scheduler and clients, kill a worker during the run, and check the run."`
 	Play      playCommand      `cmd:"" name:"play" help:"Run a scenario once, check its invariants, and show its figures."`
 	Compare   compareCommand   `cmd:"" name:"compare" help:"Run two builds, configurations or policies on the same scenarios, paired by seed."`
-	Variation variationCommand `cmd:"" name:"sweep" help:"Run a scenario with one key, or two, taking several values."`
+	Variation variationCommand `cmd:"" name:"sweep" help:"Run a scenario with several values of one key, or of two."`
 	Search    searchCommand    `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the worst runs, minimised."`
 	Agreement agreementCommand `cmd:"" name:"agree" help:"Run scenarios with both drivers, and set their figures side by side."`
 	Baselines baselinesCommand `cmd:"" name:"baselines" help:"Compare the dispatch policy with the baseline policies, scenario by scenario."`
 	Speed     speedCommand     `cmd:"" name:"speed" help:"Measure how fast the simulation runs on one core, by fleet size."`
-	Load      loadCommand      `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the testbed's own."`
+	Load      loadCommand      `cmd:"" name:"load" help:"Apply an open-loop load to an address, or to the testbed's own responder."`
 	Fleet     fleetCommand     `cmd:"" name:"fleet" help:"Measure a scheduler in front of large fleets on sockets, beside the standard library's reverse proxy."`
-	Growth    growthCommand    `cmd:"" name:"growth" help:"Measure what a scheduler needs as its fleet grows, beside what the standing test allows."`
-	Mutants   mutantsCommand   `cmd:"" name:"mutants" help:"Run each mutant, and say whether the invariant checker finds it."`
+	Growth    growthCommand    `cmd:"" name:"growth" help:"Measure the resources that a scheduler needs as its fleet grows, beside the limits of the standing growth test."`
+	Mutants   mutantsCommand   `cmd:"" name:"mutants" help:"Run each mutant, and report whether the invariant checker finds it."`
 	List      listCommand      `cmd:"" name:"list" help:"List the scenarios of the library."`
 	Check     checkCommand     `cmd:"" name:"check" help:"Check scenario files."`
 	Version   versionCommand   `cmd:"" name:"version" help:"Print which build this is."`
@@ -51,8 +51,9 @@
 
 const programDescription = `The testbed of valvecove. SCENARIO is a name of the library ("valvecove-testbed list"), a file, or - for standard input.
 
-Exit codes: 0 as expected; 1 a rule was broken, an expectation not met, or the drivers disagree; 2 wrong usage, a faulty
-file, something this machine could not do, or interrupted; 3 the testbed itself was too late, so the run is no result.`
+Exit codes: 0 as expected; 1 a rule was broken, an expectation not met, or the drivers disagree; 2 wrong usage, an
+invalid file, something that this machine could not do, or an interrupt; 3 the testbed itself was too late, so the run is
+invalid.`
 
 // exitError ends a subcommand with an exit code other than 0. Its cause has been printed already.
 type exitError int
@@ -68,14 +69,14 @@
 func main() {
 	debug.SetGCPercent(garbageCollectionPercent)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	// A second signal ends the process at once: a simulated run does not look at its context.
+	// After the first signal, a second one ends the process at once, because a simulated run does not check its context.
 	context.AfterFunc(ctx, stop)
 	code := run(ctx, os.Args[1:], &standardStreams{stdin: os.Stdin, stdout: os.Stdout, stderr: os.Stderr})
 	stop()
 	os.Exit(code)
 }
 
-// run runs a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(ctx context.Context, args []string, streams *standardStreams) int {
 	var line commands
 	helpExitCode := -1 // until help has been printed
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// tinyScenario takes milliseconds in simulated time.
+// tinyScenario runs within milliseconds of real time in the simulation.
 const tinyScenario = "name = \"tiny\"\nlength = \"3s\"\n[fleet]\nnodes = 4\n"
 
-// runCommandLine runs the program with a text on its standard input.
+// runCommandLine runs the program with the given text as its standard input.
 func runCommandLine(t *testing.T, stdin string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var stdoutBuffer, stderrBuffer bytes.Buffer
@@ -33,7 +33,7 @@
 		stdin          string
 		args           string
 		code           int
-		stdout, stderr string // parts of what is written
+		stdout, stderr string // must occur in the output
 	}{
 		{"", "list", 0, "calm ", ""},
 		{"", "check " + kept, 0, "sound", ""},
@@ -85,8 +85,8 @@
 	}
 }
 
-// JSON on standard output is alone there, and the folder of a report holds a scenario that gives the same run again.
-func TestReportsRunAgain(t *testing.T) {
+// With --json - standard output has nothing but the JSON, and running the scenario in a report's folder repeats the run exactly.
+func TestReportedScenarioRepeatsRun(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "report")
 	code, stdout, _ := runCommandLine(t, tinyScenario, "play", "-", "--seed", "5", "--json", "-", "--report", dir)
 	var document struct {
@@ -107,6 +107,6 @@
 	}
 	_, again, _ := runCommandLine(t, "", "play", filepath.Join(dir, "scenario.toml"), "--seed", "5", "--json", "-")
 	if again != stdout {
-		t.Error("the scenario in the report's folder gives another run")
+		t.Error("the scenario in the report's folder does not repeat the run")
 	}
 }
--- a/cmd/valvecove-testbed/mutants.go
+++ b/cmd/valvecove-testbed/mutants.go
@@ -11,8 +11,8 @@
 )
 
 type mutantsCommand struct {
-	Names []string `arg:"" name:"names" optional:"" help:"Of mutants; none: all."`
-	Seeds int      `name:"seeds" help:"Runs of each." default:"1"`
+	Names []string `arg:"" name:"names" optional:"" help:"Names of mutants; none: all."`
+	Seeds int      `name:"seeds" help:"Runs of each mutant." default:"1"`
 }
 
 // Run runs the mutants, and prints whether each was found by its rule.
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// runs is the number of runs of each mutant.
+// runs returns the number of runs of each mutant.
 func (c *mutantsCommand) runs() int { return max(1, c.Seeds) }
 
-// detect returns in how many runs a mutant broke its rule, and in how many it broke each other one.
+// detect returns in how many runs a mutant broke its rule, and for each other rule in how many runs it broke that.
 func (c *mutantsCommand) detect(ctx context.Context, mutant *mutation.Mutant) (found int, otherRules map[string]int, err error) {
 	otherRules = map[string]int{}
 	for _, seed := range experiment.Seeds(1, c.runs()) {
--- a/cmd/valvecove-testbed/open.go
+++ b/cmd/valvecove-testbed/open.go
@@ -12,7 +12,7 @@
 	"valvecove/scenarios"
 )
 
-// maxScenarioBytes bounds a scenario on standard input.
+// maxScenarioBytes is the maximum size of a scenario on standard input.
 const maxScenarioBytes = 1 << 20
 
 // openScenario reads a scenario: from standard input for -, from a file, or from the library.
@@ -31,7 +31,7 @@
 	if err == nil || slices.Contains(scenarios.Names(), name) {
 		return spec, err
 	}
-	return nil, fmt.Errorf("no scenario of the library is called %q; see valvecove-testbed list", name)
+	return nil, fmt.Errorf("the library has no scenario %q; see valvecove-testbed list", name)
 }
 
 // openScenarios reads several scenarios. Without names it returns those of the library that the driver supports.
@@ -49,13 +49,13 @@
 		if spec.SupportsDriver(driver) {
 			specs = append(specs, spec)
 		} else if !wholeLibrary {
-			return nil, fmt.Errorf("%s is not for the %s driver", name, driver)
+			return nil, fmt.Errorf("scenario %s does not support the %s driver", name, driver)
 		}
 	}
 	return specs, nil
 }
 
-// openScaled reads scenarios and scales each to fleets of several sizes; without names, the calm and the busy one.
+// openScaled reads scenarios and scales each to fleets of several sizes. Without names it reads "calm" and "busy".
 func openScaled(names []string, sizes []int, jobs float64, streams *standardStreams) ([]*scenario.Scenario, error) {
 	if len(names) == 0 {
 		names = []string{"calm", "busy"}
--- a/cmd/valvecove-testbed/output.go
+++ b/cmd/valvecove-testbed/output.go
@@ -10,10 +10,10 @@
 	"valvecove/internal/testbed/report"
 )
 
-// outputFlags say where the report of a run goes.
+// outputFlags select where the report of a run is written.
 type outputFlags struct {
-	JSON   string `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE" optional:""`
-	Report string `name:"report" help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
+	JSON   string `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, which then gets nothing else." placeholder:"FILE" optional:""`
+	Report string `name:"report" help:"Write the report into this folder: index.html (which can be read offline), figures.json and scenario.toml." placeholder:"DIR" type:"path"`
 }
 
 // writeResult writes the report of a run: the folder, the JSON, and the page on standard output.
@@ -73,11 +73,11 @@
 	}
 }
 
-// maxExplanations are shown on the terminal; the report has all that the invariant checker kept.
+// maxExplanations is how many explanations are shown on the terminal; the report has all that the invariant checker kept.
 const maxExplanations = 3
 
-// writeExplanations writes the whole explanation of the first violations, in order of time, one of each rule before a
-// second of any.
+// writeExplanations writes the full explanations of the first violations. It shows the earliest violation of each rule
+// before the second one of any rule.
 func writeExplanations(w io.Writer, result *experiment.RunResult) {
 	shownByRule := map[string]int{}
 	shown := 0
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// saveFile writes a file in a folder, which it makes if there is none.
+// saveFile writes a file in a folder, which it creates if it doesn't exist.
 func saveFile(dir, name string, write func(w io.Writer) error) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -13,12 +13,12 @@
 
 type playCommand struct {
 	Scenario   string `arg:"" name:"scenario" optional:"" help:"Name, file or -."`
-	From       string `name:"from" help:"Run a kept file again, exactly: with the seed that it names." placeholder:"FILE" type:"existingfile"`
+	From       string `name:"from" help:"Repeat a run exactly: that of a scenario file which names its seed, as hunt --out writes them." placeholder:"FILE" type:"existingfile"`
 	Driver     string `name:"driver" help:"virtual (simulated time) or live (real processes)." enum:"virtual,live" default:"virtual"`
 	Seed       uint64 `name:"seed" help:"Seed; 0: that of the scenario, or else 1." default:"0"`
-	Mutant     string `name:"mutant" help:"Put a mutant in front of each scheduler; virtual only. See valvecove-testbed mutants."`
+	Mutant     string `name:"mutant" help:"Run a mutant, in front of each scheduler or in place of its policy; virtual only. See valvecove-testbed mutants."`
 	Starvation bool   `name:"starvation" aliases:"starve" help:"Look for attempts that wait or are rejected while workers are idle."`
-	Quiet      bool   `name:"quiet" short:"q" help:"No progress."`
+	Quiet      bool   `name:"quiet" short:"q" help:"Show no progress."`
 	Logs       string `name:"logs" help:"Keep the schedulers' configuration and logs in this folder; live only." type:"path"`
 	subjectFlags
 	outputFlags
@@ -79,7 +79,7 @@
 	return job, nil
 }
 
-// asPath makes sure that a file's name is not taken for a name of the library.
+// asPath returns the path of a file in a form that can't be taken for the name of a scenario in the library.
 func asPath(file string) string {
 	if filepath.Base(file) == file {
 		return "." + string(os.PathSeparator) + file
@@ -87,14 +87,14 @@
 	return file
 }
 
-// seed returns the seed of the run: that of a kept file, or that of the flag, or that of the scenario, or else 1.
+// seed returns the seed of the run. With --from it is that of the file; else it is that of --seed, that of the scenario, or 1.
 func (c *playCommand) seed(spec *scenario.Scenario) (uint64, error) {
 	kept := uint64(spec.Seed)
 	switch {
 	case c.From != "" && kept == 0:
-		return 0, fmt.Errorf("%s: key \"seed\": missing; it was not kept for a run", c.From)
+		return 0, fmt.Errorf("%s: key \"seed\": missing, so --from can't repeat a run of it", c.From)
 	case c.From != "" && c.Seed != 0 && c.Seed != kept:
-		return 0, fmt.Errorf("--from runs %s exactly, with seed %d", c.From, kept)
+		return 0, fmt.Errorf("--seed conflicts with --from, which repeats the run of %s with its seed %d", c.From, kept)
 	case c.Seed == 0:
 		return max(1, kept), nil
 	}
--- a/cmd/valvecove-testbed/progress.go
+++ b/cmd/valvecove-testbed/progress.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/testbed/score"
 )
 
-// newProgressCounter returns a function that prints each further tenth of an experiment's runs.
+// newProgressCounter returns a function that prints the progress of an experiment, once for each tenth of its runs.
 func newProgressCounter(w io.Writer, command string) func(done, total int) {
 	lastTenth := -1
 	return func(done, total int) {
@@ -44,14 +44,14 @@
 	return display
 }
 
-// showSnapshot shows how the run stands. It copies the snapshot.
+// showSnapshot shows the state of the run. It copies the snapshot.
 func (d *progressDisplay) showSnapshot(snapshot *score.Snapshot) {
 	current := *snapshot
 	current.Faults = slices.Clone(snapshot.Faults)
 	d.enqueue(func(progress *report.Progress) { progress.Show(&current) })
 }
 
-// printLine prints a line between those of progress.
+// printLine prints a line between two progress lines.
 func (d *progressDisplay) printLine(w io.Writer, line string) {
 	d.enqueue(func(progress *report.Progress) {
 		progress.Done()
@@ -59,6 +59,7 @@
 	})
 }
 
+// enqueue adds an update, or drops it if too many are waiting.
 func (d *progressDisplay) enqueue(update func(progress *report.Progress)) {
 	select {
 	case d.updates <- update:
--- a/cmd/valvecove-testbed/speed.go
+++ b/cmd/valvecove-testbed/speed.go
@@ -15,7 +15,7 @@
 	Fleets   []int   `name:"fleets" help:"Numbers of workers." default:"10,100,1000,10000"`
 	Jobs     float64 `name:"jobs" help:"Jobs of each run." default:"100000"`
 	Policy   string  `name:"policy" help:"Policy." default:"logic"`
-	Runs     int     `name:"runs" help:"Runs of each, of which the median counts." default:"3"`
+	Runs     int     `name:"runs" help:"Runs of each fleet, whose minimum, median and maximum are shown." default:"3"`
 }
 
 // Run measures each fleet, with and without the invariant checker, on one core.
--- a/cmd/valvecove-testbed/variation.go
+++ b/cmd/valvecove-testbed/variation.go
@@ -14,7 +14,7 @@
 type variationCommand struct {
 	Scenario string `arg:"" name:"scenario" help:"Name, file or -."`
 	Vary     string `name:"vary" help:"The key and its values: load.of=0.3,0.5,0.7 or load.of=0.2..1.2/11." required:""`
-	Curves   string `name:"curves" help:"A second key; a curve for each of its values."`
+	Curves   string `name:"curves" help:"A second key and its values, each with a curve of its own."`
 	Metric   string `name:"figure" help:"The figure that is drawn." default:"mix"`
 	Driver   string `name:"driver" help:"virtual (simulated time) or live (real processes)." enum:"virtual,live" default:"virtual"`
 	JSON     string `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
@@ -43,7 +43,7 @@
 	return c.writeResult(result, streams)
 }
 
-// variation turns the flags into a variation, without what the process driver needs.
+// variation turns the flags into a variation. It leaves out what only the process driver needs.
 func (c *variationCommand) variation(streams *standardStreams) (experiment.Variation, error) {
 	variation := experiment.Variation{
 		Seeds: c.list(), Driver: c.Driver, Figure: c.Metric, Parallelism: c.parallelism(c.Driver),
@@ -53,11 +53,11 @@
 	if variation.Spec, err = openScenario(c.Scenario, streams); err != nil {
 		return variation, err
 	}
-	if variation.Vary, err = experiment.ParseVary(c.Vary); err != nil {
+	if variation.Vary, err = experiment.ParseVariedKey(c.Vary); err != nil {
 		return variation, err
 	}
 	if c.Curves != "" {
-		if variation.Curves, err = experiment.ParseVary(c.Curves); err != nil {
+		if variation.Curves, err = experiment.ParseVariedKey(c.Curves); err != nil {
 			return variation, err
 		}
 	}
@@ -94,5 +94,5 @@
 	for _, headline := range score.Headlines {
 		names = append(names, headline.Name)
 	}
-	return metric, fmt.Errorf("--figure: %q is none of %s", name, strings.Join(names, ", "))
+	return metric, fmt.Errorf("--figure: unknown figure %q, expected one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/testbed/experiment/agreement.go
+++ b/internal/testbed/experiment/agreement.go
@@ -11,44 +11,46 @@
 	"valvecove/internal/testbed/score"
 )
 
-// Agreement is scenarios played by both drivers, on the same seeds.
+// Agreement runs scenarios with both drivers on the same seeds, and compares their figures. Live runs are those with the process
+// driver.
 type Agreement struct {
 	Specs              []*scenario.Scenario
-	Seeds              []uint64 // of the live runs
-	ExtraSimulations   int      // further seeds in simulated time, which cost little, for its spread
-	ProcessParallelism int      // live runs at once; default 1. Those that were late are void
+	Seeds              []uint64 // of the live runs, and of as many simulations
+	ExtraSimulations   int      // simulations on further seeds, which cost little and show how much simulations vary
+	ProcessParallelism int      // live runs at once; default 1. Live runs in which the testbed was too late are invalid
 	Subject            Subject
 	Job                Job
 }
 
-// firstExtraSeed is far from the seeds that both drivers run.
+// firstExtraSeed is far from the seeds that both drivers use.
 const firstExtraSeed = 1 << 40
 
-// AgreementMetrics are the figures that are set side by side.
+// AgreementMetrics are the figures that are compared.
 var AgreementMetrics = []string{"in_time", "served", "refused", "failed", "unanswered", "lost"}
 
-// Allowance is what live and virtual may differ by beyond three times the spread of single virtual runs: what the
-// model leaves out (time to decide, parse and write, the kernel's scheduling) may cost as much.
-const Allowance = 0.03
+// AgreementTolerance is how much the means of the drivers may differ beyond three standard errors of the live mean, estimated
+// from the spread of the simulations. What the simulation leaves out (the time to decide, parse and write, the kernel's
+// scheduling) may cost as much.
+const AgreementTolerance = 0.03
 
 // AgreementFigure is one figure of a scenario under both drivers.
 type AgreementFigure struct {
 	Metric     string  `json:"figure"`
 	Simulation Cell    `json:"virtual"`
 	Process    Cell    `json:"live"`
-	Bound      float64 `json:"bound"` // on the difference of the means
+	Bound      float64 `json:"bound"` // maximum difference of the means
 	Within     bool    `json:"within"`
 }
 
-// AgreementResult is a scenario's line.
+// AgreementResult is the row of a scenario.
 type AgreementResult struct {
 	Scenario   string            `json:"scenario"`
 	Figures    []AgreementFigure `json:"figures"`
-	Invalid    int               `json:"void"` // live runs that are no result
+	Invalid    int               `json:"void"` // live runs that are invalid
 	Violations int               `json:"rules_broken"`
 }
 
-// Within tells whether all figures are.
+// Within reports whether all figures are within their bounds.
 func (a *AgreementResult) Within() bool {
 	for _, f := range a.Figures {
 		if !f.Within {
@@ -82,7 +84,7 @@
 		for _, name := range AgreementMetrics {
 			metric, ok := score.HeadlineOf(name)
 			if !ok {
-				return nil, fmt.Errorf("no figure is called %s", name)
+				return nil, fmt.Errorf("unknown figure %q", name)
 			}
 			figure := newAgreementFigure(name, metric.Values(simulated[i]), metric.Values(live[i]))
 			agreed[i].Figures = append(agreed[i].Figures, figure)
@@ -91,7 +93,7 @@
 	return agreed, nil
 }
 
-// jobs are the runs of both drivers, scenario by scenario.
+// jobs returns the runs of both drivers, ordered by scenario.
 func (a *Agreement) jobs() (simulations, processes []Job) {
 	simulationSeeds := append(slices.Clone(a.Seeds), Seeds(firstExtraSeed, a.ExtraSimulations)...)
 	for _, spec := range a.Specs {
@@ -114,7 +116,7 @@
 	results := make([][]*score.Result, len(a.Specs))
 	err := Batch(ctx, jobs, parallelism, func(i int, run *RunResult) error {
 		countRun()
-		number := i * len(a.Specs) / len(jobs) // each scenario has as many jobs
+		number := i * len(a.Specs) / len(jobs) // all scenarios have the same number of jobs
 		agreed[number].Violations += run.Violations()
 		if run.InvalidReason() != "" {
 			agreed[number].Invalid++
@@ -126,18 +128,18 @@
 	return results, err
 }
 
-// newAgreementFigure compares the values of both drivers. Without values of one of them they are not within the bound.
+// newAgreementFigure compares the values of both drivers. If one of them has no values, the figure is not within its bound.
 func newAgreementFigure(name string, simulated, live []float64) AgreementFigure {
 	figure := AgreementFigure{Metric: name, Simulation: newCell(simulated), Process: newCell(live)}
 	if figure.Process.Runs == 0 || figure.Simulation.Runs == 0 {
 		return figure
 	}
-	figure.Bound = 3*figure.Simulation.SD/math.Sqrt(float64(figure.Process.Runs)) + Allowance
+	figure.Bound = 3*figure.Simulation.SD/math.Sqrt(float64(figure.Process.Runs)) + AgreementTolerance
 	figure.Within = math.Abs(figure.Simulation.Mean-figure.Process.Mean) <= figure.Bound
 	return figure
 }
 
-// AgreementMarkdown writes the table as the docs have it.
+// AgreementMarkdown returns the table in Markdown, as the documentation shows it.
 func AgreementMarkdown(table []AgreementResult) string {
 	var b strings.Builder
 	b.WriteString("| scenario |")
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -21,44 +21,45 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// An aperture is asked for behind a policy's name or in the operators' file, and is the same either way; with one,
-// schedulers open links to few workers, and the checker finds nothing.
+// An aperture is requested by a suffix of the policy's name or in the operators' file, with the same result. With one, schedulers
+// connect to fewer workers, and the checker finds no violation.
 func TestAperture(t *testing.T) {
 	const keys = "least=8:off_below=0"
-	spec := small(t, "fleet.nodes=60", "schedulers.count=6", "schedulers.sockets=4096", "load.of=0.4")
+	spec := smallScenario(t, "fleet.nodes=60", "schedulers.count=6", "schedulers.sockets=4096", "load.of=0.4")
 	inFile, err := ApplyChanges(spec, []string{`schedulers.ops="[aperture]\nleast = 8\noff_below = 0"`})
 	if err != nil {
 		t.Fatal(err)
 	}
-	met := func(spec *scenario.Scenario, policy string) (pairs int, text string) {
+	// connectedPairs runs a policy. It returns how many pairs of scheduler and worker were connected, and the result as JSON.
+	connectedPairs := func(spec *scenario.Scenario, policy string) (pairs int, text string) {
 		all := map[[2]int]bool{}
-		p, err := Run(context.Background(), Job{
+		result, err := Run(context.Background(), Job{
 			Spec: spec, Seed: 1, Driver: scenario.DriverSimulation,
-			Subject: Subject{Policy: policy}, Observer: func(x *trace.Event) {
-				if x.Kind == trace.WorkerConnected {
-					all[[2]int{x.Scheduler, x.Worker}] = true
+			Subject: Subject{Policy: policy}, Observer: func(event *trace.Event) {
+				if event.Kind == trace.WorkerConnected {
+					all[[2]int{event.Scheduler, event.Worker}] = true
 				}
 			},
 		})
-		if err != nil || p.Violations() > 0 {
-			t.Fatalf("%s: %v, %v", policy, err, p)
+		if err != nil || result.Violations() > 0 {
+			t.Fatalf("%s: %v, %v", policy, err, result)
 		}
-		b, err := json.Marshal(p.Result())
+		b, err := json.Marshal(result.Result())
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(all), string(b)
 	}
-	whole, _ := met(spec, PolicyDispatch)
-	few, sent := met(spec, PolicyDispatch+ApertureSuffix+":"+keys)
-	if few > whole*2/3 || few < 120 {
-		t.Errorf("%d pairs of scheduler and worker node are linked, %d without an aperture", few, whole)
+	allPairs, _ := connectedPairs(spec, PolicyDispatch)
+	aperturePairs, apertureResult := connectedPairs(spec, PolicyDispatch+ApertureSuffix+":"+keys)
+	if aperturePairs > allPairs*2/3 || aperturePairs < 120 {
+		t.Errorf("%d pairs of scheduler and worker are connected with an aperture, %d without", aperturePairs, allPairs)
 	}
-	if _, filed := met(inFile, PolicyDispatch); filed != sent {
-		t.Error("by the operators' file it is another play")
+	if _, fileResult := connectedPairs(inFile, PolicyDispatch); fileResult != apertureResult {
+		t.Error("the aperture of the operators' file gives another result than the policy's suffix")
 	}
-	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == sent {
-		t.Error("a baseline policy with an aperture runs as the module does")
+	if _, baselineResult := connectedPairs(spec, "least-outstanding"+ApertureSuffix+":"+keys); baselineResult == apertureResult {
+		t.Error("a baseline policy with an aperture gives the same result as the dispatch policy")
 	}
 	for _, policy := range []string{"logic+aperturex", "logic+aperture:least=none", "none+aperture"} {
 		job := Job{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation, Subject: Subject{Policy: policy}}
@@ -69,40 +70,41 @@
 	}
 }
 
-// A capture stands behind the aperture, records what the module itself was told, and replays without a difference.
+// A capture is between the aperture and the dispatch policy: it records the input that reaches the policy, and replays without a
+// difference.
 func TestApertureIsCaptured(t *testing.T) {
-	spec := small(t, "fleet.nodes=60", "schedulers.count=6", "load.of=0.7",
+	spec := smallScenario(t, "fleet.nodes=60", "schedulers.count=6", "load.of=0.7",
 		`fault=[{what="restart",at="1s",for="1s",on={share=0.3}},{what="drain",at="2s",on={share=0.2}},`+
 			`{what="hang",at="1s",for="2s",on={cells=[1,2]}}]`)
-	c, err := config.Decode(platform.Config(spec, 0, platform.Options{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"}),
+	deployed, err := config.Decode(platform.Config(spec, 0, platform.Options{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"}),
 		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rec *capture.Recorder
+	var recorder *capture.Recorder
 	var now time.Duration
-	conf := aperture.Config{MinWorkers: 8, Coverage: 2, MaxWidening: 4, WidenThreshold: 0.1, Retention: time.Second}
-	module := func(set dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
-		m := dispatch.New(set, seed)
-		if set.ReplicaIndex > 0 || rec != nil {
-			return aperture.New(m, set, conf)
+	narrowing := aperture.Config{MinWorkers: 8, Coverage: 2, MaxWidening: 4, WidenThreshold: 0.1, Retention: time.Second}
+	module := func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+		policy := dispatch.New(settings, seed)
+		if settings.ReplicaIndex > 0 || recorder != nil {
+			return aperture.New(policy, settings, narrowing)
 		}
-		c.Seed = seed - 1
-		rec, err = capture.New(config.Capture{MemoryKB: 16 << 10}, c, func() time.Duration { return now },
+		deployed.Seed = seed - 1
+		recorder, err = capture.New(config.Capture{MemoryKB: 16 << 10}, deployed, func() time.Duration { return now },
 			slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return aperture.New(rec.Wrap(m), set, conf)
+		return aperture.New(recorder.Wrap(policy), settings, narrowing)
 	}
-	opt := simulation.Options{Model: simulation.Model{Module: module}}
-	if _, err := simulation.Run(spec, 1, opt); err != nil {
+	options := simulation.Options{Model: simulation.Model{Module: module}}
+	if _, err := simulation.Run(spec, 1, options); err != nil {
 		t.Fatal(err)
 	}
 	var outputs, warnings bytes.Buffer
-	held := rec.Dump()
-	n, err := capture.Replay(bytes.NewReader(held), config.Ops{}, &outputs, &warnings)
-	if n != 0 || err != nil || warnings.Len() > 0 || bytes.Count(held, []byte(`"out":"send"`)) < 50 {
-		t.Errorf("%d differences in %d bytes, %v, %s:\n%.500s", n, len(held), err, warnings.String(), outputs.String())
+	captured := recorder.Dump()
+	differences, err := capture.Replay(bytes.NewReader(captured), config.Ops{}, &outputs, &warnings)
+	if differences != 0 || err != nil || warnings.Len() > 0 || bytes.Count(captured, []byte(`"out":"send"`)) < 50 {
+		t.Errorf("%d differences in %d bytes, %v, %s:\n%.500s", differences, len(captured), err, warnings.String(), outputs.String())
 	}
 }
--- a/internal/testbed/experiment/baseline_table.go
+++ b/internal/testbed/experiment/baseline_table.go
@@ -19,23 +19,23 @@
 	Parallelism int
 }
 
-// BaselineRow is the line of a scenario: a cell for each policy, in the order of the table.
+// BaselineRow is the row of a scenario: it has a cell for each policy, in the order of BaselineTable.Policies.
 type BaselineRow struct {
 	Scenario string `json:"scenario"`
 	Workers  int    `json:"nodes"`
 	Cells    []Cell `json:"cells"`
-	// Peers has the datagrams between schedulers, in the order of the cells; empty: there were none in the whole row.
+	// Peers has the traffic between schedulers, in the order of the cells; empty: there was none in the whole row.
 	Peers []PeerTraffic `json:"peers,omitempty"`
 }
 
-// PeerTraffic is what the schedulers of several runs sent each other.
+// PeerTraffic has the totals of what schedulers sent each other in several runs.
 type PeerTraffic struct {
 	Jobs      int    `json:"jobs"`
 	Datagrams uint64 `json:"datagrams"`
 	Bytes     uint64 `json:"bytes"`
 }
 
-// bytesPerPrice is how many bytes for each job cost the price of messages between schedulers.
+// bytesPerPrice is the number of bytes per job that costs Peers.Price of a scenario, as a share of the result.
 const bytesPerPrice = 256
 
 // add adds a run.
@@ -47,13 +47,14 @@
 	}
 }
 
-// PerJob returns the datagrams and the bytes for each job.
+// PerJob returns the datagrams and the bytes per job.
 func (p *PeerTraffic) PerJob() (datagrams, bytes float64) {
 	jobs := float64(max(1, p.Jobs))
 	return float64(p.Datagrams) / jobs, float64(p.Bytes) / jobs
 }
 
-// Run simulates each scenario with each policy on all seeds. Unless it is nil, onProgress is called after each run.
+// Run simulates each scenario with each policy on all seeds, and returns a row for each scenario. Unless it is nil, onProgress is
+// called after each run.
 func (b *BaselineTable) Run(ctx context.Context, onProgress func(done, total int)) ([]BaselineRow, error) {
 	table := make([]BaselineRow, len(b.Specs))
 	for i, spec := range b.Specs {
@@ -92,7 +93,7 @@
 	return table, err
 }
 
-// jobs are the runs by scenario, policy and seed.
+// jobs returns the runs, ordered by scenario, policy and seed.
 func (b *BaselineTable) jobs() []Job {
 	var jobs []Job
 	for _, spec := range b.Specs {
@@ -108,7 +109,7 @@
 	return jobs
 }
 
-// Markdown writes the table as the docs have it.
+// Markdown returns the table in Markdown, as the documentation shows it.
 func (b *BaselineTable) Markdown(table []BaselineRow) string {
 	var text strings.Builder
 	text.WriteString("| scenario | nodes |")
@@ -127,7 +128,7 @@
 	return text.String()
 }
 
-// writePeers writes a table of what schedulers sent each other, if they did.
+// writePeers writes a table of the traffic between schedulers, if there was any.
 func (b *BaselineTable) writePeers(text *strings.Builder, table []BaselineRow) {
 	const header = "\n| scenario | policy | datagrams a job | bytes a job | spent of the price |\n| --- | --- | ---: | ---: | ---: |\n"
 	isFirst := true
--- a/internal/testbed/experiment/batch.go
+++ b/internal/testbed/experiment/batch.go
@@ -16,15 +16,16 @@
 	return seeds
 }
 
-// maxAheadPerWorker bounds how far runs get ahead of the one that is handled next: results are large.
-const maxAheadPerWorker = 4
+// maxUnhandledPerWorker is how many runs per worker goroutine may be started ahead of the one that is handled next. It is bounded
+// because results are large.
+const maxUnhandledPerWorker = 4
 
-// batch is jobs that are run in parallel, and whose results are handled in order.
+// batch has jobs that are run in parallel, and whose results are handled in order.
 type batch struct {
-	jobs    []Job
-	results []chan batchResult // of one each
-	ahead   chan struct{}      // filled by what is begun and not yet handled
-	begun   atomic.Int64
+	jobs      []Job
+	results   []chan batchResult // one channel for each job, with room for its result
+	unhandled chan struct{}      // has an element for each run that is started and not yet handled
+	started   atomic.Int64
 }
 
 type batchResult struct {
@@ -32,8 +33,8 @@
 	err error
 }
 
-// Batch runs jobs, so many at once (0: as many as there are processors), and calls handle with each result in the order of
-// the jobs, in the caller's goroutine. It returns the first error, of a run or of handle, and starts no more runs then.
+// Batch runs jobs, up to parallelism at once (0: as many as there are processors), and calls handle with each result in the
+// order of the jobs, in the caller's goroutine. It returns the first error, of a run or of handle, and then starts no more runs.
 func Batch(ctx context.Context, jobs []Job, parallelism int, handle func(i int, result *RunResult) error) error {
 	if parallelism <= 0 {
 		parallelism = runtime.GOMAXPROCS(0)
@@ -41,7 +42,7 @@
 	parallelism = max(1, min(parallelism, len(jobs)))
 	work := &batch{
 		jobs: jobs, results: make([]chan batchResult, len(jobs)),
-		ahead: make(chan struct{}, maxAheadPerWorker*parallelism),
+		unhandled: make(chan struct{}, maxUnhandledPerWorker*parallelism),
 	}
 	for i := range work.results {
 		work.results[i] = make(chan batchResult, 1)
@@ -69,11 +70,11 @@
 func (b *batch) runJobs(ctx context.Context) {
 	for {
 		select {
-		case b.ahead <- struct{}{}:
+		case b.unhandled <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		i := int(b.begun.Add(1)) - 1
+		i := int(b.started.Add(1)) - 1
 		if i >= len(b.jobs) {
 			return
 		}
@@ -82,18 +83,19 @@
 	}
 }
 
-// await returns the result of a job when it is there.
+// await waits for the result of a job and returns it.
 func (b *batch) await(ctx context.Context, i int) (*RunResult, error) {
 	select {
 	case result := <-b.results[i]:
-		<-b.ahead
+		<-b.unhandled
 		return result.run, result.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// inParallel calls action with 0 to count-1, so many at once, and returns the error of the first of these that had one.
+// inParallel calls action with 0 to count-1, up to parallelism at once. It returns the error for the lowest of these numbers
+// that had one.
 func inParallel(ctx context.Context, parallelism, count int, action func(i int) error) error {
 	errs := make([]error, count)
 	var begun atomic.Int64
--- a/internal/testbed/experiment/cell.go
+++ b/internal/testbed/experiment/cell.go
@@ -8,15 +8,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Cell is the mean and the standard deviation of a figure over several runs.
+// Cell has the mean and the standard deviation of a figure over several runs.
 type Cell struct {
 	Mean       float64 // NaN if there are no runs
 	SD         float64
 	Runs       int
-	Violations int // of rules, in all runs
+	Violations int // of rules, over all runs
 }
 
-// newCell leaves out values that are not finite.
+// newCell returns the cell of some values, without those that are not finite.
 func newCell(all []float64) Cell {
 	kept := all[:0:0]
 	for _, x := range all {
@@ -34,7 +34,7 @@
 	return c
 }
 
-// MarshalJSON writes null for the mean of no runs.
+// MarshalJSON writes the mean as null if there are no runs.
 func (c Cell) MarshalJSON() ([]byte, error) {
 	encoded := struct {
 		Mean   *float64 `json:"mean"`
--- a/internal/testbed/experiment/changes.go
+++ b/internal/testbed/experiment/changes.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// ApplyChanges returns a scenario with changes made to it, each "key=value". It leaves the given one as it is, and returns
-// that itself if there are no changes.
+// ApplyChanges returns a copy of a scenario with changes made to it, each "key=value". Without changes it returns the given
+// scenario itself.
 func ApplyChanges(spec *scenario.Scenario, changes []string) (*scenario.Scenario, error) {
 	if len(changes) == 0 {
 		return spec, nil
@@ -26,7 +26,7 @@
 	return spec, nil
 }
 
-// splitChange splits a change at its first equals sign, which has something on both sides.
+// splitChange splits a change at its first equals sign. The key and the value must not be empty.
 func splitChange(change string) (key, value string, ok bool) {
 	key, value, ok = strings.Cut(change, "=")
 	if !ok {
--- a/internal/testbed/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -7,19 +7,19 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Comparison is several subjects on the same scenarios and seeds; the others are compared with the first.
+// Comparison runs several subjects on the same scenarios and seeds, and compares each with the first.
 type Comparison struct {
 	Specs       []*scenario.Scenario
 	Seeds       []uint64
 	Subjects    []Subject
 	Driver      string
 	Parallelism int // runs at once; 0: as many as there are processors
-	Job         Job // what else is set in each run
+	Job         Job // further settings of each run
 }
 
-// Run runs every subject on each scenario and seed, in the same environment. A run that is invalid with one subject counts
-// with none. It returns a comparison for each scenario, and one of all together at the end if there are several. Unless it
-// is nil, onProgress is called after each run.
+// Run runs every subject on each scenario and seed, in the same environment. If the run of one subject is invalid, the runs
+// of all subjects on that scenario and seed are left out. Run returns a comparison for each scenario and, if there are several,
+// one of all scenarios together at the end. Unless it is nil, onProgress is called after each run.
 func (c *Comparison) Run(ctx context.Context, onProgress func(done, total int)) ([]*report.Comparison, error) {
 	jobs := c.jobs()
 	var comparisons []*report.Comparison
@@ -50,7 +50,7 @@
 	return comparisons, nil
 }
 
-// jobs are the runs by scenario, seed and subject.
+// jobs returns the runs, ordered by scenario, seed and subject.
 func (c *Comparison) jobs() []Job {
 	var jobs []Job
 	for _, spec := range c.Specs {
@@ -65,7 +65,7 @@
 	return jobs
 }
 
-// newReport is a comparison without results.
+// newReport returns a comparison without results.
 func (c *Comparison) newReport(title, description, scenarioText string) *report.Comparison {
 	comparison := &report.Comparison{Title: title, Description: description, Scenario: scenarioText}
 	for _, subject := range c.Subjects {
@@ -74,7 +74,8 @@
 	return comparison
 }
 
-// addResults enters the runs of one scenario and seed, one for each side.
+// addResults adds the runs of one scenario and seed, one for each side. It counts violations and invalid runs, and adds the
+// results of all sides unless one of the runs is invalid.
 func addResults(comparison *report.Comparison, runs []*RunResult) {
 	isInvalid := false
 	for i, run := range runs {
--- a/internal/testbed/experiment/draw.go
+++ b/internal/testbed/experiment/draw.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Draw returns the i-th scenario of the search. It is valid, and has its seed.
+// Draw returns the i-th scenario of the search. It is valid, and has a seed.
 func (s *Search) Draw(i int) *scenario.Scenario {
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(i)))
 	for {
@@ -16,8 +16,8 @@
 		if s.Starvation {
 			widenScenario(rng, spec)
 		}
-		if s.trim != nil {
-			s.trim(spec)
+		if s.adjustDraw != nil {
+			s.adjustDraw(spec)
 		}
 		if spec.Check() == nil {
 			spec.Seed = int(rng.Int64N(1 << 53))
@@ -26,7 +26,7 @@
 	}
 }
 
-// searchedFaults are faults that simulated time shows well.
+// searchedFaults are the kinds of faults that the simulation models well.
 var searchedFaults = []string{
 	"crash", "vanish", "hang", "pause", "slow", "errors", "full", "drain", "restart", "replace", "gone",
 	"no_notes", "early_202_crash", "handback", "cut", "cut_one_way", "delay", "refuse", "never_up", "half_open", "drop_idle",
@@ -34,7 +34,8 @@
 	"sched_kill", "sched_term", "sched_freeze", "sched_reload",
 }
 
-// drawScenario draws a scenario, which may be invalid. The order of its draws is part of what a seed means.
+// drawScenario draws a scenario, which may be invalid. A change in the order of its random draws changes the scenario of every
+// seed.
 func drawScenario(rng *rand.Rand) *scenario.Scenario {
 	spec := scenario.Default()
 	spec.Name, spec.Description = "hunted", "Drawn at random."
@@ -82,8 +83,9 @@
 	return spec
 }
 
-// widenScenario draws what starvation may come from and other searches hold fixed: larger fleets, many schedulers, bound
-// classes, no hedging, hints far off, zones, and clients that each wait for their response.
+// widenScenario draws further settings that may cause starvation and that other searches don't vary: larger fleets, many
+// schedulers, classes bound to one kind of worker, no hedging, very wrong hints, zones, and clients that each wait for their
+// response.
 func widenScenario(rng *rand.Rand, spec *scenario.Scenario) {
 	oneIn := func(n int) bool { return rng.IntN(n) == 0 }
 	if oneIn(4) {
@@ -130,7 +132,7 @@
 	}
 }
 
-// drawFault draws a fault for a scenario. The order of its draws is part of what a seed means.
+// drawFault draws a fault for a scenario. A change in the order of its random draws changes the scenario of every seed.
 func drawFault(rng *rand.Rand, spec *scenario.Scenario) scenario.Fault {
 	f := scenario.Fault{Kind: searchedFaults[rng.IntN(len(searchedFaults))]}
 	length := spec.Length.Std()
@@ -174,5 +176,5 @@
 	return f
 }
 
-// roundToHundredths keeps scenario files short.
+// roundToHundredths rounds a drawn value, which keeps scenario files short.
 func roundToHundredths(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -14,24 +14,25 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// base is the default scenario, with a name.
-func base() *scenario.Scenario {
+// baseScenario returns the default scenario, with a name.
+func baseScenario() *scenario.Scenario {
 	s := scenario.Default()
 	s.Name = "base"
 	return s
 }
 
-// small is a run that takes milliseconds.
-func small(t *testing.T, changes ...string) *scenario.Scenario {
+// smallScenario returns a scenario whose run takes milliseconds of real time, with changes made to it.
+func smallScenario(t *testing.T, changes ...string) *scenario.Scenario {
 	t.Helper()
-	spec, err := ApplyChanges(base(), append([]string{`length="4s"`, "fleet.nodes=5"}, changes...))
+	spec, err := ApplyChanges(baseScenario(), append([]string{`length="4s"`, "fleet.nodes=5"}, changes...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return spec
 }
 
-func TestChangeNamesWhatIsWrong(t *testing.T) {
+// The error for an invalid change names what is wrong, and a valid change leaves the original scenario as it is.
+func TestApplyChanges(t *testing.T) {
 	for _, c := range []struct{ change, want string }{
 		{"load.of", "key=value"},
 		{"=3", "key=value"},
@@ -40,22 +41,22 @@
 		{"fleet.nodes=0", "fleet.nodes"},
 		{"fault[0].size=3", "fault"},
 	} {
-		_, err := ApplyChanges(base(), []string{c.change})
+		_, err := ApplyChanges(baseScenario(), []string{c.change})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, expected it to name %s", c.change, err, c.want)
 		}
 	}
-	from := base()
+	from := baseScenario()
 	changed, err := ApplyChanges(from, []string{"load.of=0.9"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if changed.Load.CapacityShare != 0.9 || from.Load.CapacityShare == 0.9 {
-		t.Errorf("%v changed, %v in the one it was made from", changed.Load.CapacityShare, from.Load.CapacityShare)
+		t.Errorf("%v in the changed scenario, %v in the original", changed.Load.CapacityShare, from.Load.CapacityShare)
 	}
 }
 
-func TestParseVary(t *testing.T) {
+func TestParseVariedKey(t *testing.T) {
 	for text, want := range map[string][]string{
 		"load.of=0.2..1/5":                      {"0.2", "0.4", "0.6", "0.8", "1"},
 		"fleet.nodes=1, 2,40":                   {"1", "2", "40"},
@@ -63,32 +64,33 @@
 		`fleet.zones=["a","b"],["c"]`:           {`["a","b"]`, `["c"]`},
 		`fault[0].on={cells=[1,2]},{cells=[3]}`: {`{cells=[1,2]}`, `{cells=[3]}`},
 	} {
-		v, err := ParseVary(text)
-		if err != nil || !slices.Equal(v.Values, want) {
-			t.Errorf("%s: %v, %v", text, v.Values, err)
+		varied, err := ParseVariedKey(text)
+		if err != nil || !slices.Equal(varied.Values, want) {
+			t.Errorf("%s: %v, %v", text, varied.Values, err)
 		}
 	}
 	for _, text := range []string{"load.of", "load.of=", "load.of=1..2", "load.of=1..x/3", "load.of=1..2/1", "load.of=1,,2"} {
-		if v, err := ParseVary(text); err == nil {
-			t.Errorf("%s was taken as %v", text, v)
+		if varied, err := ParseVariedKey(text); err == nil {
+			t.Errorf("%s was parsed as %v", text, varied)
 		}
 	}
 }
 
-// The result of a run follows from scenario, subject and seed, whatever else runs at the same time.
+// Results are handled in the order of the jobs. The result of a run depends on scenario, subject and seed alone, whatever else
+// runs at the same time.
 func TestBatchOrderAndResults(t *testing.T) {
-	spec := small(t)
+	spec := smallScenario(t)
 	var jobs []Job
 	for _, seed := range Seeds(1, 6) {
 		jobs = append(jobs, Job{Spec: spec, Seed: seed, Driver: scenario.DriverSimulation, Subject: Subject{Name: PolicyDispatch}})
 	}
-	texts := func(at int) []string {
+	runAll := func(parallelism int) []string {
 		var all []string
-		if err := Batch(context.Background(), jobs, at, func(i int, p *RunResult) error {
-			if p.Result().Seed != jobs[i].Seed {
-				t.Errorf("job %d came back with seed %d", i, p.Result().Seed)
+		if err := Batch(context.Background(), jobs, parallelism, func(i int, result *RunResult) error {
+			if result.Result().Seed != jobs[i].Seed {
+				t.Errorf("the result of job %d has seed %d", i, result.Result().Seed)
 			}
-			b, err := json.Marshal(p.Document)
+			b, err := json.Marshal(result.Document)
 			all = append(all, string(b))
 			return err
 		}); err != nil {
@@ -96,128 +98,129 @@
 		}
 		return all
 	}
-	one, many := texts(1), texts(4)
-	if !slices.Equal(one, many) {
-		t.Error("plays differ by how many are played at once")
+	sequential, parallel := runAll(1), runAll(4)
+	if !slices.Equal(sequential, parallel) {
+		t.Error("results depend on how many runs are made at once")
 	}
-	if one[0] == one[1] {
-		t.Error("two seeds gave the same play")
+	if sequential[0] == sequential[1] {
+		t.Error("two seeds gave the same result")
 	}
 }
 
 func TestBatchStopsAtTheFirstError(t *testing.T) {
-	spec, stop := small(t), errors.New("enough")
+	spec, stop := smallScenario(t), errors.New("enough")
 	jobs := slices.Repeat([]Job{{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation}}, 40)
-	seen := 0
+	handled := 0
 	err := Batch(context.Background(), jobs, 3, func(i int, _ *RunResult) error {
-		if seen++; i == 2 {
+		if handled++; i == 2 {
 			return stop
 		}
 		return nil
 	})
-	if !errors.Is(err, stop) || seen != 3 {
-		t.Errorf("%v after %d", err, seen)
+	if !errors.Is(err, stop) || handled != 3 {
+		t.Errorf("got %v after %d results", err, handled)
 	}
 	jobs[1].Subject.Policy = "none such"
 	if err := Batch(context.Background(), jobs, 2, func(int, *RunResult) error { return nil }); err == nil ||
 		!strings.Contains(err.Error(), "none such") {
-		t.Errorf("a policy that there is not: %v", err)
+		t.Errorf("unknown policy: got error %v", err)
 	}
 }
 
-// All sides of a comparison meet the same environment, and a subject does not differ from itself.
+// All sides of a comparison run in the same environment, and a subject does not differ from itself.
 func TestComparisonIsPaired(t *testing.T) {
-	c := Comparison{
-		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
+	comparison := Comparison{
+		Specs: []*scenario.Scenario{smallScenario(t), smallScenario(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
 		Subjects: []Subject{{Name: "a", Policy: PolicyDispatch}, {Name: "b", Policy: PolicyDispatch}, {Name: "random", Policy: "random"}},
 	}
-	got, err := c.Run(context.Background(), nil)
+	results, err := comparison.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got) != 3 || len(got[2].Sides[0].Results) != 6 {
-		t.Fatalf("%d comparisons", len(got))
+	if len(results) != 3 || len(results[2].Sides[0].Results) != 6 {
+		t.Fatalf("%d comparisons", len(results))
 	}
-	for _, r := range got {
-		a, b, other := r.Sides[0].Results, r.Sides[1].Results, r.Sides[2].Results
+	for _, result := range results {
+		a, b, other := result.Sides[0].Results, result.Sides[1].Results, result.Sides[2].Results
 		for i := range a {
 			if a[i].Value != b[i].Value || a[i].Whole.Requested != other[i].Whole.Requested || a[i].Seed != other[i].Seed {
-				t.Errorf("%s, play %d: sides met different worlds", r.Title, i)
+				t.Errorf("%s, run %d: the sides ran in different environments", result.Title, i)
 			}
 		}
-		for _, p := range r.Pairs()[0] {
-			if p.Significant || p.Difference != 0 {
-				t.Errorf("%s: %s differs between a subject and itself: %s", r.Title, p.Metric, p.Verdict)
+		for _, pair := range result.Pairs()[0] {
+			if pair.Significant || pair.Difference != 0 {
+				t.Errorf("%s: %s differs between a subject and itself: %s", result.Title, pair.Metric, pair.Verdict)
 			}
 		}
 	}
 }
 
+// The points of a curve are ordered by value, and have the runs with that value.
 func TestVariationPoints(t *testing.T) {
-	s := Variation{
-		Spec: small(t), Vary: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
+	variation := Variation{
+		Spec: smallScenario(t), Vary: VariedKey{"load.of", []string{"0.9", "0.3"}}, Curves: VariedKey{"fleet.nodes", []string{"3", "6"}},
 		Seeds: Seeds(1, 2), Driver: scenario.DriverSimulation, Figure: "mix", Subject: Subject{Name: PolicyDispatch},
 	}
-	got, err := s.Run(context.Background(), nil)
+	result, err := variation.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range got.Curves {
-		if len(c.Points) != 2 || c.Points[0].X != 0.3 || c.Points[1].X != 0.9 {
-			t.Fatalf("curve %s has its points out of order", c.Name)
+	for _, curve := range result.Curves {
+		if len(curve.Points) != 2 || curve.Points[0].X != 0.3 || curve.Points[1].X != 0.9 {
+			t.Fatalf("curve %s has its points out of order", curve.Name)
 		}
-		low, high := c.Points[0].Results, c.Points[1].Results
+		low, high := curve.Points[0].Results, curve.Points[1].Results
 		if len(low) != 2 || len(high) != 2 || low[0].Whole.JobsDue >= high[0].Whole.JobsDue {
-			t.Errorf("curve %s: the plays are not those of their points", c.Name)
+			t.Errorf("curve %s: a point has the runs of another value", curve.Name)
 		}
 	}
-	if a, b := got.Curves[0].Points[0].Results[0], got.Curves[1].Points[0].Results[0]; a.Capacity >= b.Capacity {
+	if a, b := result.Curves[0].Points[0].Results[0], result.Curves[1].Points[0].Results[0]; a.Capacity >= b.Capacity {
 		t.Error("the second key was not varied")
 	}
-	s.Vary.Values = append(s.Vary.Values, "-1")
-	if _, err := s.Run(context.Background(), nil); err == nil {
-		t.Error("a value that the scenario refuses was played")
+	variation.Vary.Values = append(variation.Vary.Values, "-1")
+	if _, err := variation.Run(context.Background(), nil); err == nil {
+		t.Error("a value that is invalid for the scenario was run")
 	}
 }
 
-// A search finds a mutant by its rule, minimises the run, and keeps a file that gives the same run again.
+// A search finds a mutant by the rule that it breaks, minimises the run, and writes a file that repeats the run.
 func TestSearchFindsMinimisesAndKeeps(t *testing.T) {
 	search := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
-	search.trim = func(s *scenario.Scenario) { // plays of milliseconds
-		s.Length, s.Fleet.Workers = scenario.Duration(3*time.Second), min(s.Fleet.Workers, 8)
-		for i := range s.Faults {
-			f := &s.Faults[i]
-			f.At, f.Duration, f.Spread = f.At/10, f.Duration/10, f.Spread/10
+	search.adjustDraw = func(spec *scenario.Scenario) { // so that a run takes milliseconds
+		spec.Length, spec.Fleet.Workers = scenario.Duration(3*time.Second), min(spec.Fleet.Workers, 8)
+		for i := range spec.Faults {
+			fault := &spec.Faults[i]
+			fault.At, fault.Duration, fault.Spread = fault.At/10, fault.Duration/10, fault.Spread/10
 		}
 	}
-	got, err := search.Run(context.Background(), nil)
+	result, err := search.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	i := slices.IndexFunc(got.Worst, func(f Finding) bool { return f.Rule == "one-answer" })
-	if got.Violations == 0 || i < 0 {
-		t.Fatalf("%d plays with a rule broken, kept %v", got.Violations, got.Worst)
+	i := slices.IndexFunc(result.Worst, func(finding Finding) bool { return finding.Rule == "one-answer" })
+	if result.Violations == 0 || i < 0 {
+		t.Fatalf("%d runs broke a rule, kept %v", result.Violations, result.Worst)
 	}
-	f := got.Worst[i]
-	if f.Drawn == 0 || f.Faults != 0 || f.Spec.Fleet.Workers >= search.Draw(f.DrawNumber).Fleet.Workers {
-		t.Errorf("the answer given twice needs no fault of the environment, and %d of %d are left", f.Faults, f.Drawn)
+	finding := result.Worst[i]
+	if finding.DrawnFaults == 0 || finding.RemainingFaults != 0 || finding.Spec.Fleet.Workers >= search.Draw(finding.DrawNumber).Fleet.Workers {
+		t.Errorf("the mutant needs no fault to break its rule, but %d of %d faults are left", finding.RemainingFaults, finding.DrawnFaults)
 	}
-	kept, err := scenario.Parse("kept", f.File())
+	kept, err := scenario.Parse("kept", finding.File())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Run(context.Background(), Job{Spec: kept, Seed: uint64(kept.Seed), Driver: scenario.DriverSimulation, Subject: search.Subject})
-	if err != nil || p.Result().Value.Mix != f.Value || p.Violations() == 0 {
-		t.Errorf("%v: the kept play is another", err)
+	repeated, err := Run(context.Background(), Job{Spec: kept, Seed: uint64(kept.Seed), Driver: scenario.DriverSimulation, Subject: search.Subject})
+	if err != nil || repeated.Result().Value.Mix != finding.Value || repeated.Violations() == 0 {
+		t.Errorf("the kept file does not repeat the run: %v", err)
 	}
-	search.Starvation = true // breaks are kept just so, and nobody plays beside it
-	if got, err = search.Run(context.Background(), nil); err != nil || got.Violations == 0 || got.Worst[0].BaselineValue != 0 {
-		t.Errorf("%+v, %v: expected a hunt for starvation to keep broken rules, and to play no yardstick", got, err)
+	search.Starvation = true // broken rules are kept all the same, and no baseline is run
+	if result, err = search.Run(context.Background(), nil); err != nil || result.Violations == 0 || result.Worst[0].BaselineValue != 0 {
+		t.Errorf("expected a search for starvation to keep broken rules and to run no baseline, got %+v, %v", result, err)
 	}
 }
 
-// A longer search begins as a shorter one: a draw follows from the seed and its number.
-func TestDrawFollowsFromSeedAndNumber(t *testing.T) {
+// A draw depends on the seed and its number alone, so a longer search begins with the draws of a shorter one.
+func TestDrawDependsOnSeedAndNumber(t *testing.T) {
 	a, b := Search{Seed: 9}, Search{Seed: 9, MaxRuns: 3}
 	kinds := map[string]bool{}
 	for i := range 300 {
@@ -236,23 +239,26 @@
 	}
 }
 
-func TestSearchKeepsOneOfAKind(t *testing.T) {
-	got := &SearchResult{}
-	find := func(regret float64, kinds ...string) *Finding {
+// Of each kind of finding the worst is kept. Broken rules come first and are kept even beyond the limit.
+func TestSearchKeepsWorstOfEachKind(t *testing.T) {
+	result := &SearchResult{}
+	newFinding := func(regret float64, kinds ...string) *Finding {
 		f := &Finding{Spec: &scenario.Scenario{}, BaselineValue: regret}
 		for _, k := range kinds {
 			f.Spec.Faults = append(f.Spec.Faults, scenario.Fault{Kind: k})
 		}
 		return f
 	}
-	rule := find(0, "cut")
+	rule := newFinding(0, "cut")
 	rule.Rule = "drain"
-	for _, f := range []*Finding{find(0.2, "hang"), find(0.3, "hang"), find(0.1, "hang"), find(0.5, "crash", "hang"), find(0.4, "hang",
-		"crash"), find(0.25, "cut"), rule} {
-		got.keep(f, 2)
+	for _, f := range []*Finding{
+		newFinding(0.2, "hang"), newFinding(0.3, "hang"), newFinding(0.1, "hang"), newFinding(0.5, "crash", "hang"),
+		newFinding(0.4, "hang", "crash"), newFinding(0.25, "cut"), rule,
+	} {
+		result.keep(f, 2)
 	}
 	var remaining []string
-	for _, f := range got.Worst {
+	for _, f := range result.Worst {
 		remaining = append(remaining, f.Description())
 	}
 	want := []string{"rule drain broken", "worth 0.000 where 0.500 can be had"}
@@ -261,14 +267,14 @@
 	}
 }
 
-// Baseline policies make a table: a line for each scenario, a cell for each policy, over all seeds.
+// The table has a row for each scenario, and in it a cell for each policy, over all seeds.
 func TestBaselineTable(t *testing.T) {
-	y := BaselineTable{
-		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
+	baselines := BaselineTable{
+		Specs: []*scenario.Scenario{smallScenario(t), smallScenario(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
 		Seeds: Seeds(1, 3),
 	}
-	y.Metric = mustHeadline(t, "in_time")
-	table, err := y.Run(context.Background(), nil)
+	baselines.Metric = findHeadline(t, "in_time")
+	table, err := baselines.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,19 +287,19 @@
 	if b, err := json.Marshal(table); err != nil || !strings.Contains(string(b), `"mean":null`) {
 		t.Errorf("%v: %s", err, b)
 	}
-	if text := y.Markdown(table); strings.Count(text, "\n") != 4 || !strings.Contains(text, "| all-seeing |") {
+	if text := baselines.Markdown(table); strings.Count(text, "\n") != 4 || !strings.Contains(text, "| all-seeing |") {
 		t.Errorf("table:\n%s", text)
 	}
 }
 
-// With PeersSuffix, schedulers send each other datagrams, and the table has what they cost.
+// With PeersSuffix, schedulers send each other datagrams, and the table shows their number and cost.
 func TestBaselineTablePeers(t *testing.T) {
-	spec := small(t, "schedulers.count=4", "peers.price=0.01")
-	y := BaselineTable{
+	spec := smallScenario(t, "schedulers.count=4", "peers.price=0.01")
+	baselines := BaselineTable{
 		Specs: []*scenario.Scenario{spec}, Policies: []string{PolicyDispatch, PolicyDispatch + PeersSuffix}, Seeds: Seeds(1, 2),
 	}
-	y.Metric = mustHeadline(t, "in_time")
-	table, err := y.Run(context.Background(), nil)
+	baselines.Metric = findHeadline(t, "in_time")
+	table, err := baselines.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -301,31 +307,31 @@
 	if len(peers) != 2 || peers[0].Datagrams != 0 || peers[1].Datagrams == 0 || peers[1].Jobs != peers[0].Jobs {
 		t.Errorf("datagrams: %+v", peers)
 	}
-	if text := y.Markdown(table); strings.Count(text, "| logic+peers |") != 2 {
+	if text := baselines.Markdown(table); strings.Count(text, "| logic+peers |") != 2 {
 		t.Errorf("table:\n%s", text)
 	}
 	if spec.Peers.On {
-		t.Error("the given scenario has changed")
+		t.Error("the original scenario was changed")
 	}
 }
 
-// Fleets of any size have so many jobs and are as busy.
+// A scaled fleet of any size has the given number of workers and jobs.
 func TestScaleFleet(t *testing.T) {
-	for _, n := range []int{3, 100, 3000} {
-		f, err := ScaleFleet(base(), n, 9000)
+	for _, workers := range []int{3, 100, 3000} {
+		scaled, err := ScaleFleet(baseScenario(), workers, 9000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if jobs := f.Rate() * f.Length.Std().Seconds(); f.Fleet.Workers != n || jobs < 8900 || f.Length.Std() < minLength {
-			t.Errorf("%d nodes: %.0f jobs in %v", n, jobs, f.Length.Std())
+		if jobs := scaled.Rate() * scaled.Length.Std().Seconds(); scaled.Fleet.Workers != workers || jobs < 8900 || scaled.Length.Std() < minLength {
+			t.Errorf("%d workers: %.0f jobs in %v", workers, jobs, scaled.Length.Std())
 		}
 	}
 }
 
-// Whatever panics in a run is an error that names the run.
+// A panic in a run is returned as an error that names the run.
 func TestPanicNamesTheRun(t *testing.T) {
 	_, err := Run(context.Background(), Job{
-		Spec: small(t), Seed: 77, Driver: scenario.DriverSimulation,
+		Spec: smallScenario(t), Seed: 77, Driver: scenario.DriverSimulation,
 		Observer: func(*trace.Event) { panic("on purpose") },
 	})
 	if !errors.Is(err, ErrStopped) || !strings.Contains(err.Error(), "seed 77") || !strings.Contains(err.Error(), "on purpose") {
@@ -333,11 +339,11 @@
 	}
 }
 
-func mustHeadline(t *testing.T, name string) score.Headline {
+func findHeadline(t *testing.T, name string) score.Headline {
 	t.Helper()
 	h, ok := score.HeadlineOf(name)
 	if !ok {
-		t.Fatalf("no figure is called %s", name)
+		t.Fatalf("unknown figure %q", name)
 	}
 	return h
 }
--- a/internal/testbed/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -9,13 +9,14 @@
 	"valvecove/internal/testbed/report"
 )
 
-// The files of testdata/golden hold tables as the testbed of d2a7518 writes them; nothing reads them but people and their scripts.
-// They are never regenerated except under a new form number.
+// The files of testdata/golden have tables as the testbed of revision d2a7518 writes them. No code of ours reads such tables, but
+// people and their scripts do. The files are regenerated only under a new version number of the format.
 const (
-	goldenAgreement = "agreement-1.json"
-	goldenStandings = "standings-1.json"
+	goldenAgreement     = "agreement-1.json"
+	goldenBaselineTable = "standings-1.json"
 )
 
+// checkWritten checks that a value is written to the bytes of a golden file.
 func checkWritten(t *testing.T, name string, value any) {
 	t.Helper()
 	var b bytes.Buffer
@@ -27,7 +28,7 @@
 
 var goldenCells = []Cell{{Mean: 0.75, SD: 0.125, Runs: 10, Violations: 2}, {Mean: math.NaN()}, {Mean: 0.5, Runs: 1}}
 
-func TestGoldenAgreementIsWrittenToTheSameBytes(t *testing.T) {
+func TestGoldenAgreementTable(t *testing.T) {
 	checkWritten(t, goldenAgreement, []AgreementResult{
 		{Scenario: "calm", Invalid: 1, Violations: 2, Figures: []AgreementFigure{
 			{Metric: "in_time", Simulation: goldenCells[0], Process: goldenCells[2], Bound: 0.03125, Within: true},
@@ -37,9 +38,9 @@
 	})
 }
 
-func TestGoldenStandingsAreWrittenToTheSameBytes(t *testing.T) {
-	checkWritten(t, goldenStandings, []BaselineRow{{Scenario: "calm", Workers: 10, Cells: goldenCells}, {Scenario: "busy"}})
+func TestGoldenBaselineTable(t *testing.T) {
+	checkWritten(t, goldenBaselineTable, []BaselineRow{{Scenario: "calm", Workers: 10, Cells: goldenCells}, {Scenario: "busy"}})
 }
 
-// What a table calls its columns stands in tags. A cell writes itself by a struct of its own, whose bytes are pinned above.
+// The names of a table's columns are in struct tags. Cell.MarshalJSON uses a struct of its own, whose output is checked above.
 func TestTablesAreTagged(t *testing.T) { storedform.CheckTags(t, []AgreementResult{}, []BaselineRow{}) }
--- a/internal/testbed/experiment/minimise.go
+++ b/internal/testbed/experiment/minimise.go
@@ -9,22 +9,23 @@
 
 // Bounds of minimisation.
 const (
-	minimisedShare  = 0.8 // of its regret that a minimised finding keeps
+	minimisedShare  = 0.8 // share of its regret that a minimised finding must keep
 	maxMinimiseRuns = 150 // for one finding
 )
 
 // scenarioChange makes a scenario smaller.
 type scenarioChange = func(spec *scenario.Scenario)
 
-// minimiser looks for a smaller run that is as bad in the same way as a finding, and puts it in the finding's place.
+// minimiser looks for a smaller run that is as bad as a finding and in the same way, and replaces the finding by it.
 type minimiser struct {
 	search        *Search
 	finding       *Finding
 	remainingRuns int
 }
 
-// minimise removes faults that do not matter, then shortens them, and takes fewer parties and plainer settings. It ends
-// with the context, with the finding as small as it is by then.
+// minimise removes the faults that do not matter, then sets parts of the scenario back to their defaults and shortens the
+// remaining faults, and then tries fewer workers and a shorter run. When the context ends it stops, and leaves the finding as
+// small as it is by then.
 func (s *Search) minimise(ctx context.Context, finding *Finding) error {
 	minimiser := &minimiser{search: s, finding: finding, remainingRuns: maxMinimiseRuns}
 	if err := minimiser.removeFaults(ctx); err != nil {
@@ -43,7 +44,8 @@
 	return minimiser.repeat(ctx, halveLength)
 }
 
-// removeFaults tries each fault, and all again after one could go: another may have mattered only beside it.
+// removeFaults tries to remove each fault. After a pass that removed any it tries the others again, since one of them may have
+// mattered only together with a removed one.
 func (m *minimiser) removeFaults(ctx context.Context) error {
 	for isSmaller := true; isSmaller; {
 		isSmaller = false
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// repeat makes a change as often as the run stays as bad.
+// repeat makes a change again and again, for as long as the run stays as bad.
 func (m *minimiser) repeat(ctx context.Context, change scenarioChange) error {
 	for {
 		ok, err := m.try(ctx, change)
@@ -83,12 +85,13 @@
 	if err != nil || !m.isAsBad(candidate) {
 		return false, err
 	}
-	candidate.Drawn = m.finding.Drawn
+	candidate.DrawnFaults = m.finding.DrawnFaults
 	*m.finding = *candidate
 	return true, nil
 }
 
-// isAsBad reports whether a candidate fails in the same way, or keeps most of the regret.
+// isAsBad reports whether a candidate fails in the same way as the finding or, if the finding is no failure, keeps most of its
+// regret.
 func (m *minimiser) isAsBad(candidate *Finding) bool {
 	finding := m.finding
 	if candidate.Rule != finding.Rule || (candidate.Error != "") != (finding.Error != "") {
@@ -98,7 +101,7 @@
 	return isViolation || candidate.Regret() >= minimisedShare*finding.Regret()
 }
 
-// simplifications are changes that each set one part of a scenario back to its default, or make a fault smaller.
+// simplifications returns changes that each set one part of a scenario back to its default, or make a fault smaller.
 func simplifications(drawn *scenario.Scenario) []scenarioChange {
 	all := []scenarioChange{
 		func(spec *scenario.Scenario) { spec.Clients = scenario.Default().Clients },
--- a/internal/testbed/experiment/observers.go
+++ b/internal/testbed/experiment/observers.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// observers are all that observe one run. Those that the job does not ask for are nil.
+// observers has all observers of one run. Those that the job does not request are nil.
 type observers struct {
 	spec         *scenario.Scenario
 	score        *score.Score
@@ -39,7 +39,7 @@
 	return all
 }
 
-// list returns the observers in the order in which they get each event.
+// list returns the observers in the order in which they are called with each event.
 func (o *observers) list() []trace.Observer {
 	all := []trace.Observer{o.score.Observe}
 	if o.checker != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// reportSnapshot calls onSnapshot with the first event of each second.
+// reportSnapshot calls onSnapshot at the first event of each second.
 func (o *observers) reportSnapshot(event *trace.Event) {
 	if event.At < o.nextSnapshot {
 		return
@@ -73,7 +73,7 @@
 	o.onSnapshot(&o.snapshot)
 }
 
-// finish enters the figures and verdicts into the result. What driver and checker left out is one list.
+// finish sets the figures and verdicts of the result.
 func (o *observers) finish(result *RunResult, limits driverLimits) {
 	document := &result.Document
 	document.Result = o.score.Result()
@@ -90,7 +90,8 @@
 	document.Expectations = score.Check(o.spec.Expectations(), document.Result, result.Violations())
 }
 
-// newVerdict is the verdict of a checked run as the report has it.
+// newVerdict returns the verdict of a checked run in the form of the report. NotChecked lists what the driver left out and what
+// the checker did.
 func newVerdict(result *RunResult, limits driverLimits) *report.Verdict {
 	verdict := &report.Verdict{Invalid: result.Verdict.Invalid, ViolationCount: result.Violations()}
 	if limits.invalid != "" {
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -16,14 +16,14 @@
 	"valvecove/internal/testbed/simulation"
 )
 
-// PolicyDispatch is the name of the policy that is in service; the others are baseline policies.
+// PolicyDispatch is the name of the policy in production, package dispatch; all others are baseline policies.
 const PolicyDispatch = "logic"
 
-// ApertureSuffix behind a policy's name puts an aperture in front of each of its instances. Keys of its section in the
-// operators' file may follow: "logic+aperture:least=20:cover=3".
+// ApertureSuffix at the end of a policy's name puts an aperture in front of each instance of the policy. Keys of the section
+// [aperture] of the operators' file may follow: "logic+aperture:least=20:cover=3".
 const ApertureSuffix = "+aperture"
 
-// PeersSuffix behind a policy's name has its instances send each other datagrams, as peers.on does.
+// PeersSuffix at the end of a policy's name has its instances send each other datagrams, as the scenario's key peers.on does.
 const PeersSuffix = "+peers"
 
 // PolicyNames returns the names that Subject.Policy may have.
@@ -35,7 +35,7 @@
 	return names
 }
 
-// policyFactory makes the policy of a scheduler, as simulation.Options has it.
+// policyFactory creates the policy of a scheduler, for simulation.Options.
 type policyFactory = func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy
 
 // simulationOptions turns a subject into options of the simulation.
@@ -48,7 +48,7 @@
 	if name != "" && name != PolicyDispatch {
 		policy, ok := baseline.Find(name)
 		if !ok {
-			return options, fmt.Errorf("policy %q is none of %v", name, PolicyNames())
+			return options, fmt.Errorf("unknown policy %q, expected one of %v", name, PolicyNames())
 		}
 		newPolicy := policy.ForRun()
 		options.Module = func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy {
@@ -66,7 +66,7 @@
 	return options, nil
 }
 
-// withPeers returns the scenario and the policy's name without PeersSuffix. With it, the scenario has peers.
+// withPeers returns the policy's name without PeersSuffix, and the scenario, with peers enabled if the name had the suffix.
 func withPeers(spec *scenario.Scenario, policy string) (*scenario.Scenario, string, error) {
 	name, hasSuffix := strings.CutSuffix(policy, PeersSuffix)
 	if !hasSuffix {
@@ -76,12 +76,12 @@
 	return spec, name, err
 }
 
-// applyMutant puts a mutant into options: in front of each scheduler, or in place of its policy.
+// applyMutant sets options to run a mutant in front of each scheduler, or in place of its policy.
 func applyMutant(options *simulation.Options, spec *scenario.Scenario, name string) error {
 	all := mutation.All()
 	i := slices.IndexFunc(all, func(mutant mutation.Mutant) bool { return mutant.Name == name })
 	if i < 0 {
-		return fmt.Errorf("mutant %q is not known", name)
+		return fmt.Errorf("unknown mutant %q", name)
 	}
 	mutant := all[i]
 	if mutant.Wrap != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// withAperture puts an aperture in front of the policies of a factory; nil stands for the policy in service.
+// withAperture puts an aperture in front of the policies of a factory; nil stands for the policy in production.
 func withAperture(inner policyFactory, narrowing aperture.Config) policyFactory {
 	return func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy {
 		policy := requests.Policy(dispatch.New(settings, seed))
@@ -109,14 +109,14 @@
 	}
 }
 
-// parsePolicy splits the name of a policy from its aperture. Without ApertureSuffix the aperture is that of the scenario's
-// operators' file; nil: there is none.
+// parsePolicy splits a policy into its name and the settings of its aperture. Without ApertureSuffix these are the ones in the
+// scenario's operators' file; nil means no aperture.
 func parsePolicy(spec *scenario.Scenario, policy string) (name string, narrowing *aperture.Config, err error) {
 	name, keys, hasSuffix := strings.Cut(policy, ApertureSuffix)
 	text := spec.Schedulers.OperationsFile
 	if hasSuffix {
 		if keys != "" && keys[0] != ':' {
-			return "", nil, fmt.Errorf("policy %q: expected keys behind %q as in :least=20:cover=3", policy, ApertureSuffix)
+			return "", nil, fmt.Errorf("policy %q: expected keys after %q, as in :least=20:cover=3", policy, ApertureSuffix)
 		}
 		text = "[aperture]" + strings.ReplaceAll(keys, ":", "\n")
 	}
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -1,7 +1,7 @@
-// Package experiment runs scenarios, one or many, and reports what came of them: single runs, comparisons paired by seed,
+// Package experiment runs scenarios, one or many, and returns the results: single runs, comparisons paired by seed,
 // variations of a parameter, both drivers side by side, tables of baseline policies, and randomised searches for the worst
-// runs. It owns the invariant checkers and scores of its runs; it neither simulates nor prints. What it says of a simulated
-// run follows from scenario, subject and seed alone, however many run at once.
+// runs. It owns the invariant checkers and scores of its runs; it neither simulates nor prints. The result of a simulated
+// run depends on scenario, subject and seed alone, however many run at once.
 package experiment
 
 import (
@@ -20,29 +20,29 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Subject is what is put through a run.
+// Subject is what a run tests: a policy, a mutant, a changed scenario, a program or another build.
 type Subject struct {
 	Name    string
-	Policy  string   // PolicyDispatch (or empty) or a baseline's name, with ApertureSuffix or PeersSuffix if it has one; simulation only
-	Mutant  string   // name of a mutant to put in front of each scheduler; simulation only; empty: none
-	Set     []string // changes to the scenario, "key=value" with the value as TOML has it
+	Policy  string   // PolicyDispatch (or empty) or a baseline's name, with or without ApertureSuffix or PeersSuffix; simulation
+	Mutant  string   // name of a mutant to run; simulation only; empty: none
+	Set     []string // changes to the scenario, "key=value" with the value in TOML
 	Binary  string   // the scheduler's program; process driver only
 	Testbed string   // another build's valvecove-testbed, which runs the job in place of this one; simulation only
 }
 
-// Job is one run to be made.
+// Job describes one run.
 type Job struct {
 	Spec    *scenario.Scenario
 	Seed    uint64
 	Driver  string // scenario.DriverSimulation or scenario.DriverProcess
 	Subject Subject
-	// Observer gets all trace events, beside checker and score, in the run's own goroutine; nil: nobody does.
+	// Observer, if not nil, is called with all trace events, as checker and score are, in the run's own goroutine.
 	Observer trace.Observer
-	// OnSnapshot is called with how the run stands, in its own goroutine, at most once a second of it; nil: it is not.
+	// OnSnapshot, if not nil, is called with the state of the run, in the run's own goroutine, at most once a second.
 	OnSnapshot func(snapshot *score.Snapshot)
-	// Unchecked leaves the invariant checker out, where only speed or value is of interest.
+	// Unchecked leaves the invariant checker out, for runs of which only the speed or the value is of interest.
 	Unchecked bool
-	// Starvation has the run checked for attempts that wait or are rejected while workers are idle.
+	// Starvation enables the check for attempts that wait or are rejected while workers are idle.
 	Starvation bool
 	Process    process.Options // its Observer is overwritten
 }
@@ -52,14 +52,14 @@
 	Document   report.Document
 	Verdict    checker.Verdict
 	Starvation *starvation.Verdict // nil: not checked
-	Simulation *simulation.Outcome // nil: of the process driver
-	Process    *process.Outcome    // nil: of the simulation
+	Simulation *simulation.Outcome // nil with the process driver
+	Process    *process.Outcome    // nil with the simulation driver
 }
 
 // Result returns the figures of the run.
 func (r *RunResult) Result() *score.Result { return r.Document.Result }
 
-// Violations returns how often a rule was broken.
+// Violations returns how often rules were broken.
 func (r *RunResult) Violations() int {
 	violations := 0
 	for _, rule := range r.Verdict.Rules {
@@ -68,7 +68,7 @@
 	return violations
 }
 
-// InvalidReason says why the run is no result; empty: it is one.
+// InvalidReason returns why the run is invalid, or "" if it is valid.
 func (r *RunResult) InvalidReason() string {
 	if r.Document.Verdict == nil {
 		return ""
@@ -76,7 +76,7 @@
 	return r.Document.Verdict.Invalid
 }
 
-// MeetsExpectations reports whether the run is a result, and met all expectations.
+// MeetsExpectations reports whether the run is valid and met all expectations.
 func (r *RunResult) MeetsExpectations() bool {
 	for _, outcome := range r.Document.Expectations {
 		if !outcome.OK {
@@ -86,10 +86,10 @@
 	return r.InvalidReason() == ""
 }
 
-// ErrStopped is a run that a panic has ended.
-var ErrStopped = errors.New("the run has panicked")
+// ErrStopped is the error of a run that ended with a panic.
+var ErrStopped = errors.New("the run panicked")
 
-// Run makes one run. A panic in it, of the policy or of the testbed, is returned as an error that wraps ErrStopped and
+// Run executes one run. A panic in the policy or in the testbed is returned as an error that wraps ErrStopped and
 // names the run.
 func Run(ctx context.Context, job Job) (result *RunResult, err error) {
 	defer func() {
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	if !spec.SupportsDriver(job.Driver) {
-		return nil, fmt.Errorf("%s is not for the %s driver", spec.Name, job.Driver)
+		return nil, fmt.Errorf("scenario %s does not support the %s driver", spec.Name, job.Driver)
 	}
 	observers := newObservers(spec, job)
 	result = &RunResult{}
@@ -131,10 +131,10 @@
 	return result, nil
 }
 
-// driverLimits are what a driver could not do in a run.
+// driverLimits describes what a driver could not do in a run.
 type driverLimits struct {
 	unsupported []string // parts of the scenario that it left out
-	invalid     string   // why the run is no result; empty: it is one
+	invalid     string   // why the run is invalid; empty: it is valid
 }
 
 func runSimulation(spec *scenario.Scenario, job Job, observers *observers, result *RunResult) (driverLimits, error) {
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -13,20 +13,21 @@
 	"valvecove/internal/testbed/starvation"
 )
 
-// Search looks for runs that go badly: scenarios and seeds drawn at random, each compared with a baseline policy that sees
-// everything. The i-th draw follows from Seed and i alone, so that a longer search finds all that a shorter one did.
+// Search looks for bad runs: it draws scenarios and seeds at random, and compares each run with one of a baseline policy, which
+// by default knows the whole state of the fleet. The i-th draw depends on Seed and i alone, so a longer search makes all the
+// draws of a shorter one.
 type Search struct {
 	Seed        uint64
 	Subject     Subject
 	Baseline    string // the baseline policy; empty: all-seeing
-	Keep        int    // so many of the worst; 0: eight
+	Keep        int    // how many of the worst to keep; 0: eight
 	Parallelism int    // runs at once; 0: as many as there are processors
-	MaxRuns     int    // draws; 0: until the context ends
-	// Starvation looks for starvation (package starvation) and broken rules in runs drawn more widely, and for no regret: no
-	// baseline is run.
+	MaxRuns     int    // maximum number of draws; 0: until the context ends
+	// Starvation makes the search look for starvation (package starvation) and broken rules, in scenarios from a wider range. It
+	// does not look for regret then, and runs no baseline.
 	Starvation bool
 
-	trim func(spec *scenario.Scenario) // changes each draw; nil: nothing does
+	adjustDraw func(spec *scenario.Scenario) // if not nil, changes each drawn scenario
 }
 
 // Defaults of a search.
@@ -35,21 +36,21 @@
 	defaultKeep     = 8
 )
 
-// drawsPerWorker are evaluated between two looks at what to keep.
+// drawsPerWorker is how many draws per worker goroutine are evaluated before the search decides which of them to keep.
 const drawsPerWorker = 8
 
 // SearchResult is what a search found.
 type SearchResult struct {
 	Runs       int
-	Violations int // runs that broke a rule or stopped
+	Violations int // runs that broke a rule or ended with an error
 	Worst      []Finding
-	Mean       float64 // of the regret
+	MeanRegret float64 // mean regret of all runs
 
 	totalRegret float64
 }
 
-// Run searches until the context ends or all draws are made, and minimises what it keeps. It calls onFinding, unless that
-// is nil, with each new finding and the number of runs so far.
+// Run searches until the context ends or all draws are made, and minimises the findings that it keeps. It calls onFinding,
+// unless that is nil, with each finding that it keeps and the number of runs so far.
 func (s *Search) Run(ctx context.Context, onFinding func(finding *Finding, runs int)) (*SearchResult, error) {
 	parallelism := s.Parallelism
 	if parallelism <= 0 {
@@ -75,12 +76,12 @@
 			}
 		}
 		first += count
-		result.Mean = result.totalRegret / float64(max(1, result.Runs))
+		result.MeanRegret = result.totalRegret / float64(max(1, result.Runs))
 	}
 	return result, nil
 }
 
-// evaluateDraws evaluates consecutive draws. Those that the end of the context left out are missing.
+// evaluateDraws evaluates consecutive draws. When the context ends, it leaves out those that it has not begun.
 func (s *Search) evaluateDraws(ctx context.Context, first, count, parallelism int) ([]*Finding, error) {
 	findings := make([]*Finding, count)
 	err := inParallel(ctx, parallelism, count, func(i int) error {
@@ -91,7 +92,7 @@
 	return slices.DeleteFunc(findings, func(finding *Finding) bool { return finding == nil }), err
 }
 
-// record counts a finding. It minimises one that may be kept, and reports whether it was.
+// record counts a finding, minimises it if it may be kept, and reports whether it was kept.
 func (s *Search) record(ctx context.Context, result *SearchResult, finding *Finding) (isKept bool, err error) {
 	result.Runs++
 	result.totalRegret += finding.Regret()
@@ -111,50 +112,50 @@
 	return result.keep(finding, limit), nil
 }
 
-// mayKeep reports whether a finding, before it is minimised, may come among those kept: the first of each kind that stopped
-// or broke a rule, and of the others those worse than the least bad one.
+// mayKeep reports whether a finding, before it is minimised, may be among those kept. Of the findings that ended with an error or
+// broke a rule, that is the first of each kind; of the others, those that are worse than the least bad one kept.
 func (r *SearchResult) mayKeep(finding *Finding, limit int) bool {
-	badness := finding.badness()
-	if badness >= badnessViolation {
+	severity := finding.severity()
+	if severity >= severityViolation {
 		return r.indexOfKind(finding.kind()) < 0
 	}
-	if badness <= minRegret {
+	if severity <= minRegret {
 		return false
 	}
-	return len(r.Worst) < limit || badness > r.Worst[len(r.Worst)-1].badness()
+	return len(r.Worst) < limit || severity > r.Worst[len(r.Worst)-1].severity()
 }
 
-// keep puts a minimised finding among the worst, of which there is one of each kind, and reports whether it is there.
+// keep adds a minimised finding to the worst ones, of which there is one of each kind, and reports whether it is among them.
 func (r *SearchResult) keep(finding *Finding, limit int) bool {
 	if i := r.indexOfKind(finding.kind()); i >= 0 {
-		if r.Worst[i].badness() >= finding.badness() {
+		if r.Worst[i].severity() >= finding.severity() {
 			return false
 		}
 		r.Worst = slices.Delete(r.Worst, i, i+1)
 	}
 	r.Worst = append(r.Worst, *finding)
-	slices.SortStableFunc(r.Worst, func(a, b Finding) int { return cmp.Compare(b.badness(), a.badness()) })
+	slices.SortStableFunc(r.Worst, func(a, b Finding) int { return cmp.Compare(b.severity(), a.severity()) })
 	// All violations are kept; of the others, the worst.
-	for len(r.Worst) > limit && r.Worst[len(r.Worst)-1].badness() < badnessViolation {
+	for len(r.Worst) > limit && r.Worst[len(r.Worst)-1].severity() < severityViolation {
 		r.Worst = r.Worst[:len(r.Worst)-1]
 	}
 	return slices.ContainsFunc(r.Worst, func(kept Finding) bool { return kept.Spec == finding.Spec })
 }
 
-// indexOfKind is the place of the finding of a kind among the worst; -1: there is none.
+// indexOfKind returns the index in Worst of the finding of a kind, or -1.
 func (r *SearchResult) indexOfKind(kind string) int {
 	return slices.IndexFunc(r.Worst, func(kept Finding) bool { return kept.kind() == kind })
 }
 
-// evaluate runs a scenario, and the baseline beside it.
+// evaluate runs a scenario with the subject and, unless the search is for starvation, with the baseline.
 func (s *Search) evaluate(ctx context.Context, spec *scenario.Scenario, draw int) (*Finding, error) {
-	finding := &Finding{Spec: spec, DrawNumber: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
+	finding := &Finding{Spec: spec, DrawNumber: draw, DrawnFaults: len(spec.Faults), RemainingFaults: len(spec.Faults)}
 	job := Job{
 		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.DriverSimulation, Subject: s.Subject,
 		Starvation: s.Starvation,
 	}
 	result, err := Run(ctx, job)
-	if err != nil { // it is what the search looks for
+	if err != nil { // an error is a finding, not a failure of the search
 		finding.Error = err.Error()
 		return finding, nil
 	}
@@ -181,7 +182,7 @@
 	return finding, nil
 }
 
-// firstViolated is the first rule that a run broke; empty: it broke none.
+// firstViolated returns the first rule that a run broke, or "" if it broke none.
 func firstViolated(result *RunResult) string {
 	for _, rule := range result.Verdict.Rules {
 		if rule.Violated > 0 {
@@ -191,23 +192,23 @@
 	return ""
 }
 
-// Finding is a run that went badly.
+// Finding is a bad run.
 type Finding struct {
 	Spec            *scenario.Scenario // its Seed is the run's
-	Rule            string             // that was broken, or starvation.Rule; empty: none was
-	StarvationCount int                // attempts that starved
+	Rule            string             // the broken rule, or starvation.Rule; empty: none
+	StarvationCount int                // number of attempts that starved
 	Value           float64            // mixed value of the run
 	BaselineValue   float64            // mixed value of the baseline
-	Faults          int                // of those drawn, still in Spec
-	Drawn           int                // faults that were drawn
+	RemainingFaults int                // number of the drawn faults that are still in Spec
+	DrawnFaults     int                // number of faults in the draw
 	DrawNumber      int
-	Error           string // that ended the run; empty: it went on to its end
+	Error           string // the error that ended the run; empty: it reached its end
 }
 
-// Regret is how far the run stayed below the baseline, 0 or more.
+// Regret returns by how much the run's value is below the baseline's; 0 if it is not.
 func (f *Finding) Regret() float64 { return math.Max(0, f.BaselineValue-f.Value) }
 
-// Description says what is bad about the finding.
+// Description returns what is bad about the finding.
 func (f *Finding) Description() string {
 	switch {
 	case f.Error != "":
@@ -220,13 +221,13 @@
 	return fmt.Sprintf("worth %.3f where %.3f can be had", f.Value, f.BaselineValue)
 }
 
-// File is the finding as a scenario file that runs it again.
+// File returns the finding as a scenario file that repeats the run.
 func (f *Finding) File() []byte {
-	comment := fmt.Sprintf("# Kept by a search: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
+	comment := fmt.Sprintf("# Kept by a search: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.RemainingFaults, f.DrawnFaults)
 	return append([]byte(comment), scenario.Encode(f.Spec)...)
 }
 
-// kind classifies findings, of which only the worst of a kind is kept: by the rule broken, or by the kinds of faults.
+// kind classifies findings by the error, the rule broken, or the kinds of faults. Only the worst finding of a kind is kept.
 func (f *Finding) kind() string {
 	if f.Error != "" {
 		return "!" + firstLine(f.Error)
@@ -244,20 +245,20 @@
 	return f.Rule + " " + strings.Join(kinds, "+")
 }
 
-// Badness of findings. That of a finding without violations is its regret, at most 1.
+// Severity of findings. That of a finding without an error or a broken rule is its regret, at most 1.
 const (
-	badnessStopped   = 3
-	badnessViolation = 2
-	minRegret        = 0.05 // of a finding that is kept
+	severityStopped   = 3
+	severityViolation = 2
+	minRegret         = 0.05 // a finding with no more than this regret is not kept
 )
 
-// badness orders findings: runs that stopped, then violations, then regret.
-func (f *Finding) badness() float64 {
+// severity orders findings: runs that ended with an error are the worst, then broken rules, then regret.
+func (f *Finding) severity() float64 {
 	switch {
 	case f.Error != "":
-		return badnessStopped
+		return severityStopped
 	case f.Rule != "":
-		return badnessViolation
+		return severityViolation
 	}
 	return f.Regret()
 }
--- a/internal/testbed/experiment/speed.go
+++ b/internal/testbed/experiment/speed.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Speed is how fast the simulation ran.
+// Speed has the measurement of how fast the simulation ran.
 type Speed struct {
 	Requests uint64
 	Elapsed  time.Duration
@@ -19,17 +19,18 @@
 // PerSecond returns the requests simulated in a second of real time.
 func (s Speed) PerSecond() float64 { return float64(s.Requests) / max(s.Elapsed.Seconds(), 1e-9) }
 
-// Spread returns the minimum, the median and the maximum of some figures, at least one.
+// Spread returns the minimum, the median and the maximum of some figures, of which there must be at least one.
 func Spread(all []float64) (low, median, high float64) {
 	all = slices.Sorted(slices.Values(all))
 	return all[0], stat.Quantile(0.5, stat.Empirical, all, nil), all[len(all)-1]
 }
 
-// minLength is the shortest time for which jobs come: a fleet must fill before it shows anything.
+// minLength is the minimum length of a scaled scenario: figures mean nothing before the fleet has filled with jobs.
 const minLength = 8 * time.Second
 
-// ScaleFleet returns a scenario with so many workers that is as busy as another, long enough for so many jobs. Its schedulers
-// get the descriptors for that many clients; otherwise clients would wait for connections, and a run would show only that.
+// ScaleFleet returns a copy of a scenario with the given number of workers, the same load for its capacity, and a length in which
+// the given number of jobs come due. Its schedulers get descriptors in proportion to the workers: with fewer, clients would wait
+// for connections, and the run would measure only that.
 func ScaleFleet(spec *scenario.Scenario, workers int, jobs float64) (*scenario.Scenario, error) {
 	changed := spec.Clone()
 	changed.Drivers = []string{scenario.DriverSimulation}
--- a/internal/testbed/experiment/variation.go
+++ b/internal/testbed/experiment/variation.go
@@ -13,40 +13,40 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Vary is a key of a scenario and the values it takes.
-type Vary struct {
+// VariedKey is a key of a scenario with the values that it takes.
+type VariedKey struct {
 	Key    string
-	Values []string // as TOML has them
+	Values []string // in TOML
 }
 
-// maxSteps bounds the values of a range.
+// maxSteps is the maximum number of values in a range.
 const maxSteps = 1000
 
-// ParseVary reads "key=v1,v2,v3" or "key=from..to/steps" (numbers, both ends included).
-func ParseVary(text string) (Vary, error) {
+// ParseVariedKey reads "key=v1,v2,v3" or "key=from..to/steps" (numbers, both ends included).
+func ParseVariedKey(text string) (VariedKey, error) {
 	key, list, ok := splitChange(text)
 	if !ok {
-		return Vary{}, fmt.Errorf("%q: expected key=value,value or key=from..to/steps", text)
+		return VariedKey{}, fmt.Errorf("%q: expected key=value,value or key=from..to/steps", text)
 	}
 	if strings.Contains(list, "..") {
 		values, ok := parseRange(list)
 		if !ok {
-			return Vary{}, fmt.Errorf("%q: expected key=from..to/steps with numbers, and 2 to %d steps", text, maxSteps)
+			return VariedKey{}, fmt.Errorf("%q: expected key=from..to/steps with numbers, and 2 to %d steps", text, maxSteps)
 		}
-		return Vary{Key: key, Values: values}, nil
+		return VariedKey{Key: key, Values: values}, nil
 	}
-	vary := Vary{Key: key}
+	vary := VariedKey{Key: key}
 	for _, value := range splitValues(list) {
 		value = strings.TrimSpace(value)
 		if value == "" {
-			return Vary{}, fmt.Errorf("%q: a value is empty", text)
+			return VariedKey{}, fmt.Errorf("%q: a value is empty", text)
 		}
 		vary.Values = append(vary.Values, value)
 	}
 	return vary, nil
 }
 
-// parseRange returns the values of "from..to/steps".
+// parseRange returns the values of "from..to/steps", evenly spaced and with both ends.
 func parseRange(text string) (values []string, ok bool) {
 	fromText, toAndSteps, _ := strings.Cut(text, "..")
 	toText, stepsText, ok := strings.Cut(toAndSteps, "/")
@@ -63,7 +63,7 @@
 	return values, true
 }
 
-// splitValues splits a list at its commas, but not at those in brackets, braces or quotes.
+// splitValues splits a list at its commas, except those inside brackets, braces or quotes.
 func splitValues(list string) []string {
 	var all []string
 	depth, quoted, from := 0, false, 0
@@ -85,17 +85,17 @@
 	return append(all, list[from:])
 }
 
-// Variation is one scenario with one key, or two, taking several values.
+// Variation runs one scenario with several values of one key, or of two.
 type Variation struct {
 	Spec        *scenario.Scenario
-	Vary        Vary
-	Curves      Vary // a curve for each value; no values: one curve
+	Vary        VariedKey
+	Curves      VariedKey // each value has its own curve; without values there is one curve
 	Seeds       []uint64
 	Driver      string
 	Subject     Subject
-	Figure      string // the headline that is drawn
+	Figure      string // name of the headline figure that is drawn
 	Parallelism int    // runs at once; 0: as many as there are processors
-	Job         Job    // what else is set in each run
+	Job         Job    // further settings of each run
 }
 
 // Run runs the scenario with each pair of values on all seeds. It checks all values before the first run. Unless it is nil,
@@ -138,7 +138,8 @@
 	return result, nil
 }
 
-// newPoints are the points of a curve: at the values if all are numbers, or else at 0, 1, 2 with the values as labels.
+// newPoints returns the points of a curve: at the values if all are numbers, or else at 0, 1, 2 and so on with the values as
+// labels.
 func newPoints(values []string) []report.Point {
 	points := make([]report.Point, len(values))
 	for i, value := range values {
@@ -159,7 +160,7 @@
 	return points
 }
 
-// pointJobs are the runs of a point, one for each seed.
+// pointJobs returns the runs of a point, one for each seed.
 func (v *Variation) pointJobs(value, curveValue string) ([]Job, error) {
 	subject := v.Subject
 	subject.Set = append(slices.Clone(subject.Set), v.Vary.Key+"="+value)
