--- a/scenarios/baseline_test.go
+++ b/scenarios/baseline_test.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	baselinePolicy = "least-outstanding" // the plainest policy that the pages compare with
+	baselinePolicy = "least-outstanding" // the simplest policy that the documentation compares with
 	baselineSeeds  = 3                   // runs of each policy
 )
 
-// belowBaseline are the scenarios in which the dispatcher earns less than the baseline; see TestScenariosBelowBaseline.
+// belowBaseline has the scenarios in which the dispatcher's value is below the baseline's; see TestScenariosBelowBaseline.
 var belowBaseline = []string{"cold_morning", "herd", "notes_astray", "peers_late", "rolling_deploy", "wide"}
 
-// No scenario is served worse by the dispatcher than by the plainest policy on the same seeds, which is its stated target.
+// In each scenario, the dispatcher's value is at least that of the baseline policy on the same seeds, which is its stated target.
+// The scenarios in which it is known to be lower are left to TestScenariosBelowBaseline.
 func TestDispatcherEarnsNoLessThanBaseline(t *testing.T) {
 	for _, name := range Names() {
 		spec, err := Open(name)
@@ -24,7 +25,7 @@
 			t.Error(err)
 			continue
 		}
-		hasPlanners := spec.Planners.Count > 0 // these run the dispatcher only
+		hasPlanners := spec.Planners.Count > 0 // they run the dispatcher only
 		if isRunHere(spec) && !hasPlanners && !slices.Contains(belowBaseline, name) {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
@@ -34,7 +35,7 @@
 	}
 }
 
-// The same of the scenarios in which the dispatcher is known to earn less.
+// The same for the scenarios in which the dispatcher's value is known to be below the baseline's.
 func TestScenariosBelowBaseline(t *testing.T) {
 	for _, name := range belowBaseline {
 		t.Run(name, func(t *testing.T) {
@@ -44,18 +45,18 @@
 	}
 }
 
-// testBaseline compares what the dispatcher and the baseline earn in a scenario.
+// testBaseline compares the values of the dispatcher and of the baseline in a scenario.
 func testBaseline(t *testing.T, name string) {
 	t.Helper()
-	dispatcher := earnedBy(t, name, experiment.Subject{Name: experiment.PolicyDispatch})
-	baseline := earnedBy(t, name, experiment.Subject{Name: baselinePolicy, Policy: baselinePolicy})
+	dispatcher := policyValue(t, name, experiment.Subject{Name: experiment.PolicyDispatch})
+	baseline := policyValue(t, name, experiment.Subject{Name: baselinePolicy, Policy: baselinePolicy})
 	if dispatcher < baseline {
-		t.Errorf("%.3f earned, %.3f by the baseline", dispatcher, baseline)
+		t.Errorf("value %.3f is below %.3f of the baseline", dispatcher, baseline)
 	}
 }
 
-// earnedBy returns what a policy earns of what a scenario asks for, in the mean over the seeds.
-func earnedBy(t *testing.T, name string, subject experiment.Subject) (earned float64) {
+// policyValue returns the mixed value of a policy in a scenario, as a mean over the seeds.
+func policyValue(t *testing.T, name string, subject experiment.Subject) (value float64) {
 	t.Helper()
 	for seed := range uint64(baselineSeeds) {
 		spec, err := Open(name)
@@ -68,7 +69,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		earned += result.Result().Value.Mix / baselineSeeds
+		value += result.Result().Value.Mix / baselineSeeds
 	}
-	return earned
+	return value
 }
--- a/scenarios/leases_test.go
+++ b/scenarios/leases_test.go
@@ -7,39 +7,40 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// leaseSeeds is how many runs of each kind a comparison of leases makes.
+// leaseSeeds is the number of runs with leases, and of those without, in a comparison.
 const leaseSeeds = 5
 
-// Where slots are leased no less is earned than without leases, which is the stated target of leases: with datagrams as they are, lost,
-// torn or repeated, after restarts and partitions.
+// With leases the value of a run is at least that without them, which is their stated target: on a sound network, with lost,
+// duplicated, reordered, damaged or forged datagrams, and after restarts and partitions.
 func TestLeasesEarnNoLess(t *testing.T) {
 	testLeases(t, "peers_8", "peers_40", "peers_lossy", "peers_restart", "peers_split", "peers_torn")
 }
 
-// The same with datagrams that take 20 to 400 ms longer.
+// The same with a further delay of 20 to 400 ms for each datagram.
 func TestLeasesEarnNoLessWithLateDatagrams(t *testing.T) { testLeases(t, "peers_late") }
 
-// The same with a coordinator of half of the workers that lies.
+// The same with a faulty coordinator for half of the workers, which sends false answers.
 func TestLeasesEarnNoLessUnderLiars(t *testing.T) {
 	testLeases(t, "peers_liar_full", "peers_liar_same")
 }
 
-// testLeases compares scenarios with the same without leases, on the same seeds.
+// testLeases runs scenarios with and without leases on the same seeds, and compares their values.
 func testLeases(t *testing.T, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leased, unleased := earnedShare(t, name, true), earnedShare(t, name, false)
+			leased, unleased := valueWithLeases(t, name, true), valueWithLeases(t, name, false)
 			if leased < unleased {
-				t.Errorf("%.3f earned with leases, %.3f without", leased, unleased)
+				t.Errorf("value %.3f with leases is below %.3f without", leased, unleased)
 			}
 		})
 	}
 }
 
-// earnedShare returns the share that is earned of what is asked for, in the mean over the seeds.
-func earnedShare(t *testing.T, name string, leases bool) (share float64) {
+// valueWithLeases returns the share of the requested value that is answered in time, with or without leases, as a mean over the
+// seeds.
+func valueWithLeases(t *testing.T, name string, leases bool) (value float64) {
 	t.Helper()
 	for seed := range uint64(leaseSeeds) {
 		spec, err := Open(name)
@@ -54,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		share += result.Result().Value.Whole / leaseSeeds
+		value += result.Result().Value.Whole / leaseSeeds
 	}
-	return share
+	return value
 }
--- a/scenarios/plays_test.go
+++ b/scenarios/plays_test.go
@@ -7,15 +7,16 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Bounds on the scenarios that are run here. Larger fleets take seconds each. The race detector makes a run ten times as slow
-// and finds little in what has one goroutine, so with it only scenarios with few jobs are run; .ci/run runs all without.
+// Limits on the scenarios that are run here. Larger fleets take seconds each. The race detector makes a run ten times slower and
+// finds little, as a simulation has a single goroutine. So with the detector only scenarios with few jobs are run; .ci/run runs
+// all of them without it.
 const (
 	maxWorkers      = 200
 	maxJobsWithRace = 1000
 )
 
-// Each scenario is simulated once, and held to its invariants and expectations. The bounds were taken from the runs of seeds
-// 1 to 30 (docs/measurements/expectations.md), so a run that misses one has changed for the worse.
+// Each scenario, simulated once, keeps its invariants and meets its expectations. The expectations' bounds were taken from the
+// runs of seeds 1 to 30 (docs/measurements/expectations.md), so a run that misses one has changed for the worse.
 func TestPlaysAreAsExpected(t *testing.T) {
 	for _, name := range Names() {
 		spec, err := Open(name)
@@ -32,7 +33,7 @@
 	}
 }
 
-// isRunHere reports whether a scenario can be simulated and is within the bounds.
+// isRunHere reports whether a scenario can be simulated and is within the limits.
 func isRunHere(spec *scenario.Scenario) bool {
 	jobs := spec.Rate() * spec.Length.Std().Seconds()
 	if raceDetector && jobs > maxJobsWithRace {
@@ -59,6 +60,6 @@
 		}
 	}
 	if len(result.Document.Expectations) == 0 {
-		t.Error("nothing is expected of it")
+		t.Error("the scenario has no expectations")
 	}
 }
--- a/scenarios/race_test.go
+++ b/scenarios/race_test.go
@@ -2,5 +2,5 @@
 
 package scenarios
 
-// raceDetector says whether the tests run with the race detector.
+// raceDetector is whether the tests run with the race detector.
 const raceDetector = true
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,6 +1,6 @@
-// Package scenarios is the testbed's library of scenarios: ordinary days, every line of the incident record, the faults of
-// workers, network, discovery, schedulers and clients, one by one and overlapping, and fleets of 100 to 10,000 workers.
-// It owns the files and opens them by name. Package scenario defines what they mean.
+// Package scenarios is the testbed's library of scenarios: ordinary days, every kind of incident on record, faults of
+// workers, network, discovery, schedulers and clients, alone and overlapping, and fleets of 100 to 10,000 workers.
+// It owns the files and opens them by name. Package scenario defines their format.
 package scenarios
 
 import (
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -26,19 +26,20 @@
 	return specs
 }
 
-// Each file is named as its scenario, has a description and expectations of its own, and reads back as it is written.
+// The name of each file is that of its scenario. The scenario has expectations and a description that no other has, and reads
+// back as it is written.
 func TestLibraryFiles(t *testing.T) {
 	fileOfDescription := map[string]string{}
 	for file, spec := range openAll(t) {
 		if spec.Name != file {
-			t.Errorf("%s is named %q, which has to be the file's own", file, spec.Name)
+			t.Errorf("%s: the scenario's name is %q, not the file's", file, spec.Name)
 		}
 		if !strings.HasSuffix(spec.Description, ".") || fileOfDescription[spec.Description] != "" {
-			t.Errorf("%s has no sentence of its own: %q", file, spec.Description)
+			t.Errorf("%s: the description is no sentence, or another scenario has it too: %q", file, spec.Description)
 		}
 		fileOfDescription[spec.Description] = file
 		if len(spec.Expectations()) != len(spec.Expect) {
-			t.Errorf("%s expects %q", file, spec.Expect)
+			t.Errorf("%s: an expectation of %q was not parsed", file, spec.Expect)
 		}
 		again, err := scenario.Parse("x", scenario.Encode(spec))
 		if err != nil || !reflect.DeepEqual(again, spec) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// The library has each kind of fault and of misbehaving client, each shape of load, and the large fleets.
+// The library has each kind of fault and of misbehaving client, each shape of load, and fleets of 100, 1,000 and 10,000 workers.
 func TestLibraryIsComplete(t *testing.T) {
 	has := map[string]bool{}
 	for _, spec := range openAll(t) {
@@ -66,7 +67,7 @@
 	}
 	for _, what := range required {
 		if !has[what] {
-			t.Errorf("the library has no %s", what)
+			t.Errorf("no scenario of the library has %s", what)
 		}
 	}
 }
