--- a/docs/ci_test.go
+++ b/docs/ci_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// ciTests returns a function that runs .ci/tests with a list of known failures over a module of its own: in package a one test
-// passes and two fail, and in package b one fails that has the name of one in a.
+// ciTests creates a module, and returns a function that runs .ci/tests on it with a list of known failures. In package a one test
+// passes and two fail; in package b one passes, and one fails that has the same name as one in a; in package c all pass.
 func ciTests(t *testing.T) func(list string) (output string, passed bool) {
 	t.Helper()
 	dir := t.TempDir()
@@ -37,19 +37,19 @@
 		if err := os.WriteFile(filepath.Join(dir, "list.txt"), []byte(list), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c := exec.Command(script, "go test -v -count=1 ./...", "list.txt")
-		c.Dir, c.Env = dir, append(os.Environ(), "GOFLAGS=", "GOWORK=off")
-		text, err := c.CombinedOutput()
+		cmd := exec.Command(script, "go test -v -count=1 ./...", "list.txt")
+		cmd.Dir, cmd.Env = dir, append(os.Environ(), "GOFLAGS=", "GOWORK=off")
+		text, err := cmd.CombinedOutput()
 		return string(text), err == nil
 	}
 }
 
-// knownFailure returns an entry of the list for a test, such as "./a TestBad".
+// knownFailure returns the list's entry for a test, such as "./a TestBad".
 func knownFailure(test, seen, issue string) string {
 	return "test: " + test + "\ncommand: go test -count=1 ./... -seed 7\nseen: " + seen + "\nissue: " + issue + "\n"
 }
 
-// summary returns how .ci/tests prints an entry made by knownFailure.
+// summary returns the text that .ci/tests prints for an entry made by knownFailure.
 func summary(test, seen, issue string) string {
 	return test + " (issue " + issue + "): " + seen + " [go test -count=1 ./... -seed 7]"
 }
@@ -68,7 +68,7 @@
 	for _, c := range []struct {
 		entries []string
 		passes  bool
-		says    []string
+		says    []string // texts that the output must have
 	}{
 		{nil, false, []string{"bad in a", "bad too", "bad in b"}},
 		{[]string{badA, tooA, tooB}, true, []string{
@@ -93,7 +93,7 @@
 		}
 		for _, says := range c.says {
 			if !strings.Contains(output, says) {
-				t.Errorf("list %q: says nothing of %q\n%s", list, says, output)
+				t.Errorf("list %q: the output lacks %q\n%s", list, says, output)
 			}
 		}
 	}
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs holds the pages; its tests keep them in step with the program.
+// Package docs has the pages of the documentation. Its tests check that the pages agree with the program.
 package docs
 
 import (
@@ -18,7 +18,8 @@
 	"valvecove/scenarios"
 )
 
-func page(t *testing.T, path string) string {
+// readFile returns the text of a page or of another file.
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -27,7 +28,8 @@
 	return string(text)
 }
 
-// referenceRows returns how the rows of the scenarios' reference have to begin for the keys of a table: name and default.
+// referenceRows appends to dst, for each key in a TOML table, how its row in the scenarios' reference has to begin: with the
+// key's name and default.
 func referenceRows(under string, v reflect.Value, dst []string) []string {
 	for i := range v.NumField() {
 		f, key := v.Field(i), v.Type().Field(i).Tag.Get("toml")
@@ -40,13 +42,14 @@
 		case f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct:
 			dst = referenceRows(key, reflect.New(f.Type().Elem()).Elem(), dst)
 		default:
-			dst = append(dst, fmt.Sprintf("| `%s` | %s |", key, shown(f)))
+			dst = append(dst, fmt.Sprintf("| `%s` | %s |", key, formatDefault(f)))
 		}
 	}
 	return dst
 }
 
-func shown(f reflect.Value) string {
+// formatDefault returns a default value as the reference shows it.
+func formatDefault(f reflect.Value) string {
 	switch v := f.Interface().(type) {
 	case scenario.Duration:
 		if v == 0 {
@@ -59,30 +62,30 @@
 		}
 		return v
 	case []string:
-		return list(strings.Join(v, ", "))
+		return formatList(strings.Join(v, ", "))
 	case []float64:
 		texts := make([]string, len(v))
 		for i, x := range v {
 			texts[i] = strconv.FormatFloat(x, 'g', -1, 64)
 		}
-		return list(strings.Join(texts, ", "))
+		return formatList(strings.Join(texts, ", "))
 	case []int:
-		return list("")
+		return formatList("")
 	}
 	return fmt.Sprint(f.Interface())
 }
 
-func list(text string) string {
+func formatList(text string) string {
 	if text == "" {
 		return "-"
 	}
 	return "[" + text + "]"
 }
 
-// wanted is all that the reference has to hold.
-func wanted(t *testing.T) (all []string) {
+// expectedRows returns how each row of the reference has to begin.
+func expectedRows(t *testing.T) (all []string) {
 	t.Helper()
-	// Of lists, what an entry has that says nothing of itself.
+	// The keys of lists have the defaults of an entry that has nothing but a name.
 	plain, err := scenario.Parse("plain", []byte("[[fleet.kind]]\nname = \"x\"\n[[class]]\nname = \"y\"\n[[tenant]]\nname = \"z\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +103,7 @@
 	return referenceRows("tenant", reflect.ValueOf(tenant), all)
 }
 
-// testbedPages returns the pages of the testbed, one after the other.
+// testbedPages returns the text of all pages about the testbed.
 func testbedPages(t *testing.T) string {
 	t.Helper()
 	paths, err := filepath.Glob("testbed/*.md")
@@ -109,18 +112,18 @@
 	}
 	var text strings.Builder
 	for _, path := range paths {
-		text.WriteString(page(t, path))
+		text.WriteString(readFile(t, path))
 	}
 	return text.String()
 }
 
-// The testbed's pages have every key of a scenario with its default, once, and no other key.
+// The testbed's pages have every key of a scenario once, with its default, and no key that doesn't exist.
 func TestEveryKeyIsInThePage(t *testing.T) {
 	text, keys := testbedPages(t), map[string]bool{}
-	for _, wantedRow := range wanted(t) {
+	for _, wantedRow := range expectedRows(t) {
 		keys[strings.Split(wantedRow, "`")[1]] = true
 		if n := strings.Count(text, "\n"+wantedRow+" "); n != 1 {
-			t.Errorf("the testbed's pages have %d lines that begin as this one has to:\n%s", n, wantedRow)
+			t.Errorf("the testbed's pages have %d lines, not one, that begin with\n%s", n, wantedRow)
 		}
 	}
 	for _, heading := range []string{"\n## Reference", "\n## A fault's keys"} {
@@ -131,41 +134,41 @@
 		reference, _, _ = strings.Cut(reference, "\n## ")
 		for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\|").FindAllStringSubmatch(reference, -1) {
 			if !keys[m[1]] {
-				t.Errorf("the testbed's pages have the key %s, and there is none", m[1])
+				t.Errorf("the testbed's pages have the key %s, which does not exist", m[1])
 			}
 		}
 	}
 }
 
-// The testbed's pages have all names: of faults, misbehaving clients, figures, rules, baseline policies and the library.
+// The testbed's pages have the names of all faults, misbehaving clients, figures, rules, baseline policies and scenarios.
 func TestEveryNameIsInThePage(t *testing.T) {
 	text := testbedPages(t)
 	names := append([]string{}, scenario.MisbehaviorKinds...)
 	for kind := range scenario.FaultKinds {
 		names = append(names, kind)
 	}
-	for _, f := range scenario.Metrics {
-		names = append(names, f.Name)
+	for _, metric := range scenario.Metrics {
+		names = append(names, metric.Name)
 	}
-	for _, h := range score.Headlines {
-		names = append(names, h.Name)
+	for _, headline := range score.Headlines {
+		names = append(names, headline.Name)
 	}
-	for _, y := range baseline.All() {
-		names = append(names, y.Name)
+	for _, policy := range baseline.All() {
+		names = append(names, policy.Name)
 	}
-	for _, m := range mutation.All() {
-		names = append(names, m.Rule)
+	for _, mutant := range mutation.All() {
+		names = append(names, mutant.Rule)
 	}
 	for _, name := range append(names, scenarios.Names()...) {
 		if !strings.Contains(text, "`"+name+"`") {
-			t.Errorf("the testbed's pages do not name `%s`", name)
+			t.Errorf("the testbed's pages do not have `%s`", name)
 		}
 	}
 }
 
-// Each command of valvecove-testbed has a heading of its own.
+// Each subcommand of valvecove-testbed has a heading of its own in commands.md.
 func TestEveryCommandIsInThePage(t *testing.T) {
-	text, source := page(t, "testbed/commands.md"), page(t, "../cmd/valvecove-testbed/main.go")
+	text, source := readFile(t, "testbed/commands.md"), readFile(t, "../cmd/valvecove-testbed/main.go")
 	_, source, _ = strings.Cut(source, "type commands struct {")
 	source, _, _ = strings.Cut(source, "\n}")
 	found := regexp.MustCompile(`(?m)^\t[A-Z]\w+ +\w+ +.cmd:""(?: name:"([a-z]+)")?`).FindAllStringSubmatch(source, -1)
@@ -174,18 +177,18 @@
 	}
 	for _, m := range found {
 		if name := m[1]; name == "" || !strings.Contains(text, "\n## valvecove-testbed "+name+"\n") {
-			t.Errorf("commands.md has no part on valvecove-testbed %s", name)
+			t.Errorf("commands.md has no heading for valvecove-testbed %s", name)
 		}
 	}
 }
 
 var (
-	links    = regexp.MustCompile(`\]\(([^)#: ]+)(#[^)]*)?\)`)
-	examples = regexp.MustCompile("(?s)```toml\n(.*?)```")
+	links        = regexp.MustCompile(`\]\(([^)#: ]+)(#[^)]*)?\)`)
+	tomlExamples = regexp.MustCompile("(?s)```toml\n(.*?)```")
 )
 
-// Links between pages lead to files, and whole scenarios shown in them are valid.
-func TestPagesHoldTogether(t *testing.T) {
+// Links between pages lead to files that exist, and the scenarios shown in full are valid.
+func TestLinksAndExamplesInPages(t *testing.T) {
 	pages, err := filepath.Glob("*.md")
 	if err != nil || len(pages) == 0 {
 		t.Fatal(pages, err)
@@ -198,15 +201,15 @@
 		pages = append(pages, more...)
 	}
 	for _, name := range pages {
-		text := page(t, name)
+		text := readFile(t, name)
 		for _, m := range links.FindAllStringSubmatch(text, -1) {
 			if _, err := os.Stat(filepath.Join(filepath.Dir(name), m[1])); err != nil {
-				t.Errorf("%s: the link to %s leads nowhere", name, m[1])
+				t.Errorf("%s: the link target %s does not exist", name, m[1])
 			}
 		}
-		for _, m := range examples.FindAllStringSubmatch(text, -1) {
+		for _, m := range tomlExamples.FindAllStringSubmatch(text, -1) {
 			if _, err := scenario.Parse("example", []byte(m[1])); err != nil {
-				t.Errorf("%s: a scenario is faulty: %v", name, err)
+				t.Errorf("%s: an example is no valid scenario: %v", name, err)
 			}
 		}
 	}
--- a/docs/names_in_pages_test.go
+++ b/docs/names_in_pages_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// goSource is the text of all Go files of the module: of the tests, or of the others.
+// goSource returns the text of all test files of the module, or of all other Go files.
 func goSource(t *testing.T, tests bool) string {
 	t.Helper()
 	var all strings.Builder
@@ -42,7 +42,7 @@
 	dotted    = regexp.MustCompile(`^(?:\w+\.)+([A-Z]\w+)$`)
 )
 
-// Tests that the design pages name exist.
+// The tests that the design pages name exist.
 func TestDesignPagesNameTests(t *testing.T) {
 	pages, err := filepath.Glob("design/*.md")
 	if err != nil || len(pages) == 0 {
@@ -51,19 +51,19 @@
 	source := goSource(t, true)
 	found := 0
 	for _, name := range pages {
-		for _, test := range testNames.FindAllString(page(t, name), -1) {
+		for _, test := range testNames.FindAllString(readFile(t, name), -1) {
 			found++
 			if !strings.Contains(source, "\nfunc "+test+"(") {
-				t.Errorf("%s names %s, and there is no such test", name, test)
+				t.Errorf("%s names the test %s, which does not exist", name, test)
 			}
 		}
 	}
 	if found < 50 {
-		t.Errorf("the design pages name %d tests", found)
+		t.Errorf("the design pages name only %d tests", found)
 	}
 }
 
-// members returns the qualified names in a source: T.m for each method and field of a type, and each p.N that it uses.
+// members returns the qualified names in a source: T.m for each method and field m of a type T, and each p.N that it uses.
 func members(source string) map[string]bool {
 	found := map[string]bool{}
 	for _, method := range regexp.MustCompile(`(?m)^func \(\w+ \*?(\w+)(?:\[\w+\])?\) (\w+)\(`).FindAllStringSubmatch(source, -1) {
@@ -83,7 +83,7 @@
 	return found
 }
 
-// Identifiers in the code spans of the design pages are declared: T.m, p.T.m and p.N, and names in mixed caps.
+// The identifiers in the code spans of the design pages are in the code: T.m, p.T.m and p.N, and names in mixed caps.
 func TestDesignPagesNameCode(t *testing.T) {
 	pages, err := filepath.Glob("design/*.md")
 	if err != nil || len(pages) == 0 {
@@ -96,7 +96,7 @@
 	}
 	found := 0
 	for _, name := range pages {
-		for _, span := range codeSpans.FindAllStringSubmatch(page(t, name), -1) {
+		for _, span := range codeSpans.FindAllStringSubmatch(readFile(t, name), -1) {
 			identifier := span[1]
 			if m := member.FindStringSubmatch(identifier); m != nil {
 				identifier = m[1]
@@ -108,18 +108,18 @@
 			}
 			found++
 			if !declared[identifier] {
-				t.Errorf("%s names %s, and there is no such code", name, span[1])
+				t.Errorf("%s names %s, which is not in the code", name, span[1])
 			}
 		}
 	}
 	if found < 150 {
-		t.Errorf("the design pages name %d identifiers", found)
+		t.Errorf("the design pages name only %d identifiers", found)
 	}
 }
 
-// Paths and exported names in ARCHITECTURE.md exist, and it names every package of the program.
+// The paths and exported names in ARCHITECTURE.md exist, and it names every package of the program.
 func TestArchitectureNamesCode(t *testing.T) {
-	text, source := page(t, "../ARCHITECTURE.md"), goSource(t, false)
+	text, source := readFile(t, "../ARCHITECTURE.md"), goSource(t, false)
 	named := map[string]bool{}
 	for _, span := range codeSpans.FindAllStringSubmatch(text, -1) {
 		code := span[1]
@@ -132,7 +132,7 @@
 		if m := dotted.FindStringSubmatch(code); m != nil {
 			declared := regexp.MustCompile(`(?m)^(?:type ` + m[1] + `\b|func (?:\([^)]*\) )?` + m[1] + `\b)`)
 			if !declared.MatchString(source) {
-				t.Errorf("ARCHITECTURE.md names %s, and nothing is declared as %s", code, m[1])
+				t.Errorf("ARCHITECTURE.md names %s, and the code declares no %s", code, m[1])
 			}
 		}
 	}
@@ -149,15 +149,15 @@
 	}
 }
 
-// Log messages and attributes that operators are given stand in the code as they do in the pages.
-func TestLogLinesAreTheCodes(t *testing.T) {
+// The log messages and attributes in the operators' pages are in the code, letter for letter.
+func TestLogMessagesInPagesExist(t *testing.T) {
 	source := goSource(t, false)
 	found := 0
 	for _, table := range []struct{ page, header string }{
 		{"../FEATURES.md", "| `msg` | level | attributes |\n"},
 		{"on-call.md", "| log line | meaning |\n"},
 	} {
-		_, text, ok := strings.Cut(page(t, table.page), table.header)
+		_, text, ok := strings.Cut(readFile(t, table.page), table.header)
 		if !ok {
 			t.Errorf("%s has no table that begins with %s", table.page, table.header)
 		}
@@ -171,12 +171,12 @@
 			for _, word := range words {
 				found++
 				if !strings.Contains(source, `"`+word[1]+`"`) {
-					t.Errorf("%s has %q, and the code has no such text", table.page, word[1])
+					t.Errorf("%s has %q, which is not in the code", table.page, word[1])
 				}
 			}
 		}
 	}
 	if found < 60 {
-		t.Errorf("%d messages and attributes found", found)
+		t.Errorf("found only %d messages and attributes", found)
 	}
 }
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -17,7 +17,7 @@
 	"valvecove/scenarios"
 )
 
-// site is what a site file names.
+// site has the names in a site file.
 type site struct {
 	Name         string
 	Net          struct{ Zones []string }
@@ -29,7 +29,7 @@
 	Tenants []struct{ Name string } `toml:"tenant"`
 }
 
-// names are all names in a site file.
+// names returns all names in a site file.
 func (s *site) names() []string {
 	names := append([]string{s.Name}, s.Net.Zones...)
 	for _, class := range s.Classes {
@@ -47,7 +47,7 @@
 	return names
 }
 
-// scenarioNames are the names of what a scenario's deployment has.
+// scenarioNames returns the names in the deployment of a scenario.
 func scenarioNames(s *scenario.Scenario) []string {
 	names := slices.Clone(s.Fleet.Zones)
 	for _, class := range s.Classes {
@@ -62,8 +62,8 @@
 	return names
 }
 
-// deploymentNames are the classes, tenants, zones and kinds of every deployment that there is a file of: our sites, and the
-// library's scenarios, which run the co-operative's unless they say otherwise.
+// deploymentNames returns the names of classes, tenants, zones and kinds in every deployment that there is a file for: our sites,
+// and the library's scenarios, whose default is the co-operative's deployment.
 func deploymentNames(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("../deploy/sites/*.toml")
@@ -89,18 +89,18 @@
 	return slices.Compact(names)
 }
 
-// What is deployed is fitted to no deployment: no name of one stands in its code, as a word of its own in any text there, or
-// in the files that it is deployed with.
+// The deployed program is not fitted to any one deployment: no name from a deployment occurs as a separate word in a string of
+// its code, or in the files that it is deployed with.
 func TestNoDeploymentIsNamed(t *testing.T) {
 	names := deploymentNames(t)
-	for _, must := range []string{"tile-render", "north-clinic", "status-check", "khyber-society", "wanchaq"} {
-		if !slices.Contains(names, must) {
-			t.Errorf("%s is not among the names that are looked for", must)
+	for _, required := range []string{"tile-render", "north-clinic", "status-check", "khyber-society", "wanchaq"} {
+		if !slices.Contains(names, required) {
+			t.Errorf("%s is not among the names to search for", required)
 		}
 	}
 	for _, path := range []string{"../deploy/ops.toml", "../deploy/balancer.toml"} {
-		for _, line := range strings.Split(page(t, path), "\n") {
-			for _, name := range named(line, names) {
+		for _, line := range strings.Split(readFile(t, path), "\n") {
+			for _, name := range namesIn(line, names) {
 				t.Errorf("%s names %s: %s", path, name, line)
 			}
 		}
@@ -112,21 +112,21 @@
 	}
 	files := strings.Fields(string(list))
 	if len(files) < 50 {
-		t.Errorf("%d files are deployed", len(files))
+		t.Errorf("only %d files are deployed", len(files))
 	}
 	for _, path := range files {
-		for _, text := range texts(t, path) {
-			for _, name := range named(text, names) {
+		for _, text := range stringLiterals(t, path) {
+			for _, name := range namesIn(text, names) {
 				t.Errorf("%s names %s: %q", path, name, text)
 			}
 		}
 	}
 }
 
-// texts are the string literals of a file.
-func texts(t *testing.T, path string) (all []string) {
+// stringLiterals returns the values of the string literals in a file.
+func stringLiterals(t *testing.T, path string) (all []string) {
 	t.Helper()
-	source := []byte(page(t, path))
+	source := []byte(readFile(t, path))
 	set := token.NewFileSet()
 	if _, err := parser.ParseFile(set, path, source, 0); err != nil {
 		t.Fatal(err)
@@ -148,9 +148,9 @@
 	}
 }
 
-// named tells which names a text holds, as words of their own. Those of a letter or two, as some scenarios give zones, say
-// nothing of a deployment.
-func named(text string, names []string) (found []string) {
+// namesIn returns the names that a text has as separate words. It ignores names of one or two letters, which some scenarios give
+// to zones: they don't identify a deployment.
+func namesIn(text string, names []string) (found []string) {
 	inWord := func(r rune) bool {
 		return r == '-' || r == '_' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
 	}
