--- a/internal/testbed/process/addresses.go
+++ b/internal/testbed/process/addresses.go
@@ -8,35 +8,35 @@
 	"valvecove/internal/testbed/loopback"
 )
 
-// addressPlan says who has which address of the run's network. Each scheduler has addresses of its own for each worker and
-// each discovery, so that whoever connects is known by where it does.
+// addressPlan assigns the addresses of the run's network. Each worker and each discovery service listens at a separate
+// address for each scheduler, so that the address at which a connection arrives identifies the scheduler.
 type addressPlan struct {
-	*loopback.Network // nil: none is reserved yet
+	*loopback.Network // nil until one is reserved
 	schedulers        int
 }
 
 const (
 	maxSchedulers  = 200
-	maxDiscoveries = 1000  // times schedulers
+	maxDiscoveries = 1000  // discovery services times schedulers
 	maxListeners   = 50000 // workers times schedulers
 )
 
-// Blocks of the network; block 0 has the schedulers.
+// Address blocks of the network. The schedulers are in block 0.
 const (
 	firstDiscoveryBlock = 2
 	firstWorkerBlock    = 16
-	clientBlock         = 230 // where clients connect from
+	clientBlock         = 230 // source addresses of clients
 )
 
-const firstPort = 20000 // of the range for runs
+const firstPort = 20000 // start of the port range for runs with real processes
 
-// findAddresses reserves a network that is free.
+// findAddresses reserves a free network.
 func findAddresses(schedulers int) (addressPlan, error) {
 	network, err := loopback.Reserve(firstPort)
 	return addressPlan{network, schedulers}, err
 }
 
-// close gives the network up, if one is reserved.
+// close releases the network, if one is reserved.
 func (p addressPlan) close() {
 	if p.Network != nil {
 		p.Close()
@@ -45,10 +45,12 @@
 
 func (p addressPlan) scheduler(i int) netip.AddrPort { return p.At(0, 1+i) }
 
-// peer is where a scheduler sends datagrams from, and receives those of others. UDP has ports of its own.
+// peer is the address from which a scheduler sends datagrams and at which it receives them. It equals the TCP address of
+// scheduler: UDP ports are separate from TCP ports.
 func (p addressPlan) peer(i int) netip.AddrPort { return p.scheduler(i) }
 
-// management is where the n-th process of a scheduler answers operators: neighbours in time have ports of their own.
+// management is the management address of a scheduler's n-th process. The port alternates, so that a process and its
+// successor, which run at the same time during a replacement, have different ones.
 func (p addressPlan) management(sched, n int) netip.AddrPort {
 	return netip.AddrPortFrom(p.scheduler(sched).Addr(), p.scheduler(sched).Port()+1+uint16(n%2))
 }
@@ -61,17 +63,17 @@
 	return p.AtNumber(firstWorkerBlock, n*p.schedulers+sched)
 }
 
-// client is where the n-th connection of a client comes from.
+// client is the source address of client connection n, with port 0 for any port.
 func (p addressPlan) client(n uint64) netip.AddrPort {
 	return netip.AddrPortFrom(p.AtNumber(clientBlock, int(n%loopback.BlockSize)).Addr(), 0)
 }
 
-var errAddresses = errors.New("there are not so many addresses for them")
+var errTooFewAddresses = errors.New("not enough loopback addresses for the run")
 
-// hasAddresses tells whether there are addresses for so many.
-func (p addressPlan) hasAddresses(nodes, discos int) error {
-	if p.schedulers > maxSchedulers || nodes*p.schedulers > maxListeners || discos*p.schedulers > maxDiscoveries {
-		return fmt.Errorf("%d schedulers, %d workers, %d discoveries: %w", p.schedulers, nodes, discos, errAddresses)
+// checkCapacity returns an error if the network has too few addresses for this number of workers and discovery services.
+func (p addressPlan) checkCapacity(workers, discoveries int) error {
+	if p.schedulers > maxSchedulers || workers*p.schedulers > maxListeners || discoveries*p.schedulers > maxDiscoveries {
+		return fmt.Errorf("%d schedulers, %d workers, %d discoveries: %w", p.schedulers, workers, discoveries, errTooFewAddresses)
 	}
 	return nil
 }
--- a/internal/testbed/process/callbacks.go
+++ b/internal/testbed/process/callbacks.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	callbackTimeout     = time.Second     // a call that has no answer by then has failed (driver.callbackTimeout)
-	callbackIdleTimeout = 5 * time.Second // a connection without a call is closed then
-	maxCallbackCalls    = 4               // of one worker to one scheduler at once; further ones wait, within their time
+	callbackTimeout     = time.Second     // a callback without a response by then has failed (driver.callbackTimeout)
+	callbackIdleTimeout = 5 * time.Second // an idle connection is closed after this time
+	maxCallbackCalls    = 4               // in flight from one worker to one scheduler; the queued ones time out too
 )
 
-// callbackPool is a worker's connections to a scheduler, for its callbacks.
+// callbackPool holds a worker's connections to a scheduler, on which it sends callbacks.
 type callbackPool struct {
 	driver            *driver
 	scheduler, worker int
-	idle              []*callbackConn // the last one used last
-	open              []*callbackConn
-	waiting           []*callbackCall
+	idle              []*callbackConn // most recently used last
+	open              []*callbackConn // all connections, idle ones included
+	waiting           []*callbackCall // queued until a connection is available
 }
 
-// callbackCall is one call.
+// callbackCall is one callback request to a scheduler, in flight or queued.
 type callbackCall struct {
 	id    uint64
 	body  []byte
-	timer *timer
-	link  *callbackConn // that carries it; nil: it waits
+	timer *timer        // its timeout
+	conn  *callbackConn // the connection on which it is in flight; nil while it is queued
 }
 
-// callbackConn is one connection.
+// callbackConn is a connection from a worker to a scheduler. It carries one callback at a time.
 type callbackConn struct {
 	socketConn
 	pool  *callbackPool
-	call  *callbackCall // nil: it is idle
-	timer *timer        // while it is
+	call  *callbackCall // in flight; nil while the connection is idle
+	timer *timer        // the idle timeout
 }
 
-// sendCallback calls a scheduler with a callback.
+// sendCallback sends a callback to a scheduler, as soon as a connection is available.
 func (d *driver) sendCallback(sched int, message *simapi.CallbackReceived) {
 	n := message.Callback
 	body, err := jsoniter.ConfigDefault.Marshal(callbackForm{n.CallID, n.EndpointID, n.State, n.Progress, n.Result})
@@ -60,10 +60,10 @@
 	c := &callbackCall{id: message.CallbackID, body: body}
 	c.timer = d.after(d.callbackTimeout, func() { p.callTimedOut(c) })
 	p.waiting = append(p.waiting, c)
-	p.proceed()
+	p.startWaiting()
 }
 
-// callbackForm is a callback as the protocol writes it.
+// callbackForm is the JSON form of a callback.
 type callbackForm struct {
 	ID     string  `json:"id"`
 	From   string  `json:"from"`
@@ -72,30 +72,32 @@
 	Result *string `json:"result,omitempty"`
 }
 
-func (p *callbackPool) proceed() {
+// startWaiting starts queued callbacks while there are idle connections, or new ones may be opened.
+func (p *callbackPool) startWaiting() {
 	for len(p.waiting) > 0 && (len(p.idle) > 0 || len(p.open) < maxCallbackCalls) {
-		callbackCall := p.waiting[0]
+		call := p.waiting[0]
 		p.waiting = slices.Delete(p.waiting, 0, 1)
 		if n := len(p.idle); n > 0 {
 			k := p.idle[n-1]
 			p.idle = p.idle[:n-1]
 			p.driver.stop(k.timer)
-			k.sendCall(callbackCall)
+			k.sendCall(call)
 			continue
 		}
 		k := &callbackConn{pool: p}
 		if err := p.driver.dial(&k.socketConn, p.driver.addresses.client(uint64(p.worker)), p.driver.schedulers[p.scheduler].listen, k); err != nil {
 			if !p.driver.failIfLocal(err) {
-				p.callEnded(callbackCall, 0)
+				p.callEnded(call, 0)
 			}
 			continue
 		}
 		p.open = append(p.open, k)
-		k.sendCall(callbackCall)
+		k.sendCall(call)
 	}
 }
 
-// callEnded ends a call.
+// callEnded reports the outcome of a callback to the environment; status 0: there was no response. A callback for a
+// guest's request, which the environment has not sent, is not reported.
 func (p *callbackPool) callEnded(c *callbackCall, status int) {
 	p.driver.stop(c.timer)
 	if c.id != guestCallbackID {
@@ -103,18 +105,19 @@
 	}
 }
 
-// callTimedOut is the end of a call's time.
+// callTimedOut fails a callback that had no response in time, and resets its connection if it is in flight.
 func (p *callbackPool) callTimedOut(c *callbackCall) {
-	if k := c.link; k != nil {
+	if k := c.conn; k != nil {
 		k.reset()
 		p.drop(k)
 	} else if i := slices.Index(p.waiting, c); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
 	}
 	p.callEnded(c, 0)
-	p.proceed()
+	p.startWaiting()
 }
 
+// drop removes a closed connection from the pool.
 func (p *callbackPool) drop(k *callbackConn) {
 	p.driver.stop(k.timer)
 	if i := slices.Index(p.open, k); i >= 0 {
@@ -131,9 +134,10 @@
 	}
 }
 
+// sendCall writes a callback to the connection.
 func (k *callbackConn) sendCall(c *callbackCall) {
 	d := k.pool.driver
-	k.call, c.link = c, k
+	k.call, c.conn = c, k
 	b := http1.AppendRequestStart(d.writeBuffer[:0], http.MethodPost, "/v1/job-events", d.schedulers[k.pool.scheduler].listen.String())
 	b = append(b, "Content-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(c.body)), 10)
@@ -142,27 +146,27 @@
 }
 
 func (k *callbackConn) dataReceived(int) {
-	callbackPool := k.pool
-	response, _, n, err := callbackPool.driver.reader.response(k.received, false)
+	pool := k.pool
+	response, _, n, err := pool.driver.reader.response(k.received, false)
 	switch {
 	case err != nil || n > 0 && k.call == nil:
 		k.reset()
 		k.connClosed(err)
 	case n > 0:
 		k.consume(n)
-		callbackCall := k.call
+		call := k.call
 		if k.call = nil; response.Close {
 			k.close()
-			callbackPool.drop(k)
+			pool.drop(k)
 		} else {
-			k.timer = callbackPool.driver.after(callbackIdleTimeout, func() {
+			k.timer = pool.driver.after(callbackIdleTimeout, func() {
 				k.close()
-				callbackPool.drop(k)
+				pool.drop(k)
 			})
-			callbackPool.idle = append(callbackPool.idle, k)
+			pool.idle = append(pool.idle, k)
 		}
-		callbackPool.callEnded(callbackCall, response.StatusCode)
-		callbackPool.proceed()
+		pool.callEnded(call, response.StatusCode)
+		pool.startWaiting()
 	}
 }
 
@@ -172,5 +176,5 @@
 	if c != nil {
 		p.callEnded(c, 0)
 	}
-	p.proceed()
+	p.startWaiting()
 }
--- a/internal/testbed/process/client_request.go
+++ b/internal/testbed/process/client_request.go
@@ -12,14 +12,14 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// appendRequest writes a request as the protocol shows it.
+// appendRequest appends a client's request in the form of the protocol.
 func (d *driver) appendRequest(b []byte, to netip.AddrPort, clientRequest *simapi.ClientRequest) []byte {
 	class, tenant := d.spec.Classes[clientRequest.Class].Name, ""
 	if clientRequest.Tenant < len(d.spec.Tenants) {
 		tenant = d.spec.Tenants[clientRequest.Tenant].Name
 	}
 	b = append(append(b, "POST /"...), class...)
-	b = append(append(b, '/'), requestSubject(clientRequest)...)
+	b = append(append(b, '/'), requestPathID(clientRequest)...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = http1.AppendField(b, "Host", to.String())
 	b = http1.AppendField(b, "X-Call-Id", clientRequest.RequestID)
@@ -45,15 +45,16 @@
 	return appendBody(b, clientRequest.RequestID, clientRequest.BodyLength)
 }
 
-// requestSubject is the last part of a request's path: what it is about, or else its id.
-func requestSubject(a *simapi.ClientRequest) string {
+// requestPathID returns the last part of a request's path: its idempotency key, or its id if it has none.
+func requestPathID(a *simapi.ClientRequest) string {
 	if a.IdempotencyKey != "" {
 		return a.IdempotencyKey
 	}
 	return a.RequestID
 }
 
-// appendBody writes a request's body, which follows from its id and length.
+// appendBody appends a request's body: its id, repeated in lines up to the length. So a worker can check the body from
+// the id and the length alone.
 func appendBody(b []byte, call string, n int) []byte {
 	for end := len(b) + n; len(b) < end; {
 		b = append(b, call[:min(len(call), end-len(b))]...)
@@ -64,18 +65,18 @@
 	return b
 }
 
-// formTable remembers in what form requests were sent, so that a worker can tell one that no client sent like that.
-// What is older than keepForms may be forgotten: no request is out for that long.
+// formTable records the requests that clients have sent, by id, so that a worker can detect a request that was altered on
+// the way. It has two generations: each entry is kept for at least formRetention.
 type formTable struct {
-	current, before map[string]*simapi.ClientRequest
-	since           time.Duration
+	current, previous map[string]*simapi.ClientRequest
+	since             time.Duration // when the current generation began
 }
 
-const formRetention = time.Minute
+const formRetention = time.Minute // no request is in flight for longer
 
 func (f *formTable) add(a *simapi.ClientRequest, now time.Duration) {
 	if f.current == nil || now-f.since > formRetention {
-		f.before, f.current, f.since = f.current, map[string]*simapi.ClientRequest{}, now
+		f.previous, f.current, f.since = f.current, map[string]*simapi.ClientRequest{}, now
 	}
 	f.current[a.RequestID] = a
 }
@@ -84,16 +85,17 @@
 	if a := f.current[call]; a != nil {
 		return a
 	}
-	return f.before[call]
+	return f.previous[call]
 }
 
-// describeAlteration names what a worker was sent otherwise than a client sent it; empty: nothing.
+// describeAlteration names the part of a request that differs at the worker from what the client has sent; empty if none
+// does.
 func (d *driver) describeAlteration(a *simapi.ClientRequest, q *http.Request, key string, body []byte) string {
 	path, ok := strings.CutPrefix(q.RequestURI, "/"+d.spec.Classes[a.Class].Name+"/")
 	switch {
 	case q.Method != http.MethodPost:
 		return "method"
-	case !ok || path != requestSubject(a):
+	case !ok || path != requestPathID(a):
 		return "path"
 	case key != a.IdempotencyKey:
 		return "Idempotency-Key"
--- a/internal/testbed/process/clients.go
+++ b/internal/testbed/process/clients.go
@@ -9,18 +9,18 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// client is a usual client's connection to a scheduler. It carries one request at a time.
+// client is the connection of a well-behaved client to a scheduler. It carries one request at a time.
 type client struct {
 	socketConn
 	driver    *driver
 	id        simapi.Conn
 	target    netip.AddrPort
 	scheduler int
-	request   *simapi.ClientRequest // that awaits its answer; nil: none does
-	resent    bool                  // the request crossed a close, and has been sent once more
+	request   *simapi.ClientRequest // in flight; nil while the connection is idle
+	resent    bool                  // the request was sent again, as the scheduler closed the connection before reading it
 }
 
-// sendRequest carries a client's request over its connection, which begins with the first.
+// sendRequest sends a client's request on its connection, and opens the connection for the first request.
 func (d *driver) sendRequest(sched int, message *simapi.RequestReceived) {
 	conn := d.clients[message.Conn]
 	if conn == nil {
@@ -41,7 +41,7 @@
 	c.write(c.driver.writeBuffer)
 }
 
-// closeClient closes a client's connection, whatever awaits an answer on it.
+// closeClient closes a client's connection, also while a request is in flight.
 func (d *driver) closeClient(id simapi.Conn) {
 	if c := d.clients[id]; c != nil {
 		delete(d.clients, id)
@@ -55,18 +55,18 @@
 func (c *client) dataReceived(int) {
 	for len(c.received) > 0 && !c.closed {
 		a, body, n, err := c.driver.reader.response(c.received, false)
-		if err != nil || n > 0 && c.request == nil { // it can't be read, or nobody has asked for it
+		if err != nil || n > 0 && c.request == nil { // malformed, or a response without a request
 			c.reset()
-			c.connCut()
+			c.reportClosed()
 			return
 		}
 		if n == 0 {
 			return
 		}
 		c.responseReceived(a, body)
-		if c.consume(n); a.Close { // so it says; there is no need to wait for it
+		if c.consume(n); a.Close { // Connection: close; no need to wait until the scheduler closes
 			c.close()
-			c.connCut()
+			c.reportClosed()
 		}
 	}
 }
@@ -79,7 +79,8 @@
 	c.driver.addOutput(c.scheduler, message)
 }
 
-// retryAfter is the advice in an answer: seconds, whole or decimal. A date, or what makes no sense, is none.
+// retryAfter returns the Retry-After of a response: whole or decimal seconds. It returns 0 if there is none, or a date or
+// an invalid value.
 func retryAfter(h http.Header) time.Duration {
 	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(s > 0 && s < 1e6) {
@@ -88,13 +89,13 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// connCut tells that the scheduler has ended the connection.
-func (c *client) connCut() {
+// reportClosed reports to the environment that the scheduler has closed the connection.
+func (c *client) reportClosed() {
 	delete(c.driver.clients, c.id)
 	c.driver.addOutput(c.scheduler, simapi.ClientConnClosed{Conn: c.id})
 }
 
-// connFailed tells that it never came up.
+// connFailed reports to the environment that the connection could not be established.
 func (c *client) connFailed(err error) {
 	if !c.driver.failIfLocal(err) {
 		delete(c.driver.clients, c.id)
@@ -107,13 +108,13 @@
 	case !c.connected:
 		c.connFailed(err)
 		return
-	case c.request != nil && err == nil && len(c.received) > 0: // an answer may end with its connection
+	case c.request != nil && err == nil && len(c.received) > 0: // a response may end with the connection
 		if a, body, n, wrong := c.driver.reader.response(c.received, true); wrong == nil && n > 0 {
 			c.responseReceived(a, body)
 		}
 	case c.request != nil && err != nil && !c.resent && c.driver.schedulers[c.scheduler].alive:
-		// Closed by a scheduler that had not read the request, the connection is reset; had it read it, it would end
-		// without one. Such a request is sent once more, on a new connection.
+		// A reset means that the scheduler closed the connection before it read the request; if it had read it, the
+		// connection would have ended without a reset. So the request is sent once more, on a new connection.
 		c.resent = true
 		if err := c.driver.dial(&c.socketConn, c.driver.addresses.client(uint64(c.id)), c.target, c); err == nil {
 			c.sendRequest()
@@ -122,5 +123,5 @@
 			return
 		}
 	}
-	c.connCut()
+	c.reportClosed()
 }
--- a/internal/testbed/process/discovery.go
+++ b/internal/testbed/process/discovery.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	watchRequestTimeout   = time.Second // a connection that has asked nothing by then is not kept
-	maxDiscoveryAddresses = 64          // addresses at which discovery may be in a run
+	watchRequestTimeout   = time.Second // a connection without a request by then is closed
+	maxDiscoveryAddresses = 64          // addresses at which discovery may listen in the course of a run
 )
 
-// watch is a scheduler's connection to discovery. Of several the one that asked last counts: a scheduler that asks
-// anew, perhaps at another address, has no use for the one before.
+// watch is a scheduler's connection to discovery. Of several connections of a scheduler only the one with the latest
+// request gets events: a scheduler that sends a new request, perhaps to another address, no longer uses the earlier one.
 type watch struct {
 	socketConn
 	driver        *driver
 	scheduler     int
-	requested     bool
-	wantsSnapshot bool // it wants the list once
-	responding    bool // its answer has
-	leaving       bool // it is closed once all is written
-	timer         *timer
+	requested     bool   // its request has been read
+	wantsSnapshot bool   // the request is for a single snapshot, not for a stream of events
+	responding    bool   // the head of the streamed response is written
+	closing       bool   // it is to be closed once everything is written
+	timer         *timer // the timeout of the request
 }
 
-// setDiscoveryMode has discovery at an address accept by a mode.
+// setDiscoveryMode sets how discovery accepts connections at one of its addresses.
 func (d *driver) setDiscoveryMode(index, mode int) error {
 	if err := d.openDiscovery(index); err != nil {
 		return err
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// openDiscovery sees to it that discovery has an address of an index, one for each scheduler. One that the environment has said
-// nothing of accepts.
+// openDiscovery opens the listeners of a discovery address, one for each scheduler, unless they are open already. They
+// accept connections until the environment sets another mode.
 func (d *driver) openDiscovery(index int) error {
 	if index < 0 || index >= maxDiscoveryAddresses {
 		return localError{fmt.Errorf("discovery at %d addresses: %d are allowed", index+1, maxDiscoveryAddresses)}
@@ -76,11 +76,11 @@
 		return
 	}
 	w.timer = d.after(watchRequestTimeout, w.closeWhenFlushed)
-	d.watchCallers[w] = struct{}{}
+	d.watchConns[w] = struct{}{}
 }
 
 func (w *watch) dataReceived(int) {
-	if w.requested { // it has nothing more to say
+	if w.requested { // anything after the first request is ignored
 		w.consume(len(w.received))
 		return
 	}
@@ -107,34 +107,35 @@
 			return
 		}
 	} else {
-		w.wantsSnapshot = true // asked for anew it is whole, and once it is told the call is over
+		w.wantsSnapshot = true // revision 0 gets the whole list, and the connection is closed after it
 	}
-	w.driver.watches[w.scheduler] = w // the one before is silent from now on, until its scheduler closes it
+	w.driver.watches[w.scheduler] = w // an earlier watch gets nothing more, and stays open until its scheduler closes it
 	w.driver.addOutput(w.scheduler, simapi.WatchRequested{Revision: after})
 }
 
+// reject responds with an error status and closes the connection.
 func (w *watch) reject(status int) {
 	w.driver.writeBuffer = http1.AppendResponse(w.driver.writeBuffer[:0], status, "", nil, false)
 	w.write(w.driver.writeBuffer)
 	w.closeWhenFlushed()
 }
 
-// closeWhenFlushed closes it once all that was written has left.
+// closeWhenFlushed closes the connection once everything is written. No event follows.
 func (w *watch) closeWhenFlushed() {
 	w.detach()
-	if w.leaving = true; len(w.unsent) == 0 {
+	if w.closing = true; len(w.unsent) == 0 {
 		w.flushed()
 	}
 }
 
 func (w *watch) flushed() {
-	if w.leaving {
+	if w.closing {
 		w.close()
-		delete(w.driver.watchCallers, w)
+		delete(w.driver.watchConns, w)
 	}
 }
 
-// detach has it told nothing any more.
+// detach stops the timeout, and has no further events sent on this connection.
 func (w *watch) detach() {
 	w.driver.stop(w.timer)
 	if w.driver.watches[w.scheduler] == w {
@@ -144,10 +145,10 @@
 
 func (w *watch) connClosed(error) {
 	w.detach()
-	delete(w.driver.watchCallers, w)
+	delete(w.driver.watchConns, w)
 }
 
-// writeLine writes one line of the stream.
+// writeLine writes one line of the stream, as an HTTP chunk.
 func (w *watch) writeLine(text []byte) {
 	b := w.driver.writeBuffer[:0]
 	b = strconv.AppendInt(b, int64(len(text)+1), 16)
@@ -157,38 +158,38 @@
 	w.write(w.driver.writeBuffer)
 }
 
-// sendList hands on news of the fleet.
+// sendList sends a list of endpoints, whole or changes only, to a scheduler's watch.
 func (d *driver) sendList(sched int, list *requests.EndpointList) {
-	watch := d.watches[sched]
-	if watch == nil {
-		return // the scheduler has left meanwhile
+	target := d.watches[sched]
+	if target == nil {
+		return // the scheduler has closed it meanwhile
 	}
 	text, err := jsoniter.ConfigDefault.Marshal(d.localEndpoints(sched, *list))
 	if err != nil {
 		d.fail(err)
 		return
 	}
-	if watch.wantsSnapshot {
+	if target.wantsSnapshot {
 		d.writeBuffer = http1.AppendResponse(d.writeBuffer[:0], http1.StatusOK, "Content-Type: application/json\r\n", text, false)
-		watch.write(d.writeBuffer)
-		watch.closeWhenFlushed()
+		target.write(d.writeBuffer)
+		target.closeWhenFlushed()
 		return
 	}
-	if !watch.responding {
-		watch.responding = true
-		watch.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	if !target.responding {
+		target.responding = true
+		target.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	}
-	watch.writeLine(text)
+	target.writeLine(text)
 }
 
-// sendHeartbeat tells that there is no news.
+// sendHeartbeat sends an empty line, which shows that the watch is alive, on a stream that has begun.
 func (d *driver) sendHeartbeat(sched int) {
 	if w := d.watches[sched]; w != nil && w.responding {
 		w.writeLine(nil)
 	}
 }
 
-// endWatch ends a watch, or has the call for it fail: in 503 before anything was said, by a reset after that.
+// endWatch ends a scheduler's watch: by a response with status 503 if none has begun, else by a reset.
 func (d *driver) endWatch(sched int) {
 	w := d.watches[sched]
 	switch {
@@ -196,7 +197,7 @@
 	case w.responding:
 		w.detach()
 		w.reset()
-		delete(d.watchCallers, w)
+		delete(d.watchConns, w)
 	default:
 		w.reject(503)
 	}
--- a/internal/testbed/process/doc.go
+++ b/internal/testbed/process/doc.go
@@ -1,34 +1,35 @@
 // Package process runs a scenario with real schedulers: processes on addresses of 127.0.0.0/8, real sockets, real time.
-// The environment model decides all that happens round them, as in simulated time; this package carries it out and reports what
-// the schedulers' sockets do.
+// The environment model decides everything that happens around the schedulers, as in simulated time. This package carries
+// it out, and reports to the environment what the schedulers do on their sockets.
 //
-// One goroutine has the environment and every socket. It waits for whichever comes first, something on a socket or the next
-// thing on the environment's event queue; lets the environment step, each thing at its own instant; and does what the environment wants done.
-// What the network delays is delayed by the environment before that, and loopback adds some tens of microseconds. Processes
-// are started, awaited and looked at by goroutines of their own, over bounded queues. When a run ends all of it is
-// gone: processes are killed by their own numbers, and die with the testbed should that be killed.
+// One goroutine owns the environment and every socket. It waits for an event on a socket or for the next event of the
+// environment, whichever comes first; has the environment process each of its events with the time at which it was due;
+// and then carries out the environment's inputs to the schedulers. The environment has applied the network's delays by
+// then; loopback adds some tens of microseconds. Other goroutines start processes, wait for them and sample their
+// resource usage; they communicate over bounded queues. At the end of a run all sockets are closed and all processes are
+// killed, by their process ids. The processes also die if the testbed itself is killed.
 //
-// The fakes read HTTP by net/http's parser, which is another than the schedulers'. Each scheduler has addresses of
-// its own for each worker and each discovery, so that whoever connects is known by where it does. A worker
-// that refuses has a bound socket that does not listen; at one whose connections never come up a filter on the
-// listening socket drops all that arrives.
+// The simulated clients, workers and discovery read HTTP with net/http's parser, another implementation than the
+// schedulers'. Each worker and each discovery service listens at a separate address for each scheduler, so that the
+// address at which a connection arrives identifies the scheduler. A worker that refuses connections has a socket that is
+// bound and does not listen. Where connections are never established, a filter on the listening socket drops every packet.
 //
-// # What it can't show
+// # Limits of the model
 //
-// See Unsupported. A connection comes up between two kernels, whatever the environment's network has in mind: until the environment
-// accepts it nothing is read from it. Schedulers are held to their descriptors (by the limit that a shell sets before
-// it becomes the program), and neither to their memory nor to their part of a core; both are measured every 250 ms.
+// See Unsupported. The kernel establishes a connection whatever the simulated network says; nothing is read from it until
+// the environment accepts it. The limit on a scheduler's descriptors is enforced: a shell sets it and then executes the
+// program. The limits on its memory and on its share of a core are not enforced; both are measured every 250 ms.
 //
-// # Where it ends
+// # Limits of scale
 //
-// A run needs a listener for each pair of a worker and a scheduler, and as many descriptors again as its
-// schedulers may hold; Run refuses one that this process's limit does not allow. Beyond
-// scenario.MaxProcessWorkers only simulated time goes on. A job takes about 160 us of the loop: on eight cores that other work had taken too,
-// 2,000 jobs a second over 40 workers, and 630 over 300, were run with one thing in a thousand late by 12 and
-// 16 ms; 4,000 over 80 came out void, and so did 2,100 over 1,000.
+// A run needs a listener for each pair of a worker and a scheduler, and as many further descriptors as its schedulers may
+// hold. Run refuses a run that this process's descriptor limit does not allow. Beyond scenario.MaxProcessWorkers workers,
+// only simulated time is supported. A job takes about 160 us of the event loop. On eight cores shared with other work,
+// 2,000 jobs a second over 40 workers, and 630 over 300, ran with a lateness of 12 and 16 ms in one event of a thousand;
+// 4,000 over 80 workers, and 2,100 over 1,000, were invalid.
 //
-// # Its own lateness
+// # Lateness of the testbed
 //
-// It measures how late each thing on the environment's event queue was done. Beyond MaxLateness at any time, or
-// MaxLateness999 in one iteration of a thousand, a run is void and no result. Figures are never corrected by it.
+// The driver measures how late each event of the environment's queue is processed. If one is later than MaxLateness, or
+// one in a thousand later than MaxLateness999, the run is invalid. Results are never corrected for lateness.
 package process
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -10,17 +10,17 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// environmentModel is the environment, as far as the driver deals with it.
+// environmentModel is the part of the environment model that the driver uses.
 type environmentModel interface {
 	Next() (at time.Duration, ok bool)
 	Step(now time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input
 	Finished() bool
 }
 
-// driver carries the environment out on sockets. All that it has is used by one goroutine, in iterations: what the sockets
-// brought becomes outputs, the environment steps, and its inputs are carried out. Other goroutines start and await
-// processes and read their figures. They reach the loop through its mailbox, and are reached through each scheduler's
-// commands.
+// driver connects the environment model to real sockets and processes. One goroutine, the event loop, owns its state. In
+// each iteration socket events become outputs of the schedulers, the environment processes them, and the loop carries
+// out the resulting inputs to the schedulers. Other goroutines start processes, wait for them and sample their resource
+// usage: the loop sends them commands through each scheduler's queue, and they reply through the mailbox.
 type driver struct {
 	*poller
 	spec         *scenario.Scenario
@@ -32,46 +32,46 @@
 	outputs      []simapi.Output
 	spareOutputs []simapi.Output
 	inputs       []simapi.Input
-	events       []trace.Event // of the driver's own, not told yet
+	events       []trace.Event // the driver's own trace events that are still to be reported
 	timers       deadline.Queue[*timer]
-	mailbox      chan func() // from other goroutines, to be run in the loop
-	done         chan struct{}
+	mailbox      chan func()   // functions of other goroutines, to be called in the loop
+	done         chan struct{} // closed once the loop has ended
 	lateness     latenessMeter
-	failure      error // what ends the run
-	finished     bool  // the environment is
+	failure      error // the first failure; it ends the run
+	finished     bool  // the environment has no more to do
 
-	callbackTimeout time.Duration // with calls of workers
+	callbackTimeout time.Duration // for callbacks of workers
 
-	onStart   func(time.Time) // is told of the instant from which the environment's time counts
-	holding   bool            // the environment stands still
-	heldSince time.Duration   // from then on
-	held      time.Duration   // how long it did before
+	onStart   func(time.Time) // is called with the wall-clock time of the environment's time zero, again after each pause
+	holding   bool            // the environment's time is paused
+	heldSince time.Duration   // when the current pause began
+	held      time.Duration   // sum of the earlier pauses
 
 	schedulers      []*scheduler
 	starter         *starter
 	workers         []*worker
-	discoveries     [][]*listener  // by index and scheduler; nil: nobody needs it yet
-	watches         map[int]*watch // the one that counts, by scheduler
-	watchCallers    map[*watch]struct{}
+	discoveries     [][]*listener       // by index and scheduler; nil until first used
+	watches         map[int]*watch      // the current one of each scheduler
+	watchConns      map[*watch]struct{} // all connections to discovery
 	clients         map[simapi.Conn]*client
 	workerConns     map[simapi.Conn]*workerConn
 	misbehaving     map[simapi.Conn]*misbehavingClient
 	requestForms    formTable
-	writeBuffer     []byte // what is written goes through here
+	writeBuffer     []byte // for encoding messages; reused
 	alteredRequests []string
 }
 
-// maxPosted is how many may wait. They come by process and by look at a process, a few a second.
-const maxPosted = 1024
+// mailboxSize is the capacity of the mailbox. Each process and each sample of its usage posts a few functions a second.
+const mailboxSize = 1024
 
 func newDriver(spec *scenario.Scenario, opt Options) (d *driver, err error) {
 	if opt.Observer == nil {
 		opt.Observer = func(*trace.Event) {}
 	}
 	d = &driver{
-		spec: spec, options: opt, observer: opt.Observer, reader: newReader(), mailbox: make(chan func(), maxPosted),
+		spec: spec, options: opt, observer: opt.Observer, reader: newReader(), mailbox: make(chan func(), mailboxSize),
 		done: make(chan struct{}), lateness: newLatenessMeter(), starter: &starter{commands: make(chan func())},
-		watches: map[int]*watch{}, watchCallers: map[*watch]struct{}{}, clients: map[simapi.Conn]*client{},
+		watches: map[int]*watch{}, watchConns: map[*watch]struct{}{}, clients: map[simapi.Conn]*client{},
 		workerConns: map[simapi.Conn]*workerConn{}, misbehaving: map[simapi.Conn]*misbehavingClient{}, callbackTimeout: callbackTimeout,
 	}
 	d.starter.run()
@@ -87,7 +87,7 @@
 	if d.addresses, err = findAddresses(scheds); err != nil {
 		return nil, err
 	}
-	if err = d.addresses.hasAddresses(spec.Fleet.Workers, 1); err != nil {
+	if err = d.addresses.checkCapacity(spec.Fleet.Workers, 1); err != nil {
 		return nil, err
 	}
 	for i := range scheds {
@@ -105,7 +105,8 @@
 	return d, d.openDiscovery(0)
 }
 
-// close gives up all that the driver has, after its loop has ended. Processes are killed and awaited.
+// close releases all resources of the driver after its loop has ended: it kills the processes and waits for them, and
+// closes all sockets.
 func (d *driver) close() {
 	close(d.done)
 	for _, s := range d.schedulers {
@@ -121,7 +122,7 @@
 	for _, o := range d.misbehaving {
 		o.close()
 	}
-	for w := range d.watchCallers {
+	for w := range d.watchConns {
 		w.reset()
 	}
 	for _, n := range d.workers {
@@ -138,14 +139,14 @@
 	}
 }
 
-// fail ends the run: the first reason counts.
+// fail ends the run with an error. Only the first error is kept.
 func (d *driver) fail(err error) {
 	if d.failure == nil && err != nil {
 		d.failure = err
 	}
 }
 
-// failIfLocal passes on a fault of this machine's, and tells whether it was one.
+// failIfLocal ends the run if err is a localError, and reports whether it is.
 func (d *driver) failIfLocal(err error) bool {
 	var f localError
 	if errors.As(err, &f) {
@@ -155,16 +156,17 @@
 	return false
 }
 
-// addOutput has the environment learn of something that a scheduler did.
+// addOutput queues an action of a scheduler for the environment's next step.
 func (d *driver) addOutput(sched int, message simapi.OutputMessage) {
 	d.outputs = append(d.outputs, simapi.Output{Scheduler: sched, Message: message})
 }
 
-// record reports a trace event of the driver's own, at the end of the turn: those of the environment may be of instants before now.
+// record queues a trace event of the driver's own. It is reported at the end of the iteration, as the environment may
+// still report events with earlier times in it.
 func (d *driver) record(s trace.Event) { d.events = append(d.events, s) }
 
-// post has the loop run something soon; for other goroutines. It waits while too much waits, and gives up once the
-// loop has ended.
+// post has the loop call a function. Other goroutines use it. It blocks while the mailbox is full, and drops the function
+// once the loop has ended.
 func (d *driver) post(do func()) {
 	select {
 	case d.mailbox <- do:
--- a/internal/testbed/process/driver_loop.go
+++ b/internal/testbed/process/driver_loop.go
@@ -14,8 +14,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// run runs until the environment is over, the end has come, the context ends or something fails. The first two end no
-// run that is to stay open.
+// run runs the event loop until the environment has finished, its time has reached end, the context ends or something
+// fails. With Options.StayOpen, only the last two end it.
 func (d *driver) run(ctx context.Context, end time.Duration) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -42,7 +42,8 @@
 	return d.failure
 }
 
-// avoidSchedulerCores keeps the loop's thread off the schedulers' cores, where there are others, until it is undone.
+// avoidSchedulerCores excludes the schedulers' cores from the affinity of the loop's thread, if that leaves any, until
+// undo is called.
 func (d *driver) avoidSchedulerCores() (undo func()) {
 	var all, remainder unix.CPUSet
 	if len(d.options.Cores) == 0 || unix.SchedGetaffinity(0, &all) != nil {
@@ -58,7 +59,7 @@
 	return func() { _ = unix.SchedSetaffinity(0, &all) }
 }
 
-// runPosted does what others want done in the loop, and what is due in it.
+// runPosted calls the functions in the mailbox, and then those of the timers that have expired.
 func (d *driver) runPosted() {
 	for more := true; more; {
 		select {
@@ -75,8 +76,9 @@
 	}
 }
 
-// stepEnvironment is the environment's: what fell due since its last one, each at its own instant as in simulated time, and then what the
-// sockets have brought. So the testbed's lateness delays what it does, and never what the environment makes of it.
+// stepEnvironment has the environment process its events that are due, each with the time at which it was due, as in
+// simulated time, and then the outputs that the sockets have delivered. So the testbed's lateness delays the effect of an
+// event, and never changes how the environment evaluates it.
 func (d *driver) stepEnvironment(now time.Duration) {
 	d.inputs = d.inputs[:0]
 	worst := time.Duration(0)
@@ -85,7 +87,7 @@
 		worst = max(worst, now-at)
 		d.inputs = d.environment.Step(at, nil, d.inputs)
 	}
-	if worst >= recordedLateness {
+	if worst >= minRecordedLateness {
 		d.record(trace.Event{Kind: trace.TestbedLate, Lateness: worst})
 	}
 	if len(d.outputs) > 0 {
@@ -107,7 +109,7 @@
 	d.finished = d.finished || d.environment.Finished()
 }
 
-// carryOut does what reaches a scheduler.
+// carryOut applies an input to a scheduler: on a socket, at a listener, or to its process.
 func (d *driver) carryOut(input *simapi.Input) {
 	switch message := input.Message.(type) {
 	case simapi.Start, simapi.Terminate, simapi.Kill, simapi.Freeze, simapi.Resume, simapi.Replace, simapi.Reload:
@@ -136,11 +138,11 @@
 	case simapi.DiscoveryAcceptModeChanged:
 		d.failIfLocal(d.setDiscoveryMode(message.Discovery, message.Mode))
 	default:
-		d.fail(fmt.Errorf("the environment gives an input %T, which the process driver does not know", message))
+		d.fail(fmt.Errorf("unknown type of input from the environment: %T", message))
 	}
 }
 
-// controlProcess starts, ends or signals a scheduler's process.
+// controlProcess starts, replaces, reconfigures, signals or kills a scheduler's process.
 func (d *driver) controlProcess(target *scheduler, input simapi.InputMessage) {
 	switch message := input.(type) {
 	case simapi.Start:
@@ -151,7 +153,7 @@
 		d.failIfLocal(d.openDiscovery(message.Discovery))
 		target.reload(message.Discovery)
 	case simapi.Kill:
-		target.reportNotReady()
+		target.markStopped()
 		target.enqueue(target.kill)
 	case simapi.Terminate:
 		target.signal(syscall.SIGTERM)
@@ -162,7 +164,7 @@
 	}
 }
 
-// actOnWorkerConn does what a worker does on a connection, if that is still there.
+// actOnWorkerConn applies a worker's action to a connection, if that is still open.
 func (d *driver) actOnWorkerConn(input simapi.InputMessage) {
 	switch message := input.(type) {
 	case simapi.WorkerConnected:
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -23,17 +23,18 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// rig is a driver whose world is the test: it gets what comes, and says what is done.
-type rig struct {
+// testDriver is a driver with the test in place of the environment: the test receives the schedulers' outputs, and supplies the
+// inputs.
+type testDriver struct {
 	*testing.T
 	d    *driver
 	outs chan simapi.Output
 }
 
-func (r *rig) Next() (time.Duration, bool) { return 0, false }
-func (r *rig) Finished() bool              { return false }
+func (r *testDriver) Next() (time.Duration, bool) { return 0, false }
+func (r *testDriver) Finished() bool              { return false }
 
-func (r *rig) Step(_ time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
+func (r *testDriver) Step(_ time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
 	for _, o := range outs {
 		r.outs <- o
 	}
@@ -49,14 +50,14 @@
 	return s
 }
 
-func newRig(t *testing.T, opt Options) *rig {
+func newTestDriver(t *testing.T, opt Options) *testDriver {
 	t.Helper()
 	opt.Dir, opt.StayOpen = t.TempDir(), true
 	d, err := newDriver(testSpec(t, ""), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t, d, make(chan simapi.Output, 1<<14)}
+	r := &testDriver{t, d, make(chan simapi.Output, 1<<14)}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.environment, d.onStart = r, func(time.Time) {}
 	var all sync.WaitGroup
@@ -74,8 +75,8 @@
 	return r
 }
 
-// do has something done to schedulers.
-func (r *rig) do(ins ...simapi.Input) {
+// carryOut has the driver carry out inputs.
+func (r *testDriver) carryOut(ins ...simapi.Input) {
 	r.d.post(func() {
 		for _, in := range ins {
 			r.d.carryOut(&in)
@@ -83,22 +84,22 @@
 	})
 }
 
-// next is what comes next from schedulers.
-func (r *rig) next() simapi.Output {
+// nextOutput returns the next output.
+func (r *testDriver) nextOutput() simapi.Output {
 	r.Helper()
 	select {
 	case o := <-r.outs:
 		return o
 	case <-time.After(30 * time.Second):
-		r.Fatal("what was to come has not come")
+		r.Fatal("no output within 30 s")
 	}
 	return simapi.Output{}
 }
 
-// want is what comes next from schedulers, which must be of a type.
-func want[T simapi.OutputMessage](r *rig) T {
+// expectOutput returns the next output, which must be of type T.
+func expectOutput[T simapi.OutputMessage](r *testDriver) T {
 	r.Helper()
-	o := r.next()
+	o := r.nextOutput()
 	message, ok := o.Message.(T)
 	if !ok {
 		r.Fatalf("got %T %+v, expected %T", o.Message, o, message)
@@ -106,8 +107,8 @@
 	return message
 }
 
-// serve serves HTTP where a scheduler would.
-func (r *rig) serve(h http.Handler) {
+// serve serves HTTP at the address of scheduler 0.
+func (r *testDriver) serve(h http.Handler) {
 	l, err := net.Listen("tcp", r.d.schedulers[0].listen.String())
 	if err != nil {
 		r.Fatal(err)
@@ -117,24 +118,24 @@
 	r.Cleanup(func() { _ = s.Close() })
 }
 
-// raw answers with just these bytes and closes.
-func raw(w http.ResponseWriter, text string) {
+// writeRaw sends a text as the whole response, and closes the connection.
+func writeRaw(w http.ResponseWriter, text string) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	_, _ = io.WriteString(c, text)
 	_ = c.Close()
 }
 
-// Clients write requests as the protocol shows them, and take answers in any framing.
+// Clients write requests in the form of the protocol, and accept responses of any framing.
 func TestClients(t *testing.T) {
-	r := newRig(t, Options{})
+	r := newTestDriver(t, Options{})
 	r.sendRequest(1, "nobody")
-	want[simapi.ClientConnFailed](r)
+	expectOutput[simapi.ClientConnFailed](r)
 	r.serve(framingHandler(t))
 	for i, x := range []struct {
 		call, result string
-		status       int // 0: the connection ends instead
+		status       int // 0: the connection ends without a response
 		after        time.Duration
-		ends         bool // and with the answer
+		ends         bool // the connection ends with the response
 	}{
 		{call: "plain", status: 200, result: "made"},
 		{call: "chunked", status: 200, result: "made in chunks"},
@@ -145,31 +146,31 @@
 		{call: "cut"},
 		{call: "garbage"},
 	} {
-		conn := simapi.Conn(2 + max(0, i-4)) // the first five share one
+		conn := simapi.Conn(2 + max(0, i-4)) // the first five requests share a connection
 		r.sendRequest(conn, x.call)
 		if x.status > 0 {
-			o := want[simapi.ResponseWritten](r)
+			o := expectOutput[simapi.ResponseWritten](r)
 			if o != (simapi.ResponseWritten{Conn: conn, RequestID: x.call, Status: x.status, Result: x.result, RetryAfter: x.after}) {
 				t.Errorf("%s: %+v", x.call, o)
 			}
 		}
 		if x.status == 0 || x.ends {
-			if o := want[simapi.ClientConnClosed](r); o.Conn != conn {
+			if o := expectOutput[simapi.ClientConnClosed](r); o.Conn != conn {
 				t.Errorf("%s: %+v", x.call, o)
 			}
 		}
 	}
 }
 
-// sendRequest has a client send a request with all that one may have.
-func (r *rig) sendRequest(conn simapi.Conn, call string) {
-	r.do(simapi.Input{Message: simapi.RequestReceived{Conn: conn, Request: &simapi.ClientRequest{
+// sendRequest has a client send a request with every optional field.
+func (r *testDriver) sendRequest(conn simapi.Conn, call string) {
+	r.carryOut(simapi.Input{Message: simapi.RequestReceived{Conn: conn, Request: &simapi.ClientRequest{
 		RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
 		Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
 	}}})
 }
 
-// framingHandler checks the requests of sendRequest, and answers them in all framings, by their ids.
+// framingHandler checks the requests of sendRequest, and responds to them in different framings, by their ids.
 func framingHandler(t *testing.T) http.Handler {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -188,12 +189,12 @@
 		if len(body) != 300 || !strings.HasPrefix(string(body), call) {
 			t.Errorf("body %q", body)
 		}
-		answerFramed(w, call)
+		respondFramed(w, call)
 	})
 	return mux
 }
 
-func answerFramed(w http.ResponseWriter, call string) {
+func respondFramed(w http.ResponseWriter, call string) {
 	switch call {
 	case "chunked":
 		_, _ = io.WriteString(w, "made in ")
@@ -203,48 +204,49 @@
 		w.Header().Set("Retry-After", "0.25")
 		w.WriteHeader(503)
 	case "interim":
-		raw(w, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		writeRaw(w, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	case "unframed":
-		raw(w, "HTTP/1.0 500 Oh\r\n\r\nuntil the end")
+		writeRaw(w, "HTTP/1.0 500 Oh\r\n\r\nuntil the end")
 	case "cut":
-		raw(w, "")
+		writeRaw(w, "")
 	case "garbage":
-		raw(w, "what?\r\n\r\n")
+		writeRaw(w, "what?\r\n\r\n")
 	default:
 		_, _ = io.WriteString(w, "made")
 	}
 }
 
-// A request that crosses the close of its connection is sent once more; one that was read and dropped is not.
-func TestCrossedClose(t *testing.T) {
-	r := newRig(t, Options{})
+// A request is sent once more if the scheduler closed the connection before reading it, and not if the scheduler has read
+// it and closed the connection without a response.
+func TestRequestIsResentAfterReset(t *testing.T) {
+	r := newTestDriver(t, Options{})
 	l, err := net.Listen("tcp", r.d.schedulers[0].listen.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	answer := func(c net.Conn) {
+	respond := func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			t.Error(err)
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 	request := func(call string) {
-		r.do(simapi.Input{Message: simapi.RequestReceived{Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}}})
+		r.carryOut(simapi.Input{Message: simapi.RequestReceived{Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}}})
 	}
 	r.d.post(func() { r.d.schedulers[0].alive, r.d.schedulers[0].incarnation = true, 2 })
 	request("a")
 	c, _ := l.Accept()
-	answer(c)
-	want[simapi.ResponseWritten](r)
+	respond(c)
+	expectOutput[simapi.ResponseWritten](r)
 	request("b")
-	_, _ = c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
+	_, _ = c.Read(make([]byte, 1)) // leaves the rest unread, so that closing resets the connection
 	_ = c.Close()
 	if c, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	answer(c)
-	if o := want[simapi.ResponseWritten](r); o.RequestID != "b" {
+	respond(c)
+	if o := expectOutput[simapi.ResponseWritten](r); o.RequestID != "b" {
 		t.Errorf("%+v", o)
 	}
 	request("c")
@@ -257,17 +259,17 @@
 		got += string(b[:n])
 	}
 	_ = c.Close()
-	want[simapi.ClientConnClosed](r)
+	expectOutput[simapi.ClientConnClosed](r)
 }
 
-// scheduler is the test's end of a link to a worker.
-type schedEnd struct {
+// schedulerConn is the scheduler's end, in the test, of a connection to a worker.
+type schedulerConn struct {
 	net.Conn
-	r  *rig
+	r  *testDriver
 	in *bufio.Reader
 }
 
-func (r *rig) connect(node int) *schedEnd {
+func (r *testDriver) connect(node int) *schedulerConn {
 	r.Helper()
 	c, err := net.DialTimeout("tcp", r.d.addresses.worker(node, 0).String(), 10*time.Second)
 	if err != nil {
@@ -275,11 +277,11 @@
 	}
 	r.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-	return &schedEnd{c, r, bufio.NewReader(c)}
+	return &schedulerConn{c, r, bufio.NewReader(c)}
 }
 
-// status reads an answer; 0: the link ended without one.
-func (s *schedEnd) status() int {
+// status reads a response and returns its status, or 0 if the connection has ended without one.
+func (s *schedulerConn) status() int {
 	a, err := http.ReadResponse(s.in, nil)
 	if err != nil {
 		return 0
@@ -293,11 +295,12 @@
 		"X-Budget-Ms: 77\r\nContent-Length: %d\r\n\r\n%s", key, call, key, len(body), body)
 }
 
-// A worker tells the environment of what comes, and answers by itself only what the protocol leaves no doubt about.
-func TestNodes(t *testing.T) {
-	r := newRig(t, Options{})
+// A worker passes requests on to the environment, and responds by itself only where the protocol alone determines the
+// response.
+func TestWorkers(t *testing.T) {
+	r := newTestDriver(t, Options{})
 	s := r.connect(1)
-	dial := want[simapi.WorkerDialed](r)
+	dial := expectOutput[simapi.WorkerDialed](r)
 	if dial.Worker != 1 || dial.Conn != simapi.WorkerConn(0, 1) {
 		t.Fatalf("%+v", dial)
 	}
@@ -306,36 +309,36 @@
 	r.d.post(func() {
 		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
 	})
-	_, _ = io.WriteString(s, requestText("c1", "k1", body)) // the environment has not accepted yet: this waits
-	r.do(up)
-	o := want[simapi.AttemptWritten](r)
+	_, _ = io.WriteString(s, requestText("c1", "k1", body)) // waits until the environment accepts the connection
+	r.carryOut(up)
+	o := expectOutput[simapi.AttemptWritten](r)
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
 		t.Errorf("%+v", o)
 	}
-	s.answer(dial.Conn, 202)
+	s.respond(dial.Conn, 202)
 	if got := s.status(); got != 202 {
 		t.Errorf("202: %d", got)
 	}
 	s.checkForwarded(dial.Conn, body)
-	s.checkAnsweredByItself(body)
+	s.checkDirectResponses(body)
 	_, _ = io.WriteString(s, "what?\r\n\r\n")
 	if got := s.status(); got != 400 || s.status() != 0 {
 		t.Errorf("garbage: %d", got)
 	}
-	want[simapi.WorkerConnClosed](r)
+	expectOutput[simapi.WorkerConnClosed](r)
 }
 
-// answer has the environment answer what was read last.
-func (s *schedEnd) answer(conn simapi.Conn, status int) {
-	s.r.do(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: status, Rejected: status == 503}})
+// respond has the environment respond to the last request.
+func (s *schedulerConn) respond(conn simapi.Conn, status int) {
+	s.r.carryOut(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: status, Rejected: status == 503}})
 }
 
-// checkForwarded checks what the worker passes on to the environment.
-func (s *schedEnd) checkForwarded(conn simapi.Conn, body string) {
+// checkForwarded sends requests that the worker passes on to the environment, and checks the outputs and the responses.
+func (s *schedulerConn) checkForwarded(conn simapi.Conn, body string) {
 	s.r.Helper()
 	for _, x := range []struct {
 		text string
-		want simapi.OutputMessage // but for the first byte's instant
+		want simapi.OutputMessage // without FirstByteAt
 	}{
 		{requestText("c1", "k1", body[:39]+"!"), attempt(conn, "c1!body", "k1")},
 		{requestText("c1", "k2", body), attempt(conn, "c1!path", "k2")},
@@ -345,10 +348,10 @@
 		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationWritten{Worker: 1, Conn: conn, RequestID: "c1"}},
 	} {
 		_, _ = io.WriteString(s, x.text)
-		if got := withoutFirstByte(s.r.next().Message); got != x.want {
+		if got := withoutFirstByte(s.r.nextOutput().Message); got != x.want {
 			s.r.Errorf("%s: %+v", x.text, got)
 		}
-		s.answer(conn, 503)
+		s.respond(conn, 503)
 		a, err := http.ReadResponse(s.in, nil)
 		if err != nil || a.StatusCode != 503 || a.Header.Get("X-Rejected") != "1" {
 			s.r.Errorf("%s: %v, %v", x.text, a, err)
@@ -356,12 +359,12 @@
 	}
 }
 
-// attempt is an attempt of requestText, as worker 1 passes it on.
+// attempt is the output of worker 1 for an attempt of requestText, without FirstByteAt.
 func attempt(conn simapi.Conn, call, key string) simapi.OutputMessage {
 	return simapi.AttemptWritten{Worker: 1, Conn: conn, RequestID: call, IdempotencyKey: key, Budget: 77 * time.Millisecond}
 }
 
-// withoutFirstByte is a message without the instant of its first byte.
+// withoutFirstByte returns a message with FirstByteAt cleared.
 func withoutFirstByte(message simapi.OutputMessage) simapi.OutputMessage {
 	switch m := message.(type) {
 	case simapi.AttemptWritten:
@@ -377,8 +380,8 @@
 	return message
 }
 
-// checkAnsweredByItself checks what the worker answers without the environment.
-func (s *schedEnd) checkAnsweredByItself(body string) {
+// checkDirectResponses checks the responses that the worker sends without the environment.
+func (s *schedulerConn) checkDirectResponses(body string) {
 	s.r.Helper()
 	for request, status := range map[string]int{
 		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                             404,
@@ -394,70 +397,69 @@
 	}
 }
 
-// The environment resets links at any byte, and closes them.
-func TestLinkEnds(t *testing.T) {
-	r := newRig(t, Options{})
+// The environment can close a worker's connection, and reset it after a number of bytes of a request or of a response.
+func TestWorkerConnEnds(t *testing.T) {
+	r := newTestDriver(t, Options{})
 	request := requestText("x", "k", "body")
-	// Reset after so many bytes read.
+	// Reset after a number of bytes of the request.
 	for most, notified := range map[int]bool{10: false, len(request): true} {
 		s := r.connect(0)
-		conn := want[simapi.WorkerDialed](r).Conn
+		conn := expectOutput[simapi.WorkerDialed](r).Conn
 		_, _ = io.WriteString(s, request)
-		r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: conn, ResetAfter: most}})
+		r.carryOut(simapi.Input{Message: simapi.WorkerConnected{Conn: conn, ResetAfter: most}})
 		if notified {
-			want[simapi.AttemptWritten](r)
+			expectOutput[simapi.AttemptWritten](r)
 		}
-		want[simapi.WorkerConnClosed](r)
+		expectOutput[simapi.WorkerConnClosed](r)
 		if _, err := s.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("reset after %d bytes: %v", most, err)
 		}
 	}
-	// Reset after so many bytes of the answer.
+	// Reset after a number of bytes of the response.
 	s := r.connect(0)
-	conn := want[simapi.WorkerDialed](r).Conn
-	r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
+	conn := expectOutput[simapi.WorkerDialed](r).Conn
+	r.carryOut(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
 	_, _ = io.WriteString(s, request)
-	want[simapi.AttemptWritten](r)
-	r.do(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 202, Bytes: 9}})
+	expectOutput[simapi.AttemptWritten](r)
+	r.carryOut(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 202, Bytes: 9}})
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
-		// A reset may overtake what was written before it, as on any network.
+		// A reset may overtake bytes that were written before it, as on any network.
 		if !errors.Is(err, syscall.ECONNRESET) || len(b) > 0 {
 			t.Errorf("%q, %v", b, err)
 		}
 	}
-	want[simapi.WorkerConnClosed](r)
+	expectOutput[simapi.WorkerConnClosed](r)
 	// Closed by the environment, and by the scheduler.
 	for _, reset := range []bool{false, true} {
 		s := r.connect(0)
-		r.do(simapi.Input{Message: simapi.WorkerDisconnected{Conn: want[simapi.WorkerDialed](r).Conn, Reset: reset}})
+		r.carryOut(simapi.Input{Message: simapi.WorkerDisconnected{Conn: expectOutput[simapi.WorkerDialed](r).Conn, Reset: reset}})
 		if _, err := s.Read(make([]byte, 1)); errors.Is(err, syscall.ECONNRESET) != reset {
 			t.Errorf("reset %v: %v", reset, err)
 		}
 	}
 	_ = r.connect(0).Close()
-	want[simapi.WorkerDialed](r)
-	want[simapi.WorkerConnClosed](r)
+	expectOutput[simapi.WorkerDialed](r)
+	expectOutput[simapi.WorkerConnClosed](r)
 }
 
-// silentDialTimeout is how long a dial waits that nobody answers.
-const silentDialTimeout = 50 * time.Millisecond
+const silentDialTimeout = 50 * time.Millisecond // of a dial that gets no reply
 
-// Refused, never up, and accepting again; what is open goes on meanwhile.
+// A worker refuses or ignores new connections by its mode, and accepts them again; open connections are not affected.
 func TestAcceptModes(t *testing.T) {
-	r := newRig(t, Options{})
+	r := newTestDriver(t, Options{})
 	s := r.connect(0)
-	conn := want[simapi.WorkerDialed](r).Conn
-	r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
-	receive := func(machine, mode int) {
+	conn := expectOutput[simapi.WorkerDialed](r).Conn
+	r.carryOut(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
+	setMode := func(machine, mode int) {
 		done := make(chan struct{})
-		r.do(simapi.Input{Message: simapi.AcceptModeChanged{Worker: 0, Machine: machine, Mode: mode}})
+		r.carryOut(simapi.Input{Message: simapi.AcceptModeChanged{Worker: 0, Machine: machine, Mode: mode}})
 		r.d.post(func() { close(done) })
 		<-done
 	}
 	at := r.d.addresses.worker(0, 0).String()
 	for _, mode := range []int{simapi.AcceptNone, simapi.AcceptSilently, simapi.AcceptNone, simapi.AcceptSilently} {
-		receive(0, mode)
-		timeout := time.Minute // a refusal comes when it comes; a busy machine may be late with it
+		setMode(0, mode)
+		timeout := time.Minute // a refusal may be late on a busy machine
 		if mode == simapi.AcceptSilently {
 			timeout = silentDialTimeout
 		}
@@ -468,46 +470,46 @@
 			t.Errorf("mode %d: %v", mode, err)
 		}
 		_, _ = io.WriteString(s, "GET /alive HTTP/1.1\r\nHost: w\r\n\r\n")
-		want[simapi.HealthCheckWritten](r)
-		r.do(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 200}})
+		expectOutput[simapi.HealthCheckWritten](r)
+		r.carryOut(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 200}})
 		if s.status() != 200 {
-			t.Errorf("mode %d: the open link has no answer", mode)
+			t.Errorf("mode %d: no response on the open connection", mode)
 		}
 	}
-	receive(0, simapi.AcceptAll)
+	setMode(0, simapi.AcceptAll)
 	r.connect(0)
-	want[simapi.WorkerDialed](r)
-	// The machine that takes its place is found elsewhere, and where the first was there is nobody.
-	receive(0, simapi.AcceptSilently)
-	receive(1, simapi.AcceptAll)
+	expectOutput[simapi.WorkerDialed](r)
+	// The machine that replaces the first one has another address, and the first address accepts no connection.
+	setMode(0, simapi.AcceptSilently)
+	setMode(1, simapi.AcceptAll)
 	r.connect(2 + 0)
-	if o := want[simapi.WorkerDialed](r); o.Worker != 0 || o.Machine != 1 {
-		t.Errorf("the second machine is dialled by %+v", o)
+	if o := expectOutput[simapi.WorkerDialed](r); o.Worker != 0 || o.Machine != 1 {
+		t.Errorf("dialling the second machine: %+v", o)
 	}
 	if _, err := net.DialTimeout("tcp", at, silentDialTimeout); err == nil {
-		t.Error("the first machine is there still")
+		t.Error("the first machine still accepts connections")
 	}
 }
 
-// A callback is a call of its own, and its outcome is told whatever becomes of it.
+// The outcome of each callback is reported to the environment, also if there is no response.
 func TestCallbacks(t *testing.T) {
-	r := newRig(t, Options{})
+	r := newTestDriver(t, Options{})
 	result := "made"
-	tell := func(id uint64, state string) {
+	sendCallback := func(id uint64, state string) {
 		n := &requests.Callback{CallID: "c", EndpointID: "w-1", State: state}
 		if state == "done" {
 			n.Result = &result
 		}
-		r.do(simapi.Input{Message: simapi.CallbackReceived{Worker: 1, CallbackID: id, Callback: n}})
+		r.carryOut(simapi.Input{Message: simapi.CallbackReceived{Worker: 1, CallbackID: id, Callback: n}})
 	}
-	acked := func(id uint64, status int) {
+	expectAnswer := func(id uint64, status int) {
 		t.Helper()
-		if o := want[simapi.CallbackAnswered](r); o.CallbackID != id || o.Status != status || o.Worker != 1 {
+		if o := expectOutput[simapi.CallbackAnswered](r); o.CallbackID != id || o.Status != status || o.Worker != 1 {
 			t.Errorf("%+v, expected callback %d with %d", o, id, status)
 		}
 	}
-	tell(1, "done")
-	acked(1, 0) // nobody listens
+	sendCallback(1, "done")
+	expectAnswer(1, 0) // no scheduler listens yet
 	mux := http.NewServeMux()
 	hang := make(chan struct{})
 	mux.HandleFunc("POST /v1/job-events", func(w http.ResponseWriter, q *http.Request) {
@@ -516,7 +518,7 @@
 		case text == `{"id":"c","from":"w-1","state":"done","result":"made"}`:
 			w.WriteHeader(204)
 		case strings.Contains(text, "lost"):
-			raw(w, "")
+			writeRaw(w, "")
 		case strings.Contains(text, "failed"):
 			<-hang
 		default:
@@ -528,20 +530,20 @@
 	for id, x := range map[uint64]struct {
 		state   string
 		status  int
-		timeout time.Duration // the machine may stand still for a while
+		timeout time.Duration // a minute where a response is expected, as the machine may be busy
 	}{2: {"done", 204, time.Minute}, 3: {"started", 400, time.Minute}, 4: {"lost", 0, time.Minute}, 5: {"failed", 0, 0}} {
 		r.d.post(func() { r.d.callbackTimeout = x.timeout })
-		tell(id, x.state)
-		acked(id, x.status)
+		sendCallback(id, x.state)
+		expectAnswer(id, x.status)
 	}
 	r.d.post(func() { r.d.callbackTimeout = time.Minute })
-	// Of many at once each has its outcome, though only some are under way at a time.
+	// Each of many callbacks has its outcome, although only maxCallbackCalls are in flight at a time.
 	for id := uint64(10); id < 60; id++ {
-		tell(id, "done")
+		sendCallback(id, "done")
 	}
 	got := map[uint64]int{}
 	for range 50 {
-		o := want[simapi.CallbackAnswered](r)
+		o := expectOutput[simapi.CallbackAnswered](r)
 		got[o.CallbackID] = o.Status
 	}
 	if len(got) != 50 || got[10] != 204 || got[59] != 204 {
@@ -549,9 +551,10 @@
 	}
 }
 
-// Discovery tells a watch all it has to tell, with the addresses that are the scheduler's, and ends it.
+// Discovery sends a watch the lists and heartbeats of the environment, with the addresses for the watch's scheduler, and
+// ends the watch by a reset.
 func TestDiscovery(t *testing.T) {
-	r := newRig(t, Options{})
+	r := newTestDriver(t, Options{})
 	request := func(at netip.AddrPort, path string) (*http.Response, *bufio.Reader) {
 		c, err := net.Dial("tcp", at.String())
 		if err != nil {
@@ -571,13 +574,13 @@
 	}}
 	wantLine := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
 		`"machineType":"m","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`,
-		r.d.addresses.worker(2+1, 0)) // after the first two
+		r.d.addresses.worker(2+1, 0)) // the second machines' addresses follow those of the two workers' first machines
 	go func() {
-		if o := want[simapi.WatchRequested](r); o.Revision != 41 {
+		if o := expectOutput[simapi.WatchRequested](r); o.Revision != 41 {
 			t.Errorf("%+v", o)
 		}
 		received := simapi.Input{Message: simapi.ListReceived{List: list}}
-		r.do(received, simapi.Input{Message: simapi.WatchHeartbeat{}}, received)
+		r.carryOut(received, simapi.Input{Message: simapi.WatchHeartbeat{}}, received)
 	}()
 	_, lines := request(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
 	for _, x := range []string{wantLine, "", wantLine} {
@@ -585,12 +588,13 @@
 			t.Errorf("%q, %v, expected %q", line, err, x)
 		}
 	}
-	r.do(simapi.Input{Message: simapi.WatchEnded{}})
+	r.carryOut(simapi.Input{Message: simapi.WatchEnded{}})
 	if _, err := lines.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("ended: %v", err)
 	}
-	// At another address, once the environment has it there: a call that fails, the whole list, and what is no call.
-	r.do(
+	// At another address, to which the environment moves discovery: a watch that is rejected, a snapshot, and malformed
+	// requests.
+	r.carryOut(
 		simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Discovery: 1, Mode: simapi.AcceptAll}},
 		simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Mode: simapi.AcceptNone}},
 	)
@@ -598,18 +602,18 @@
 	r.d.post(func() { close(notified) })
 	<-notified
 	if _, err := net.Dial("tcp", r.d.addresses.discovery(0, 0).String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("the old address: %v", err)
+		t.Errorf("dialling the old address: %v", err)
 	}
 	go func() {
-		want[simapi.WatchRequested](r)
-		r.do(simapi.Input{Message: simapi.WatchEnded{}})
-		if o := want[simapi.WatchRequested](r); o.Revision != 0 {
+		expectOutput[simapi.WatchRequested](r)
+		r.carryOut(simapi.Input{Message: simapi.WatchEnded{}})
+		if o := expectOutput[simapi.WatchRequested](r); o.Revision != 0 {
 			t.Errorf("%+v", o)
 		}
-		r.do(simapi.Input{Message: simapi.ListReceived{List: list}})
+		r.carryOut(simapi.Input{Message: simapi.ListReceived{List: list}})
 	}()
 	if a, _ := request(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
-		t.Errorf("a call that fails: %d", a.StatusCode)
+		t.Errorf("a watch that is rejected: %d", a.StatusCode)
 	}
 	a, body := request(r.d.addresses.discovery(1, 0), "/discovery/hosts")
 	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != wantLine {
@@ -622,9 +626,9 @@
 	}
 }
 
-// Misbehaving clients of every kind come to an end at a server that gives each an error, or closes.
-func TestBadClients(t *testing.T) {
-	r := newRig(t, Options{})
+// Misbehaving clients of every kind report a response or a closed connection, at a server that rejects every request.
+func TestMisbehavingClients(t *testing.T) {
+	r := newTestDriver(t, Options{})
 	var lock sync.Mutex
 	sent := map[string]int{}
 	r.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -637,11 +641,11 @@
 	for i, kind := range scenario.MisbehaviorKinds {
 		conn := simapi.Conn(i + 1)
 		kinds[conn] = kind
-		r.do(simapi.Input{Message: simapi.ClientMisbehaves{Conn: conn, Kind: kind, Number: 1, RequestID: "open"}})
+		r.carryOut(simapi.Input{Message: simapi.ClientMisbehaves{Conn: conn, Kind: kind, Number: 1, RequestID: "open"}})
 	}
 	for len(kinds) > 0 {
 		conn := simapi.Conn(0)
-		o := r.next()
+		o := r.nextOutput()
 		switch message := o.Message.(type) {
 		case simapi.ClientConnClosed:
 			conn = message.Conn
@@ -664,7 +668,7 @@
 		}
 		return ""
 	}
-	// By chunks, as net/http reads it, the smuggler's request is two.
+	// net/http reads the smuggled request by its chunks, and so sees the hidden one as a second request.
 	insist, stolen, garbage := sent[at("insist")], sent[at("stolen_id")], sent[at("garbage")]
 	hidden := sent[hiddenPrefix+strings.TrimSuffix(at("smuggle"), "0")+"1"]
 	if insist == 0 || stolen != 1 || garbage != 0 || hidden != 1 {
@@ -672,9 +676,9 @@
 	}
 }
 
-// Guests' requests are run without the environment.
+// With Options.Guests, a request that no client of the environment has sent runs without the environment.
 func TestGuests(t *testing.T) {
-	r := newRig(t, Options{Guests: true})
+	r := newTestDriver(t, Options{Guests: true})
 	callbacks := make(chan string, 4)
 	r.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
@@ -682,7 +686,7 @@
 		w.WriteHeader(204)
 	}))
 	s := r.connect(0)
-	r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: want[simapi.WorkerDialed](r).Conn}})
+	r.carryOut(simapi.Input{Message: simapi.WorkerConnected{Conn: expectOutput[simapi.WorkerDialed](r).Conn}})
 	_, _ = io.WriteString(s, requestText("mine", "k", "x"))
 	status, started, done := s.status(), <-callbacks, <-callbacks
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
@@ -692,8 +696,8 @@
 
 // ---- Processes ----
 
-// TestMain is also the scheduler of TestProcesses: one that asks discovery at its start and at SIGHUP, and ends with 7
-// at SIGTERM.
+// TestMain also runs the test's program as the fake scheduler of TestProcesses, which sends a request to discovery at its
+// start and at SIGHUP, and exits with 7 at SIGTERM.
 func TestMain(m *testing.M) {
 	if os.Getenv("LIVE_FAKE") == "" {
 		os.Exit(m.Run())
@@ -701,23 +705,25 @@
 	os.Exit(fakeScheduler())
 }
 
+// A scheduler's process is started, sampled, signalled, reloaded and killed, and its exit is reported. No goroutine is left
+// after the run.
 func TestProcesses(t *testing.T) {
 	before := runtime.NumGoroutine()
-	t.Run("play", playProcesses)
-	// What has ended may still be on its way out; what has not keeps the test from ending.
+	t.Run("run", testProcesses)
+	// Goroutines may take a moment to end. If one does not end, the test times out here.
 	for runtime.NumGoroutine() > before {
 		runtime.Gosched()
 	}
 }
 
-func playProcesses(t *testing.T) {
+func testProcesses(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var usage trace.Event
 	looked := make(chan struct{})
-	r := newRig(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Observer: func(s *trace.Event) {
+	r := newTestDriver(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Observer: func(s *trace.Event) {
 		if s.Kind == trace.ResourceUsage && s.Scheduler == 0 && usage.Kind == 0 {
 			usage = *s
 			close(looked)
@@ -725,24 +731,24 @@
 	}})
 	known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
 	boot := simapi.Start{Name: "s1", Seed: 5, KnownEndpoints: known}
-	r.do(simapi.Input{Message: boot})
-	r.wantPoll(9, true) // the generation that it was started with
+	r.carryOut(simapi.Input{Message: boot})
+	r.expectPoll(9, true) // the revision that it was started with
 	<-looked
 	if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
 		t.Errorf("%+v", usage)
 	}
-	r.do(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Resume{}}, simapi.Input{Message: simapi.Reload{Discovery: 1}})
-	r.wantPoll(9, false)
-	r.do(simapi.Input{Message: simapi.Terminate{}})
-	if o := want[simapi.Exited](r); o.Status != 7 {
+	r.carryOut(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Resume{}}, simapi.Input{Message: simapi.Reload{Discovery: 1}})
+	r.expectPoll(9, false)
+	r.carryOut(simapi.Input{Message: simapi.Terminate{}})
+	if o := expectOutput[simapi.Exited](r); o.Status != 7 {
 		t.Errorf("%+v", o)
 	}
 	boot.KnownEndpoints.Revision = 10
-	r.do(simapi.Input{Message: boot})
-	r.wantPoll(10, true)
-	r.do(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Kill{}}) // of which nothing is told
-	r.do(simapi.Input{Message: boot})
-	r.wantPoll(10, true)
+	r.carryOut(simapi.Input{Message: boot})
+	r.expectPoll(10, true)
+	r.carryOut(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Kill{}}) // no exit is reported
+	r.carryOut(simapi.Input{Message: boot})
+	r.expectPoll(10, true)
 	log, err := os.ReadFile(r.d.schedulers[0].log.path)
 	text := string(log)
 	if err != nil || strings.Count(text, "begins") != 3 || !strings.Contains(text, "discovery moved") {
@@ -750,11 +756,12 @@
 	}
 }
 
-// wantPoll waits for a scheduler's poll of discovery for what came after a revision, and for it to be ready, in any order.
-func (r *rig) wantPoll(after int64, ready bool) {
+// expectPoll expects a scheduler's request to discovery for the changes after a revision and, if ready is set, its readiness,
+// in any order.
+func (r *testDriver) expectPoll(after int64, ready bool) {
 	r.Helper()
 	for sent := false; !sent || ready; {
-		o := r.next()
+		o := r.nextOutput()
 		_, isReady := o.Message.(simapi.Ready)
 		switch {
 		case isReady && ready:
--- a/internal/testbed/process/driver_time.go
+++ b/internal/testbed/process/driver_time.go
@@ -6,12 +6,13 @@
 	"valvecove/internal/deadline"
 )
 
-// timer calls do once.
+// timer calls a function of the event loop once.
 type timer struct {
 	deadline.Item
 	run func()
 }
 
+// after sets a timer that calls do after a time. The time starts at the current iteration.
 func (d *driver) after(span time.Duration, do func()) *timer {
 	t := &timer{run: do}
 	t.At = d.now + span
@@ -19,14 +20,15 @@
 	return t
 }
 
+// stop stops a timer, which may be nil.
 func (d *driver) stop(t *timer) {
 	if t != nil {
 		d.timers.Remove(t)
 	}
 }
 
-// environmentTime is the environment's time at an instant of the loop's. The environment stands still while its schedulers start for the
-// first time: clients are to come once there is somebody to come to, and a process takes a while to be there.
+// environmentTime converts a time of the loop's clock to the environment's time. The environment is paused while a
+// scheduler starts for the first time: a process takes a while to listen, and clients would find nobody until then.
 func (d *driver) environmentTime(at time.Duration) time.Duration {
 	if d.holding {
 		at = min(at, d.heldSince)
@@ -34,7 +36,8 @@
 	return max(0, at-d.held)
 }
 
-// updateHold has the environment stand still, or go on, as things are now.
+// updateHold pauses the environment's time while a scheduler's first process is not ready yet, and resumes it after that,
+// or once the pauses have added up to maxHold.
 func (d *driver) updateHold() {
 	wait := false
 	for _, s := range d.schedulers {
@@ -42,7 +45,7 @@
 	}
 	if wait && d.holding && d.held+d.now-d.heldSince > maxHold {
 		for _, s := range d.schedulers {
-			s.everReady = true // it has had its time
+			s.everReady = true // the environment no longer waits for it
 		}
 		wait = false
 	}
@@ -56,9 +59,10 @@
 	}
 }
 
-const maxHold = 30 * time.Second
+const maxHold = 30 * time.Second // for which the environment's time is paused in all
 
-// nextAt is when the loop wants to run at the latest, an end in the environment's time included.
+// nextAt returns until when, on the loop's clock, the loop may wait: the next timer, the environment's next event or the
+// end of the run, which is in the environment's time, and at most a second. It returns 0 if outputs are queued.
 func (d *driver) nextAt(end time.Duration) time.Duration {
 	next := d.now + time.Second
 	if !d.holding {
--- a/internal/testbed/process/external_load.go
+++ b/internal/testbed/process/external_load.go
@@ -8,23 +8,23 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// runGuest runs a request that no client of the environment has sent, for whoever tries things out by hand. The environment knows
-// nothing of it, so it takes nobody's place.
+// runGuest runs a guest's request: one that no client of the environment has sent, for example by curl. The environment
+// does not see it, so that the job takes no worker's slot.
 func (k *workerConn) runGuest(call string) {
-	d, node, sched := k.worker.driver, k.worker, k.scheduler
+	d, w, sched := k.worker.driver, k.worker, k.scheduler
 	k.writeResponse(202, "")
-	say := func(state, result string) {
-		n := &requests.Callback{CallID: call, EndpointID: node.id, State: state}
+	sendState := func(state, result string) {
+		n := &requests.Callback{CallID: call, EndpointID: w.id, State: state}
 		if result != "" {
 			n.Result = &result
 		}
-		d.sendCallback(sched, &simapi.CallbackReceived{Worker: node.number, Callback: n, CallbackID: guestCallbackID})
+		d.sendCallback(sched, &simapi.CallbackReceived{Worker: w.number, Callback: n, CallbackID: guestCallbackID})
 	}
-	say("started", "")
-	d.after(guestDuration, func() { say("done", fmt.Sprintf("%s ran on %s for %v", call, node.id, guestDuration)) })
+	sendState("started", "")
+	d.after(guestDuration, func() { sendState("done", fmt.Sprintf("%s ran on %s for %v", call, w.id, guestDuration)) })
 }
 
-const guestDuration = 200 * time.Millisecond
+const guestDuration = 200 * time.Millisecond // of the job of a guest's request
 
-// guestCallbackID is the number of callbacks that the environment knows nothing of.
+// guestCallbackID is the id of all callbacks for guests' requests.
 const guestCallbackID = ^uint64(0)
--- a/internal/testbed/process/fake_test.go
+++ b/internal/testbed/process/fake_test.go
@@ -12,7 +12,8 @@
 	"valvecove/internal/config"
 )
 
-// fakeScheduler is a process that keeps to what the platform asks of one, and schedules nothing.
+// fakeScheduler is the main function of a fake scheduler's process. It checks its resource limits, responds to GET /up,
+// watches discovery and handles SIGHUP and SIGTERM as the platform requires, and schedules nothing.
 func fakeScheduler() int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP)
@@ -34,15 +35,15 @@
 	fmt.Fprintln(os.Stderr, "begins")
 	request := func() {
 		url := fmt.Sprintf("http://%v/discovery/hosts?stream=1&index=%d", c.Discovery, c.KnownEndpoints.Revision)
-		go func() { _, _ = http.Get(url) }() // its answer may come late, or never
+		go func() { _, _ = http.Get(url) }() // the response may come late, or never
 	}
 	request()
-	up := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	readiness := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path != "/up" {
 			w.WriteHeader(http.StatusNotFound)
 		}
 	})
-	go func() { _ = http.ListenAndServe(c.Listen.String(), up) }()
+	go func() { _ = http.ListenAndServe(c.Listen.String(), readiness) }()
 	for sig := range signals {
 		if sig == syscall.SIGTERM {
 			return 7
--- a/internal/testbed/process/lateness.go
+++ b/internal/testbed/process/lateness.go
@@ -7,22 +7,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the testbed's own lateness. Live, an answer counts until 50 ms after its deadline: a testbed that was later than
-// that at any time may have put somebody else's answer beyond it, and one that is often half as late does not play
-// the delays that the scenario names.
+// Bounds on the testbed's own lateness. In a run with real processes a response counts until 50 ms after its deadline. If
+// the testbed is ever later than that, it may itself have made a response miss its deadline. If it is often half as late,
+// it does not produce the delays that the scenario specifies.
 const (
-	MaxLateness      = 50 * time.Millisecond // nothing may be done later
-	MaxLateness999   = 25 * time.Millisecond // nor one thing in a thousand
-	recordedLateness = 5 * time.Millisecond  // a turn as late as that is a trace event
+	MaxLateness         = 50 * time.Millisecond // of any event
+	MaxLateness999      = 25 * time.Millisecond // of all events but one in a thousand
+	minRecordedLateness = 5 * time.Millisecond  // an iteration this late or later is recorded as a trace event
 )
 
-// Lateness is how late the testbed was: the spans from when things were on the environment's event queue to when they were done.
+// Lateness summarises how late the testbed was: the time from when events of the environment's queue were due to when
+// they were processed.
 type Lateness struct {
-	Iterations          int64 // instants of the event queue
+	Iterations          int64 // due times of events, each counted once
 	P50, P99, P999, Max time.Duration
 }
 
-// InvalidReason says why a run with such a lateness is no result; empty: it is one.
+// InvalidReason says why a run with this lateness is invalid; empty if it is valid.
 func (l Lateness) InvalidReason() string {
 	switch {
 	case l.Max > MaxLateness:
@@ -33,7 +34,7 @@
 	return ""
 }
 
-// latenessMeter measures it.
+// latenessMeter records the lateness of events, in microseconds.
 type latenessMeter struct{ spans *hdrhistogram.Histogram }
 
 func newLatenessMeter() latenessMeter {
--- a/internal/testbed/process/listener.go
+++ b/internal/testbed/process/listener.go
@@ -10,27 +10,28 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// listener accepts connections at one address, by edge's modes.
+// listener accepts, refuses or ignores connections at one address, by the accept modes of simapi.
 type listener struct {
 	poller    *poller
 	fd        int
 	address   netip.AddrPort
 	mode      int
-	accept    func(fd int)    // takes the connection on
-	onFailure func(err error) // this machine can't go on
+	accept    func(fd int)    // is called with each connection, and owns its descriptor
+	onFailure func(err error) // is called if accepting fails, for want of descriptors or memory
 }
 
-const backlog = 4096
+const backlog = 4096 // connections that may wait to be accepted
 
-// dropAll is a socket filter that lets nothing pass.
+// dropAll is a socket filter that drops every packet.
 var dropAll = unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}}
 
-// listenAt binds an address; it refuses until hear says otherwise.
+// listenAt binds a listener to an address. It refuses connections until setMode is called.
 func (p *poller) listenAt(at netip.AddrPort, accept func(fd int), fault func(error)) (*listener, error) {
 	return p.bindListener(at, unix.SO_REUSEADDR, accept, fault)
 }
 
-// listenShared binds an address as others of this process do, who share what comes. Port 0 is any; the listener has it.
+// listenShared binds a listener to an address that other listeners of this process share; the kernel distributes the
+// connections among them. If the port is 0, the kernel chooses one, and the listener's address has it.
 func (p *poller) listenShared(at netip.AddrPort, accept func(fd int), fault func(error)) (*listener, error) {
 	return p.bindListener(at, unix.SO_REUSEPORT, accept, fault)
 }
@@ -53,16 +54,17 @@
 	return &listener{poller: p, fd: descriptor, address: address, mode: simapi.AcceptNone, accept: accept, onFailure: fault}, nil
 }
 
-// setMode changes how connections are accepted. Refuse: the socket keeps its address and does not listen. NeverUp: it
-// listens, and a filter on it drops whatever comes before a connection is up; what is up goes on. A filter is better
-// than a full backlog: no connection of anybody's slips in, and when it ends, those that still try come up.
+// setMode changes how connections are accepted. With AcceptNone the socket keeps its address and does not listen. With
+// AcceptSilently it listens, and a filter drops all packets of connections that are not established yet; established ones
+// are not affected. A filter is better than a full backlog: no connection gets in by chance, and when the filter is
+// removed, attempts that are still being retried succeed.
 func (l *listener) setMode(mode int) error {
 	if mode == l.mode {
 		return nil
 	}
-	was := l.mode
+	previous := l.mode
 	l.mode = mode
-	if was == simapi.AcceptSilently {
+	if previous == simapi.AcceptSilently {
 		if err := unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0); err != nil {
 			return localError{fmt.Errorf("filter at %v: %w", l.address, err)}
 		}
@@ -73,13 +75,13 @@
 			return localError{fmt.Errorf("filter at %v: %w", l.address, err)}
 		}
 	case simapi.AcceptNone:
-		l.ready(0) // what has come up before this moment is up
+		l.ready(0) // connections established so far are accepted
 		l.poller.remove(l.fd)
 		if err := unix.Shutdown(l.fd, unix.SHUT_RD); err != nil {
 			return localError{fmt.Errorf("refusing at %v: %w", l.address, err)}
 		}
 	}
-	if was == simapi.AcceptNone {
+	if previous == simapi.AcceptNone {
 		if err := unix.Listen(l.fd, backlog); err != nil {
 			return localError{fmt.Errorf("listening at %v: %w", l.address, err)}
 		}
@@ -90,6 +92,7 @@
 	return nil
 }
 
+// ready accepts the connections that wait, up to 256 at a time, so that other sockets get their turn.
 func (l *listener) ready(uint32) {
 	for range 256 {
 		fd, _, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -99,7 +102,7 @@
 		case unix.EINTR, unix.ECONNABORTED:
 		case unix.EAGAIN:
 			return
-		default: // descriptors or memory
+		default: // out of descriptors or memory
 			l.onFailure(localError{fmt.Errorf("accepting at %v: %w", l.address, err)})
 			return
 		}
--- a/internal/testbed/process/load.go
+++ b/internal/testbed/process/load.go
@@ -21,52 +21,53 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// LoadOptions are an open load on one address: requests fall due at random moments, whatever becomes of those before.
+// LoadOptions describe an open load on one address: requests become due at random times, independent of the outcomes of
+// earlier ones.
 type LoadOptions struct {
 	Target   string                            // address and port, on 127.0.0.0/8
 	Rate     float64                           // requests a second
 	Conns    int                               // connections, kept alive; default 256
-	Cores    int                               // threads that it is made by; default 2
-	PinCores []int                             // processor cores for them, dealt out in turn; empty: any
-	Length   time.Duration                     // requests fall due for so long
-	WarmUp   time.Duration                     // and before that for so long, uncounted
-	Grace    time.Duration                     // answers are awaited for so long after that; default 1 s
-	Seed     uint64                            // of the moments
-	Request  func(thread int, n uint64) []byte // the n-th of a thread; kept until the next call. Default: GET /up
+	Cores    int                               // threads that generate the load; default 2
+	PinCores []int                             // processor cores for the threads, assigned in turn; empty: any
+	Length   time.Duration                     // of the measurement, after the warm-up
+	WarmUp   time.Duration                     // of the warm-up, whose requests are not counted
+	Grace    time.Duration                     // how long responses are awaited after the measurement; default 1 s
+	Seed     uint64                            // of the random times
+	Request  func(thread int, n uint64) []byte // request n of a thread; used until the next call. Default: GET /up
 }
 
-// LoadResult is what came of it.
+// LoadResult has the outcome of a load, without the warm-up.
 type LoadResult struct {
-	Scheduled uint64 // requests
-	Answered  uint64 // by any status
-	Failed    uint64 // lost with their connection
-	Open      uint64 // unanswered at the end
+	Scheduled uint64 // requests that became due
+	Answered  uint64 // requests with a response of any status
+	Failed    uint64 // requests whose connection was lost, or for which the queue had no place
+	Open      uint64 // requests without a response at the end
 	Status    map[int]uint64
 	Length    time.Duration
-	Rate      float64 // answers a second
-	// Latency runs from when a request was due to the last byte of its answer, so that one which had to wait for those
-	// before it is charged with its wait. Late is the load's own part of that: from when it was due to when its thread
-	// came to it. Both in microseconds.
+	Rate      float64 // responses a second
+	// Latency is the time from when a request was due to the last byte of its response, so that it includes the time in
+	// which the request waited for earlier ones. Lateness is the part that the load generator caused: from when the
+	// request was due to when its thread handled it. Both are in microseconds.
 	Latency, Lateness *hdrhistogram.Histogram
 }
 
-// InvalidReason says why it is no result; empty: it is one.
+// InvalidReason says why the result is invalid, because the load generator was late; empty if it is valid.
 func (r *LoadResult) InvalidReason() string {
 	return latenessMeter{r.Lateness}.lateness().InvalidReason()
 }
 
-const maxDue = 1 << 20 // of a thread: requests that may wait for a connection
+const maxWaiting = 1 << 20 // requests of one thread that may wait for a connection
 
-var errLoad = errors.New("a load needs a target, a rate and a length")
+var errInvalidLoad = errors.New("a load needs a target on 127.0.0.0/8, a positive rate and a positive length")
 
-// Load puts a load on an address. It blocks for its length; its threads do nothing else.
+// Load generates a load on an address. It blocks until the load has ended.
 func Load(ctx context.Context, loadOptions LoadOptions) (LoadResult, error) {
 	address, err := netip.ParseAddrPort(loadOptions.Target)
 	if err != nil {
 		return LoadResult{}, fmt.Errorf("target: %w", err)
 	}
 	if !address.Addr().IsLoopback() || !address.Addr().Is4() || loadOptions.Rate <= 0 || loadOptions.Length <= 0 {
-		return LoadResult{}, errLoad
+		return LoadResult{}, errInvalidLoad
 	}
 	setDefault(&loadOptions.Conns, 256)
 	setDefault(&loadOptions.Cores, 2)
@@ -121,46 +122,46 @@
 	r.Lateness.Merge(o.Lateness)
 }
 
-// loadThread is one thread's part: a loop with connections of its own.
+// loadThread generates one thread's part of the load: an event loop with its own connections.
 type loadThread struct {
 	*poller
-	options *LoadOptions
-	target  netip.AddrPort
-	number  int
-	rng     *rand.Rand
-	meanGap float64 // mean, between two requests
-	nextDue time.Duration
-	sent    uint64
-	conns   []*loadConn
-	idle    []*loadConn // taken from the load balancer, so that all are used
-	waiting []time.Duration
-	open    int
-	reader  *reader
-	result  LoadResult
-	failure error
+	options     *LoadOptions
+	target      netip.AddrPort
+	number      int
+	rng         *rand.Rand
+	meanGap     float64 // mean time between two requests, in nanoseconds
+	nextDue     time.Duration
+	sent        uint64
+	conns       []*loadConn
+	idle        []*loadConn     // in the order of their last use; the first is used next
+	waiting     []time.Duration // due times of requests that wait for a connection
+	outstanding int             // requests in flight or waiting
+	reader      *reader
+	result      LoadResult
+	failure     error
 }
 
 // loadConn is a connection. It carries one request at a time.
 type loadConn struct {
 	socketConn
 	thread *loadThread
-	dueAt  time.Duration
-	busy   bool
+	dueAt  time.Duration // of its request
+	busy   bool          // a request is in flight
 }
 
 func newLoadThread(o *LoadOptions, address netip.AddrPort, n int) (*loadThread, error) {
-	poller, err := newPoller()
+	created, err := newPoller()
 	if err != nil {
 		return nil, err
 	}
 	t := &loadThread{
-		poller: poller, options: o, target: address, number: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), reader: newReader(),
+		poller: created, options: o, target: address, number: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), reader: newReader(),
 		meanGap: float64(time.Second) * float64(o.Cores) / o.Rate,
 	}
 	t.result = LoadResult{Status: map[int]uint64{}, Latency: newLatenessMeter().spans, Lateness: newLatenessMeter().spans}
 	for range max(1, o.Conns/o.Cores) {
 		c := &loadConn{thread: t}
-		if err := poller.dial(&c.socketConn, netip.AddrPort{}, address, c); err != nil {
+		if err := created.dial(&c.socketConn, netip.AddrPort{}, address, c); err != nil {
 			t.close()
 			return nil, fmt.Errorf("connecting to %v: %w", address, err)
 		}
@@ -176,7 +177,7 @@
 	t.poller.close()
 }
 
-// pin keeps the goroutine on a thread, and that on a core.
+// pin locks the goroutine to its thread, and binds the thread to a core; if no cores are given, to none.
 func pin(cores []int, n int) error {
 	runtime.LockOSThread()
 	if len(cores) == 0 {
@@ -189,7 +190,7 @@
 
 func (t *loadThread) run(ctx context.Context) error {
 	defer t.close()
-	// The goroutine ends locked, and its thread with it: a core that it was given is given to nobody else.
+	// The goroutine stays locked, so that its thread ends with it: no other goroutine may run on a thread bound to a core.
 	if err := pin(t.options.PinCores, t.number); err != nil {
 		return err
 	}
@@ -200,7 +201,7 @@
 		for t.nextDue <= now && t.nextDue < end {
 			t.requestDue(now)
 		}
-		if now >= last || now >= end && t.open == 0 || ctx.Err() != nil {
+		if now >= last || now >= end && t.outstanding == 0 || ctx.Err() != nil {
 			break
 		}
 		until := last
@@ -215,7 +216,8 @@
 	return ctx.Err()
 }
 
-// requestDue has the next request fall due.
+// requestDue sends the next request, or queues it while all connections are busy, and determines when the one after it
+// is due.
 func (t *loadThread) requestDue(now time.Duration) {
 	dueAt := t.nextDue
 	t.nextDue += time.Duration(t.rng.ExpFloat64() * t.meanGap)
@@ -223,17 +225,18 @@
 		t.result.Scheduled++
 		_ = t.result.Lateness.RecordValue((now - dueAt).Microseconds())
 	}
-	t.open++
+	t.outstanding++
 	switch {
 	case len(t.idle) > 0:
 		t.sendRequest(dueAt)
-	case len(t.waiting) < maxDue:
+	case len(t.waiting) < maxWaiting:
 		t.waiting = append(t.waiting, dueAt)
 	default:
 		t.requestLost(dueAt)
 	}
 }
 
+// sendRequest sends a request on the connection that has been idle longest.
 func (t *loadThread) sendRequest(dueAt time.Duration) {
 	c := t.idle[0]
 	t.idle = t.idle[1:]
@@ -242,13 +245,14 @@
 	t.sent++
 }
 
+// requestLost counts a failed request, unless it was due in the warm-up.
 func (t *loadThread) requestLost(dueAt time.Duration) {
-	if t.open--; dueAt >= t.options.WarmUp {
+	if t.outstanding--; dueAt >= t.options.WarmUp {
 		t.result.Failed++
 	}
 }
 
-// release gives a connection to the request that has waited longest.
+// release marks a connection as idle, and sends the request that has waited longest, if there is one.
 func (t *loadThread) release(c *loadConn) {
 	if t.idle = append(t.idle, c); len(t.waiting) > 0 {
 		dueAt := t.waiting[0]
@@ -278,7 +282,7 @@
 		return
 	}
 	c.busy = false
-	if t.open--; c.dueAt >= t.options.WarmUp {
+	if t.outstanding--; c.dueAt >= t.options.WarmUp {
 		t.result.Answered++
 		t.result.Status[status]++
 		_ = t.result.Latency.RecordValue((t.clock() - c.dueAt).Microseconds())
@@ -290,7 +294,7 @@
 	t.release(c)
 }
 
-// connClosed opens the connection anew.
+// connClosed fails the request in flight and opens the connection again.
 func (c *loadConn) connClosed(error) {
 	t := c.thread
 	idle := !c.busy
@@ -311,11 +315,11 @@
 	}
 }
 
-// parseSimpleResponse reads an answer of the plainest form from the start of b: n bytes long, 0 while it is not whole or not of
-// that form; ended: it says that its connection ends.
+// parseSimpleResponse parses a response of the most common form at the start of b, faster than reader.response. n is its
+// length, or 0 if it is incomplete or of another form. ended says that its connection closes after it.
 func parseSimpleResponse(b []byte) (status, n int, ended bool) {
-	first := bytes.Index(b, headerEnd)
-	if first < 12 || !bytes.HasPrefix(b, []byte("HTTP/1.1 ")) {
+	headerLen := bytes.Index(b, headerEnd)
+	if headerLen < 12 || !bytes.HasPrefix(b, []byte("HTTP/1.1 ")) {
 		return 0, 0, false
 	}
 	status, err := strconv.Atoi(string(b[9:12]))
@@ -323,7 +327,7 @@
 		return 0, 0, false
 	}
 	length := 0
-	switch value, ok := findField(b[:first+2], "\r\nContent-Length: "); {
+	switch value, ok := findField(b[:headerLen+2], "\r\nContent-Length: "); {
 	case ok:
 		if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > maxBody {
 			return 0, 0, false
@@ -331,26 +335,28 @@
 	case status != http.StatusNoContent:
 		return 0, 0, false
 	}
-	if n = first + len(headerEnd) + length; n > len(b) {
+	if n = headerLen + len(headerEnd) + length; n > len(b) {
 		return 0, 0, false
 	}
-	value, _ := findField(b[:first+2], "\r\nConnection: ")
+	value, _ := findField(b[:headerLen+2], "\r\nConnection: ")
 	return status, n, string(value) == "close"
 }
 
-// findField finds a field that is written just so in a head whose lines all end.
-func findField(first []byte, name string) (value []byte, ok bool) {
-	at := bytes.Index(first, []byte(name))
+// findField returns the value of a header field. name is the text from the line break before the field to its value, in
+// the exact spelling. Every line of the header has its line break.
+func findField(header []byte, name string) (value []byte, ok bool) {
+	at := bytes.Index(header, []byte(name))
 	if at < 0 {
 		return nil, false
 	}
-	value = first[at+len(name):]
+	value = header[at+len(name):]
 	return value[:bytes.IndexByte(value, '\r')], true
 }
 
-// ---- Something to put a load on ----
+// ---- A server as a baseline ----
 
-// Responder answers every request with an empty 200, as fast as it can: the load's own measure.
+// Responder answers every request with an empty 200 as fast as it can. A load on it shows what the load generator itself
+// can do.
 type Responder struct {
 	Addr    string
 	threads []*responderThread
@@ -370,15 +376,15 @@
 	thread *responderThread
 }
 
-// StartResponder has one answer at an address of 127.0.0.0/8 (port 0: any) from so many threads, on these cores if
-// some are named.
+// StartResponder starts a responder at an address of 127.0.0.0/8; if the port is 0, the kernel chooses one. It has a number
+// of threads, which are bound to the cores in turn if there are any.
 func StartResponder(at string, threads int, cores []int) (*Responder, error) {
 	address, err := netip.ParseAddrPort(at)
 	if err != nil {
 		return nil, err
 	}
 	if !address.Addr().IsLoopback() || !address.Addr().Is4() {
-		return nil, fmt.Errorf("%v is not of 127.0.0.0/8", address)
+		return nil, fmt.Errorf("%v is not an address of 127.0.0.0/8", address)
 	}
 	responder := &Responder{}
 	for i := range threads {
@@ -406,7 +412,7 @@
 	return responder, nil
 }
 
-// Close ends it, and tells what went wrong in it.
+// Close stops the responder, and returns the errors that its threads met.
 func (r *Responder) Close() (err error) {
 	r.closed.Store(true)
 	for _, t := range r.threads {
@@ -445,15 +451,15 @@
 
 func (c *responderConn) dataReceived(int) {
 	for !c.closed {
-		first := bytes.Index(c.received, headerEnd)
-		if first < 0 {
+		headerLen := bytes.Index(c.received, headerEnd)
+		if headerLen < 0 {
 			return
 		}
 		length := 0
-		if value, ok := findField(c.received[:first+2], "\r\nContent-Length: "); ok {
+		if value, ok := findField(c.received[:headerLen+2], "\r\nContent-Length: "); ok {
 			length, _ = strconv.Atoi(string(value))
 		}
-		n := first + len(headerEnd) + length
+		n := headerLen + len(headerEnd) + length
 		if length < 0 || n > len(c.received) {
 			return
 		}
--- a/internal/testbed/process/log_file.go
+++ b/internal/testbed/process/log_file.go
@@ -7,19 +7,17 @@
 	"sync"
 )
 
-// This file holds the log of a scheduler's processes.
-
-// logFile keeps the start of what a scheduler's processes write, and how much more there was.
+// logFile stores the output of a scheduler's processes, up to maxLog bytes, and counts the bytes beyond that.
 type logFile struct {
 	path    string
 	lock    sync.Mutex // a process may still write while its successor does
-	file    *os.File
-	kept    int
-	dropped int
-	failure error
+	file    *os.File   // created by the first write
+	kept    int        // bytes
+	dropped int        // bytes
+	failure error      // after which nothing more is stored
 }
 
-// Write takes everything, so that no process is ever held up by its log or ended for it.
+// Write accepts all bytes and never fails, so that no process blocks or ends because of its log.
 func (l *logFile) Write(b []byte) (int, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -11,8 +11,8 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// Misbehaving clients have ids and paths of their own, so that a worker knows theirs: it can use none. A request that
-// one has hidden in another's body is no misbehaving client's to a worker, but one that nobody has sent.
+// The ids and paths of misbehaving clients' requests have a prefix, by which a worker recognises and rejects them. A
+// request hidden in the body of another has its own prefix in its id: to a worker it is a request that no client has sent.
 const (
 	misbehavingPrefix = "odd-"
 	hiddenPrefix      = "hidden-"
@@ -26,75 +26,75 @@
 func isHiddenRequest(call string) bool { return strings.HasPrefix(call, hiddenPrefix) }
 
 const (
-	misbehavingTimeout = 20 * time.Second // longer than it is ever owed something for
-	hugeBody           = 60 << 20
-	maxInsists         = 300 // times that the same is sent again
-	insistTime         = 3 * time.Second
-	slowByteInterval   = 100 * time.Millisecond
-	slowReadBytes      = 16 // bytes at a time
-	maxFeedsAtOnce     = 16 // writes of one that never stops, before others have their turn
+	misbehavingTimeout = 20 * time.Second       // until a client ends; every reaction of a scheduler is due earlier
+	hugeBody           = 60 << 20               // bytes
+	maxRepeats         = 300                    // repetitions of a request by a client of kind insist
+	maxRepeatTime      = 3 * time.Second        // for which it repeats
+	slowByteInterval   = 100 * time.Millisecond // between two steps of a slow writer or reader
+	slowReadBytes      = 16                     // bytes that a slow reader reads in a step
+	maxFeedsAtOnce     = 16                     // writes of an endless sender before other sockets get their turn
 )
 
-// misbehavingClient is a misbehaving client: what it sends, how, and what it does once it is answered. It tells the environment of its first
-// answer, of any further one that says its request was served, and else of its end.
+// misbehavingClient is a client that misbehaves in the way of its kind. It reports to the environment the first response,
+// any further response with a status of success, and, if there was no response, that its connections have closed.
 type misbehavingClient struct {
-	driver        *driver
-	id            simapi.Conn
-	scheduler     int
-	kind          string
-	rng           *rand.Rand
-	conns         []*misbehavingConn
-	open          int
-	reported      bool
-	ended         bool
-	timer         *timer
-	insistRequest []byte // insist: what is sent again
-	repeats       int
-	insistUntil   time.Duration
+	driver          *driver
+	id              simapi.Conn
+	scheduler       int
+	kind            string
+	rng             *rand.Rand
+	conns           []*misbehavingConn
+	open            int    // connections that are not closed
+	reported        bool   // something was reported to the environment
+	ended           bool   // it takes no further action
+	timer           *timer // misbehavingTimeout
+	repeatedRequest []byte // the request that a client of kind insist repeats
+	repeats         int
+	repeatUntil     time.Duration
 }
 
-// misbehavingConn is one of its connections.
+// misbehavingConn is a connection of a misbehaving client.
 type misbehavingConn struct {
 	socketConn
 	client           *misbehavingClient
-	feed             func() []byte // gives what is to be written once all before has left; nil: nothing more
-	closeWhenFlushed bool          // it closes once all is written
-	slowTimer        *timer        // of what it does slowly
+	feed             func() []byte // returns the next bytes once all earlier ones are written, nil at the end; nil: no more
+	closeWhenFlushed bool          // it closes once everything is written
+	slowTimer        *timer        // of a slow writer or reader
 }
 
-// startMisbehaving begins a misbehaving client.
+// startMisbehaving starts a misbehaving client.
 func (d *driver) startMisbehaving(sched int, message *simapi.ClientMisbehaves) {
 	o := &misbehavingClient{
 		driver: d, id: message.Conn, scheduler: sched, kind: message.Kind,
-		rng: rand.New(rand.NewPCG(message.Number, xxhash.Sum64String(message.Kind))), insistUntil: d.now + insistTime,
+		rng: rand.New(rand.NewPCG(message.Number, xxhash.Sum64String(message.Kind))), repeatUntil: d.now + maxRepeatTime,
 	}
 	d.misbehaving[o.id] = o
 	o.timer = d.after(misbehavingTimeout, o.close)
 	o.start(message)
-	if o.open == 0 && !o.ended { // nothing came up
+	if o.open == 0 && !o.ended { // no connection could be opened
 		o.end()
 	}
 }
 
-// connect opens one of its connections and writes to it.
+// connect opens a further connection and writes b to it.
 func (o *misbehavingClient) connect(b []byte) *misbehavingConn {
-	misbehavingConn := &misbehavingConn{client: o}
+	conn := &misbehavingConn{client: o}
 	d := o.driver
 	from := d.addresses.client(uint64(o.id) + uint64(len(o.conns)))
-	if err := d.dial(&misbehavingConn.socketConn, from, d.addresses.scheduler(o.scheduler), misbehavingConn); err != nil {
+	if err := d.dial(&conn.socketConn, from, d.addresses.scheduler(o.scheduler), conn); err != nil {
 		d.failIfLocal(err)
-		misbehavingConn.closed = true
-		return misbehavingConn
+		conn.closed = true
+		return conn
 	}
-	o.conns = append(o.conns, misbehavingConn)
+	o.conns = append(o.conns, conn)
 	o.open++
 	if len(b) > 0 {
-		misbehavingConn.write(b)
+		conn.write(b)
 	}
-	return misbehavingConn
+	return conn
 }
 
-// close is its own going away: nobody is told.
+// close ends the client and resets its connections, without a report to the environment.
 func (o *misbehavingClient) close() {
 	if o.ended {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// end tells of its end, if nothing better can be told.
+// end reports that the connections have closed, if nothing was reported before, and ends the client.
 func (o *misbehavingClient) end() {
 	if !o.reported && !o.ended {
 		o.reported = true
@@ -118,9 +118,9 @@
 }
 
 func (k *misbehavingConn) dataReceived(int) {
-	misbehavingClient := k.client
+	owner := k.client
 	for len(k.received) > 0 && !k.closed {
-		a, _, n, err := misbehavingClient.driver.reader.response(k.received, false)
+		a, _, n, err := owner.driver.reader.response(k.received, false)
 		if err != nil {
 			k.reset()
 			k.connClosed(err)
@@ -130,7 +130,7 @@
 			return
 		}
 		k.consume(n)
-		misbehavingClient.responseReceived(k, a.StatusCode)
+		owner.responseReceived(k, a.StatusCode)
 	}
 }
 
@@ -140,28 +140,28 @@
 		o.driver.addOutput(o.scheduler, simapi.ResponseWritten{Conn: o.id, Status: status})
 	}
 	switch {
-	case o.kind == "flood" || o.kind == "slow_reader": // there is more to come
-	case o.kind == "insist" && status/100 != 2 && o.repeats < maxInsists && o.driver.now < o.insistUntil:
+	case o.kind == "flood" || o.kind == "slow_reader": // further responses follow
+	case o.kind == "insist" && status/100 != 2 && o.repeats < maxRepeats && o.driver.now < o.repeatUntil:
 		o.repeats++
-		k.write(o.insistRequest)
+		k.write(o.repeatedRequest)
 	default:
 		o.close()
 	}
 }
 
 func (k *misbehavingConn) connClosed(error) {
-	misbehavingClient := k.client
-	misbehavingClient.open--
-	misbehavingClient.driver.stop(k.slowTimer)
+	owner := k.client
+	owner.open--
+	owner.driver.stop(k.slowTimer)
 	switch {
-	case misbehavingClient.ended:
-	case misbehavingClient.kind == "insist" && k.connected && misbehavingClient.repeats < maxInsists && misbehavingClient.driver.now < misbehavingClient.insistUntil:
-		misbehavingClient.repeats++
-		misbehavingClient.connect(misbehavingClient.insistRequest)
+	case owner.ended:
+	case owner.kind == "insist" && k.connected && owner.repeats < maxRepeats && owner.driver.now < owner.repeatUntil:
+		owner.repeats++
+		owner.connect(owner.repeatedRequest)
 		fallthrough
 	default:
-		if misbehavingClient.open == 0 {
-			misbehavingClient.end()
+		if owner.open == 0 {
+			owner.end()
 		}
 	}
 }
@@ -182,10 +182,10 @@
 			k.feed = nil
 		}
 	}
-	k.setEvents(k.events | unix.EPOLLOUT) // others have their turn
+	k.setEvents(k.events | unix.EPOLLOUT) // goes on after the other sockets
 }
 
-// repeatSlowly does something again and again.
+// repeatSlowly calls do at intervals of slowByteInterval until the connection is closed.
 func (k *misbehavingConn) repeatSlowly(do func()) {
 	if !k.closed {
 		k.slowTimer = k.client.driver.after(slowByteInterval, func() {
--- a/internal/testbed/process/misbehaving_actions.go
+++ b/internal/testbed/process/misbehaving_actions.go
@@ -10,15 +10,16 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// misbehavingRequest is a request of a misbehaving client, whose parts it may spoil.
+// misbehavingRequest is a request of a misbehaving client. It is valid until the client corrupts parts of it.
 type misbehavingRequest struct {
-	endpoint                             string // that it is sent to
+	endpoint                             string // address of the scheduler
 	class, path, id, caller, budget, key string
 	length                               string // Content-Length; empty: none
-	extraFields                          string // further lines of the head
+	extraFields                          string // further header fields, with their line breaks
 	body                                 string
 }
 
+// newRequest makes a valid request. n is its number among the requests of the client.
 func (o *misbehavingClient) newRequest(n int) misbehavingRequest {
 	spec := o.driver.spec
 	class := &spec.Classes[o.rng.IntN(len(spec.Classes))]
@@ -38,12 +39,12 @@
 	return request
 }
 
-// setClass sets the class, also in the path.
+// setClass sets the class in its field and in the path, and rebuilds the path with the id.
 func (q *misbehavingRequest) setClass(name string) {
 	q.class, q.path = name, "/"+name+"/"+q.id
 }
 
-// bytes is the request as it goes over the wire.
+// bytes encodes the request.
 func (q *misbehavingRequest) bytes() []byte {
 	b := http1.AppendRequestStart(nil, "POST", q.path, q.endpoint)
 	for _, f := range [][2]string{
@@ -61,8 +62,8 @@
 	return append(b, q.body...)
 }
 
-// misbehaviors is what clients of each kind do, with a request that is in order so far. Each has an answer or a close
-// coming, but for those that leave by themselves.
+// misbehaviors has the action of each kind of misbehaving client. An action gets a valid request, which it may corrupt.
+// The scheduler has to respond to each kind or to close the connection, unless the client itself closes it.
 var misbehaviors = map[string]func(o *misbehavingClient, request misbehavingRequest, spec *simapi.ClientMisbehaves){
 	"garbage":         (*misbehavingClient).sendGarbage,
 	"endless_head":    (*misbehavingClient).sendEndlessHeader,
@@ -76,18 +77,18 @@
 	"stolen_id":       (*misbehavingClient).sendStolenID,
 	"half_then_close": (*misbehavingClient).sendHalfThenClose,
 	"flood":           (*misbehavingClient).sendFlood,
-	"insist":          (*misbehavingClient).sendInsistently,
+	"insist":          (*misbehavingClient).sendRepeatedly,
 	"silent":          (*misbehavingClient).sendNothing,
 	"smuggle":         (*misbehavingClient).sendSmuggled,
 	"slow_head":       (*misbehavingClient).sendHeaderSlowly,
 	"slow_reader":     (*misbehavingClient).readSlowly,
 }
 
-// start does what the client's kind does.
+// start performs the action of the client's kind.
 func (o *misbehavingClient) start(spec *simapi.ClientMisbehaves) {
 	misbehave := misbehaviors[spec.Kind]
 	if misbehave == nil {
-		o.driver.fail(fmt.Errorf("misbehaving clients of kind %q are not known here, only %s", spec.Kind,
+		o.driver.fail(fmt.Errorf("unknown kind of misbehaving client %q: expected one of %s", spec.Kind,
 			strings.Join(scenario.MisbehaviorKinds, ", ")))
 		return
 	}
@@ -107,8 +108,8 @@
 	o.connect(http1.AppendRequestStart(nil, "POST", request.path, request.endpoint)).feed = func() []byte { return line }
 }
 
-// sendWrongLength says a length that is too long, so that the request is never whole, or too short, so that the rest is
-// no request.
+// sendWrongLength sends a Content-Length that is too large, so that the request is never complete, or too small, so that
+// the rest of the body is read as a malformed request.
 func (o *misbehavingClient) sendWrongLength(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
 	off := 1 + o.rng.IntN(len(request.body))
 	if spec.Number%2 == 0 {
@@ -156,7 +157,7 @@
 	o.connect(request.bytes())
 }
 
-// sendStolenID sends a request under the id of another client's.
+// sendStolenID sends a request with the id of another client's request.
 func (o *misbehavingClient) sendStolenID(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
 	if spec.RequestID != "" {
 		request.id = spec.RequestID
@@ -179,17 +180,18 @@
 	o.connect(b)
 }
 
-// sendInsistently sends the same request again and again, until it is served.
-func (o *misbehavingClient) sendInsistently(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	o.insistRequest = request.bytes()
-	o.connect(o.insistRequest)
+// sendRepeatedly repeats a request until it is served, at most maxRepeats times and for maxRepeatTime.
+func (o *misbehavingClient) sendRepeatedly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	o.repeatedRequest = request.bytes()
+	o.connect(o.repeatedRequest)
 }
 
 func (o *misbehavingClient) sendNothing(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	o.connect(nil)
 }
 
-// sendSmuggled hides a request in another's body: by chunks the body ends before the hidden one, by length after it.
+// sendSmuggled hides a request in the body of another that has both Transfer-Encoding and Content-Length: by the chunks the
+// body ends before the hidden request, by the length after it.
 func (o *misbehavingClient) sendSmuggled(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	hidden := o.newRequest(1)
 	hidden.id = hiddenPrefix + hidden.id
@@ -200,7 +202,7 @@
 	o.connect(request.bytes())
 }
 
-// sendHeaderSlowly sends a request byte by byte.
+// sendHeaderSlowly sends a request byte by byte, one in each slowByteInterval.
 func (o *misbehavingClient) sendHeaderSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	b := request.bytes()
 	conn, sent := o.connect(b[:1]), 1
@@ -212,7 +214,7 @@
 	})
 }
 
-// readSlowly sends a megabyte of requests and reads the answers a few bytes at a time.
+// readSlowly sends a megabyte of requests and reads the responses a few bytes at a time.
 func (o *misbehavingClient) readSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.setClass(unknownClass)
 	var b []byte
--- a/internal/testbed/process/poller.go
+++ b/internal/testbed/process/poller.go
@@ -9,45 +9,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// poller waits for sockets, for an instant and for a bell. One goroutine uses it; only ring is for others.
+// poller waits on epoll for sockets, a timer and wake-ups by other goroutines. One goroutine uses it; only wake is for
+// others.
 type poller struct {
-	epoll, timer, wakeup int
+	epoll, timer, wakeup int // descriptors
 	startedAt            time.Time
-	now                  time.Duration // when what is told of became ready, as far as is known
-	armed                time.Duration // what the timer is set to; 0: to nothing
-	owners               []owner       // by descriptor
-	generations          []int32       // and how often each has been used, so that an event of its last use is told apart
+	now                  time.Duration  // clock when the events being handled were returned by epoll
+	armed                time.Duration  // what the timer is set to; 0 if it is off, -1 once it has expired
+	handlers             []eventHandler // by descriptor
+	generations          []int32        // by descriptor: counts its uses, so that an event of an earlier use is recognised
 	events               [512]unix.EpollEvent
-	readBuffer           [64 << 10]byte // what is read goes through here
-	wakeupLock           sync.Mutex
+	readBuffer           [64 << 10]byte // shared by all connections
+	wakeupLock           sync.Mutex     // guards closed, and writing to wakeup
 	closed               bool
 }
 
-// owner is told of what its descriptor is ready for.
-type owner interface{ ready(events uint32) }
+// eventHandler handles the events of a descriptor.
+type eventHandler interface{ ready(events uint32) }
 
+// newPoller makes a poller whose clock starts now. The caller has to close it.
 func newPoller() (*poller, error) {
-	poller := &poller{epoll: -1, timer: -1, wakeup: -1, startedAt: time.Now()}
+	created := &poller{epoll: -1, timer: -1, wakeup: -1, startedAt: time.Now()}
 	var err error
-	if poller.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if created.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	// A timer of its own: epoll's is in milliseconds.
-	if poller.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
-		if poller.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
-			if err = poller.add(poller.timer, unix.EPOLLIN, timerOwner{}); err == nil {
-				err = poller.add(poller.wakeup, unix.EPOLLIN, wakeupOwner{poller})
+	// A separate timer, as epoll's own timeout is in milliseconds.
+	if created.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
+		if created.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
+			if err = created.add(created.timer, unix.EPOLLIN, timerHandler{}); err == nil {
+				err = created.add(created.wakeup, unix.EPOLLIN, wakeupHandler{created})
 			}
 		}
 	}
 	if err != nil {
-		poller.close()
-		return nil, fmt.Errorf("timer and bell: %w", err)
+		created.close()
+		return nil, fmt.Errorf("timer and wake-up descriptors: %w", err)
 	}
-	return poller, nil
+	return created, nil
 }
 
-// close gives up the poller's own descriptors.
+// close closes the poller's own descriptors.
 func (p *poller) close() {
 	p.wakeupLock.Lock()
 	p.closed = true
@@ -59,41 +61,41 @@
 	}
 }
 
-// clock is the time since the run began.
+// clock is the time since startedAt.
 func (p *poller) clock() time.Duration { return time.Since(p.startedAt) }
 
-// wake wakes wait. Any goroutine may, also once the poller is closed.
+// wake has wait return. Any goroutine may call it, also once the poller is closed.
 func (p *poller) wake() {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
 	p.wakeupLock.Lock()
 	defer p.wakeupLock.Unlock()
-	if !p.closed { // else the descriptor may be somebody else's by now
+	if !p.closed { // the descriptor of a closed poller may be in use elsewhere by now
 		_, _ = unix.Write(p.wakeup, one[:])
 	}
 }
 
-type timerOwner struct{}
+type timerHandler struct{}
 
-func (timerOwner) ready(uint32) {} // wait sets it anew
+func (timerHandler) ready(uint32) {} // wait sets the timer again
 
-type wakeupOwner struct{ poller *poller }
+type wakeupHandler struct{ poller *poller }
 
-func (b wakeupOwner) ready(uint32) {
+func (b wakeupHandler) ready(uint32) {
 	var n [8]byte
 	_, _ = unix.Read(b.poller.wakeup, n[:])
 }
 
-// add has a descriptor watched.
-func (p *poller) add(fd int, events uint32, who owner) error {
-	for fd >= len(p.owners) {
-		p.owners, p.generations = append(p.owners, nil), append(p.generations, 0)
+// add watches a descriptor for events.
+func (p *poller) add(fd int, events uint32, handler eventHandler) error {
+	for fd >= len(p.handlers) {
+		p.handlers, p.generations = append(p.handlers, nil), append(p.generations, 0)
 	}
 	p.generations[fd]++
 	if err := unix.EpollCtl(p.epoll, unix.EPOLL_CTL_ADD, fd, p.event(fd, events)); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
-	p.owners[fd] = who
+	p.handlers[fd] = handler
 	return nil
 }
 
@@ -101,24 +103,25 @@
 	return &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: p.generations[fd]}
 }
 
+// change sets the events that a descriptor is watched for.
 func (p *poller) change(fd int, events uint32) {
 	_ = unix.EpollCtl(p.epoll, unix.EPOLL_CTL_MOD, fd, p.event(fd, events))
 }
 
-// remove ends the watch of a descriptor that stays open.
+// remove stops watching a descriptor that stays open.
 func (p *poller) remove(fd int) {
 	_ = unix.EpollCtl(p.epoll, unix.EPOLL_CTL_DEL, fd, nil)
 	p.forget(fd)
 }
 
-// forget is for a descriptor that is being closed.
+// forget drops the handler of a descriptor that is about to be closed; closing it removes it from epoll.
 func (p *poller) forget(fd int) {
-	p.owners[fd] = nil
+	p.handlers[fd] = nil
 	p.generations[fd]++
 }
 
-// wait waits until something is ready or the instant has come (not timed: only until something is ready), and lets the
-// owners of what is ready act.
+// wait waits until a descriptor is ready or, if timed, until a time of the clock, and calls the handlers of the ready
+// descriptors.
 func (p *poller) wait(until time.Duration, timed bool) error {
 	timeout := -1
 	if !timed {
@@ -144,8 +147,8 @@
 		if fd == p.timer {
 			p.armed = -1
 		}
-		if who := p.owners[fd]; who != nil && p.generations[fd] == e.Pad {
-			who.ready(e.Events)
+		if handler := p.handlers[fd]; handler != nil && p.generations[fd] == e.Pad {
+			handler.ready(e.Events)
 		}
 	}
 	return nil
--- a/internal/testbed/process/process_starter.go
+++ b/internal/testbed/process/process_starter.go
@@ -10,10 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file holds the thread that starts processes, each on its own core.
-
-// starter starts processes, all from one thread that lives as long as the run: a process that is to die with its
-// parent dies with the thread that it was started from.
+// starter starts all processes from one thread that lives as long as the run. The processes have a parent-death signal,
+// which the kernel sends when the thread that started them ends, not only when the testbed does.
 type starter struct {
 	commands chan func()
 	running  sync.WaitGroup
@@ -34,7 +32,7 @@
 	s.running.Wait()
 }
 
-// start starts a command on a core (below 0: any).
+// start starts a command on a core, or on any core if the number is below 0.
 func (s *starter) start(command *exec.Cmd, core int) error {
 	done := make(chan error)
 	s.commands <- func() {
@@ -42,7 +40,8 @@
 			done <- command.Start()
 			return
 		}
-		// Set for this thread it is inherited; set for the process once that runs, some of its threads would miss it.
+		// The process inherits the affinity of this thread. If it were set once the process runs, it would miss those of
+		// its threads that had started by then.
 		var all, one unix.CPUSet
 		if err := unix.SchedGetaffinity(0, &all); err != nil {
 			done <- fmt.Errorf("cores: %w", err)
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -20,68 +20,68 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds a scheduler of a run with real processes: it starts, signals, replaces and awaits them.
-
 const (
-	maxLog            = 8 << 20 // bytes of a scheduler's log that are kept
-	maxCommands       = 64
-	readyPollFirst    = 10 * time.Millisecond // between looks at /up until it answers
-	readyPollInterval = 100 * time.Millisecond
+	maxLog            = 8 << 20                // bytes of a scheduler's log that are kept
+	maxCommands       = 64                     // queued for one scheduler
+	readyPollFirst    = 10 * time.Millisecond  // between polls of /up while there is no response
+	readyPollInterval = 100 * time.Millisecond // between polls of /up after a response
 	readyPollTimeout  = time.Second
 )
 
-// scheduler is one of the schedulers: its process, if it has one, and what the driver keeps with it. Orders are
-// carried out by a goroutine of its own, in order; all else belongs to the loop.
+// scheduler is a scheduler of the run with its current process, if there is one. Commands, which start and signal
+// processes, run one after another in a goroutine of the scheduler. Only commands use process and reaped; all other fields
+// belong to the event loop, except pid.
 type scheduler struct {
 	driver        *driver
 	number        int
 	name          string
 	listen        netip.AddrPort
-	configPath    string // its configuration file
-	startOptions  *simapi.Start
+	configPath    string        // of the configuration file
+	startOptions  *simapi.Start // of the latest start
 	commands      chan func()
-	idle          sync.WaitGroup
-	incarnation   int  // counts processes
-	alive         bool // a process is wanted, and none has ended by itself
-	ready         bool
-	everReady     bool // one has been ready
+	goroutines    sync.WaitGroup // the goroutines for commands and for reaping processes
+	incarnation   int            // number of the current process; a replacement counts
+	alive         bool           // a process was started, and the environment has neither killed it nor been notified of its exit
+	ready         bool           // the current process has responded to GET /up
+	everReady     bool           // a process has been ready
 	readiness     *readinessPoll
 	callbackPools map[int]*callbackPool // by worker
-	connCount     uint64                // opened to workers so far
+	connCount     uint64                // connections opened to workers so far
 	log           *logFile
-	started       int
-	exits         []int // of the processes that ended by themselves
+	started       int   // number of processes started
+	exits         []int // exit codes of the processes that ended by themselves
 	closed        bool
-	process       *exec.Cmd // for orders only
-	reaped        chan struct{}
-	management    netip.AddrPort // of the newest process, if it has one
-	pid           atomic.Int32   // of the process that there is; 0: none
+	process       *exec.Cmd
+	reaped        chan struct{}  // closed once the process has been reaped
+	management    netip.AddrPort // management address of the newest process; invalid if processes have none
+	pid           atomic.Int32   // of the current process; 0 if there is none
 }
 
 func newScheduler(d *driver, n int) *scheduler {
-	scheduler := &scheduler{
+	created := &scheduler{
 		driver: d, number: n, name: "s" + strconv.Itoa(n+1), listen: d.addresses.scheduler(n),
 		commands: make(chan func(), maxCommands), callbackPools: map[int]*callbackPool{},
 	}
-	scheduler.configPath = filepath.Join(d.options.Dir, scheduler.name+".json")
-	scheduler.log = &logFile{path: filepath.Join(d.options.Dir, scheduler.name+".log")}
-	scheduler.idle.Go(func() {
-		for do := range scheduler.commands {
+	created.configPath = filepath.Join(d.options.Dir, created.name+".json")
+	created.log = &logFile{path: filepath.Join(d.options.Dir, created.name+".log")}
+	created.goroutines.Go(func() {
+		for do := range created.commands {
 			do()
 		}
 	})
-	return scheduler
+	return created
 }
 
+// enqueue queues a command for the scheduler's goroutine.
 func (s *scheduler) enqueue(do func()) {
 	select {
 	case s.commands <- do:
 	default:
-		s.driver.fail(fmt.Errorf("scheduler %s: more than %d orders wait", s.name, maxCommands))
+		s.driver.fail(fmt.Errorf("scheduler %s: more than %d commands are queued", s.name, maxCommands))
 	}
 }
 
-// close kills the process that there is and ends the scheduler's goroutine. The loop has ended by now.
+// close kills the current process and ends the scheduler's goroutine. The event loop must have ended.
 func (s *scheduler) close() {
 	if s.closed {
 		return
@@ -89,7 +89,7 @@
 	s.closed = true
 	s.commands <- s.kill
 	close(s.commands)
-	s.idle.Wait()
+	s.goroutines.Wait()
 	for _, p := range s.callbackPools {
 		p.close()
 	}
@@ -99,18 +99,20 @@
 	s.log.close()
 }
 
-// configure writes the configuration file, whole or not at all.
-func (s *scheduler) configure(text []byte) error {
+// writeConfiguration replaces the configuration file atomically.
+func (s *scheduler) writeConfiguration(text []byte) error {
 	if err := os.WriteFile(s.configPath+".new", text, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(s.configPath+".new", s.configPath)
 }
 
-func (s *scheduler) configuration(disco int) []byte {
+// configuration returns the configuration file for a scheduler that uses discovery at an address index.
+func (s *scheduler) configuration(discovery int) []byte {
 	options := platform.Options{
 		Name: s.name, Listen: s.listen.String(),
-		Discovery: s.driver.addresses.discovery(disco, s.number).String(), Seed: s.startOptions.Seed, KnownEndpoints: s.driver.localEndpoints(s.number, s.startOptions.KnownEndpoints),
+		Discovery: s.driver.addresses.discovery(discovery, s.number).String(), Seed: s.startOptions.Seed,
+		KnownEndpoints: s.driver.localEndpoints(s.number, s.startOptions.KnownEndpoints),
 	}
 	if s.driver.spec.Peers.On {
 		options.PeerListen = s.driver.addresses.peer(s.number).String()
@@ -121,24 +123,24 @@
 	return platform.Config(s.driver.spec, s.number, options)
 }
 
-// start starts a process; the one before it has been killed or has ended.
+// start starts a process, after the previous one has ended or has been killed.
 func (s *scheduler) start(options *simapi.Start) {
 	s.startOptions = options
 	s.incarnation++
 	s.started++
 	s.alive, s.ready = true, false
-	life, text, c := s.incarnation, s.configuration(options.Discovery), s.command()
+	incarnation, text, c := s.incarnation, s.configuration(options.Discovery), s.command()
 	s.enqueue(func() {
-		s.kill() // only one may have the address
-		err := s.configure(text)
+		s.kill() // only one process can listen at the address
+		err := s.writeConfiguration(text)
 		if err == nil {
-			err = s.startProcess(c, life)
+			err = s.startProcess(c, incarnation)
 		}
-		s.driver.post(func() { s.processStarted(life, err) })
+		s.driver.post(func() { s.processStarted(incarnation, err) })
 	})
 }
 
-// command is that of another process.
+// command builds the command of the next process.
 func (s *scheduler) command() *exec.Cmd {
 	args := s.args()
 	command := exec.Command(args[0], args[1:]...)
@@ -157,8 +159,8 @@
 	return command
 }
 
-// startProcess starts a process. It is an order.
-func (s *scheduler) startProcess(command *exec.Cmd, life int) error {
+// startProcess starts a process. It is part of a command.
+func (s *scheduler) startProcess(command *exec.Cmd, incarnation int) error {
 	core := -1
 	if len(s.driver.options.Cores) > 0 {
 		core = s.driver.options.Cores[s.number%len(s.driver.options.Cores)]
@@ -174,40 +176,40 @@
 	reaped := make(chan struct{})
 	s.process, s.reaped = command, reaped
 	s.pid.Store(int32(command.Process.Pid))
-	s.idle.Go(func() { s.reap(command, reaped, life) })
+	s.goroutines.Go(func() { s.reap(command, reaped, incarnation) })
 	return nil
 }
 
-// replacesProcesses tells whether the run replaces processes: only then have they a management address, and a directory that
-// they share with those before and after them.
+// replacesProcesses reports whether the scenario replaces processes. Only then do they have a management address, and a
+// directory for temporary files that a process shares with its predecessor and its successor.
 func (s *scheduler) replacesProcesses() bool {
 	return slices.ContainsFunc(s.driver.spec.Faults, func(f scenario.Fault) bool { return f.Kind == "sched_replace" })
 }
 
 func (s *scheduler) tempDir() string { return filepath.Join(s.driver.options.Dir, s.name+".tmp") }
 
-// Of a replacement: the new process has so long to say that it is ready, and the old one so long after SIGTERM.
+// Time limits of a replacement.
 const (
-	readyTimeout   = 6 * time.Second
-	replaceTimeout = 3*time.Second + 700*time.Millisecond
+	readyTimeout   = 6 * time.Second                      // for the successor, until it is ready
+	replaceTimeout = 3*time.Second + 700*time.Millisecond // for the predecessor, from SIGTERM until it has ended
 )
 
-// replace starts a second process beside the one that there is, and ends that once the second is ready. What becomes of the
-// first is nothing that the environment is told.
+// replace starts a successor of the current process, and terminates that once the successor is ready. The exit of the
+// predecessor is not reported to the environment.
 func (s *scheduler) replace() {
 	if !s.alive {
 		return
 	}
 	s.incarnation++
 	s.started++
-	life, c := s.incarnation, s.command()
+	incarnation, c := s.incarnation, s.command()
 	ready := "http://" + s.management.String() + "/v1/readyz"
 	s.enqueue(func() {
 		old, reaped := s.process, s.reaped
 		if old == nil {
 			return
 		}
-		if err := s.startProcess(c, life); err != nil {
+		if err := s.startProcess(c, incarnation); err != nil {
 			s.driver.post(func() { s.driver.fail(fmt.Errorf("scheduler %s: %w", s.name, err)) })
 			return
 		}
@@ -222,7 +224,7 @@
 	})
 }
 
-// awaitReady waits until a process says that it is ready, or has had its time.
+// awaitReady polls a process's readiness URL until it responds with 200 or readyTimeout has passed.
 func (s *scheduler) awaitReady(url string) {
 	client := http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
@@ -238,7 +240,7 @@
 	}
 }
 
-// args are the command. The shell sets the limit on descriptors before the program is there, and is replaced by it.
+// args returns the command line of a process. A shell sets the limit on descriptors, and replaces itself by the program.
 func (s *scheduler) args() []string {
 	args := []string{"/bin/sh", "-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(s.driver.spec.Schedulers.Sockets)}
 	args = append(append(args, s.driver.options.Binary), s.driver.options.Args...)
@@ -250,16 +252,16 @@
 
 const operationsFile = "ops.toml"
 
-// reap reaps a process.
-func (s *scheduler) reap(c *exec.Cmd, reaped chan struct{}, life int) {
+// reap waits for a process to end and reports its exit code to the loop.
+func (s *scheduler) reap(c *exec.Cmd, reaped chan struct{}, incarnation int) {
 	_ = c.Wait()
 	code := c.ProcessState.ExitCode()
 	s.pid.CompareAndSwap(int32(c.Process.Pid), 0)
 	close(reaped)
-	s.driver.post(func() { s.processEnded(life, code) })
+	s.driver.post(func() { s.processEnded(incarnation, code) })
 }
 
-// kill kills the process that there is, and waits until it is gone. It is an order.
+// kill kills the current process, if there is one, and waits until it has been reaped. It is a command.
 func (s *scheduler) kill() {
 	if s.process != nil {
 		_ = s.process.Process.Kill()
@@ -268,27 +270,31 @@
 	}
 }
 
-func (s *scheduler) processStarted(life int, err error) {
+// processStarted handles the outcome of starting a process. It polls the readiness of the process, unless that has been
+// superseded meanwhile.
+func (s *scheduler) processStarted(incarnation int, err error) {
 	if err != nil {
 		s.driver.fail(fmt.Errorf("scheduler %s: %w", s.name, err))
 		return
 	}
-	if life == s.incarnation && s.alive {
+	if incarnation == s.incarnation && s.alive {
 		s.pollReady()
 	}
 }
 
-// processEnded takes in that a process is gone. One that was killed by the environment is gone already.
-func (s *scheduler) processEnded(life, code int) {
-	if life != s.incarnation || !s.alive {
+// processEnded reports the exit of a process to the environment, unless the environment has killed the process itself or
+// it has been superseded.
+func (s *scheduler) processEnded(incarnation, code int) {
+	if incarnation != s.incarnation || !s.alive {
 		return
 	}
-	s.reportNotReady()
+	s.markStopped()
 	s.exits = append(s.exits, code)
 	s.driver.addOutput(s.number, simapi.Exited{Status: code})
 }
 
-func (s *scheduler) reportNotReady() {
+// markStopped marks the scheduler as not running, and stops polling its readiness.
+func (s *scheduler) markStopped() {
 	s.alive, s.ready = false, false
 	if s.readiness != nil {
 		s.readiness.stop()
@@ -296,26 +302,26 @@
 	}
 }
 
-// signal sends a signal once all before has been carried out.
+// signal sends a signal to the process after all commands queued before.
 func (s *scheduler) signal(sig syscall.Signal) {
 	s.enqueue(func() { s.sendSignal(sig) })
 }
 
-// sendSignal sends a signal, if there is a process to take it. It is an order.
+// sendSignal sends a signal to the current process, if there is one. It is a command.
 func (s *scheduler) sendSignal(sig syscall.Signal) {
 	if s.process != nil {
-		_ = s.process.Process.Signal(sig) // one that is reaped is not signalled any more
+		_ = s.process.Process.Signal(sig) // has no effect on a process that has been reaped
 	}
 }
 
-// reload names another discovery in the configuration, and has it read.
-func (s *scheduler) reload(disco int) {
+// reload writes a configuration with another discovery address, and has the process read it by SIGHUP.
+func (s *scheduler) reload(discovery int) {
 	if s.startOptions == nil {
 		return
 	}
-	text := s.configuration(disco)
+	text := s.configuration(discovery)
 	s.enqueue(func() {
-		if err := s.configure(text); err != nil {
+		if err := s.writeConfiguration(text); err != nil {
 			s.driver.post(func() { s.driver.fail(fmt.Errorf("scheduler %s: %w", s.name, err)) })
 			return
 		}
@@ -323,7 +329,8 @@
 	})
 }
 
-// localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the workers.
+// localEndpoints returns a copy of an endpoint list with the addresses at which one scheduler reaches the workers. It also
+// stores the id that discovery gives each worker's newest machine.
 func (d *driver) localEndpoints(sched int, endpointList requests.EndpointList) requests.EndpointList {
 	endpoints := make([]requests.Endpoint, len(endpointList.Endpoints))
 	for i, h := range endpointList.Endpoints {
--- a/internal/testbed/process/readiness.go
+++ b/internal/testbed/process/readiness.go
@@ -7,14 +7,12 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds the poll of whether a scheduler is ready.
-
-// readinessPoll asks a process for /up, again and again.
+// readinessPoll polls GET /up of a scheduler's process, and reports changes of its readiness to the environment.
 type readinessPoll struct {
 	socketConn
 	scheduler *scheduler
-	timer     *timer // the next poll, or the timeout of this one
-	waiting   bool
+	timer     *timer // for the next poll, or the timeout of the current one
+	waiting   bool   // a poll is in flight
 	stopped   bool
 }
 
@@ -36,22 +34,22 @@
 }
 
 func (u *readinessPoll) poll() {
-	driver := u.scheduler.driver
+	loop := u.scheduler.driver
 	if u.closed || u.poller == nil {
-		if err := driver.dial(&u.socketConn, driver.addresses.client(0), u.scheduler.listen, u); err != nil {
-			if u.closed = true; !driver.failIfLocal(err) {
+		if err := loop.dial(&u.socketConn, loop.addresses.client(0), u.scheduler.listen, u); err != nil {
+			if u.closed = true; !loop.failIfLocal(err) {
 				u.pollAfter(readyPollFirst)
 			}
 			return
 		}
 	}
 	u.waiting = true
-	u.timer = driver.after(readyPollTimeout, func() {
+	u.timer = loop.after(readyPollTimeout, func() {
 		u.reset()
 		u.pollAfter(readyPollFirst)
 	})
-	driver.writeBuffer = append(http1.AppendRequestStart(driver.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
-	u.write(driver.writeBuffer)
+	loop.writeBuffer = append(http1.AppendRequestStart(loop.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
+	u.write(loop.writeBuffer)
 }
 
 func (u *readinessPoll) dataReceived(int) {
@@ -79,6 +77,7 @@
 	}
 }
 
+// responseReceived reports the readiness to the environment if it has changed.
 func (u *readinessPoll) responseReceived(up bool) {
 	if s := u.scheduler; up != s.ready {
 		s.ready, s.everReady = up, s.everReady || up
--- a/internal/testbed/process/run.go
+++ b/internal/testbed/process/run.go
@@ -14,53 +14,53 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Options are what is said of a run beyond its scenario and seed.
+// Options are the settings of a run besides its scenario and seed.
 type Options struct {
-	Binary   string          // the scheduler's program
-	Args     []string        // of it, before any that the scenario's operators' file brings
-	Env      []string        // further variables of its environment, beside PATH, TMPDIR and the platform's own
-	Dir      string          // for its configuration and logs, which stay; empty: one that is removed at the end
-	Cores    []int           // processor cores for the schedulers, dealt out in turn; the loop keeps off. Empty: any
-	Observer trace.Observer  // called in the run's own goroutine, so it must not wait for anything
-	Progress func(Progress)  // called every 250 ms from a goroutine of its own; what it has not taken in is skipped
-	OnStart  func(Addresses) // called once all is open and no scheduler runs yet, in the run's own goroutine
-	StayOpen bool            // goes on when the environment is over, until the context ends, which is no error then
-	Guests   bool            // requests that no client of the environment has sent are run, apart from it; see Places
+	Binary   string          // path of the scheduler's program
+	Args     []string        // its arguments; those for the scenario's operations file follow them
+	Env      []string        // further environment variables, besides PATH, TMPDIR and those of the platform
+	Dir      string          // for configuration and logs, which are kept; empty: a temporary directory
+	Cores    []int           // processor cores for the schedulers, assigned in turn; the event loop avoids them. Empty: any
+	Observer trace.Observer  // called in the event loop, so it must not block
+	Progress func(Progress)  // called every 250 ms from a separate goroutine; calls are skipped while one is in progress
+	OnStart  func(Addresses) // called in the event loop's goroutine, after all listeners are open and before schedulers start
+	StayOpen bool            // the run goes on after the environment has finished, until the context ends, which is no error
+	Guests   bool            // requests that no client of the environment has sent are run; the environment does not see them
 }
 
-// Progress is how a run stands.
+// Progress is the state of a run in progress.
 type Progress struct {
-	At       time.Duration
+	At       time.Duration // in the environment's time
 	Lateness Lateness
 }
 
-// Addresses is where things are in a run, for whoever wants to try them by hand.
+// Addresses are the addresses of a run, for requests by hand (Options.Guests).
 type Addresses struct {
 	Schedulers []string // address and port, by number
-	Discovery  []string // that each of them is told at first
+	Discovery  []string // discovery's first address for each scheduler
 }
 
-// Outcome is a run that has been played, apart from what was seen of it.
+// Outcome is the outcome of a run, besides its trace events.
 type Outcome struct {
 	Length          time.Duration
-	Finished        bool   // every job was settled; else its time was up before
-	Invalid         string // why it is no result; empty: it is one
+	Finished        bool   // every job was settled before the time was up
+	Invalid         string // why the run is invalid; empty if it is valid
 	Lateness        Lateness
-	Unsupported     []string // what of the scenario it can't show
-	AlteredRequests []string // requests that reached workers otherwise than a client sent them; the first 100
+	Unsupported     []string // what of the scenario the run could not show; see the function Unsupported
+	AlteredRequests []string // requests that reached workers in another form than a client sent them; the first 100
 	Schedulers      []Process
 }
 
-// Process is what became of a scheduler's processes.
+// Process sums up the processes of one scheduler.
 type Process struct {
 	Name    string
 	Starts  int
-	Exits   []int  // exit codes of those that ended by themselves; -1: by a signal
-	LogPath string // where their standard error is, the first 8 MB of it
+	Exits   []int  // exit codes of the processes that ended by themselves; -1 if by a signal
+	LogPath string // file with the first 8 MB of their standard output and error
 }
 
-// Run plays a checked scenario. A run that could be played is an outcome, void or not; an error is this machine's, or
-// the context's.
+// Run runs a checked scenario. It returns an error if this machine could not run it, or if the context ended; a run whose
+// figures are invalid is no error, see Outcome.Invalid.
 func Run(ctx context.Context, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
 	if err := checkDescriptors(spec); err != nil {
 		return nil, err
@@ -72,8 +72,9 @@
 	return runDriver(ctx, spec, opt, w, func(start time.Time) { w.Epoch = time.Duration(start.UnixNano()) })
 }
 
-// runDriver plays an environment. begins is told of the instant from which its time counts.
-func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, environmentModel environmentModel, begins func(time.Time)) (
+// runDriver runs an environment model. It calls begins with the wall-clock time of the environment's time zero, and again
+// whenever a pause of the environment's time has moved that.
+func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, model environmentModel, onStart func(time.Time)) (
 	_ *Outcome, err error,
 ) {
 	temporary := opt.Dir == ""
@@ -97,20 +98,20 @@
 	if err = os.WriteFile(filepath.Join(opt.Dir, operationsFile), []byte(spec.Schedulers.OperationsFile), 0o600); err != nil {
 		return nil, err
 	}
-	driver, err := newDriver(spec, opt)
+	created, err := newDriver(spec, opt)
 	if err != nil {
 		return nil, err
 	}
-	var looks sync.WaitGroup
-	looks.Go(driver.sampleProcesses)
+	var samplers sync.WaitGroup
+	samplers.Go(created.sampleProcesses)
 	if opt.OnStart != nil {
-		opt.OnStart(driver.runAddresses())
+		opt.OnStart(created.runAddresses())
 	}
-	driver.environment, driver.onStart, driver.startedAt = environmentModel, begins, time.Now()
-	err = driver.run(ctx, spec.Length.Std()+settleTime(spec))
-	outcome := driver.outcome()
-	driver.close()
-	looks.Wait()
+	created.environment, created.onStart, created.startedAt = model, onStart, time.Now()
+	err = created.run(ctx, spec.Length.Std()+settleTime(spec))
+	outcome := created.outcome()
+	created.close()
+	samplers.Wait()
 	if temporary {
 		for i := range outcome.Schedulers {
 			outcome.Schedulers[i].LogPath = ""
@@ -122,7 +123,7 @@
 	return outcome, nil
 }
 
-// settleTime is for how long jobs may go on that fell due in the run's length.
+// settleTime returns how long a run goes on after its length, so that jobs which were due within it can be settled.
 func settleTime(spec *scenario.Scenario) time.Duration {
 	if spec.Settle > 0 {
 		return spec.Settle.Std()
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -18,7 +18,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-const calm = `[schedulers]
+const steadyScenario = `[schedulers]
 count = 2
 [load]
 rate = 40
@@ -38,19 +38,19 @@
 window = "5s"
 `
 
-// A run of the real program in which each process is replaced by another: every job is settled once, each answer is to a
-// request that was asked, none is lost, and all that the run started has ended with it.
-func TestPlay(t *testing.T) {
+// Runs the real program and replaces each of its processes. Every job is settled exactly once, each response is to an open
+// request, and no process ends by itself.
+func TestRun(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
 	if outputs, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, outputs)
 	}
 	history := &jobHistory{TB: t, settled: map[uint64]int{}, open: map[string]bool{}}
 	var progress atomic.Int32
-	o, err := Run(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
+	o, err := Run(t.Context(), testSpec(t, steadyScenario+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
 		Binary:   binary,
 		Progress: func(Progress) { progress.Add(1) },
-		Observer: history.see,
+		Observer: history.observe,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,8 @@
 	}
 }
 
-// jobHistory counts the jobs of a run, and checks that each answer is to an open request.
+// jobHistory counts the jobs of a run, and checks that trace events are in order of time and that each response is to an
+// open request.
 type jobHistory struct {
 	testing.TB
 	last     time.Duration
@@ -79,7 +80,7 @@
 	open     map[string]bool // by request id
 }
 
-func (h *jobHistory) see(s *trace.Event) {
+func (h *jobHistory) observe(s *trace.Event) {
 	if s.At < h.last {
 		h.Errorf("%v after %v", s.At, h.last)
 	}
@@ -92,14 +93,14 @@
 		h.open[s.RequestID] = true
 	case trace.ResponseReceived:
 		if !h.open[s.RequestID] {
-			h.Errorf("an answer to %s, which awaits none", s.RequestID)
+			h.Errorf("a response to request %s, which is not open", s.RequestID)
 		}
 		delete(h.open, s.RequestID)
 	}
 }
 
-// What can't be played is said, and a context ends a run.
-func TestPlayFaults(t *testing.T) {
+// Run returns an error for what it can't run and for a context that has ended. Unsupported lists what a run can't show.
+func TestRunErrorsAndUnsupported(t *testing.T) {
 	spec := testSpec(t, "")
 	refused := func(o Options, why string) {
 		t.Helper()
@@ -111,7 +112,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, spec, 1, Options{Binary: "/bin/true"}); !errors.Is(err, context.Canceled) {
-		t.Errorf("ended by its context: %v", err)
+		t.Errorf("a context that has ended: %v", err)
 	}
 	spec.Fleet.Workers, spec.Schedulers.Count = 1_000_000, 4
 	refused(Options{}, "descriptors live")
@@ -121,34 +122,34 @@
 	all := strings.Join(Unsupported(spec), "\n")
 	for _, part := range []string{"1001 workers", "net.delay is 50µs", "Fault cut:", "Datagrams between schedulers"} {
 		if !strings.Contains(all, part) {
-			t.Errorf("not said of what is unseen: %s", part)
+			t.Errorf("not listed as unsupported: %s", part)
 		}
 	}
 }
 
-// A run is void beyond either bound of lateness.
-func TestVoid(t *testing.T) {
+// A run is invalid beyond either of the bounds on lateness.
+func TestLatenessBounds(t *testing.T) {
 	m := newLatenessMeter()
 	for range 2000 {
 		m.add(time.Millisecond)
 	}
 	m.add(MaxLateness - time.Millisecond)
 	if why := m.lateness().InvalidReason(); why != "" {
-		t.Errorf("sound, but %s", why)
+		t.Errorf("within the bounds, but invalid: %s", why)
 	}
 	for range 3 {
 		m.add(MaxLateness999 + time.Millisecond)
 	}
 	if why := m.lateness().InvalidReason(); !strings.Contains(why, "one of 1000") {
-		t.Errorf("late too often: %q", why)
+		t.Errorf("beyond MaxLateness999: %q", why)
 	}
 	m.add(MaxLateness + time.Millisecond)
 	if why := m.lateness().InvalidReason(); !strings.Contains(why, "was late by") {
-		t.Errorf("too late once: %q", why)
+		t.Errorf("beyond MaxLateness once: %q", why)
 	}
 }
 
-// Every request that falls due is accounted for, whatever the server does with connections.
+// Every request that becomes due is counted as answered or failed, also if the server closes connections.
 func TestLoad(t *testing.T) {
 	r, err := StartResponder("127.0.0.1:0", 2, nil)
 	if err != nil {
@@ -159,29 +160,31 @@
 			t.Error(err)
 		}
 	}()
-	rude := newRudeServer()
-	defer rude.Close()
+	closing := newClosingServer()
+	defer closing.Close()
 	checkLoad(t, r.Addr, 200)
-	checkLoad(t, rude.Listener.Addr().String(), 200, 503)
+	checkLoad(t, closing.Listener.Addr().String(), 200, 503)
 }
 
-// newRudeServer closes every other connection, in one way or another.
-func newRudeServer() *httptest.Server {
+// newClosingServer returns a server that of four requests closes the connection of one without a response, responds to one
+// with 503 and Connection: close, and to one with a chunked response.
+func newClosingServer() *httptest.Server {
 	var n atomic.Int32
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch n.Add(1) % 4 {
 		case 0:
-			raw(w, "")
+			writeRaw(w, "")
 		case 1:
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(503)
 		case 2:
-			w.(http.Flusher).Flush() // in chunks
+			w.(http.Flusher).Flush() // makes the response chunked
 		}
 	}))
 }
 
-// checkLoad puts a load on a server that answers with these statuses. Of one that has several, some requests fail.
+// checkLoad generates a load on a server that responds with the given statuses. If there are several, it expects some
+// requests to fail.
 func checkLoad(t *testing.T, target string, statuses ...int) {
 	t.Helper()
 	got, err := Load(t.Context(), LoadOptions{
@@ -202,7 +205,7 @@
 	}
 }
 
-// A load that can't be made is refused.
+// Load rejects invalid options.
 func TestLoadOptions(t *testing.T) {
 	for _, o := range []LoadOptions{
 		{Target: "here"},
@@ -210,12 +213,12 @@
 		{Target: "127.0.0.1:80", Rate: 1},
 	} {
 		if _, err := Load(t.Context(), o); err == nil {
-			t.Errorf("%+v was taken", o)
+			t.Errorf("%+v was accepted", o)
 		}
 	}
 }
 
-// Where schedulers are peers, each is given the addresses of all, its own among them.
+// If schedulers are peers, the configuration of each has the addresses of all, including its own.
 func TestConfigurationHasPeers(t *testing.T) {
 	addresses, err := findAddresses(2)
 	if err != nil {
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -12,36 +12,38 @@
 
 const (
 	streamEvents = unix.EPOLLIN | unix.EPOLLRDHUP
-	maxUnsent    = 16 << 20 // bytes that may wait for a peer to read; one that reads nothing has its connection reset
+	maxUnsent    = 16 << 20 // bytes that may wait until the other side reads; beyond that the connection is reset
 )
 
-// socketConn is one end of a TCP connection that nobody waits for.
+// socketConn is one end of a non-blocking TCP connection.
 type socketConn struct {
 	poller     *poller
 	fd         int
-	peer       peer
-	connected  bool // it is connected
+	user       connUser
+	connected  bool // established
 	closed     bool
-	writeError error // what a write met with
-	events     uint32
-	received   []byte // read and not taken yet
-	unsent     []byte // not written yet
+	writeError error  // of a write; it is handled with the socket's next event
+	events     uint32 // that epoll watches for
+	received   []byte // read, and not consumed yet
+	unsent     []byte // accepted by write, and not written to the socket yet
 }
 
-// peer is what a sock speaks for.
-type peer interface {
-	dataReceived(fresh int) // so many more bytes are in in; what is done with is taken by take
-	connClosed(err error)   // the other side has closed it (nil), reset it, or it has not come up. It is closed here too, and
-	// what is in in stays to be looked at
+// connUser is notified of what happens on its socketConn. It is this side's party of the connection.
+type connUser interface {
+	// dataReceived reports that the last fresh bytes of received are new. The user removes bytes by consume.
+	dataReceived(fresh int)
+	// connClosed reports that the other side has closed the connection (nil), or that it was reset or could not be
+	// established. The connection is closed on this side already; received is still available.
+	connClosed(err error)
 }
 
-// drainer is a peer that wants to know when all that it wrote has left.
-type drainer interface{ flushed() }
+// flushedNotifier is a connUser that is also notified once everything it wrote has been written to the socket.
+type flushedNotifier interface{ flushed() }
 
-var errPeerNotReading = errors.New("the other side reads nothing")
+var errPeerNotReading = errors.New("the other side does not read")
 
-// localError is a failure of this machine's, such as descriptors that have run out. It voids the run: nothing may be
-// blamed on a scheduler for it.
+// localError is a failure of this machine, such as a lack of descriptors. It ends the run with an error, as it must not
+// count against a scheduler.
 type localError struct{ err error }
 
 func (f localError) Error() string { return f.err.Error() }
@@ -55,16 +57,16 @@
 	return fd, nil
 }
 
-// dial begins a connection. How it fares is told to peer, but for what fails at once. from may be invalid, or an
-// address of this machine with port 0.
-func (p *poller) dial(conn *socketConn, from, target netip.AddrPort, who peer) error {
+// dial starts to connect conn to target. It returns an error that occurs at once; later ones are reported to the user. from
+// is the local address with port 0; if it is invalid, the kernel chooses one.
+func (p *poller) dial(conn *socketConn, from, target netip.AddrPort, user connUser) error {
 	descriptor, err := newSocket()
 	if err != nil {
 		return err
 	}
 	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if from.IsValid() {
-		// The port is chosen on connecting: so each of many addresses has all ports for each far end.
+		// The port is chosen on connecting, so that each local address has all ports available for each target.
 		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 		if err := unix.Bind(descriptor, loopback.Sockaddr(from)); err != nil {
 			_ = unix.Close(descriptor)
@@ -78,7 +80,7 @@
 		}
 		return err
 	}
-	*conn = socketConn{poller: p, fd: descriptor, peer: who, events: streamEvents | unix.EPOLLOUT}
+	*conn = socketConn{poller: p, fd: descriptor, user: user, events: streamEvents | unix.EPOLLOUT}
 	if err := p.add(descriptor, conn.events, conn); err != nil {
 		_ = unix.Close(descriptor)
 		conn.closed = true
@@ -87,10 +89,10 @@
 	return nil
 }
 
-// adopt takes on an accepted connection.
-func (p *poller) adopt(s *socketConn, fd int, who peer) error {
+// adopt initialises s with an accepted socket, which it owns from then on.
+func (p *poller) adopt(s *socketConn, fd int, user connUser) error {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	*s = socketConn{poller: p, fd: fd, peer: who, connected: true, events: streamEvents}
+	*s = socketConn{poller: p, fd: fd, user: user, connected: true, events: streamEvents}
 	if err := p.add(fd, s.events, s); err != nil {
 		_ = unix.Close(fd)
 		s.closed = true
@@ -99,6 +101,7 @@
 	return nil
 }
 
+// setEvents sets the events that the connection is watched for.
 func (s *socketConn) setEvents(mask uint32) {
 	if s.events != mask && !s.closed {
 		s.events = mask
@@ -134,22 +137,22 @@
 	}
 }
 
-// read takes in at most so many bytes.
-func (s *socketConn) read(most int) {
-	n, err := unix.Read(s.fd, s.poller.readBuffer[:most])
+// read reads once, at most limit bytes, and notifies the user.
+func (s *socketConn) read(limit int) {
+	n, err := unix.Read(s.fd, s.poller.readBuffer[:limit])
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case err != nil:
 		s.fail(err)
-	case n == 0: // perhaps what was written since has met with a reset
+	case n == 0: // a later write may have met a reset, which is reported then
 		s.fail(s.socketError())
 	default:
 		s.received = append(s.received, s.poller.readBuffer[:n]...)
-		s.peer.dataReceived(n)
+		s.user.dataReceived(n)
 	}
 }
 
-// socketError is what is wrong with the connection; nil: nothing is.
+// socketError returns the error of a write or of the socket, or nil.
 func (s *socketConn) socketError() error {
 	if s.writeError != nil {
 		return s.writeError
@@ -161,7 +164,7 @@
 	return err
 }
 
-// consume drops bytes that are done with.
+// consume removes the first n bytes of received. The buffer is kept for reuse unless it has grown beyond 16 KB.
 func (s *socketConn) consume(n int) {
 	switch {
 	case n < len(s.received):
@@ -173,7 +176,8 @@
 	}
 }
 
-// write sends b, now or as soon as it can be. A failure is told to the peer later.
+// write sends b, at once or as soon as the socket accepts it. It copies what it keeps. A failure is reported to the user
+// later.
 func (s *socketConn) write(b []byte) {
 	if s.closed {
 		return
@@ -182,10 +186,10 @@
 		n, err := unix.Write(s.fd, b)
 		if err != nil {
 			if n = 0; err != unix.EAGAIN && err != unix.EINTR {
-				s.writeError = err // a kernel tells it once; the event that comes with it deals with it
+				s.writeError = err // the kernel reports it only once; it is handled with the event that follows
 			}
 		}
-		s.connected = s.connected || n > 0 // on loopback a connection is often up as soon as it is asked for
+		s.connected = s.connected || n > 0 // on loopback a connection is often established at once
 		if b = b[n:]; len(b) == 0 {
 			return
 		}
@@ -194,6 +198,7 @@
 	s.setEvents(s.events | unix.EPOLLOUT)
 }
 
+// flush writes what is unsent, as far as the socket accepts it.
 func (s *socketConn) flush() {
 	for len(s.unsent) > 0 {
 		n, err := unix.Write(s.fd, s.unsent)
@@ -203,7 +208,7 @@
 		if err == unix.EAGAIN {
 			if len(s.unsent) > maxUnsent {
 				s.reset()
-				s.peer.connClosed(errPeerNotReading)
+				s.user.connClosed(errPeerNotReading)
 			}
 			return
 		}
@@ -217,18 +222,19 @@
 		s.unsent = nil
 	}
 	s.setEvents(s.events &^ unix.EPOLLOUT)
-	if d, ok := s.peer.(drainer); ok {
+	if d, ok := s.user.(flushedNotifier); ok {
 		d.flushed()
 	}
 }
 
-// fail ends the connection as the other side, or the way there, has it.
+// fail closes the connection and reports that to the user.
 func (s *socketConn) fail(err error) {
 	s.close()
-	s.peer.connClosed(err)
+	s.user.connClosed(err)
 }
 
-// close closes it from this side; the peer is not told. Bytes that are unread here make a reset of it.
+// close closes the connection without a report to the user. If received bytes are still unread in the kernel, the other
+// side sees a reset.
 func (s *socketConn) close() {
 	if s.closed || s.poller == nil {
 		return
@@ -239,7 +245,7 @@
 	s.unsent = nil
 }
 
-// reset closes it so that the other side sees a reset.
+// reset closes the connection in such a way that the other side sees a reset. There is no report to the user.
 func (s *socketConn) reset() {
 	if s.closed || s.poller == nil {
 		return
--- a/internal/testbed/process/tags_test.go
+++ b/internal/testbed/process/tags_test.go
@@ -7,5 +7,5 @@
 	"valvecove/internal/storedform"
 )
 
-// What the testbed's workers and discovery send is written by names in tags.
+// Every field of what the testbed's workers and discovery send has a tag with its name on the wire.
 func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, callbackForm{}, requests.EndpointList{}) }
--- a/internal/testbed/process/usage.go
+++ b/internal/testbed/process/usage.go
@@ -12,23 +12,22 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// sampleInterval is how often processes are looked at.
-const sampleInterval = 250 * time.Millisecond
+const sampleInterval = 250 * time.Millisecond // between samples of the processes' resource usage
 
-// processSampler is what is known of a process between two looks.
+// processSampler samples the resource usage of a process.
 type processSampler struct {
 	pid       int
-	maxMemory int64 // memory so far
+	maxMemory int64 // bytes: the peak as of the last sample
 }
 
-// processUsage is what a look at a process found.
+// processUsage is a sample of a process's resource usage.
 type processUsage struct {
-	memory int64 // bytes: what it has, or had at most since the look before if that has not been as much before
-	files  int
+	memory int64 // bytes: the new peak if that has risen since the last sample, else the current memory
+	files  int   // open descriptors
 	cpu    time.Duration
 }
 
-// sample takes a process's figures; not ok: it has none any more.
+// sample reads the resource usage of a process. ok is false if the process has ended.
 func (s *processSampler) sample(pid int) (u processUsage, ok bool) {
 	if s.pid != pid {
 		*s = processSampler{pid: pid}
@@ -43,7 +42,7 @@
 		u.memory, s.maxMemory = peak, peak
 	}
 	u.files = countDescriptors(filepath.Join(dir, "fd"))
-	// The clock of a process's CPU time: its number is made of the pid, as clock_getcpuclockid does it.
+	// The number of the clock for a process's CPU time is derived from the pid, as clock_getcpuclockid does it.
 	var t unix.Timespec
 	if unix.ClockGettime(int32(^pid<<3|2), &t) != nil || now == 0 { // a process that has ended has no memory
 		return u, false
@@ -52,7 +51,7 @@
 	return u, true
 }
 
-// statusBytes reads a line of /proc/PID/status, in bytes.
+// statusBytes returns the value of a line of /proc/PID/status in bytes, or 0 if the line is missing. The file has it in KB.
 func statusBytes(status []byte, name string) int64 {
 	_, remainder, _ := bytes.Cut(status, []byte("\n"+name))
 	line, _, _ := bytes.Cut(remainder, []byte("\n"))
@@ -64,7 +63,8 @@
 	return n << 10
 }
 
-// countDescriptors counts those that a process holds. Where the kernel counts them, it tells their number as a size.
+// countDescriptors counts the open descriptors in a directory /proc/PID/fd. Kernels that keep the count report it as the
+// size of the directory.
 func countDescriptors(dir string) int {
 	if info, err := os.Stat(dir); err == nil && info.Size() > 0 {
 		return int(info.Size())
@@ -73,11 +73,12 @@
 	return len(list)
 }
 
-// sampleProcesses takes the figures of all processes, the testbed's too, again and again, until the loop has ended.
+// sampleProcesses samples the resource usage of all processes, the testbed's included, in every sampleInterval, and
+// reports the run's progress, until the loop has ended.
 func (d *driver) sampleProcesses() {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
-	own, known := processSampler{}, make([]processSampler, len(d.schedulers))
+	own, samplers := processSampler{}, make([]processSampler, len(d.schedulers))
 	progress := make(chan Progress, 1)
 	for {
 		select {
@@ -88,7 +89,7 @@
 			continue
 		case <-tick.C:
 		}
-		tell := func(sched int, u processUsage, ok bool) {
+		report := func(sched int, u processUsage, ok bool) {
 			if ok {
 				d.post(func() {
 					d.record(trace.Event{Kind: trace.ResourceUsage, Scheduler: sched, Memory: u.memory, OpenFiles: u.files, CPU: u.cpu})
@@ -97,17 +98,17 @@
 		}
 		for i, s := range d.schedulers {
 			if pid := int(s.pid.Load()); pid != 0 {
-				u, ok := known[i].sample(pid)
-				tell(i, u, ok)
+				u, ok := samplers[i].sample(pid)
+				report(i, u, ok)
 			}
 		}
 		u, ok := own.sample(os.Getpid())
-		tell(-1, u, ok)
+		report(-1, u, ok)
 		if d.options.Progress != nil {
 			d.post(func() {
 				select {
 				case progress <- Progress{At: d.environmentTime(d.now), Lateness: d.lateness.lateness()}:
-				default: // the one before has not been taken in yet
+				default: // the previous one is still to be reported
 				}
 			})
 		}
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -14,31 +14,32 @@
 	"valvecove/internal/testbed/simulation"
 )
 
-// worker is the stand-in for a worker, and for the machines that take its place. What it does is the environment's to
-// say; it speaks HTTP.
+// worker simulates a worker and the machines that replace it, one after another. It handles HTTP; the environment decides
+// what it does.
 type worker struct {
 	driver   *driver
 	number   int
-	id       string // as discovery told it last
-	machines []*machine
+	id       string     // the latest one in an endpoint list
+	machines []*machine // in the order in which they came into use
 }
 
-// machine has a listener for each scheduler.
+// machine is a machine of a worker. It has a listener for each scheduler.
 type machine struct {
-	mode      int
+	mode      int // how it accepts connections
 	listeners []*listener
 }
 
-// newWorker opens a worker. On a fault the node holds what there is to close.
+// newWorker opens a worker with its first machine. If it fails, the returned worker still has to be closed.
 func newWorker(d *driver, n int) (*worker, error) {
 	k := &worker{driver: d, number: n}
 	return k, k.setMode(0, simapi.AcceptAll)
 }
 
-// setMode has one of its machines accept by a mode. Those before it stay as they were told to be last.
+// setMode sets how one of the machines accepts connections, and opens the machines up to it that are not open yet. The
+// modes of the other machines stay.
 func (n *worker) setMode(which, mode int) error {
 	if which >= len(n.machines) {
-		if err := n.driver.addresses.hasAddresses((which+1)*n.driver.spec.Fleet.Workers, 1); err != nil {
+		if err := n.driver.addresses.checkCapacity((which+1)*n.driver.spec.Fleet.Workers, 1); err != nil {
 			return localError{err}
 		}
 	}
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// openMachine gives a machine its addresses. It refuses until it is told how it accepts.
+// openMachine opens a machine's listeners. They refuse connections until a mode is set.
 func (n *worker) openMachine(which int) error {
 	m := &machine{mode: simapi.AcceptNone}
 	n.machines = append(n.machines, m)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// addr is where a scheduler reaches one of its machines.
+// addr is the address at which a scheduler reaches one of the machines.
 func (n *worker) addr(which, sched int) netip.AddrPort {
 	return n.driver.addresses.worker(n.number+which*n.driver.spec.Fleet.Workers, sched)
 }
@@ -84,7 +85,7 @@
 	}
 }
 
-// workerOf finds the worker that an entry of the list stands for, and which of its machines; nil: there is none.
+// workerOf returns the worker of an entry of the endpoint list, and the index of its machine; nil if there is no such worker.
 func (d *driver) workerOf(h *requests.Endpoint) (n *worker, which int) {
 	i, which := simulation.NodeOf(h.ID)
 	if i < 0 || i >= len(d.workers) {
@@ -93,25 +94,26 @@
 	return d.workers[i], which
 }
 
-// workerConn is a connection from a scheduler to a worker. The kernel accepts it at once, the environment when it does:
-// until then what comes waits.
+// workerConn is a connection from a scheduler to a worker. The kernel establishes it at once. Received data waits until
+// the environment accepts the connection too.
 type workerConn struct {
 	socketConn
 	worker           *worker
 	machine          int
 	scheduler        int
 	id               simapi.Conn
-	open             bool
-	awaitingResponse bool // what was sent last awaits its answer
-	resetAfter       int  // it is reset once so many bytes have been read; 0: it isn't
-	bytesRead        int  // bytes read so far
-	firstByteAt      time.Duration
-	requestBegun     bool // the first byte of a request has come, at first
-	closing          bool // it is closed once all is written
-	resetting        bool // by a reset
+	open             bool          // the environment has accepted it
+	awaitingResponse bool          // the environment still has to respond to the last request
+	resetAfter       int           // bytes of data after which the worker resets it; 0: never
+	bytesRead        int           // bytes received so far
+	firstByteAt      time.Duration // when the first byte of the current request came, on the loop's clock
+	requestBegun     bool          // the first byte of a request has come
+	closing          bool          // it is closed once everything is written
+	resetting        bool          // by a reset
 }
 
-// maxReadAhead is how much a scheduler may send ahead of an answer.
+// maxReadAhead limits the bytes that a scheduler may send before the response to an earlier request. Beyond it the
+// connection is reset.
 const maxReadAhead = 256 << 10
 
 func (n *worker) accept(which, sched, fd int) {
@@ -130,18 +132,19 @@
 	k.worker.driver.addOutput(k.scheduler, message)
 }
 
-// firstByteTime is when the first byte of the request came, in the environment's time.
+// firstByteTime is when the first byte of the current request came, in the environment's time.
 func (k *workerConn) firstByteTime() time.Duration {
 	return k.worker.driver.environmentTime(k.firstByteAt)
 }
 
-// accepted is the environment's accepting of it. most > 0: the far end resets it after having read so many bytes.
-func (k *workerConn) accepted(most int) {
-	k.open, k.resetAfter = true, most
-	k.proceed()
+// accepted handles the environment's acceptance of the connection. If resetAfter is above 0, the worker resets the
+// connection after so many bytes.
+func (k *workerConn) accepted(resetAfter int) {
+	k.open, k.resetAfter = true, resetAfter
+	k.handleReceived()
 }
 
-// closeByWorker closes it from the worker's side.
+// closeByWorker closes the connection from the worker's side, without a report to the environment.
 func (k *workerConn) closeByWorker(reset bool) {
 	delete(k.worker.driver.workerConns, k.id)
 	if reset {
@@ -151,7 +154,8 @@
 	}
 }
 
-// reportClosed tells the environment that it is over, by the scheduler's doing or by what the environment wanted done at some byte.
+// reportClosed reports to the environment that the connection has closed: by the scheduler, or by a reset after the number
+// of bytes that the environment set.
 func (k *workerConn) reportClosed() {
 	delete(k.worker.driver.workerConns, k.id)
 	k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
@@ -164,23 +168,24 @@
 		k.requestBegun, k.firstByteAt = true, k.poller.now
 	}
 	k.bytesRead += fresh
-	k.proceed()
+	k.handleReceived()
 }
 
-// proceed takes the next request, if it is whole and there is room for it.
-func (k *workerConn) proceed() {
+// handleReceived handles the received requests that are complete, up to the first that the environment has to respond to. It
+// resets the connection once it has received resetAfter bytes, or more than maxReadAhead unhandled ones.
+func (k *workerConn) handleReceived() {
 	if k.closed || !k.open {
 		return
 	}
 	ended := k.resetAfter > 0 && k.bytesRead >= k.resetAfter
 	if ended {
-		k.received = k.received[:max(0, len(k.received)-(k.bytesRead-k.resetAfter))] // the rest was never read
+		k.received = k.received[:max(0, len(k.received)-(k.bytesRead-k.resetAfter))] // the worker does not read the rest
 		k.bytesRead = k.resetAfter
 	}
 	for !k.awaitingResponse && !k.closing && len(k.received) > 0 {
 		q, body, n, err := k.worker.driver.reader.request(k.received)
 		if err != nil {
-			k.writeResponse(400, "") // what it can't read, it closes on
+			k.writeResponse(400, "") // a malformed request; the connection can't be used any more
 			k.closeWhenFlushed(false)
 			break
 		}
@@ -197,19 +202,19 @@
 	}
 }
 
-// handleRequest tells the environment of a request, or answers it where the protocol leaves nothing to say.
+// handleRequest passes a request on to the environment, or responds to it where the protocol alone determines the response.
 func (k *workerConn) handleRequest(request *http.Request, body []byte) {
 	path, _, _ := strings.Cut(request.RequestURI, "?")
-	switch withdrawn, isJob := strings.CutPrefix(path, "/jobs/"); {
+	switch cancelledID, isJob := strings.CutPrefix(path, "/jobs/"); {
 	case request.Method == http.MethodGet && path == "/alive":
 		k.awaitingResponse = true
 		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime()})
 	case request.Method == http.MethodGet && path == "/metrics/load":
 		k.awaitingResponse = true
 		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime(), WantsLoadReport: true})
-	case request.Method == http.MethodDelete && isJob && withdrawn != "":
+	case request.Method == http.MethodDelete && isJob && cancelledID != "":
 		k.awaitingResponse = true
-		k.addOutput(simapi.CancellationWritten{Worker: k.worker.number, Conn: k.id, RequestID: withdrawn, FirstByteAt: k.firstByteTime()})
+		k.addOutput(simapi.CancellationWritten{Worker: k.worker.number, Conn: k.id, RequestID: cancelledID, FirstByteAt: k.firstByteTime()})
 	case request.Method == http.MethodPost:
 		k.handleAttempt(request, path, body)
 	default:
@@ -220,9 +225,9 @@
 	}
 }
 
-// handleAttempt takes an attempt that has been read whole.
+// handleAttempt checks an attempt and passes it on to the environment.
 func (k *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
-	driver := k.worker.driver
+	loop := k.worker.driver
 	requestID, ok := singleValue(request.Header, "X-Call-Id")
 	key, ok2 := singleValue(request.Header, "Idempotency-Key")
 	budget, ok3 := singleValue(request.Header, "X-Budget-Ms")
@@ -234,22 +239,23 @@
 	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
 		k.writeResponse(400, "")
 		return
-	case isMisbehavingPath(path): // a misbehaving client's: a worker can't use it
+	case isMisbehavingPath(path): // a misbehaving client's request; a machine that is cut off does not respond
 		if k.worker.machines[k.machine].mode != simapi.AcceptSilently {
 			k.writeResponse(400, "")
 		}
 		return
 	}
-	form := driver.requestForms.find(requestID)
-	if form == nil && driver.options.Guests && !isHiddenRequest(requestID) {
+	form := loop.requestForms.find(requestID)
+	if form == nil && loop.options.Guests && !isHiddenRequest(requestID) {
 		k.runGuest(requestID)
 		return
 	}
 	if form != nil {
-		// Nobody has sent the request in this form; under its own id it would pass for one that somebody has.
-		if what := driver.describeAlteration(form, request, key, body); what != "" {
-			if len(driver.alteredRequests) < maxAltered {
-				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("request %s reached w-%d from scheduler %d with another %s",
+		// The request was altered on the way. It gets another id, as the environment would take it for the client's
+		// request otherwise.
+		if what := loop.describeAlteration(form, request, key, body); what != "" {
+			if len(loop.alteredRequests) < maxAltered {
+				loop.alteredRequests = append(loop.alteredRequests, fmt.Sprintf("request %s reached w-%d from scheduler %d with another %s",
 					requestID, k.worker.number, k.scheduler, what))
 			}
 			requestID += "!" + what
@@ -262,10 +268,10 @@
 	})
 }
 
-// maxAltered is how many requests that came otherwise than a client sent them are named.
-const maxAltered = 100
+const maxAltered = 100 // altered requests that Outcome.AlteredRequests lists
 
-// respond is the worker's, by the environment.
+// respond sends the environment's response to the last request. If only some bytes of it are to be sent, the connection is
+// reset after them.
 func (k *workerConn) respond(response *simapi.ResponseReceived) {
 	fields := ""
 	if response.Rejected {
@@ -284,7 +290,7 @@
 		k.closeWhenFlushed(false)
 		return
 	}
-	k.proceed()
+	k.handleReceived()
 }
 
 func (k *workerConn) writeResponse(status int, fields string) {
@@ -293,7 +299,7 @@
 	k.write(d.writeBuffer)
 }
 
-// closeWhenFlushed closes it once all that was written has left.
+// closeWhenFlushed closes the connection, by a reset if so wanted, once everything is written.
 func (k *workerConn) closeWhenFlushed(reset bool) {
 	k.closing, k.resetting = true, reset
 	if len(k.unsent) == 0 {
