--- a/internal/testbed/fakeplatform/platform.go
+++ b/internal/testbed/fakeplatform/platform.go
@@ -1,7 +1,7 @@
 // Package fakeplatform is a small fake of the platform that a scheduler runs on, for tests with real scheduler processes.
 // It owns the discovery service, the workers, the clients and the scheduler processes of one test, all on 127.0.0.1. It
-// is simpler than the testbed's simulated environment. It never judges what a scheduler does: it counts, and its caller
-// compares the counts with what the test expects.
+// is simpler than the testbed's simulated environment. It makes no assertions about the scheduler: it counts what the
+// scheduler does, and its caller compares the counts with what the test expects.
 package fakeplatform
 
 import (
@@ -17,8 +17,8 @@
 // watchHeartbeat is the time between two heartbeats on a watch of the endpoint list.
 const watchHeartbeat = time.Second
 
-// Platform is the platform that schedulers run on. Its methods may be called from several goroutines at once, but for
-// Close, which is called once, after all other calls.
+// Platform is a fake platform with its workers and its discovery service. Its methods may be called concurrently, except
+// for Close, which is called once, after all other calls.
 type Platform struct {
 	Listen    string    // address at which clients and workers reach the scheduler
 	Discovery string    // address of the discovery service
@@ -27,7 +27,7 @@
 	closed    chan struct{}
 }
 
-// endpointList is a watch event of discovery with the full endpoint list.
+// endpointList is an event of a watch on discovery, with the full endpoint list.
 type endpointList struct {
 	Revision  int        `json:"generation"`
 	Snapshot  bool       `json:"reset"`
@@ -41,7 +41,7 @@
 	Lifecycle string `json:"lifecycle"`
 }
 
-// New starts a platform with a number of workers. Their jobs run until Worker.Free is called. The caller closes the
+// New starts a platform with a number of workers. Their jobs run until Worker.Free is called. The caller has to close the
 // platform.
 func New(workers int) (*Platform, error) {
 	listen, err := FreeAddress()
@@ -73,7 +73,7 @@
 	return server.Listener.Addr().String()
 }
 
-// FreeAddress returns an address of 127.0.0.1 at which nobody listened a moment ago.
+// FreeAddress returns an address of 127.0.0.1 whose port was free a moment ago. Another process may have taken it since.
 func FreeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// watch answers a watch on the endpoint list: the full list first, then heartbeats until either side ends the watch.
+// watch serves a watch on the endpoint list: first the full list, then heartbeats until either side ends the watch.
 func (p *Platform) watch(event []byte, w http.ResponseWriter, request *http.Request) {
 	const heartbeat = "\n"
 	response := http.NewResponseController(w)
--- a/internal/testbed/fakeplatform/process.go
+++ b/internal/testbed/fakeplatform/process.go
@@ -19,12 +19,11 @@
 // metricPrefix precedes the name of every metric of the scheduler.
 const metricPrefix = "edge_proxy."
 
-// noMetric is what Metric returns for a metric that the scheduler does not have.
-const noMetric = -1
+const noMetric = -1 // returned by Metric if the scheduler does not have the metric
 
 // Process is a scheduler process on a platform.
 type Process struct {
-	ManagementAddress string       // address of the operators' calls
+	ManagementAddress string       // address for management requests
 	Log               bytes.Buffer // standard error; to be read only after the process has ended
 	command           *exec.Cmd
 	done              chan struct{} // closed when the process has ended
@@ -32,7 +31,7 @@
 
 // Start starts a scheduler process. command is the program with its arguments; env is added to the environment of the
 // test. workDir is the directory for the configuration file, tempDir the value of TMPDIR, which may be empty. settings is
-// the JSON object of the scheduler's settings. The caller ends the process by Kill or Terminate.
+// the JSON object of the scheduler's settings. The caller has to end the process by Kill or Terminate.
 func (p *Platform) Start(command, env []string, workDir, tempDir, settings string) (*Process, error) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -74,7 +73,7 @@
 	return p.command.ProcessState.ExitCode()
 }
 
-// CallOperators makes an operators' call. A status of 0 means that there was no response.
+// CallOperators sends a request to the management address. A status of 0 means that there was no response.
 func (p *Process) CallOperators(method, path string) (status int, body string) {
 	request, err := http.NewRequest(method, "http://"+p.ManagementAddress+path, nil)
 	if err != nil {
@@ -89,19 +88,19 @@
 	return response.StatusCode, string(text)
 }
 
-// Cordon takes a worker out of service by an operators' call and returns the status of the response, 0 for none.
+// Cordon takes a worker out of service by a management request and returns the status of the response, 0 for none.
 func (p *Process) Cordon(worker string) int { return p.callWorker(worker, "suspend") }
 
-// Uncordon brings a cordoned worker back and returns the status of the response, 0 for none.
+// Uncordon returns a cordoned worker to service and returns the status of the response, 0 for none.
 func (p *Process) Uncordon(worker string) int { return p.callWorker(worker, "resume") }
 
-// callWorker makes an operators' call on a worker and returns the status of the response.
+// callWorker sends a management request about a worker and returns the status of the response.
 func (p *Process) callWorker(worker, action string) int {
 	status, _ := p.CallOperators(http.MethodPut, "/v1/worker-nodes/"+worker+"/"+action)
 	return status
 }
 
-// Ready reports whether the scheduler says that it is ready.
+// Ready reports whether the scheduler's readiness endpoint responds with 200.
 func (p *Process) Ready() bool {
 	status, _ := p.CallOperators(http.MethodGet, "/v1/readyz")
 	return status == http.StatusOK
--- a/internal/testbed/fakeplatform/worker.go
+++ b/internal/testbed/fakeplatform/worker.go
@@ -9,11 +9,10 @@
 	"sync"
 )
 
-// callbackAttempts is how often a worker sends one callback at most.
-const callbackAttempts = 10
+const callbackAttempts = 10 // maximum number of times that a worker sends one callback
 
-// Worker is a fake worker. It accepts every attempt and reports at once that it has started. It reports that the attempt
-// is done after Free. Its methods may be called from several goroutines at once.
+// Worker is a fake worker. It accepts every attempt and reports at once that the attempt has started. It reports that the
+// attempt is done after Free. Its methods may be called concurrently.
 type Worker struct {
 	ID            string
 	mutex         sync.Mutex
@@ -29,14 +28,13 @@
 	State   string `json:"state"`
 }
 
-// Result returns what a worker answers for a request.
+// Result returns the result that a worker reports for a request.
 func Result(request, worker string) string { return request + " by " + worker }
 
 // Free lets the worker's jobs finish, both the running and the later ones. It is called once.
 func (w *Worker) Free() { close(w.release) }
 
-// Runs returns how often the worker has run each request, by X-Call-Id, and the sum over all requests. The map is the
-// caller's own.
+// Runs returns how often the worker has run each request, by X-Call-Id, and the sum over all requests. The map is a copy.
 func (w *Worker) Runs() (byRequest map[string]int, total int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -53,7 +51,7 @@
 	w.runsByRequest[request]++
 }
 
-// acceptAttempt accepts an attempt and runs it. A cancellation, which is no POST, has no effect: a running job goes on.
+// acceptAttempt accepts an attempt and runs it. Other requests, such as cancellations, have no effect: a running job goes on.
 func (p *Platform) acceptAttempt(worker *Worker, w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.Method != http.MethodPost {
@@ -75,7 +73,7 @@
 	}
 }
 
-// sendCallback sends a callback until the scheduler answers it with success, or the attempts are used up.
+// sendCallback sends a callback until the scheduler responds with success, at most callbackAttempts times.
 func (p *Platform) sendCallback(worker *Worker, request, state string) {
 	body, err := json.Marshal(callback{Worker: worker.ID, Request: request, Result: Result(request, worker.ID), State: state})
 	if err != nil {
--- a/internal/testbed/loopback/network_test.go
+++ b/internal/testbed/loopback/network_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// testPort is the first one of a range that no run uses.
-const testPort = 5000
+const testPort = 5000 // first port of a range that no run uses
 
 func TestReserveGivesEachRunItsOwnNetwork(t *testing.T) {
 	seen := map[byte]bool{}
--- a/internal/testbed/loopback/socket.go
+++ b/internal/testbed/loopback/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sockaddr converts an IPv4 address for system calls.
+// Sockaddr converts an IPv4 address and port to the form of system calls.
 func Sockaddr(at netip.AddrPort) *unix.SockaddrInet4 {
 	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
 }
--- a/internal/testbed/platform/configuration.go
+++ b/internal/testbed/platform/configuration.go
@@ -7,9 +7,9 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// This file holds the form of the configuration. The names of its JSON are the platform's and stand in tags.
+// The types of this file define the JSON form of the configuration. Their tags have the platform's names of the fields.
 
-// configuration is the whole text of one scheduler.
+// configuration is the whole configuration of one scheduler.
 type configuration struct {
 	Name           string                `json:"name"`
 	Listen         string                `json:"listen"`
@@ -29,16 +29,16 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// micros is a duration as the settings write it, in whole microseconds.
+// micros is a duration that is encoded in whole microseconds.
 type micros scenario.Duration
 
-// MarshalJSON writes the number of whole microseconds.
+// MarshalJSON returns the number of whole microseconds.
 func (m micros) MarshalJSON() ([]byte, error) {
 	count := scenario.Duration(m).Std().Microseconds()
 	return strconv.AppendInt(nil, count, 10), nil
 }
 
-// settings are the part of the configuration that follows from the scenario.
+// settings are the part of the configuration that is derived from the scenario.
 type settings struct {
 	Family          string   `json:"family"`
 	Level           int      `json:"tier"`
@@ -66,7 +66,7 @@
 	Telemetry telemetry `json:"telemetry"`
 }
 
-// class is what a scheduler is told of a class of jobs.
+// class describes a class of jobs.
 type class struct {
 	Name                string  `json:"name"`
 	LatencyObjective    micros  `json:"promise"`
@@ -80,14 +80,14 @@
 	BoundTo             []int   `json:"bound_to,omitempty"`
 }
 
-// tenant is what a scheduler is told of a tenant: its part of the service, and that in jobs a second.
+// tenant describes a tenant: its quota as a share of the service, and the same in jobs a second.
 type tenant struct {
 	Name      string  `json:"name"`
 	Quota     float64 `json:"share"`
 	QuotaPerS float64 `json:"quota_per_s"`
 }
 
-// bounds are what a scheduler may do.
+// bounds are the features that a scheduler may use, and limits on them.
 type bounds struct {
 	AttemptLimit    int    `json:"try_limit"`
 	Hedging         bool   `json:"second_copies"`
@@ -111,7 +111,7 @@
 	Callbacks             string    `json:"notes"`
 }
 
-// prices are the costs of what a scheduler does, in parts of the result.
+// prices are the costs of a scheduler's actions, as fractions of the result.
 type prices struct {
 	Connection  float64 `json:"connection"`
 	CrossZone   float64 `json:"cross_zone"`
@@ -134,7 +134,7 @@
 	DrainGrace     micros  `json:"stop_sending_within"`
 }
 
-// goal is how the parts of a result are weighted.
+// goal has the weights of the parts of a result.
 type goal struct {
 	Whole       float64 `json:"whole"`
 	WorstClass  float64 `json:"worst_class"`
@@ -142,7 +142,7 @@
 	WorstWindow float64 `json:"worst_window"`
 }
 
-// telemetry is what a scheduler is to report.
+// telemetry configures the load reports of workers.
 type telemetry struct {
 	Fields []string `json:"fields"`
 	Via    string   `json:"via"`
--- a/internal/testbed/platform/golden_test.go
+++ b/internal/testbed/platform/golden_test.go
@@ -9,7 +9,8 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// The golden file was written by the build of d2a7518. It is never regenerated except under a new form number.
+// goldenConfig was written by the build of commit d2a7518. It must not be regenerated; a new form of the configuration
+// gets a new number and a new file.
 const goldenConfig = "config-1.json"
 
 // goldenScenario gives each part of the configuration a value.
@@ -49,5 +50,5 @@
 	})
 }
 
-// The configuration's names in JSON stand in tags.
+// Every field of the configuration has a tag with its name in JSON.
 func TestConfigurationIsTagged(t *testing.T) { storedform.CheckTags(t, configuration{}) }
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -3,7 +3,7 @@
 //
 // It owns the form of that text. Both drivers use it: the process driver writes the text to the file that PROXY_CONFIG
 // names, and the simulation driver decodes its settings with the scheduler's own decoder, so that both run schedulers on
-// the same settings. The package draws nothing at random, reads no files and starts nothing.
+// the same settings. The package uses no random numbers, reads no files and starts no processes.
 package platform
 
 import (
@@ -22,12 +22,12 @@
 	Listen         string                // address and port
 	Discovery      string                // address and port
 	PeerListen     string                // address and port for datagrams of other schedulers; empty: none
-	Peers          []string              // where datagrams of each scheduler come from
-	Seed           uint64                // of the scheduler's random draws
+	Peers          []string              // addresses of all schedulers for datagrams, this one's included
+	Seed           uint64                // of the scheduler's random number generator
 	KnownEndpoints requests.EndpointList // the list that the scheduler starts with; it may be stale
 }
 
-// Config returns the whole configuration of the scheduler at an index, as JSON. The scenario has passed its check.
+// Config returns the whole configuration of the scheduler at an index, as JSON. The scenario must have passed its check.
 func Config(spec *scenario.Scenario, scheduler int, options Options) []byte {
 	if options.Name == "" {
 		options.Name = "n" + strconv.Itoa(scheduler)
@@ -61,7 +61,7 @@
 	return decoded, nil
 }
 
-// encode writes JSON. A checked scenario has no number that JSON can't hold, so an error here is a fault of the program.
+// encode returns JSON. A checked scenario has no number that JSON can't represent, so an error here is a bug.
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// environment is one without variables.
+// environment is an environment without variables.
 func environment(string) string { return "" }
 
 // field is one value of a decoded configuration, with the value that the scenario gives it.
@@ -30,7 +30,7 @@
 	}
 }
 
-// testScenario has two zones, and a class that is bound to a kind of worker.
+// testScenario returns a scenario with two zones, and a class that is bound to a kind of worker.
 func testScenario() *scenario.Scenario {
 	spec := scenario.Default()
 	spec.Schedulers.Count = 3
@@ -52,7 +52,7 @@
 	return decoded
 }
 
-// A scheduler accepts the configuration and reads in it what the scenario says.
+// A scheduler accepts the configuration, and the decoded values are those of the scenario.
 func TestConfig(t *testing.T) {
 	spec := testScenario()
 	decoded := decodeConfig(t, spec)
@@ -103,7 +103,7 @@
 	})
 }
 
-// The quotas sum to the part of the capacity that the scenario gives away, in jobs a second.
+// The quotas sum to the share of the capacity that the scenario assigns to tenants, in jobs a second.
 func TestConfigQuotas(t *testing.T) {
 	spec := testScenario()
 	sum := 0.0
@@ -127,7 +127,7 @@
 	}
 }
 
-// Of kinds that differ, the settings have what holds for all.
+// If the kinds of workers differ, the settings have the values that hold for every kind.
 func TestSettingsKindsThatDiffer(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Kinds[1].OmitsStartNotifications = true
@@ -147,7 +147,7 @@
 	})
 }
 
-// Where schedulers are peers, the configuration has their addresses and the price of what they send.
+// If schedulers are peers, the configuration has their addresses and the price of peer messages.
 func TestConfigPeers(t *testing.T) {
 	spec := testScenario()
 	spec.Peers = scenario.Peers{On: true, Price: 0.02}
--- a/internal/testbed/platform/settings.go
+++ b/internal/testbed/platform/settings.go
@@ -8,8 +8,8 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Prices of what schedulers do, in parts of the result. Schedulers weigh their choices by them; the testbed's own metrics
-// count what was done and don't price it.
+// Prices of schedulers' actions, as fractions of the result. Schedulers weigh their choices by them. The testbed's own
+// metrics count the actions and apply no prices.
 const (
 	healthCheckPrice = 0.004
 	wastePrice       = 0.05
@@ -24,22 +24,22 @@
 	worstWindowWeight = 0.15
 )
 
-// Durations that no scenario names.
+// Durations that scenarios do not define.
 const (
-	schedulingCycle    = micros(4 * time.Millisecond)             // the shortest time between two batches of a scheduler that batches
-	defaultAnswerSlack = scenario.Duration(16 * time.Millisecond) // after a deadline, where the scenario gives no slack
+	schedulingCycle    = micros(4 * time.Millisecond)             // minimum time between two batches of a batching scheduler
+	defaultAnswerSlack = scenario.Duration(16 * time.Millisecond) // after a deadline, if the scenario defines no slack
 )
 
-// The platform's words for orders of a worker's queue.
+// The platform's names of queue orders of a worker.
 const (
 	queueFIFO     = "fifo"
 	queueBackfill = "backfill"
 )
 
-// anyKind stands for a machine type where a class may run on all.
+// anyKind takes the place of a machine type's index for a class that may run on all types.
 const anyKind = -1
 
-// idempotencyNames has the platform's word for each of a scenario's.
+// idempotencyNames maps each of a scenario's idempotency levels to the platform's name.
 var idempotencyNames = map[string]string{"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 
 // newSettings derives the settings of one scheduler.
@@ -82,7 +82,7 @@
 	return derived
 }
 
-// newBounds derives what the schedulers of a scenario may do.
+// newBounds derives the features that the schedulers of a scenario may use, and the limits on them.
 func newBounds(spec *scenario.Scenario) bounds {
 	schedulers := &spec.Schedulers
 	return bounds{
@@ -99,7 +99,7 @@
 	}
 }
 
-// newRules derives the rules, but for those that follow from the kinds of workers.
+// newRules derives the rules, except those that setKinds derives from the kinds of workers.
 func newRules(described *scenario.Rules) rules {
 	return rules{
 		AnswerSlack:    micros(cmp.Or(described.Slack, defaultAnswerSlack)),
@@ -110,8 +110,8 @@
 	}
 }
 
-// setKinds describes the workers by what holds for all kinds: the longest warm-up, the smallest capacity after a start,
-// and only the notifications that every kind sends.
+// setKinds describes the workers by values that hold for every kind: the longest warm-up, the smallest capacity after a
+// start, the longest progress interval, and only the notifications that every kind sends.
 func (s *settings) setKinds(kinds []scenario.WorkerKind) {
 	s.Domain = domain{
 		StartNotifications: true,
@@ -140,7 +140,7 @@
 	return kind.ProgressInterval == 0 || kind.OmitsStartNotifications
 }
 
-// addClass describes a class. It needs the kinds of workers, which setKinds sets.
+// addClass adds the description of a class. setKinds must have been called before.
 func (s *settings) addClass(described *scenario.Class) {
 	kind := anyKind
 	var boundTo []int
