--- a/internal/testbed/fleet/addresses.go
+++ b/internal/testbed/fleet/addresses.go
@@ -6,19 +6,19 @@
 	"valvecove/internal/testbed/loopback"
 )
 
-// Blocks of the rig's network (loopback.Network): workers have those from firstWorkerBlock on; block 0 has the scheduler
-// and discovery.
+// Address blocks of the rig's network (loopback.Network). Block 0 has the addresses of the scheduler and of discovery, and
+// the workers' addresses start in firstWorkerBlock.
 const (
 	firstWorkerBlock = 16
 	maxWorkers       = (loopback.LastBlock - firstWorkerBlock + 1) * loopback.BlockSize
 )
 
-const firstPort = 10000 // of the rig's range
+const firstPort = 10000 // start of the port range for rigs
 
-// addressPlan says who has which address of the rig's network.
+// addressPlan assigns the addresses of the rig's network.
 type addressPlan struct{ *loopback.Network }
 
-// findAddresses reserves a network that is free. The caller has to close the plan.
+// findAddresses reserves a free network. The caller has to close the plan.
 func findAddresses() (addressPlan, error) {
 	network, err := loopback.Reserve(firstPort)
 	return addressPlan{network}, err
--- a/internal/testbed/fleet/arrivals.go
+++ b/internal/testbed/fleet/arrivals.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// arrivals send requests at a rate, whatever has become of earlier ones. Each goes out by a client that waits for nothing, or
-// by a new one.
+// arrivals sends requests at a fixed rate, independent of the outcomes of earlier ones (an open load). Each request is sent
+// by an idle client, or by a new one if all clients are waiting for responses.
 type arrivals struct {
 	timer
-	group    *clientGroup
-	target   netip.AddrPort
-	interval time.Duration
-	idle     []*client
-	nextID   int // of a new client
-	step     int // between the numbers of two new clients, so that no other engine has them
+	group      *clientGroup
+	target     netip.AddrPort
+	interval   time.Duration
+	idle       []*client
+	nextNumber int // number of the next new client
+	numberStep int // between the numbers of two new clients; no other engine uses the same numbers
 }
 
-// startArrivals begins to send requests of one engine of several.
+// startArrivals starts to send one engine's share of the requests. The engines take turns.
 func (g *clientGroup) startArrivals(index, engines int, rate float64, target netip.AddrPort) {
 	interval := time.Duration(float64(time.Second) * float64(engines) / rate)
-	g.arrivals = &arrivals{group: g, target: target, interval: interval, nextID: index, step: engines}
+	g.arrivals = &arrivals{group: g, target: target, interval: interval, nextNumber: index, numberStep: engines}
 	first := g.startedAt + interval*time.Duration(index+1)/time.Duration(engines)
 	g.engine.setTimer(&g.arrivals.timer, first, g.arrivals)
 }
@@ -34,15 +34,15 @@
 	a.group.engine.setTimer(&a.timer, a.At+a.interval, a)
 }
 
-// takeClient returns a client that waits for nothing, the one that was last used.
+// takeClient returns the most recently used idle client, or a new one.
 func (a *arrivals) takeClient() *client {
 	if last := len(a.idle) - 1; last >= 0 {
 		taken := a.idle[last]
 		a.idle = a.idle[:last]
 		return taken
 	}
-	added := &client{group: a.group, number: a.nextID, target: a.target}
-	a.nextID += a.step
+	added := &client{group: a.group, number: a.nextNumber, target: a.target}
+	a.nextNumber += a.numberStep
 	a.group.clients = append(a.group.clients, added)
 	return added
 }
--- a/internal/testbed/fleet/callbacks.go
+++ b/internal/testbed/fleet/callbacks.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// States of a job that callbacks tell.
+// States of a job that callbacks report.
 const (
 	stateStarted = "started"
 	stateDone    = "done"
@@ -35,7 +35,7 @@
 	sender   *callbackSender
 	body     []byte
 	attempts int
-	conn     *callbackConn // that the attempt is on; nil between attempts
+	conn     *callbackConn // of the attempt in flight; nil between attempts
 }
 
 // callbackConn is a worker's connection to the scheduler.
@@ -45,7 +45,7 @@
 	callback *callback // in flight; nil while it is idle
 }
 
-// notify sends a callback on a job's state.
+// notify sends a callback that reports a job's state.
 func (s *callbackSender) notify(requestID []byte, state string) {
 	body := make([]byte, 0, 128)
 	body = append(append(body, `{"id":"`...), requestID...)
@@ -75,7 +75,7 @@
 	}
 }
 
-// acquireConn returns an idle connection or opens one. It returns nil if the worker may have no more of them: each may
+// acquireConn returns an idle connection or opens one. It returns nil if the worker may not open any more: each worker may
 // always have one, and further ones as the rig's descriptors allow.
 func (s *callbackSender) acquireConn() (*callbackConn, error) {
 	if last := len(s.idle) - 1; last >= 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// setPaused pauses the connections while the worker is silent, or ends that.
+// setPaused pauses the connections while the worker is silent, or resumes them and sends what waits.
 func (s *callbackSender) setPaused(paused bool) {
 	for conn := range s.open {
 		conn.setPaused(paused)
--- a/internal/testbed/fleet/changes.go
+++ b/internal/testbed/fleet/changes.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// listChanges has one worker after another drain and return, so that discovery always has changes to tell.
+// listChanges marks one worker after another as draining and then as up again, so that the endpoint list keeps changing.
 type listChanges struct {
 	timer
 	discovery *discovery
 	interval  time.Duration
-	draining  int // the worker that drains; noWorker: none
+	draining  int // the worker that is marked as draining, or noWorker
 }
 
 const noWorker = -1
 
-// startChanges announces a change now and then, from the first interval on. An interval of 0: never.
+// startChanges announces a change after each interval, or never if the interval is 0.
 func (d *discovery) startChanges(interval time.Duration) {
 	d.changes = listChanges{discovery: d, interval: interval, draining: noWorker}
 	if interval > 0 {
@@ -20,7 +20,7 @@
 	}
 }
 
-// timerExpired has the next worker drain, and the last one return.
+// timerExpired announces that the next worker is draining, and that the previous one is up again.
 func (c *listChanges) timerExpired() {
 	d, returned := c.discovery, c.draining
 	c.draining = (returned + 1) % len(d.startedAtMs)
@@ -33,7 +33,7 @@
 	d.engine.setTimer(&c.timer, d.engine.now+c.interval, c)
 }
 
-// lifecycle is what a worker's entry says of it.
+// lifecycle returns the lifecycle in a worker's entry.
 func (c *listChanges) lifecycle(worker int) string {
 	if worker == c.draining {
 		return "draining"
--- a/internal/testbed/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -12,15 +12,16 @@
 
 // Garbage collection targets, in percent of the live heap.
 const (
-	rigGCPercent   = 400 // the rig allocates much and keeps little
-	proxyGCPercent = 200 // as the scheduler's
+	rigGCPercent   = 400 // the rig allocates much, and its live heap is small
+	proxyGCPercent = 200 // the same as the scheduler's
 )
 
 // extraProcessors is how many processors of the Go runtime the rig has besides one for each engine.
 const extraProcessors = 2
 
-// childMessage is a message from the rig's process to the measurement, one JSON value a line. One field is set. The
-// measurement sends the Spec first and the targets next; the end of its stream ends the rig.
+// childMessage is a message from the rig's process to the measurement, one JSON value a line. Only one field is set, except
+// that Usage accompanies Result. In the other direction the measurement sends the Spec and then the targets; the end of
+// that stream ends the rig.
 type childMessage struct {
 	Addresses *Addresses `json:"places,omitempty"` // the rig is ready
 	Mark      string     `json:"mark,omitempty"`
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -14,21 +14,21 @@
 const (
 	jobClass            = "status-check"
 	requestBody         = "status of a remittance\r\n"
-	budget              = 5 * time.Second       // that clients announce for a request
-	budgetGrace         = 50 * time.Millisecond // a response is awaited for so long after the budget
+	budget              = 5 * time.Second       // of each request, in its X-Budget-Ms
+	budgetGrace         = 50 * time.Millisecond // how long after the budget a response is awaited
 	timeoutScanInterval = 100 * time.Millisecond
 	failureDelay        = 10 * time.Millisecond // from a failure to the next request
-	maxReasons          = 32                    // reasons of failures that are counted apart
+	maxReasons          = 32                    // distinct reasons of failures that are counted
 )
 
-// Second counts the outcomes of the clients' requests, in one second or another span of time.
-type Second struct {
+// OutcomeCounts counts the outcomes of the clients' requests, in one second or another span of time.
+type OutcomeCounts struct {
 	Served   int `json:"served"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
 }
 
-func (s *Second) add(other Second) {
+func (s *OutcomeCounts) add(other OutcomeCounts) {
 	s.Served += other.Served
 	s.Rejected += other.Rejected
 	s.Failed += other.Failed
@@ -42,17 +42,17 @@
 	clients        []*client
 	sending        bool
 	startedAt      time.Duration
-	seconds        []Second                // from startedAt
-	window         Second                  // in the measurement window
+	seconds        []OutcomeCounts         // from startedAt
+	window         OutcomeCounts           // in the measurement window
 	latency        *hdrhistogram.Histogram // of the requests served in the window
 	failureReasons map[string]int          // in the whole run, as are the counts below
 	requested      int
 	settled        int       // requests whose outcome is known
-	ended          int       // settled requests; with clients at their own pace without those rejected, as these ask again
-	arrivals       *arrivals // nil: clients send at their own pace
+	completed      int       // settled requests; without arrivals, rejected ones are left out, as they are sent again
+	arrivals       *arrivals // nil if each client sends its next request after a response
 }
 
-// client sends a request, waits for the response, and sends the next. A single-request client sends one.
+// client sends a request, waits for the response, and sends the next. A single-request client sends only one.
 type client struct {
 	timer     // the next request, at the start and after a failure
 	group     *clientGroup
@@ -98,7 +98,7 @@
 		if client.inFlight && g.engine.now-client.sentAt > budget+budgetGrace {
 			client.conn.close()
 			client.conn = nil
-			client.settle(Second{Failed: 1}, "no answer")
+			client.settle(OutcomeCounts{Failed: 1}, "no answer")
 		}
 	}
 	if g.sending {
@@ -113,17 +113,17 @@
 	}
 }
 
-// countOutcome adds an outcome to the second that now is in.
-func (g *clientGroup) countOutcome(outcome Second, now time.Duration) {
+// countOutcome adds an outcome to the counts of the current second.
+func (g *clientGroup) countOutcome(outcome OutcomeCounts, now time.Duration) {
 	g.settled++
 	if outcome.Rejected > 0 && g.arrivals == nil {
 		g.rig.returnJob()
 	} else {
-		g.ended++
+		g.completed++
 	}
 	at := int((now - g.startedAt) / time.Second)
 	for at >= len(g.seconds) {
-		g.seconds = append(g.seconds, Second{})
+		g.seconds = append(g.seconds, OutcomeCounts{})
 	}
 	g.seconds[at].add(outcome)
 }
@@ -205,11 +205,11 @@
 }
 
 // fail settles the request by the error of its connection.
-func (c *client) fail(err error) { c.settle(Second{Failed: 1}, err.Error()) }
+func (c *client) fail(err error) { c.settle(OutcomeCounts{Failed: 1}, err.Error()) }
 
-// settle counts the outcome of the request, and sends the next one. After a failure, which has a reason, it waits
-// before that: a client of a target that does not listen would otherwise take all of the engine's time.
-func (c *client) settle(outcome Second, failureReason string) {
+// settle counts the outcome of the request, and sends the next one. A failureReason that is not empty delays the next
+// request: a client whose target does not listen would otherwise take all of the engine's time.
+func (c *client) settle(outcome OutcomeCounts, failureReason string) {
 	group := c.group
 	now := group.engine.clock()
 	c.inFlight = false
@@ -238,13 +238,13 @@
 func (c *client) handleResponse(response *message) {
 	switch isOwn := bytes.HasPrefix(response.body, c.requestID[:]); {
 	case response.status == http.StatusOK && isOwn:
-		c.settle(Second{Served: 1}, "")
+		c.settle(OutcomeCounts{Served: 1}, "")
 	case response.status == http.StatusTooManyRequests || response.status == http.StatusServiceUnavailable:
-		c.settle(Second{Rejected: 1}, "")
+		c.settle(OutcomeCounts{Rejected: 1}, "")
 	case response.status == http.StatusOK:
-		c.settle(Second{Failed: 1}, "another request's answer")
+		c.settle(OutcomeCounts{Failed: 1}, "another request's answer")
 	default:
-		c.settle(Second{Failed: 1}, "status "+strconv.Itoa(response.status))
+		c.settle(OutcomeCounts{Failed: 1}, "status "+strconv.Itoa(response.status))
 	}
 }
 
@@ -288,7 +288,7 @@
 		client.retried = true
 		client.send()
 	case err == nil:
-		client.settle(Second{Failed: 1}, "closed")
+		client.settle(OutcomeCounts{Failed: 1}, "closed")
 	default:
 		client.fail(err)
 	}
--- a/internal/testbed/fleet/clients_test.go
+++ b/internal/testbed/fleet/clients_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Each request has one outcome, by its response, whatever the scheduler does.
+// Each request is counted with exactly one outcome, by its response: served, rejected or failed.
 func TestClientsCountEachRequestOnce(t *testing.T) {
 	rig := testRig(t, Spec{
-		Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
+		Workers: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
 		Hint: 30 * time.Millisecond,
 	})
 	serveScheduler(t, rig, respondInOrder(t))
@@ -19,28 +19,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.All != (Second{Served: 36, Rejected: 12, Failed: 24}) || got.Requested != 72 || got.Settled != 72 ||
+	if got.All != (OutcomeCounts{Served: 36, Rejected: 12, Failed: 24}) || got.Requested != 72 || got.Settled != 72 ||
 		got.FailureReasons["status 500"] != 12 || got.FailureReasons["another request's answer"] != 12 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// At a rate each request is sent once, whatever becomes of it, and none waits for an earlier one.
+// At a fixed rate, each request is sent once, also if it is rejected or fails.
 func TestArrivalsSendEachRequestOnce(t *testing.T) {
 	rig := testRig(t, Spec{
-		Nodes: 1, Clients: 1, Jobs: 60, Rate: 1000, Length: time.Minute, Work: time.Millisecond, Hint: 30 * time.Millisecond,
+		Workers: 1, Clients: 1, Jobs: 60, Rate: 1000, Length: time.Minute, Work: time.Millisecond, Hint: 30 * time.Millisecond,
 	})
 	serveScheduler(t, rig, respondInOrder(t))
 	got, err := rig.Run(t.Context(), []netip.AddrPort{rig.addresses.scheduler()}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.All != (Second{Served: 30, Rejected: 10, Failed: 20}) || got.Requested != 60 || got.Settled != 60 {
+	if got.All != (OutcomeCounts{Served: 30, Rejected: 10, Failed: 20}) || got.Requested != 60 || got.Settled != 60 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// respondInOrder rejects, fails, mixes up and serves requests in order: of six, three are served.
+// respondInOrder returns a handler that of six requests rejects one, fails one, gives one the result of another request,
+// and serves three, one of them with Connection: close.
 func respondInOrder(t *testing.T) http.HandlerFunc {
 	t.Helper()
 	behaviours := make(chan int, 1000)
--- a/internal/testbed/fleet/collect.go
+++ b/internal/testbed/fleet/collect.go
@@ -15,17 +15,17 @@
 type collector struct {
 	figures        Measurement
 	pid            int           // of the measured process; 0: there is none
-	cpu            time.Duration // that the measured process used in the window, once that is closed
+	cpu            time.Duration // of the measured process in the window; valid once the window is closed
 	maxDescriptors atomic.Int64
 }
 
-// rigMessage is a message from the rig, or why there is none.
+// rigMessage is a message from the rig, or the error of receiving it.
 type rigMessage struct {
 	childMessage
 	err error
 }
 
-// collect follows the run to its end and returns figures, completed. It fails if the context or the subject ends first.
+// collect waits for the end of the run and returns the completed figures. It fails if the context or the subject ends first.
 func (m *measurement) collect(ctx context.Context, figures Measurement) (Measurement, error) {
 	var background sync.WaitGroup
 	stopped := make(chan struct{})
@@ -64,7 +64,7 @@
 	}
 }
 
-// readUsage takes in what the scheduler has used in all, while it still runs.
+// readUsage stores what the scheduler has used in the whole run. The scheduler must still be running.
 func (m *measurement) readUsage(used *RigUsage) {
 	if used != nil {
 		m.usage.RigUsage = *used
@@ -89,7 +89,7 @@
 	}
 }
 
-// sampleDescriptors keeps the highest number of descriptors that the measured process was seen to have.
+// sampleDescriptors samples how many descriptors the measured process has open, and keeps the maximum.
 func (c *collector) sampleDescriptors(stopped <-chan struct{}) {
 	ticker := time.NewTicker(descriptorSampleInterval)
 	defer ticker.Stop()
@@ -104,7 +104,7 @@
 	}
 }
 
-// handleMark reads the use of the measured process at both ends of the window.
+// handleMark reads the processor time of the measured process at both ends of the window, and its peak memory at the close.
 func (c *collector) handleMark(mark string) {
 	if c.pid == 0 {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// freeze stops the subject's process for Options.Freeze, from the time of the disturbances on.
+// freeze stops the subject's process by SIGSTOP for Options.Freeze, from the start of the disturbances.
 func (m *measurement) freeze(stopped <-chan struct{}) {
 	if m.options.Freeze <= 0 {
 		return
--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	errPeerNotReading = errors.New("the other side reads nothing")
-	errTooLong        = errors.New("a message is too long")
+	errPeerNotReading = errors.New("the other side does not read")
+	errTooLong        = errors.New("message too long")
 )
 
 // conn is one end of a TCP connection. It belongs to one engine, and only that engine's thread may use it.
@@ -28,13 +28,13 @@
 	owner     connOwner
 	connected bool
 	closed    bool
-	paused    bool // neither sends nor receives
+	paused    bool // it neither sends nor receives
 	events    uint32
 	received  []byte // an incomplete message
 	unsent    []byte // accepted by write, and not yet written to the socket
 }
 
-// connOwner is the party that a connection belongs to.
+// connOwner is notified of what happens on its connection.
 type connOwner interface {
 	// dataReceived handles the complete messages at the start of b, and returns their length. It may close the
 	// connection. b is only valid during the call.
@@ -44,8 +44,8 @@
 	connClosed(err error)
 }
 
-// dial initialises dialed and begins to connect it; its owner is told if that fails later. An error other than a refusal
-// by the target ends the engine too. from is the local address; if it is invalid, the kernel chooses one.
+// dial initialises dialed and begins to connect it. A later failure is reported to its owner. An error other than a
+// refusal or a reset by the target ends the engine too. from is the local address; if it is invalid, the kernel chooses one.
 func (e *engine) dial(dialed *conn, from, target netip.AddrPort, owner connOwner) error {
 	descriptor, err := loopback.NewSocket()
 	if err != nil {
@@ -159,7 +159,7 @@
 	c.received = append(c.received[:0], remainder...) // within c.received, this moves the remainder to the front
 }
 
-// write sends b, at once or as soon as the socket takes it. It copies what it keeps. The owner is told of a failure.
+// write sends b, at once or as soon as the socket accepts it. It copies what it keeps. A failure is reported to the owner.
 func (c *conn) write(b []byte) {
 	if c.closed {
 		return
@@ -200,7 +200,7 @@
 	c.setEvents(c.events &^ unix.EPOLLOUT)
 }
 
-// setPaused has the connection neither send nor receive, or ends that. What is written meanwhile waits.
+// setPaused stops the connection from sending and receiving, or resumes both. Bytes written meanwhile are queued.
 func (c *conn) setPaused(paused bool) {
 	switch {
 	case c.closed || c.paused == paused:
--- a/internal/testbed/fleet/cores.go
+++ b/internal/testbed/fleet/cores.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	if len(cores) < 2 {
-		return nil, errors.New("a scheduler with a core to itself needs two cores here")
+		return nil, errors.New("at least two cores are needed: one for the scheduler alone and one for the rig")
 	}
 	last := len(cores) - 1
 	firstEngine := min(1, last-1)
--- a/internal/testbed/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -11,10 +11,9 @@
 )
 
 const (
-	// heartbeatInterval is how often a watch gets an empty line.
-	heartbeatInterval = 2 * time.Second
+	heartbeatInterval = 2 * time.Second // between two empty lines that a watch gets
 	workersPerCell    = 4
-	entryLength       = 160 // bytes of a worker's entry, about
+	entryLength       = 160 // approximate bytes of a worker's entry
 	jsonContentType   = "Content-Type: application/json\r\n"
 )
 
@@ -28,14 +27,14 @@
 	startedAtMs []int64 // of each worker, Unix time; 0 before its first restart
 	conns       map[*discoveryConn]struct{}
 	changes     listChanges
-	listBytes   int // written to watches and in answers
+	listBytes   int // bytes written to watches and in snapshots
 }
 
 // discoveryConn is a connection to discovery.
 type discoveryConn struct {
 	conn
 	discovery *discovery
-	watches   bool
+	watches   bool // its request was for a watch
 }
 
 func newDiscovery(rig *Rig, engine *engine, address netip.AddrPort) (*discovery, error) {
@@ -43,7 +42,7 @@
 		engine:      engine,
 		rig:         rig,
 		revision:    1,
-		startedAtMs: make([]int64, rig.spec.Nodes),
+		startedAtMs: make([]int64, rig.spec.Workers),
 		conns:       map[*discoveryConn]struct{}{},
 	}
 	engine.setTimer(&created.timer, heartbeatInterval, created)
@@ -88,7 +87,7 @@
 	}
 }
 
-// restarted announces a worker's restart to all watches. It runs on discovery's engine.
+// restarted announces a worker's restart to all watches. It must be called on discovery's engine.
 func (d *discovery) restarted(worker int, at time.Time) {
 	d.revision++
 	d.startedAtMs[worker] = at.UnixMilli()
@@ -97,7 +96,7 @@
 	d.broadcast(string(append(b, "]}"...)))
 }
 
-// snapshot is the whole list.
+// snapshot returns the whole list as JSON.
 func (d *discovery) snapshot() string {
 	b := make([]byte, 0, 64+entryLength*len(d.startedAtMs))
 	b = d.appendListStart(b, true)
@@ -110,7 +109,7 @@
 	return string(append(b, "]}"...))
 }
 
-// unchanged is a list without entries, for a watch that has the current revision already.
+// unchanged returns a list without entries, for a watch that has the current revision already.
 func (d *discovery) unchanged() string { return string(append(d.appendListStart(nil, false), "]}"...)) }
 
 // appendListStart appends a list of the current revision up to its entries. A reset list replaces all earlier ones.
@@ -176,7 +175,7 @@
 	}
 }
 
-// startWatch begins a watch by a client that has a revision of the list, or 0.
+// startWatch begins a watch. revision is the one that the scheduler has, or 0.
 func (c *discoveryConn) startWatch(revision int64) {
 	c.watches = true
 	c.write([]byte("HTTP/1.1 200 OK\r\n" + jsonContentType + "Transfer-Encoding: chunked\r\n\r\n"))
--- a/internal/testbed/fleet/discovery_test.go
+++ b/internal/testbed/fleet/discovery_test.go
@@ -11,7 +11,7 @@
 
 // Discovery gives the snapshot, at once or as the first line of a watch, and announces a restart to watches.
 func TestDiscoverySnapshotAndWatch(t *testing.T) {
-	rig := testRig(t, Spec{Nodes: 7})
+	rig := testRig(t, Spec{Workers: 7})
 	url := "http://" + rig.Addresses().Discovery + "/discovery/hosts"
 	response, err := http.Get(url + "?stream=1&index=0")
 	if err != nil {
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -48,7 +48,7 @@
 	posted   []func()
 	closed   bool
 	stopping bool
-	failure  error         // that ended it
+	failure  error         // the first failure; it ends the engine
 	done     chan struct{} // closed once it has ended; from then on any goroutine may read its fields
 }
 
@@ -63,7 +63,7 @@
 	}
 	if err := created.open(); err != nil {
 		created.close()
-		return nil, fmt.Errorf("epoll, timer and bell: %w", err)
+		return nil, fmt.Errorf("epoll, timer and wake-up descriptors: %w", err)
 	}
 	return created, nil
 }
@@ -126,8 +126,8 @@
 	return posted
 }
 
-// post has a function called on the engine's thread. Any goroutine may call it. Once the engine has ended, the function
-// is not called.
+// post queues a function to be called on the engine's thread. Any goroutine may call it. Once the engine has ended, the
+// function is not called.
 func (e *engine) post(action func()) {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
@@ -140,7 +140,7 @@
 	_, _ = unix.Write(e.wakeup, one[:])
 }
 
-// stop ends the engine. Any goroutine may call it; done tells when it has ended.
+// stop ends the engine. Any goroutine may call it; done is closed once the engine has ended.
 func (e *engine) stop() { e.post(func() { e.stopping = true }) }
 
 // clock is the time since startedAt.
@@ -157,7 +157,7 @@
 // run is the engine's thread. It returns after stop, or at a failure of a system call.
 func (e *engine) run() {
 	defer close(e.done)
-	// It is never unlocked: a thread that was bound to a core has to end with its goroutine.
+	// The goroutine stays locked, so that its thread ends with it: no other goroutine may run on a thread bound to a core.
 	runtime.LockOSThread()
 	if e.core >= 0 {
 		if err := e.bindThread(); err != nil {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// runIteration waits for events and handles them. Timers are looked at after each event, as an iteration may have many.
+// runIteration waits for events and handles them. Expired timers are fired after each event, as an iteration may have many.
 func (e *engine) runIteration() error {
 	timeout, err := e.armTimer()
 	if err != nil {
--- a/internal/testbed/fleet/golden_test.go
+++ b/internal/testbed/fleet/golden_test.go
@@ -10,8 +10,9 @@
 	"valvecove/internal/testbed/report"
 )
 
-// The golden file holds a report as the testbed of d2a7518 writes it, with a value in every field. Reports are kept and taken
-// into later ones: the file is never regenerated except under a new form number.
+// goldenReport is a report in the form that the testbed of commit d2a7518 writes, with a value in every field. Stored
+// reports are read back and included in later ones, so the file must not be regenerated; a new form of the report gets a
+// new number and a new file.
 const goldenReport = "report-1.json"
 
 func readReport(t *testing.T) (read Report) {
@@ -27,7 +28,7 @@
 func TestGoldenReportIsRead(t *testing.T) {
 	read := readReport(t)
 	for _, zero := range storedform.Zero(read) {
-		t.Errorf("nothing is read into %s", zero)
+		t.Errorf("field %s was not read", zero)
 	}
 	if p := read.Measurements[0]; p.Subject != "valvecove" || p.Workers != 1000 || p.Rate != 2412.5 || p.All.Served != 24125 ||
 		len(p.Seconds) != 2 || p.FailureReasons["reset"] != 3 {
@@ -43,7 +44,7 @@
 	storedform.CheckGolden(t, goldenReport, b.Bytes())
 }
 
-// What a report calls its figures stands in tags, and so do the words between the processes of a run.
+// Every field of the reports, and of the messages between the processes of a run, has a tag with its name in JSON.
 func TestReportsAreTagged(t *testing.T) {
 	storedform.CheckTags(t, Report{}, GrowthReport{}, childMessage{}, Spec{}, ProxyPlan{}, []netip.AddrPort{})
 }
--- a/internal/testbed/fleet/growth.go
+++ b/internal/testbed/fleet/growth.go
@@ -7,35 +7,34 @@
 	"text/tabwriter"
 )
 
-// growthSubject names the scheduler's logs.
-const growthSubject = "valvecove"
+const growthSubject = "valvecove" // also the name of the scheduler's log file
 
-// Growth says what is compared: one scheduler with the same traffic at a number of workers, and at a multiple of it. What a
-// scheduler needs may grow only so far. Options has what both have in common.
+// Growth describes a comparison of the resources that one scheduler uses with the same traffic at two sizes of the fleet.
+// Options are the settings of both runs.
 type Growth struct {
 	Options
-	Workers int
-	Ratio   int
+	Workers int // at the usual size
+	Ratio   int // of the larger number of workers to the usual one
 }
 
-// GrowthFigures are what a scheduler needed.
+// GrowthFigures are the resources that a scheduler used, and the outcomes of the requests.
 type GrowthFigures struct {
 	Workers     int     `json:"workers"`
 	CPU         float64 `json:"cpu_s"`       // processor time from the start on
 	Memory      float64 `json:"memory_mb"`   // peak
-	Descriptors int     `json:"descriptors"` // the most that it was seen to have
-	Connections int     `json:"connections"` // made to workers
-	ListBytes   int     `json:"list_bytes"`  // from discovery, which has changes to tell
+	Descriptors int     `json:"descriptors"` // highest number sampled
+	Connections int     `json:"connections"` // opened to workers
+	ListBytes   int     `json:"list_bytes"`  // of endpoint lists and their changes, received from discovery
 	Requested   int     `json:"requested"`
 	Rejected    int     `json:"rejected"`
 	Failed      int     `json:"failed"`
-	Served      float64 `json:"served"`  // share of the requests that have ended
-	P50         float64 `json:"p50_ms"`  // of those served
-	Busiest     float64 `json:"busiest"` // jobs of the busiest worker, over the mean
+	Served      float64 `json:"served"`  // share of the settled requests
+	P50         float64 `json:"p50_ms"`  // latency of those served
+	Busiest     float64 `json:"busiest"` // jobs of the busiest worker, over the mean of all workers
 	Invalid     string  `json:"invalid,omitempty"`
 }
 
-// GrowthReport is a comparison.
+// GrowthReport has the figures of both sizes.
 type GrowthReport struct {
 	Usual GrowthFigures `json:"usual"`
 	Large GrowthFigures `json:"large"`
@@ -75,7 +74,8 @@
 	}, nil
 }
 
-// Bounds on the larger size: so many times the figure at the usual one, and so much more, in all and for each thousand workers.
+// growthBound is an upper bound on a figure at the larger size: factor times the figure at the usual size, plus a constant,
+// plus an amount for each thousand workers of the larger size.
 type growthBound struct {
 	factor, constant, perThousand float64
 }
@@ -93,21 +93,21 @@
 	listBytesBound   = growthBound{2, 64 * kilobyte, 500 * kilobyte}
 )
 
-// at returns what is allowed with so many workers.
+// at returns the bound for a figure at the usual size and the larger number of workers.
 func (b growthBound) at(usual float64, workers int) float64 {
 	return b.factor*usual + b.constant + b.perThousand*float64(workers)/1000
 }
 
-// GrowthVerdict compares one figure of both sizes with what is allowed.
+// GrowthVerdict compares a figure at both sizes with its bound.
 type GrowthVerdict struct {
 	Name                  string
 	Usual, Large, Allowed float64
-	IsAtLeast             bool // Allowed is the least, and not the most
-	IsCount               bool // it is the same on any machine
-	Precision             int  // decimals that are printed
+	IsAtLeast             bool // Allowed is a lower bound instead of an upper one
+	IsCount               bool // the figure does not depend on the speed of the machine
+	Precision             int  // number of decimals printed
 }
 
-// IsKept tells whether the figure is within what is allowed.
+// IsKept reports whether the figure at the larger size is within its bound.
 func (v GrowthVerdict) IsKept() bool {
 	if v.IsAtLeast {
 		return v.Large >= v.Allowed
@@ -115,7 +115,7 @@
 	return v.Large <= v.Allowed
 }
 
-// Verdicts returns those of all figures.
+// Verdicts returns the verdicts on all figures that have a bound.
 func (r *GrowthReport) Verdicts() []GrowthVerdict {
 	usual, large := &r.Usual, &r.Large
 	atMost := func(name string, bound growthBound, usual, large float64) GrowthVerdict {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Write writes both sizes beside what is allowed.
+// Write writes a table of the figures at both sizes with their bounds, and the other figures below it.
 func (r *GrowthReport) Write(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "\t%d workers\t%d workers\tallowed\t\t\n", r.Usual.Workers, r.Large.Workers)
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// write writes what stands beside the verdicts.
+// write writes the figures that have no bound.
 func (f *GrowthFigures) write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%d workers: %d requests, %d rejected, %d failed, p50 %.1f ms, busiest worker %.1f times the mean\n",
 		f.Workers, f.Requested, f.Rejected, f.Failed, f.P50, f.Busiest)
--- a/internal/testbed/fleet/growth_test.go
+++ b/internal/testbed/fleet/growth_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The connections and the lists of the real program grow within what the standing test allows. Nothing that a slower machine
-// changes is judged: a few clients wait for their responses, so that few jobs run at once however long they take.
+// The connections and the list bytes of the real program grow within the bounds. Figures that depend on the speed of the
+// machine are not checked. Few clients send requests, and each waits for its response, so that few jobs run at once also
+// on a slow machine.
 func TestGrowth(t *testing.T) {
 	if _, err := FindCores(); err != nil {
 		t.Skip(err)
@@ -36,7 +37,8 @@
 	}
 }
 
-// The bounds are those of the standing test, for the fleet of 3,200 workers.
+// The bounds for 3,200 workers, compared with 200: figures just within each bound are accepted, and figures just beyond it
+// are not.
 func TestGrowthVerdicts(t *testing.T) {
 	report := &GrowthReport{
 		Usual: GrowthFigures{
--- a/internal/testbed/fleet/hint.go
+++ b/internal/testbed/fleet/hint.go
@@ -23,7 +23,7 @@
 		divisor, err = strconv.ParseFloat(denominator, 64)
 		factor /= divisor
 	}
-	inRange := factor > 0 && factor <= maxHintFactor // false for what is no number
+	inRange := factor > 0 && factor <= maxHintFactor // false for NaN
 	if err != nil || !inRange {
 		return 0, fmt.Errorf("hint %q: expected none, or a factor such as 1, 30 or 1/30", text)
 	}
--- a/internal/testbed/fleet/listener.go
+++ b/internal/testbed/fleet/listener.go
@@ -10,8 +10,7 @@
 	"valvecove/internal/testbed/loopback"
 )
 
-// listenBacklog is how many connections may wait to be accepted.
-const listenBacklog = 4096
+const listenBacklog = 4096 // connections that may wait to be accepted
 
 // listener accepts connections at one address.
 type listener struct {
@@ -49,7 +48,7 @@
 	return l.engine.add(l.fd, unix.EPOLLIN, l)
 }
 
-// ready accepts one connection. Where more wait, the descriptor stays ready.
+// ready accepts one connection. While more wait, the descriptor stays ready.
 func (l *listener) ready(uint32) {
 	fd, _, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	switch {
@@ -61,7 +60,8 @@
 	}
 }
 
-// setPaused drops all attempts to connect, or ends that. An attempt that is still retried succeeds then.
+// setPaused has the kernel drop all attempts to connect, or accept them again. Attempts that are still being retried then
+// succeed.
 func (l *listener) setPaused(paused bool) {
 	var err error
 	if paused {
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -37,7 +37,7 @@
 
 const (
 	recoveredShare  = 0.95 // of the rate before the disturbances
-	baselineSeconds = 2    // before the disturbances, that the rate is taken from
+	baselineSeconds = 2    // seconds before the disturbances over which that rate is averaged
 	roundUp         = 0.999
 )
 
@@ -61,14 +61,14 @@
 	return -1
 }
 
-// Measure runs one row: it starts the rig and the subject as processes of their own, and ends both before it returns.
+// Measure runs one row: it starts the rig and the subject as separate processes, and ends both before it returns.
 // A run whose figures are void is no error; see Measurement.InvalidReason.
 func Measure(ctx context.Context, tableRow TableRow, options Options) (Measurement, error) {
 	figures, _, err := measure(ctx, tableRow, options)
 	return figures, err
 }
 
-// measure is Measure with what the measured process used in all.
+// measure is Measure, and also returns what the measured process used from its start on.
 func measure(ctx context.Context, tableRow TableRow, options Options) (Measurement, processUsage, error) {
 	if err := options.check(); err != nil {
 		return Measurement{}, processUsage{}, err
@@ -161,7 +161,7 @@
 // logPath is the file that takes the subject's log.
 func (m *measurement) logPath() string { return filepath.Join(m.directory, m.tableRow.Subject+".log") }
 
-// startRig starts the rig's process and waits until it has told its addresses.
+// startRig starts the rig's process and waits for its addresses.
 func (m *measurement) startRig(ctx context.Context) error {
 	command := exec.CommandContext(ctx, m.options.Rig[0], m.options.Rig[1:]...)
 	command.Stderr = os.Stderr
@@ -181,7 +181,7 @@
 		return err
 	}
 	if message.Addresses == nil {
-		return errors.New("rig: it says nothing of its places")
+		return errors.New("rig: the first message has no addresses")
 	}
 	m.addresses = *message.Addresses
 	return nil
--- a/internal/testbed/fleet/measure_test.go
+++ b/internal/testbed/fleet/measure_test.go
@@ -20,7 +20,8 @@
 	return binary
 }
 
-// The real program and the baseline policy serve each of a few jobs once; a run that cannot be played fails.
+// With the real program, the proxy and no scheduler, each of 50 jobs is served once. Measure fails if its context ends or if
+// the scheduler's program ends.
 func TestMeasure(t *testing.T) {
 	options := Options{
 		Rig: childCommand("rig"), Proxy: childCommand("proxy"), Binary: buildScheduler(t), Clients: 5, Jobs: 50,
@@ -55,8 +56,8 @@
 	})
 }
 
-// measureJobs measures a row of 50 jobs, and expects each to be served once. The figures are returned as of a valid run:
-// how late the rig is during a test does not matter.
+// measureJobs measures a row of 50 jobs, and expects each to be served once. It clears the rig's lateness and processor use,
+// so that the run counts as valid: they do not matter in a test.
 func measureJobs(t *testing.T, measured TableRow, options Options) Measurement {
 	t.Helper()
 	figures, err := Measure(t.Context(), measured, options)
@@ -74,7 +75,7 @@
 	return figures
 }
 
-// checkTable expects two lines of titles and four lines of figures, one of them with a void run.
+// checkTable expects a table of two header lines and four rows, one of which has a void run.
 func checkTable(t *testing.T, report *Report) {
 	t.Helper()
 	var b strings.Builder
@@ -84,11 +85,11 @@
 	}
 }
 
-// Recovery is the first whole second that is nearly as good as before the disturbance.
+// Recovery is the first whole second in which at least 95% of the rate before the disturbances is served.
 func TestRecoveredAfter(t *testing.T) {
 	figures := Measurement{Disturbances: []float64{2, 3.5}}
 	for _, served := range []int{100, 100, 100, 3, 50, 94, 95} {
-		figures.Seconds = append(figures.Seconds, Second{Served: served})
+		figures.Seconds = append(figures.Seconds, OutcomeCounts{Served: served})
 	}
 	if got := figures.RecoveredAfter(); got != 2 {
 		t.Errorf("%d", got)
--- a/internal/testbed/fleet/message.go
+++ b/internal/testbed/fleet/message.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/http1"
 )
 
-// message is what the rig needs of a request or of a response. Its slices refer to the bytes that it was read from.
+// message has the parts of a request or of a response that the rig needs. Its slices refer to the bytes it was parsed from.
 type message struct {
 	method, target []byte // of a request
 	status         int    // of a response; 0 for a request
@@ -16,7 +16,7 @@
 	lastOnConn     bool // the connection closes after it
 }
 
-// errFraming says that a body is not framed by Content-Length. No party of a run sends any other.
+// errFraming is returned for a body that is not framed by Content-Length. No party of a run sends such bodies.
 var errFraming = errors.New("a message without a Content-Length")
 
 // messageReader reads messages. It keeps its memory, so that reading does not allocate.
--- a/internal/testbed/fleet/message_test.go
+++ b/internal/testbed/fleet/message_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A message is read whole or not at all, however it arrives in pieces.
+// A message is not returned until it is complete, wherever it is cut.
 func TestMessageReaderWaitsForTheWholeMessage(t *testing.T) {
 	var m message
 	var reader messageReader
--- a/internal/testbed/fleet/options.go
+++ b/internal/testbed/fleet/options.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Subjects of a measurement that are no scheduler.
+// Subjects of a measurement that are not schedulers.
 const (
 	Proxy   = "proxy"   // the standard library's reverse proxy, which picks the worker with the fewest requests in flight
 	Direct  = "direct"  // clients send to the workers, with nothing between
@@ -48,8 +48,8 @@
 
 	Rate           float64       // requests a second, in place of the clients' own pace; 0: theirs
 	ChangeInterval time.Duration // between two changes of the endpoint list; 0: it does not change
-	Sockets        int           // descriptors that the scheduler is told it has, and may open; default 40,000
-	MemoryMB       int           // that the scheduler is told it has; default 2,048
+	Sockets        int           // limit on the scheduler's descriptors, in its configuration and enforced; default 40,000
+	MemoryMB       int           // limit on its memory in its configuration, not enforced; default 2,048
 }
 
 const (
@@ -76,11 +76,11 @@
 // check validates the options.
 func (o *Options) check() error {
 	if o.Clients < 1 || o.Length <= 0 || o.WarmUp < 0 || o.Burst < 0 || o.SilentShare < 0 || o.SilentShare >= 1 {
-		return errors.New("a run needs a client and a length, and a silent share is below 1")
+		return errors.New("a run needs a client and a positive length, no setting may be negative, and a silent share is below 1")
 	}
 	disturbances := o.disturbances()
 	if disturbances != nil && disturbances[1] > (o.WarmUp+o.Length).Seconds() {
-		return fmt.Errorf("the fault ends %.1f s after the clients begin, and the run after %v: make it longer",
+		return fmt.Errorf("the disturbances end %.1f s after the clients' start, but the run ends after %v: increase the length",
 			disturbances[1], o.WarmUp+o.Length)
 	}
 	return nil
@@ -107,7 +107,7 @@
 func (o *Options) rigSpec(tableRow TableRow) Spec {
 	work := cmp.Or(o.Work, defaultWork)
 	spec := Spec{
-		Nodes:              tableRow.Workers,
+		Workers:            tableRow.Workers,
 		StartNotifications: tableRow.StartNotifications,
 		Work:               work,
 		Clients:            o.Clients,
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -19,15 +19,16 @@
 	stdout io.ReadCloser  // nil without pipes
 }
 
-// startProcess starts a process on the cores given. It has to be called from a locked thread, which the child does not
-// outlive.
+// startProcess starts a process on the cores given. It has to be called from a goroutine that is locked to its thread: the
+// kernel kills the child when that thread ends.
 func startProcess(command *exec.Cmd, cores []int) (*process, error) {
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	var previous unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &previous); err != nil {
 		return nil, fmt.Errorf("cores: %w", err)
 	}
-	// The child inherits the affinity of this thread. Set for the child once it runs, it would miss some of its threads.
+	// The child inherits the affinity of this thread. If it were set once the child runs, it would miss those of its threads
+	// that had started by then.
 	if err := setAffinity(cores...); err != nil {
 		return nil, err
 	}
@@ -43,7 +44,7 @@
 	return started, nil
 }
 
-// startPiped is startProcess with pipes to the standard input and from the standard output.
+// startPiped is startProcess with pipes to the process's standard input and from its standard output.
 func startPiped(command *exec.Cmd, cores []int) (*process, error) {
 	childStdin, stdin, err := os.Pipe()
 	if err != nil {
@@ -66,7 +67,7 @@
 	return started, nil
 }
 
-// kill ends the process and waits until it is gone. A nil process is none.
+// kill ends the process and waits until it has ended. It does nothing for a nil process.
 func (p *process) kill() {
 	if p == nil {
 		return
--- a/internal/testbed/fleet/proxy.go
+++ b/internal/testbed/fleet/proxy.go
@@ -18,7 +18,7 @@
 	lock     sync.Mutex
 	workers  []string
 	inFlight []int
-	next     int // where the search starts
+	next     int // index at which the next search starts
 }
 
 // acquire picks a worker and counts a request to it. It returns the worker's index, for release.
@@ -40,17 +40,17 @@
 	return best
 }
 
-// release takes back a request that acquire counted.
+// release ends a request that acquire counted.
 func (l *leastInFlight) release(worker int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.inFlight[worker]--
 }
 
-// ProxyPlan tells the proxy's process where to listen and where to forward.
+// ProxyPlan has the addresses at which the proxy's process listens and to which it forwards.
 type ProxyPlan struct {
-	Listen string   `json:"listen"`
-	Nodes  []string `json:"nodes"` // addresses of the workers, with their ports
+	Listen  string   `json:"listen"`
+	Workers []string `json:"nodes"` // addresses of the workers, with their ports
 }
 
 const (
@@ -60,9 +60,9 @@
 )
 
 // NewProxy returns the baseline policy: the standard library's reverse proxy in front of workers that respond with the
-// result. It responds to GET /up by itself. nodes must not be empty.
-func NewProxy(nodes []string) http.Handler {
-	balancer := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
+// result. It responds to GET /up by itself. workers must not be empty.
+func NewProxy(workers []string) http.Handler {
+	balancer := &leastInFlight{workers: workers, inFlight: make([]int, len(workers))}
 	type workerKey struct{}
 	proxy := &httputil.ReverseProxy{
 		Transport: &http.Transport{
@@ -109,10 +109,10 @@
 	if err != nil {
 		return err
 	}
-	if len(plan.Nodes) == 0 {
-		return errors.New("a proxy needs workers")
+	if len(plan.Workers) == 0 {
+		return errors.New("the proxy needs at least one worker")
 	}
-	server := &http.Server{Handler: NewProxy(plan.Nodes)}
+	server := &http.Server{Handler: NewProxy(plan.Workers)}
 	go func() {
 		_, _ = io.Copy(io.Discard, alive)
 		_ = server.Close()
--- a/internal/testbed/fleet/proxy_test.go
+++ b/internal/testbed/fleet/proxy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The least busy worker is picked, in turn among equals.
+// A worker with the fewest requests in flight is picked, in turn among equals.
 func TestLeastInFlight(t *testing.T) {
 	l := &leastInFlight{workers: make([]string, 3), inFlight: make([]int, 3)}
 	var got []int
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -10,29 +10,29 @@
 // Result holds what a rig measured in one run.
 type Result struct {
 	// In the measurement window.
-	Second              // outcomes of the clients' requests
-	Window      float64 `json:"window_s"`
-	P50         float64 `json:"p50_ms"` // latency of the requests that were served
-	P90         float64 `json:"p90_ms"`
-	P99         float64 `json:"p99_ms"`
-	Busiest     float64 `json:"busiest"`      // jobs that the busiest worker finished, over the mean of all workers
-	Started     int     `json:"begun"`        // jobs that workers started
-	Finished    int     `json:"done"`         // jobs that workers finished
-	CPU         float64 `json:"rig_cpu"`      // cores that the rig's engines used
-	MaxCPU      float64 `json:"rig_cpu_most"` // share of its core that the busiest engine used
-	Lateness50  float64 `json:"late_p50_ms"`  // of the rig's timers
-	Lateness99  float64 `json:"late_p99_ms"`
-	MaxLateness float64 `json:"late_max_ms"`
+	OutcomeCounts         // outcomes of the clients' requests
+	Window        float64 `json:"window_s"`
+	P50           float64 `json:"p50_ms"` // latency of the requests that were served
+	P90           float64 `json:"p90_ms"`
+	P99           float64 `json:"p99_ms"`
+	Busiest       float64 `json:"busiest"`      // jobs that the busiest worker finished, over the mean of all workers
+	Started       int     `json:"begun"`        // jobs that workers started
+	Finished      int     `json:"done"`         // jobs that workers finished
+	CPU           float64 `json:"rig_cpu"`      // cores that the rig's engines used
+	MaxCPU        float64 `json:"rig_cpu_most"` // share of its core that the busiest engine used
+	Lateness50    float64 `json:"late_p50_ms"`  // of the rig's timers
+	Lateness99    float64 `json:"late_p99_ms"`
+	MaxLateness   float64 `json:"late_max_ms"`
 	// In the whole run.
-	All            Second         `json:"all"`
-	Seconds        []Second       `json:"seconds"`       // whole seconds, from the clients' start
-	FailureReasons map[string]int `json:"why,omitempty"` // number of failures by reason
-	Requested      int            `json:"asked"`         // requests sent
-	Settled        int            `json:"settled"`       // requests whose outcome is known
-	Unexpected     int            `json:"odd"`           // requests that workers could not use
-	CallbacksLost  int            `json:"notes_lost"`    // callbacks given up after the last attempt
-	Descriptors    int            `json:"rig_descriptors"`
-	Limit          int            `json:"descriptor_limit"` // of the rig's process
+	All            OutcomeCounts   `json:"all"`
+	Seconds        []OutcomeCounts `json:"seconds"`       // whole seconds, from the clients' start
+	FailureReasons map[string]int  `json:"why,omitempty"` // number of failures by reason
+	Requested      int             `json:"asked"`         // requests sent
+	Settled        int             `json:"settled"`       // requests whose outcome is known
+	Unexpected     int             `json:"odd"`           // requests that workers could not use
+	CallbacksLost  int             `json:"notes_lost"`    // callbacks given up after the last attempt
+	Descriptors    int             `json:"rig_descriptors"`
+	Limit          int             `json:"descriptor_limit"` // of the rig's process
 }
 
 // Bounds on the rig's own lateness and use of its cores. Within them, a job of 20 ms is measured to 5%.
@@ -60,7 +60,7 @@
 	ListBytes   int `json:"list_bytes"`  // that discovery sent
 }
 
-// usage sums up what was used. It is called after the run.
+// usage returns the counts of the whole run. It must be called after the run.
 func (r *Rig) usage() RigUsage {
 	var used RigUsage
 	r.onEngines(func(index int, engine *engine) {
@@ -110,7 +110,7 @@
 	b.add(group.window)
 	for at, second := range group.seconds {
 		if at >= len(b.Seconds) {
-			b.Seconds = append(b.Seconds, Second{})
+			b.Seconds = append(b.Seconds, OutcomeCounts{})
 		}
 		b.Seconds[at].add(second)
 		b.All.add(second)
@@ -137,7 +137,7 @@
 	b.maxFinished = max(b.maxFinished, worker.finished)
 }
 
-// build derives the remaining figures. A last second that was cut short is left out.
+// build derives the remaining figures. The last second is left out if it is incomplete.
 func (b *resultBuilder) build(workers, wholeSeconds int) Result {
 	if b.Finished > 0 {
 		b.Busiest = float64(b.maxFinished) * float64(workers) / float64(b.Finished)
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -16,7 +16,7 @@
 	Workers   []string `json:"nodes"`
 }
 
-// Rig is a fleet of workers, discovery and clients, divided among engines. It is good for one run.
+// Rig is a fleet of workers, discovery and clients, divided among engines. It can be used for one run only.
 type Rig struct {
 	spec             Spec
 	addresses        addressPlan
@@ -29,7 +29,7 @@
 	threads          sync.WaitGroup // of the engines
 	startedAt        time.Time
 	callbacksLost    atomic.Int64
-	jobs             atomic.Int64 // requested so far, without those that were rejected
+	jobs             atomic.Int64 // requests sent so far; without Spec.Rate, rejected ones are left out
 	closed           bool
 }
 
@@ -41,7 +41,7 @@
 	}
 	rig := &Rig{spec: spec, startedAt: time.Now()}
 	var err error
-	if rig.descriptors, err = planDescriptors(spec.Nodes, spec.Clients+spec.Burst); err != nil {
+	if rig.descriptors, err = planDescriptors(spec.Workers, spec.Clients+spec.Burst); err != nil {
 		return nil, err
 	}
 	if rig.addresses, err = findAddresses(); err != nil {
@@ -67,7 +67,7 @@
 		r.engines = append(r.engines, engine)
 		r.clientGroups = append(r.clientGroups, newClientGroup(r, engine))
 	}
-	for i := range r.spec.Nodes {
+	for i := range r.spec.Workers {
 		worker, err := newWorker(r, r.engines[i%len(r.engines)], i)
 		if err != nil {
 			return err
@@ -114,7 +114,7 @@
 )
 
 // Run has the clients send requests to the targets, divided evenly, until the time is over or all jobs are done. It
-// calls mark, which may be nil, with MarkOpen and MarkClose. The result is filled in also where it returns an error.
+// calls mark, which may be nil, with MarkOpen and MarkClose. The result is also filled in if the run fails.
 func (r *Rig) Run(ctx context.Context, targets []netip.AddrPort, mark func(string)) (Result, error) {
 	if len(targets) == 0 {
 		return Result{}, errors.New("no target")
@@ -140,7 +140,7 @@
 	return result, errors.Join(err, r.failure())
 }
 
-// startClients has the clients begin. Their first requests are spread over time, so that they are not in step.
+// startClients starts the clients. Their first requests are spread over time, so that the clients are not synchronised.
 func (r *Rig) startClients(targets []netip.AddrPort) {
 	clients, burst := r.spec.Clients, r.spec.Burst
 	target := func(index, count int) netip.AddrPort {
@@ -186,7 +186,8 @@
 	}
 }
 
-// onEngines calls a function on each engine in turn, and waits for it. For an engine that has ended, it is called here.
+// onEngines calls a function on the thread of each engine in turn, and waits for it. For an engine that has ended, it calls
+// the function on the caller's goroutine.
 func (r *Rig) onEngines(action func(index int, engine *engine)) {
 	for i, engine := range r.engines {
 		done := make(chan struct{})
@@ -232,7 +233,7 @@
 // allJobsEnded reports whether Spec.Jobs jobs are served or have failed.
 func (r *Rig) allJobsEnded() bool {
 	ended := 0
-	r.onEngines(func(index int, _ *engine) { ended += r.clientGroups[index].ended })
+	r.onEngines(func(index int, _ *engine) { ended += r.clientGroups[index].completed })
 	return ended >= r.spec.Jobs
 }
 
--- a/internal/testbed/fleet/spec.go
+++ b/internal/testbed/fleet/spec.go
@@ -15,7 +15,7 @@
 
 // Spec describes what a rig runs.
 type Spec struct {
-	Nodes              int           `json:"nodes"`   // number of workers
+	Workers            int           `json:"nodes"`   // number of workers
 	Responds           bool          `json:"answers"` // workers respond with the result; otherwise with 202, and callbacks
 	StartNotifications bool          `json:"notices"` // workers also send a callback when a job starts
 	Work               time.Duration `json:"work"`    // of each job, default 20 ms; below 0: none
@@ -57,8 +57,9 @@
 }
 
 func (s *Spec) check() error {
-	if s.Nodes < 1 || s.Length < 0 || s.WarmUp < 0 {
-		return fmt.Errorf("%d workers, %v warm and %v long: nothing to run", s.Nodes, s.WarmUp, s.Length)
+	if s.Workers < 1 || s.Length < 0 || s.WarmUp < 0 {
+		return fmt.Errorf("%d workers, warm-up %v, length %v: a run needs a worker, and no duration may be negative", s.Workers,
+			s.WarmUp, s.Length)
 	}
 	return nil
 }
--- a/internal/testbed/fleet/subject.go
+++ b/internal/testbed/fleet/subject.go
@@ -80,7 +80,7 @@
 	if m.subject, err = startPiped(command, m.options.Cores[:1]); err != nil {
 		return err
 	}
-	plan := ProxyPlan{Listen: m.addresses.Scheduler, Nodes: m.addresses.Workers}
+	plan := ProxyPlan{Listen: m.addresses.Scheduler, Workers: m.addresses.Workers}
 	return json.NewEncoder(m.subject.stdin).Encode(plan)
 }
 
@@ -108,7 +108,7 @@
 
 const (
 	quotaPerSecond = 28   // jobs a second, of all tenants together
-	memoryMB       = 2048 // that a scheduler is told it has
+	memoryMB       = 2048 // a scheduler's limit on memory in its configuration
 	warmUpCapacity = 0.3  // of a worker that has just started
 	warmUpTime     = 8800 * time.Millisecond
 )
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -44,10 +44,10 @@
 	title  string
 	digits int // after the decimal point
 	value  func(*Measurement) float64
-	exists func(*Measurement) bool // whether a run has the figure
+	exists func(*Measurement) bool // reports whether a run has the figure
 }
 
-// Whether a run has a figure.
+// Conditions for figureColumn.exists, and the value of the column runs.
 func always(*Measurement) bool               { return true }
 func hasServed(run *Measurement) bool        { return run.Served > 0 }
 func hasProcess(run *Measurement) bool       { return run.Descriptors > 0 }
@@ -73,10 +73,10 @@
 )
 
 // Legend explains the columns of the table.
-const Legend = "Several runs of a row: least / median / most, where they differ. CPU µs: of the scheduler's or proxy's " +
-	"process, for each request served. runs: jobs that workers began, for each that was served. busiest: jobs of " +
-	"the busiest worker over its even part. memory and descriptors: the most that the process had. rig: what its " +
-	"busiest core was used, and its own lateness, 99th percentile.\n"
+const Legend = "Several runs of a row: minimum / median / maximum, where they differ. CPU µs: of the scheduler's or proxy's " +
+	"process, for each request served. runs: jobs that workers started, for each that was served. busiest: jobs of " +
+	"the busiest worker, over the mean of all workers. memory and descriptors: the most that the process had. rig: share " +
+	"of time that its busiest core was in use, and its own lateness, 99th percentile.\n"
 
 // Table writes a Markdown table with a line for each row. Void runs are left out and counted.
 func (r *Report) Table(w io.Writer) error {
@@ -101,7 +101,7 @@
 	return append(titles, rigTitle)
 }
 
-// tableCells returns the line of a row. runs must not be empty.
+// tableCells returns the cells of a row. runs must not be empty.
 func tableCells(tableRow TableRow, runs []Measurement) []string {
 	cells := tableRow.cells()
 	valid := slices.DeleteFunc(slices.Clone(runs), func(run Measurement) bool { return run.InvalidReason() != "" })
--- a/internal/testbed/fleet/timeline.go
+++ b/internal/testbed/fleet/timeline.go
@@ -21,9 +21,9 @@
 func (m *Measurement) writeTimeline(b *strings.Builder) {
 	b.WriteString(m.String())
 	m.writeDisturbances(b)
-	m.writeCounts(b, "\n  served ", func(second Second) int { return second.Served })
-	m.writeCounts(b, "\n  refused", func(second Second) int { return second.Rejected })
-	m.writeCounts(b, "\n  failed ", func(second Second) int { return second.Failed })
+	m.writeCounts(b, "\n  served ", func(second OutcomeCounts) int { return second.Served })
+	m.writeCounts(b, "\n  refused", func(second OutcomeCounts) int { return second.Rejected })
+	m.writeCounts(b, "\n  failed ", func(second OutcomeCounts) int { return second.Failed })
 	b.WriteString("\n")
 	for _, reason := range slices.Sorted(maps.Keys(m.FailureReasons)) {
 		fmt.Fprintf(b, "  failed %d times: %s\n", m.FailureReasons[reason], reason)
@@ -42,7 +42,7 @@
 	}
 }
 
-func (m *Measurement) writeCounts(b *strings.Builder, title string, count func(Second) int) {
+func (m *Measurement) writeCounts(b *strings.Builder, title string, count func(OutcomeCounts) int) {
 	b.WriteString(title)
 	for _, second := range m.Seconds {
 		fmt.Fprintf(b, " %d", count(second))
--- a/internal/testbed/fleet/timer.go
+++ b/internal/testbed/fleet/timer.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/deadline"
 )
 
-// timer calls its target at a time. It is a field of what it is for, so that setting it allocates nothing.
+// timer calls its target at a time. It is embedded in the object that it is for, so that setting it does not allocate.
 type timer struct {
 	deadline.Item
 	target timerTarget
@@ -20,7 +20,7 @@
 
 func (f timerFunc) timerExpired() { f() }
 
-// setTimer sets a timer to a time of the engine's clock, also if it is already set.
+// setTimer sets a timer to a time of the engine's clock. If it is already set, the new time replaces the old one.
 func (e *engine) setTimer(set *timer, at time.Duration, target timerTarget) {
 	e.timers.Remove(set)
 	set.At = at
--- a/internal/testbed/fleet/usage.go
+++ b/internal/testbed/fleet/usage.go
@@ -12,9 +12,9 @@
 
 // processCPU returns the processor time that a process has used, or -1 if it has ended.
 func processCPU(pid int) time.Duration {
-	// The clock's number encodes the process number, as clock_getcpuclockid does it.
-	const scheduledClock = 2
-	clock := int32(^pid<<3 | scheduledClock)
+	// The clock's number encodes the process id, as clock_getcpuclockid does it.
+	const cpuClockSched = 2
+	clock := int32(^pid<<3 | cpuClockSched)
 	var used unix.Timespec
 	if unix.ClockGettime(clock, &used) != nil {
 		return -1
--- a/internal/testbed/fleet/worker.go
+++ b/internal/testbed/fleet/worker.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/http1"
 )
 
-// worker is a stand-in worker. Its jobs wait in one first-in, first-out queue, and each takes a slot for the same time.
+// worker is a simulated worker. Its jobs wait in one first-in, first-out queue, and each occupies a slot for the same time.
 // A job that the scheduler cancels runs to its end, as on a real worker.
 type worker struct {
 	engine     *engine
@@ -30,7 +30,7 @@
 	heldJobs   []*job // ended while the worker was silent
 	started    int    // jobs, in the measurement window
 	finished   int    // jobs, in the measurement window
-	unexpected int    // requests that it could not use
+	unexpected int    // malformed requests, and requests without an identifier
 	accepted   int    // connections, in the whole run
 }
 
@@ -39,7 +39,7 @@
 	timer     // the end of its work
 	worker    *worker
 	requestID []byte
-	conn      *workerConn // that the result is sent on; nil: callbacks tell it
+	conn      *workerConn // on which the result is sent; nil if callbacks report it
 	abandoned bool        // the worker's process was stopped
 }
 
@@ -77,7 +77,7 @@
 // isFull reports whether the queue is at its limit.
 func (w *worker) isFull() bool { return w.queue.len() >= w.rig.spec.QueueLimit }
 
-// enqueue takes on a job. conn is where the result is sent, or nil for callbacks.
+// enqueue queues a job. conn is the connection for the result, or nil if callbacks report it.
 func (w *worker) enqueue(requestID []byte, conn *workerConn) {
 	accepted := w.engine.newJob(w)
 	accepted.requestID = append(accepted.requestID[:0], requestID...)
@@ -119,7 +119,7 @@
 	}
 }
 
-// timerExpired ends the job. While the worker is silent, that is put off.
+// timerExpired ends the job, or holds it until the worker is no longer silent.
 func (j *job) timerExpired() {
 	worker := j.worker
 	if worker.silent && !j.abandoned {
@@ -130,7 +130,7 @@
 	worker.startJobs()
 }
 
-// endJob frees the slot, tells the result, and releases the job for reuse.
+// endJob frees the slot, sends the result, and releases the job for reuse.
 func (w *worker) endJob(ended *job) {
 	if !ended.abandoned {
 		w.freeSlots++
@@ -196,7 +196,7 @@
 	discovery.engine.post(func() { discovery.restarted(w.number, now) })
 }
 
-// setSilent has the worker's machine neither send nor receive, or ends that.
+// setSilent stops the worker's machine from sending and receiving, or resumes both.
 func (w *worker) setSilent(silent bool) {
 	if w.silent == silent {
 		return
@@ -237,7 +237,7 @@
 type workerConn struct {
 	conn
 	worker           *worker
-	awaitingResponse bool // a job's result is still to be sent on it
+	awaitingResponse bool // the result of a job is still to be sent on it
 }
 
 func (c *workerConn) connClosed(error) { delete(c.worker.conns, c) }
--- a/internal/testbed/fleet/worker_test.go
+++ b/internal/testbed/fleet/worker_test.go
@@ -25,7 +25,7 @@
 // testWorkerProtocol expects responses to health checks, requests and cancellations, and each callback once.
 func testWorkerProtocol(t *testing.T, startNotifications bool, expected map[string]int) {
 	t.Helper()
-	rig := testRig(t, Spec{Nodes: 2, StartNotifications: startNotifications, Work: time.Millisecond, Slots: 1})
+	rig := testRig(t, Spec{Workers: 2, StartNotifications: startNotifications, Work: time.Millisecond, Slots: 1})
 	callbacks := make(chan requests.Callback, 100)
 	serveScheduler(t, rig, acceptCallbacks(t, callbacks))
 	worker := "http://" + rig.Addresses().Workers[1]
@@ -81,10 +81,10 @@
 	}
 }
 
-// A worker that responds with results rejects what its queue has no place for. When its process is stopped, waiting
+// A worker that responds with results rejects a request when its queue is full. When its process is stopped, waiting
 // clients get no response and new connections are refused, until the restart.
 func TestWorkerQueuesRejectsAndRestarts(t *testing.T) {
-	rig := testRig(t, Spec{Nodes: 1, Responds: true, Work: time.Hour, Slots: 1, QueueLimit: 1})
+	rig := testRig(t, Spec{Workers: 1, Responds: true, Work: time.Hour, Slots: 1, QueueLimit: 1})
 	address := rig.Addresses().Workers[0]
 	outcomes := make(chan error, 2)
 	for i := range 2 { // one runs, one is queued
