--- a/internal/testbed/fleet/growth.go
+++ b/internal/testbed/fleet/growth.go
@@ -10,7 +10,7 @@
 const growthSubject = "valvecove" // also the name of the scheduler's log file
 
 // Growth describes a comparison of the resources that one scheduler uses with the same traffic at two sizes of the fleet.
-// Options are the settings of both runs.
+// These may grow only within bounds (GrowthReport.Verdicts). Options are the settings of both runs.
 type Growth struct {
 	Options
 	Workers int // at the usual size
--- a/internal/testbed/fleet/growth_test.go
+++ b/internal/testbed/fleet/growth_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The connections and the list bytes of the real program grow within the bounds. Figures that depend on the speed of the
-// machine are not checked. Few clients send requests, and each waits for its response, so that few jobs run at once also
-// on a slow machine.
+// The connections and the list bytes of the real program grow within the bounds that the larger, standing growth test uses
+// too. Figures that depend on the speed of the machine are not checked. Few clients send requests, and each waits for its
+// response, so that few jobs run at once also on a slow machine.
 func TestGrowth(t *testing.T) {
 	if _, err := FindCores(); err != nil {
 		t.Skip(err)
@@ -37,8 +37,8 @@
 	}
 }
 
-// The bounds for 3,200 workers, compared with 200: figures just within each bound are accepted, and figures just beyond it
-// are not.
+// The bounds of the standing growth test, for 3,200 workers compared with 200: figures just within each bound are accepted,
+// and figures just beyond it are not.
 func TestGrowthVerdicts(t *testing.T) {
 	report := &GrowthReport{
 		Usual: GrowthFigures{
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -61,7 +61,8 @@
 	alteredRequests []string
 }
 
-// mailboxSize is the capacity of the mailbox. Each process and each sample of its usage posts a few functions a second.
+// mailboxSize is the capacity of the mailbox. Starts and exits of processes and samples of their usage post a few functions a
+// second.
 const mailboxSize = 1024
 
 func newDriver(spec *scenario.Scenario, opt Options) (d *driver, err error) {
--- a/internal/testbed/process/external_load.go
+++ b/internal/testbed/process/external_load.go
@@ -10,9 +10,9 @@
 
 // runGuest runs a guest's request: one that no client of the environment has sent, for example by curl. The environment
 // does not see it, so that the job takes no worker's slot.
-func (k *workerConn) runGuest(call string) {
-	d, w, sched := k.worker.driver, k.worker, k.scheduler
-	k.writeResponse(202, "")
+func (c *workerConn) runGuest(call string) {
+	d, w, sched := c.worker.driver, c.worker, c.scheduler
+	c.writeResponse(202, "")
 	sendState := func(state, result string) {
 		n := &requests.Callback{CallID: call, EndpointID: w.id, State: state}
 		if result != "" {
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -77,17 +77,17 @@
 }
 
 // connect opens a further connection and writes b to it.
-func (o *misbehavingClient) connect(b []byte) *misbehavingConn {
-	conn := &misbehavingConn{client: o}
-	d := o.driver
-	from := d.addresses.client(uint64(o.id) + uint64(len(o.conns)))
-	if err := d.dial(&conn.socketConn, from, d.addresses.scheduler(o.scheduler), conn); err != nil {
+func (m *misbehavingClient) connect(b []byte) *misbehavingConn {
+	conn := &misbehavingConn{client: m}
+	d := m.driver
+	from := d.addresses.client(uint64(m.id) + uint64(len(m.conns)))
+	if err := d.dial(&conn.socketConn, from, d.addresses.scheduler(m.scheduler), conn); err != nil {
 		d.failIfLocal(err)
 		conn.closed = true
 		return conn
 	}
-	o.conns = append(o.conns, conn)
-	o.open++
+	m.conns = append(m.conns, conn)
+	m.open++
 	if len(b) > 0 {
 		conn.write(b)
 	}
@@ -95,67 +95,67 @@
 }
 
 // close ends the client and resets its connections, without a report to the environment.
-func (o *misbehavingClient) close() {
-	if o.ended {
+func (m *misbehavingClient) close() {
+	if m.ended {
 		return
 	}
-	o.ended = true
-	o.driver.stop(o.timer)
-	delete(o.driver.misbehaving, o.id)
-	for _, k := range o.conns {
-		o.driver.stop(k.slowTimer)
+	m.ended = true
+	m.driver.stop(m.timer)
+	delete(m.driver.misbehaving, m.id)
+	for _, k := range m.conns {
+		m.driver.stop(k.slowTimer)
 		k.reset()
 	}
 }
 
 // end reports that the connections have closed, if nothing was reported before, and ends the client.
-func (o *misbehavingClient) end() {
-	if !o.reported && !o.ended {
-		o.reported = true
-		o.driver.addOutput(o.scheduler, simapi.ClientConnClosed{Conn: o.id})
+func (m *misbehavingClient) end() {
+	if !m.reported && !m.ended {
+		m.reported = true
+		m.driver.addOutput(m.scheduler, simapi.ClientConnClosed{Conn: m.id})
 	}
-	o.close()
+	m.close()
 }
 
-func (k *misbehavingConn) dataReceived(int) {
-	owner := k.client
-	for len(k.received) > 0 && !k.closed {
-		a, _, n, err := owner.driver.reader.response(k.received, false)
+func (c *misbehavingConn) dataReceived(int) {
+	owner := c.client
+	for len(c.received) > 0 && !c.closed {
+		a, _, n, err := owner.driver.reader.response(c.received, false)
 		if err != nil {
-			k.reset()
-			k.connClosed(err)
+			c.reset()
+			c.connClosed(err)
 			return
 		}
 		if n == 0 {
 			return
 		}
-		k.consume(n)
-		owner.responseReceived(k, a.StatusCode)
+		c.consume(n)
+		owner.responseReceived(c, a.StatusCode)
 	}
 }
 
-func (o *misbehavingClient) responseReceived(k *misbehavingConn, status int) {
-	if !o.reported || status/100 == 2 {
-		o.reported = true
-		o.driver.addOutput(o.scheduler, simapi.ResponseWritten{Conn: o.id, Status: status})
+func (m *misbehavingClient) responseReceived(k *misbehavingConn, status int) {
+	if !m.reported || status/100 == 2 {
+		m.reported = true
+		m.driver.addOutput(m.scheduler, simapi.ResponseWritten{Conn: m.id, Status: status})
 	}
 	switch {
-	case o.kind == "flood" || o.kind == "slow_reader": // further responses follow
-	case o.kind == "insist" && status/100 != 2 && o.repeats < maxRepeats && o.driver.now < o.repeatUntil:
-		o.repeats++
-		k.write(o.repeatedRequest)
+	case m.kind == "flood" || m.kind == "slow_reader": // further responses follow
+	case m.kind == "insist" && status/100 != 2 && m.repeats < maxRepeats && m.driver.now < m.repeatUntil:
+		m.repeats++
+		k.write(m.repeatedRequest)
 	default:
-		o.close()
+		m.close()
 	}
 }
 
-func (k *misbehavingConn) connClosed(error) {
-	owner := k.client
+func (c *misbehavingConn) connClosed(error) {
+	owner := c.client
 	owner.open--
-	owner.driver.stop(k.slowTimer)
+	owner.driver.stop(c.slowTimer)
 	switch {
 	case owner.ended:
-	case owner.kind == "insist" && k.connected && owner.repeats < maxRepeats && owner.driver.now < owner.repeatUntil:
+	case owner.kind == "insist" && c.connected && owner.repeats < maxRepeats && owner.driver.now < owner.repeatUntil:
 		owner.repeats++
 		owner.connect(owner.repeatedRequest)
 		fallthrough
@@ -166,31 +166,31 @@
 	}
 }
 
-func (k *misbehavingConn) flushed() {
-	if k.closeWhenFlushed {
-		k.close()
-		k.connClosed(nil)
+func (c *misbehavingConn) flushed() {
+	if c.closeWhenFlushed {
+		c.close()
+		c.connClosed(nil)
 		return
 	}
 	for range maxFeedsAtOnce {
-		if k.feed == nil || k.closed || len(k.unsent) > 0 {
+		if c.feed == nil || c.closed || len(c.unsent) > 0 {
 			return
 		}
-		if b := k.feed(); b != nil {
-			k.write(b)
+		if b := c.feed(); b != nil {
+			c.write(b)
 		} else {
-			k.feed = nil
+			c.feed = nil
 		}
 	}
-	k.setEvents(k.events | unix.EPOLLOUT) // goes on after the other sockets
+	c.setEvents(c.events | unix.EPOLLOUT) // goes on after the other sockets
 }
 
 // repeatSlowly calls do at intervals of slowByteInterval until the connection is closed.
-func (k *misbehavingConn) repeatSlowly(do func()) {
-	if !k.closed {
-		k.slowTimer = k.client.driver.after(slowByteInterval, func() {
+func (c *misbehavingConn) repeatSlowly(do func()) {
+	if !c.closed {
+		c.slowTimer = c.client.driver.after(slowByteInterval, func() {
 			do()
-			k.repeatSlowly(do)
+			c.repeatSlowly(do)
 		})
 	}
 }
--- a/internal/testbed/process/misbehaving_actions.go
+++ b/internal/testbed/process/misbehaving_actions.go
@@ -20,17 +20,17 @@
 }
 
 // newRequest makes a valid request. n is its number among the requests of the client.
-func (o *misbehavingClient) newRequest(n int) misbehavingRequest {
-	spec := o.driver.spec
-	class := &spec.Classes[o.rng.IntN(len(spec.Classes))]
-	name := misbehavingPrefix + strconv.FormatUint(uint64(o.id), 36) + "-" + strconv.Itoa(n)
+func (m *misbehavingClient) newRequest(n int) misbehavingRequest {
+	spec := m.driver.spec
+	class := &spec.Classes[m.rng.IntN(len(spec.Classes))]
+	name := misbehavingPrefix + strconv.FormatUint(uint64(m.id), 36) + "-" + strconv.Itoa(n)
 	request := misbehavingRequest{
-		endpoint: o.driver.addresses.scheduler(o.scheduler).String(),
+		endpoint: m.driver.addresses.scheduler(m.scheduler).String(),
 		class:    class.Name, path: "/" + class.Name + "/" + name, id: name,
-		budget: strconv.FormatInt(class.Deadline.Std().Milliseconds(), 10), body: strings.Repeat("x", 1+o.rng.IntN(200)),
+		budget: strconv.FormatInt(class.Deadline.Std().Milliseconds(), 10), body: strings.Repeat("x", 1+m.rng.IntN(200)),
 	}
 	if len(spec.Tenants) > 0 {
-		request.caller = spec.Tenants[o.rng.IntN(len(spec.Tenants))].Name
+		request.caller = spec.Tenants[m.rng.IntN(len(spec.Tenants))].Name
 	}
 	if class.Idempotency == "keyed" {
 		request.key = name
@@ -85,54 +85,54 @@
 }
 
 // start performs the action of the client's kind.
-func (o *misbehavingClient) start(spec *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) start(spec *simapi.ClientMisbehaves) {
 	misbehave := misbehaviors[spec.Kind]
 	if misbehave == nil {
-		o.driver.fail(fmt.Errorf("unknown kind of misbehaving client %q: expected one of %s", spec.Kind,
+		m.driver.fail(fmt.Errorf("unknown kind of misbehaving client %q: expected one of %s", spec.Kind,
 			strings.Join(scenario.MisbehaviorKinds, ", ")))
 		return
 	}
-	misbehave(o, o.newRequest(0), spec)
+	misbehave(m, m.newRequest(0), spec)
 }
 
-func (o *misbehavingClient) sendGarbage(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	b := make([]byte, 1+o.rng.IntN(8<<10))
+func (m *misbehavingClient) sendGarbage(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	b := make([]byte, 1+m.rng.IntN(8<<10))
 	for i := range b {
-		b[i] = byte(o.rng.Uint32())
+		b[i] = byte(m.rng.Uint32())
 	}
-	o.connect(append(b, "\r\n\r\n"...))
+	m.connect(append(b, "\r\n\r\n"...))
 }
 
-func (o *misbehavingClient) sendEndlessHeader(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendEndlessHeader(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
-	o.connect(http1.AppendRequestStart(nil, "POST", request.path, request.endpoint)).feed = func() []byte { return line }
+	m.connect(http1.AppendRequestStart(nil, "POST", request.path, request.endpoint)).feed = func() []byte { return line }
 }
 
 // sendWrongLength sends a Content-Length that is too large, so that the request is never complete, or too small, so that
 // the rest of the body is read as a malformed request.
-func (o *misbehavingClient) sendWrongLength(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
-	off := 1 + o.rng.IntN(len(request.body))
+func (m *misbehavingClient) sendWrongLength(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
+	off := 1 + m.rng.IntN(len(request.body))
 	if spec.Number%2 == 0 {
 		off = -off
 	}
 	request.length = strconv.Itoa(len(request.body) + off)
-	o.connect(request.bytes())
+	m.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendNegativeLength(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	request.length = strconv.Itoa(-1 - o.rng.IntN(1000))
-	o.connect(request.bytes())
+func (m *misbehavingClient) sendNegativeLength(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	request.length = strconv.Itoa(-1 - m.rng.IntN(1000))
+	m.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendHugeLength(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	request.length = "9" + strings.Repeat("0", 8+o.rng.IntN(20))
-	o.connect(request.bytes())
+func (m *misbehavingClient) sendHugeLength(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	request.length = "9" + strings.Repeat("0", 8+m.rng.IntN(20))
+	m.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendHugeBody(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendHugeBody(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.length, request.body = strconv.Itoa(hugeBody), ""
 	part, remaining := make([]byte, 64<<10), hugeBody
-	o.connect(request.bytes()).feed = func() []byte {
+	m.connect(request.bytes()).feed = func() []byte {
 		n := min(remaining, len(part))
 		remaining -= n
 		if n == 0 {
@@ -142,70 +142,70 @@
 	}
 }
 
-func (o *misbehavingClient) sendUnknownClass(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendUnknownClass(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.setClass(unknownClass)
-	o.connect(request.bytes())
+	m.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendBadDeadline(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	request.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[o.rng.IntN(6)]
-	o.connect(request.bytes())
+func (m *misbehavingClient) sendBadDeadline(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	request.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[m.rng.IntN(6)]
+	m.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendNoID(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendNoID(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.id = ""
-	o.connect(request.bytes())
+	m.connect(request.bytes())
 }
 
 // sendStolenID sends a request with the id of another client's request.
-func (o *misbehavingClient) sendStolenID(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendStolenID(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
 	if spec.RequestID != "" {
 		request.id = spec.RequestID
 	}
-	o.connect(request.bytes())
+	m.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendHalfThenClose(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendHalfThenClose(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	b := request.bytes()
-	o.connect(b[:1+o.rng.IntN(len(b)-1)]).closeWhenFlushed = true
+	m.connect(b[:1+m.rng.IntN(len(b)-1)]).closeWhenFlushed = true
 }
 
 // sendFlood sends hundreds of requests at once.
-func (o *misbehavingClient) sendFlood(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendFlood(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	var b []byte
-	for i := range 200 + o.rng.IntN(300) {
-		request := o.newRequest(i)
+	for i := range 200 + m.rng.IntN(300) {
+		request := m.newRequest(i)
 		b = append(b, request.bytes()...)
 	}
-	o.connect(b)
+	m.connect(b)
 }
 
 // sendRepeatedly repeats a request until it is served, at most maxRepeats times and for maxRepeatTime.
-func (o *misbehavingClient) sendRepeatedly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	o.repeatedRequest = request.bytes()
-	o.connect(o.repeatedRequest)
+func (m *misbehavingClient) sendRepeatedly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	m.repeatedRequest = request.bytes()
+	m.connect(m.repeatedRequest)
 }
 
-func (o *misbehavingClient) sendNothing(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	o.connect(nil)
+func (m *misbehavingClient) sendNothing(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	m.connect(nil)
 }
 
 // sendSmuggled hides a request in the body of another that has both Transfer-Encoding and Content-Length: by the chunks the
 // body ends before the hidden request, by the length after it.
-func (o *misbehavingClient) sendSmuggled(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
-	hidden := o.newRequest(1)
+func (m *misbehavingClient) sendSmuggled(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	hidden := m.newRequest(1)
 	hidden.id = hiddenPrefix + hidden.id
 	hidden.setClass(hidden.class)
 	request.extraFields = "Transfer-Encoding: chunked\r\n"
 	request.body = "0\r\n\r\n" + string(hidden.bytes())
 	request.length = strconv.Itoa(len(request.body))
-	o.connect(request.bytes())
+	m.connect(request.bytes())
 }
 
 // sendHeaderSlowly sends a request byte by byte, one in each slowByteInterval.
-func (o *misbehavingClient) sendHeaderSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) sendHeaderSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	b := request.bytes()
-	conn, sent := o.connect(b[:1]), 1
+	conn, sent := m.connect(b[:1]), 1
 	conn.repeatSlowly(func() {
 		if sent < len(b) {
 			conn.write(b[sent : sent+1])
@@ -215,13 +215,13 @@
 }
 
 // readSlowly sends a megabyte of requests and reads the responses a few bytes at a time.
-func (o *misbehavingClient) readSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
+func (m *misbehavingClient) readSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.setClass(unknownClass)
 	var b []byte
 	for one := request.bytes(); len(b) < 1<<20; {
 		b = append(b, one...)
 	}
-	conn := o.connect(b)
+	conn := m.connect(b)
 	conn.setReading(false)
 	conn.repeatSlowly(func() {
 		if conn.connected {
--- a/internal/testbed/process/poller.go
+++ b/internal/testbed/process/poller.go
@@ -81,9 +81,9 @@
 
 type wakeupHandler struct{ poller *poller }
 
-func (b wakeupHandler) ready(uint32) {
+func (h wakeupHandler) ready(uint32) {
 	var n [8]byte
-	_, _ = unix.Read(b.poller.wakeup, n[:])
+	_, _ = unix.Read(h.poller.wakeup, n[:])
 }
 
 // add watches a descriptor for events.
--- a/internal/testbed/process/readiness.go
+++ b/internal/testbed/process/readiness.go
@@ -21,65 +21,65 @@
 	s.readiness.poll()
 }
 
-func (u *readinessPoll) stop() {
-	u.stopped = true
-	u.scheduler.driver.stop(u.timer)
-	u.reset()
+func (p *readinessPoll) stop() {
+	p.stopped = true
+	p.scheduler.driver.stop(p.timer)
+	p.reset()
 }
 
-func (u *readinessPoll) pollAfter(after time.Duration) {
-	u.scheduler.driver.stop(u.timer)
-	u.waiting = false
-	u.timer = u.scheduler.driver.after(after, u.poll)
+func (p *readinessPoll) pollAfter(after time.Duration) {
+	p.scheduler.driver.stop(p.timer)
+	p.waiting = false
+	p.timer = p.scheduler.driver.after(after, p.poll)
 }
 
-func (u *readinessPoll) poll() {
-	loop := u.scheduler.driver
-	if u.closed || u.poller == nil {
-		if err := loop.dial(&u.socketConn, loop.addresses.client(0), u.scheduler.listen, u); err != nil {
-			if u.closed = true; !loop.failIfLocal(err) {
-				u.pollAfter(readyPollFirst)
+func (p *readinessPoll) poll() {
+	loop := p.scheduler.driver
+	if p.closed || p.poller == nil {
+		if err := loop.dial(&p.socketConn, loop.addresses.client(0), p.scheduler.listen, p); err != nil {
+			if p.closed = true; !loop.failIfLocal(err) {
+				p.pollAfter(readyPollFirst)
 			}
 			return
 		}
 	}
-	u.waiting = true
-	u.timer = loop.after(readyPollTimeout, func() {
-		u.reset()
-		u.pollAfter(readyPollFirst)
+	p.waiting = true
+	p.timer = loop.after(readyPollTimeout, func() {
+		p.reset()
+		p.pollAfter(readyPollFirst)
 	})
-	loop.writeBuffer = append(http1.AppendRequestStart(loop.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
-	u.write(loop.writeBuffer)
+	loop.writeBuffer = append(http1.AppendRequestStart(loop.writeBuffer[:0], "GET", "/up", p.scheduler.listen.String()), "\r\n"...)
+	p.write(loop.writeBuffer)
 }
 
-func (u *readinessPoll) dataReceived(int) {
-	response, _, n, err := u.scheduler.driver.reader.response(u.received, false)
-	if err != nil || n > 0 && !u.waiting {
-		u.reset()
-		u.connClosed(err)
+func (p *readinessPoll) dataReceived(int) {
+	response, _, n, err := p.scheduler.driver.reader.response(p.received, false)
+	if err != nil || n > 0 && !p.waiting {
+		p.reset()
+		p.connClosed(err)
 		return
 	}
 	if n == 0 {
 		return
 	}
-	u.consume(n)
+	p.consume(n)
 	if response.Close {
-		u.reset()
+		p.reset()
 	}
-	if u.responseReceived(response.StatusCode == 200); !u.stopped {
-		u.pollAfter(readyPollInterval)
+	if p.responseReceived(response.StatusCode == 200); !p.stopped {
+		p.pollAfter(readyPollInterval)
 	}
 }
 
-func (u *readinessPoll) connClosed(error) {
-	if !u.stopped && u.waiting {
-		u.pollAfter(readyPollFirst)
+func (p *readinessPoll) connClosed(error) {
+	if !p.stopped && p.waiting {
+		p.pollAfter(readyPollFirst)
 	}
 }
 
 // responseReceived reports the readiness to the environment if it has changed.
-func (u *readinessPoll) responseReceived(up bool) {
-	if s := u.scheduler; up != s.ready {
+func (p *readinessPoll) responseReceived(up bool) {
+	if s := p.scheduler; up != s.ready {
 		s.ready, s.everReady = up, s.everReady || up
 		if up {
 			s.driver.addOutput(s.number, simapi.Ready{})
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -46,8 +46,8 @@
 // count against a scheduler.
 type localError struct{ err error }
 
-func (f localError) Error() string { return f.err.Error() }
-func (f localError) Unwrap() error { return f.err }
+func (e localError) Error() string { return e.err.Error() }
+func (e localError) Unwrap() error { return e.err }
 
 func newSocket() (int, error) {
 	fd, err := loopback.NewSocket()
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -37,18 +37,18 @@
 
 // setMode sets how one of the machines accepts connections, and opens the machines up to it that are not open yet. The
 // modes of the other machines stay.
-func (n *worker) setMode(which, mode int) error {
-	if which >= len(n.machines) {
-		if err := n.driver.addresses.checkCapacity((which+1)*n.driver.spec.Fleet.Workers, 1); err != nil {
+func (w *worker) setMode(which, mode int) error {
+	if which >= len(w.machines) {
+		if err := w.driver.addresses.checkCapacity((which+1)*w.driver.spec.Fleet.Workers, 1); err != nil {
 			return localError{err}
 		}
 	}
-	for which >= len(n.machines) {
-		if err := n.openMachine(len(n.machines)); err != nil {
+	for which >= len(w.machines) {
+		if err := w.openMachine(len(w.machines)); err != nil {
 			return localError{err}
 		}
 	}
-	m := n.machines[which]
+	m := w.machines[which]
 	m.mode = mode
 	for _, l := range m.listeners {
 		if err := l.setMode(mode); err != nil {
@@ -59,11 +59,11 @@
 }
 
 // openMachine opens a machine's listeners. They refuse connections until a mode is set.
-func (n *worker) openMachine(which int) error {
+func (w *worker) openMachine(which int) error {
 	m := &machine{mode: simapi.AcceptNone}
-	n.machines = append(n.machines, m)
-	for sched := range n.driver.schedulers {
-		l, err := n.driver.listenAt(n.addr(which, sched), func(fd int) { n.accept(which, sched, fd) }, n.driver.fail)
+	w.machines = append(w.machines, m)
+	for sched := range w.driver.schedulers {
+		l, err := w.driver.listenAt(w.addr(which, sched), func(fd int) { w.accept(which, sched, fd) }, w.driver.fail)
 		if err != nil {
 			return err
 		}
@@ -73,12 +73,12 @@
 }
 
 // addr is the address at which a scheduler reaches one of the machines.
-func (n *worker) addr(which, sched int) netip.AddrPort {
-	return n.driver.addresses.worker(n.number+which*n.driver.spec.Fleet.Workers, sched)
+func (w *worker) addr(which, sched int) netip.AddrPort {
+	return w.driver.addresses.worker(w.number+which*w.driver.spec.Fleet.Workers, sched)
 }
 
-func (n *worker) close() {
-	for _, m := range n.machines {
+func (w *worker) close() {
+	for _, m := range w.machines {
 		for _, l := range m.listeners {
 			l.close()
 		}
@@ -116,138 +116,138 @@
 // connection is reset.
 const maxReadAhead = 256 << 10
 
-func (n *worker) accept(which, sched, fd int) {
-	s := n.driver.schedulers[sched]
+func (w *worker) accept(which, sched, fd int) {
+	s := w.driver.schedulers[sched]
 	s.connCount++
-	k := &workerConn{worker: n, machine: which, scheduler: sched, id: simapi.WorkerConn(sched, s.connCount)}
-	if err := n.driver.adopt(&k.socketConn, fd, k); err != nil {
-		n.driver.fail(err)
+	k := &workerConn{worker: w, machine: which, scheduler: sched, id: simapi.WorkerConn(sched, s.connCount)}
+	if err := w.driver.adopt(&k.socketConn, fd, k); err != nil {
+		w.driver.fail(err)
 		return
 	}
-	n.driver.workerConns[k.id] = k
-	k.addOutput(simapi.WorkerDialed{Worker: n.number, Machine: which, Conn: k.id})
+	w.driver.workerConns[k.id] = k
+	k.addOutput(simapi.WorkerDialed{Worker: w.number, Machine: which, Conn: k.id})
 }
 
-func (k *workerConn) addOutput(message simapi.OutputMessage) {
-	k.worker.driver.addOutput(k.scheduler, message)
+func (c *workerConn) addOutput(message simapi.OutputMessage) {
+	c.worker.driver.addOutput(c.scheduler, message)
 }
 
 // firstByteTime is when the first byte of the current request came, in the environment's time.
-func (k *workerConn) firstByteTime() time.Duration {
-	return k.worker.driver.environmentTime(k.firstByteAt)
+func (c *workerConn) firstByteTime() time.Duration {
+	return c.worker.driver.environmentTime(c.firstByteAt)
 }
 
 // accepted handles the environment's acceptance of the connection. If resetAfter is above 0, the worker resets the
 // connection after so many bytes.
-func (k *workerConn) accepted(resetAfter int) {
-	k.open, k.resetAfter = true, resetAfter
-	k.handleReceived()
+func (c *workerConn) accepted(resetAfter int) {
+	c.open, c.resetAfter = true, resetAfter
+	c.handleReceived()
 }
 
 // closeByWorker closes the connection from the worker's side, without a report to the environment.
-func (k *workerConn) closeByWorker(reset bool) {
-	delete(k.worker.driver.workerConns, k.id)
+func (c *workerConn) closeByWorker(reset bool) {
+	delete(c.worker.driver.workerConns, c.id)
 	if reset {
-		k.reset()
+		c.reset()
 	} else {
-		k.close()
+		c.close()
 	}
 }
 
 // reportClosed reports to the environment that the connection has closed: by the scheduler, or by a reset after the number
 // of bytes that the environment set.
-func (k *workerConn) reportClosed() {
-	delete(k.worker.driver.workerConns, k.id)
-	k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
+func (c *workerConn) reportClosed() {
+	delete(c.worker.driver.workerConns, c.id)
+	c.addOutput(simapi.WorkerConnClosed{Worker: c.worker.number, Conn: c.id})
 }
 
-func (k *workerConn) connClosed(error) { k.reportClosed() }
+func (c *workerConn) connClosed(error) { c.reportClosed() }
 
-func (k *workerConn) dataReceived(fresh int) {
-	if !k.requestBegun {
-		k.requestBegun, k.firstByteAt = true, k.poller.now
+func (c *workerConn) dataReceived(fresh int) {
+	if !c.requestBegun {
+		c.requestBegun, c.firstByteAt = true, c.poller.now
 	}
-	k.bytesRead += fresh
-	k.handleReceived()
+	c.bytesRead += fresh
+	c.handleReceived()
 }
 
 // handleReceived handles the received requests that are complete, up to the first that the environment has to respond to. It
 // resets the connection once it has received resetAfter bytes, or more than maxReadAhead unhandled ones.
-func (k *workerConn) handleReceived() {
-	if k.closed || !k.open {
+func (c *workerConn) handleReceived() {
+	if c.closed || !c.open {
 		return
 	}
-	ended := k.resetAfter > 0 && k.bytesRead >= k.resetAfter
+	ended := c.resetAfter > 0 && c.bytesRead >= c.resetAfter
 	if ended {
-		k.received = k.received[:max(0, len(k.received)-(k.bytesRead-k.resetAfter))] // the worker does not read the rest
-		k.bytesRead = k.resetAfter
+		c.received = c.received[:max(0, len(c.received)-(c.bytesRead-c.resetAfter))] // the worker does not read the rest
+		c.bytesRead = c.resetAfter
 	}
-	for !k.awaitingResponse && !k.closing && len(k.received) > 0 {
-		q, body, n, err := k.worker.driver.reader.request(k.received)
+	for !c.awaitingResponse && !c.closing && len(c.received) > 0 {
+		q, body, n, err := c.worker.driver.reader.request(c.received)
 		if err != nil {
-			k.writeResponse(400, "") // a malformed request; the connection can't be used any more
-			k.closeWhenFlushed(false)
+			c.writeResponse(400, "") // a malformed request; the connection can't be used any more
+			c.closeWhenFlushed(false)
 			break
 		}
 		if n == 0 {
 			break
 		}
-		k.handleRequest(q, body)
-		k.consume(n)
-		k.requestBegun, k.firstByteAt = len(k.received) > 0, k.poller.now
+		c.handleRequest(q, body)
+		c.consume(n)
+		c.requestBegun, c.firstByteAt = len(c.received) > 0, c.poller.now
 	}
-	if !k.closed && (ended || len(k.received) > maxReadAhead) {
-		k.reset()
-		k.reportClosed()
+	if !c.closed && (ended || len(c.received) > maxReadAhead) {
+		c.reset()
+		c.reportClosed()
 	}
 }
 
 // handleRequest passes a request on to the environment, or responds to it where the protocol alone determines the response.
-func (k *workerConn) handleRequest(request *http.Request, body []byte) {
+func (c *workerConn) handleRequest(request *http.Request, body []byte) {
 	path, _, _ := strings.Cut(request.RequestURI, "?")
 	switch cancelledID, isJob := strings.CutPrefix(path, "/jobs/"); {
 	case request.Method == http.MethodGet && path == "/alive":
-		k.awaitingResponse = true
-		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime()})
+		c.awaitingResponse = true
+		c.addOutput(simapi.HealthCheckWritten{Worker: c.worker.number, Conn: c.id, FirstByteAt: c.firstByteTime()})
 	case request.Method == http.MethodGet && path == "/metrics/load":
-		k.awaitingResponse = true
-		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime(), WantsLoadReport: true})
+		c.awaitingResponse = true
+		c.addOutput(simapi.HealthCheckWritten{Worker: c.worker.number, Conn: c.id, FirstByteAt: c.firstByteTime(), WantsLoadReport: true})
 	case request.Method == http.MethodDelete && isJob && cancelledID != "":
-		k.awaitingResponse = true
-		k.addOutput(simapi.CancellationWritten{Worker: k.worker.number, Conn: k.id, RequestID: cancelledID, FirstByteAt: k.firstByteTime()})
+		c.awaitingResponse = true
+		c.addOutput(simapi.CancellationWritten{Worker: c.worker.number, Conn: c.id, RequestID: cancelledID, FirstByteAt: c.firstByteTime()})
 	case request.Method == http.MethodPost:
-		k.handleAttempt(request, path, body)
+		c.handleAttempt(request, path, body)
 	default:
-		k.writeResponse(404, "")
+		c.writeResponse(404, "")
 	}
-	if k.closing = k.closing || request.Close; request.Close && !k.awaitingResponse {
-		k.closeWhenFlushed(false)
+	if c.closing = c.closing || request.Close; request.Close && !c.awaitingResponse {
+		c.closeWhenFlushed(false)
 	}
 }
 
 // handleAttempt checks an attempt and passes it on to the environment.
-func (k *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
-	loop := k.worker.driver
+func (c *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
+	loop := c.worker.driver
 	requestID, ok := singleValue(request.Header, "X-Call-Id")
 	key, ok2 := singleValue(request.Header, "Idempotency-Key")
 	budget, ok3 := singleValue(request.Header, "X-Budget-Ms")
 	budgetMs, err := strconv.ParseUint(budget, 10, 40)
 	switch {
 	case requestID == "":
-		k.writeResponse(404, "")
+		c.writeResponse(404, "")
 		return
 	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
-		k.writeResponse(400, "")
+		c.writeResponse(400, "")
 		return
 	case isMisbehavingPath(path): // a misbehaving client's request; a machine that is cut off does not respond
-		if k.worker.machines[k.machine].mode != simapi.AcceptSilently {
-			k.writeResponse(400, "")
+		if c.worker.machines[c.machine].mode != simapi.AcceptSilently {
+			c.writeResponse(400, "")
 		}
 		return
 	}
 	form := loop.requestForms.find(requestID)
 	if form == nil && loop.options.Guests && !isHiddenRequest(requestID) {
-		k.runGuest(requestID)
+		c.runGuest(requestID)
 		return
 	}
 	if form != nil {
@@ -256,15 +256,15 @@
 		if what := loop.describeAlteration(form, request, key, body); what != "" {
 			if len(loop.alteredRequests) < maxAltered {
 				loop.alteredRequests = append(loop.alteredRequests, fmt.Sprintf("request %s reached w-%d from scheduler %d with another %s",
-					requestID, k.worker.number, k.scheduler, what))
+					requestID, c.worker.number, c.scheduler, what))
 			}
 			requestID += "!" + what
 		}
 	}
-	k.awaitingResponse = true
-	k.addOutput(simapi.AttemptWritten{
-		Worker: k.worker.number, Conn: k.id, RequestID: requestID, IdempotencyKey: key,
-		Budget: time.Duration(budgetMs) * time.Millisecond, FirstByteAt: k.firstByteTime(),
+	c.awaitingResponse = true
+	c.addOutput(simapi.AttemptWritten{
+		Worker: c.worker.number, Conn: c.id, RequestID: requestID, IdempotencyKey: key,
+		Budget: time.Duration(budgetMs) * time.Millisecond, FirstByteAt: c.firstByteTime(),
 	})
 }
 
@@ -272,44 +272,44 @@
 
 // respond sends the environment's response to the last request. If only some bytes of it are to be sent, the connection is
 // reset after them.
-func (k *workerConn) respond(response *simapi.ResponseReceived) {
+func (c *workerConn) respond(response *simapi.ResponseReceived) {
 	fields := ""
 	if response.Rejected {
 		fields = "X-Rejected: 1\r\n"
 	}
 	if response.Bytes > 0 {
 		b := http1.AppendResponse(nil, response.Status, fields, nil, true)
-		k.awaitingResponse = false
-		k.write(b[:min(response.Bytes, len(b))])
-		k.closeWhenFlushed(true)
+		c.awaitingResponse = false
+		c.write(b[:min(response.Bytes, len(b))])
+		c.closeWhenFlushed(true)
 		return
 	}
-	k.writeResponse(response.Status, fields)
-	k.awaitingResponse = false
-	if k.closing {
-		k.closeWhenFlushed(false)
+	c.writeResponse(response.Status, fields)
+	c.awaitingResponse = false
+	if c.closing {
+		c.closeWhenFlushed(false)
 		return
 	}
-	k.handleReceived()
+	c.handleReceived()
 }
 
-func (k *workerConn) writeResponse(status int, fields string) {
-	d := k.worker.driver
+func (c *workerConn) writeResponse(status int, fields string) {
+	d := c.worker.driver
 	d.writeBuffer = http1.AppendResponse(d.writeBuffer[:0], status, fields, nil, true)
-	k.write(d.writeBuffer)
+	c.write(d.writeBuffer)
 }
 
 // closeWhenFlushed closes the connection, by a reset if so wanted, once everything is written.
-func (k *workerConn) closeWhenFlushed(reset bool) {
-	k.closing, k.resetting = true, reset
-	if len(k.unsent) == 0 {
-		k.flushed()
+func (c *workerConn) closeWhenFlushed(reset bool) {
+	c.closing, c.resetting = true, reset
+	if len(c.unsent) == 0 {
+		c.flushed()
 	}
 }
 
-func (k *workerConn) flushed() {
-	if k.closing && !k.awaitingResponse && !k.closed {
-		k.closeByWorker(k.resetting)
-		k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
+func (c *workerConn) flushed() {
+	if c.closing && !c.awaitingResponse && !c.closed {
+		c.closeByWorker(c.resetting)
+		c.addOutput(simapi.WorkerConnClosed{Worker: c.worker.number, Conn: c.id})
 	}
 }
