--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -42,7 +42,7 @@
 	goroutines    sync.WaitGroup // the goroutines for commands and for reaping processes
 	incarnation   int            // number of the current process; a replacement counts
 	alive         bool           // a process was started, and the environment has neither killed it nor been notified of its exit
-	ready         bool           // the current process has responded to GET /up
+	ready         bool           // the latest response to GET /up was 200
 	everReady     bool           // a process has been ready
 	readiness     *readinessPoll
 	callbackPools map[int]*callbackPool // by worker
