--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	errPeerNotReading = errors.New("the other side does not read")
-	errTooLong        = errors.New("message too long")
+	errPeerNotReading = errors.New("the other side reads nothing")
+	errTooLong        = errors.New("a message is too long")
 )
 
 // conn is one end of a TCP connection. It belongs to one engine, and only that engine's thread may use it.
