--- a/internal/testbed/process/readiness.go
+++ b/internal/testbed/process/readiness.go
@@ -7,14 +7,12 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds the poll of whether a scheduler is ready.
-
-// readinessPoll asks a process for /up, again and again.
+// readinessPoll polls GET /up of a scheduler's process, and reports changes of its readiness to the environment.
 type readinessPoll struct {
 	socketConn
 	scheduler *scheduler
-	timer     *timer // the next poll, or the timeout of this one
-	waiting   bool
+	timer     *timer // for the next poll, or the timeout of the current one
+	waiting   bool   // a poll is in flight
 	stopped   bool
 }
 
@@ -23,64 +21,65 @@
 	s.readiness.poll()
 }
 
-func (u *readinessPoll) stop() {
-	u.stopped = true
-	u.scheduler.driver.stop(u.timer)
-	u.reset()
+func (p *readinessPoll) stop() {
+	p.stopped = true
+	p.scheduler.driver.stop(p.timer)
+	p.reset()
 }
 
-func (u *readinessPoll) pollAfter(after time.Duration) {
-	u.scheduler.driver.stop(u.timer)
-	u.waiting = false
-	u.timer = u.scheduler.driver.after(after, u.poll)
+func (p *readinessPoll) pollAfter(after time.Duration) {
+	p.scheduler.driver.stop(p.timer)
+	p.waiting = false
+	p.timer = p.scheduler.driver.after(after, p.poll)
 }
 
-func (u *readinessPoll) poll() {
-	driver := u.scheduler.driver
-	if u.closed || u.poller == nil {
-		if err := driver.dial(&u.socketConn, driver.addresses.client(0), u.scheduler.listen, u); err != nil {
-			if u.closed = true; !driver.failIfLocal(err) {
-				u.pollAfter(readyPollFirst)
+func (p *readinessPoll) poll() {
+	loop := p.scheduler.driver
+	if p.closed || p.poller == nil {
+		if err := loop.dial(&p.socketConn, loop.addresses.client(0), p.scheduler.listen, p); err != nil {
+			if p.closed = true; !loop.failIfLocal(err) {
+				p.pollAfter(readyPollFirst)
 			}
 			return
 		}
 	}
-	u.waiting = true
-	u.timer = driver.after(readyPollTimeout, func() {
-		u.reset()
-		u.pollAfter(readyPollFirst)
+	p.waiting = true
+	p.timer = loop.after(readyPollTimeout, func() {
+		p.reset()
+		p.pollAfter(readyPollFirst)
 	})
-	driver.writeBuffer = append(http1.AppendRequestStart(driver.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
-	u.write(driver.writeBuffer)
+	loop.writeBuffer = append(http1.AppendRequestStart(loop.writeBuffer[:0], "GET", "/up", p.scheduler.listen.String()), "\r\n"...)
+	p.write(loop.writeBuffer)
 }
 
-func (u *readinessPoll) dataReceived(int) {
-	response, _, n, err := u.scheduler.driver.reader.response(u.received, false)
-	if err != nil || n > 0 && !u.waiting {
-		u.reset()
-		u.connClosed(err)
+func (p *readinessPoll) dataReceived(int) {
+	response, _, n, err := p.scheduler.driver.reader.response(p.received, false)
+	if err != nil || n > 0 && !p.waiting {
+		p.reset()
+		p.connClosed(err)
 		return
 	}
 	if n == 0 {
 		return
 	}
-	u.consume(n)
+	p.consume(n)
 	if response.Close {
-		u.reset()
+		p.reset()
 	}
-	if u.responseReceived(response.StatusCode == 200); !u.stopped {
-		u.pollAfter(readyPollInterval)
+	if p.responseReceived(response.StatusCode == 200); !p.stopped {
+		p.pollAfter(readyPollInterval)
 	}
 }
 
-func (u *readinessPoll) connClosed(error) {
-	if !u.stopped && u.waiting {
-		u.pollAfter(readyPollFirst)
+func (p *readinessPoll) connClosed(error) {
+	if !p.stopped && p.waiting {
+		p.pollAfter(readyPollFirst)
 	}
 }
 
-func (u *readinessPoll) responseReceived(up bool) {
-	if s := u.scheduler; up != s.ready {
+// responseReceived reports the readiness to the environment if it has changed.
+func (p *readinessPoll) responseReceived(up bool) {
+	if s := p.scheduler; up != s.ready {
 		s.ready, s.everReady = up, s.everReady || up
 		if up {
 			s.driver.addOutput(s.number, simapi.Ready{})
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -14,40 +14,41 @@
 	"valvecove/internal/testbed/simulation"
 )
 
-// worker is the stand-in for a worker, and for the machines that take its place. What it does is the environment's to
-// say; it speaks HTTP.
+// worker simulates a worker and the machines that replace it, one after another. It handles HTTP; the environment decides
+// what it does.
 type worker struct {
 	driver   *driver
 	number   int
-	id       string // as discovery told it last
-	machines []*machine
+	id       string     // the latest one in an endpoint list
+	machines []*machine // in the order in which they came into use
 }
 
-// machine has a listener for each scheduler.
+// machine is a machine of a worker. It has a listener for each scheduler.
 type machine struct {
-	mode      int
+	mode      int // how it accepts connections
 	listeners []*listener
 }
 
-// newWorker opens a worker. On a fault the node holds what there is to close.
+// newWorker opens a worker with its first machine. If it fails, the returned worker still has to be closed.
 func newWorker(d *driver, n int) (*worker, error) {
 	k := &worker{driver: d, number: n}
 	return k, k.setMode(0, simapi.AcceptAll)
 }
 
-// setMode has one of its machines accept by a mode. Those before it stay as they were told to be last.
-func (n *worker) setMode(which, mode int) error {
-	if which >= len(n.machines) {
-		if err := n.driver.addresses.hasAddresses((which+1)*n.driver.spec.Fleet.Workers, 1); err != nil {
+// setMode sets how one of the machines accepts connections, and opens the machines up to it that are not open yet. The
+// modes of the other machines stay.
+func (w *worker) setMode(which, mode int) error {
+	if which >= len(w.machines) {
+		if err := w.driver.addresses.checkCapacity((which+1)*w.driver.spec.Fleet.Workers, 1); err != nil {
 			return localError{err}
 		}
 	}
-	for which >= len(n.machines) {
-		if err := n.openMachine(len(n.machines)); err != nil {
+	for which >= len(w.machines) {
+		if err := w.openMachine(len(w.machines)); err != nil {
 			return localError{err}
 		}
 	}
-	m := n.machines[which]
+	m := w.machines[which]
 	m.mode = mode
 	for _, l := range m.listeners {
 		if err := l.setMode(mode); err != nil {
@@ -57,12 +58,12 @@
 	return nil
 }
 
-// openMachine gives a machine its addresses. It refuses until it is told how it accepts.
-func (n *worker) openMachine(which int) error {
+// openMachine opens a machine's listeners. They refuse connections until a mode is set.
+func (w *worker) openMachine(which int) error {
 	m := &machine{mode: simapi.AcceptNone}
-	n.machines = append(n.machines, m)
-	for sched := range n.driver.schedulers {
-		l, err := n.driver.listenAt(n.addr(which, sched), func(fd int) { n.accept(which, sched, fd) }, n.driver.fail)
+	w.machines = append(w.machines, m)
+	for sched := range w.driver.schedulers {
+		l, err := w.driver.listenAt(w.addr(which, sched), func(fd int) { w.accept(which, sched, fd) }, w.driver.fail)
 		if err != nil {
 			return err
 		}
@@ -71,20 +72,20 @@
 	return nil
 }
 
-// addr is where a scheduler reaches one of its machines.
-func (n *worker) addr(which, sched int) netip.AddrPort {
-	return n.driver.addresses.worker(n.number+which*n.driver.spec.Fleet.Workers, sched)
+// addr is the address at which a scheduler reaches one of the machines.
+func (w *worker) addr(which, sched int) netip.AddrPort {
+	return w.driver.addresses.worker(w.number+which*w.driver.spec.Fleet.Workers, sched)
 }
 
-func (n *worker) close() {
-	for _, m := range n.machines {
+func (w *worker) close() {
+	for _, m := range w.machines {
 		for _, l := range m.listeners {
 			l.close()
 		}
 	}
 }
 
-// workerOf finds the worker that an entry of the list stands for, and which of its machines; nil: there is none.
+// workerOf returns the worker of an entry of the endpoint list, and the index of its machine; nil if there is no such worker.
 func (d *driver) workerOf(h *requests.Endpoint) (n *worker, which int) {
 	i, which := simulation.NodeOf(h.ID)
 	if i < 0 || i >= len(d.workers) {
@@ -93,217 +94,222 @@
 	return d.workers[i], which
 }
 
-// workerConn is a connection from a scheduler to a worker. The kernel accepts it at once, the environment when it does:
-// until then what comes waits.
+// workerConn is a connection from a scheduler to a worker. The kernel establishes it at once. Received data waits until
+// the environment accepts the connection too.
 type workerConn struct {
 	socketConn
 	worker           *worker
 	machine          int
 	scheduler        int
 	id               simapi.Conn
-	open             bool
-	awaitingResponse bool // what was sent last awaits its answer
-	resetAfter       int  // it is reset once so many bytes have been read; 0: it isn't
-	bytesRead        int  // bytes read so far
-	firstByteAt      time.Duration
-	requestBegun     bool // the first byte of a request has come, at first
-	closing          bool // it is closed once all is written
-	resetting        bool // by a reset
+	open             bool          // the environment has accepted it
+	awaitingResponse bool          // the environment still has to respond to the last request
+	resetAfter       int           // bytes of data after which the worker resets it; 0: never
+	bytesRead        int           // bytes received so far
+	firstByteAt      time.Duration // when the first byte of the current request came, on the loop's clock
+	requestBegun     bool          // the first byte of a request has come
+	closing          bool          // it is closed once everything is written
+	resetting        bool          // by a reset
 }
 
-// maxReadAhead is how much a scheduler may send ahead of an answer.
+// maxReadAhead limits the bytes that a scheduler may send before the response to an earlier request. Beyond it the
+// connection is reset.
 const maxReadAhead = 256 << 10
 
-func (n *worker) accept(which, sched, fd int) {
-	s := n.driver.schedulers[sched]
+func (w *worker) accept(which, sched, fd int) {
+	s := w.driver.schedulers[sched]
 	s.connCount++
-	k := &workerConn{worker: n, machine: which, scheduler: sched, id: simapi.WorkerConn(sched, s.connCount)}
-	if err := n.driver.adopt(&k.socketConn, fd, k); err != nil {
-		n.driver.fail(err)
+	k := &workerConn{worker: w, machine: which, scheduler: sched, id: simapi.WorkerConn(sched, s.connCount)}
+	if err := w.driver.adopt(&k.socketConn, fd, k); err != nil {
+		w.driver.fail(err)
 		return
 	}
-	n.driver.workerConns[k.id] = k
-	k.addOutput(simapi.WorkerDialed{Worker: n.number, Machine: which, Conn: k.id})
+	w.driver.workerConns[k.id] = k
+	k.addOutput(simapi.WorkerDialed{Worker: w.number, Machine: which, Conn: k.id})
 }
 
-func (k *workerConn) addOutput(message simapi.OutputMessage) {
-	k.worker.driver.addOutput(k.scheduler, message)
+func (c *workerConn) addOutput(message simapi.OutputMessage) {
+	c.worker.driver.addOutput(c.scheduler, message)
 }
 
-// firstByteTime is when the first byte of the request came, in the environment's time.
-func (k *workerConn) firstByteTime() time.Duration {
-	return k.worker.driver.environmentTime(k.firstByteAt)
+// firstByteTime is when the first byte of the current request came, in the environment's time.
+func (c *workerConn) firstByteTime() time.Duration {
+	return c.worker.driver.environmentTime(c.firstByteAt)
 }
 
-// accepted is the environment's accepting of it. most > 0: the far end resets it after having read so many bytes.
-func (k *workerConn) accepted(most int) {
-	k.open, k.resetAfter = true, most
-	k.proceed()
+// accepted handles the environment's acceptance of the connection. If resetAfter is above 0, the worker resets the
+// connection after so many bytes.
+func (c *workerConn) accepted(resetAfter int) {
+	c.open, c.resetAfter = true, resetAfter
+	c.handleReceived()
 }
 
-// closeByWorker closes it from the worker's side.
-func (k *workerConn) closeByWorker(reset bool) {
-	delete(k.worker.driver.workerConns, k.id)
+// closeByWorker closes the connection from the worker's side, without a report to the environment.
+func (c *workerConn) closeByWorker(reset bool) {
+	delete(c.worker.driver.workerConns, c.id)
 	if reset {
-		k.reset()
+		c.reset()
 	} else {
-		k.close()
+		c.close()
 	}
 }
 
-// reportClosed tells the environment that it is over, by the scheduler's doing or by what the environment wanted done at some byte.
-func (k *workerConn) reportClosed() {
-	delete(k.worker.driver.workerConns, k.id)
-	k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
+// reportClosed reports to the environment that the connection has closed: by the scheduler, or by a reset after the number
+// of bytes that the environment set.
+func (c *workerConn) reportClosed() {
+	delete(c.worker.driver.workerConns, c.id)
+	c.addOutput(simapi.WorkerConnClosed{Worker: c.worker.number, Conn: c.id})
 }
 
-func (k *workerConn) connClosed(error) { k.reportClosed() }
+func (c *workerConn) connClosed(error) { c.reportClosed() }
 
-func (k *workerConn) dataReceived(fresh int) {
-	if !k.requestBegun {
-		k.requestBegun, k.firstByteAt = true, k.poller.now
+func (c *workerConn) dataReceived(fresh int) {
+	if !c.requestBegun {
+		c.requestBegun, c.firstByteAt = true, c.poller.now
 	}
-	k.bytesRead += fresh
-	k.proceed()
+	c.bytesRead += fresh
+	c.handleReceived()
 }
 
-// proceed takes the next request, if it is whole and there is room for it.
-func (k *workerConn) proceed() {
-	if k.closed || !k.open {
+// handleReceived handles the received requests that are complete, up to the first that the environment has to respond to. It
+// resets the connection once it has received resetAfter bytes, or more than maxReadAhead unhandled ones.
+func (c *workerConn) handleReceived() {
+	if c.closed || !c.open {
 		return
 	}
-	ended := k.resetAfter > 0 && k.bytesRead >= k.resetAfter
+	ended := c.resetAfter > 0 && c.bytesRead >= c.resetAfter
 	if ended {
-		k.received = k.received[:max(0, len(k.received)-(k.bytesRead-k.resetAfter))] // the rest was never read
-		k.bytesRead = k.resetAfter
+		c.received = c.received[:max(0, len(c.received)-(c.bytesRead-c.resetAfter))] // the worker does not read the rest
+		c.bytesRead = c.resetAfter
 	}
-	for !k.awaitingResponse && !k.closing && len(k.received) > 0 {
-		q, body, n, err := k.worker.driver.reader.request(k.received)
+	for !c.awaitingResponse && !c.closing && len(c.received) > 0 {
+		q, body, n, err := c.worker.driver.reader.request(c.received)
 		if err != nil {
-			k.writeResponse(400, "") // what it can't read, it closes on
-			k.closeWhenFlushed(false)
+			c.writeResponse(400, "") // a malformed request; the connection can't be used any more
+			c.closeWhenFlushed(false)
 			break
 		}
 		if n == 0 {
 			break
 		}
-		k.handleRequest(q, body)
-		k.consume(n)
-		k.requestBegun, k.firstByteAt = len(k.received) > 0, k.poller.now
+		c.handleRequest(q, body)
+		c.consume(n)
+		c.requestBegun, c.firstByteAt = len(c.received) > 0, c.poller.now
 	}
-	if !k.closed && (ended || len(k.received) > maxReadAhead) {
-		k.reset()
-		k.reportClosed()
+	if !c.closed && (ended || len(c.received) > maxReadAhead) {
+		c.reset()
+		c.reportClosed()
 	}
 }
 
-// handleRequest tells the environment of a request, or answers it where the protocol leaves nothing to say.
-func (k *workerConn) handleRequest(request *http.Request, body []byte) {
+// handleRequest passes a request on to the environment, or responds to it where the protocol alone determines the response.
+func (c *workerConn) handleRequest(request *http.Request, body []byte) {
 	path, _, _ := strings.Cut(request.RequestURI, "?")
-	switch withdrawn, isJob := strings.CutPrefix(path, "/jobs/"); {
+	switch cancelledID, isJob := strings.CutPrefix(path, "/jobs/"); {
 	case request.Method == http.MethodGet && path == "/alive":
-		k.awaitingResponse = true
-		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime()})
+		c.awaitingResponse = true
+		c.addOutput(simapi.HealthCheckWritten{Worker: c.worker.number, Conn: c.id, FirstByteAt: c.firstByteTime()})
 	case request.Method == http.MethodGet && path == "/metrics/load":
-		k.awaitingResponse = true
-		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime(), WantsLoadReport: true})
-	case request.Method == http.MethodDelete && isJob && withdrawn != "":
-		k.awaitingResponse = true
-		k.addOutput(simapi.CancellationWritten{Worker: k.worker.number, Conn: k.id, RequestID: withdrawn, FirstByteAt: k.firstByteTime()})
+		c.awaitingResponse = true
+		c.addOutput(simapi.HealthCheckWritten{Worker: c.worker.number, Conn: c.id, FirstByteAt: c.firstByteTime(), WantsLoadReport: true})
+	case request.Method == http.MethodDelete && isJob && cancelledID != "":
+		c.awaitingResponse = true
+		c.addOutput(simapi.CancellationWritten{Worker: c.worker.number, Conn: c.id, RequestID: cancelledID, FirstByteAt: c.firstByteTime()})
 	case request.Method == http.MethodPost:
-		k.handleAttempt(request, path, body)
+		c.handleAttempt(request, path, body)
 	default:
-		k.writeResponse(404, "")
+		c.writeResponse(404, "")
 	}
-	if k.closing = k.closing || request.Close; request.Close && !k.awaitingResponse {
-		k.closeWhenFlushed(false)
+	if c.closing = c.closing || request.Close; request.Close && !c.awaitingResponse {
+		c.closeWhenFlushed(false)
 	}
 }
 
-// handleAttempt takes an attempt that has been read whole.
-func (k *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
-	driver := k.worker.driver
+// handleAttempt checks an attempt and passes it on to the environment.
+func (c *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
+	loop := c.worker.driver
 	requestID, ok := singleValue(request.Header, "X-Call-Id")
 	key, ok2 := singleValue(request.Header, "Idempotency-Key")
 	budget, ok3 := singleValue(request.Header, "X-Budget-Ms")
 	budgetMs, err := strconv.ParseUint(budget, 10, 40)
 	switch {
 	case requestID == "":
-		k.writeResponse(404, "")
+		c.writeResponse(404, "")
 		return
 	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
-		k.writeResponse(400, "")
+		c.writeResponse(400, "")
 		return
-	case isMisbehavingPath(path): // a misbehaving client's: a worker can't use it
-		if k.worker.machines[k.machine].mode != simapi.AcceptSilently {
-			k.writeResponse(400, "")
+	case isMisbehavingPath(path): // a misbehaving client's request; a machine that is cut off does not respond
+		if c.worker.machines[c.machine].mode != simapi.AcceptSilently {
+			c.writeResponse(400, "")
 		}
 		return
 	}
-	form := driver.requestForms.find(requestID)
-	if form == nil && driver.options.Guests && !isHiddenRequest(requestID) {
-		k.runGuest(requestID)
+	form := loop.requestForms.find(requestID)
+	if form == nil && loop.options.Guests && !isHiddenRequest(requestID) {
+		c.runGuest(requestID)
 		return
 	}
 	if form != nil {
-		// Nobody has sent the request in this form; under its own id it would pass for one that somebody has.
-		if what := driver.describeAlteration(form, request, key, body); what != "" {
-			if len(driver.alteredRequests) < maxAltered {
-				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("request %s reached w-%d from scheduler %d with another %s",
-					requestID, k.worker.number, k.scheduler, what))
+		// The request was altered on the way. It gets another id, as the environment would take it for the client's
+		// request otherwise.
+		if what := loop.describeAlteration(form, request, key, body); what != "" {
+			if len(loop.alteredRequests) < maxAltered {
+				loop.alteredRequests = append(loop.alteredRequests, fmt.Sprintf("request %s reached w-%d from scheduler %d with another %s",
+					requestID, c.worker.number, c.scheduler, what))
 			}
 			requestID += "!" + what
 		}
 	}
-	k.awaitingResponse = true
-	k.addOutput(simapi.AttemptWritten{
-		Worker: k.worker.number, Conn: k.id, RequestID: requestID, IdempotencyKey: key,
-		Budget: time.Duration(budgetMs) * time.Millisecond, FirstByteAt: k.firstByteTime(),
+	c.awaitingResponse = true
+	c.addOutput(simapi.AttemptWritten{
+		Worker: c.worker.number, Conn: c.id, RequestID: requestID, IdempotencyKey: key,
+		Budget: time.Duration(budgetMs) * time.Millisecond, FirstByteAt: c.firstByteTime(),
 	})
 }
 
-// maxAltered is how many requests that came otherwise than a client sent them are named.
-const maxAltered = 100
+const maxAltered = 100 // altered requests that Outcome.AlteredRequests lists
 
-// respond is the worker's, by the environment.
-func (k *workerConn) respond(response *simapi.ResponseReceived) {
+// respond sends the environment's response to the last request. If only some bytes of it are to be sent, the connection is
+// reset after them.
+func (c *workerConn) respond(response *simapi.ResponseReceived) {
 	fields := ""
 	if response.Rejected {
 		fields = "X-Rejected: 1\r\n"
 	}
 	if response.Bytes > 0 {
 		b := http1.AppendResponse(nil, response.Status, fields, nil, true)
-		k.awaitingResponse = false
-		k.write(b[:min(response.Bytes, len(b))])
-		k.closeWhenFlushed(true)
+		c.awaitingResponse = false
+		c.write(b[:min(response.Bytes, len(b))])
+		c.closeWhenFlushed(true)
 		return
 	}
-	k.writeResponse(response.Status, fields)
-	k.awaitingResponse = false
-	if k.closing {
-		k.closeWhenFlushed(false)
+	c.writeResponse(response.Status, fields)
+	c.awaitingResponse = false
+	if c.closing {
+		c.closeWhenFlushed(false)
 		return
 	}
-	k.proceed()
+	c.handleReceived()
 }
 
-func (k *workerConn) writeResponse(status int, fields string) {
-	d := k.worker.driver
+func (c *workerConn) writeResponse(status int, fields string) {
+	d := c.worker.driver
 	d.writeBuffer = http1.AppendResponse(d.writeBuffer[:0], status, fields, nil, true)
-	k.write(d.writeBuffer)
+	c.write(d.writeBuffer)
 }
 
-// closeWhenFlushed closes it once all that was written has left.
-func (k *workerConn) closeWhenFlushed(reset bool) {
-	k.closing, k.resetting = true, reset
-	if len(k.unsent) == 0 {
-		k.flushed()
+// closeWhenFlushed closes the connection, by a reset if so wanted, once everything is written.
+func (c *workerConn) closeWhenFlushed(reset bool) {
+	c.closing, c.resetting = true, reset
+	if len(c.unsent) == 0 {
+		c.flushed()
 	}
 }
 
-func (k *workerConn) flushed() {
-	if k.closing && !k.awaitingResponse && !k.closed {
-		k.closeByWorker(k.resetting)
-		k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
+func (c *workerConn) flushed() {
+	if c.closing && !c.awaitingResponse && !c.closed {
+		c.closeByWorker(c.resetting)
+		c.addOutput(simapi.WorkerConnClosed{Worker: c.worker.number, Conn: c.id})
 	}
 }
