--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -80,7 +80,7 @@
 // isRepeatable reports whether a job of the class may be retried whatever was executed.
 func (c *class) isRepeatable() bool { return c.idempotent || c.idempotentWithKey && c.scope == "all" }
 
-// checkPair checks two attempts of a job, by their indexes in it, against each other.
+// checkPair checks two attempts of a job, given by their indexes, against each other.
 func (c *Checker) checkPair(job *job, request *request, early, late, scheduler int) {
 	first := &job.attempts[early]
 	second := &job.attempts[late]
@@ -142,7 +142,7 @@
 	}
 }
 
-// shareScope reports whether two workers are in one deduplication scope, so that each drops repeats of the other's requests.
+// shareScope reports whether two workers are in one deduplication scope, so that each drops duplicates of the other's requests.
 func (c *Checker) shareScope(scope string, first, second int) bool {
 	switch scope {
 	case "cell":
@@ -228,7 +228,7 @@
 	c.updateExhausted(job, request)
 }
 
-// responseSeenBy returns the time by which a scheduler has received what a worker sent it at an instant.
+// responseSeenBy returns the time by which a scheduler has received a response that a worker sent at an instant.
 func (c *Checker) responseSeenBy(at time.Duration) time.Duration {
 	for _, cut := range c.workersCut {
 		if cut.start <= at+c.workerDelay && at < cut.end {
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -53,7 +53,7 @@
 // latenessWindow is how long an observed lateness of the testbed widens the time limits.
 const latenessWindow = time.Second
 
-// observationLateness returns how late the present trace events may be.
+// observationLateness returns how late the current trace events may be.
 func (c *Checker) observationLateness() time.Duration {
 	if c.now-c.recentLateness.observedAt > latenessWindow {
 		return 0
@@ -68,7 +68,7 @@
 	maxSettled     = 1 << 16 // jobs retained, in each of the two queues
 	maxJobLog      = 64      // trace events of a job
 	maxFleetLog    = 4096    // trace events of the fleet
-	maxColdWork    = 24      // arrivals listed for a worker that was overloaded
+	maxColdWork    = 24      // arrivals listed for a worker that was overloaded while warming up
 	maxExplained   = 16      // violations of a rule that are explained in full
 	maxOverlaps    = 256     // overlaps that wait for a decision
 	maxMisbehaving = 1 << 14 // misbehaving clients remembered before the answered ones are removed
@@ -78,7 +78,8 @@
 // because most jobs are idempotent.
 const idempotentRetention = time.Second
 
-// defaultMaxLateness equals the time for which clients wait beyond a deadline: with more, an answer in time may be missed.
+// defaultMaxLateness equals the time for which clients wait beyond a deadline. With a larger lateness, a client may time out
+// although its response was sent in time.
 const defaultMaxLateness = 50 * time.Millisecond
 
 // New returns a checker of a run of a validated scenario.
@@ -159,12 +160,12 @@
 	case queue == &c.retained[0] && job.hasInFlight():
 		c.retained[1].add(retainedJob{job, id, c.now + c.retention})
 	default:
-		c.forgetJob(job)
+		c.releaseJob(job)
 	}
 }
 
-// forgetJob completes the explanation of a job's violations and releases the job for reuse.
-func (c *Checker) forgetJob(job *job) {
+// releaseJob completes the explanation of a job's violations and releases the job for reuse.
+func (c *Checker) releaseJob(job *job) {
 	c.dropOverlaps(job)
 	c.attachExplanation(job)
 	delete(c.jobs, job.id)
--- a/internal/testbed/checker/doc.go
+++ b/internal/testbed/checker/doc.go
@@ -5,9 +5,10 @@
 // # The rules
 //
 // The names in the first column are stable. Time limits are those of the scenario (scenario.Rules, Schedulers, Classes).
-// An attempt is possibly executed if it reached a worker, unless that worker has rejected it or returned it unstarted before.
+// An attempt counts as possibly executed from when it reached a worker until that worker rejects it or returns it unstarted.
 // An attempt that reached no worker was not executed, whatever its scheduler assumes. The later of two attempts is the one
-// whose first byte was written later. P is PROTOCOL, W is WIRE.
+// whose first byte was written later. Each rule ends with the documents and sections that it follows from: P is PROTOCOL,
+// W is WIRE.
 //
 //	one-answer             each request that a running scheduler has admitted gets one final answer, seen by its client
 //	                       within its budget, the slack and the network's delay. Broken by a second answer; by none
@@ -28,8 +29,9 @@
 //	                       was notified that it drains or is gone. A lost notification counts as received 6 s later,
 //	                       so a scheduler that is disconnected from discovery for longer may send nothing there.
 //	                       W The contract, 3; P The rules on sockets, Figures
-//	cold                   no worker is overloaded while it is warming up with two thirds of the work from schedulers
-//	                       that had been notified of its start. W The contract, 4
+//	cold                   schedulers don't overload a worker that is warming up. Broken if it is overloaded and two
+//	                       thirds or more of its work came from schedulers that were notified of its start.
+//	                       W The contract, 4
 //	one-attempt-per-node   one worker has one attempt of a request at a time. P Schedulers to workers
 //	attempts               a request reaches workers try_limit times at most; without second_copies a later attempt
 //	                       begins only once the earlier ones have ended or were cancelled. W bounds; P Schedulers to
@@ -37,57 +39,67 @@
 //	made-by-node           the body of a 200 is a result that a worker made for this very request. P The rules on
 //	                       sockets
 //	prompt-refusal         a request is answered once its scheduler has no reason to retain it: see below. LATER
-//	id-unknown             no worker gets a request that no client sent (its 400), or one without an id (its 404).
+//	id-unknown             no worker gets a request that no client sent (the worker answers 400), or one without an id
+//	                       (it answers 404).
 //	                       P Schedulers to workers
 //	bad-clients            real processes only: a misbehaving client gets an error or a close within bad_answered of
 //	                       connecting (twice that for a huge body), and never a 200. LATER, Misbehaving clients
 //	limits                 real processes only: a scheduler stays within its limits of memory and descriptors. P, DEPLOY, Limits
 //	crash                  a scheduler ends by itself only after SIGTERM. DEPLOY; LATER, New configurations and restarts
 //
-// # What is excused of one-answer
+// # Exceptions to one-answer
 //
-//   - A request of a process that was killed, or crashed (which is a rule of its own). If it was killed after SIGTERM, only
-//     a request that arrived within 0.7 s of that. A request that an exit leaves unanswered is not excused, unless a cut may
-//     have delayed its answer. A request that had not arrived when the process ended was not admitted.
-//   - A request that met a frozen scheduler, unless that was resumed a slack or more before the deadline.
+//   - A request of a process that was killed, or that crashed (crash is a rule of its own). If the process was killed after
+//     SIGTERM, only requests that arrived within 0.7 s of the SIGTERM are excused. A request that an exit after SIGTERM leaves
+//     unanswered is not excused, unless a cut may have delayed its answer. A request that had not arrived when the process
+//     ended was not admitted.
+//   - A request that reached a frozen scheduler, and one that was open during a freeze, unless the scheduler was resumed a slack
+//     or more before the deadline.
 //   - A request whose client was disconnected from the scheduler, or delayed, by a fault of the scenario.
-//   - A close that crosses the request: one within the round-trip time, on a new connection as on any other, and only if no
-//     attempt of the request was sent.
+//   - A close that crosses the request on the network, on a new connection or an old one. The close has to arrive within the
+//     round-trip time, and no attempt of the request may have been sent.
 //   - A client that leaves by itself, and one that times out before an answer sent at the end of the budget can have arrived.
 //
 // # Attempts that overlap
 //
-// Both rules on attempts in flight allow the scheduler to cancel an attempt, by DELETE or by closing the connection, and to
-// retry at once; the two messages may cross on their way. So an overlap counts only once the path has proved open: another
-// message of the same scheduler has reached the worker that has the earlier attempt, and that is still not cancelled.
+// one-attempt-per-node and attempts allow a scheduler to cancel an attempt, by DELETE or by closing the connection, and to
+// retry at once. The cancellation may arrive after the retry, as the two use different connections. An overlap therefore
+// counts only once another message of the same scheduler has reached the worker of the earlier attempt, which proves the path
+// open, and the attempt is still not cancelled.
 //
 // # Prompt rejections
 //
-// Two readings, both with the figure give_up_within, neither of which looks into a scheduler:
+// Two checks, both with the scenario's give_up_within. Neither uses a scheduler's own state:
 //
 //   - No attempt is left: a non-idempotent request's attempt has failed or was lost, or all attempts allowed have ended, and the
 //     scheduler has answered the callback with that state. Then a rejection or failure is due within give_up_within.
 //   - The objective is out of reach: a response after its objective has no utility, so a request is queued in vain once no worker
 //     could meet the objective. That depends on the job's work, which schedulers only estimate. The checker assumes the
 //     largest estimate that the scenario's hints allow (objectiveHorizon), bounded by the budget, and a larger one where
-//     executions seem long: missing start notifications, pauses, freezes, slowness. A rejection is late if it is seen
-//     give_up_within after that, and no attempt of the request was in flight for as long. Jobs whose estimate may exceed
+//     executions seem long: missing start notifications, pauses, freezes, slowness. A rejection is late if it is seen more
+//     than give_up_within after that, with no attempt of the request in flight for as long. Jobs whose estimate may exceed
 //     the budget are not checked.
 //
-// In flight is also an attempt that was written and not read, lost by the network or a silent machine, until its connection
-// ends for the scheduler (trace.AttemptUnread); one answered to a scheduler that is disconnected from workers, until the cut
-// ends; and, for the time that a dial may take, one that may wait for a connection while a fault prevents connections.
-// A half-open connection, whose end a worker reads as its scheduler's cancellation, is no evidence of one.
+// The following attempts count as in flight, too:
 //
-// Neither is checked for a request that met a frozen scheduler, or a cut between that and its client.
+//   - one that was written and not read, as the network or a silent machine lost it, until its connection ends for the
+//     scheduler (trace.AttemptUnread);
+//   - one whose worker responded while its scheduler was disconnected from workers, until the cut ends;
+//   - one that may wait for a connection while a fault prevents connections, for the time that a dial may take;
+//   - one that a worker took for cancelled because its connection ended, if a fault had left that connection half-open: the
+//     scheduler has not cancelled it.
+//
+// Neither check applies to a request that was open while its scheduler was frozen, or disconnected from the client.
 //
 // # Lateness of the testbed
 //
-// Late trace events widen time limits by as much for a second. Beyond Options.MaxLateness they make the run invalid.
+// If the testbed reports that it was late, time limits are wider by its lateness for one second. A lateness beyond
+// Options.MaxLateness makes the run invalid.
 //
 // # Memory and time
 //
-// A trace event costs one or two map accesses. A settled job is retained for the longest deduplication window of a class, and at
-// most 65,536 settled jobs of a queue, with at most 64 trace events each. The fleet's last 4,096 trace events are retained for
-// the explanations of jobs. The first 16 violations of each rule are explained, the others are counted.
+// A trace event costs one or two map accesses. Settled jobs are retained in two queues: idempotent ones briefly, the others
+// for the longest deduplication window of a class. Each queue holds at most 65,536 jobs, each with at most 64 trace events.
+// The fleet's last 4,096 trace events are retained for the explanations of jobs. The first 16 violations of each rule are
+// explained, the others are only counted.
 package checker
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -10,8 +10,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// logEntry is a trace event as it is retained for explanations. It is small and has no pointers, as most of the checker's
-// memory is entries.
+// logEntry is a trace event as it is retained for explanations. It is small and has no pointers, as log entries make up most
+// of the checker's memory.
 type logEntry struct {
 	at        time.Duration
 	duration  time.Duration // budget, first byte or Retry-After; of the start of a process, its incarnation
@@ -24,7 +24,7 @@
 	kind      trace.Kind
 }
 
-// textTable interns the texts of trace events, besides results.
+// textTable interns the texts of trace events, except results.
 type textTable struct {
 	texts []string // the first is empty
 	index map[string]uint16
@@ -77,7 +77,7 @@
 	return entry
 }
 
-// recordJobEvent adds a trace event to the log of its job. A full log loses an entry from its middle: the first and the last
+// recordJobEvent adds a trace event to the log of its job. A full log drops an entry from its middle, as the first and the last
 // ones explain most.
 func (c *Checker) recordJobEvent(job *job, event *trace.Event, requestIndex int) {
 	if len(job.log) == maxJobLog {
@@ -114,7 +114,7 @@
 	c.fleetLog.add(entry)
 }
 
-// eachSince calls a function with each entry of an instant and after, in order of time.
+// eachSince calls a function with each entry at or after an instant, in order of time.
 func (r *eventRing) eachSince(at time.Duration, do func(entry *logEntry)) {
 	for i := range r.entries {
 		if entry := &r.entries[(r.next+i)%len(r.entries)]; entry.at >= at {
@@ -135,7 +135,7 @@
 	job.violations = nil
 }
 
-// explainJob returns a line for each event of a job, and of the schedulers and workers of its requests meanwhile.
+// explainJob returns a line for each event of a job, and for each event of its schedulers and workers in the meantime.
 func (c *Checker) explainJob(job *job) []string {
 	around := c.fleetEntriesOf(job)
 	lines := make([]string, 0, len(job.log)+len(around)+1)
@@ -179,7 +179,7 @@
 	return around
 }
 
-// concerns reports whether an entry of the fleet is about one of the workers and schedulers, or about all.
+// concerns reports whether an entry of the fleet is about one of the workers and schedulers, or is a fault.
 func concerns(entry *logEntry, workers map[int32]bool, schedulers map[int16]bool) bool {
 	switch kind := entry.kind; {
 	case kind == trace.DrainNotified || kind == trace.StartNotified:
@@ -199,7 +199,8 @@
 	return lines[max(0, len(lines)-maxJobLog):]
 }
 
-// explainColdWork returns a line for each work that a worker received while it was warming up, and for its own events.
+// explainColdWork returns a line for each piece of work that a worker received while it was warming up, and for each event of
+// the worker.
 func (c *Checker) explainColdWork(worker int) []string {
 	lines := []string{}
 	for _, arrival := range c.coldWork[worker] {
@@ -222,9 +223,9 @@
 	return fmt.Sprintf("%12.6f s  %s", entry.at.Seconds(), words)
 }
 
-// describe returns the description of an entry; job is the one that it is about, or nil.
+// describe returns the description of an entry. The job is nil if the entry is not about one.
 func (c *Checker) describe(entry *logEntry, job *job) string {
-	node := fmt.Sprintf("w-%d", entry.worker)
+	worker := fmt.Sprintf("w-%d", entry.worker)
 	which := ""
 	text := c.texts.texts[entry.text]
 	if job != nil && len(job.requests) > 1 && int(entry.request) < len(job.requests) {
@@ -240,57 +241,57 @@
 	case trace.ConnectionLost:
 		return "its connection ended without an answer" + which
 	case trace.ClientLeft:
-		return "its client went away" + which
+		return "its client left" + which
 	case trace.ClientTimedOut:
 		return "its client timed out" + which
 	case trace.SchedulerUnreachable:
-		return "no connection came up for it" + which
+		return "no connection to a scheduler was established for it" + which
 	case trace.JobSettled:
 		return fmt.Sprintf("settled, the last answer being %d", entry.status)
 	}
 	if entry.kind < trace.WorkerStarted && entry.kind != trace.WorkerOverloaded {
-		return describeAttempt(entry, job, node, which, text)
+		return describeAttempt(entry, job, worker, which, text)
 	}
-	return c.describeFleet(entry, node, text)
+	return c.describeFleet(entry, worker, text)
 }
 
-// describeAttempt describes an event of an attempt at a worker; which names the request, where its job has several.
-func describeAttempt(entry *logEntry, job *job, node, which, text string) string {
+// describeAttempt describes an event of an attempt at a worker. which names the request if its job has several.
+func describeAttempt(entry *logEntry, job *job, worker, which, text string) string {
 	switch entry.kind {
 	case trace.AttemptReceived:
 		if text != "" {
 			text = " by request " + text
 		}
-		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, entry.scheduler,
+		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", worker, text, entry.scheduler,
 			entry.duration.Seconds(), which)
 	case trace.AttemptUnread:
-		return fmt.Sprintf("what was written to %s at %.6f s was not read there before its connection ended%s", node,
+		return fmt.Sprintf("what was written to %s at %.6f s was not read there before its connection ended%s", worker,
 			entry.duration.Seconds(), which)
 	case trace.AttemptRejected:
-		return fmt.Sprintf("rejected by %s with %d%s", node, entry.status, which)
+		return fmt.Sprintf("rejected by %s with %d%s", worker, entry.status, which)
 	case trace.AttemptAccepted:
-		return "accepted by " + node + which
+		return "accepted by " + worker + which
 	case trace.AttemptStarted:
 		if text != "" {
-			return fmt.Sprintf("begins at %s: %s%s", node, text, which)
+			return fmt.Sprintf("begins at %s: %s%s", worker, text, which)
 		}
-		return "begins at " + node + which
+		return "begins at " + worker + which
 	case trace.AttemptFinished:
-		return describeFinished(entry, job, node) + which
+		return describeFinished(entry, job, worker) + which
 	case trace.AttemptReturned:
-		return "returned unstarted by " + node + which
+		return "returned unstarted by " + worker + which
 	case trace.AttemptDied:
-		return fmt.Sprintf("died at %s: %s%s", node, text, which)
+		return fmt.Sprintf("died at %s: %s%s", worker, text, which)
 	case trace.AttemptCancelled:
 		if text != "" {
-			node += ", its connection being " + text + " on the way"
+			worker += ", as the network dropped its connection (" + text + ")"
 		}
-		return "cancelled at " + node + which
+		return "cancelled at " + worker + which
 	case trace.CallbackAnswered:
 		return fmt.Sprintf("callback %q of %s answered with %d by scheduler %d, sending %d%s",
-			text, node, entry.status, entry.scheduler, entry.sendings, which)
+			text, worker, entry.status, entry.scheduler, entry.sendings, which)
 	case trace.CallbackLost:
-		return fmt.Sprintf("callback %q of %s abandoned%s", text, node, which)
+		return fmt.Sprintf("callback %q of %s abandoned%s", text, worker, which)
 	}
 	return fmt.Sprintf("trace event %d", entry.kind)
 }
@@ -315,7 +316,7 @@
 	return fmt.Sprintf("sent to scheduler %d as %s, budget %v%s", entry.scheduler, request.id, entry.duration, key)
 }
 
-// describeResponse describes a response; text is the request's ID where its job is not known.
+// describeResponse describes a response. text is the request's ID if its job is unknown.
 func describeResponse(entry *logEntry, job *job, text string) string {
 	after := ""
 	if entry.duration > 0 {
@@ -330,7 +331,7 @@
 }
 
 // describeFinished describes an execution that has ended, and its result.
-func describeFinished(entry *logEntry, job *job, node string) string {
+func describeFinished(entry *logEntry, job *job, worker string) string {
 	result := ""
 	for i := range job.attempts {
 		attempt := &job.attempts[i]
@@ -339,28 +340,28 @@
 			result = fmt.Sprintf(", %q", truncate(attempt.result))
 		}
 	}
-	return fmt.Sprintf("has run at %s: %d%s", node, entry.status, result)
+	return fmt.Sprintf("has run at %s: %d%s", worker, entry.status, result)
 }
 
 // describeFleet describes an entry of the fleet, of a process or of a fault.
-func (c *Checker) describeFleet(entry *logEntry, node, text string) string {
+func (c *Checker) describeFleet(entry *logEntry, worker, text string) string {
 	switch entry.kind {
 	case trace.WorkerOverloaded:
-		return node + " is overloaded"
+		return worker + " is overloaded"
 	case trace.WorkerStarted:
-		return fmt.Sprintf("%s starts (process %d)", node, entry.duration)
+		return fmt.Sprintf("%s starts (process %d)", worker, entry.duration)
 	case trace.WorkerStopped:
-		return node + "'s process ends"
+		return worker + "'s process ends"
 	case trace.WorkerDraining:
-		return node + " begins to drain"
+		return worker + " begins to drain"
 	case trace.WorkerHung:
-		return node + " hangs"
+		return worker + " hangs"
 	case trace.WorkerRecovered:
-		return node + " is well again"
+		return worker + " has recovered"
 	case trace.DrainNotified:
-		return fmt.Sprintf("scheduler %d is notified that %s drains or is gone", entry.scheduler, node)
+		return fmt.Sprintf("scheduler %d is notified that %s drains or is gone", entry.scheduler, worker)
 	case trace.StartNotified:
-		return fmt.Sprintf("scheduler %d is notified of the start of %s (process %d)", entry.scheduler, node, entry.duration)
+		return fmt.Sprintf("scheduler %d is notified of the start of %s (process %d)", entry.scheduler, worker, entry.duration)
 	case trace.SchedulerExited:
 		return fmt.Sprintf("scheduler %d ends by itself with %d", entry.scheduler, entry.status)
 	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled,
@@ -372,7 +373,7 @@
 	case trace.FaultStarted:
 		return "fault: " + text
 	case trace.FaultEnded:
-		return "over: " + text
+		return "fault ended: " + text
 	case trace.ResourceUsage:
 		return fmt.Sprintf("scheduler %d holds %s", entry.scheduler, text)
 	}
--- a/internal/testbed/checker/fleet_events.go
+++ b/internal/testbed/checker/fleet_events.go
@@ -83,7 +83,7 @@
 	clear(s.drainNotifiedAt)
 }
 
-// end ends the history of the present process.
+// end ends the history of the current process.
 func (s *scheduler) end(exit processExit) {
 	if s.exits[s.incarnation].exitedAt == 0 {
 		s.exits[s.incarnation] = exit
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -22,20 +22,20 @@
 
 // job is the history of a client's job.
 type job struct {
-	id          uint64
-	class       *class
-	tenant      int
-	slots       float64
-	work        time.Duration
-	dueAt       time.Duration
-	deadline    time.Duration
-	requests    []request
-	attempts    []attempt
-	log         []logEntry
-	omitted     int    // entries that were removed from the log
-	brokenRules uint32 // a bit for each rule
-	violations  []int  // indexes in Checker.violations
-	settled     bool
+	id            uint64
+	class         *class
+	tenant        int
+	slots         float64
+	work          time.Duration
+	dueAt         time.Duration
+	deadline      time.Duration
+	requests      []request
+	attempts      []attempt
+	log           []logEntry
+	omitted       int    // entries that were removed from the log
+	violatedRules uint32 // a bit for each rule
+	violations    []int  // indexes in Checker.violations
+	settled       bool
 }
 
 // newJobBatch allocates jobs in one block, each with the capacity that most jobs need.
@@ -100,7 +100,7 @@
 	succeeded   bool // it ended with a result
 	started     bool
 	accepted    bool
-	endKnownAt  time.Duration // when its scheduler was notified of its end, or cancelled it; 0: neither was seen
+	endKnownAt  time.Duration // when its scheduler was notified of its end, or cancelled it; 0: neither has happened
 }
 
 // possiblyExecuted reports whether nothing proved by an instant that the attempt was not executed.
@@ -134,7 +134,7 @@
 }
 
 // findAttempt returns the attempt that an event at a worker is about, or nil: the first that is in flight there, else the
-// last one. If last is set it is the last one in any case: of two in flight at a worker, it rejects the later one.
+// last one. With last set it returns the last one in any case: a worker that has two attempts in flight rejects the later one.
 func (j *job) findAttempt(requestIndex, worker int, last bool) *attempt {
 	var found *attempt
 	for i := range j.attempts {
@@ -162,13 +162,13 @@
 
 // scheduler is the history of a scheduler and its processes.
 type scheduler struct {
-	incarnation     int // of the present process: an index of exits
+	incarnation     int // of the current process: an index of exits
 	up              bool
 	exits           []processExit         // by process
-	terminatedAt    time.Duration         // when the present process got SIGTERM; 0: it did not
+	terminatedAt    time.Duration         // when the current process got SIGTERM; 0: it did not
 	freezes         []interval            // the last one may end at forever: it lasts
 	drainNotifiedAt map[int]time.Duration // by worker
-	overLimits      bool                  // the present process has exceeded its limits
+	overLimits      bool                  // the current process has exceeded its limits
 }
 
 // processExit is the end of a process.
@@ -183,7 +183,7 @@
 	return len(s.freezes) > 0 && anyOverlaps(s.freezes, from, to)
 }
 
-// thaw ends the present freeze, if there is one.
+// thaw ends the current freeze, if there is one.
 func (s *scheduler) thaw(at time.Duration) {
 	last := len(s.freezes) - 1
 	if last >= 0 && s.freezes[last].end == forever {
@@ -200,7 +200,7 @@
 	end   time.Duration
 }
 
-// anyOverlaps reports whether one of the intervals overlaps another one, given by its ends.
+// anyOverlaps reports whether any of the intervals overlaps the one between two instants.
 func anyOverlaps(intervals []interval, from, to time.Duration) bool {
 	for _, interval := range intervals {
 		if interval.start <= to && from <= interval.end {
@@ -222,8 +222,8 @@
 	job               *job
 	rule              rule
 	early, late       int           // indexes of the attempts in the job
-	scheduler, worker int           // the path on which the early one would have been cancelled
-	provedOpenAt      time.Duration // when a message of the path arrived; 0: none did
+	scheduler, worker int           // the ends of the path on which the early one would be cancelled
+	provedOpenAt      time.Duration // when a later message arrived on that path; 0: none has
 }
 
 // retainedJob is a settled job in a retention queue.
--- a/internal/testbed/checker/overlap_rules.go
+++ b/internal/testbed/checker/overlap_rules.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the rules for overlapping attempts of a request. They are decided late, as a cancellation of the earlier
-// attempt and the later attempt may cross on their way.
+// This file holds the rules for overlapping attempts of a request. An overlap is decided some time after the later attempt has
+// arrived, as a cancellation of the earlier attempt may still be on its way.
 
 // resolveOverlaps reports or drops the overlaps that a trace event decides.
 func (c *Checker) resolveOverlaps(event *trace.Event) {
--- a/internal/testbed/checker/request_events.go
+++ b/internal/testbed/checker/request_events.go
@@ -39,7 +39,7 @@
 	case trace.ClientTimedOut:
 		c.counts.TimedOut++
 		c.requestEnded(job, request, requestTimedOut, event.At)
-	case trace.SchedulerUnreachable: // sent once, it crossed a close, and no other connection was established
+	case trace.SchedulerUnreachable: // its connection was closed before it was read, and no other one was established
 		c.requestEnded(job, request, requestClientLeft, event.At)
 	case trace.AttemptReceived:
 		c.attemptReceived(job, request, requestIndex, event)
@@ -57,7 +57,7 @@
 	if event.JobID > c.highestJobID {
 		c.highestJobID = event.JobID
 	} else if old := c.jobs[event.JobID]; old != nil { // its ID is reused
-		c.forgetJob(old)
+		c.releaseJob(old)
 	}
 	if event.Class < 0 || event.Class >= len(c.classes) {
 		c.counts.Unknown++
@@ -108,8 +108,8 @@
 	c.recordJobEvent(job, event, n)
 }
 
-// jobSettled handles the end of a job for its client. A request that is still open had crossed a close, and was waiting for
-// another connection.
+// jobSettled handles the end of a job for its client. The connection of a request that is still open was closed before the
+// request was read, and the client was waiting for another one.
 func (c *Checker) jobSettled(event *trace.Event) {
 	job := c.jobs[event.JobID]
 	if job == nil || job.settled {
--- a/internal/testbed/checker/response_rules.go
+++ b/internal/testbed/checker/response_rules.go
@@ -85,7 +85,7 @@
 }
 
 // unansweredAtExit returns what is wrong with a request that its scheduler's exit left unanswered, or nothing if it is
-// excused. idle: the scheduler had sent nothing for it, and may not have read it.
+// excused. With idle set, the scheduler had sent no attempt of the request and may not have read it.
 func (c *Checker) unansweredAtExit(request *request, exit processExit, idle bool) string {
 	switch {
 	case request.sentAt+c.clientDelay >= exit.exitedAt: // not admitted by then
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// isExcusedByKill reports whether a request may go unanswered as SIGKILL followed a SIGTERM.
+// isExcusedByKill reports whether a request may stay unanswered because SIGKILL followed SIGTERM.
 func (c *Checker) isExcusedByKill(request *request, exit processExit) bool {
 	return request.sentAt <= exit.terminatedAt+termGrace+c.clientDelay || request.sentAt+c.clientDelay+c.slack >= exit.exitedAt ||
 		exit.exitedAt < exit.terminatedAt+c.killDelay ||
@@ -109,8 +109,8 @@
 		anyOverlaps(c.clientsCut, request.sentAt, exit.exitedAt)
 }
 
-// isExcused reports whether a freeze of its scheduler or a cut of its client's network excuses that a request had no
-// response by an instant.
+// isExcused reports whether a request may lack a response at an instant because its scheduler was frozen or disconnected from
+// the client.
 func (c *Checker) isExcused(request *request, endedAt time.Duration) bool {
 	for _, freeze := range c.scheduler(request.scheduler).freezes {
 		if freeze.start > endedAt || request.sentAt-c.clientDelay > freeze.end {
@@ -147,7 +147,7 @@
 	return index
 }
 
-// checkResult checks that a worker made the result of a 200 for this request.
+// checkResult checks that the result in a 200 is one that a worker returned for this request.
 func (c *Checker) checkResult(job *job, request *request, event *trace.Event) {
 	c.checkCounts[ruleMadeByWorker]++
 	requestIndex := request.indexIn(job)
@@ -199,32 +199,33 @@
 	for i := range job.attempts {
 		switch attempt := &job.attempts[i]; {
 		case attempt.request != requestIndex:
-		case attempt.endKnownAt == 0: // its scheduler may have waited for it
+		case attempt.endKnownAt == 0: // the scheduler may have waited for its end
 			return
 		default:
 			last = max(last, attempt.endKnownAt)
 		}
 	}
-	if anyOverlaps(c.connectsImpaired, answeredAt-c.dialDelay, answeredAt) { // it may have waited for a connection
+	if anyOverlaps(c.connectsImpaired, answeredAt-c.dialDelay, answeredAt) { // an attempt may have waited for a connection
 		within += c.dialDelay
 	}
-	hope := request.sentAt + c.objectiveHorizon(job, request)
-	if answeredAt > max(hope, last)+within {
+	horizon := request.sentAt + c.objectiveHorizon(job, request)
+	if answeredAt > max(horizon, last)+within {
 		c.report(rulePromptRefusal, job, request.id,
 			"rejected %v after it was sent, when no attempt of it had been in flight for %v, and nothing to hope for after %v",
-			answeredAt-request.sentAt, answeredAt-last, hope-request.sentAt)
+			answeredAt-request.sentAt, answeredAt-last, horizon-request.sentAt)
 	}
 }
 
 // objectiveHorizon returns how long after a request was sent its scheduler may have expected to meet its objective, given how
-// wrong the estimate of its work may be. For work estimated as heavy it knows the time that even the fastest worker needs.
+// wrong the estimate of its work may be. Where the objective grows with the work, an objective near the end of the budget
+// implies a large estimate; the horizon then leaves the time that the fastest worker needs for that work.
 func (c *Checker) objectiveHorizon(job *job, request *request) time.Duration {
 	class := job.class
 	budget := request.deadline - request.sentAt
-	work := float64(max(job.work, class.meanWork)) * c.estimateFactor
+	work := float64(max(job.work, class.meanWork)) * c.workEstimateFactor
 	objective := float64(class.objective) + class.objectiveStretch*work
 	if class.objectiveStretch > 0 {
-		fastestRun := float64(budget-class.objective) / (c.heavyFactor * c.maxSpeed * class.objectiveStretch)
+		fastestRun := float64(budget-class.objective) / (c.speedEstimateFactor * c.maxSpeed * class.objectiveStretch)
 		objective = min(objective, float64(budget)-fastestRun)
 	}
 	return min(time.Duration(objective), budget)
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -37,22 +37,23 @@
 // String returns the name of the rule.
 func (r rule) String() string { return RuleNames[r] }
 
-// explainedFleetSpan is the time before a violation whose fleet events explain it, if it is about no job.
+// explainedFleetSpan is how far back the explanation of a violation without a job lists events of the fleet.
 const explainedFleetSpan = 10 * time.Second
 
-// report records a violation of a rule, by a job or, if job is nil, by none. A job violates each rule once at most.
-func (c *Checker) report(broken rule, job *job, requestID, format string, args ...any) {
+// report records a violation of a rule. The job is nil if the violation is not about one. Further violations of a rule by the
+// same job are ignored.
+func (c *Checker) report(violated rule, job *job, requestID, format string, args ...any) {
 	if job != nil {
-		if job.brokenRules&(1<<broken) != 0 {
+		if job.violatedRules&(1<<violated) != 0 {
 			return
 		}
-		job.brokenRules |= 1 << broken
+		job.violatedRules |= 1 << violated
 	}
-	c.violationCounts[broken]++
-	if c.violationCounts[broken] > maxExplained {
+	c.violationCounts[violated]++
+	if c.violationCounts[violated] > maxExplained {
 		return
 	}
-	violation := Violation{Rule: broken.String(), At: c.now, RequestID: requestID, Text: fmt.Sprintf(format, args...)}
+	violation := Violation{Rule: violated.String(), At: c.now, RequestID: requestID, Text: fmt.Sprintf(format, args...)}
 	if job != nil {
 		violation.JobID = job.id
 		job.violations = append(job.violations, len(c.violations))
--- a/internal/testbed/checker/rules_test.go
+++ b/internal/testbed/checker/rules_test.go
@@ -14,10 +14,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-var update = flag.Bool("update", false, "write what is found to the golden files")
+var update = flag.Bool("update", false, "write the verdicts to the golden files")
 
-// verbs are the names of trace events in scripts.
-var verbs = map[string]trace.Kind{
+// kindsByVerb has the kinds of trace events by their names in scripts.
+var kindsByVerb = map[string]trace.Kind{
 	"due": trace.JobDue, "asked": trace.RequestSent, "answered": trace.ResponseReceived, "lost": trace.ConnectionLost, "left": trace.ClientLeft,
 	"gaveup": trace.ClientTimedOut, "settled": trace.JobSettled, "oddbegan": trace.MisbehavingClientConnected, "oddended": trace.MisbehavingClientAnswered,
 	"unreached": trace.SchedulerUnreachable, "reached": trace.AttemptReceived, "rejected": trace.AttemptRejected, "accepted": trace.AttemptAccepted,
@@ -31,14 +31,15 @@
 	"usage": trace.ResourceUsage, "late": trace.TestbedLate, "unread": trace.AttemptUnread,
 }
 
-// Each file of testdata is a history of trace events, a line each, and below a line of dashes the checker's verdict.
-// "set" lines change the scenario before. A history has allowed events beside violations: what the verdict does not name is allowed.
+// TestRules checks the verdicts on scripts. Each file of testdata is a script of trace events, one a line, and below a line of
+// dashes the checker's verdict. "set" lines change the scenario before the run. Scripts hold allowed events, too: the verdict
+// has to report nothing else than it lists.
 func TestRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < int(ruleCount) {
-		t.Fatalf("%d histories for %d rules, %v", len(files), ruleCount, err)
+		t.Fatalf("%d scripts for %d rules, %v", len(files), ruleCount, err)
 	}
-	broken := map[string]bool{}
+	violated := map[string]bool{}
 	for _, name := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(name), ".txt"), func(t *testing.T) {
 			text, err := os.ReadFile(name)
@@ -48,29 +49,29 @@
 			script, want, _ := strings.Cut(string(text), "----\n")
 			v := runScript(t, script)
 			got := formatVerdict(v)
-			for _, b := range v.Violations {
-				broken[b.Rule] = true
+			for _, violation := range v.Violations {
+				violated[violation.Rule] = true
 			}
 			if *update {
 				if err := os.WriteFile(name, []byte(script+"----\n"+got), 0o644); err != nil {
 					t.Fatal(err)
 				}
 			} else if got != want {
-				t.Errorf("found\n%s\nwant\n%s", got, want)
+				t.Errorf("got\n%s\nwant\n%s", got, want)
 			}
 		})
 	}
 	for _, rule := range RuleNames {
-		if !broken[rule] {
-			t.Errorf("no history breaks %s", rule)
+		if !violated[rule] {
+			t.Errorf("no script violates %s", rule)
 		}
 	}
 }
 
 func formatVerdict(v Verdict) string {
 	var s strings.Builder
-	for _, b := range v.Violations {
-		s.WriteString(b.String())
+	for _, violation := range v.Violations {
+		s.WriteString(violation.String())
 	}
 	for _, r := range v.Rules {
 		if r.Violated > 0 {
@@ -88,52 +89,53 @@
 func runScript(t *testing.T, script string) Verdict {
 	t.Helper()
 	spec := scenario.Default()
-	opt := Options{}
-	var j *Checker
+	options := Options{}
+	var checker *Checker
 	for n, line := range strings.Split(script, "\n") {
 		fields := strings.Fields(line)
 		if len(fields) == 0 || fields[0] == "#" {
 			continue
 		}
 		if fields[0] == "set" {
-			changeScenario(t, spec, &opt, fields[1:])
+			changeScenario(t, spec, &options, fields[1:])
 			continue
 		}
-		if j == nil {
-			j = New(spec, opt)
+		if checker == nil {
+			checker = New(spec, options)
 		}
 		at, err := time.ParseDuration(fields[0])
-		what, known := verbs[fields[1]]
+		kind, known := kindsByVerb[fields[1]]
 		if err != nil || !known {
 			t.Fatalf("line %d: %q: %v", n+1, line, err)
 		}
-		s := trace.Event{At: at, Kind: what}
+		event := trace.Event{At: at, Kind: kind}
 		for _, f := range fields[2:] {
 			key, value, _ := strings.Cut(f, "=")
-			setField(t, spec, &s, key, value)
+			setField(t, spec, &event, key, value)
 		}
-		if s.Kind == trace.JobDue {
-			c := &spec.Classes[s.Class]
-			s.Work = c.Work.Std().Seconds()
-			s.Slots = 1
-			s.Deadline = c.Deadline.Std()
-			s.LatencyObjective = c.LatencyObjective.Std() + time.Duration(c.ObjectiveStretch*float64(c.Work))
+		if event.Kind == trace.JobDue {
+			c := &spec.Classes[event.Class]
+			event.Work = c.Work.Std().Seconds()
+			event.Slots = 1
+			event.Deadline = c.Deadline.Std()
+			event.LatencyObjective = c.LatencyObjective.Std() + time.Duration(c.ObjectiveStretch*float64(c.Work))
 		}
-		j.Observe(&s)
+		checker.Observe(&event)
 	}
-	v := j.Verdict()
-	if again := j.Verdict(); formatVerdict(again) != formatVerdict(v) {
-		t.Errorf("asked twice, the judge says\n%s\nand then\n%s", formatVerdict(v), formatVerdict(again))
+	v := checker.Verdict()
+	if again := checker.Verdict(); formatVerdict(again) != formatVerdict(v) {
+		t.Errorf("the first verdict is\n%s\nand the second\n%s", formatVerdict(v), formatVerdict(again))
 	}
 	return v
 }
 
-func changeScenario(t *testing.T, spec *scenario.Scenario, opt *Options, what []string) {
+// changeScenario applies the settings of a "set" line.
+func changeScenario(t *testing.T, spec *scenario.Scenario, options *Options, settings []string) {
 	t.Helper()
-	for _, f := range what {
-		switch key, value, _ := strings.Cut(f, "="); key {
+	for _, setting := range settings {
+		switch key, value, _ := strings.Cut(setting, "="); key {
 		case "live":
-			opt.RealProcesses = true
+			options.RealProcesses = true
 		case "no_copies":
 			spec.Schedulers.Hedging = false
 		case "try_limit":
@@ -144,19 +146,19 @@
 			spec.Load.HintFactor, _ = strconv.ParseFloat(value, 64)
 		case "untold":
 			spec.Fleet.Kinds[0].OmitsStartNotifications = true
-		case "clients", "nodes": // are cut off for a second
+		case "clients", "nodes": // schedulers are disconnected from these for a second
 			from, _ := time.ParseDuration(value)
 			spec.Faults = append(spec.Faults, scenario.Fault{
 				Kind: "cut", Between: "schedulers", And: key,
 				At: scenario.Duration(from), Duration: scenario.Duration(time.Second),
 			})
 		default:
-			t.Fatalf("set %s is unknown", f)
+			t.Fatalf("unknown setting %s", setting)
 		}
 	}
 }
 
-// fieldValue is the text of a field in a script, read in each of its forms.
+// fieldValue is the text of a field in a script, parsed as each type that it may have.
 type fieldValue struct {
 	text     string
 	number   int
@@ -186,7 +188,7 @@
 	"span":   func(event *trace.Event, value fieldValue) { event.Lateness = value.duration },
 }
 
-// setField sets a field of an event; a class is named by a part of its name.
+// setField sets a field of an event. A class is given by a part of its name.
 func setField(t *testing.T, spec *scenario.Scenario, event *trace.Event, key, text string) {
 	t.Helper()
 	if key == "class" {
@@ -199,7 +201,7 @@
 	}
 	set := fieldSetters[key]
 	if set == nil {
-		t.Fatalf("%s is no field of an event", key)
+		t.Fatalf("unknown field %s", key)
 	}
 	value := fieldValue{text: text}
 	value.number, _ = strconv.Atoi(text)
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -11,35 +11,36 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// The checker assigns workers to cells and zones as the environment does.
-func TestRacks(t *testing.T) {
+// TestWorkerPlacement checks that the checker assigns workers to cells and zones as the environment does.
+func TestWorkerPlacement(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers = 23
 	spec.Fleet.Zones = []string{"a", "b", "c"}
 	spec.Fleet.CellSize = 3
 	cells, zones := spec.WorkerPlacement()
 	listed := 0
-	trace := func(_ time.Duration, ins []simapi.Input, _ []simapi.Output) {
-		for _, in := range ins {
-			start, ok := in.Message.(simapi.Start)
+	checkStart := func(_ time.Duration, inputs []simapi.Input, _ []simapi.Output) {
+		for _, input := range inputs {
+			start, ok := input.Message.(simapi.Start)
 			if !ok {
 				continue
 			}
-			for _, h := range start.KnownEndpoints.Endpoints {
-				n, _ := scenario.NodeIndex(h.ID, spec.Fleet.Workers)
-				if listed++; cells[n] != h.Cell || spec.Fleet.Zones[zones[n]] != h.Zone {
-					t.Errorf("%s is of cell %d in zone %s, the checker says %d in %d", h.ID, h.Cell, h.Zone, cells[n], zones[n])
+			for _, endpoint := range start.KnownEndpoints.Endpoints {
+				n, _ := scenario.NodeIndex(endpoint.ID, spec.Fleet.Workers)
+				if listed++; cells[n] != endpoint.Cell || spec.Fleet.Zones[zones[n]] != endpoint.Zone {
+					t.Errorf("%s is in cell %d of zone %s, the checker has cell %d of zone %d",
+						endpoint.ID, endpoint.Cell, endpoint.Zone, cells[n], zones[n])
 				}
 			}
 		}
 	}
-	if _, err := simulation.Run(spec, 1, simulation.Options{Trace: trace, Until: time.Second}); err != nil || listed < 20 {
-		t.Errorf("%d worker nodes were listed, %v", listed, err)
+	if _, err := simulation.Run(spec, 1, simulation.Options{Trace: checkStart, Until: time.Second}); err != nil || listed < 20 {
+		t.Errorf("%d workers were listed, %v", listed, err)
 	}
 }
 
-// The cost of a request with all its trace events, among 256 in flight.
-func BenchmarkWatch(b *testing.B) {
+// BenchmarkObserve measures the cost of a request with all its trace events, among 256 in flight.
+func BenchmarkObserve(b *testing.B) {
 	const inFlight = 256
 	events := []trace.Event{
 		{Kind: trace.JobDue, Deadline: 5 * time.Second},
@@ -75,7 +76,7 @@
 			}
 		}
 	}
-	if broken := checker.Verdict().Violations; len(broken) > 0 {
-		b.Fatal(broken[0])
+	if violations := checker.Verdict().Violations; len(violations) > 0 {
+		b.Fatal(violations[0])
 	}
 }
--- a/internal/testbed/checker/time_limits.go
+++ b/internal/testbed/checker/time_limits.go
@@ -13,27 +13,27 @@
 
 // timeLimits are the time limits that follow from the scenario.
 type timeLimits struct {
-	slack             time.Duration // after a deadline, in which a response is still in time
-	clientDelay       time.Duration // of a message between client and scheduler, at most
-	workerDelay       time.Duration // of a message between scheduler and worker, at most
-	dialDelay         time.Duration // from the choice of a worker to the first byte of the attempt, at most
-	lateSend          time.Duration // after the end of a request for its client, in which an attempt may begin
-	drainGrace        time.Duration // after the notification of a drain, in which an attempt may begin
-	rejectionDeadline time.Duration // in which a rejection is prompt
-	heavyFactor       float64       // the fastest worker's estimated speed, at most, as a multiple of its speed
-	retention         time.Duration // of a settled job that is not idempotent
-	estimateFactor    float64       // a job's estimated work, at most, as a multiple of its work
-	maxSpeed          float64       // of a core of the fastest worker
-	clientsCut        []interval    // clients and schedulers are disconnected from each other, or delayed
-	workersImpaired   []interval    // messages between schedulers and workers may be lost
-	workersCut        []interval    // messages between schedulers and workers arrive after the interval, if at all
-	connectsImpaired  []interval    // connections to workers may not be established
-	killDelay         time.Duration // from SIGTERM to SIGKILL, at least
-	attemptLimit      int           // attempts of a request
-	hedging           bool          // attempts of a request may overlap
+	slack               time.Duration // after a deadline, in which a response is still in time
+	clientDelay         time.Duration // of a message between client and scheduler, at most
+	workerDelay         time.Duration // of a message between scheduler and worker, at most
+	dialDelay           time.Duration // from the choice of a worker to the first byte of the attempt, at most
+	lateSend            time.Duration // after the end of a request for its client, in which an attempt may begin
+	drainGrace          time.Duration // after the notification of a drain, in which an attempt may begin
+	rejectionDeadline   time.Duration // in which a rejection is prompt
+	speedEstimateFactor float64       // the fastest worker's estimated speed, at most, as a multiple of its true speed
+	retention           time.Duration // of a settled job that is not idempotent
+	workEstimateFactor  float64       // a job's estimated work, at most, as a multiple of its true work
+	maxSpeed            float64       // of a core of the fastest worker
+	clientsCut          []interval    // clients and schedulers are disconnected from each other, or delayed
+	workersImpaired     []interval    // messages between schedulers and workers may be lost
+	workersCut          []interval    // messages between schedulers and workers are delayed to the end of the interval, or lost
+	connectsImpaired    []interval    // connections to workers may not be established
+	killDelay           time.Duration // from SIGTERM to SIGKILL, at least
+	attemptLimit        int           // attempts of a request
+	hedging             bool          // attempts of a request may overlap
 }
 
-// termGrace is the time after SIGTERM in which requests may arrive that are lost when the process is killed.
+// termGrace is how long after SIGTERM arriving requests may still be lost when the process is killed.
 const termGrace = 700 * time.Millisecond
 
 // lateSendGrace is the time after a client's close, or the response, in which an attempt may begin.
@@ -44,12 +44,12 @@
 	rules := &spec.Rules
 	network := &spec.Network
 	// Delays are log-normal. One beyond six standard deviations is not expected in any run.
-	far := math.Exp(6 * math.Sqrt(math.Log1p(network.Jitter*network.Jitter)))
-	long := func(d time.Duration) time.Duration { return time.Duration(far * float64(d)) }
+	maxFactor := math.Exp(6 * math.Sqrt(math.Log1p(network.Jitter*network.Jitter)))
+	maxDelay := func(mean time.Duration) time.Duration { return time.Duration(maxFactor * float64(mean)) }
 	limits := timeLimits{
 		slack:             rules.Slack.Std(),
-		clientDelay:       time.Millisecond + long(network.ClientDelay.Std()),
-		workerDelay:       time.Millisecond + long(max(network.Delay.Std(), network.CrossZone.Std())),
+		clientDelay:       time.Millisecond + maxDelay(network.ClientDelay.Std()),
+		workerDelay:       time.Millisecond + maxDelay(max(network.Delay.Std(), network.CrossZone.Std())),
 		drainGrace:        rules.DrainGrace.Std(),
 		rejectionDeadline: rules.RejectionDeadline.Std(),
 		retention:         retention(spec),
@@ -57,20 +57,20 @@
 		attemptLimit:      max(1, spec.Schedulers.AttemptLimit),
 		hedging:           spec.Schedulers.Hedging,
 	}
-	limits.dialDelay = spec.Schedulers.ConnTimeout.Std() + 2*limits.workerDelay + long(network.Handshake.Std())
-	wait := 16 * time.Millisecond
+	limits.dialDelay = spec.Schedulers.ConnTimeout.Std() + 2*limits.workerDelay + maxDelay(network.Handshake.Std())
+	tolerance := 16 * time.Millisecond
 	if realProcesses {
-		const wider = 50 * time.Millisecond
-		wait = wider
-		limits.clientDelay += wider / 2
-		limits.workerDelay += wider / 2
-		limits.drainGrace += wider
+		const realTolerance = 50 * time.Millisecond
+		tolerance = realTolerance
+		limits.clientDelay += realTolerance / 2
+		limits.workerDelay += realTolerance / 2
+		limits.drainGrace += realTolerance
 	}
 	if limits.slack <= 0 {
-		limits.slack = wait
+		limits.slack = tolerance
 	}
-	limits.dialDelay += wait
-	limits.lateSend = lateSendGrace + limits.clientDelay + wait
+	limits.dialDelay += tolerance
+	limits.lateSend = lateSendGrace + limits.clientDelay + tolerance
 	for i := range spec.Fleet.Kinds {
 		kind := &spec.Fleet.Kinds[i]
 		limits.maxSpeed = max(limits.maxSpeed, kind.Speed*(1+3*kind.Spread))
@@ -92,21 +92,21 @@
 
 // setEstimateFactors sets how far a scheduler's estimate of a job's work may be off, by the scenario's hints.
 func (t *timeLimits) setEstimateFactors(spec *scenario.Scenario) {
-	t.estimateFactor = 4
-	t.heavyFactor = 4
+	t.workEstimateFactor = 4
+	t.speedEstimateFactor = 4
 	load := &spec.Load
 	switch load.Hints {
 	case "exact":
-		t.estimateFactor = 2
+		t.workEstimateFactor = 2
 	case "rough": // twice the deviation of the hints, which schedulers observe in execution times
-		t.estimateFactor = max(2, math.Exp(4*load.HintFactor))
-		t.heavyFactor = 4 * math.Exp(2*load.HintFactor)
+		t.workEstimateFactor = max(2, math.Exp(4*load.HintFactor))
+		t.speedEstimateFactor = 4 * math.Exp(2*load.HintFactor)
 	case "wrong": // workers seem faster by the factor, and estimates seem wrong by it
-		t.estimateFactor = 2 * max(1, load.HintFactor)
-		t.heavyFactor = 4 * max(1, load.HintFactor*load.HintFactor)
+		t.workEstimateFactor = 2 * max(1, load.HintFactor)
+		t.speedEstimateFactor = 4 * max(1, load.HintFactor*load.HintFactor)
 	}
 	if hasProlongedRuns(spec) {
-		t.estimateFactor *= 4
+		t.workEstimateFactor *= 4
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// prolongingFaults are the faults by which executions are longer, or seem longer to schedulers, whose estimates follow.
+// prolongingFaults are the faults by which executions take longer, or seem to, so that schedulers' estimates grow.
 var prolongingFaults = map[string]bool{
 	"cut": true, "cut_one_way": true, "delay": true, "hang": true, "no_notes": true,
 	"pause": true, "sched_freeze": true, "slow": true, "slow_read": true,
--- a/internal/testbed/checker/verdict.go
+++ b/internal/testbed/checker/verdict.go
@@ -30,8 +30,8 @@
 	Explanation []string      `json:"story"` // the events of the whole job, in order of time
 }
 
-// RuleCount counts the checks of a rule, and the jobs, processes and clients that violated it. Verdict.Violations has the first
-// of them.
+// RuleCount counts the checks of a rule, and the jobs, processes and clients that violated it. Verdict.Violations has only the
+// first of them.
 type RuleCount struct {
 	Rule     string `json:"rule"`
 	Checked  int    `json:"looked"`
@@ -42,12 +42,12 @@
 type Counts struct {
 	Jobs            int `json:"jobs"`
 	Requests        int `json:"tries"`
-	Served          int `json:"served"` // requests, as the next six
+	Served          int `json:"served"` // this and the next six count requests
 	Rejected        int `json:"refused"`
 	Failed          int `json:"failed"`
 	ConnectionsLost int `json:"lost"`     // their connection ended without a response
 	TimedOut        int `json:"gave_up"`  // their clients timed out
-	ClientsLeft     int `json:"left"`     // their clients left before
+	ClientsLeft     int `json:"left"`     // their clients left before the deadline
 	Excused         int `json:"excused"`  // requests without a response that a fault or their client excuses
 	Open            int `json:"open"`     // not ended when the run ended
 	Attempts        int `json:"attempts"` // that reached a worker
@@ -62,7 +62,7 @@
 // Verdict returns what was found so far, including violations by requests that are still open. The run may continue after it.
 func (c *Checker) Verdict() Verdict {
 	verdict := Verdict{Violations: []Violation{}, Counts: c.counts}
-	// What is open is checked on a copy of the findings.
+	// Open requests are checked on a copy of the findings, as they may still be answered.
 	found := slices.Clone(c.violations)
 	checked := c.checkCounts
 	violated := c.violationCounts
@@ -90,7 +90,7 @@
 	c.checkCounts = checked
 	c.violationCounts = violated
 	for _, state := range saved {
-		state.job.brokenRules = state.brokenRules
+		state.job.violatedRules = state.violatedRules
 		state.job.violations = state.violations
 	}
 	if c.maxLateness > c.options.MaxLateness {
@@ -102,18 +102,18 @@
 
 // savedJob is the part of a job that the checks of open requests change.
 type savedJob struct {
-	job         *job
-	brokenRules uint32
-	violations  []int
+	job           *job
+	violatedRules uint32
+	violations    []int
 }
 
 // saveJobs saves all jobs, in order of their IDs, and gives each its own copy of its violations.
 func (c *Checker) saveJobs() []savedJob {
 	var saved []savedJob
 	for _, job := range c.jobs {
-		saved = append(saved, savedJob{job, job.brokenRules, job.violations})
+		saved = append(saved, savedJob{job, job.violatedRules, job.violations})
 	}
-	slices.SortFunc(saved, func(a, job savedJob) int { return cmp.Compare(a.job.id, job.job.id) })
+	slices.SortFunc(saved, func(a, b savedJob) int { return cmp.Compare(a.job.id, b.job.id) })
 	for _, state := range saved {
 		state.job.violations = slices.Clone(state.violations)
 	}
@@ -149,11 +149,11 @@
 	var list []string
 	if len(c.workersImpaired) > 0 {
 		list = append(list, "one-attempt-per-node, attempts: overlaps that begin while messages to workers"+
-			" may get lost (by "+c.impairedBy()+"), as a scheduler may have given the earlier one up")
+			" may get lost (by "+c.impairedBy()+"), as a scheduler may have cancelled the earlier attempt")
 	}
 	if 2*c.clientDelay > c.slack {
-		list = append(list, "one-answer, in time: clients close before an answer of the last moment can have"+
-			" come, as words may take longer than the slack")
+		list = append(list, "one-answer, in time: clients close before an answer that was sent just before the deadline can"+
+			" have arrived, as messages may take longer than the slack")
 	}
 	if !c.options.RealProcesses {
 		list = append(list, "bad-clients: there are no bytes on sockets in virtual time",
@@ -162,7 +162,7 @@
 	return list
 }
 
-// impairedBy returns what makes messages to workers get lost, by the scenario's names.
+// impairedBy returns the scenario's names of the faults and settings by which messages to workers may get lost.
 func (c *Checker) impairedBy() string {
 	var by []string
 	for i := range c.spec.Faults {
--- a/internal/testbed/checker/worker_rules.go
+++ b/internal/testbed/checker/worker_rules.go
@@ -33,8 +33,8 @@
 	c.checkCounts[ruleCold]++
 }
 
-// notifiedShareLimit is the part of a cold worker's work from which on the schedulers that were notified of its start are
-// responsible for its overload.
+// notifiedShareLimit is the share of a warming worker's work from which on its overload is a violation: the share that came
+// from schedulers that were notified of its start.
 const notifiedShareLimit = 2.0 / 3
 
 // workerOverloaded handles the overload of a worker that was warming up.
