--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -13,12 +13,12 @@
 	"valvecove/internal/requests"
 )
 
-// forwarderProcess is the part of a scheduler's process that is there only if the scenario has planners: the forwarder,
-// which is the request table's policy, its connections to planners, and its membership.
+// forwarderProcess is the part of a scheduler's process that exists only if the scenario has planners: the forwarder, which is
+// the request table's policy, its connections to planners, and its membership.
 type forwarderProcess struct {
 	process        *process
-	levels         *levelNetwork
-	seat           int
+	network        *controlNetwork
+	nodeIndex      int
 	name           string
 	forwarder      *forwarder.Forwarder
 	members        *membership.ForwarderMembership
@@ -31,14 +31,14 @@
 
 // plannerConn is the connection to one planner.
 type plannerConn struct {
-	seat         int
+	nodeIndex    int
 	name         string
 	wanted       bool
 	stream       *stream // nil: not connected
 	connected    bool
 	backoff      time.Duration
 	retry        timer
-	retryPlanned bool // the retry timer is set
+	retryPlanned bool // the retry timer is running
 	writer       codec.Writer
 	reader       *codec.Reader
 }
@@ -48,16 +48,16 @@
 	maxRedialDelay = time.Second
 )
 
-// standaloneAperture keeps a forwarder without planners to a small part of the fleet. The other forwarders have lost their
-// planners too, and workers that all of them use would be overloaded.
+// standaloneAperture limits a forwarder without planners to a small part of the fleet. The other forwarders have lost their
+// planners too, and workers that all of them used would be overloaded.
 var standaloneAperture = aperture.Config{MinWorkers: 8, Coverage: 2, MinFleet: 2, MaxWidening: 8, WidenThreshold: 0.1, Retention: 30 * time.Second}
 
 func newForwarder(p *process, name string, seed uint64) *forwarderProcess {
 	s := p.scheduler
-	f := &forwarderProcess{process: p, levels: s.levels, seat: s.number, name: name, seed: seed}
+	f := &forwarderProcess{process: p, network: s.network, nodeIndex: s.number, name: name, seed: seed}
 	f.members = membership.NewForwarderMembership(f.member(), membership.Config{})
 	for n := range s.spec.Planners.Count {
-		k := &plannerConn{seat: s.spec.Schedulers.Count + n, name: plannerName(n)}
+		k := &plannerConn{nodeIndex: s.spec.Schedulers.Count + n, name: plannerName(n)}
 		k.retry.act = func() {
 			k.retryPlanned = false
 			f.connect(k)
@@ -71,10 +71,10 @@
 	return membership.Member{Name: f.name, Incarnation: uint64(f.process.scheduler.epoch + f.process.scheduler.now)}
 }
 
-// join makes the process a member of gossip.
-func (f *forwarderProcess) join() { f.levels.gossip.join(f.seat, f.member()) }
+// join makes the process a member of the gossip group.
+func (f *forwarderProcess) join() { f.network.gossip.join(f.nodeIndex, f.member()) }
 
-// newPolicy returns a new forwarder as the request table's policy: at the start, and after a policy has panicked.
+// newPolicy returns a new forwarder as the request table's policy. It is called at the start and after a policy has panicked.
 func (f *forwarderProcess) newPolicy() requests.Policy {
 	set := f.process.scheduler.settings.Settings
 	f.seed++
@@ -110,7 +110,7 @@
 }
 
 // beforeStep begins an iteration: it processes the messages of planners and gossip.
-func (f *forwarderProcess) beforeStep(updates []levelMessage) {
+func (f *forwarderProcess) beforeStep(updates []controlMessage) {
 	for i := range updates {
 		f.handleMessage(&updates[i])
 	}
@@ -127,13 +127,13 @@
 	f.carryOut(f.members.Step(f.process.now, nil, f.actions[:0]))
 	for _, k := range f.plannerConns {
 		if k.connected && k.writer.Len() > 0 {
-			f.levels.send(k.stream, 0, k.writer.Take(f.levels.buffer()))
+			f.network.send(k.stream, 0, k.writer.Take(f.network.buffer()))
 		}
 	}
 	for _, name := range f.forwarder.DrainingPlanners() {
 		for _, k := range f.plannerConns {
 			if k.name == name && k.connected {
-				f.levels.closeStream(k.stream, 0)
+				f.network.closeStream(k.stream, 0)
 				f.connLost(k)
 			}
 		}
@@ -143,7 +143,7 @@
 	}
 }
 
-func (f *forwarderProcess) handleMessage(n *levelMessage) {
+func (f *forwarderProcess) handleMessage(n *controlMessage) {
 	if n.kind == memberEvent {
 		f.events = append(f.events, n.event)
 		return
@@ -155,7 +155,7 @@
 		}
 	}
 	if conn == nil {
-		return // of a connection that was given up
+		return // it belongs to a connection that was given up
 	}
 	switch n.kind {
 	case streamConnected:
@@ -166,11 +166,11 @@
 		f.connLost(conn)
 	case streamData:
 		conn.reader.Feed(n.bytes)
-		f.levels.recycle(n.bytes)
+		f.network.recycle(n.bytes)
 		for {
 			envelope, ok, err := conn.reader.Next()
 			if err != nil {
-				f.levels.closeStream(conn.stream, 0)
+				f.network.closeStream(conn.stream, 0)
 				f.connLost(conn)
 			}
 			if err != nil || !ok {
@@ -181,24 +181,24 @@
 	}
 }
 
-// connLost records that a connection, or an attempt to connect, has ended. It plans the next attempt if one is wanted.
+// connLost records that a connection or a dial has ended. It schedules the next dial if the planner is still wanted.
 func (f *forwarderProcess) connLost(k *plannerConn) {
-	was := k.connected
+	wasConnected := k.connected
 	k.stream, k.connected = nil, false
-	if was {
+	if wasConnected {
 		f.forwarder.SessionChanged(k.name, false)
 	}
 	if k.wanted && !k.retryPlanned {
 		k.backoff = min(max(2*k.backoff, minRedialDelay), maxRedialDelay)
 		k.retryPlanned = true
-		f.process.start(&k.retry, k.backoff/2+time.Duration(f.levels.rngs[f.seat].Int64N(int64(k.backoff))))
+		f.process.start(&k.retry, k.backoff/2+time.Duration(f.network.rngs[f.nodeIndex].Int64N(int64(k.backoff))))
 	}
 }
 
 // connect dials a planner if a connection is wanted and there is none.
 func (f *forwarderProcess) connect(k *plannerConn) {
 	if k.wanted && k.stream == nil {
-		k.stream = f.levels.dial(f.seat, k.seat)
+		k.stream = f.network.dial(f.nodeIndex, k.nodeIndex)
 	}
 }
 
@@ -222,9 +222,9 @@
 		case membership.SetForwarderIndex:
 			f.forwarder.SetForwarderIndex(action.Index, action.Count)
 		case membership.Announce:
-			f.levels.gossip.announce(f.seat, action.Member)
+			f.network.gossip.announce(f.nodeIndex, action.Member)
 		case membership.LogLine:
-			f.process.scheduler.model.logger(f.seat).LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
+			f.process.scheduler.model.logger(f.nodeIndex).LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 		}
 	}
 	clear(actions)
@@ -233,12 +233,12 @@
 
 // updateWanted records whether a planner is among those to be connected to, and dials it if it has become one.
 func (f *forwarderProcess) updateWanted(conn *plannerConn, names []string) {
-	was := conn.wanted
+	wasWanted := conn.wanted
 	conn.wanted = false
 	for _, name := range names {
 		conn.wanted = conn.wanted || name == conn.name
 	}
-	if conn.wanted && !was {
+	if conn.wanted && !wasWanted {
 		if conn.retryPlanned {
 			conn.retryPlanned = false
 			f.process.stop(&conn.retry)
--- a/internal/testbed/simulation/gossip.go
+++ b/internal/testbed/simulation/gossip.go
@@ -7,13 +7,13 @@
 	"valvecove/internal/control/membership"
 )
 
-// gossip models the membership protocol of forwarders and planners, in the manner of SWIM. Each node sends its records to
-// a few random others in rounds. A node that does not answer a probe, directly or through others, is suspected, and
-// declared dead after suspicionTimeout; it may refute that. Two nodes that a partition separates learn of each other as
-// long as a third one reaches both.
+// gossip models the membership protocol of forwarders and planners, which is similar to SWIM. In each round a node sends its
+// records to a few random others. A node that does not answer a probe, directly or through others, is suspected, and declared
+// dead after suspicionTimeout, which it may refute. Two nodes that a partition separates get each other's records as long as
+// a third one is connected to both.
 type gossip struct {
-	levels *levelNetwork
-	nodes  []gossipNode
+	network *controlNetwork
+	nodes   []gossipNode
 }
 
 const (
@@ -24,15 +24,15 @@
 	suspicionTimeout = 2 * time.Second
 )
 
-// gossipNode is one seat's view of the others.
+// gossipNode is one node's view of the others.
 type gossipNode struct {
 	incarnation    int // of the process; 0: none has joined
 	records        []memberRecord
-	suspectedSince []time.Duration // by seat; 0: not suspected
-	candidates     []int           // scratch
+	suspectedSince []time.Duration // by node; 0: not suspected
+	candidates     []int           // reused between rounds
 }
 
-// memberRecord is what is known of a seat's process.
+// memberRecord is what is known of a node's process.
 type memberRecord struct {
 	known   bool
 	member  membership.Member
@@ -62,85 +62,85 @@
 	return r.state > other.state
 }
 
-func (g *gossip) start(t *levelNetwork) {
-	g.levels = t
-	g.nodes = make([]gossipNode, len(t.seats))
+func (g *gossip) start(t *controlNetwork) {
+	g.network = t
+	g.nodes = make([]gossipNode, len(t.nodes))
 	for i := range g.nodes {
-		g.nodes[i] = gossipNode{records: make([]memberRecord, len(t.seats)), suspectedSince: make([]time.Duration, len(t.seats))}
+		g.nodes[i] = gossipNode{records: make([]memberRecord, len(t.nodes)), suspectedSince: make([]time.Duration, len(t.nodes))}
 		g.gossipRound(i, time.Duration(t.rngs[i].Int64N(int64(gossipInterval))))
 		g.probeRound(i, time.Duration(t.rngs[i].Int64N(int64(probeInterval))))
 	}
 }
 
-// isRunning reports whether a seat's process is a member and runs.
-func (g *gossip) isRunning(seat int) bool {
-	incarnation, runs, frozen := g.levels.seats[seat].status()
-	return runs && !frozen && incarnation == g.nodes[seat].incarnation
+// isRunning reports whether a node's process is a member and runs.
+func (g *gossip) isRunning(nodeIndex int) bool {
+	incarnation, runs, frozen := g.network.nodes[nodeIndex].status()
+	return runs && !frozen && incarnation == g.nodes[nodeIndex].incarnation
 }
 
-// join makes a process a member: it requests the state of a random member that it can reach.
-func (g *gossip) join(seat int, me membership.Member) {
-	n := &g.nodes[seat]
-	n.incarnation, _, _ = g.levels.seats[seat].status()
+// join makes a process a member, which requests the records of a random member that it can reach.
+func (g *gossip) join(nodeIndex int, me membership.Member) {
+	n := &g.nodes[nodeIndex]
+	n.incarnation, _, _ = g.network.nodes[nodeIndex].status()
 	clear(n.records)
 	clear(n.suspectedSince)
-	n.records[seat] = memberRecord{known: true, member: me}
-	g.requestState(seat, n.incarnation)
+	n.records[nodeIndex] = memberRecord{known: true, member: me}
+	g.requestState(nodeIndex, n.incarnation)
 }
 
-func (g *gossip) requestState(seat, incarnation int) {
-	t := g.levels
-	sequence := t.rngs[seat].Perm(len(g.nodes))
-	for _, o := range sequence {
-		if o == seat || !g.isRunning(o) || t.isCut(seat, o) || t.isCut(o, seat) {
+func (g *gossip) requestState(nodeIndex, incarnation int) {
+	t := g.network
+	permutation := t.rngs[nodeIndex].Perm(len(g.nodes))
+	for _, o := range permutation {
+		if o == nodeIndex || !g.isRunning(o) || t.isCut(nodeIndex, o) || t.isCut(o, nodeIndex) {
 			continue
 		}
-		t.schedule(t.now+t.delay(seat, o), func() {
+		t.schedule(t.now+t.delay(nodeIndex, o), func() {
 			if g.isRunning(o) {
-				g.merge(o, g.nodes[seat].records)
-				g.sendAll(o, seat)
+				g.merge(o, g.nodes[nodeIndex].records)
+				g.sendAll(o, nodeIndex)
 			}
 		})
 		return
 	}
 	t.schedule(t.now+time.Second, func() {
-		if g.isRunning(seat) && g.nodes[seat].incarnation == incarnation {
-			g.requestState(seat, incarnation)
+		if g.isRunning(nodeIndex) && g.nodes[nodeIndex].incarnation == incarnation {
+			g.requestState(nodeIndex, incarnation)
 		}
 	})
 }
 
 // announce changes a process's record of itself.
-func (g *gossip) announce(seat int, me membership.Member) {
-	r := &g.nodes[seat].records[seat]
+func (g *gossip) announce(nodeIndex int, me membership.Member) {
+	r := &g.nodes[nodeIndex].records[nodeIndex]
 	r.member = me
 	r.version++
 }
 
-// leave spreads that a process leaves.
-func (g *gossip) leave(seat int) {
-	n := &g.nodes[seat]
-	if n.records[seat].known && n.records[seat].state != memberLeft {
-		n.records[seat].state = memberLeft
-		g.sendTo(seat, 2*gossipFanout)
+// leave marks a process as leaving, and sends that to others at once.
+func (g *gossip) leave(nodeIndex int) {
+	n := &g.nodes[nodeIndex]
+	if n.records[nodeIndex].known && n.records[nodeIndex].state != memberLeft {
+		n.records[nodeIndex].state = memberLeft
+		g.sendTo(nodeIndex, 2*gossipFanout)
 	}
 }
 
-// gossipRound schedules the rounds in which a seat sends its records to others.
-func (g *gossip) gossipRound(seat int, after time.Duration) {
-	g.levels.schedule(g.levels.now+after, func() {
-		if g.isRunning(seat) {
-			g.sendTo(seat, gossipFanout)
+// gossipRound schedules the rounds in which a node sends its records to others.
+func (g *gossip) gossipRound(nodeIndex int, after time.Duration) {
+	g.network.schedule(g.network.now+after, func() {
+		if g.isRunning(nodeIndex) {
+			g.sendTo(nodeIndex, gossipFanout)
 		}
-		g.gossipRound(seat, gossipInterval)
+		g.gossipRound(nodeIndex, gossipInterval)
 	})
 }
 
-func (g *gossip) sendTo(seat, to int) {
-	n := &g.nodes[seat]
+func (g *gossip) sendTo(nodeIndex, to int) {
+	n := &g.nodes[nodeIndex]
 	n.candidates = n.candidates[:0]
 	for o := range g.nodes {
-		if o != seat && n.records[o].known && n.records[o].state != memberLeft {
+		if o != nodeIndex && n.records[o].known && n.records[o].state != memberLeft {
 			n.candidates = append(n.candidates, o)
 		}
 	}
@@ -148,47 +148,47 @@
 		if len(n.candidates) == 0 {
 			return
 		}
-		i := g.levels.rngs[seat].IntN(len(n.candidates))
-		g.sendAll(seat, n.candidates[i])
+		i := g.network.rngs[nodeIndex].IntN(len(n.candidates))
+		g.sendAll(nodeIndex, n.candidates[i])
 		n.candidates = slices.Delete(n.candidates, i, i+1)
 	}
 }
 
-// sendAll sends all records of a node to another. They are lost if a partition separates the two.
+// sendAll sends all records of a node to another one. They are lost if a partition separates the two.
 func (g *gossip) sendAll(from, to int) {
-	t := g.levels
+	t := g.network
 	if t.isCut(from, to) {
 		return
 	}
-	what := slices.Clone(g.nodes[from].records)
+	records := slices.Clone(g.nodes[from].records)
 	t.schedule(t.now+t.delay(from, to), func() {
 		if g.isRunning(to) {
-			g.merge(to, what)
+			g.merge(to, records)
 		}
 	})
 }
 
-// merge updates a node's records by those of another that are newer.
-func (g *gossip) merge(seat int, what []memberRecord) {
-	n := &g.nodes[seat]
-	for o := range what {
-		r, previous := &what[o], &n.records[o]
-		if o == seat {
+// merge replaces a node's records by those of another node that are newer.
+func (g *gossip) merge(nodeIndex int, records []memberRecord) {
+	n := &g.nodes[nodeIndex]
+	for o := range records {
+		r, previous := &records[o], &n.records[o]
+		if o == nodeIndex {
 			if r.known && r.member.Incarnation == previous.member.Incarnation && r.state == memberDead && r.version >= previous.version &&
 				previous.state == memberAlive {
-				previous.version = r.version + 1 // refutes its death
+				previous.version = r.version + 1 // refutes the report of its own death
 			}
 			continue
 		}
 		if r.isNewerThan(previous) {
-			g.update(seat, o, *r)
+			g.update(nodeIndex, o, *r)
 		}
 	}
 }
 
-// update changes a record of a seat, and notifies its process.
-func (g *gossip) update(seat, of int, record memberRecord) {
-	n := &g.nodes[seat]
+// update replaces one of a node's records, and notifies its process.
+func (g *gossip) update(nodeIndex, of int, record memberRecord) {
+	n := &g.nodes[nodeIndex]
 	previous := n.records[of]
 	n.records[of] = record
 	var event membership.Event
@@ -204,59 +204,59 @@
 	case memberDead:
 		event = membership.MemberDied{Name: record.member.Name, Incarnation: record.member.Incarnation}
 	}
-	g.levels.deliver(seat, levelMessage{kind: memberEvent, event: event})
+	g.network.deliver(nodeIndex, controlMessage{kind: memberEvent, event: event})
 }
 
-// probeRound schedules the rounds in which a seat probes one random member and all that it suspects.
-func (g *gossip) probeRound(seat int, after time.Duration) {
-	g.levels.schedule(g.levels.now+after, func() {
-		if g.isRunning(seat) {
-			g.probe(seat)
+// probeRound schedules the rounds in which a node probes one random member and all those that it suspects.
+func (g *gossip) probeRound(nodeIndex int, after time.Duration) {
+	g.network.schedule(g.network.now+after, func() {
+		if g.isRunning(nodeIndex) {
+			g.probe(nodeIndex)
 		}
-		g.probeRound(seat, probeInterval)
+		g.probeRound(nodeIndex, probeInterval)
 	})
 }
 
-func (g *gossip) probe(seat int) {
-	n := &g.nodes[seat]
+func (g *gossip) probe(nodeIndex int) {
+	n := &g.nodes[nodeIndex]
 	n.candidates = n.candidates[:0]
 	for o := range g.nodes {
-		if o != seat && n.records[o].known && n.records[o].state == memberAlive {
+		if o != nodeIndex && n.records[o].known && n.records[o].state == memberAlive {
 			n.candidates = append(n.candidates, o)
 		}
 	}
 	if len(n.candidates) == 0 {
 		return
 	}
-	one := n.candidates[g.levels.rngs[seat].IntN(len(n.candidates))]
+	one := n.candidates[g.network.rngs[nodeIndex].IntN(len(n.candidates))]
 	for _, other := range n.candidates {
 		switch {
 		case other != one && n.suspectedSince[other] == 0:
-		case g.isReachable(seat, other, n.candidates):
+		case g.isReachable(nodeIndex, other, n.candidates):
 			n.suspectedSince[other] = 0
 		case n.suspectedSince[other] == 0:
-			n.suspectedSince[other] = max(g.levels.now, 1)
-		case g.levels.now-n.suspectedSince[other] >= suspicionTimeout:
+			n.suspectedSince[other] = max(g.network.now, 1)
+		case g.network.now-n.suspectedSince[other] >= suspicionTimeout:
 			n.suspectedSince[other] = 0
 			r := n.records[other]
 			r.state = memberDead
-			g.update(seat, other, r)
+			g.update(nodeIndex, other, r)
 		}
 	}
 }
 
-// isReachable reports whether a process answers a probe, directly or through others.
-func (g *gossip) isReachable(seat, to int, others []int) bool {
+// isReachable reports whether a process answers a node's probe, directly or through others.
+func (g *gossip) isReachable(nodeIndex, to int, others []int) bool {
 	answers := func(from int) bool {
-		return g.isRunning(to) && g.nodes[to].records[to].member.Incarnation == g.nodes[seat].records[to].member.Incarnation &&
-			!g.levels.isCut(from, to) && !g.levels.isCut(to, from)
+		return g.isRunning(to) && g.nodes[to].records[to].member.Incarnation == g.nodes[nodeIndex].records[to].member.Incarnation &&
+			!g.network.isCut(from, to) && !g.network.isCut(to, from)
 	}
-	if answers(seat) {
+	if answers(nodeIndex) {
 		return true
 	}
 	for range indirectProbes {
-		by := others[g.levels.rngs[seat].IntN(len(others))]
-		if by != to && g.isRunning(by) && !g.levels.isCut(seat, by) && !g.levels.isCut(by, seat) && answers(by) {
+		by := others[g.network.rngs[nodeIndex].IntN(len(others))]
+		if by != to && g.isRunning(by) && !g.network.isCut(nodeIndex, by) && !g.network.isCut(by, nodeIndex) && answers(by) {
 			return true
 		}
 	}
--- a/internal/testbed/simulation/level_counts.go
+++ b/internal/testbed/simulation/level_counts.go
@@ -7,66 +7,66 @@
 	"valvecove/internal/control/planner"
 )
 
-// LevelCounts counts what forwarders and planners did in a run, over all their processes.
-type LevelCounts struct {
-	Requests         int // that came to forwarders
-	Reoffered        int // offers to a planner of requests that had come before
-	Commands         int // of planners, as forwarders heard them
-	Rejected         int // of these, by forwarders' guards
+// ControlCounts counts what forwarders and planners did in a run, over all their processes.
+type ControlCounts struct {
+	Requests         int // admitted by forwarders
+	Reoffered        int // offers of requests that were not offered on arrival
+	Commands         int // that forwarders received from planners
+	Rejected         int // commands that forwarders' validators rejected
 	RejectedByReason [message.ReasonCount]int
-	Moves            int // requests that planners handed on
-	Unconfirmed      int // requests taken from a planner that said nothing of them
-	Expired          int // answered by forwarders at their deadline
-	Unplaced         int // or as nobody had room for them in time
-	Poison           int // or as they brought down two planners
-	Frozen           int // sessions that forwarders gave up as there was no answer
-	Standalone       int // times that one decided by itself
-	OwnPanics        int // of forwarders' own modules
-	Changes          int // of the planner that is followed, but for one that was lost
-	PresumedEnded    int // attempts that planners took to be over unheard of
-	Panics           int // of planners' modules
-	Returned         int // requests at which they panic
-	Malformed        int // messages to planners that make no sense
-	Unwritten        int // messages that could not be written
+	Transfers        int // requests that planners transferred to another planner
+	Revoked          int // requests revoked from planners that gave no command for them
+	Expired          int // requests to which forwarders responded at their deadline
+	Unplaced         int // requests to which forwarders responded as no planner had capacity by their objective
+	Poison           int // requests that forwarders gave up as sessions or policies failed on them twice
+	Unresponsive     int // sessions that forwarders reset, as the planner did not reply or a message was lost
+	Standalone       int // times that a forwarder entered standalone mode
+	ForwarderPanics  int // of forwarders' local policies
+	PlannerChanges   int // of the planner that a forwarder uses, other than by its loss
+	AssumedEnded     int // attempts without a report that planners assumed to have ended
+	PlannerPanics    int // of planners' policies
+	PoisonReturned   int // requests that planners returned because their policy panics at them
+	InvalidMessages  int // invalid messages to planners
+	EncodingFailures int // messages that could not be encoded
 }
 
-func (x *LevelCounts) addForwarder(f *forwarderProcess) {
+func (c *ControlCounts) addForwarder(f *forwarderProcess) {
 	stats := f.forwarder.Stats()
-	x.Requests += stats.Requests
-	x.Reoffered += stats.Reoffered
-	x.Commands += stats.Commands
-	for why, n := range stats.ByReason {
-		x.RejectedByReason[why] += n
-		x.Rejected += n
+	c.Requests += stats.Requests
+	c.Reoffered += stats.Reoffered
+	c.Commands += stats.Commands
+	for reason, n := range stats.ByReason {
+		c.RejectedByReason[reason] += n
+		c.Rejected += n
 	}
-	x.Moves += stats.Transfers
-	x.Unconfirmed += stats.Revoked
-	x.Expired += stats.Expired
-	x.Unplaced += stats.Unplaced
-	x.Poison += stats.Poison
-	x.Frozen += stats.Unresponsive
-	x.Standalone += stats.Standalone
-	x.OwnPanics += stats.Panics
-	x.Changes += f.members.PlannerChanges()
+	c.Transfers += stats.Transfers
+	c.Revoked += stats.Revoked
+	c.Expired += stats.Expired
+	c.Unplaced += stats.Unplaced
+	c.Poison += stats.Poison
+	c.Unresponsive += stats.Unresponsive
+	c.Standalone += stats.Standalone
+	c.ForwarderPanics += stats.Panics
+	c.PlannerChanges += f.members.PlannerChanges()
 }
 
-func (x *LevelCounts) addPlanner(b *planner.Planner) {
-	y := b.Stats()
-	x.PresumedEnded += y.Expired
-	x.Panics += y.Panics
-	x.Returned += y.Poison
-	x.Malformed += y.InvalidMessages
+func (c *ControlCounts) addPlanner(p *planner.Planner) {
+	stats := p.Stats()
+	c.AssumedEnded += stats.Expired
+	c.PlannerPanics += stats.Panics
+	c.PoisonReturned += stats.Poison
+	c.InvalidMessages += stats.InvalidMessages
 }
 
-// Sum adds another run's counts.
-func (x *LevelCounts) Sum(y *LevelCounts) {
-	a, b := reflect.ValueOf(x).Elem(), reflect.ValueOf(y).Elem()
+// Add adds another run's counts.
+func (c *ControlCounts) Add(other *ControlCounts) {
+	a, b := reflect.ValueOf(c).Elem(), reflect.ValueOf(other).Elem()
 	for i := range a.NumField() {
 		if a.Field(i).Kind() == reflect.Int {
 			a.Field(i).SetInt(a.Field(i).Int() + b.Field(i).Int())
 		}
 	}
-	for why, n := range y.RejectedByReason {
-		x.RejectedByReason[why] += n
+	for reason, n := range other.RejectedByReason {
+		c.RejectedByReason[reason] += n
 	}
 }
--- a/internal/testbed/simulation/levels.go
+++ b/internal/testbed/simulation/levels.go
@@ -11,50 +11,50 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// levelNetwork models the network between forwarders and planners: streams that carry bytes in order, and gossip. It also
-// applies the scenario's partitions and connection breaks to them. The environment knows nothing of it. A process takes
-// part under the number of its seat: forwarders have their numbers as schedulers, planners follow. Each seat has a
-// random generator of its own.
-type levelNetwork struct {
+// controlNetwork models the network between forwarders and planners: streams that carry bytes in order, and gossip. It applies
+// the scenario's partitions and connection breaks to them. The environment has no part in it. A node is a forwarder or a
+// planner over all of its processes. Forwarders are numbered as schedulers, planners after them. Each node has a random
+// generator of its own.
+type controlNetwork struct {
 	spec        *scenario.Scenario
 	now         time.Duration
-	seats       []levelNode
+	nodes       []controlNode
 	rngs        []*rand.Rand
 	events      actionQueue
 	eventCount  uint64
 	streamCount uint64
-	streams     [][]*stream // by seat: those that it has an end of
-	partitions  []*levelPartition
+	streams     [][]*stream // by node: those that it has an end of
+	partitions  []*networkPartition
 	sigma       float64 // log-normal spread of delays
 	gossip      gossip
-	reached     []int // seats that got a message since the last call of runDue
+	reached     []int // nodes that got a message since the last call of runDue
 	freeBuffers [][]byte
 }
 
-// levelNode is a seat as the network sees it. Messages to a frozen process wait in its node.
-type levelNode interface {
+// controlNode is a node of the network. It keeps the messages to a frozen process.
+type controlNode interface {
 	// status returns the incarnation of the process, and whether it runs and is frozen.
 	status() (incarnation int, runs, frozen bool)
-	deliver(n levelMessage)
+	deliver(n controlMessage)
 	endProcess() // at the end of the run
 }
 
-// levelMessage is an event of a stream or of gossip for a seat's process.
-type levelMessage struct {
-	kind     levelMessageKind
+// controlMessage is an event of a stream or of gossip for a node's process.
+type controlMessage struct {
+	kind     controlMessageKind
 	stream   *stream
 	bytes    []byte
-	timedOut bool // of streamLost: nothing was heard for streamTimeout
+	timedOut bool // of streamLost: nothing was received for streamTimeout
 	event    membership.Event
-	takenAt  time.Duration // when the node processes it
+	takenAt  time.Duration // earliest time at which the node processes it
 }
 
-type levelMessageKind uint8
+type controlMessageKind uint8
 
 const (
-	streamAccepted  levelMessageKind = iota // another seat has connected
-	streamConnected                         // the dialed seat has accepted
-	streamRefused                           // it has not
+	streamAccepted  controlMessageKind = iota // another node has connected
+	streamConnected                           // the dialed node has accepted
+	streamRefused                             // the dialed node has not accepted
 	streamData
 	streamLost
 	memberEvent
@@ -62,13 +62,13 @@
 
 const (
 	dialTimeout   = 250 * time.Millisecond // of a dial that gets no answer
-	streamTimeout = 5 * time.Second        // of data that a partition holds up
+	streamTimeout = 5 * time.Second        // of data that a partition delays
 )
 
-// stream is a connection between two seats. The first one has dialed.
+// stream is a connection between two nodes. The first one has dialed.
 type stream struct {
 	id         uint64
-	seats      [2]int
+	nodes      [2]int
 	open       [2]bool
 	directions [2]streamDirection // by the end that sends
 }
@@ -78,29 +78,29 @@
 	queue       []segment
 	lastArrival time.Duration // of the last queued segment
 	stalled     bool          // by a partition
-	stallCount  uint64        // counts stalls
+	stallCount  uint64
 }
 
 type segment struct {
 	arrivesAt time.Duration
-	kind      levelMessageKind
+	kind      controlMessageKind
 	bytes     []byte
 }
 
-// levelPartition is a network fault that separates seats.
-type levelPartition struct {
-	a, b   []bool // by seat
+// networkPartition is a fault that separates nodes.
+type networkPartition struct {
+	a, b   []bool // the two sides, by node
 	oneWay bool
 	active bool
 }
 
-func (c *levelPartition) separates(from, to int) bool {
+func (c *networkPartition) separates(from, to int) bool {
 	return c.active && (c.a[from] && c.b[to] || !c.oneWay && c.a[to] && c.b[from])
 }
 
-func newLevelNetwork(spec *scenario.Scenario, seed uint64) *levelNetwork {
+func newControlNetwork(spec *scenario.Scenario, seed uint64) *controlNetwork {
 	n := spec.Schedulers.Count + spec.Planners.Count
-	t := &levelNetwork{spec: spec, seats: make([]levelNode, n), rngs: make([]*rand.Rand, n), streams: make([][]*stream, n)}
+	t := &controlNetwork{spec: spec, nodes: make([]controlNode, n), rngs: make([]*rand.Rand, n), streams: make([][]*stream, n)}
 	for i := range t.rngs {
 		t.rngs[i] = rand.New(rand.NewPCG(seed^xxhash.Sum64String("tiers"), uint64(i)))
 	}
@@ -118,51 +118,52 @@
 }
 
 // planPartition schedules the start and the end of a partition.
-func (t *levelNetwork) planPartition(f *scenario.Fault) {
-	partition := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
-	partition.a, partition.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
-	if f.Between == f.And { // the targets are separated from the others
+func (n *controlNetwork) planPartition(f *scenario.Fault) {
+	partition := &networkPartition{oneWay: f.Kind == "planner_cut_one_way"}
+	partition.a, partition.b = n.sideOf(f, f.Between), n.sideOf(f, f.And)
+	if f.Between == f.And { // the targets are separated from the others of their group
 		for i := range partition.b {
-			partition.b[i] = t.isPlanner(i) == (f.Between == "planners") && (!partition.a[i] || !t.isNarrowed(f))
+			partition.b[i] = n.isPlanner(i) == (f.Between == "planners") && (!partition.a[i] || !n.isNarrowed(f))
 		}
 	}
-	t.partitions = append(t.partitions, partition)
-	t.schedule(f.At.Std(), func() { partition.active = true })
+	n.partitions = append(n.partitions, partition)
+	n.schedule(f.At.Std(), func() { partition.active = true })
 	if f.Duration > 0 {
-		t.schedule((f.At + f.Duration).Std(), func() {
+		n.schedule((f.At + f.Duration).Std(), func() {
 			partition.active = false
-			t.resumeStalled()
+			n.resumeStalled()
 		})
 	}
 }
 
-func (t *levelNetwork) isNarrowed(f *scenario.Fault) bool {
+// isNarrowed reports whether a fault names targets on its side.
+func (n *controlNetwork) isNarrowed(f *scenario.Fault) bool {
 	if f.Between == "planners" {
 		return len(f.Target.Planners) > 0
 	}
 	return len(f.Target.Schedulers) > 0
 }
 
-// sideOf returns, by seat, who is on one side of a partition.
-func (t *levelNetwork) sideOf(f *scenario.Fault, name string) []bool {
-	some, from, only := make([]bool, len(t.seats)), 0, f.Target.Schedulers
-	to := t.spec.Schedulers.Count
+// sideOf returns, by node, which nodes are on one side of a partition.
+func (n *controlNetwork) sideOf(f *scenario.Fault, name string) []bool {
+	side, from, targets := make([]bool, len(n.nodes)), 0, f.Target.Schedulers
+	to := n.spec.Schedulers.Count
 	if name == "planners" {
-		from, to, only = to, len(t.seats), f.Target.Planners
+		from, to, targets = to, len(n.nodes), f.Target.Planners
 	}
 	for i := from; i < to; i++ {
-		some[i] = len(only) == 0
+		side[i] = len(targets) == 0
 	}
-	for _, i := range only {
-		some[from+i] = true
+	for _, i := range targets {
+		side[from+i] = true
 	}
-	return some
+	return side
 }
 
-func (t *levelNetwork) isPlanner(seat int) bool { return seat >= t.spec.Schedulers.Count }
+func (n *controlNetwork) isPlanner(nodeIndex int) bool { return nodeIndex >= n.spec.Schedulers.Count }
 
-func (t *levelNetwork) isCut(from, to int) bool {
-	for _, c := range t.partitions {
+func (n *controlNetwork) isCut(from, to int) bool {
+	for _, c := range n.partitions {
 		if c.separates(from, to) {
 			return true
 		}
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -15,19 +15,19 @@
 )
 
 var (
-	plays     = goflag.Int("plays", playsAtOnce, "random plays of forwarders and planners")
-	firstPlay = goflag.Int("first", 0, "the first of them")
+	runCount  = goflag.Int("plays", defaultRunCount, "number of random runs with forwarders and planners")
+	firstSeed = goflag.Int("first", 0, "seed of the first random run")
 )
 
-const msSpan = scenario.Duration(time.Millisecond)
+const millisecond = scenario.Duration(time.Millisecond)
 
-// drawLevels draws a short scenario with any number of forwarders and planners, and its faults: most of planners and the
-// network, some of everything else.
-func drawLevels(rng *rand.Rand) *scenario.Scenario {
+// drawScenario draws a short scenario with forwarders and planners, and its faults: most of them are of planners and their
+// network, some are of other kinds.
+func drawScenario(rng *rand.Rand) *scenario.Scenario {
 	s := scenario.Default()
-	span := func(from, to int) scenario.Duration { return scenario.Duration(from+rng.IntN(to-from)) * msSpan }
+	span := func(from, to int) scenario.Duration { return scenario.Duration(from+rng.IntN(to-from)) * millisecond }
 	s.Name, s.Drivers = "drawn", []string{scenario.DriverSimulation}
-	s.Length, s.Settle = span(1500, 4000), 5000*msSpan
+	s.Length, s.Settle = span(1500, 4000), 5000*millisecond
 	s.Fleet.Workers, s.Fleet.CellSize = 2+rng.IntN(14), 1+rng.IntN(4)
 	s.Fleet.Zones = []string{"a", "b", "c"}[:1+rng.IntN(3)]
 	s.Schedulers.Count, s.Planners.Count = 1+rng.IntN(6), 1+rng.IntN(4)
@@ -40,19 +40,19 @@
 	s.Load.CapacityShare, s.Load.Shape = 0.3+rng.Float64(), []string{"steady", "bursty"}[rng.IntN(2)]
 	s.Network.Delay = scenario.Duration(math.Exp(rng.Float64()*5) * float64(100*time.Microsecond)) // to 15 ms
 	s.Network.CrossZone, s.Network.Jitter = 2*s.Network.Delay, rng.Float64()*1.5
-	s.Clients.Retries, s.Clients.Backoff = rng.IntN(3), 100*msSpan
+	s.Clients.Retries, s.Clients.Backoff = rng.IntN(3), 100*millisecond
 	s.Clients.Impatient = 0.05 * float64(rng.IntN(2))
-	// A forwarder takes half a second to see that a planner is frozen, and waits for another one for a second.
-	s.Rules.RejectionDeadline = 1750 * msSpan
-	for i := range s.Classes { // as the co-operative's, four times as fast
+	// A forwarder needs half a second to detect that a planner is frozen, and waits a second for another one.
+	s.Rules.RejectionDeadline = 1750 * millisecond
+	for i := range s.Classes { // the default classes, four times as fast
 		c := &s.Classes[i]
 		c.Work, c.LatencyObjective, c.Deadline = c.Work/4, c.LatencyObjective/4, c.Deadline/4
-		c.DeduplicationWindow = span(2000, 6000) // a twentieth of it has to be enough for a connection to come up
+		c.DeduplicationWindow = span(2000, 6000) // a twentieth of it has to be enough to establish a connection
 	}
 	s.Classes[3].DeduplicationScope = []string{"cell", "zone", "all"}[rng.IntN(3)]
 	for i := range s.Fleet.Kinds {
 		k := &s.Fleet.Kinds[i]
-		k.WarmUp, k.CallbackDelay = span(100, 3000), scenario.Duration(rng.IntN(30))*msSpan
+		k.WarmUp, k.CallbackDelay = span(100, 3000), scenario.Duration(rng.IntN(30))*millisecond
 		k.CallbackTwiceShare, k.CallbackLossShare, k.CallbackEarlyShare = 0.1*rng.Float64(), 0.05*rng.Float64(), 0.3*rng.Float64()
 		k.ReturnsQueued, k.OmitsStartNotifications = rng.IntN(3) == 0, rng.IntN(6) == 0
 	}
@@ -62,7 +62,7 @@
 		"sched_freeze", "crash", "restart", "drain", "hang", "cut", "disco_down", "disco_old", "no_notes", "burst", "handback",
 	}
 	for range rng.IntN(9) {
-		f := scenario.Fault{Kind: kinds[rng.IntN(len(kinds))], At: span(100, int(s.Length/msSpan)), Duration: span(20, 3000)}
+		f := scenario.Fault{Kind: kinds[rng.IntN(len(kinds))], At: span(100, int(s.Length/millisecond)), Duration: span(20, 3000)}
 		drawTarget(rng, s, &f)
 		addFault(s, f)
 	}
@@ -98,9 +98,9 @@
 	}
 }
 
-// addFault adds a fault with the first size that its kind takes, without a duration if it takes none.
+// addFault adds a fault with the first size that its kind allows, and without a duration if the kind has none.
 func addFault(s *scenario.Scenario, f scenario.Fault) {
-	for _, size := range []float64{0, 2, 80} { // whichever its kind takes
+	for _, size := range []float64{0, 2, 80} {
 		f.Size = size
 		s.Faults = append(s.Faults, f)
 		if s.Check() == nil {
@@ -113,44 +113,44 @@
 	}
 }
 
-// judged runs a scenario, and returns its outcome and the checker's verdict.
-func judged(t *testing.T, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, checker.Verdict) {
+// runChecked runs a scenario, and returns its outcome and the checker's verdict.
+func runChecked(t *testing.T, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, checker.Verdict) {
 	t.Helper()
-	j := checker.New(spec, checker.Options{})
-	opt.Observers = append(opt.Observers, j.Observe)
+	invariants := checker.New(spec, checker.Options{})
+	opt.Observers = append(opt.Observers, invariants.Observe)
 	got, err := Run(spec, seed, opt)
 	if err != nil {
 		t.Errorf("seed %d: %v", seed, err)
 		return &Outcome{}, checker.Verdict{}
 	}
-	return got, j.Verdict()
+	return got, invariants.Verdict()
 }
 
-// TestRandomRunsWithPlanners checks that no rule is broken, and each request gets one response, under random faults.
+// TestRandomRunsWithPlanners checks that no rule of the checker is violated under random faults.
 func TestRandomRunsWithPlanners(t *testing.T) {
 	var next atomic.Int64
-	var all sync.WaitGroup
+	var runs sync.WaitGroup
 	var lock sync.Mutex
-	sum, requests := LevelCounts{}, 0
+	sum, requests := ControlCounts{}, 0
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		runs.Go(func() {
 			for {
-				seed := uint64(*firstPlay) + uint64(next.Add(1)) - 1
-				if seed >= uint64(*firstPlay+*plays) || t.Failed() {
+				seed := uint64(*firstSeed) + uint64(next.Add(1)) - 1
+				if seed >= uint64(*firstSeed+*runCount) || t.Failed() {
 					return
 				}
-				spec := drawLevels(rand.New(rand.NewPCG(seed, 11)))
-				got, verdict := judged(t, spec, seed, Options{})
-				for _, b := range verdict.Violations {
-					t.Errorf("seed %d: %v\n%s\nin\n%s", seed, b, b.Explanation, scenario.Encode(spec))
+				spec := drawScenario(rand.New(rand.NewPCG(seed, 11)))
+				got, verdict := runChecked(t, spec, seed, Options{})
+				for _, violation := range verdict.Violations {
+					t.Errorf("seed %d: %v\n%s\nin\n%s", seed, violation, violation.Explanation, scenario.Encode(spec))
 				}
 				lock.Lock()
-				sum.Sum(&got.Levels)
-				requests += got.Levels.Requests
+				sum.Add(&got.Control)
+				requests += got.Control.Requests
 				lock.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	runs.Wait()
 	t.Logf("%d requests: %+v", requests, sum)
 }
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// busyLevels is a scenario with most kinds of faults of forwarders and planners.
-const busyLevels = `
+// faultyPlanners is a scenario with most kinds of faults of forwarders and planners.
+const faultyPlanners = `
 length = "8s"
 drivers = ["virtual"]
 fleet = { nodes = 14, zones = ["a", "b"] }
@@ -34,48 +34,48 @@
   { what = "restart", at = "3s", for = "500ms", on.share = 0.3 },
 ]`
 
-// TestRunWithPlannersIsDeterministic checks that a run with planners, too, is determined by scenario and seed.
+// TestRunWithPlannersIsDeterministic checks that scenario and seed determine a run with planners, also beside other runs.
 func TestRunWithPlannersIsDeterministic(t *testing.T) {
-	spec := parse(t, busyLevels)
-	play := func(seed uint64) uint64 {
+	spec := parse(t, faultyPlanners)
+	digestOf := func(seed uint64) uint64 {
 		got, err := Run(spec, seed, Options{Digest: true})
-		x := got.Levels
-		if err != nil || !got.Finished || x.Requests < 100 || x.Commands < x.Requests || x.Unwritten > 0 {
+		x := got.Control
+		if err != nil || !got.Finished || x.Requests < 100 || x.Commands < x.Requests || x.EncodingFailures > 0 {
 			t.Errorf("%+v, %v", got, err)
 		}
 		return got.Digest
 	}
-	want := play(1)
-	if play(2) == want {
-		t.Error("two seeds are one play")
+	want := digestOf(1)
+	if digestOf(2) == want {
+		t.Error("seeds 1 and 2 give the same run")
 	}
 	old := runtime.GOMAXPROCS(max(8, runtime.GOMAXPROCS(0)))
-	var all sync.WaitGroup
+	var runs sync.WaitGroup
 	for range 3 {
-		all.Go(func() {
-			if play(1) != want {
-				t.Error("another play beside others")
+		runs.Go(func() {
+			if digestOf(1) != want {
+				t.Error("a concurrent run of the same seed differs")
 			}
 		})
 	}
-	all.Wait()
+	runs.Wait()
 	runtime.GOMAXPROCS(old)
 }
 
-// commandFault is a fault that is seeded in a planner: it sends other commands besides, or in place of, a command to send.
+// commandFault is a fault injected into a planner: it sends invalid commands besides or in place of a send command.
 type commandFault struct {
-	stopped []message.RejectReason // for any of these reasons
-	say     func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action
+	reasons []message.RejectReason // why forwarders reject the invalid commands: any of these
+	alter   func(h *commandHistory, command planner.SendToForwarder, dst []planner.Action) []planner.Action
 }
 
-// commandHistory is what a commandFault knows of a run.
+// commandHistory is the state that command faults keep over a run.
 type commandHistory struct {
-	drained uint64                    // a worker that drains, by all lists
-	last    []planner.SendToForwarder // orders to send, a while ago
-	n       int
+	drained uint64                    // a worker that schedulers know to drain; 0: none yet
+	last    []planner.SendToForwarder // the last few send commands, the oldest first
+	n       int                       // send commands so far
 }
 
-// sendCommand returns an action as one that sends a command to send.
+// sendCommand returns an action as a send command; ok is false if it is none.
 func sendCommand(action planner.Action) (command planner.SendToForwarder, ok bool) {
 	command, isMessage := action.(planner.SendToForwarder)
 	if !isMessage {
@@ -85,51 +85,52 @@
 	return command, ok
 }
 
-// again returns a changed copy of a command to send.
-func again(o planner.SendToForwarder, change func(m *message.SendCommand)) planner.SendToForwarder {
-	o.Envelope = o.Envelope.Clone()
-	change(o.Envelope.Message.(*message.SendCommand))
-	return o
+// changedCopy returns a changed copy of a send command.
+func changedCopy(command planner.SendToForwarder, change func(m *message.SendCommand)) planner.SendToForwarder {
+	command.Envelope = command.Envelope.Clone()
+	change(command.Envelope.Message.(*message.SendCommand))
+	return command
 }
 
-// insteadOf returns another message in place of a command to send.
-func insteadOf(o planner.SendToForwarder, m message.Message) planner.SendToForwarder {
-	o.Envelope.Message = m
-	return o
+// withMessage returns a send command with its message replaced.
+func withMessage(command planner.SendToForwarder, m message.Message) planner.SendToForwarder {
+	command.Envelope.Message = m
+	return command
 }
 
 var commandFaults = map[string]commandFault{
-	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+	"each command twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 		return append(dst, o, o)
 	}},
-	"a copy at the same worker node": {
+	"a hedged request to the same worker": {
 		[]message.RejectReason{message.ReasonDuplicateAtWorker},
 		func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
-			return append(dst, o, again(o, func(m *message.SendCommand) { m.Attempt++ }))
+			return append(dst, o, changedCopy(o, func(m *message.SendCommand) { m.Attempt++ }))
 		},
 	},
-	"to a worker that drains": {
+	"to a draining worker": {
 		[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
 		func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
-				o = again(o, func(m *message.SendCommand) { m.WorkerID = d.drained })
+				o = changedCopy(o, func(m *message.SendCommand) { m.WorkerID = d.drained })
 			}
 			return append(dst, o)
 		},
 	},
-	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+	"of an earlier epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 		old := o
 		old.Envelope.Epoch--
 		return append(dst, old, o)
 	}},
-	// A second order for whatever was sent a while ago: it is out, may have run, or is over.
-	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *commandHistory, o planner.SendToForwarder,
+	// A second command for a request whose first one was sent a while ago: its attempt is in flight, was possibly executed, or
+	// has ended.
+	"a second attempt of an earlier request": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *commandHistory, o planner.SendToForwarder,
 		dst []planner.Action,
 	) []planner.Action {
 		if len(d.last) > 6 {
 			old := d.last[0]
 			d.last = d.last[1:]
-			dst = append(dst, again(old, func(m *message.SendCommand) {
+			dst = append(dst, changedCopy(old, func(m *message.SendCommand) {
 				m.Attempt++
 				m.WorkerID = o.Envelope.Message.(*message.SendCommand).WorkerID
 			}))
@@ -137,31 +138,31 @@
 		d.last = append(d.last, o)
 		return append(dst, o)
 	}},
-	"a refusal of what may have run": {
+	"a rejection of a possibly executed request": {
 		[]message.RejectReason{message.ReasonUnsafeRejection},
 		func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if dst = append(dst, o); d.n%5 == 0 {
-				dst = append(dst, insteadOf(o, &message.RejectCommand{RequestID: o.Envelope.Message.(*message.SendCommand).RequestID}))
+				dst = append(dst, withMessage(o, &message.RejectCommand{RequestID: o.Envelope.Message.(*message.SendCommand).RequestID}))
 			}
 			return dst
 		},
 	},
-	"of another forwarder's request": {
+	"for a request of another forwarder": {
 		[]message.RejectReason{message.ReasonUnknownRequest},
 		func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
-			return append(dst, again(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
+			return append(dst, changedCopy(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
 		},
 	},
 }
 
-// alter replaces the commands to send a request by what say makes of them.
+// alter replaces each send command by the actions that a command fault returns for it.
 func (d *commandHistory) alter(
-	outs []planner.Action, say func(*commandHistory, planner.SendToForwarder, []planner.Action) []planner.Action,
+	outs []planner.Action, fault func(*commandHistory, planner.SendToForwarder, []planner.Action) []planner.Action,
 ) (dst []planner.Action) {
 	for _, o := range outs {
 		if command, ok := sendCommand(o); ok {
 			d.n++
-			dst = say(d, command, dst)
+			dst = fault(d, command, dst)
 		} else {
 			dst = append(dst, o)
 		}
@@ -171,7 +172,7 @@
 
 // TestForwardersRejectInvalidCommands checks that forwarders reject commands that would break a rule.
 func TestForwardersRejectInvalidCommands(t *testing.T) {
-	for name, s := range commandFaults {
+	for name, fault := range commandFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			spec := parse(t, `
@@ -182,52 +183,53 @@
 planners = { count = 2 }
 load = { of = 0.5 }
 fault = [{ what = "drain", at = "1s", on.names = ["w-3"] }, { what = "crash", at = "3s", for = "1s", on.share = 0.2 }]`)
-			d := &commandHistory{}
-			watch := func(x *trace.Event) {
-				if x.Kind == trace.DrainNotified && x.Worker == 3 {
-					d.drained = endpointNumber("w-3")
+			sent := &commandHistory{}
+			observe := func(event *trace.Event) {
+				if event.Kind == trace.DrainNotified && event.Worker == 3 {
+					sent.drained = endpointNumber("w-3")
 				}
 			}
-			got, verdict := judged(t, spec, 1, Options{
-				Observers: []trace.Observer{watch},
+			got, verdict := runChecked(t, spec, 1, Options{
+				Observers: []trace.Observer{observe},
 				AlterPlanner: func(_ int, outs []planner.Action) []planner.Action {
-					return d.alter(outs, s.say)
+					return sent.alter(outs, fault.alter)
 				},
 			})
-			for _, b := range verdict.Violations {
-				t.Errorf("%v\n%s", b, b.Explanation)
+			for _, violation := range verdict.Violations {
+				t.Errorf("%v\n%s", violation, violation.Explanation)
 			}
-			stopped := 0
-			for _, why := range s.stopped {
-				stopped += got.Levels.RejectedByReason[why]
+			rejected := 0
+			for _, reason := range fault.reasons {
+				rejected += got.Control.RejectedByReason[reason]
 			}
-			if stopped < 3 || d.n < 100 {
-				t.Errorf("%d orders, stopped %v", d.n, got.Levels.RejectedByReason)
+			if rejected < 3 || sent.n < 100 {
+				t.Errorf("%d send commands, rejected %v", sent.n, got.Control.RejectedByReason)
 			}
 		})
 	}
 }
 
-// poisonedPolicy is a policy that panics at some requests, in any planner.
+// poisonedPolicy is a planner's policy that panics at some requests.
 type poisonedPolicy struct{ planner.Policy }
 
-// isPoison selects so few requests that no planner reaches six panics in 10 s, at which it would drop all its requests.
+// isPoison reports whether the policy panics at a request. It selects so few that no planner reaches six panics in 10 s, at
+// which it would drop all its requests.
 func isPoison(j dispatch.Job) bool { return j.Class == 0 && j.Hint%37 == 0 && j.Hint > 0 }
 
-func (m poisonedPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (p poisonedPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.Job:
 			if isPoison(e) {
-				panic("poisonous")
+				panic("poison request")
 			}
 		case dispatch.JobResumed:
 			if isPoison(e.Job) {
-				panic("poisonous")
+				panic("poison request")
 			}
 		}
 	}
-	return m.Policy.Step(now, events, dst)
+	return p.Policy.Step(now, events, dst)
 }
 
 // TestPoisonRequests checks that a request at which every planner's policy panics costs two planners their policy, never a
@@ -242,30 +244,30 @@
 load = { of = 0.5, hints = "exact" }
 clients = { retries = 0 }`)
 	failed, served := 0, 0
-	got, verdict := judged(t, spec, 2, Options{
+	got, verdict := runChecked(t, spec, 2, Options{
 		WrapPlanner: func(_ int, m planner.Policy) planner.Policy { return poisonedPolicy{m} },
-		Observers: []trace.Observer{func(x *trace.Event) {
+		Observers: []trace.Observer{func(event *trace.Event) {
 			switch {
-			case x.Kind == trace.ResponseReceived && x.Status == 200:
+			case event.Kind == trace.ResponseReceived && event.Status == 200:
 				served++
-			case x.Kind == trace.ResponseReceived:
+			case event.Kind == trace.ResponseReceived:
 				failed++
 			}
 		}},
 	})
-	for _, b := range verdict.Violations {
-		t.Errorf("%v\n%s", b, b.Explanation)
+	for _, violation := range verdict.Violations {
+		t.Errorf("%v\n%s", violation, violation.Explanation)
 	}
-	f := &got.Levels
-	if f.Poison < 3 || f.Panics != 2*f.Poison || f.Returned != f.Panics || failed < f.Poison ||
-		failed > f.Poison+3 || served < 200 {
-		t.Errorf("%d failed, %d served: %+v", failed, served, f)
+	counts := &got.Control
+	if counts.Poison < 3 || counts.PlannerPanics != 2*counts.Poison || counts.PoisonReturned != counts.PlannerPanics || failed < counts.Poison ||
+		failed > counts.Poison+3 || served < 200 {
+		t.Errorf("%d failed, %d served: %+v", failed, served, counts)
 	}
 }
 
-// TestPlannersRejectBaselinePolicy checks that a scenario with planners does not run with a baseline policy.
+// TestPlannersRejectBaselinePolicy checks that a scenario with planners is not run with a baseline policy.
 func TestPlannersRejectBaselinePolicy(t *testing.T) {
-	if _, err := Run(parse(t, busyLevels), 1, Options{Model: policy("random")}); err == nil {
-		t.Error("a planner with a baseline policy")
+	if _, err := Run(parse(t, faultyPlanners), 1, Options{Model: policy("random")}); err == nil {
+		t.Error("a scenario with planners ran with a baseline policy")
 	}
 }
--- a/internal/testbed/simulation/levels_time.go
+++ b/internal/testbed/simulation/levels_time.go
@@ -28,37 +28,37 @@
 	return x
 }
 
-func (t *levelNetwork) schedule(at time.Duration, do func()) {
-	t.eventCount++
-	heap.Push(&t.events, scheduledAction{max(at, t.now), t.eventCount, do})
+func (n *controlNetwork) schedule(at time.Duration, run func()) {
+	n.eventCount++
+	heap.Push(&n.events, scheduledAction{max(at, n.now), n.eventCount, run})
 }
 
 // nextAt returns the time of the first scheduled action, or never.
-func (t *levelNetwork) nextAt() time.Duration {
-	if len(t.events) == 0 {
+func (n *controlNetwork) nextAt() time.Duration {
+	if len(n.events) == 0 {
 		return never
 	}
-	return t.events[0].at
+	return n.events[0].at
 }
 
-// runDue runs all actions that are due, and returns the seats that got a message.
-func (t *levelNetwork) runDue(now time.Duration) []int {
-	t.now = now
-	t.reached = t.reached[:0]
-	for len(t.events) > 0 && t.events[0].at <= now {
-		heap.Pop(&t.events).(scheduledAction).run()
+// runDue runs all actions that are due, and returns the nodes that got a message.
+func (n *controlNetwork) runDue(now time.Duration) []int {
+	n.now = now
+	n.reached = n.reached[:0]
+	for len(n.events) > 0 && n.events[0].at <= now {
+		heap.Pop(&n.events).(scheduledAction).run()
 	}
-	return t.reached
+	return n.reached
 }
 
-// delay draws the network delay from seat to seat.
-func (t *levelNetwork) delay(from, to int) time.Duration {
-	mean := t.spec.Network.Delay.Std()
-	if t.spec.ZoneOf(from) != t.spec.ZoneOf(to) {
-		mean = t.spec.Network.CrossZone.Std()
+// delay draws the network delay from one node to another.
+func (n *controlNetwork) delay(from, to int) time.Duration {
+	mean := n.spec.Network.Delay.Std()
+	if n.spec.ZoneOf(from) != n.spec.ZoneOf(to) {
+		mean = n.spec.Network.CrossZone.Std()
 	}
-	if t.sigma > 0 {
-		mean = time.Duration(float64(mean) * math.Exp(t.sigma*(t.rngs[from].NormFloat64()-t.sigma/2)))
+	if n.sigma > 0 {
+		mean = time.Duration(float64(mean) * math.Exp(n.sigma*(n.rngs[from].NormFloat64()-n.sigma/2)))
 	}
 	return mean
 }
--- a/internal/testbed/simulation/norace_test.go
+++ b/internal/testbed/simulation/norace_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// playsAtOnce are as many random runs as take a few seconds.
-const playsAtOnce = 400
+// defaultRunCount random runs take a few seconds.
+const defaultRunCount = 400
--- a/internal/testbed/simulation/peers.go
+++ b/internal/testbed/simulation/peers.go
@@ -10,10 +10,10 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// Constants of the real process (internal/gossip/socket), and of the kernel's buffer of a socket for small datagrams.
+// Constants of the real process (internal/gossip/socket), and the size of the kernel's receive buffer of a socket.
 const (
 	incarnationUnit     = 16 * time.Millisecond
-	maxWaitingDatagrams = 256 // while the process is frozen; further ones are lost
+	maxWaitingDatagrams = 256 // small datagrams that the receive buffer holds while the process is frozen; further ones are lost
 )
 
 // peerSocket is a process's side of the datagrams between schedulers, which package gossip encodes and decodes as in the
@@ -21,8 +21,8 @@
 type peerSocket struct {
 	process *process
 	node    *peergossip.Node
-	lie     string // as a coordinator; empty: it tells what it decides
-	worker  uint64 // that a lie names; 0: none has been granted yet
+	lie     string // a scenario's lie of a lying coordinator; empty: it sends what it decides
+	worker  uint64 // the worker that the lie grants; 0: none has been granted yet
 }
 
 func newPeerSocket(proc *process) *peerSocket {
@@ -39,12 +39,12 @@
 	return socket
 }
 
-// queue has a message sent after this iteration.
+// queue queues a message to be sent after this iteration.
 func (s *peerSocket) queue(to int, message dispatch.PeerMessage) {
 	s.node.Queue(to, s.falsify(message))
 }
 
-// falsify returns what a lying coordinator says in place of a message, and any other message as it is.
+// falsify returns what a lying coordinator sends in place of a message. Other messages are returned unchanged.
 func (s *peerSocket) falsify(message dispatch.PeerMessage) dispatch.PeerMessage {
 	switch answer := message.(type) {
 	case dispatch.LeaseGranted:
@@ -68,14 +68,14 @@
 	return truth
 }
 
-// receive takes in a datagram. One that is faulty is dropped.
+// receive passes the messages of a datagram to the request table. An invalid datagram is dropped.
 func (s *peerSocket) receive(datagram *simapi.DatagramReceived) {
 	if messages, err := s.node.Receive(s.process.now, datagram.From, datagram.Bytes); err == nil {
 		s.process.requests.AddPeerMessages(datagram.From, messages)
 	}
 }
 
-// flush sends what is queued.
+// flush sends the queued messages.
 func (s *peerSocket) flush() {
 	for _, datagram := range s.node.Flush() {
 		s.process.emit(simapi.DatagramWritten{To: datagram.To, Bytes: datagram.Bytes})
--- a/internal/testbed/simulation/peers_test.go
+++ b/internal/testbed/simulation/peers_test.go
@@ -20,16 +20,16 @@
 forged = 0.1
 `
 
-// manyPeers is busyDay, and faults of the network between schedulers.
-func manyPeers() string {
+// withPeerFaults is manyFaults with peer messages, and faults of the network between schedulers.
+func withPeerFaults() string {
 	cut := `{ what = "cut", at = "3s", for = "1s", between = "schedulers", and = "schedulers", on = { schedulers = [0] } },`
-	return strings.Replace(busyDay, "fault = [", "fault = [\n  "+cut, 1) + peersOn
+	return strings.Replace(manyFaults, "fault = [", "fault = [\n  "+cut, 1) + peersOn
 }
 
-// Datagrams follow from scenario and seed, too, on any number of cores.
+// TestPeersAreDeterministic checks that scenario and seed determine a run with peer messages, on any number of cores.
 func TestPeersAreDeterministic(t *testing.T) {
-	spec := parse(t, manyPeers())
-	play := func(seed uint64) *Outcome {
+	spec := parse(t, withPeerFaults())
+	run := func(seed uint64) *Outcome {
 		got, err := Run(spec, seed, Options{Digest: true})
 		if err != nil || !got.Finished || got.Peers.Datagrams == 0 || got.Peers.Bytes < got.Peers.Datagrams {
 			t.Fatalf("%+v, %v", got, err)
@@ -37,23 +37,23 @@
 		return got
 	}
 	old := runtime.GOMAXPROCS(1)
-	want := play(1)
+	want := run(1)
 	runtime.GOMAXPROCS(8)
-	got, other := play(1), play(2)
+	got, other := run(1), run(2)
 	runtime.GOMAXPROCS(old)
 	if got.Digest != want.Digest || got.Peers != want.Peers {
-		t.Errorf("one core: %+v, eight: %+v", want, got)
+		t.Errorf("on one core %+v, on eight %+v", want, got)
 	}
 	if other.Digest == want.Digest {
-		t.Error("two seeds are one play")
+		t.Error("seeds 1 and 2 give the same run")
 	}
 }
 
-// Without peers.on schedulers send nothing, whatever else the section says.
+// TestPeersOff checks that without peers.on schedulers send no datagrams, and that the rest of the section changes nothing.
 func TestPeersOff(t *testing.T) {
 	off := strings.Replace(peersOn, "on = true", "on = false", 1)
 	digests := map[uint64]bool{}
-	for _, text := range []string{busyDay, busyDay + off} {
+	for _, text := range []string{manyFaults, manyFaults + off} {
 		got, err := Run(parse(t, text), 1, Options{Digest: true})
 		if err != nil || got.Peers != (PeerTraffic{}) {
 			t.Fatalf("%+v, %v", got, err)
@@ -61,11 +61,11 @@
 		digests[got.Digest] = true
 	}
 	if len(digests) != 1 {
-		t.Error("the section changes a run though it is off")
+		t.Error("the section changes a run although it is off")
 	}
 }
 
-// A liar answers as its lie has it, and says all else as it is.
+// TestPeersLies checks that a lying coordinator falsifies its lease answers only.
 func TestPeersLies(t *testing.T) {
 	grant := func(worker uint64) dispatch.PeerMessage {
 		return dispatch.LeaseGranted{ID: 7, Worker: worker, FreeSlots: 5}
@@ -86,14 +86,14 @@
 		socket := &peerSocket{lie: test.lie}
 		socket.falsify(grant(1))
 		if got := socket.falsify(test.message); got != test.wants {
-			t.Errorf("%q says %+v for %+v, want %+v", test.lie, got, test.message, test.wants)
+			t.Errorf("lie %q: sends %+v for %+v, want %+v", test.lie, got, test.message, test.wants)
 		}
 	}
 }
 
-// A frozen process has room for so many datagrams, and for whatever else comes.
-func TestPeersFrozenProcessHasABuffer(t *testing.T) {
-	spec := parse(t, busyDay+peersOn)
+// TestFrozenProcessBuffersDatagrams checks that a frozen process keeps a limited number of datagrams, and all other inputs.
+func TestFrozenProcessBuffersDatagrams(t *testing.T) {
+	spec := parse(t, manyFaults+peersOn)
 	scheduler, err := NewScheduler(spec, 0, StartTime, Model{}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -10,47 +10,47 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds a planner's place in the simulation: one process after another, and what reaches them.
+// This file holds a planner as a node of the simulation: its successive processes, and the inputs that reach them.
 
 func plannerName(n int) string { return "p" + strconv.Itoa(n+1) }
 
 // maxMessagesPerIteration bounds the inputs that a planner processes in one iteration.
 const maxMessagesPerIteration = 16
 
-// plannerNode is one planner over all of its processes. To the environment it is a simapi.Scheduler that no client and no
-// worker connects to.
+// plannerNode is one planner over all of its processes. For the environment it is a simapi.Scheduler to which no client and no
+// worker connects.
 type plannerNode struct {
-	number      int // as the environment counts it
+	number      int // the environment's number, after those of the schedulers
 	name        string
 	spec        *scenario.Scenario
 	settings    config.Settings
 	epoch       time.Duration
 	model       Model
 	options     *Options
-	levels      *levelNetwork
+	network     *controlNetwork
 	now         time.Duration
 	incarnation int
 	process     *plannerProcess // nil: none runs
 	frozen      bool
-	delay       time.Duration // added to the time of everything that it does
+	delay       time.Duration // added to the time of everything that the planner does
 	pending     []plannerInput
-	lastTakenAt time.Duration // of the last pending input
+	lastTakenAt time.Duration // takenAt of the last pending input
 	outputs     []simapi.Output
-	counts      *LevelCounts
+	counts      *ControlCounts
 }
 
 // plannerInput is an input of the environment, or a message of the network.
 type plannerInput struct {
-	levelMessage
-	input simapi.InputMessage // nil: it is a levelMessage
+	controlMessage
+	input simapi.InputMessage // nil: it is a message of the network
 }
 
-func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, t *levelNetwork, f *LevelCounts) (*plannerNode, error) {
-	set, err := platform.Settings(spec, 0)
-	set.Replicas, set.ReplicaIndex, set.Zone = 1, 0, spec.ZoneOf(n)
+func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, network *controlNetwork, counts *ControlCounts) (*plannerNode, error) {
+	settings, err := platform.Settings(spec, 0)
+	settings.Replicas, settings.ReplicaIndex, settings.Zone = 1, 0, spec.ZoneOf(n)
 	return &plannerNode{
-		number: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, settings: set, epoch: StartTime,
-		model: opt.Model, options: opt, levels: t, counts: f,
+		number: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, settings: settings, epoch: StartTime,
+		model: opt.Model, options: opt, network: network, counts: counts,
 	}, err
 }
 
@@ -58,9 +58,9 @@
 	return s.incarnation, s.process != nil, s.frozen
 }
 
-func (s *plannerNode) deliver(n levelMessage) {
+func (s *plannerNode) deliver(n controlMessage) {
 	if s.process != nil {
-		s.enqueue(plannerInput{levelMessage: n}, s.levels.now)
+		s.enqueue(plannerInput{controlMessage: n}, s.network.now)
 	}
 }
 
@@ -70,7 +70,7 @@
 	s.pending = append(s.pending, n)
 }
 
-// Step runs one iteration of the process at the time now, since the start of the run. It appends the outputs to dst.
+// Step runs one iteration of the process and appends its outputs to dst. now is the time since the start of the run.
 func (s *plannerNode) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
 	s.now, s.outputs = max(now, s.now), dst
 	for i := range ins {
@@ -84,7 +84,7 @@
 	return dst
 }
 
-// Next returns the latest time of the next iteration; ok is false if no process runs or it is frozen.
+// Next returns the latest time of the next iteration. ok is false if no process runs or it is frozen.
 func (s *plannerNode) Next() (at time.Duration, ok bool) {
 	if s.process == nil || s.frozen {
 		return 0, false
@@ -116,7 +116,7 @@
 	case simapi.SlowDown:
 		s.delay = message.Delay
 	case simapi.BreakConnections:
-		s.levels.breakStreams(s.number)
+		s.network.breakStreams(s.number)
 	default:
 		if s.process != nil {
 			s.enqueue(plannerInput{input: input}, s.now)
@@ -128,6 +128,6 @@
 	if s.process != nil {
 		s.counts.addPlanner(s.process.planner)
 		s.process, s.frozen = nil, false
-		s.levels.processEnded(s.number)
+		s.network.processEnded(s.number)
 	}
 }
--- a/internal/testbed/simulation/planner_conns.go
+++ b/internal/testbed/simulation/planner_conns.go
@@ -17,14 +17,14 @@
 type plannerPeerConn struct {
 	stream    *stream
 	end       int
-	seat      int
-	peer      string // name of the other planner; empty: a forwarder
+	nodeIndex int
+	peer      string // name of the other planner; empty: it is a forwarder
 	connected bool
 	writer    codec.Writer
 	reader    *codec.Reader
 }
 
-// flushWriters sends what was written to the connections.
+// flushWriters sends the messages that are encoded for the connections.
 func (p *plannerProcess) flushWriters() {
 	for _, conn := range p.conns {
 		if conn.connected && conn.writer.Len() > 0 {
@@ -34,38 +34,38 @@
 }
 
 func (p *plannerProcess) flush(conn *plannerPeerConn) {
-	p.node.levels.send(conn.stream, conn.end, conn.writer.Take(p.node.levels.buffer()))
+	p.node.network.send(conn.stream, conn.end, conn.writer.Take(p.node.network.buffer()))
 }
 
-// session returns the connection of a stream, or nil.
+// session returns the connection that uses a stream, or nil.
 func (p *plannerProcess) session(stream *stream) *plannerPeerConn {
 	return p.sessions[planner.SessionID(stream.id)]
 }
 
 // accept registers a connection that a forwarder or another planner has dialed.
 func (p *plannerProcess) accept(stream *stream) {
-	seat, end := stream.peerOf(p.node.number)
-	conn := &plannerPeerConn{stream: stream, end: end, seat: seat, connected: true, reader: codec.NewReader(0)}
-	if p.node.levels.isPlanner(seat) {
-		conn.peer = plannerName(seat - p.node.spec.Schedulers.Count)
+	nodeIndex, end := stream.peerOf(p.node.number)
+	conn := &plannerPeerConn{stream: stream, end: end, nodeIndex: nodeIndex, connected: true, reader: codec.NewReader(0)}
+	if p.node.network.isPlanner(nodeIndex) {
+		conn.peer = plannerName(nodeIndex - p.node.spec.Schedulers.Count)
 	}
 	p.register(conn)
 }
 
-// dataReceived passes the messages of a connection to the planner. A frame that cannot be read ends the connection.
+// dataReceived passes the messages of a connection to the planner. An invalid frame ends the connection.
 func (p *plannerProcess) dataReceived(conn *plannerPeerConn, data []byte) {
 	conn.reader.Feed(data)
-	p.node.levels.recycle(data)
+	p.node.network.recycle(data)
 	for {
 		envelope, ok, err := conn.reader.Next()
 		if err != nil {
-			p.node.levels.closeStream(conn.stream, conn.end)
+			p.node.network.closeStream(conn.stream, conn.end)
 			p.unregister(conn, false)
 		}
 		if err != nil || !ok {
 			return
 		}
-		envelope = envelope.Clone() // it outlives the reader's next one
+		envelope = envelope.Clone() // the reader reuses its memory for the next one
 		if conn.peer == "" {
 			session := planner.SessionID(conn.stream.id)
 			p.inputs = append(p.inputs, planner.ForwarderMessage{Session: session, Envelope: envelope})
@@ -92,7 +92,7 @@
 	}
 	for _, o := range append([]*plannerPeerConn(nil), p.conns...) {
 		if o != conn && o.peer == conn.peer && o.connected {
-			p.node.levels.closeStream(o.stream, o.end)
+			p.node.network.closeStream(o.stream, o.end)
 			p.unregister(o, false)
 		}
 	}
@@ -100,7 +100,7 @@
 	p.events = append(p.events, membership.PlannerConnected{Name: conn.peer})
 }
 
-// unregister removes a connection, notifies the planner, and plans to redial a peer that this planner dials.
+// unregister removes a connection, notifies the planner, and schedules a redial if this planner is the one that dials the peer.
 func (p *plannerProcess) unregister(conn *plannerPeerConn, silent bool) {
 	delete(p.sessions, planner.SessionID(conn.stream.id))
 	for i, o := range p.conns {
@@ -117,15 +117,15 @@
 		p.events = append(p.events, membership.PlannerDisconnected{Name: conn.peer, Silent: silent})
 	}
 	conn.connected = false
-	if i := conn.seat - p.node.spec.Schedulers.Count; conn.peer != "" && conn.seat > p.node.number {
+	if i := conn.nodeIndex - p.node.spec.Schedulers.Count; conn.peer != "" && conn.nodeIndex > p.node.number {
 		p.backoff[i] = min(max(2*p.backoff[i], minRedialDelay), maxRedialDelay)
-		p.redialAt[i] = p.now + p.backoff[i]/2 + time.Duration(p.node.levels.rngs[p.node.number].Int64N(int64(p.backoff[i])))
+		p.redialAt[i] = p.now + p.backoff[i]/2 + time.Duration(p.node.network.rngs[p.node.number].Int64N(int64(p.backoff[i])))
 	}
 }
 
 // connect dials another planner if it is wanted. Of two planners the one with the lower number dials.
 func (p *plannerProcess) connect(i int) {
-	seat := p.node.spec.Schedulers.Count + i
+	nodeIndex := p.node.spec.Schedulers.Count + i
 	name := plannerName(i)
 	wanted := false
 	for _, w := range p.wantedPeers {
@@ -134,12 +134,12 @@
 	for _, k := range p.conns {
 		wanted = wanted && k.peer != name
 	}
-	if wanted && seat > p.node.number {
-		p.register(&plannerPeerConn{stream: p.node.levels.dial(p.node.number, seat), seat: seat, peer: name, reader: codec.NewReader(0)})
+	if wanted && nodeIndex > p.node.number {
+		p.register(&plannerPeerConn{stream: p.node.network.dial(p.node.number, nodeIndex), nodeIndex: nodeIndex, peer: name, reader: codec.NewReader(0)})
 	}
 }
 
-// updateMembers steps the membership with its events, and carries out its actions.
+// updateMembers steps the membership with the queued events, and carries out its actions.
 func (p *plannerProcess) updateMembers() {
 	actions := p.members.Step(p.now, p.events, p.actions[:0])
 	clear(p.events)
@@ -158,7 +158,7 @@
 		case membership.SetPartition:
 			p.inputs = append(p.inputs, planner.PartitionChanged{Owner: action.Owner})
 		case membership.Announce:
-			p.node.levels.gossip.announce(p.node.number, action.Member)
+			p.node.network.gossip.announce(p.node.number, action.Member)
 		case membership.LogLine:
 			p.node.model.logger(p.node.number).LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 		}
@@ -200,7 +200,7 @@
 	}
 }
 
-// closeSession sends what is written to a forwarder's connection, and closes it.
+// closeSession sends the messages that are encoded for a forwarder's connection, and closes it.
 func (p *plannerProcess) closeSession(id planner.SessionID) {
 	conn := p.sessions[id]
 	if conn == nil || conn.peer != "" {
@@ -209,13 +209,13 @@
 	if conn.writer.Len() > 0 {
 		p.flush(conn)
 	}
-	p.node.levels.closeStream(conn.stream, conn.end)
+	p.node.network.closeStream(conn.stream, conn.end)
 	p.unregister(conn, false)
 }
 
-// send encodes a message. One that cannot be encoded is counted and dropped, as in a real process.
+// send encodes a message. A message that cannot be encoded is counted and dropped, as in a real process.
 func (s *plannerNode) send(w *codec.Writer, envelope message.Envelope) {
 	if w.Add(envelope) != nil {
-		s.counts.Unwritten++
+		s.counts.EncodingFailures++
 	}
 }
--- a/internal/testbed/simulation/planner_process.go
+++ b/internal/testbed/simulation/planner_process.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds one process of a planner: its event loop, and the endpoint list that it follows, which a request table
-// without requests reads.
+// This file holds one process of a planner: its event loop, and its watch of the endpoint list, which a request table without
+// requests reads.
 
 // plannerProcess is one process of a planner. Its clock is Unix time.
 type plannerProcess struct {
@@ -29,7 +29,7 @@
 	watching      bool
 	watchDeadline time.Duration // when the watch counts as lost; 0: never
 	sessions      map[planner.SessionID]*plannerPeerConn
-	conns         []*plannerPeerConn // the sessions in order, as a map has none
+	conns         []*plannerPeerConn // the sessions in order of registration; a map's order is random
 	wantedPeers   []string           // peers to be connected to
 	redialAt      []time.Duration
 	backoff       []time.Duration
@@ -60,12 +60,12 @@
 			return policy
 		},
 	})
-	node.levels.gossip.join(node.number, member)
+	node.network.gossip.join(node.number, member)
 	proc.timer = proc.now
 	return proc
 }
 
-// runIteration processes what has arrived and is due, steps the planner, and writes its messages.
+// runIteration processes pending inputs and due timers, steps the planner, and writes its messages.
 func (p *plannerProcess) runIteration() (exited bool) {
 	p.now = p.node.epoch + p.node.now
 	p.takePending()
@@ -84,13 +84,13 @@
 	return p.exited
 }
 
-// takePending processes the pending inputs. Of many that wait, as after a freeze, it takes a random number only, so that
-// the planner decides before the rest is read.
+// takePending processes pending inputs. If several are pending, as after a freeze, it processes a random number of them, so
+// that the planner decides before the rest is read.
 func (p *plannerProcess) takePending() {
 	node := p.node
 	taken, limit := 0, len(node.pending)
 	if limit > 1 {
-		limit = 1 + node.levels.rngs[node.number].IntN(maxMessagesPerIteration)
+		limit = 1 + node.network.rngs[node.number].IntN(maxMessagesPerIteration)
 	}
 	for ; taken < min(limit, len(node.pending)) && node.pending[taken].takenAt <= node.now; taken++ {
 		p.handleInput(&node.pending[taken])
@@ -141,26 +141,26 @@
 	p.outputs = outputs[:0]
 }
 
-// nextAt returns the time of the next iteration, pending inputs apart.
+// nextAt returns the time of the next iteration, not counting pending inputs.
 func (p *plannerProcess) nextAt() time.Duration {
 	next := never
-	soon := func(t time.Duration) {
+	consider := func(t time.Duration) {
 		if t > 0 {
 			next = min(next, t)
 		}
 	}
 	if p.timer > 0 {
-		soon(p.timer + p.node.delay)
+		consider(p.timer + p.node.delay)
 	}
 	if t := p.members.Next(); t > 0 {
-		soon(t + p.node.delay)
+		consider(t + p.node.delay)
 	}
-	soon(p.watchDeadline)
+	consider(p.watchDeadline)
 	for _, t := range p.redialAt {
-		soon(t)
+		consider(t)
 	}
 	if len(p.listUpdates)+len(p.inputs)+len(p.events) > 0 {
-		soon(p.now)
+		consider(p.now)
 	}
 	return next
 }
@@ -178,7 +178,7 @@
 	case streamConnected:
 		if conn := p.session(n.stream); conn != nil {
 			conn.connected = true
-			p.backoff[conn.seat-p.node.spec.Schedulers.Count] = 0
+			p.backoff[conn.nodeIndex-p.node.spec.Schedulers.Count] = 0
 			p.connUp(conn)
 		}
 	case streamRefused, streamLost:
@@ -219,11 +219,11 @@
 		}
 	case simapi.Terminate:
 		p.inputs = append(p.inputs, planner.StopRequested{})
-		p.node.levels.gossip.leave(p.node.number)
+		p.node.network.gossip.leave(p.node.number)
 	}
 }
 
-// Step implements the policy of the request table: it collects the endpoint lists.
+// Step implements the policy of the request table, which only collects the endpoint lists.
 func (p *plannerProcess) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		if l, ok := e.(dispatch.WorkerList); ok {
@@ -257,7 +257,7 @@
 	p.node.emit(simapi.WatchRequested{Revision: after})
 }
 
-// Start and the methods below do nothing, as the table has no requests.
+// Start and the methods below implement the table's connections. They do nothing, as the table has no requests.
 func (p *plannerProcess) Start(*requests.Attempt)     {}
 func (p *plannerProcess) Abandon(*requests.Attempt)   {}
 func (p *plannerProcess) Cancel(*requests.Attempt)    {}
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -21,8 +21,8 @@
 	ownDescriptors    = 24
 	fullRetryAfter    = time.Second // Retry-After of a scheduler at its request limit
 	readyCheckTimeout = 500 * time.Millisecond
-	firstLineTimeout  = 4 * time.Second // a call to discovery may be queued
-	nextLineTimeout   = 3 * time.Second // discovery writes one every 2 s
+	firstLineTimeout  = 4 * time.Second // discovery may queue the request for a watch
+	nextLineTimeout   = 3 * time.Second // discovery writes a line every 2 s
 )
 
 // process is one process of a scheduler, from its start to its end. Its clock is Unix time.
@@ -34,9 +34,9 @@
 	timers          deadline.Queue[*timer]
 	clients         map[simapi.Conn]*clientConn
 	idleClients     clientConn // head of the ring of idle client connections, the longest idle first
-	maxClients      int        // limit of client connections
-	maxRequests     int        // limit of open requests, which is lower
-	bodyBudget      int        // limit of the bytes of request bodies
+	maxClients      int        // limit on client connections
+	maxRequests     int        // limit on open requests, lower than maxClients
+	bodyBudget      int        // limit on the bytes of request bodies
 	discovery       int
 	watching        bool
 	watchTimer      timer
@@ -55,14 +55,14 @@
 	proc := &process{scheduler: scheduler, now: scheduler.epoch + scheduler.now, clients: map[simapi.Conn]*clientConn{}, discovery: start.Discovery, listChanged: true}
 	proc.idleClients.prev, proc.idleClients.next = &proc.idleClients, &proc.idleClients
 	proc.watchTimer.act = proc.watchLost
-	sch := &scheduler.spec.Schedulers
-	most := sch.Sockets - ownDescriptors
-	servers := max(8, most/6)
-	proc.maxClients, proc.bodyBudget = most-servers, sch.MemoryMB<<20/6
+	limits := &scheduler.spec.Schedulers
+	connLimit := limits.Sockets - ownDescriptors
+	workerConnLimit := max(8, connLimit/6)
+	proc.maxClients, proc.bodyBudget = connLimit-workerConnLimit, limits.MemoryMB<<20/6
 	proc.maxRequests = proc.maxClients - max(8, proc.maxClients/10)
-	proc.workerConns = newWorkerConns(proc, servers, scheduler.settings.ConnectTimeout, scheduler.settings.ConnIdleTimeout)
+	proc.workerConns = newWorkerConns(proc, workerConnLimit, scheduler.settings.ConnectTimeout, scheduler.settings.ConnIdleTimeout)
 	seed := start.Seed
-	module := func() requests.Policy {
+	newPolicy := func() requests.Policy {
 		if proc.forwarder != nil {
 			return proc.forwarder.newPolicy()
 		}
@@ -72,10 +72,10 @@
 		}
 		return scheduler.model.Module(scheduler.settings.Settings, seed, proc)
 	}
-	if scheduler.levels != nil {
+	if scheduler.network != nil {
 		proc.forwarder = newForwarder(proc, start.Name, seed)
 	}
-	proc.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, module, start.KnownEndpoints, proc.workerConns, scheduler.model.logger(scheduler.number))
+	proc.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, newPolicy, start.KnownEndpoints, proc.workerConns, scheduler.model.logger(scheduler.number))
 	if proc.forwarder != nil {
 		proc.forwarder.join()
 	}
@@ -107,7 +107,7 @@
 	case simapi.Reload:
 		p.reload(message.Discovery)
 	case simapi.Terminate:
-		if !p.draining { // once: a second SIGTERM must not begin the drain anew
+		if !p.draining { // a second SIGTERM must not restart the drain
 			p.drain()
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-// reload applies a changed discovery address.
+// reload switches to another discovery address, if it has changed.
 func (p *process) reload(discovery int) {
 	if discovery == p.discovery {
 		return
@@ -179,7 +179,7 @@
 	}
 	if p.finished && p.requests.OpenCount() == 0 {
 		if p.forwarder != nil {
-			p.scheduler.levels.gossip.leave(p.scheduler.number)
+			p.scheduler.network.gossip.leave(p.scheduler.number)
 		}
 		p.emit(simapi.Exited{})
 		return true
--- a/internal/testbed/simulation/process_clients.go
+++ b/internal/testbed/simulation/process_clients.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// clientConn is a client's connection, and the responder of the request in flight on it.
+// clientConn is a client's connection, and the responder for the request in flight on it.
 type clientConn struct {
 	process    *process
 	conn       simapi.Conn
@@ -22,14 +22,14 @@
 	conn := p.clients[id]
 	switch {
 	case conn == nil:
-		// Fewer requests than connections are allowed, so at the limit there is an idle connection to close.
+		// At the limit there is an idle connection to close, as fewer open requests than connections are allowed.
 		if len(p.clients) >= p.maxClients && p.idleClients.next != &p.idleClients {
 			p.idleClients.next.close()
 		}
 		conn = &clientConn{process: p, conn: id}
 		p.clients[id] = conn
 	case conn.prev == nil:
-		panic("simulation: connection " + strconv.FormatUint(uint64(id), 16) + " asks again before its answer")
+		panic("simulation: connection " + strconv.FormatUint(uint64(id), 16) + " has a request before the response to the previous one")
 	default:
 		conn.removeIdle()
 	}
@@ -61,50 +61,50 @@
 	p.newRequestIDs = append(p.newRequestIDs, clientRequest.RequestID)
 }
 
-// zeroBody backs every request body: only its length counts.
+// zeroBody is the memory of every request body, as only the length of a body matters.
 var zeroBody [64 << 10]byte
 
 // RespondResult responds with a worker's result.
-func (k *clientConn) RespondResult(result []byte) { k.respond(200, 0, string(result)) }
+func (c *clientConn) RespondResult(result []byte) { c.respond(200, 0, string(result)) }
 
 // RespondRejected rejects the request; the client may retry after the given time.
-func (k *clientConn) RespondRejected(after time.Duration) {
-	k.respond(503, after.Round(time.Millisecond), "")
+func (c *clientConn) RespondRejected(after time.Duration) {
+	c.respond(503, after.Round(time.Millisecond), "")
 }
 
 // RespondFailed responds that the request has failed, possibly after it was executed.
-func (k *clientConn) RespondFailed() { k.respond(500, 0, "") }
+func (c *clientConn) RespondFailed() { c.respond(500, 0, "") }
 
-func (k *clientConn) respond(status int, after time.Duration, result string) {
-	k.process.emit(simapi.ResponseWritten{Conn: k.conn, RequestID: k.requestID, Status: status, RetryAfter: after, Result: result})
-	k.request = nil
-	if k.process.rejectsRequests {
-		k.close()
+func (c *clientConn) respond(status int, after time.Duration, result string) {
+	c.process.emit(simapi.ResponseWritten{Conn: c.conn, RequestID: c.requestID, Status: status, RetryAfter: after, Result: result})
+	c.request = nil
+	if c.process.rejectsRequests {
+		c.close()
 		return
 	}
-	last := k.process.idleClients.prev
-	k.prev, k.next = last, &k.process.idleClients
-	last.next, k.process.idleClients.prev = k, k
+	last := c.process.idleClients.prev
+	c.prev, c.next = last, &c.process.idleClients
+	last.next, c.process.idleClients.prev = c, c
 }
 
-func (k *clientConn) removeIdle() {
-	if k.prev != nil {
-		k.prev.next, k.next.prev = k.next, k.prev
-		k.prev, k.next = nil, nil
+func (c *clientConn) removeIdle() {
+	if c.prev != nil {
+		c.prev.next, c.next.prev = c.next, c.prev
+		c.prev, c.next = nil, nil
 	}
 }
 
-func (k *clientConn) close() {
-	k.removeIdle()
-	delete(k.process.clients, k.conn)
-	k.process.emit(simapi.ClientConnClosed{Conn: k.conn})
+func (c *clientConn) close() {
+	c.removeIdle()
+	delete(c.process.clients, c.conn)
+	c.process.emit(simapi.ClientConnClosed{Conn: c.conn})
 }
 
-func (k *clientConn) clientClosed() {
-	k.removeIdle()
-	delete(k.process.clients, k.conn)
-	if q := k.request; q != nil {
-		k.request = nil
-		k.process.requests.ClientDisconnected(q)
+func (c *clientConn) clientClosed() {
+	c.removeIdle()
+	delete(c.process.clients, c.conn)
+	if request := c.request; request != nil {
+		c.request = nil
+		c.process.requests.ClientDisconnected(request)
 	}
 }
--- a/internal/testbed/simulation/process_stop.go
+++ b/internal/testbed/simulation/process_stop.go
@@ -1,6 +1,6 @@
 package simulation
 
-// drain goes on serving until shortly before the process would be killed, and then answers every open request.
+// drain begins a shutdown: the process serves until shortly before it would be killed, and then answers every open request.
 func (p *process) drain() {
 	p.draining, p.listChanged = true, true
 	killed := stopMargin
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -14,37 +14,37 @@
 )
 
 // sendRequest sends a client's request on a connection of its own.
-func (b *harness) sendRequest(n int, budget time.Duration) []simapi.Output {
-	return b.step(simapi.Input{Message: simapi.RequestReceived{
+func (h *harness) sendRequest(n int, budget time.Duration) []simapi.Output {
+	return h.step(simapi.Input{Message: simapi.RequestReceived{
 		Conn: simapi.Conn(n), Request: &simapi.ClientRequest{RequestID: fmt.Sprint("c", n), Budget: budget},
 	}})
 }
 
-// until runs every iteration that is due until end, and returns the outputs.
-func (b *harness) until(end time.Duration) (all []simapi.Output) {
+// runUntil runs all iterations that are due by end, and returns their outputs.
+func (h *harness) runUntil(end time.Duration) (all []simapi.Output) {
 	for {
-		at, ok := b.s.Next()
+		at, ok := h.scheduler.Next()
 		if !ok || at > end {
-			b.now = end
+			h.now = end
 			return all
 		}
-		b.now = max(b.now, at)
-		all = append(all, b.step()...)
+		h.now = max(h.now, at)
+		all = append(all, h.step()...)
 	}
 }
 
-// messagesOf returns the outputs of the types of some messages, in a short form.
+// messagesOf returns the outputs that have the types of the given messages, in a short form.
 func messagesOf(outs []simapi.Output, types ...simapi.OutputMessage) (all []string) {
 	for _, o := range outs {
 		if slices.ContainsFunc(types, func(m simapi.OutputMessage) bool { return reflect.TypeOf(m) == reflect.TypeOf(o.Message) }) {
-			all = append(all, line(o.Message))
+			all = append(all, describe(o.Message))
 		}
 	}
 	return all
 }
 
-// line is a message in a short form: its type, and what a response or an exit says.
-func line(message simapi.OutputMessage) string {
+// describe returns a message in a short form: its type, and the status of a response or an exit.
+func describe(message simapi.OutputMessage) string {
 	switch m := message.(type) {
 	case simapi.ResponseWritten:
 		return fmt.Sprintf("%T:%s:%d", m, m.RequestID, m.Status)
@@ -69,33 +69,34 @@
 // TestDrain checks the steps of a shutdown. The longest deadline counts as 3 s, so SIGKILL is due 3.7 s after SIGTERM.
 func TestDrain(t *testing.T) {
 	b := newHarness(t, nil)
-	expect(t, "start", messagesOf(b.start(), simapi.Ready{}), line(simapi.Ready{}))
+	expect(t, "start", messagesOf(b.start(), simapi.Ready{}), describe(simapi.Ready{}))
 	b.now = sec
 	b.sendRequest(1, 12*sec)
 	b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-0")})
 	b.sendRequest(5, 12*sec)
-	expect(t, "SIGTERM", messagesOf(b.step(simapi.Input{Message: simapi.Terminate{}}), simapi.Unready{}), line(simapi.Unready{}))
+	expect(t, "SIGTERM", messagesOf(b.step(simapi.Input{Message: simapi.Terminate{}}), simapi.Unready{}), describe(simapi.Unready{}))
 	b.step(simapi.Input{Message: simapi.RequestReceived{Conn: 9, Request: &simapi.ClientRequest{RequestID: "c9", Budget: ms}}})
-	expect(t, "an answer", messagesOf(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
-		line(simapi.ResponseWritten{RequestID: "c9", Status: 500}))
+	expect(t, "a response after SIGTERM", messagesOf(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
+		describe(simapi.ResponseWritten{RequestID: "c9", Status: 500}))
 	b.now = 2 * sec
 	b.sendRequest(2, 12*sec)
-	b.step(simapi.Input{Message: simapi.Terminate{}}) // a second one changes nothing
-	expect(t, "connections between requests", messagesOf(b.until(sec+2800*ms), simapi.ClientConnClosed{}, simapi.ResponseWritten{}), line(simapi.ClientConnClosed{}))
-	expect(t, "a late request", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
-		line(simapi.ResponseWritten{RequestID: "c3", Status: 503}),
-		line(simapi.ClientConnClosed{}))
-	// What came later than 0.7 s after SIGTERM is answered, and so is what was never sent; what is out has a moment more.
-	expect(t, "until the last words", messagesOf(b.until(sec+3399*ms), simapi.ResponseWritten{}, simapi.Exited{}))
-	expect(t, "last words", messagesOf(b.until(sec+3400*ms), simapi.ResponseWritten{}),
-		line(simapi.ResponseWritten{RequestID: "c2", Status: 503}), line(simapi.ResponseWritten{RequestID: "c5", Status: 503}))
-	expect(t, "until the last of all", messagesOf(b.until(sec+3549*ms), simapi.ResponseWritten{}, simapi.Exited{}))
-	expect(t, "the last of all", messagesOf(b.until(sec+3550*ms), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
-		line(simapi.ResponseWritten{RequestID: "c1", Status: 500}), line(simapi.ClientConnClosed{}))
-	expect(t, "until the end", messagesOf(b.until(sec+3699*ms), simapi.ResponseWritten{}, simapi.Exited{}))
-	expect(t, "the end", messagesOf(b.until(sec+3700*ms), simapi.ResponseWritten{}, simapi.ClientConnClosed{}, simapi.Exited{}), line(simapi.Exited{}))
-	if _, ok := b.s.Next(); ok || len(b.sendRequest(4, sec)) > 0 {
-		t.Error("one that has exited still acts")
+	b.step(simapi.Input{Message: simapi.Terminate{}}) // a second SIGTERM changes nothing
+	expect(t, "idle connections", messagesOf(b.runUntil(sec+2800*ms), simapi.ClientConnClosed{}, simapi.ResponseWritten{}), describe(simapi.ClientConnClosed{}))
+	expect(t, "a request after the end of admission", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
+		describe(simapi.ResponseWritten{RequestID: "c3", Status: 503}),
+		describe(simapi.ClientConnClosed{}))
+	// 0.3 s before SIGKILL is due, requests that arrived later than 0.7 s after SIGTERM and requests without an attempt are
+	// answered. Requests with an attempt in flight have 0.15 s more.
+	expect(t, "before the flush", messagesOf(b.runUntil(sec+3399*ms), simapi.ResponseWritten{}, simapi.Exited{}))
+	expect(t, "the flush", messagesOf(b.runUntil(sec+3400*ms), simapi.ResponseWritten{}),
+		describe(simapi.ResponseWritten{RequestID: "c2", Status: 503}), describe(simapi.ResponseWritten{RequestID: "c5", Status: 503}))
+	expect(t, "before the final flush", messagesOf(b.runUntil(sec+3549*ms), simapi.ResponseWritten{}, simapi.Exited{}))
+	expect(t, "the final flush", messagesOf(b.runUntil(sec+3550*ms), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
+		describe(simapi.ResponseWritten{RequestID: "c1", Status: 500}), describe(simapi.ClientConnClosed{}))
+	expect(t, "before the exit", messagesOf(b.runUntil(sec+3699*ms), simapi.ResponseWritten{}, simapi.Exited{}))
+	expect(t, "the exit", messagesOf(b.runUntil(sec+3700*ms), simapi.ResponseWritten{}, simapi.ClientConnClosed{}, simapi.Exited{}), describe(simapi.Exited{}))
+	if _, ok := b.scheduler.Next(); ok || len(b.sendRequest(4, sec)) > 0 {
+		t.Error("a process that has exited still acts")
 	}
 }
 
@@ -109,7 +110,7 @@
 	b.step(simapi.Input{Message: simapi.Freeze{}})
 	b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: b.openConns[0].conn}})
 	b.sendRequest(2, sec)
-	if _, ok := b.s.Next(); ok || len(b.until(3*sec)) > 0 {
+	if _, ok := b.scheduler.Next(); ok || len(b.runUntil(3*sec)) > 0 {
 		t.Error("a frozen process acts")
 	}
 	b.script.Received = nil
@@ -119,10 +120,10 @@
 		return ok && o.Result == dispatch.TimedOut
 	})
 	if !late || len(messagesOf(outs, simapi.WorkerConnClosed{})) != 1 {
-		t.Errorf("heard %v, and did %v", b.script.Received, outs)
+		t.Errorf("received %v, output %v", b.script.Received, outs)
 	}
 	if q := b.script.Received[0].(dispatch.Job); q.ID != 2 {
-		t.Errorf("first of what waited: %+v", q)
+		t.Errorf("first event after the freeze: %+v", q)
 	}
 }
 
@@ -130,27 +131,27 @@
 func TestKill(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
-	probe := func() simapi.Conn {
+	checkHealth := func() simapi.Conn {
 		dialed, _ := b.act(dispatch.HealthCheck{Worker: endpointNumber("w-1")})[0].Message.(simapi.WorkerDialed)
 		return dialed.Conn
 	}
-	first := probe()
+	first := checkHealth()
 	b.sendRequest(1, sec)
 	b.step(simapi.Input{Message: simapi.Freeze{}})
-	if outs := b.step(simapi.Input{Message: simapi.Kill{}}); len(outs) > 0 || b.s.process != nil {
-		t.Errorf("a killed process said %v", outs)
+	if outs := b.step(simapi.Input{Message: simapi.Kill{}}); len(outs) > 0 || b.scheduler.process != nil {
+		t.Errorf("outputs of a killed process: %v", outs)
 	}
-	if len(b.until(5*sec)) > 0 || len(b.sendRequest(2, sec)) > 0 {
+	if len(b.runUntil(5*sec)) > 0 || len(b.sendRequest(2, sec)) > 0 {
 		t.Error("a killed process acts")
 	}
 	b.script.Received = nil
 	b.start()
-	if second := probe(); second == first || !second.IsWorkerConn() {
+	if second := checkHealth(); second == first || !second.IsWorkerConn() {
 		t.Errorf("connection %x after %x", second, first)
 	}
 	list, ok := b.script.Received[0].(dispatch.WorkerList)
 	if !ok || list.Kind != dispatch.ListCached || len(list.Workers) != harnessWorkers {
-		t.Errorf("first heard: %+v", b.script.Received[0])
+		t.Errorf("first event: %+v", b.script.Received[0])
 	}
 }
 
@@ -159,26 +160,26 @@
 	b := newHarness(t, nil)
 	b.start()
 	if outs := b.act(dispatch.Subscribe{}); len(outs) != 1 || outs[0].Message != (simapi.WatchRequested{Revision: 7}) {
-		t.Errorf("watching: %+v", outs)
+		t.Errorf("subscribed: %+v", outs)
 	}
 	if outs := b.step(simapi.Input{Message: simapi.Reload{}}); len(outs) > 0 {
-		t.Errorf("the same discovery: %+v", outs)
+		t.Errorf("reload with the same discovery: %+v", outs)
 	}
 	outs := b.step(simapi.Input{Message: simapi.Reload{Discovery: 1}})
 	if len(outs) != 1 || outs[0].Message != (simapi.WatchRequested{}) {
-		t.Errorf("another discovery: %+v", outs)
+		t.Errorf("reload with another discovery: %+v", outs)
 	}
 	b.script.Received = nil
 	b.step(simapi.Input{Message: simapi.ListReceived{List: &requests.EndpointList{Revision: 3, Reset: true}}})
 	outs = b.step(simapi.Input{Message: simapi.WatchEnded{}})
 	if len(b.script.Received) != 2 || b.script.Received[1].(dispatch.WorkerList).Kind != dispatch.ListUnavailable || len(outs) > 0 {
-		t.Errorf("heard %+v", b.script.Received)
+		t.Errorf("received %+v", b.script.Received)
 	}
 	b.script.Received = nil
 	if b.step(simapi.Input{Message: simapi.WatchEnded{}}); len(b.script.Received) > 0 {
-		t.Errorf("no watch, and lost: %+v", b.script.Received)
+		t.Errorf("the end of a watch without one: %+v", b.script.Received)
 	}
-	// A call that does not come up is given up soon, and one that nobody answers later.
+	// A watch whose connection is not established is given up early, and one without a line later.
 	for _, c := range []struct {
 		ins  []simapi.Input
 		span time.Duration
@@ -190,15 +191,15 @@
 		b.act(dispatch.Subscribe{})
 		b.step(c.ins...)
 		b.script.Received = nil
-		b.until(b.now + c.span - 1)
+		b.runUntil(b.now + c.span - 1)
 		early := len(b.script.Received)
-		if b.until(b.now + 1); early != 0 || len(b.script.Received) != 1 {
-			t.Errorf("after %v: %d too early, then %+v", c.ins, early, b.script.Received)
+		if b.runUntil(b.now + 1); early != 0 || len(b.script.Received) != 1 {
+			t.Errorf("after %v: %d events too early, then %+v", c.ins, early, b.script.Received)
 		}
 	}
 }
 
-// TestReady checks that /up reports whether there is a worker to send a request to.
+// TestReady checks that /up reports whether there is a worker that can receive a request.
 func TestReady(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
@@ -208,14 +209,14 @@
 			Revision: 8, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}},
 		}}})
 	}
-	expect(t, "all drain", messagesOf(list("draining"), simapi.Ready{}, simapi.Unready{}), line(simapi.Unready{}))
-	expect(t, "one is back", messagesOf(list("up"), simapi.Ready{}, simapi.Unready{}), line(simapi.Ready{}))
+	expect(t, "all workers drain", messagesOf(list("draining"), simapi.Ready{}, simapi.Unready{}), describe(simapi.Unready{}))
+	expect(t, "one worker is up again", messagesOf(list("up"), simapi.Ready{}, simapi.Unready{}), describe(simapi.Ready{}))
 }
 
 // TestLimits checks that a request over the limit is rejected at once, with a Retry-After, and that a connection over the
 // limit closes the one that has been idle longest.
 func TestLimits(t *testing.T) {
-	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client links, 32 requests
+	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client connections, 32 requests
 	b.start()
 	for n := 1; n <= 32; n++ {
 		if outs := b.sendRequest(n, 5*sec); len(outs) > 0 {
@@ -224,18 +225,18 @@
 	}
 	for n := 33; n <= 40; n++ {
 		outs := b.sendRequest(n, 5*sec)
-		expect(t, "one too many", messagesOf(outs, simapi.ResponseWritten{}, simapi.ClientConnClosed{}), line(simapi.ResponseWritten{RequestID: fmt.Sprint("c", n), Status: 503}))
+		expect(t, "a request over the limit", messagesOf(outs, simapi.ResponseWritten{}, simapi.ClientConnClosed{}), describe(simapi.ResponseWritten{RequestID: fmt.Sprint("c", n), Status: 503}))
 		if rejected, _ := outs[0].Message.(simapi.ResponseWritten); rejected.RetryAfter != fullRetryAfter {
-			t.Errorf("come back after %v", rejected.RetryAfter)
+			t.Errorf("Retry-After is %v", rejected.RetryAfter)
 		}
 	}
-	b.sendRequest(33, 5*sec) // it has been used last
+	b.sendRequest(33, 5*sec) // makes it the most recently used connection
 	outs := b.sendRequest(41, 5*sec)
 	if len(outs) != 2 || outs[0].Message != (simapi.ClientConnClosed{Conn: 34}) {
-		t.Errorf("a connection too many: %+v", outs)
+		t.Errorf("a connection over the limit: %+v", outs)
 	}
 	b.step(simapi.Input{Message: simapi.ClientClosed{Conn: 1}})
 	if outs := b.sendRequest(42, 5*sec); len(messagesOf(outs, simapi.ResponseWritten{})) > 0 {
-		t.Errorf("with room again: %+v", outs)
+		t.Errorf("a request below the limit again: %+v", outs)
 	}
 }
--- a/internal/testbed/simulation/race_test.go
+++ b/internal/testbed/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// playsAtOnce are as many random runs as the race detector, which makes each ten times as slow, leaves the time for.
-const playsAtOnce = 40
+// defaultRunCount random runs take a few seconds under the race detector, which makes each ten times as slow.
+const defaultRunCount = 40
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -21,7 +21,7 @@
 // LingerTime is how long a run continues after every job is settled, for workers to finish their attempts.
 const LingerTime = 2 * time.Second
 
-// maxRounds bounds the rounds of environment and schedulers at one instant. A run that needs more is in a loop.
+// maxRounds bounds the rounds of environment and schedulers at one instant. A run that needs more never advances.
 const maxRounds = 100_000
 
 // Options configure a run.
@@ -29,10 +29,10 @@
 	Model
 	Wrap      func(s simapi.Scheduler) simapi.Scheduler // wraps each scheduler; may be nil
 	Observers []trace.Observer                          // called with every event, in this order
-	Until     time.Duration                             // latest end of the run; 0: its length and settling time
-	// Trace is called with the inputs and outputs of each round, and must not retain them; may be nil.
+	Until     time.Duration                             // latest end of the run; 0: the scenario's length and settling time
+	// Trace is called with the inputs and outputs of each round, which it must not retain; may be nil.
 	Trace  func(now time.Duration, ins []simapi.Input, outs []simapi.Output)
-	Digest bool // compute the digest of all inputs and outputs
+	Digest bool // whether to compute the digest of all inputs and outputs
 	// AlterPlanner replaces the actions of a planner, and may change the slice that it is given; may be nil.
 	AlterPlanner func(planner int, outs []planner.Action) []planner.Action
 	// WrapPlanner wraps each policy of a planner; may be nil.
@@ -46,11 +46,11 @@
 	Steps      uint64        // of the environment
 	Iterations uint64        // of schedulers
 	Requests   uint64        // requests that reached a scheduler
-	Responses  uint64        // responses that left one
+	Responses  uint64        // responses that schedulers wrote
 	Attempts   uint64        // sent to workers
 	Peers      PeerTraffic   // between schedulers
 	Digest     uint64        // of all inputs and outputs, if Options.Digest is set
-	Levels     LevelCounts   // if the scenario has planners
+	Control    ControlCounts // if the scenario has planners
 }
 
 // PeerTraffic counts the datagrams of schedulers that reached a scheduler.
@@ -59,7 +59,7 @@
 	Bytes     uint64
 }
 
-// Run runs a checked scenario to its end. An error means that the scenario could not be run, or loops.
+// Run runs a checked scenario to its end. An error means that the scenario cannot be run, or that the run never ends.
 func Run(spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
 	sim, err := newRunner(spec, seed, &opt)
 	if err != nil {
@@ -70,8 +70,8 @@
 		end = min(end, opt.Until)
 	}
 	err = sim.run(end)
-	if sim.levels != nil {
-		for _, s := range sim.levels.seats {
+	if sim.network != nil {
+		for _, s := range sim.network.nodes {
 			s.endProcess()
 		}
 	}
@@ -84,14 +84,14 @@
 // newRunner makes the environment, the schedulers and the planners of a run.
 func newRunner(spec *scenario.Scenario, seed uint64, opt *Options) (*runner, error) {
 	sim := &runner{options: opt, outcome: &Outcome{}, earliestNext: never}
-	shown := *spec
-	shown.Misbehaving = nil // see Unsupported
-	sim.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
+	supported := *spec
+	supported.Misbehaving = nil // see Unsupported
+	sim.environment = environment.New(&supported, seed, StartTime, combineObservers(opt.Observers))
 	if spec.Planners.Count > 0 {
 		if opt.Module != nil {
-			return nil, errors.New("where there are planners, the dispatch policy is the one in service")
+			return nil, errors.New("a scenario with planners runs only with the dispatch policy of the real program")
 		}
-		sim.levels = newLevelNetwork(spec, seed)
+		sim.network = newControlNetwork(spec, seed)
 	}
 	for n := range spec.Schedulers.Count {
 		if err := sim.addScheduler(spec, n); err != nil {
@@ -114,30 +114,30 @@
 	return sim, nil
 }
 
-func (p *runner) addScheduler(spec *scenario.Scenario, n int) error {
-	s, err := NewScheduler(spec, n, StartTime, p.options.Model, p.environment)
+func (r *runner) addScheduler(spec *scenario.Scenario, n int) error {
+	s, err := NewScheduler(spec, n, StartTime, r.options.Model, r.environment)
 	if err != nil {
 		return err
 	}
-	if p.levels != nil {
-		s.levels, s.counts, p.levels.seats[n] = p.levels, &p.outcome.Levels, s
+	if r.network != nil {
+		s.network, s.counts, r.network.nodes[n] = r.network, &r.outcome.Control, s
 	}
-	var side simapi.Scheduler = s
-	if p.options.Wrap != nil {
-		side = p.options.Wrap(side)
+	var wrapped simapi.Scheduler = s
+	if r.options.Wrap != nil {
+		wrapped = r.options.Wrap(wrapped)
 	}
-	p.schedulers = append(p.schedulers, side)
+	r.schedulers = append(r.schedulers, wrapped)
 	return nil
 }
 
-// addPlanner adds the planner at a seat.
-func (p *runner) addPlanner(spec *scenario.Scenario, seat int) error {
-	node, err := newPlannerNode(spec, seat, p.options, p.levels, &p.outcome.Levels)
+// addPlanner adds the planner with a number in the control network.
+func (r *runner) addPlanner(spec *scenario.Scenario, nodeIndex int) error {
+	node, err := newPlannerNode(spec, nodeIndex, r.options, r.network, &r.outcome.Control)
 	if err != nil {
 		return err
 	}
-	p.levels.seats[seat] = node
-	p.schedulers = append(p.schedulers, node)
+	r.network.nodes[nodeIndex] = node
+	r.schedulers = append(r.schedulers, node)
 	return nil
 }
 
@@ -148,9 +148,9 @@
 	case 1:
 		return all[0]
 	}
-	return func(s *trace.Event) {
-		for _, w := range all {
-			w(s)
+	return func(event *trace.Event) {
+		for _, observe := range all {
+			observe(event)
 		}
 	}
 }
@@ -158,12 +158,12 @@
 // never is later than any time of a run.
 const never = time.Duration(1<<63 - 1)
 
-// runner steps the two sides of a run.
+// runner steps the environment and the schedulers of a run.
 type runner struct {
 	options      *Options
 	outcome      *Outcome
 	environment  *environment.Environment
-	levels       *levelNetwork // nil: there are no planners
+	network      *controlNetwork // nil: there are no planners
 	schedulers   []simapi.Scheduler
 	nextAt       []time.Duration  // by scheduler: when its next iteration is due
 	earliestNext time.Duration    // the first of these
@@ -175,23 +175,23 @@
 	text         []byte
 }
 
-// run steps the environment and the schedulers in rounds. Passing inputs and outputs takes no simulated time: an instant
-// has as many rounds as it takes until none are left.
-func (p *runner) run(end time.Duration) error {
+// run steps the environment and the schedulers in rounds. Passing inputs and outputs takes no simulated time: rounds repeat at
+// one instant until no input or output is left.
+func (r *runner) run(end time.Duration) error {
 	now, rounds, ended := time.Duration(0), 0, never
 	for {
-		at := p.earliest()
+		at := r.earliest()
 		if at > min(end, ended) {
-			p.outcome.End = min(end, ended)
+			r.outcome.End = min(end, ended)
 			return nil
 		}
 		if at > now {
 			now, rounds = at, 0
 		} else if rounds++; rounds > maxRounds {
-			return fmt.Errorf("the run goes round in circles at %v", now)
+			return fmt.Errorf("the run is in a loop at %v", now)
 		}
-		p.runRound(now)
-		if p.outcome.Finished = p.environment.Finished(); !p.outcome.Finished {
+		r.runRound(now)
+		if r.outcome.Finished = r.environment.Finished(); !r.outcome.Finished {
 			ended = never
 		} else if ended == never {
 			ended = now + LingerTime
@@ -200,119 +200,119 @@
 }
 
 // earliest returns the time of the next round.
-func (p *runner) earliest() time.Duration {
-	if len(p.outputs) > 0 {
+func (r *runner) earliest() time.Duration {
+	if len(r.outputs) > 0 {
 		return 0
 	}
-	first, ok := p.environment.Next()
+	first, ok := r.environment.Next()
 	if !ok {
 		first = never
 	}
-	if p.levels != nil {
-		first = min(first, p.levels.nextAt())
+	if r.network != nil {
+		first = min(first, r.network.nextAt())
 	}
-	return min(first, p.earliestNext)
+	return min(first, r.earliestNext)
 }
 
 // runRound steps the environment, and each scheduler that has inputs or is due.
-func (p *runner) runRound(now time.Duration) {
-	p.delivered = p.environment.Step(now, p.outputs, p.delivered[:0])
-	p.outcome.Steps++
-	p.outputs = p.outputs[:0]
-	p.reached = p.reached[:0]
-	p.distributeInputs()
-	p.markReached(now)
-	slices.Sort(p.reached)
-	for _, n := range p.reached {
-		p.stepScheduler(now, n)
-	}
-	p.earliestNext = never
-	for _, at := range p.nextAt {
-		p.earliestNext = min(p.earliestNext, at)
-	}
-	p.countOutputs()
-	if p.options.Trace != nil {
-		p.options.Trace(now, p.delivered, p.outputs)
-	}
-	if p.digest != nil {
-		p.addToDigest(now)
+func (r *runner) runRound(now time.Duration) {
+	r.delivered = r.environment.Step(now, r.outputs, r.delivered[:0])
+	r.outcome.Steps++
+	r.outputs = r.outputs[:0]
+	r.reached = r.reached[:0]
+	r.distributeInputs()
+	r.markReached(now)
+	slices.Sort(r.reached)
+	for _, n := range r.reached {
+		r.stepScheduler(now, n)
+	}
+	r.earliestNext = never
+	for _, at := range r.nextAt {
+		r.earliestNext = min(r.earliestNext, at)
+	}
+	r.countOutputs()
+	if r.options.Trace != nil {
+		r.options.Trace(now, r.delivered, r.outputs)
+	}
+	if r.digest != nil {
+		r.addToDigest(now)
 	}
 }
 
-// distributeInputs gives each scheduler its inputs of this round.
-func (p *runner) distributeInputs() {
-	for i := range p.delivered {
-		input := &p.delivered[i]
+// distributeInputs distributes the inputs of this round among the schedulers.
+func (r *runner) distributeInputs() {
+	for i := range r.delivered {
+		input := &r.delivered[i]
 		switch message := input.Message.(type) {
 		case simapi.RequestReceived:
-			p.outcome.Requests++
+			r.outcome.Requests++
 		case simapi.DatagramReceived:
-			p.outcome.Peers.Datagrams++
-			p.outcome.Peers.Bytes += uint64(len(message.Bytes))
+			r.outcome.Peers.Datagrams++
+			r.outcome.Peers.Bytes += uint64(len(message.Bytes))
 		}
-		if len(p.inputs[input.Scheduler]) == 0 {
-			p.reached = append(p.reached, input.Scheduler)
+		if len(r.inputs[input.Scheduler]) == 0 {
+			r.reached = append(r.reached, input.Scheduler)
 		}
-		p.inputs[input.Scheduler] = append(p.inputs[input.Scheduler], *input)
+		r.inputs[input.Scheduler] = append(r.inputs[input.Scheduler], *input)
 	}
 }
 
-// markReached adds the schedulers that a message between levels has reached, and those that are due.
-func (p *runner) markReached(now time.Duration) {
-	if p.levels != nil {
-		for _, n := range p.levels.runDue(now) {
-			p.markScheduler(n)
+// markReached adds the schedulers and planners that a message between them has reached, and those that are due.
+func (r *runner) markReached(now time.Duration) {
+	if r.network != nil {
+		for _, n := range r.network.runDue(now) {
+			r.markScheduler(n)
 		}
 	}
-	if p.earliestNext > now {
+	if r.earliestNext > now {
 		return
 	}
-	for n, at := range p.nextAt {
+	for n, at := range r.nextAt {
 		if at <= now {
-			p.markScheduler(n)
+			r.markScheduler(n)
 		}
 	}
 }
 
-func (p *runner) markScheduler(n int) {
-	if !slices.Contains(p.reached, n) {
-		p.reached = append(p.reached, n)
+func (r *runner) markScheduler(n int) {
+	if !slices.Contains(r.reached, n) {
+		r.reached = append(r.reached, n)
 	}
 }
 
 // countOutputs adds this round's outputs to the outcome.
-func (p *runner) countOutputs() {
-	for i := range p.outputs {
-		switch p.outputs[i].Message.(type) {
+func (r *runner) countOutputs() {
+	for i := range r.outputs {
+		switch r.outputs[i].Message.(type) {
 		case simapi.ResponseWritten:
-			p.outcome.Responses++
+			r.outcome.Responses++
 		case simapi.AttemptWritten:
-			p.outcome.Attempts++
+			r.outcome.Attempts++
 		}
 	}
 }
 
 // stepScheduler runs one iteration of a scheduler.
-func (p *runner) stepScheduler(now time.Duration, n int) {
-	p.outcome.Iterations++
-	p.outputs = p.schedulers[n].Step(now, p.inputs[n], p.outputs)
-	p.inputs[n] = p.inputs[n][:0]
-	at, ok := p.schedulers[n].Next()
+func (r *runner) stepScheduler(now time.Duration, n int) {
+	r.outcome.Iterations++
+	r.outputs = r.schedulers[n].Step(now, r.inputs[n], r.outputs)
+	r.inputs[n] = r.inputs[n][:0]
+	at, ok := r.schedulers[n].Next()
 	if !ok {
 		at = never
 	}
-	p.nextAt[n] = at
+	r.nextAt[n] = at
 }
 
 // addToDigest adds a round to the digest.
-func (p *runner) addToDigest(now time.Duration) {
-	b := p.text[:0]
-	for i := range p.delivered {
-		b = AppendInput(b, now, &p.delivered[i])
+func (r *runner) addToDigest(now time.Duration) {
+	b := r.text[:0]
+	for i := range r.delivered {
+		b = AppendInput(b, now, &r.delivered[i])
 	}
-	for i := range p.outputs {
-		b = AppendOutput(b, now, &p.outputs[i])
+	for i := range r.outputs {
+		b = AppendOutput(b, now, &r.outputs[i])
 	}
-	p.text = b
-	_, _ = p.digest.Write(b) // never fails
+	r.text = b
+	_, _ = r.digest.Write(b) // never fails
 }
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -14,8 +14,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// busyDay is a scenario with faults of most parts of the environment.
-const busyDay = `
+// manyFaults is a scenario with faults of most parts of the environment.
+const manyFaults = `
 length = "8s"
 fleet = { nodes = 14, zones = ["a", "b"] }
 schedulers = { count = 3 }
@@ -54,8 +54,8 @@
 // TestRunIsDeterministic checks that a scenario and a seed determine a run byte for byte, whatever else the machine runs, and
 // that another seed gives another run.
 func TestRunIsDeterministic(t *testing.T) {
-	spec := parse(t, busyDay)
-	play := func(seed uint64, name string) uint64 {
+	spec := parse(t, manyFaults)
+	digestOf := func(seed uint64, name string) uint64 {
 		got, err := Run(spec, seed, Options{Model: policy(name), Digest: true})
 		if err != nil || !got.Finished || got.Requests < 100 || got.Responses < got.Requests*3/4 {
 			t.Errorf("%s: %+v, %v", name, got, err)
@@ -63,63 +63,64 @@
 		return got.Digest
 	}
 	for _, name := range []string{"logic", "all-seeing"} {
-		want := play(1, name)
-		if play(2, name) == want {
-			t.Errorf("%s: two seeds are one play", name)
+		want := digestOf(1, name)
+		if digestOf(2, name) == want {
+			t.Errorf("%s: seeds 1 and 2 give the same run", name)
 		}
 		old := runtime.GOMAXPROCS(1)
-		if got := play(1, name); got != want {
-			t.Errorf("%s: another play on one core", name)
+		if got := digestOf(1, name); got != want {
+			t.Errorf("%s: the run differs on one core", name)
 		}
 		runtime.GOMAXPROCS(max(8, old))
-		var all sync.WaitGroup
+		var runs sync.WaitGroup
 		for range 2 {
-			all.Go(func() {
-				if got := play(1, name); got != want {
-					t.Errorf("%s: another play beside others", name)
+			runs.Go(func() {
+				if got := digestOf(1, name); got != want {
+					t.Errorf("%s: a concurrent run of the same seed differs", name)
 				}
 			})
 		}
-		all.Wait()
+		runs.Wait()
 		runtime.GOMAXPROCS(old)
 	}
 }
 
 // TestFaultsAreIndependentOfPolicy checks that jobs and faults are the same whatever the schedulers' policy does.
 func TestFaultsAreIndependentOfPolicy(t *testing.T) {
-	spec, want := parse(t, busyDay), ""
+	spec, want := parse(t, manyFaults), ""
 	for _, name := range []string{"logic", "random", "round-robin", "two-choices", "least-outstanding", "all-seeing"} {
 		var b strings.Builder
-		watch := func(x *trace.Event) {
-			switch x.Kind {
+		record := func(event *trace.Event) {
+			switch event.Kind {
 			case trace.JobDue, trace.WorkerHung, trace.SchedulerKilled, trace.SchedulerTerminated, trace.FaultStarted:
-				b.WriteString(strconv.Itoa(int(x.Kind)) + " " + x.At.String() + " " + strconv.FormatFloat(x.Work, 'g', -1, 64) +
-					" " + strconv.Itoa(x.Worker) + x.IdempotencyKey + x.Text + "\n")
+				b.WriteString(strconv.Itoa(int(event.Kind)) + " " + event.At.String() + " " + strconv.FormatFloat(event.Work, 'g', -1, 64) +
+					" " + strconv.Itoa(event.Worker) + event.IdempotencyKey + event.Text + "\n")
 			}
 		}
-		watchers := []trace.Observer{watch, func(*trace.Event) {}}
-		if _, err := Run(spec, 3, Options{Model: policy(name), Observers: watchers}); err != nil {
+		observers := []trace.Observer{record, func(*trace.Event) {}}
+		if _, err := Run(spec, 3, Options{Model: policy(name), Observers: observers}); err != nil {
 			t.Fatal(err)
 		}
 		if want == "" {
 			want = b.String()
 		} else if b.String() != want {
-			t.Errorf("%s is put through something else", name)
+			t.Errorf("%s has other jobs or faults", name)
 		}
 	}
 	if strings.Count(want, "\n") < 100 {
-		t.Errorf("hardly anything happened: %s", want)
+		t.Errorf("fewer than 100 jobs and faults: %s", want)
 	}
 }
 
-// chatter is a scheduler with an output in every iteration, and another iteration always due.
-type chatter struct{ simapi.Scheduler }
+// endlessScheduler is a scheduler with an output in every iteration, and with another iteration always due.
+type endlessScheduler struct{ simapi.Scheduler }
 
-func (c chatter) Step(time.Duration, []simapi.Input, []simapi.Output) []simapi.Output {
+func (s endlessScheduler) Step(time.Duration, []simapi.Input, []simapi.Output) []simapi.Output {
 	return []simapi.Output{{Message: simapi.Unready{}}}
 }
-func (c chatter) Next() (time.Duration, bool) { return 0, true }
+func (s endlessScheduler) Next() (time.Duration, bool) { return 0, true }
 
+// TestOptions checks the options Until, Wrap and Trace, the detection of a run that never ends, and Unsupported.
 func TestOptions(t *testing.T) {
 	spec := parse(t, `length = "3s"`)
 	wrapped, traced := 0, 0
@@ -130,18 +131,18 @@
 	if err != nil || wrapped != 1 || traced == 0 || got.End != time.Second || got.Finished {
 		t.Errorf("%+v, %d wrapped, %d traced, %v", got, wrapped, traced, err)
 	}
-	_, err = Run(spec, 1, Options{Wrap: func(s simapi.Scheduler) simapi.Scheduler { return chatter{s} }})
-	if err == nil || !strings.Contains(err.Error(), "circles") {
-		t.Errorf("one that never rests: %v", err)
+	_, err = Run(spec, 1, Options{Wrap: func(s simapi.Scheduler) simapi.Scheduler { return endlessScheduler{s} }})
+	if err == nil || !strings.Contains(err.Error(), "in a loop") {
+		t.Errorf("a run that never ends: %v", err)
 	}
 	spec = parse(t, "bad = [{ kind = \"flood\", rate = 1.0 }]\nfault = [{ what = \"slow_read\", at = \"1s\" }]")
-	if notified := strings.Join(Unsupported(spec), "\n"); !strings.Contains(notified, "flood") || !strings.Contains(notified, "slow_read") {
-		t.Errorf("unseen: %s", notified)
+	if listed := strings.Join(Unsupported(spec), "\n"); !strings.Contains(listed, "flood") || !strings.Contains(listed, "slow_read") {
+		t.Errorf("unsupported: %s", listed)
 	}
 }
 
-// BenchmarkRun measures the requests simulated a second, by number of workers and policy. From 1,000 workers on, the policy
-// in service takes milliseconds for a request, so it gets few there.
+// BenchmarkRun measures the simulated requests per second, by number of workers and policy. From 1,000 workers on the dispatcher
+// takes milliseconds for a request, so it gets few requests there.
 func BenchmarkRun(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		for _, name := range []string{"least-outstanding", "logic"} {
@@ -161,7 +162,7 @@
 	}
 }
 
-// benchmarkScenario is a run of so many workers that a policy takes some seconds for.
+// benchmarkScenario returns a scenario with a number of workers whose run takes a policy some seconds.
 func benchmarkScenario(nodes int, policyName string) *scenario.Scenario {
 	spec, work := scenario.Default(), 20_000
 	spec.Fleet.Workers, spec.Schedulers.Count = nodes, min(64, max(1, nodes/50))
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -1,7 +1,7 @@
 // Package simulation runs a scenario in simulated time. It owns the clock, and steps one environment and its schedulers in
 // turn on one goroutine. A simulated scheduler consists of the request table and the policy of the real program, and of
-// models of its connections (internal/client, internal/worker) and of its reaction to signals (internal/server). A scenario and a seed
-// determine a run byte for byte, on any machine.
+// models of its connections (internal/client, internal/worker) and of its reaction to signals (internal/server). A scenario
+// and a seed determine a run byte for byte, on any machine.
 //
 // If a scenario has planners, its schedulers are forwarders: their policy is package forwarder, and each planner runs
 // package planner with a dispatch policy of its own, as in the real programs. They are connected by a model of streams,
@@ -9,7 +9,8 @@
 // package membership with events.
 //
 // Parsing, writing and deciding take no simulated time; in a real process they take little. The package opens no socket,
-// starts no process and reads no wall clock. Unsupported lists what it cannot show of a scenario; verdicts leave that out.
+// starts no process and reads no wall clock. Unsupported lists what it does not simulate of a scenario; verdicts don't cover
+// that.
 package simulation
 
 import (
@@ -30,14 +31,14 @@
 
 // StateSource gives baseline policies the true state of workers and requests. *environment.Environment implements it.
 type StateSource interface {
-	View(sched, place int) environment.View
-	Work(call string) (work, slots float64, ok bool)
+	View(scheduler, worker int) environment.View
+	Work(requestID string) (work, slots float64, ok bool)
 }
 
 // Model selects the policy and the log of each scheduler.
 type Model struct {
 	// Module returns a new policy without any state; nil: dispatch.New.
-	Module func(set dispatch.Settings, seed uint64, o baseline.Oracle) requests.Policy
+	Module func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy
 	// Log returns the logger of scheduler n; nil: nothing is logged.
 	Log func(n int) *slog.Logger
 
@@ -61,26 +62,26 @@
 	now           time.Duration
 	process       *process // nil: none runs
 	frozen        bool
-	pendingInputs []simapi.InputMessage // inputs and signals that wait while the process is frozen
-	connCount     uint64                // opened so far, by all its processes
+	pendingInputs []simapi.InputMessage // inputs and signals that arrived while the process was frozen
+	connCount     uint64                // connections to workers that all of its processes have opened
 	outputs       []simapi.Output
 
-	// Where there are planners.
-	levels          *levelNetwork // nil: there are none
-	incarnation     int           // counts processes
-	pendingMessages []levelMessage
-	counts          *LevelCounts
+	// The fields below are used if there are planners.
+	network         *controlNetwork // nil: there are none
+	incarnation     int             // counts processes
+	pendingMessages []controlMessage
+	counts          *ControlCounts
 }
 
-// NewScheduler returns scheduler n of a checked scenario whose run starts at the Unix time epoch. The baseline policies'
-// oracle reads from see; if it is nil, the oracle knows nothing.
-func NewScheduler(spec *scenario.Scenario, n int, epoch time.Duration, model Model, see StateSource) (*Scheduler, error) {
-	set, err := platform.Settings(spec, n)
-	model.source = see
-	return &Scheduler{number: n, spec: spec, settings: set, epoch: epoch, model: model}, err
+// NewScheduler returns scheduler n of a checked scenario whose run starts at the Unix time epoch. The oracle of baseline
+// policies reads from source. If source is nil, the oracle has no information.
+func NewScheduler(spec *scenario.Scenario, n int, epoch time.Duration, model Model, source StateSource) (*Scheduler, error) {
+	settings, err := platform.Settings(spec, n)
+	model.source = source
+	return &Scheduler{number: n, spec: spec, settings: settings, epoch: epoch, model: model}, err
 }
 
-// Step runs one iteration of the process at the time now, since the start of the run. It appends the outputs to dst.
+// Step runs one iteration of the process and appends its outputs to dst. now is the time since the start of the run.
 func (s *Scheduler) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
 	s.now, s.outputs = max(now, s.now), dst
 	if s.process != nil {
@@ -117,7 +118,7 @@
 		s.pendingInputs = waiting[:0]
 	default:
 		switch {
-		case s.process == nil: // what reaches a process that is gone is lost
+		case s.process == nil: // inputs of a process that has ended are lost
 		case s.frozen:
 			_, isDatagram := input.(simapi.DatagramReceived)
 			if isDatagram && countDatagrams(s.pendingInputs) >= maxWaitingDatagrams {
@@ -134,7 +135,7 @@
 func (s *Scheduler) endProcess() {
 	if s.process != nil && s.process.forwarder != nil {
 		s.counts.addForwarder(s.process.forwarder)
-		s.levels.processEnded(s.number)
+		s.network.processEnded(s.number)
 	}
 	s.process, s.frozen = nil, false
 }
@@ -143,21 +144,21 @@
 	return s.incarnation, s.process != nil, s.frozen
 }
 
-// deliver queues a message of a planner or of gossip.
-func (s *Scheduler) deliver(n levelMessage) {
+// deliver queues a message of a planner or of gossip for the next iteration.
+func (s *Scheduler) deliver(n controlMessage) {
 	if s.process != nil {
 		s.pendingMessages = append(s.pendingMessages, n)
 	}
 }
 
-// send encodes a message. One that cannot be encoded is counted and dropped, as in a real process.
+// send encodes a message. A message that cannot be encoded is counted and dropped, as in a real process.
 func (s *Scheduler) send(w *codec.Writer, envelope message.Envelope) {
 	if w.Add(envelope) != nil {
-		s.counts.Unwritten++
+		s.counts.EncodingFailures++
 	}
 }
 
-// Next returns the latest time of the next iteration; ok is false if no process runs or it is frozen.
+// Next returns the latest time of the next iteration. ok is false if no process runs or it is frozen.
 func (s *Scheduler) Next() (at time.Duration, ok bool) {
 	if s.process == nil || s.frozen {
 		return 0, false
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -6,24 +6,24 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Unsupported lists what a run in simulated time cannot show of a scenario, a sentence each. Verdicts leave that out, and
-// say so.
+// Unsupported lists what a run in simulated time does not simulate of a scenario, one sentence each. Verdicts don't cover these,
+// and list them.
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
 		"CPU, memory and descriptors of the schedulers' processes are not measured: deciding, reading and writing take" +
 			" no time, and a process has as much memory as it wants.",
 		"Requests and responses pass whole between environment and scheduler: nothing is seen of how bytes are read, written and framed.",
 	}
-	notified := map[string]bool{}
+	listed := map[string]bool{}
 	for _, b := range spec.Misbehaving {
-		if !notified[b.Kind] {
-			notified[b.Kind] = true
+		if !listed[b.Kind] {
+			listed[b.Kind] = true
 			all = append(all, fmt.Sprintf("Misbehaving clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
 		}
 	}
 	for _, f := range spec.Faults {
-		if why, ok := partlySupportedFaults[f.Kind]; ok && !notified[f.Kind] {
-			notified[f.Kind] = true
+		if why, ok := partlySupportedFaults[f.Kind]; ok && !listed[f.Kind] {
+			listed[f.Kind] = true
 			all = append(all, fmt.Sprintf("Fault %s: %s", f.Kind, why))
 		}
 	}
@@ -37,7 +37,7 @@
 	return all
 }
 
-// partlySupportedFaults says, by kind, what a run in simulated time leaves out of a fault.
+// partlySupportedFaults describes, by kind of fault, what a run in simulated time does not simulate.
 var partlySupportedFaults = map[string]string{
 	"reset_at": "a request that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
--- a/internal/testbed/simulation/worker_conn.go
+++ b/internal/testbed/simulation/worker_conn.go
@@ -16,7 +16,7 @@
 const (
 	connConnecting connState = iota
 	connIdle
-	connAwaiting // a task is written and its response awaited
+	connAwaiting // a task is written and its response is awaited
 	connClosed
 )
 
@@ -32,7 +32,7 @@
 // connTask is what a connection is used for, one at a time.
 type connTask struct {
 	kind    taskKind
-	attempt *requests.Attempt // nil for a probe
+	attempt *requests.Attempt // nil for a health check
 }
 
 // workerConn is a connection to a worker.
@@ -42,252 +42,253 @@
 	deadline      time.Duration // for a response; 0: none is awaited
 	conns         *workerConns
 	endpoint      *endpointConns
-	conn          simapi.Conn // 0: never dialled
+	conn          simapi.Conn // 0: never dialed
 	incarnation   int
 	state         connState
 	stage         requests.Stage
 	responseBegun bool // part of a response was received
-	peerClosed    bool // the worker has closed it
+	peerClosed    bool // the worker has closed the connection
 	task          connTask
-	lastTask      taskKind // kind of the task before
+	lastTask      taskKind // kind of the current or last task
 	idleSince     time.Duration
-	idleFor       time.Duration // how long it had been idle before its task; 0: it is new
+	idleFor       time.Duration // how long it was idle before its task; 0: the connection is new
 }
 
-func (k *workerConn) dial() {
-	conns := k.conns
+func (c *workerConn) dial() {
+	conns := c.conns
 	switch {
 	case len(conns.conns) >= conns.maxConns && !conns.evictIdle():
-		k.closeWith(errNoDescriptor)
+		c.closeWith(errNoDescriptor)
 		return
-	case k.endpoint.workerIndex < 0:
-		k.closeWith(errNoAddress)
+	case c.endpoint.workerIndex < 0:
+		c.closeWith(errNoAddress)
 		return
 	}
-	k.conn = conns.process.newConn()
-	conns.conns[k.conn] = k
-	conns.process.emit(simapi.WorkerDialed{Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
-	k.awaitWithin(conns.dialTimeout)
+	c.conn = conns.process.newConn()
+	conns.conns[c.conn] = c
+	conns.process.emit(simapi.WorkerDialed{Conn: c.conn, Worker: c.endpoint.workerIndex, Machine: c.endpoint.machine})
+	c.awaitWithin(conns.dialTimeout)
 }
 
 // assign sets the task of the connection.
-func (k *workerConn) assign(e connTask) {
-	k.task, k.lastTask, k.stage, k.responseBegun = e, e.kind, requests.StageNotConnected, false
-	if e.kind == taskAttempt {
-		k.conns.attemptConns[e.attempt] = k
+func (c *workerConn) assign(task connTask) {
+	c.task, c.lastTask, c.stage, c.responseBegun = task, task.kind, requests.StageNotConnected, false
+	if task.kind == taskAttempt {
+		c.conns.attemptConns[task.attempt] = c
 	}
 }
 
-// awaitWithin sets the deadline of a response. A timer that is set for earlier stays, and is set anew when it fires: most
-// responses come well before, so that this saves changes of the timer queue.
-func (k *workerConn) awaitWithin(span time.Duration) {
-	p := k.conns.process
-	if k.deadline = p.now + span; k.timerSet {
-		if k.timer.At <= k.deadline {
+// awaitWithin sets the deadline of a response. A timer that fires earlier stays, and timedOut sets it again: most responses
+// arrive well before their deadline, so this saves changes of the timer queue.
+func (c *workerConn) awaitWithin(span time.Duration) {
+	p := c.conns.process
+	if c.deadline = p.now + span; c.timerSet {
+		if c.timer.At <= c.deadline {
 			return
 		}
-		p.stop(&k.timer)
+		p.stop(&c.timer)
 	}
-	k.timerSet = true
-	p.start(&k.timer, span)
+	c.timerSet = true
+	p.start(&c.timer, span)
 }
 
 // timedOut is called by the timer: it closes the connection if its deadline has passed.
-func (k *workerConn) timedOut() {
-	k.timerSet = false
-	switch remaining := k.deadline - k.conns.process.now; {
-	case k.deadline == 0:
+func (c *workerConn) timedOut() {
+	c.timerSet = false
+	switch remaining := c.deadline - c.conns.process.now; {
+	case c.deadline == 0:
 	case remaining > 0:
-		k.awaitWithin(remaining)
+		c.awaitWithin(remaining)
 	default:
-		k.closeWith(errTimeout)
+		c.closeWith(errTimeout)
 	}
 }
 
 // write writes the request of the task.
-func (k *workerConn) write() {
-	process, attempt := k.conns.process, k.task.attempt
-	if k.task.kind == taskAttempt && attempt.At-process.now < time.Millisecond {
-		k.deadline = 0 // the request table is about to abandon it, which closes the connection
+func (c *workerConn) write() {
+	process, attempt := c.conns.process, c.task.attempt
+	if c.task.kind == taskAttempt && attempt.At-process.now < time.Millisecond {
+		c.deadline = 0 // the request table is about to abandon the attempt, which closes the connection
 		return
 	}
-	k.state = connAwaiting
-	k.setStage(requests.StageWritten)
-	worker, firstByteAt := k.endpoint.workerIndex, process.now-process.scheduler.epoch
-	switch k.task.kind {
+	c.state = connAwaiting
+	c.setStage(requests.StageWritten)
+	worker, firstByteAt := c.endpoint.workerIndex, process.now-process.scheduler.epoch
+	switch c.task.kind {
 	case taskAttempt:
 		remaining := attempt.At - process.now
-		k.awaitWithin(remaining + connGrace)
+		c.awaitWithin(remaining + connGrace)
 		process.emit(simapi.AttemptWritten{
-			Worker: worker, Conn: k.conn, RequestID: attempt.Request.CallID, IdempotencyKey: attempt.Request.Payload.IdempotencyKey,
+			Worker: worker, Conn: c.conn, RequestID: attempt.Request.CallID, IdempotencyKey: attempt.Request.Payload.IdempotencyKey,
 			Budget: max(time.Millisecond, remaining.Truncate(time.Millisecond)), FirstByteAt: firstByteAt,
 		})
 	case taskHealthCheck:
-		k.awaitWithin(healthCheckTimeout)
-		process.emit(simapi.HealthCheckWritten{Worker: worker, Conn: k.conn, FirstByteAt: firstByteAt})
+		c.awaitWithin(healthCheckTimeout)
+		process.emit(simapi.HealthCheckWritten{Worker: worker, Conn: c.conn, FirstByteAt: firstByteAt})
 	case taskCancel:
-		k.awaitWithin(cancelTimeout)
-		process.emit(simapi.CancellationWritten{Worker: worker, Conn: k.conn, RequestID: attempt.Request.CallID, FirstByteAt: firstByteAt})
+		c.awaitWithin(cancelTimeout)
+		process.emit(simapi.CancellationWritten{Worker: worker, Conn: c.conn, RequestID: attempt.Request.CallID, FirstByteAt: firstByteAt})
 	}
 }
 
-func (k *workerConn) setStage(stage requests.Stage) {
-	if k.stage = stage; k.task.kind == taskAttempt {
-		k.task.attempt.Stage = stage
+func (c *workerConn) setStage(stage requests.Stage) {
+	if c.stage = stage; c.task.kind == taskAttempt {
+		c.task.attempt.Stage = stage
 	}
 }
 
-// connected writes the task to a connection that has come up, unless it is no longer wanted.
-func (k *workerConn) connected() {
+// connected writes the task to a connection that is now established, unless the task is no longer wanted.
+func (c *workerConn) connected() {
 	switch {
-	case k.state != connConnecting:
-	case k.task.kind == taskAttempt && k.task.attempt.HasEnded(), // by a late callback of an earlier attempt
-		k.task.kind == taskCancel && k.task.attempt.EndedByWorker():
-		k.closeWith(nil)
+	case c.state != connConnecting:
+	case c.task.kind == taskAttempt && c.task.attempt.HasEnded(), // by a late callback of an earlier attempt
+		c.task.kind == taskCancel && c.task.attempt.EndedByWorker():
+		c.closeWith(nil)
 	default:
-		k.write()
+		c.write()
 	}
 }
 
-func (k *workerConn) disconnected(reset bool) {
-	k.peerClosed = true
+func (c *workerConn) disconnected(reset bool) {
+	c.peerClosed = true
 	switch {
-	case k.state == connIdle:
-		k.closeWith(nil)
-	case k.state == connConnecting:
-		k.closeWith(errRefused)
+	case c.state == connIdle:
+		c.closeWith(nil)
+	case c.state == connConnecting:
+		c.closeWith(errRefused)
 	case reset:
-		k.closeWith(errReset)
+		c.closeWith(errReset)
 	default:
-		k.closeWith(errEnded)
+		c.closeWith(errEnded)
 	}
 }
 
-// responseReceived ends the task by the response's status. If Bytes > 0, the response broke off.
-func (k *workerConn) responseReceived(in *simapi.ResponseReceived) {
+// responseReceived ends the task by the response's status. If in.Bytes > 0, the response is incomplete.
+func (c *workerConn) responseReceived(in *simapi.ResponseReceived) {
 	switch {
-	case k.state != connAwaiting: // an unexpected response
-		k.closeWith(nil)
+	case c.state != connAwaiting: // an unexpected response
+		c.closeWith(nil)
 		return
 	case in.Bytes > 0:
-		k.responseBegun, k.peerClosed = true, true
-		k.closeWith(errReset)
+		c.responseBegun, c.peerClosed = true, true
+		c.closeWith(errReset)
 		return
 	}
-	k.finishByStatus(in)
-	if k.state != connAwaiting { // the end of the task has closed the connection
+	c.finishByStatus(in)
+	if c.state != connAwaiting { // ending the task has closed the connection
 		return
 	}
-	if k.incarnation == k.conns.endpoint(k.endpoint.worker).incarnation {
-		k.makeIdle()
+	if c.incarnation == c.conns.endpoint(c.endpoint.worker).incarnation {
+		c.makeIdle()
 	} else {
-		k.closeWith(nil)
+		c.closeWith(nil)
 	}
 }
 
 // finishByStatus ends the task, or accepts the attempt, by the response's status.
-func (k *workerConn) finishByStatus(in *simapi.ResponseReceived) {
-	task, success := k.task, in.Status/100 == 2
-	reason := k.failureReason(in)
+func (c *workerConn) finishByStatus(in *simapi.ResponseReceived) {
+	task, success := c.task, in.Status/100 == 2
+	reason := c.failureReason(in)
 	if task.kind == taskAttempt {
-		k.conns.process.requests.ReportResponse(task.attempt, in.Status)
+		c.conns.process.requests.ReportResponse(task.attempt, in.Status)
 	}
 	switch {
 	case !success:
-		k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: errStatus})
+		c.finishTask(&requests.AttemptError{Stage: c.stage, Reason: reason, Cause: errStatus})
 	case task.kind == taskAttempt:
-		k.setStage(requests.StageAccepted)
-		delete(k.conns.attemptConns, task.attempt)
-		k.task = connTask{}
+		c.setStage(requests.StageAccepted)
+		delete(c.conns.attemptConns, task.attempt)
+		c.task = connTask{}
 	default:
-		k.finishTask(nil)
+		c.finishTask(nil)
 	}
 }
 
-// failureReason returns what a response other than 2xx says of the task.
-func (k *workerConn) failureReason(in *simapi.ResponseReceived) requests.Reason {
+// failureReason returns why the task failed, by a response other than 2xx.
+func (c *workerConn) failureReason(in *simapi.ResponseReceived) requests.Reason {
 	unavailable := in.Status == 503 || in.Status == 504
 	switch {
-	case unavailable && (k.task.kind == taskHealthCheck || in.Rejected):
+	case unavailable && (c.task.kind == taskHealthCheck || in.Rejected):
 		return requests.ReasonRejected
-	case in.Status/100 == 4 && k.task.kind == taskAttempt:
+	case in.Status/100 == 4 && c.task.kind == taskAttempt:
 		return requests.ReasonInvalidRequest
 	}
 	return requests.ReasonWorkerError
 }
 
-// finishTask ends the task, and reports its result; fault nil: it succeeded.
-func (k *workerConn) finishTask(fault *requests.AttemptError) {
-	e := k.task
-	k.task = connTask{}
-	switch e.kind {
+// finishTask ends the task and reports its result. If fault is nil, the task succeeded.
+func (c *workerConn) finishTask(fault *requests.AttemptError) {
+	task := c.task
+	c.task = connTask{}
+	switch task.kind {
 	case taskAttempt:
-		delete(k.conns.attemptConns, e.attempt)
-		k.conns.process.requests.EndAttempt(e.attempt, nil, fault)
+		delete(c.conns.attemptConns, task.attempt)
+		c.conns.process.requests.EndAttempt(task.attempt, nil, fault)
 	case taskHealthCheck:
-		k.conns.process.requests.HealthChecked(k.endpoint.worker, fault)
+		c.conns.process.requests.HealthChecked(c.endpoint.worker, fault)
 	case taskCancel:
-		k.conns.cancelEnded(e.attempt, fault)
+		c.conns.cancelEnded(task.attempt, fault)
 	}
 }
 
 // makeIdle makes the connection available for the next task.
-func (k *workerConn) makeIdle() {
-	k.deadline = 0
-	k.state, k.idleSince = connIdle, k.conns.process.now
-	k.endpoint.idle = append(k.endpoint.idle, k)
-	k.conns.idleCount++
+func (c *workerConn) makeIdle() {
+	c.deadline = 0
+	c.state, c.idleSince = connIdle, c.conns.process.now
+	c.endpoint.idle = append(c.endpoint.idle, c)
+	c.conns.idleCount++
 }
 
-// closeWith closes the connection in any state. Its task, if any, fails with the cause, at the stage that it had reached.
-func (k *workerConn) closeWith(cause error) {
-	if k.state == connClosed {
+// closeWith closes the connection in any state. Its task, if any, fails with the cause, at the stage that it has reached.
+func (c *workerConn) closeWith(cause error) {
+	if c.state == connClosed {
 		return
 	}
-	if k.state == connIdle {
-		k.removeIdle()
+	if c.state == connIdle {
+		c.removeIdle()
 	}
-	dropped := k.state == connAwaiting && k.idleFor > 0 && !k.responseBegun && cause != nil && !errors.Is(cause, errTimeout)
-	k.state = connClosed
-	k.conns.process.stop(&k.timer)
-	k.release()
+	dropped := c.state == connAwaiting && c.idleFor > 0 && !c.responseBegun && cause != nil && !errors.Is(cause, errTimeout)
+	c.state = connClosed
+	c.conns.process.stop(&c.timer)
+	c.release()
 	if dropped {
-		k.conns.reduceTrust(k.idleFor)
+		c.conns.reduceTrust(c.idleFor)
 	}
-	if k.task.kind != taskNone {
-		k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: k.closeReason(cause, dropped), Cause: cause})
+	if c.task.kind != taskNone {
+		c.finishTask(&requests.AttemptError{Stage: c.stage, Reason: c.closeReason(cause, dropped), Cause: cause})
 	}
 }
 
-// removeIdle takes the connection from the endpoint's idle ones.
-func (k *workerConn) removeIdle() {
-	for i, other := range k.endpoint.idle {
-		if other == k {
-			k.endpoint.idle = append(k.endpoint.idle[:i], k.endpoint.idle[i+1:]...)
-			k.conns.idleCount--
+// removeIdle removes the connection from the endpoint's idle ones.
+func (c *workerConn) removeIdle() {
+	for i, other := range c.endpoint.idle {
+		if other == c {
+			c.endpoint.idle = append(c.endpoint.idle[:i], c.endpoint.idle[i+1:]...)
+			c.conns.idleCount--
 			return
 		}
 	}
 }
 
-// release gives up the connection's number, if it was dialed, and closes it unless the worker has.
-func (k *workerConn) release() {
-	if k.conn == 0 {
+// release removes the connection from the open ones, if it was dialed, and closes it unless the worker has closed it.
+func (c *workerConn) release() {
+	if c.conn == 0 {
 		return
 	}
-	delete(k.conns.conns, k.conn)
-	if !k.peerClosed {
-		k.conns.process.emit(simapi.WorkerConnClosed{Conn: k.conn, Worker: k.endpoint.workerIndex})
+	delete(c.conns.conns, c.conn)
+	if !c.peerClosed {
+		c.conns.process.emit(simapi.WorkerConnClosed{Conn: c.conn, Worker: c.endpoint.workerIndex})
 	}
 }
 
-// closeReason returns why a task failed whose connection was closed; dropped: it had been idle, and broke without a response.
-func (k *workerConn) closeReason(cause error, dropped bool) requests.Reason {
+// closeReason returns why a task failed whose connection was closed. With dropped set, the connection had been idle before the
+// task and broke without a response.
+func (c *workerConn) closeReason(cause error, dropped bool) requests.Reason {
 	switch {
-	case k.stage >= requests.StageWritten && errors.Is(cause, errTimeout):
+	case c.stage >= requests.StageWritten && errors.Is(cause, errTimeout):
 		return requests.ReasonTimeout
-	case dropped && k.task.kind == taskHealthCheck:
-		return requests.ReasonNotSent // it says nothing of the worker
+	case dropped && c.task.kind == taskHealthCheck:
+		return requests.ReasonNotSent // a dropped connection is no evidence about the worker's health
 	}
 	return requests.ReasonConnectionLost
 }
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -10,51 +10,51 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// This file holds a simulated scheduler's connections to all workers: which of them carries an attempt, and when an
-// idle one is closed.
+// This file holds a simulated scheduler's connections to all workers. It decides which connection carries an attempt, and when
+// an idle one is closed.
 
 // Constants of the connections to workers, as in internal/worker.
 const (
 	healthCheckTimeout = 500 * time.Millisecond
 	cancelTimeout      = time.Second
-	connGrace          = time.Second // a connection outlasts its attempt by this, for a late response
+	connGrace          = time.Second // after the end of its attempt, in which a connection waits for a late response
 	retireInterval     = time.Second
 	minIdleTrust       = 20 * time.Millisecond
 	idleTrustGrowth    = 10 * time.Second
-	maxIdleTrust       = time.Minute // beyond that it is without limit
+	maxIdleTrust       = time.Minute // beyond that there is no limit
 
 	reuseDelay       = 10 * time.Millisecond // before a connection carries the next attempt
-	cancelAttempts   = 4                     // limit of connections tried for a DELETE
+	cancelAttempts   = 4                     // limit on the connections tried for a DELETE
 	cancelRetryDelay = 50 * time.Millisecond
 )
 
-// Causes for which connections and attempts end.
+// Causes of the end of connections and attempts.
 var (
 	errRefused      = errors.New("connection refused")
 	errReset        = errors.New("connection reset")
-	errEnded        = errors.New("ended by the worker")
-	errTimeout      = errors.New("no answer in time")
+	errEnded        = errors.New("closed by the worker")
+	errTimeout      = errors.New("timed out")
 	errNoDescriptor = errors.New("no descriptor left for a worker connection")
-	errNoAddress    = errors.New("the worker has no address")
-	errStatus       = errors.New("status")
+	errNoAddress    = errors.New("worker has no address")
+	errStatus       = errors.New("response status is not 2xx")
 )
 
 // workerConns models the connections to workers of internal/worker. The request table starts attempts through it. Writing
-// takes no simulated time: a request is written whole as soon as its connection is up.
+// takes no simulated time: a whole request is written as soon as its connection is established.
 type workerConns struct {
 	process      *process
 	endpoints    map[uint64]*endpointConns
-	endpointList []*endpointConns // the endpoints in order, as a map has none
+	endpointList []*endpointConns // the endpoints in order of first use; a map's order is random
 	conns        map[simapi.Conn]*workerConn
 	attemptConns map[*requests.Attempt]*workerConn // until the worker has accepted
-	// cancellations are the attempts whose worker is being told, and how many connections were tried for that.
+	// cancellations are the attempts for which a DELETE is being sent, and how many connections were tried for it.
 	cancellations  map[*requests.Attempt]int
 	maxConns       int
 	idleCount      int           // idle connections, over all endpoints
 	evictFrom      int           // index into endpointList at which evictIdle continues
-	dialTimeout    time.Duration // limit for a connection to come up
-	idleTimeout    time.Duration // limit for a connection to be idle; 0: none
-	idleTrust      time.Duration // idle time that was safe lately; 0: no limit
+	dialTimeout    time.Duration // within which a connection has to be established
+	idleTimeout    time.Duration // after which an idle connection is closed; 0: never
+	idleTrust      time.Duration // idle time up to which connections are trusted to be still open; 0: no limit
 	idleTrustSetAt time.Duration // when idleTrust was set
 }
 
@@ -62,17 +62,17 @@
 type endpointConns struct {
 	worker      uint64
 	workerIndex int // the environment's number; -1: unknown
-	machine     int // counts the machines that replaced one another
+	machine     int // counts the machines that have replaced one another
 	addr        string
 	startedMs   int64
 	incarnation int           // counts processes: connections to earlier ones are not reused
 	idle        []*workerConn // the most recently used one last
 }
 
-func newWorkerConns(p *process, most int, dial, idleFor time.Duration) *workerConns {
+func newWorkerConns(p *process, maxConns int, dialTimeout, idleTimeout time.Duration) *workerConns {
 	s := &workerConns{
 		process: p, endpoints: map[uint64]*endpointConns{}, conns: map[simapi.Conn]*workerConn{},
-		attemptConns: map[*requests.Attempt]*workerConn{}, cancellations: map[*requests.Attempt]int{}, maxConns: most, dialTimeout: dial, idleTimeout: idleFor * 3 / 4,
+		attemptConns: map[*requests.Attempt]*workerConn{}, cancellations: map[*requests.Attempt]int{}, maxConns: maxConns, dialTimeout: dialTimeout, idleTimeout: idleTimeout * 3 / 4,
 	}
 	s.retire()
 	return s
@@ -99,10 +99,10 @@
 // machine 0 of worker 12, "w-12.1" the machine that replaced it. For any other id, node is -1.
 func NodeOf(id string) (node, machine int) {
 	digits, ok := strings.CutPrefix(id, "w-")
-	digits, later, took := strings.Cut(digits, ".")
+	digits, replacement, isReplacement := strings.Cut(digits, ".")
 	node, err := strconv.Atoi(digits)
-	if took && err == nil {
-		machine, err = strconv.Atoi(later)
+	if isReplacement && err == nil {
+		machine, err = strconv.Atoi(replacement)
 	}
 	if !ok || err != nil || node < 0 || machine < 0 {
 		return -1, 0
@@ -113,7 +113,7 @@
 // Start starts an attempt.
 func (s *workerConns) Start(a *requests.Attempt) { s.startTask(a.Worker, connTask{taskAttempt, a}) }
 
-// Abandon cancels an attempt: before the worker has accepted, it closes the connection; afterwards, it sends a DELETE.
+// Abandon cancels an attempt: before the worker has accepted it by closing the connection, afterwards by a DELETE.
 func (s *workerConns) Abandon(a *requests.Attempt) {
 	if k := s.attemptConns[a]; k != nil {
 		k.closeWith(nil)
@@ -122,19 +122,19 @@
 	}
 }
 
-// Cancel sends a DELETE, unless one is on its way.
+// Cancel sends a DELETE, unless one is being sent.
 func (s *workerConns) Cancel(a *requests.Attempt) {
-	if a.Stage < requests.StageAccepted { // nothing is accepted later than written here
+	if a.Stage < requests.StageAccepted { // unlike internal/worker, the model does not wait for it to be accepted
 		s.process.requests.CancelUnaccepted(a)
 		return
 	}
-	if _, is := s.cancellations[a]; !is {
+	if _, isSending := s.cancellations[a]; !isSending {
 		s.cancellations[a] = 1
 		s.startTask(a.Worker, connTask{taskCancel, a})
 	}
 }
 
-// cancelEnded handles the end of a DELETE. If its connection broke, it is retried on another one.
+// cancelEnded handles the end of a DELETE. If its connection broke, the DELETE is retried on another one.
 func (s *workerConns) cancelEnded(attempt *requests.Attempt, fault *requests.AttemptError) {
 	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
 	wanted := !attempt.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
@@ -192,7 +192,7 @@
 	return s.idleTimeout > 0 && age >= s.idleTimeout || s.idleTrust > 0 && age >= s.idleTrust
 }
 
-// reduceTrust lowers idleTrust after a connection broke that had been idle for the given time and got no response.
+// reduceTrust lowers idleTrust after a connection that had been idle for the given time broke without a response.
 func (s *workerConns) reduceTrust(idle time.Duration) {
 	if s.idleTrust == 0 || idle < s.idleTrust {
 		s.idleTrust = max(idle/2, minIdleTrust)
@@ -225,7 +225,7 @@
 	k.dial()
 }
 
-// evictIdle closes an idle connection of any endpoint; false: there is none.
+// evictIdle closes an idle connection of any endpoint. It returns false if there is none.
 func (s *workerConns) evictIdle() bool {
 	for s.idleCount > 0 {
 		s.evictFrom = (s.evictFrom + 1) % len(s.endpointList)
@@ -237,7 +237,7 @@
 	return false
 }
 
-// handleInput processes an input of a connection, if that is still open.
+// handleInput processes an input of a connection, if the connection is still open.
 func (s *workerConns) handleInput(input simapi.InputMessage) {
 	switch message := input.(type) {
 	case simapi.WorkerConnected:
