--- a/internal/testbed/starvation/attempts.go
+++ b/internal/testbed/starvation/attempts.go
@@ -20,8 +20,8 @@
 	worker        int
 	sentAt        time.Duration
 	receivedAt    time.Duration // when its worker had read it
-	inFlight      bool          // for its scheduler
-	atWorker      bool          // it occupies its worker's slots, by the trace
+	inFlight      bool          // it has not ended for its scheduler
+	atWorker      bool          // it occupies slots of its worker
 	received      bool          // its worker has read it
 	finished      bool          // its execution has ended
 	startNotified bool          // its scheduler was notified that it runs
@@ -34,13 +34,13 @@
 // occupiesWorker reports whether the attempt occupies slots of its worker.
 func (a *attempt) occupiesWorker() bool { return a.atWorker }
 
-// isUnread reports whether the attempt occupies its worker, which has not read it.
+// isUnread reports whether the attempt occupies its worker and was not read yet.
 func (a *attempt) isUnread() bool { return a.atWorker && !a.received }
 
 // isUnresolved reports whether the attempt is in flight or occupies its worker.
 func (a *attempt) isUnresolved() bool { return a.inFlight || a.atWorker }
 
-// startedAttempt is an attempt that started, and of which its scheduler may not have been notified.
+// startedAttempt is an attempt that has started, of which its scheduler may not have been notified.
 type startedAttempt struct {
 	at      time.Duration
 	attempt *attempt
@@ -112,7 +112,7 @@
 	c.started.push(startedAttempt{at: event.At, attempt: started})
 }
 
-// checkStartNotifications counts workers as unhealthy that have not sent the callback of a start in time.
+// checkStartNotifications marks workers as unhealthy that have not sent the callback of a start in time.
 func (c *Checker) checkStartNotifications() {
 	for c.started.size > 0 && c.now-c.started.first().at >= notificationWindow {
 		started := c.started.pop().attempt
@@ -150,7 +150,7 @@
 	}
 }
 
-// attemptCancelled ends an attempt for its scheduler. It occupies its worker until its execution has ended.
+// attemptCancelled ends an attempt for its scheduler. The attempt occupies its worker until its execution has ended.
 func (c *Checker) attemptCancelled(event *trace.Event) {
 	owner, cancelled := c.findAttempt(event, (*attempt).isInFlight)
 	if cancelled == nil || event.Text == cancelledByFault {
@@ -194,7 +194,7 @@
 	c.resolveAttempt(owner, ended)
 }
 
-// callbackLost handles a callback that its worker has abandoned: the attempt ends at the worker only.
+// callbackLost handles a callback that its worker has abandoned. The attempt ends at the worker only.
 func (c *Checker) callbackLost(event *trace.Event) {
 	c.markUnhealthy(event.Worker)
 	if owner, ended := c.findAttempt(event, (*attempt).occupiesWorker); ended != nil && isFinalState(event.Text) {
--- a/internal/testbed/starvation/checker.go
+++ b/internal/testbed/starvation/checker.go
@@ -10,24 +10,24 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Windows of time, by the rules of the package comment.
+// Time windows of the rules in the package comment.
 const (
-	idleWindow         = time.Second             // how long a request is queued, and a worker idle, before it is starvation
+	idleWindow         = time.Second             // after which a request that is queued while a worker is idle counts as starved
 	scanInterval       = 100 * time.Millisecond  // between two scans of the queued requests
 	healthyAfter       = 10 * time.Second        // without a sign of a fault, a worker is healthy again
-	startupWindow      = 2 * time.Second         // that a scheduler has after its own start, and after it is notified of a worker's
-	dialWindow         = 1300 * time.Millisecond // in which a connection is up, or its worker counts as unhealthy
+	startupWindow      = 2 * time.Second         // to act on its own start, or on the notification of a worker's start
+	dialWindow         = 1300 * time.Millisecond // in which a connection is established, or its worker counts as unhealthy
 	notificationWindow = 250 * time.Millisecond  // in which the callback of a start is sent, or its worker counts as unhealthy
 )
 
-// Estimates of how many requests a scheduler's limit on sockets admits.
+// Estimates of how a scheduler divides its limit on sockets, from which follows how many requests it admits.
 const (
 	processSockets      = 24  // of a process, besides its connections
 	workerSocketDivisor = 6   // connections, of which one is to a worker
 	minWorkerSockets    = 8   // connections to workers, at least
 	spareSocketDivisor  = 10  // client connections, of which one is reserved
 	minSpareSockets     = 8   // reserved client connections, at least
-	crowdedShare        = 0.9 // of the requests admitted, from which on rejections are excused
+	crowdedShare        = 0.9 // of the requests that it admits, from which on rejections are excused
 )
 
 // Checker finds starvation in one run from its trace. It is used by one goroutine.
@@ -36,33 +36,33 @@
 	classes         []class
 	kinds           []workerKind
 	maxSpeed        float64 // of any worker that the scenario allows
-	omitsStarts     bool    // some workers send no callbacks of starts, so that schedulers expect none
+	omitsStarts     bool    // some workers send no callbacks of starts, so schedulers cannot rely on them
 	clientFaults    []interval
 	requestLimit    int // requests of a scheduler from which on it may reject
 	dialsPerRequest int // connections that may fail one after the other in the idle window of one request
 
-	now         time.Duration
-	nextScan    time.Duration
-	jobs        map[uint64]*job
-	requests    map[string]*request
-	workers     []worker
-	schedulers  []scheduler
-	running     int // schedulers that are up
-	idleWorkers []workersByBucket
-	oldRequests []requestsByBucket // by kind plus one; 0 is any kind
-	newlyIdle   ringQueue[idleEntry]
-	newlyQueued ringQueue[queueEntry]
-	started     ringQueue[startedAttempt]
-	recovering  deadline.Queue[*worker]
-	dials       ringQueue[dial]
-	dialed      map[uint64]bool // connections that are not up yet
-	verdict     Verdict
+	now             time.Duration
+	nextScan        time.Duration
+	jobs            map[uint64]*job
+	requests        map[string]*request
+	workers         []worker
+	schedulers      []scheduler
+	running         int // schedulers that are up
+	idleWorkers     []workersByBucket
+	overdueRequests []requestsByBucket // the overdue requests: queued for the idle window; by kind plus one, 0 is any kind
+	newlyIdle       ringQueue[idleEntry]
+	newlyQueued     ringQueue[queueEntry]
+	started         ringQueue[startedAttempt]
+	recovering      deadline.Queue[*worker]
+	dials           ringQueue[dial]
+	dialed          map[uint64]bool // connections that are not established yet
+	verdict         Verdict
 }
 
 // workersByBucket has the numbers of one kind's workers that have been idle for the idle window, by bucket of slots.
 type workersByBucket [slotBuckets][]int32
 
-// requestsByBucket has the requests bound to one kind that have been queued for the idle window, by bucket of slots.
+// requestsByBucket has the overdue requests that are bound to one kind, by bucket of slots.
 type requestsByBucket [slotBuckets][]*request
 
 // interval is a time in which clients and schedulers may be disconnected from each other.
@@ -83,7 +83,7 @@
 		workers:         make([]worker, spec.Fleet.Workers),
 		schedulers:      make([]scheduler, max(1, spec.Schedulers.Count)),
 		idleWorkers:     make([]workersByBucket, len(spec.Fleet.Kinds)),
-		oldRequests:     make([]requestsByBucket, len(spec.Fleet.Kinds)+1),
+		overdueRequests: make([]requestsByBucket, len(spec.Fleet.Kinds)+1),
 		dialed:          map[uint64]bool{},
 	}
 	for i := range spec.Fleet.Kinds {
@@ -108,7 +108,8 @@
 	return checker
 }
 
-// clientFaults returns when the scenario's faults disturb the network of the clients, and the idle window after each.
+// clientFaults returns the times in which faults of the scenario impair the clients' network, each with the idle window after
+// it.
 func clientFaults(faults []scenario.Fault) []interval {
 	var intervals []interval
 	for i := range faults {
@@ -125,7 +126,7 @@
 	return intervals
 }
 
-// requestLimit returns how many requests a scheduler has to have before its limit on sockets excuses a rejection.
+// requestLimit returns how many open requests a scheduler has to have before its limit on sockets excuses a rejection.
 func requestLimit(sockets int) int {
 	connections := max(0, sockets-processSockets)
 	connections -= max(minWorkerSockets, connections/workerSocketDivisor)
--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// kindsByVerb has the kinds of events by the names that histories give them.
+// kindsByVerb has the kinds of events by their names in histories.
 var kindsByVerb = map[string]trace.Kind{
 	"due": trace.JobDue, "settled": trace.JobSettled,
 	"request": trace.RequestSent, "response": trace.ResponseReceived, "request-lost": trace.ConnectionLost,
@@ -48,7 +48,7 @@
 const setup = "0 scheduler-started;0 worker-present worker=0;0 worker-present worker=1 kind=slow-4c;" +
 	"0 worker-present worker=2;0 worker-present worker=3 kind=slow-4c;"
 
-// setters set the field of an event that a key of histories stands for.
+// setters set the fields of an event, by their keys in histories.
 var setters = map[string]func(event *trace.Event, value string) error{
 	"worker":      intSetter(func(event *trace.Event) *int { return &event.Worker }),
 	"scheduler":   intSetter(func(event *trace.Event) *int { return &event.Scheduler }),
@@ -145,9 +145,9 @@
 	return checker.Verdict()
 }
 
-// Histories with starvation, and beside each some similar ones without.
+// TestCheckerHistories checks the counts for histories with starvation, and for similar ones without.
 func TestCheckerHistories(t *testing.T) {
-	busy := func(workers ...int) string { // each of them by a job of four slots
+	busy := func(workers ...int) string { // each worker has a job of four slots
 		text := ""
 		for _, n := range workers {
 			text += fmt.Sprintf("3 due job=9%d slots=4 work=9;3 attempt job=9%d worker=%d;3 received job=9%d worker=%d;", n, n, n, n, n)
@@ -197,7 +197,7 @@
 			"5 attempt;5 unread;9 response status=503", "0 0 0"},
 		{"rejected in the first 2 s", "1 due;1.9 response status=503", "0 0 1"},
 		{"queued since the start", "0.5 due;2.9 attempt;9 settled", "0 0 0"},
-		{"queued on after the start", "0.5 due;3.2 attempt;9 settled", "1 0 0"},
+		{"queued for too long after the start", "0.5 due;3.2 attempt;9 settled", "1 0 0"},
 		{"frozen", "5 due;5.1 scheduler-frozen;8 scheduler-resumed;8.9 attempt;9 settled", "0 0 0"},
 		{"a second after it resumed", "5 due;5.1 scheduler-frozen;8 scheduler-resumed;9.1 attempt;9 settled", "1 0 0"},
 		{"rejected on resuming", "5 due;5.1 scheduler-frozen;8 scheduler-resumed;8.1 response status=503", "0 0 1"},
@@ -236,7 +236,7 @@
 			"9 settled", "1 0 0"},
 		{"one rejection for each connection that failed", "5 due;5 due job=2;5 dialed conn=1;5.3 response status=503;" +
 			"5.3 response job=2 status=503", "0 1 1"},
-		{"sent again", "5 due;5.9 request;6.5 attempt;9 settled", "0 0 0"},
+		{"sent again on another connection", "5 due;5.9 request;6.5 attempt;9 settled", "0 0 0"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			v := checkHistory(t, newSpec(), test.history)
@@ -247,11 +247,11 @@
 	}
 }
 
-// Settings of a scenario that excuse a request that is starved without them.
+// TestCheckerScenarios checks settings of a scenario that excuse a request, which counts as starved without them.
 func TestCheckerScenarios(t *testing.T) {
 	underestimated := "5 due work=1 objective=1800ms;5.9 response status=503"
 	overestimated := "5 due work=1;5.1 response status=503"
-	ends := func(count int) string { // of the class, one after the other
+	ends := func(count int) string { // executions of the class that end, one after the other
 		return strings.Repeat("3 due job=7;3 attempt job=7;3 received job=7;3.1 callback job=7 text=done;3.1 response job=7;", count)
 	}
 	for _, test := range []struct {
@@ -265,41 +265,41 @@
 			}}
 		}},
 		{
-			"as many as it has descriptors for", "5 due;5.5 response status=503", "0 0 1",
+			"as many requests as its descriptors admit", "5 due;5.5 response status=503", "0 0 1",
 			func(s *scenario.Scenario) { s.Schedulers.Sockets = 42 },
 		},
 		{"hints exact", underestimated, "0 1 0", func(*scenario.Scenario) {}},
-		{"hints a fifth", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 }},
+		{"hints a fifth of the work", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 }},
 		{
-			"hints a fifth, not learnt yet", ends(minClassEnds-1) + underestimated, "0 0 0",
+			"hints a fifth of the work, error not estimated yet", ends(minClassEnds-1) + underestimated, "0 0 0",
 			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 },
 		},
 		{
-			"hints a fifth, learnt", ends(minClassEnds) + underestimated, "0 1 0",
+			"hints a fifth of the work, error estimated", ends(minClassEnds) + underestimated, "0 1 0",
 			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 },
 		},
 		{
-			"hints twenty times, not learnt yet", ends(minClassEnds-1) + overestimated, "0 0 0",
+			"hints twenty times the work, error not estimated yet", ends(minClassEnds-1) + overestimated, "0 0 0",
 			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 },
 		},
 		{
-			"hints twenty times, learnt", ends(minClassEnds) + overestimated, "0 1 0",
+			"hints twenty times the work, error estimated", ends(minClassEnds) + overestimated, "0 1 0",
 			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 },
 		},
 		{"hints rough", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "rough", 1 }},
-		{"hints twenty times", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 }},
+		{"hints twenty times the work", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 }},
 		{"no hints", "5 due work=1;5.1 response status=503", "0 1 0", func(s *scenario.Scenario) { s.Load.Hints = "none" }},
 		{
-			"no starts notified, slots free", "3 due job=7;3 attempt job=7 worker=0;3 due job=6;3 attempt job=6 worker=1;3 due job=5;" +
+			"no start notifications, slots free", "3 due job=7;3 attempt job=7 worker=0;3 due job=6;3 attempt job=6 worker=1;3 due job=5;" +
 				"3 attempt job=5 worker=2;3 due job=4;3 attempt job=4 worker=3;5 due;9 response status=503", "0 0 0",
 			func(s *scenario.Scenario) { s.Fleet.Kinds[0].OmitsStartNotifications = true },
 		},
 		{
-			"few idle where schedulers share", "0 scheduler-started scheduler=1;5 due;5.1 response status=503", "0 0 0",
+			"few workers idle, with several schedulers", "0 scheduler-started scheduler=1;5 due;5.1 response status=503", "0 0 0",
 			func(s *scenario.Scenario) { s.Fleet.Workers = 80 },
 		},
 		{
-			"one idle where there is one scheduler", "5 due;5.1 response status=503", "0 1 0",
+			"few workers idle, with one scheduler", "5 due;5.1 response status=503", "0 1 0",
 			func(s *scenario.Scenario) { s.Fleet.Workers = 80 },
 		},
 	} {
@@ -315,7 +315,7 @@
 	}
 }
 
-// The cost of a request with all its trace events, among 256 in flight on 1,000 workers.
+// BenchmarkCheckerObserve measures the cost of a request with all its trace events, among 256 in flight on 1,000 workers.
 func BenchmarkCheckerObserve(b *testing.B) {
 	const inFlight, workers = 256, 1000
 	text := newSpec().Fleet.Kinds[0].Name
--- a/internal/testbed/starvation/class.go
+++ b/internal/testbed/starvation/class.go
@@ -7,10 +7,10 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// slotBuckets is the number of buckets: for requests of 1, 2, up to 4 and more slots.
+// slotBuckets is the number of buckets of requests by slots: up to 1, up to 2, up to 4, and more.
 const slotBuckets = 4
 
-// slotBucket returns the bucket of a number of slots: the least whose slots suffice, or the last one.
+// slotBucket returns the bucket of a number of slots: the first one whose bucketSlots suffice, or the last one.
 func slotBucket(slots float64) int {
 	bucket := 0
 	for bucket < slotBuckets-1 && slots > bucketSlots(bucket) {
@@ -22,7 +22,7 @@
 // bucketSlots returns how many slots the requests of a bucket need at most. Those of the last one may need more.
 func bucketSlots(bucket int) float64 { return float64(int(1) << bucket) }
 
-// anyKind stands for the kinds of workers together.
+// anyKind stands for all kinds of workers.
 const anyKind = -1
 
 // idempotency says whether a job may be executed more than once.
@@ -67,7 +67,7 @@
 	}
 }
 
-// job is what a client wants, in one request or several.
+// job is a client's job, which is sent in one request or several.
 type job struct {
 	class     int
 	bucket    int // of its slots
--- a/internal/testbed/starvation/detection.go
+++ b/internal/testbed/starvation/detection.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	windowShare    = 0.9 // of the window of an idempotency key, in which retries have to be sent
+	windowShare    = 0.9 // of the window of an idempotency key, in which a scheduler has to retry
 	maxExamined    = 64  // idle workers examined for one request, besides those that are still to be reserved
-	reserveDivisor = 20  // workers, of which one is reserved where several schedulers share the fleet
+	reserveDivisor = 20  // number of workers of which one is reserved where several schedulers share the fleet
 )
 
 // Bounds on a scheduler's estimates of work.
 const (
 	minClassEnds     = 30   // executions after which a process has estimated the error of a class's hints
-	maxEstimateError = 2    // factor of the error then: executions show speed and hint as one quotient only
+	maxEstimateError = 2    // largest factor of the error then: an execution shows hint and speed as one quotient only
 	meanFactor       = 2    // by which work may differ from the mean of its class without hints
-	roughDeviation   = 2    // standard deviations of rough hints
+	roughDeviation   = 2    // standard deviations by which rough hints may be wrong
 	minWork          = 1e-9 // seconds
 )
 
-// scanRequests looks for starvation among the requests that have been queued for the idle window.
+// scanRequests looks for starvation among the overdue requests.
 func (c *Checker) scanRequests() {
 	c.recoverWorkers()
 	c.checkWindows()
-	for i := range c.oldRequests {
+	for i := range c.overdueRequests {
 		kind := i - 1
-		for bucket, queued := range c.oldRequests[i] {
+		for bucket, queued := range c.overdueRequests[i] {
 			if len(queued) > 0 && c.anyIdle(kind, bucket) {
 				c.scanSet(queued)
 			}
@@ -35,12 +35,12 @@
 	}
 }
 
-// scanSet looks for starvation in a set of queued requests. Those that it finds are removed from the set.
+// scanSet looks for starvation in a set of overdue requests. It removes the starved ones from the set.
 func (c *Checker) scanSet(set []*request) {
 	for i := len(set) - 1; i >= 0; i-- { // backward: a later request replaces one that is removed
 		queued := set[i]
 		owner := &c.schedulers[queued.scheduler]
-		isConnecting := owner.dials >= c.dialsPerRequest*owner.oldCount
+		isConnecting := owner.dials >= c.dialsPerRequest*owner.overdueCount
 		if !owner.isAccountable(queued.queuedSince, c.now) || isConnecting || c.isClientCut(queued.queuedSince) {
 			continue
 		}
@@ -51,15 +51,15 @@
 	}
 }
 
-// checkWindows acts on everything that has lasted for its window by now.
+// checkWindows handles everything whose time window has passed.
 func (c *Checker) checkWindows() {
 	c.checkStartNotifications()
 	c.checkDials()
-	c.addOldRequests()
+	c.addOverdueRequests()
 	c.addIdleWorkers()
 }
 
-// requestRejected looks for starvation by the rejection of a request that was queued.
+// requestRejected checks whether the rejection of a queued request is starvation.
 func (c *Checker) requestRejected(rejected *request) {
 	c.checkWindows()
 	if !c.anyIdle(c.classes[rejected.job.class].kind, rejected.job.bucket) {
@@ -97,7 +97,7 @@
 	})
 }
 
-// findIdleWorker returns a worker that was plainly idle for a request, whose execution could have begun at start, or nil.
+// findIdleWorker returns a worker that was plainly idle for a request, or nil. The request's execution could have begun at start.
 func (c *Checker) findIdleWorker(waiting *request, start time.Duration, rejected bool) *worker {
 	owner := &c.schedulers[waiting.scheduler]
 	boundTo := c.classes[waiting.job.class].kind
@@ -129,7 +129,7 @@
 // reservedWorkers returns how many idle workers may be left idle for other requests.
 func (c *Checker) reservedWorkers(waiting *request) int {
 	reserved := 0
-	if c.running > 1 { // schedulers have no information on each other's jobs at shared workers
+	if c.running > 1 { // schedulers have no information about each other's jobs at shared workers
 		reserved = len(c.workers) / reserveDivisor
 	}
 	larger := c.schedulers[waiting.scheduler].queued[waiting.job.bucket+1:]
@@ -178,27 +178,27 @@
 	}
 }
 
-// execution is an execution of a job that was not begun, with the range of what its scheduler may estimate.
+// execution is an execution that a scheduler could have begun, with the range of the work that the scheduler may estimate.
 type execution struct {
 	job              *job
 	start            time.Duration // the instant at which it could have begun
 	rejected         bool          // false: the job is queued
 	objectiveStretch float64
-	minShare         float64 // the least estimate of the work, as a part of it
-	maxShare         float64 // the largest one
-	meetsAtBest      bool    // the fastest worker there may be would meet the objective
+	minWorkFactor    float64 // the least estimate of the work, as a multiple of it
+	maxWorkFactor    float64 // the largest estimate, as a multiple of the work
+	meetsAtBest      bool    // the fastest worker that the scenario allows would meet the objective
 }
 
 // executionOf returns the execution of a job that its scheduler could have begun at start.
 func (c *Checker) executionOf(waiting *job, owner *scheduler, start time.Duration, rejected bool) execution {
-	minShare, maxShare := c.estimateRange(owner, waiting)
+	minWorkFactor, maxWorkFactor := c.estimateRange(owner, waiting)
 	return execution{
 		job:              waiting,
 		start:            start,
 		rejected:         rejected,
 		objectiveStretch: c.classes[waiting.class].objectiveStretch,
-		minShare:         minShare,
-		maxShare:         maxShare,
+		minWorkFactor:    minWorkFactor,
+		maxWorkFactor:    maxWorkFactor,
 		meetsAtBest:      start+durationOf(waiting.work/c.maxSpeed) <= waiting.objective,
 	}
 }
@@ -212,16 +212,16 @@
 	if isLate && (e.rejected || e.meetsAtBest) {
 		return false
 	}
-	// Objectives follow from the work: an estimate that is too small makes the objective look nearer than it is.
-	estimatedObjective := objective - durationOf((1-e.minShare)*e.objectiveStretch*work)
-	if e.rejected && e.start+durationOf(e.minShare*work/kind.minSpeed) > estimatedObjective {
+	// Objectives grow with the work: an estimate that is too small makes the objective seem nearer than it is.
+	estimatedObjective := objective - durationOf((1-e.minWorkFactor)*e.objectiveStretch*work)
+	if e.rejected && e.start+durationOf(e.minWorkFactor*work/kind.minSpeed) > estimatedObjective {
 		return false
 	}
-	return e.start+durationOf(e.maxShare*work/kind.minSpeed) <= e.job.deadline
+	return e.start+durationOf(e.maxWorkFactor*work/kind.minSpeed) <= e.job.deadline
 }
 
-// estimateRange returns the least and the largest work that a scheduler may estimate for a job from the hints that the
-// scenario gives, as parts of the work.
+// estimateRange returns the least and the largest work that a scheduler may estimate for a job from the scenario's hints, as
+// multiples of the work.
 func (c *Checker) estimateRange(owner *scheduler, estimated *job) (low, high float64) {
 	load := &c.spec.Load
 	switch load.Hints {
--- a/internal/testbed/starvation/draws_test.go
+++ b/internal/testbed/starvation/draws_test.go
@@ -11,26 +11,30 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// drawsFolder has runs of the randomised search that had starvation, each minimised and with its seed. The names are the seed of
-// the search and the number of the draw.
+// drawsFolder has scenarios in which the randomised search found starvation, each minimised and with its seed. A file is named
+// by the seed of the search and the number of the draw.
 const drawsFolder = "testdata/draws"
 
-// Four schedulers share the workers, and each has a few of their slots. In draw 777001_253 the dispatcher takes the fleet for backed
-// up; the others are not traced to a cause.
+// TestNoStarvationOfSeveralSchedulers guards against starvation where four schedulers share the workers, so that each uses a few
+// of their slots. In draw 777001_253 the dispatcher assumes a backlog at the workers. The causes in the other draws are not
+// known.
 func TestNoStarvationOfSeveralSchedulers(t *testing.T) {
 	testDraws(t, "777001_182", "777001_253", "1_395", "990001_199")
 }
 
-// A start whose notification is late lowers the concurrency limit of a worker with free slots.
+// TestNoStarvationAfterLateNotifications guards against starvation by late notifications of starts: one lowers the concurrency
+// limit of a worker although it has free slots.
 func TestNoStarvationAfterLateNotifications(t *testing.T) { testDraws(t, "990001_70") }
 
-// Some workers notify of no starts, and the queue is long. The cause is not known.
+// TestNoStarvationWithoutStartNotifications guards against starvation where some workers send no start notifications and the
+// queue is long. The cause is not known.
 func TestNoStarvationWithoutStartNotifications(t *testing.T) { testDraws(t, "990001_35", "990001_309") }
 
-// Hints are eight times the work, so that the idle worker may seem too slow for the objective.
+// TestNoStarvationWithWrongHints guards against starvation where hints are eight times the work: the idle worker may seem too
+// slow for the objective.
 func TestNoStarvationWithWrongHints(t *testing.T) { testDraws(t, "1_323") }
 
-// testDraws simulates draws, and fails for each that has starvation.
+// testDraws runs the scenarios of draws, and fails for each that has starvation.
 func testDraws(t *testing.T, names ...string) {
 	t.Helper()
 	for _, name := range names {
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// model finds starvation by the package comment alone: at each scan it replays the whole history, as far as it knows its
-// kinds of events, and retains only which requests it has reported.
+// model finds starvation by the package comment alone. It replays the whole history at each scan, and retains only which
+// requests it has reported. It supports the kinds of events that modelRun draws.
 type model struct {
 	spec     *scenario.Scenario
 	kinds    map[string]workerKind
@@ -27,7 +27,7 @@
 type modelCounts struct{ queued, rejected, excused int }
 
 type modelRequest struct {
-	job         trace.Event // that the job fell due
+	job         trace.Event // the event that the job fell due
 	queuedSince time.Duration
 	open        bool
 	attempts    []modelAttempt
@@ -55,7 +55,7 @@
 // modelState is the state after a history.
 type modelState struct {
 	spec     *scenario.Scenario
-	jobs     map[uint64]trace.Event // that they fell due
+	jobs     map[uint64]trace.Event // the events that they fell due
 	workers  []modelWorker
 	requests map[string]*modelRequest
 	ids      []string // of the requests, in order of time
@@ -206,7 +206,7 @@
 	return true
 }
 
-// idleSearch asks which workers were idle for a request, whose execution could have begun at start.
+// idleSearch is a search for workers that were idle for a request, whose execution could have begun at start.
 type idleSearch struct {
 	state      *modelState
 	request    *modelRequest
@@ -242,8 +242,8 @@
 	return isKnown && !isBoundElsewhere && m.isInTime(search, worker.kind) && m.allowsAttempt(search, number)
 }
 
-// isInTime reports whether a kind's slowest worker executes the request by its objective and deadline, or, for a queued one,
-// no worker can by its objective.
+// isInTime reports whether a kind's slowest worker would execute the request by its deadline, and by its objective. A queued
+// request may miss its objective if no worker can meet that.
 func (m *model) isInTime(search idleSearch, kind string) bool {
 	job := &search.request.job
 	endAt := func(speed float64) time.Duration { return search.start + durationOf(job.Work/speed) }
@@ -289,8 +289,8 @@
 	state := m.stateAfter(len(m.history))
 	for _, id := range state.ids {
 		request := state.requests[id]
-		isOld := m.nextScan-max(request.queuedSince, startupWindow) >= idleWindow
-		if !request.isQueued() || m.reported[id] || !isOld {
+		isOverdue := m.nextScan-max(request.queuedSince, startupWindow) >= idleWindow
+		if !request.isQueued() || m.reported[id] || !isOverdue {
 			continue
 		}
 		if m.hasIdleWorker(idleSearch{state: state, request: request, start: request.queuedSince, now: m.nextScan}) {
@@ -320,7 +320,7 @@
 
 const ms = time.Millisecond
 
-// modelRun draws a history, step by step, which the checker and the model both observe.
+// modelRun draws a history, step by step, and passes it to the checker and the model.
 type modelRun struct {
 	t            *rapid.T
 	spec         *scenario.Scenario
@@ -330,10 +330,10 @@
 	incarnations []int // by worker
 	jobs         uint64
 	state        *modelState // before the step
-	worker       int         // that the step draws
+	worker       int         // drawn by the step
 }
 
-// TestCheckerAgreesWithModel compares the checker with the model, for events in random order.
+// TestCheckerAgreesWithModel compares the checker with the model over random histories.
 func TestCheckerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := newSpec()
@@ -365,16 +365,16 @@
 	}
 }
 
-func (r *modelRun) pass(label string, times ...time.Duration) {
+func (r *modelRun) advance(label string, times ...time.Duration) {
 	r.now += rapid.SampledFrom(times).Draw(r.t, label)
 }
 
 // step advances the time and draws one event.
 func (r *modelRun) step() {
-	r.pass("passes", 0, 7*ms, 250*ms, 800*ms, 2*time.Second)
+	r.advance("time", 0, 7*ms, 250*ms, 800*ms, 2*time.Second)
 	r.state = r.model.stateAfter(len(r.model.history))
-	r.worker = rapid.IntRange(0, 2).Draw(r.t, "node")
-	switch rapid.IntRange(0, 14).Draw(r.t, "what") {
+	r.worker = rapid.IntRange(0, 2).Draw(r.t, "worker")
+	switch rapid.IntRange(0, 14).Draw(r.t, "step") {
 	case 0, 1, 2:
 		r.sendRequest()
 	case 3, 4:
@@ -419,19 +419,19 @@
 	return event
 }
 
-// rejectEarly rejects a new request before it has been queued for long.
+// rejectEarly rejects a new request before it has been queued for the idle window.
 func (r *modelRun) rejectEarly() {
 	event := r.sendRequest()
-	r.passBriefly()
+	r.advanceBriefly()
 	event.Kind = trace.ResponseReceived
 	event.Status = 503
 	r.observe(event)
 }
 
-// execute runs an attempt of a new request, which is queued again if no response follows.
+// execute runs an attempt of a new request. The request is queued again if no response follows.
 func (r *modelRun) execute() {
 	event := r.sendRequest()
-	r.passBriefly()
+	r.advanceBriefly()
 	event.Worker = r.worker
 	event.Incarnation = r.incarnations[r.worker]
 	event.Number = 1
@@ -440,17 +440,17 @@
 	for _, kind := range []trace.Kind{trace.AttemptSent, trace.AttemptReceived, trace.AttemptFinished, trace.CallbackAnswered} {
 		event.Kind = kind
 		r.observe(event)
-		r.passBriefly()
+		r.advanceBriefly()
 	}
 	event.Kind = trace.ResponseReceived
-	if rapid.Bool().Draw(r.t, "answers") {
+	if rapid.Bool().Draw(r.t, "responds") {
 		r.observe(event)
 	}
 }
 
-func (r *modelRun) passBriefly() { r.pass("soon", 0, ms, 120*ms, 450*ms) }
+func (r *modelRun) advanceBriefly() { r.advance("short time", 0, ms, 120*ms, 450*ms) }
 
-// openRequests returns the requests whose clients wait.
+// openRequests returns the IDs of the open requests.
 func (r *modelRun) openRequests() []string {
 	var open []string
 	for _, id := range r.state.ids {
@@ -481,18 +481,18 @@
 		return
 	}
 	event := r.workerEvent(trace.ResponseReceived)
-	event.RequestID = rapid.SampledFrom(open).Draw(r.t, "answered")
+	event.RequestID = rapid.SampledFrom(open).Draw(r.t, "request")
 	event.Status = rapid.SampledFrom([]int{200, 503, 503}).Draw(r.t, "status")
 	r.observe(event)
 }
 
-// modelAttemptKey names an attempt that occupies a worker.
+// modelAttemptKey identifies an attempt that occupies a worker.
 type modelAttemptKey struct {
 	requestID string
 	worker    int
 }
 
-// resolve observes an event of an attempt that occupies a worker, if it may happen.
+// resolve observes an event of a random attempt that occupies a worker, if the event may happen to it.
 func (r *modelRun) resolve(kind trace.Kind) {
 	var keys []modelAttemptKey
 	for _, id := range r.state.ids {
@@ -547,5 +547,5 @@
 
 func (r *modelRun) notify() {
 	kinds := []trace.Kind{trace.StartNotified, trace.StartNotified, trace.DrainNotified, trace.WorkerRecovered}
-	r.observe(r.workerEvent(rapid.SampledFrom(kinds).Draw(r.t, "told")))
+	r.observe(r.workerEvent(rapid.SampledFrom(kinds).Draw(r.t, "event")))
 }
--- a/internal/testbed/starvation/queue.go
+++ b/internal/testbed/starvation/queue.go
@@ -1,6 +1,6 @@
 package starvation
 
-// minRingSize is the capacity of a ring that is not empty, at least.
+// minRingSize is the least capacity of a ring that has had an element.
 const minRingSize = 64
 
 // ringQueue is a first-in first-out queue that reuses its memory.
--- a/internal/testbed/starvation/requests.go
+++ b/internal/testbed/starvation/requests.go
@@ -10,30 +10,30 @@
 // notRegistered is the scheduler of a request that the checker has dropped.
 const notRegistered = -1
 
-// notOld is the index of a request that has not been queued for the idle window.
-const notOld = -1
+// notOverdue is the index of a request that is not in a set of overdue ones.
+const notOverdue = -1
 
 // request is a request of a client. It is retained until it has ended for its client and no attempt occupies a worker.
 type request struct {
-	job         *job
-	jobID       uint64
-	id          string
-	scheduler   int // that received it, or notRegistered
-	sentAt      time.Duration
-	queuedSince time.Duration // if it is queued
-	inFlight    int           // attempts that have not ended for its scheduler
-	atWorkers   int           // attempts that occupy a worker
-	open        bool          // its client waits
-	reported    bool          // as starved
-	index       int           // in its scheduler's requests
-	oldIndex    int           // in the set of requests queued for the idle window, or notOld
-	attempts    []*attempt
+	job          *job
+	jobID        uint64
+	id           string
+	scheduler    int // that received it, or notRegistered
+	sentAt       time.Duration
+	queuedSince  time.Duration // if it is queued
+	inFlight     int           // attempts that have not ended for its scheduler
+	atWorkers    int           // attempts that occupy a worker
+	open         bool          // its client waits for the response
+	reported     bool          // as starved
+	index        int           // in its scheduler's requests
+	overdueIndex int           // in its set of overdue requests, or notOld
+	attempts     []*attempt
 }
 
 // isQueued reports whether the request is open at its scheduler without an attempt in flight.
 func (r *request) isQueued() bool { return r.open && r.inFlight == 0 }
 
-// queueEntry is a request that was queued at an instant, and may be so still.
+// queueEntry is a request that was queued at an instant, and may still be queued.
 type queueEntry struct {
 	since   time.Duration
 	request *request
@@ -57,7 +57,8 @@
 // jobSettled removes a job. Its requests remain until they are finished.
 func (c *Checker) jobSettled(event *trace.Event) { delete(c.jobs, event.JobID) }
 
-// requestSent registers a request, or moves one to another connection: the first was closed before it was read.
+// requestSent registers a request. A request that was sent before is registered again: its first connection was closed before
+// the request was read.
 func (c *Checker) requestSent(event *trace.Event) {
 	sent := c.requests[event.RequestID]
 	if sent != nil {
@@ -68,7 +69,7 @@
 		if wanted == nil {
 			return
 		}
-		sent = &request{job: wanted, jobID: event.JobID, id: event.RequestID, oldIndex: notOld, scheduler: notRegistered}
+		sent = &request{job: wanted, jobID: event.JobID, id: event.RequestID, overdueIndex: notOverdue, scheduler: notRegistered}
 		c.verdict.Requests++
 	}
 	c.requests[event.RequestID] = sent
@@ -115,7 +116,7 @@
 	c.dropIfFinished(ended)
 }
 
-// dropIfFinished drops a request that neither its client nor a worker has any more.
+// dropIfFinished drops a request that is closed and has no attempt that occupies a worker.
 func (c *Checker) dropIfFinished(ended *request) {
 	if !ended.open && ended.atWorkers == 0 {
 		c.dropRequest(ended)
@@ -140,39 +141,39 @@
 	c.newlyQueued.push(queueEntry{since: c.now, request: queued})
 }
 
-// stopWaiting is called when a request is queued no longer.
+// stopWaiting is called when a request is no longer queued.
 func (c *Checker) stopWaiting(queued *request) {
 	c.schedulers[queued.scheduler].queued[queued.job.bucket]--
-	c.removeOld(queued)
+	c.removeOverdue(queued)
 }
 
-// addOldRequests adds the requests that have been queued for the idle window to their sets.
-func (c *Checker) addOldRequests() {
+// addOverdueRequests adds the requests that are overdue by now to their sets.
+func (c *Checker) addOverdueRequests() {
 	for c.newlyQueued.size > 0 && c.now-c.newlyQueued.first().since >= idleWindow {
 		entry := c.newlyQueued.pop()
 		queued := entry.request
-		if !queued.isQueued() || queued.queuedSince != entry.since || queued.oldIndex != notOld || queued.reported {
+		if !queued.isQueued() || queued.queuedSince != entry.since || queued.overdueIndex != notOverdue || queued.reported {
 			continue
 		}
-		set := c.oldSet(queued.job)
-		queued.oldIndex = len(*set)
+		set := c.overdueSet(queued.job)
+		queued.overdueIndex = len(*set)
 		*set = append(*set, queued)
-		c.schedulers[queued.scheduler].oldCount++
+		c.schedulers[queued.scheduler].overdueCount++
 	}
 }
 
-// removeOld removes a request from the set of those queued for the idle window, if it is in one.
-func (c *Checker) removeOld(queued *request) {
-	if queued.oldIndex == notOld {
+// removeOverdue removes a request from its set of overdue requests, if it is in it.
+func (c *Checker) removeOverdue(queued *request) {
+	if queued.overdueIndex == notOverdue {
 		return
 	}
-	set := c.oldSet(queued.job)
-	*set = swapRemove(*set, queued.oldIndex, func(moved *request) { moved.oldIndex = queued.oldIndex })
-	queued.oldIndex = notOld
-	c.schedulers[queued.scheduler].oldCount--
+	set := c.overdueSet(queued.job)
+	*set = swapRemove(*set, queued.overdueIndex, func(moved *request) { moved.overdueIndex = queued.overdueIndex })
+	queued.overdueIndex = notOverdue
+	c.schedulers[queued.scheduler].overdueCount--
 }
 
-// oldSet returns the set of requests queued for the idle window to which a job's requests belong.
-func (c *Checker) oldSet(queued *job) *[]*request {
-	return &c.oldRequests[c.classes[queued.class].kind+1][queued.bucket]
+// overdueSet returns the set of overdue requests to which a job's requests belong.
+func (c *Checker) overdueSet(queued *job) *[]*request {
+	return &c.overdueRequests[c.classes[queued.class].kind+1][queued.bucket]
 }
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// faultyPolicy is the dispatcher, from which the jobs of class 0 are withheld: they stay queued, or are rejected at once.
+// faultyPolicy is the dispatcher without the jobs of class 0, which stay queued or are rejected at once.
 type faultyPolicy struct {
 	*dispatch.Dispatcher
 	rejects bool
@@ -36,7 +36,8 @@
 	return append(p.Dispatcher.Step(now, events, dst), rejections...)
 }
 
-// A run of the dispatcher has no starvation. With a faulty policy, all of it is in the class that the fault concerns.
+// TestCheckerSimulatedRun checks that a run of the dispatcher has no starvation, and that a run of a faulty policy has it only in
+// the class that the fault affects.
 func TestCheckerSimulatedRun(t *testing.T) {
 	spec := scenario.Default()
 	spec.Length = scenario.Duration(12 * time.Second)
--- a/internal/testbed/starvation/schedulers.go
+++ b/internal/testbed/starvation/schedulers.go
@@ -8,22 +8,22 @@
 
 // scheduler is a scheduler, of which one process runs at a time.
 type scheduler struct {
-	up          bool
-	frozen      bool
-	terminating bool
-	startedAt   time.Duration
-	resumedAt   time.Duration // 0: its process was never frozen
-	known       []knowledge   // by worker; nil: nothing but the workers' first processes
-	requests    []*request    // that it received
-	open        int           // of them, whose clients wait
-	queued      [slotBuckets]int
-	oldCount    int   // of the queued ones, for the idle window
-	classEnds   []int // by class: executions of whose end this process was notified
-	dials       int   // recent connections that are not up
-	excused     int   // rejections that those have excused
+	up           bool
+	frozen       bool
+	terminating  bool
+	startedAt    time.Duration
+	resumedAt    time.Duration // 0: its process was never frozen
+	known        []knowledge   // by worker; nil: nothing but the workers' first processes
+	requests     []*request    // that it received
+	open         int           // number of these that are open
+	queued       [slotBuckets]int
+	overdueCount int   // number of the queued ones that are overdue
+	classEnds    []int // by class: executions of whose end this process was notified
+	dials        int   // connections of the dial window that are not established
+	excused      int   // rejections that these have excused
 }
 
-// knowledge is what a scheduler was notified of about a worker.
+// knowledge is what a scheduler's notifications say about a worker.
 type knowledge struct {
 	incarnation int // of the last start; 0: the first
 	drained     bool
@@ -70,7 +70,7 @@
 	clear(started.classEnds)
 }
 
-// schedulerStopped ends a scheduler's attempts for it. Those that no worker has read, or that have finished, release their
+// schedulerStopped ends all attempts of a scheduler for it. Those that no worker has read, or that have finished, release their
 // workers, too.
 func (c *Checker) schedulerStopped(stopped *scheduler) {
 	if stopped.up {
@@ -140,7 +140,7 @@
 	}
 }
 
-// checkDials counts workers as unhealthy to which a connection has not come up in time.
+// checkDials marks workers as unhealthy to which a connection was not established in time.
 func (c *Checker) checkDials() {
 	for c.dials.size > 0 && c.now-c.dials.first().dialedAt >= dialWindow {
 		oldest := c.dials.pop()
--- a/internal/testbed/starvation/verdict.go
+++ b/internal/testbed/starvation/verdict.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rule is the name under which the randomised search keeps a run with starvation.
+// Rule is the rule name under which the randomised search stores a run with starvation.
 const Rule = "starvation"
 
 // maxFindings bounds the findings of a verdict; later ones are only counted.
@@ -48,7 +48,7 @@
 // addFinding records that a request was starved while a worker was idle.
 func (c *Checker) addFinding(affected *request, idle *worker, rejected bool) {
 	affected.reported = true
-	c.removeOld(affected)
+	c.removeOverdue(affected)
 	if idle.usedSlots == 0 {
 		c.verdict.FullyIdle++
 	}
@@ -77,7 +77,7 @@
 	queuedFor := (c.now - affected.queuedSince).Seconds()
 	idleFor := (c.now - idle.idleSince[affected.job.bucket]).Seconds()
 	return fmt.Sprintf("request %s of job %d (%s, %g slots) was %s by scheduler %d after %.2f s without "+
-		"an attempt in flight, its %d so far ended, while w-%d had %g of %g slots free for %.1f s",
+		"an attempt in flight (%d earlier ones have ended), while w-%d had %g of %g slots free for %.1f s",
 		affected.id, affected.jobID, class, affected.job.slots, ending, affected.scheduler, queuedFor,
 		len(affected.attempts), idle.number, idle.slots-idle.usedSlots, idle.slots, idleFor)
 }
--- a/internal/testbed/starvation/workers.go
+++ b/internal/testbed/starvation/workers.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// worker is a worker. Its item of the queue of recovering workers has the instant at which it is healthy again.
+// worker is the state of a worker. Its deadline.Item holds the instant at which it is healthy again, in the queue of recovering
+// workers.
 type worker struct {
 	deadline.Item
 	number      int
@@ -42,14 +43,14 @@
 	slots       float64
 	usedSlots   float64 // by attempts that occupy it
 	up          bool
-	faults      int                        // of the scenario, that affect it now
-	healthyFrom time.Duration              // later than now: it is unhealthy
-	idleBuckets int                        // number of buckets, from the first, for which it has slots free
+	faults      int                        // faults of the scenario that affect it now
+	healthyFrom time.Duration              // it is unhealthy until then
+	idleBuckets int                        // number of buckets, from the first, for which it is idle
 	idleSince   [slotBuckets]time.Duration // for those buckets
 	idleIndex   [slotBuckets]int           // index plus one in the set of those idle for the idle window; 0: it is in none
 }
 
-// idleEntry is a worker that became idle for a bucket at an instant, and may be so still.
+// idleEntry is a worker that became idle for a bucket at an instant, and may still be idle.
 type idleEntry struct {
 	since  time.Duration
 	worker int
@@ -81,7 +82,8 @@
 	c.updateIdle(affected)
 }
 
-// workerStarted handles the start of a worker's process, or the first one of the run. A worker of an unknown kind stays down.
+// workerStarted handles the start of a worker's process, or a process that runs from the start of the run. A worker of an unknown
+// kind stays down.
 func (c *Checker) workerStarted(started *worker, event *trace.Event) {
 	started.up = false
 	c.updateIdle(started) // removes it from the sets of its former kind
@@ -106,7 +108,7 @@
 	}
 }
 
-// setHealthyFrom counts a worker as unhealthy until an instant, if it is not so for longer already.
+// setHealthyFrom marks a worker as unhealthy until an instant, unless it is unhealthy for longer already.
 func (c *Checker) setHealthyFrom(affected *worker, at time.Duration) {
 	if at <= affected.healthyFrom {
 		return
@@ -118,7 +120,7 @@
 	c.updateIdle(affected)
 }
 
-// recoverWorkers counts workers as healthy, and as idle since then, whose time of recovery has passed.
+// recoverWorkers marks workers as healthy whose time of recovery has passed. They count as idle from that time on.
 func (c *Checker) recoverWorkers() {
 	now := c.now
 	for c.recovering.Len() > 0 && c.recovering.First().At <= now {
@@ -130,7 +132,7 @@
 	c.now = now
 }
 
-// addUse reserves slots of a worker, or releases them if the number is negative.
+// addUse adds to the used slots of a worker, or releases slots if the number is negative.
 func (c *Checker) addUse(used *worker, slots float64) {
 	used.usedSlots += slots
 	c.updateIdle(used)
@@ -182,7 +184,7 @@
 	busy.idleIndex[bucket] = 0
 }
 
-// anyIdle reports whether a worker of a kind has been idle for the idle window.
+// anyIdle reports whether a worker of a kind has been idle for a bucket for the idle window.
 func (c *Checker) anyIdle(kind, bucket int) bool {
 	for i := range c.idleWorkers {
 		if (kind == anyKind || kind == i) && len(c.idleWorkers[i][bucket]) > 0 {
