--- a/internal/testbed/mutation/doc.go
+++ b/internal/testbed/mutation/doc.go
@@ -1,9 +1,9 @@
-// Package mutation tests the checkers by mutation: each mutant is a scheduler with one seeded fault, of the kind that a change
-// might bring in, and names the rule by which the checker must find it.
+// Package mutation tests the invariant checker by mutation testing: each mutant is a scheduler with one injected fault, such as
+// a change of the code might introduce, and names the rule by which the checker must detect it.
 //
-// A mutant wraps the whole scheduler at the simulation interface (Wrap), or its dispatch policy alone (Policy). One that sends
-// what the scheduler did not send does so as a scheduler must: it dials a connection of its own, writes once that is open, and
-// closes it after the response. Mutants draw nothing at random.
+// A mutant wraps the whole scheduler at the simulation interface (Wrap), or its dispatch policy alone (Policy). A mutant that
+// sends additional attempts does so as a scheduler must: it dials a connection of its own, writes once that is open, and closes
+// it after the response. Mutants make no random draws.
 package mutation
 
 import (
@@ -15,18 +15,18 @@
 
 // Mutant is a scheduler with one fault.
 type Mutant struct {
-	Name        string // stable, in small letters and hyphens
-	Rule        string // by which the checker must find it; see package checker
-	Description string // what it does
-	// Adjust changes a scenario so that the fault shows; nil: it shows in any.
+	Name        string // stable, in lower-case letters and hyphens
+	Rule        string // the rule of package checker that it violates
+	Description string // what it does wrong
+	// Adjust changes a scenario so that the fault takes effect; nil: it does in any scenario.
 	Adjust func(s *scenario.Scenario)
-	// Wrap wraps a scheduler; nil: the fault is not there.
+	// Wrap wraps a scheduler to inject the fault; nil: Policy does.
 	Wrap func(spec *scenario.Scenario, inner simapi.Scheduler) simapi.Scheduler
-	// Policy makes the dispatch policy with the fault in it; nil: the fault is not there.
-	Policy func(set dispatch.Settings, seed uint64) requests.Policy
+	// Policy returns a dispatch policy with the fault; nil: Wrap injects it.
+	Policy func(settings dispatch.Settings, seed uint64) requests.Policy
 }
 
-// Scenario is a short run in which the mutant shows.
+// Scenario returns a short scenario in which the fault takes effect.
 func (m *Mutant) Scenario() *scenario.Scenario {
 	s := scenario.Default()
 	s.Name = "mutant-" + m.Name
--- a/internal/testbed/mutation/injector.go
+++ b/internal/testbed/mutation/injector.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// faultInjector stands between the environment and a scheduler, and lets pass what its two hooks say.
+// faultInjector passes messages between the environment and a scheduler. Its hooks may change or drop them, and send others.
 type faultInjector struct {
 	spec  *scenario.Scenario
 	inner simapi.Scheduler
@@ -16,46 +16,48 @@
 	now          time.Duration
 	scheduler    int
 	running      bool
-	inputs       []simapi.Input // for the inner one, and some that the environment knows nothing of
+	inputs       []simapi.Input // for the inner scheduler: those of the environment and injected ones
 	outputs      []simapi.Output
 	innerOutputs []simapi.Output
 	requests     map[string]*trackedRequest
-	injected     map[simapi.Conn]*injectedAttempt // connections of ours to workers
+	injected     map[simapi.Conn]*injectedAttempt // by the injector's own connections to workers
 	connCount    uint64
-	delayed      []delayedAction // what is to be done, in order of time
-	count        int             // for hooks that strike every so often
-	lastRequest  string          // for hooks that remember a result
-	notified     bool            // for hooks that strike once, or from a moment on
+	delayed      []delayedAction // in order of time
+	count        int             // calls of every; the hook of cold-flooded keeps a worker's number in it
+	lastResult   string          // the last result, for hooks that need it
+	triggered    bool            // set by hooks that act once, or from some event on
 }
 
-// trackedRequest is what a client has asked.
+// trackedRequest is a request that a client has sent.
 type trackedRequest struct {
 	simapi.ClientRequest
 	receivedAt time.Duration
 	conn       simapi.Conn
-	attempts   int  // attempts of the inner scheduler
-	answered   bool // it had its answer, from whomever
+	attempts   int  // by the inner scheduler
+	answered   bool // the inner scheduler or the injector has responded
 }
 
-// injectedAttempt is an attempt of ours.
+// injectedAttempt is an attempt that the injector sends.
 type injectedAttempt struct {
 	worker  int
 	request *trackedRequest
 }
 
+// delayedAction is an action that runs at an instant.
 type delayedAction struct {
 	at  time.Duration
 	run func()
 }
 
-// hooks are what a mutant does with what passes. Each may change it, and says whether it is to pass; nil: all passes.
+// hooks are a mutant's handlers of messages. Each may change the message, and returns whether to pass it on. A nil hook passes
+// all messages on.
 type hooks struct {
-	input    func(b *faultInjector, message simapi.InputMessage) (pass bool)
-	response func(b *faultInjector, response *simapi.ResponseWritten) (pass bool)
-	attempt  func(b *faultInjector, attempt *simapi.AttemptWritten) (pass bool)
+	input    func(f *faultInjector, message simapi.InputMessage) (pass bool)
+	response func(f *faultInjector, response *simapi.ResponseWritten) (pass bool)
+	attempt  func(f *faultInjector, attempt *simapi.AttemptWritten) (pass bool)
 }
 
-// wrap makes a Wrap of hooks. A new injector is made for each scheduler.
+// wrap returns a Mutant.Wrap that makes a new injector with these hooks for each scheduler.
 func wrap(hooks hooks) func(*scenario.Scenario, simapi.Scheduler) simapi.Scheduler {
 	return func(spec *scenario.Scenario, inner simapi.Scheduler) simapi.Scheduler {
 		return &faultInjector{
@@ -64,176 +66,176 @@
 	}
 }
 
-// Step lets both sides through.
-func (b *faultInjector) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
-	b.now, b.outputs = now, dst
+// Step passes the inputs to the inner scheduler and its outputs to the environment, by way of the hooks.
+func (f *faultInjector) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
+	f.now, f.outputs = now, dst
 	for i := range ins {
-		b.handleInput(&ins[i])
+		f.handleInput(&ins[i])
 	}
-	for len(b.delayed) > 0 && b.delayed[0].at <= now {
-		do := b.delayed[0].run
-		b.delayed = b.delayed[1:]
-		do()
+	for len(f.delayed) > 0 && f.delayed[0].at <= now {
+		run := f.delayed[0].run
+		f.delayed = f.delayed[1:]
+		run()
 	}
-	for again := true; again; again = len(b.inputs) > 0 {
-		fed := b.inputs
-		b.inputs = nil
-		b.innerOutputs = b.inner.Step(now, fed, b.innerOutputs[:0])
-		for i := range b.innerOutputs {
-			b.handleOutput(&b.innerOutputs[i])
+	for again := true; again; again = len(f.inputs) > 0 {
+		inputs := f.inputs
+		f.inputs = nil
+		f.innerOutputs = f.inner.Step(now, inputs, f.innerOutputs[:0])
+		for i := range f.innerOutputs {
+			f.handleOutput(&f.innerOutputs[i])
 		}
 	}
-	dst, b.outputs = b.outputs, nil
+	dst, f.outputs = f.outputs, nil
 	return dst
 }
 
-// Next tells when either wants to run.
-func (b *faultInjector) Next() (time.Duration, bool) {
-	at, ok := b.inner.Next()
-	if len(b.delayed) > 0 && (!ok || b.delayed[0].at < at) {
-		at, ok = b.delayed[0].at, true
+// Next returns when the inner scheduler or a delayed action is due.
+func (f *faultInjector) Next() (time.Duration, bool) {
+	at, ok := f.inner.Next()
+	if len(f.delayed) > 0 && (!ok || f.delayed[0].at < at) {
+		at, ok = f.delayed[0].at, true
 	}
 	return at, ok
 }
 
-// handleInput is what comes from the environment.
-func (b *faultInjector) handleInput(input *simapi.Input) {
-	b.scheduler = input.Scheduler
+// handleInput handles an input of the environment.
+func (f *faultInjector) handleInput(input *simapi.Input) {
+	f.scheduler = input.Scheduler
 	switch message := input.Message.(type) {
 	case simapi.Start:
-		b.reset()
-		b.running = true
+		f.reset()
+		f.running = true
 	case simapi.Kill:
-		b.reset()
+		f.reset()
 	case simapi.RequestReceived:
-		b.requests[message.Request.RequestID] = &trackedRequest{ClientRequest: *message.Request, receivedAt: b.now, conn: message.Conn}
+		f.requests[message.Request.RequestID] = &trackedRequest{ClientRequest: *message.Request, receivedAt: f.now, conn: message.Conn}
 	}
-	if b.handleInjected(input.Message) {
+	if f.handleInjected(input.Message) {
 		return
 	}
-	if b.hooks.input == nil || b.hooks.input(b, input.Message) {
-		b.inputs = append(b.inputs, *input)
+	if f.hooks.input == nil || f.hooks.input(f, input.Message) {
+		f.inputs = append(f.inputs, *input)
 	}
 }
 
-// handleInjected takes what comes over a connection of ours, and reports whether it did.
-func (b *faultInjector) handleInjected(input simapi.InputMessage) bool {
+// handleInjected handles an input if it belongs to a connection of the injector, and reports whether it does.
+func (f *faultInjector) handleInjected(input simapi.InputMessage) bool {
 	switch message := input.(type) {
 	case simapi.WorkerConnected:
-		if e := b.injected[message.Conn]; e != nil {
-			b.writeInjected(message.Conn, e)
+		if attempt := f.injected[message.Conn]; attempt != nil {
+			f.writeInjected(message.Conn, attempt)
 			return true
 		}
 	case simapi.WorkerDisconnected:
-		if b.injected[message.Conn] != nil {
-			delete(b.injected, message.Conn)
+		if f.injected[message.Conn] != nil {
+			delete(f.injected, message.Conn)
 			return true
 		}
 	case simapi.ResponseReceived:
-		if e := b.injected[message.Conn]; e != nil {
-			b.addOutput(simapi.WorkerConnClosed{Conn: message.Conn, Worker: e.worker})
-			delete(b.injected, message.Conn)
+		if attempt := f.injected[message.Conn]; attempt != nil {
+			f.addOutput(simapi.WorkerConnClosed{Conn: message.Conn, Worker: attempt.worker})
+			delete(f.injected, message.Conn)
 			return true
 		}
 	}
 	return false
 }
 
-// writeInjected writes an attempt of ours to its connection.
-func (b *faultInjector) writeInjected(conn simapi.Conn, e *injectedAttempt) {
-	remaining := max(time.Millisecond, e.request.receivedAt+e.request.Budget-b.now).Truncate(time.Millisecond)
-	b.addOutput(simapi.AttemptWritten{
-		Conn: conn, Worker: e.worker, RequestID: e.request.RequestID, IdempotencyKey: e.request.IdempotencyKey, Budget: remaining,
-		FirstByteAt: b.now,
+// writeInjected writes an injected attempt to its connection.
+func (f *faultInjector) writeInjected(conn simapi.Conn, attempt *injectedAttempt) {
+	remaining := max(time.Millisecond, attempt.request.receivedAt+attempt.request.Budget-f.now).Truncate(time.Millisecond)
+	f.addOutput(simapi.AttemptWritten{
+		Conn: conn, Worker: attempt.worker, RequestID: attempt.request.RequestID, IdempotencyKey: attempt.request.IdempotencyKey,
+		Budget: remaining, FirstByteAt: f.now,
 	})
 }
 
-// reset is the end of a process.
-func (b *faultInjector) reset() {
-	clear(b.requests)
-	clear(b.injected)
-	b.delayed, b.running = nil, false
+// reset discards the state of a process that has ended.
+func (f *faultInjector) reset() {
+	clear(f.requests)
+	clear(f.injected)
+	f.delayed, f.running = nil, false
 }
 
-// handleOutput is what comes from the inner scheduler.
-func (b *faultInjector) handleOutput(output *simapi.Output) {
+// handleOutput handles an output of the inner scheduler.
+func (f *faultInjector) handleOutput(output *simapi.Output) {
 	_, exited := output.Message.(simapi.Exited)
-	if !b.running && !exited {
+	if !f.running && !exited {
 		return
 	}
 	switch message := output.Message.(type) {
 	case simapi.Exited:
-		b.reset()
-		b.outputs = append(b.outputs, *output)
+		f.reset()
+		f.outputs = append(f.outputs, *output)
 	case simapi.AttemptWritten:
-		if tracked := b.requests[message.RequestID]; tracked != nil {
+		if tracked := f.requests[message.RequestID]; tracked != nil {
 			tracked.attempts++
 		}
-		if b.hooks.attempt == nil || b.hooks.attempt(b, &message) {
-			b.addOutput(message)
+		if f.hooks.attempt == nil || f.hooks.attempt(f, &message) {
+			f.addOutput(message)
 		}
 	case simapi.ResponseWritten:
-		tracked := b.requests[message.RequestID]
-		if b.hooks.response == nil || b.hooks.response(b, &message) {
-			b.addOutput(message)
+		tracked := f.requests[message.RequestID]
+		if f.hooks.response == nil || f.hooks.response(f, &message) {
+			f.addOutput(message)
 		}
 		if tracked != nil {
 			tracked.answered = true
 		}
 	default:
-		b.outputs = append(b.outputs, *output)
+		f.outputs = append(f.outputs, *output)
 	}
 }
 
-// addOutput brings something to the environment as if it came from the scheduler.
-func (b *faultInjector) addOutput(message simapi.OutputMessage) {
-	b.outputs = append(b.outputs, simapi.Output{Scheduler: b.scheduler, Message: message})
+// addOutput sends a message to the environment as an output of the scheduler.
+func (f *faultInjector) addOutput(message simapi.OutputMessage) {
+	f.outputs = append(f.outputs, simapi.Output{Scheduler: f.scheduler, Message: message})
 }
 
-// schedule has something done at an instant, unless the process has ended by then.
-func (b *faultInjector) schedule(t time.Duration, do func()) {
-	t = max(t, b.now+1)
-	i := len(b.delayed)
-	for i > 0 && b.delayed[i-1].at > t {
+// schedule runs an action at an instant, unless the process has ended by then.
+func (f *faultInjector) schedule(at time.Duration, run func()) {
+	at = max(at, f.now+1)
+	i := len(f.delayed)
+	for i > 0 && f.delayed[i-1].at > at {
 		i--
 	}
-	b.delayed = append(b.delayed, delayedAction{})
-	copy(b.delayed[i+1:], b.delayed[i:])
-	b.delayed[i] = delayedAction{t, do}
+	f.delayed = append(f.delayed, delayedAction{})
+	copy(f.delayed[i+1:], f.delayed[i:])
+	f.delayed[i] = delayedAction{at, run}
 }
 
-// every says yes to each n-th of what it is asked about.
-func (b *faultInjector) every(n int) bool {
-	b.count++
-	return b.count%n == 0
+// every reports true for each n-th call.
+func (f *faultInjector) every(n int) bool {
+	f.count++
+	return f.count%n == 0
 }
 
-// feedInput brings something to the inner scheduler that the environment knows nothing of.
-func (b *faultInjector) feedInput(message simapi.InputMessage) {
-	b.inputs = append(b.inputs, simapi.Input{Scheduler: b.scheduler, Message: message})
+// feedInput injects an input for the inner scheduler.
+func (f *faultInjector) feedInput(message simapi.InputMessage) {
+	f.inputs = append(f.inputs, simapi.Input{Scheduler: f.scheduler, Message: message})
 }
 
-// respond answers a request in the inner scheduler's place, which takes its client for gone.
-func (b *faultInjector) respond(q *trackedRequest, status int) {
-	q.answered = true
-	b.addOutput(simapi.ResponseWritten{Conn: q.conn, RequestID: q.RequestID, Status: status})
-	b.feedInput(simapi.ClientClosed{Conn: q.conn})
+// respond responds to a request in place of the inner scheduler, for which its client disconnects.
+func (f *faultInjector) respond(tracked *trackedRequest, status int) {
+	tracked.answered = true
+	f.addOutput(simapi.ResponseWritten{Conn: tracked.conn, RequestID: tracked.RequestID, Status: status})
+	f.feedInput(simapi.ClientClosed{Conn: tracked.conn})
 }
 
-// sendAttempt sends a request to a worker, over a connection of its own.
-func (b *faultInjector) sendAttempt(q *trackedRequest, node int) {
-	b.connCount++
-	conn := simapi.WorkerConn(b.scheduler, 1<<39|b.connCount)
-	b.injected[conn] = &injectedAttempt{node, q}
-	b.addOutput(simapi.WorkerDialed{Conn: conn, Worker: node})
+// sendAttempt sends an attempt to a worker, over a new connection of the injector.
+func (f *faultInjector) sendAttempt(tracked *trackedRequest, worker int) {
+	f.connCount++
+	conn := simapi.WorkerConn(f.scheduler, 1<<39|f.connCount)
+	f.injected[conn] = &injectedAttempt{worker, tracked}
+	f.addOutput(simapi.WorkerDialed{Conn: conn, Worker: worker})
 }
 
-// idempotencyOf is what running a request twice does, in the scenario's word.
-func (b *faultInjector) idempotencyOf(q *trackedRequest) string {
-	return b.spec.Classes[q.Class].Idempotency
+// idempotencyOf returns the idempotency of a request's class, as the scenario names it.
+func (f *faultInjector) idempotencyOf(tracked *trackedRequest) string {
+	return f.spec.Classes[tracked.Class].Idempotency
 }
 
-// otherWorker is a worker other than the one given.
-func (b *faultInjector) otherWorker(node, by int) int {
-	return (node + by) % max(1, b.spec.Fleet.Workers)
+// otherWorker returns the worker whose number is higher by an offset, modulo the number of workers.
+func (f *faultInjector) otherWorker(worker, offset int) int {
+	return (worker + offset) % max(1, f.spec.Fleet.Workers)
 }
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -15,7 +15,7 @@
 	second      = time.Second
 )
 
-// All are the mutants, in the order of the rules that they break. Each call makes them anew.
+// All returns new copies of all mutants, in the order of the rules that they violate.
 func All() []Mutant {
 	return slices.Concat(
 		responseMutants(),
@@ -34,57 +34,57 @@
 	)
 }
 
-// responseMutants are the mutants that break one-answer.
+// responseMutants returns mutants that violate one-answer.
 func responseMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "answers-twice", Rule: "one-answer",
 			Description: "writes some answers twice",
-			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-				if b.every(10) {
-					b.addOutput(*response)
+			Wrap: wrap(hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+				if f.every(10) {
+					f.addOutput(*response)
 				}
 				return true
 			}}),
 		},
 		{
 			Name: "answers-none", Rule: "one-answer",
-			Description: "forgets to write some answers",
-			Wrap: wrap(hooks{response: func(b *faultInjector, _ *simapi.ResponseWritten) bool {
-				return !b.every(10)
+			Description: "omits some answers",
+			Wrap: wrap(hooks{response: func(f *faultInjector, _ *simapi.ResponseWritten) bool {
+				return !f.every(10)
 			}}),
 		},
 		{
 			Name: "answers-late", Rule: "one-answer",
-			Description: "writes some answers 100 ms after the request's time is up",
-			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-				q := b.requests[response.RequestID]
-				if q == nil || !b.every(10) {
+			Description: "writes some answers 100 ms after the request's deadline",
+			Wrap: wrap(hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+				request := f.requests[response.RequestID]
+				if request == nil || !f.every(10) {
 					return true
 				}
 				late := *response
-				b.schedule(q.receivedAt+q.Budget+100*millisecond, func() { b.addOutput(late) })
+				f.schedule(request.receivedAt+request.Budget+100*millisecond, func() { f.addOutput(late) })
 				return false
 			}}),
 		},
 		{
 			Name: "cuts-unanswered", Rule: "one-answer",
 			Description: "closes some connections in place of an answer",
-			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-				if !b.every(10) {
+			Wrap: wrap(hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+				if !f.every(10) {
 					return true
 				}
-				b.addOutput(simapi.ClientConnClosed{Conn: response.Conn})
-				b.feedInput(simapi.ClientClosed{Conn: response.Conn})
+				f.addOutput(simapi.ClientConnClosed{Conn: response.Conn})
+				f.feedInput(simapi.ClientClosed{Conn: response.Conn})
 				return false
 			}}),
 		},
 		{
 			Name: "sends-when-over", Rule: "one-answer",
-			Description: "sends some requests on 600 ms after their final answer",
-			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-				if q := b.requests[response.RequestID]; q != nil && b.every(10) {
-					b.schedule(b.now+600*millisecond, func() { b.sendAttempt(q, b.otherWorker(b.count, 0)) })
+			Description: "sends some requests to a worker 600 ms after their final answer",
+			Wrap: wrap(hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+				if request := f.requests[response.RequestID]; request != nil && f.every(10) {
+					f.schedule(f.now+600*millisecond, func() { f.sendAttempt(request, f.otherWorker(f.count, 0)) })
 				}
 				return true
 			}}),
@@ -92,18 +92,18 @@
 	}
 }
 
-// terminationMutants are the mutants that break one-answer after SIGTERM.
+// terminationMutants returns mutants that violate one-answer after SIGTERM.
 func terminationMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "quits-on-term", Rule: "one-answer",
 			Description: "exits on SIGTERM with requests in flight",
 			Adjust:      withFaults(scenario.Fault{Kind: "sched_term", At: scenario.Duration(3 * second), Duration: scenario.Duration(500 * millisecond)}),
-			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+			Wrap: wrap(hooks{input: func(f *faultInjector, input simapi.InputMessage) bool {
 				if _, ok := input.(simapi.Terminate); ok {
-					b.addOutput(simapi.Exited{})
-					b.feedInput(simapi.Kill{})
-					b.reset()
+					f.addOutput(simapi.Exited{})
+					f.feedInput(simapi.Kill{})
+					f.reset()
 					return false
 				}
 				return true
@@ -111,16 +111,16 @@
 		},
 		{
 			Name: "deaf-after-term", Rule: "one-answer",
-			Description: "takes requests after SIGTERM that it never answers",
+			Description: "accepts requests after SIGTERM and never answers them",
 			Adjust:      withFaults(scenario.Fault{Kind: "sched_term", At: scenario.Duration(3 * second), Duration: scenario.Duration(500 * millisecond)}),
-			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+			Wrap: wrap(hooks{input: func(f *faultInjector, input simapi.InputMessage) bool {
 				switch input.(type) {
 				case simapi.Start:
-					b.notified = false
+					f.triggered = false
 				case simapi.Terminate:
-					b.notified = true
+					f.triggered = true
 				case simapi.RequestReceived:
-					return !b.notified
+					return !f.triggered
 				}
 				return true
 			}}),
@@ -128,14 +128,14 @@
 	}
 }
 
-// payoutMutants are the mutants that break payout-once.
+// payoutMutants returns mutants that violate payout-once.
 func payoutMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "payout-after-reset", Rule: "payout-once",
-			Description: "takes a connection that broke under a payout for one that never came up",
+			Description: "treats a payout's connection that broke as one that was never established",
 			Adjust: func(s *scenario.Scenario) {
-				withLongTimeouts(s, "unsafe")
+				withMostJobsOf(s, "unsafe")
 				withFaults(scenario.Fault{
 					Kind: "crash", At: scenario.Duration(2 * second), Duration: scenario.Duration(second),
 					Target: scenario.Target{Share: 0.6},
@@ -144,29 +144,29 @@
 					Target: scenario.Target{Share: 0.5},
 				})(s)
 			},
-			Policy: alterPolicy(reportAs(dispatch.ConnectionReset), nil),
+			Policy: alterPolicy(reportAsUnsent(dispatch.ConnectionReset), nil),
 		},
 		{
 			Name: "payout-after-timeout", Rule: "payout-once",
-			Description: "gives a payout up after 800 ms and takes it for never begun",
+			Description: "gives up a payout after 800 ms and treats it as never started",
 			Adjust:      withFaults(scenario.Fault{Kind: "hang", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.3}}),
-			Policy:      alterPolicy(reportAs(dispatch.TimedOut), shortenTimeout(800*millisecond)),
+			Policy:      alterPolicy(reportAsUnsent(dispatch.TimedOut), shortenTimeout(800*millisecond)),
 		},
 		{
 			Name: "payout-copied", Rule: "payout-once",
-			Description: "sends some payouts to a second worker while the first has them",
-			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "unsafe" && b.every(10) {
-					b.sendAttempt(q, b.otherWorker(attempt.Worker, 1))
+			Description: "sends some payouts to a second worker while they are in flight at the first",
+			Wrap: wrap(hooks{attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if request := f.requests[attempt.RequestID]; request != nil && f.idempotencyOf(request) == "unsafe" && f.every(10) {
+					f.sendAttempt(request, f.otherWorker(attempt.Worker, 1))
 				}
 				return true
 			}}),
 		},
 		{
 			Name: "payout-for-safe", Rule: "payout-once",
-			Description: "takes payouts for safe to repeat",
+			Description: "treats payouts as idempotent",
 			Adjust: func(s *scenario.Scenario) {
-				withLongTimeouts(s, "unsafe")
+				withMostJobsOf(s, "unsafe")
 				withFaults(scenario.Fault{Kind: "hang", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.3}},
 					scenario.Fault{Kind: "crash", At: scenario.Duration(4 * second), Target: scenario.Target{Share: 0.5}})(s)
 			},
@@ -179,24 +179,24 @@
 	}
 }
 
-// keyMutants are the mutants that break key-scope.
+// keyMutants returns mutants that violate key-scope.
 func keyMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "key-outside-cell", Rule: "key-scope",
-			Description: "takes all workers for one cell",
+			Description: "treats all workers as one cell",
 			Adjust: func(s *scenario.Scenario) {
-				withLongTimeouts(s, "keyed")
+				withMostJobsOf(s, "keyed")
 				withFaults(scenario.Fault{Kind: "hang", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.3}})(s)
 			},
 			Policy: changeSettings(changeKeyedClasses(func(c *dispatch.Class) { c.DeduplicationScope = dispatch.ScopeAll })),
 		},
 		{
 			Name: "key-after-window", Rule: "key-scope",
-			Description: "never minds how long a key is remembered",
+			Description: "ignores the deduplication window",
 			Adjust: func(s *scenario.Scenario) {
 				withFaults(scenario.Fault{Kind: "hang", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.4}})(s)
-				withLongTimeouts(s, "keyed")
+				withMostJobsOf(s, "keyed")
 				for i := range s.Classes {
 					if c := &s.Classes[i]; c.Idempotency == "keyed" {
 						c.DeduplicationScope, c.DeduplicationWindow = "all", scenario.Duration(100*millisecond)
@@ -208,8 +208,8 @@
 		{
 			Name: "key-changed", Rule: "key-scope",
 			Description: "sends some keyed requests under a key of its own",
-			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-				if attempt.IdempotencyKey != "" && b.every(10) {
+			Wrap: wrap(hooks{attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if attempt.IdempotencyKey != "" && f.every(10) {
 					attempt.IdempotencyKey = "0" + attempt.IdempotencyKey
 				}
 				return true
@@ -218,7 +218,7 @@
 	}
 }
 
-// rejectionMutants are the mutants that break refusal-harmless.
+// rejectionMutants returns mutants that violate refusal-harmless.
 func rejectionMutants() []Mutant {
 	return []Mutant{
 		{
@@ -245,39 +245,39 @@
 	}
 }
 
-// drainMutants are the mutants that break drain.
+// drainMutants returns mutants that violate drain.
 func drainMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "drain-late", Rule: "drain",
 			Description: "acts on updates of the endpoint list 1.2 s late",
 			Adjust:      withFaults(scenario.Fault{Kind: "drain", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.5}}),
-			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+			Wrap: wrap(hooks{input: func(f *faultInjector, input simapi.InputMessage) bool {
 				if _, ok := input.(simapi.ListReceived); !ok {
 					return true
 				}
-				b.schedule(b.now+1200*millisecond, func() { b.feedInput(input) })
+				f.schedule(f.now+1200*millisecond, func() { f.feedInput(input) })
 				return false
 			}}),
 		},
 		{
 			Name: "sends-to-removed", Rule: "drain",
-			Description: "never learns that a worker has left the list",
+			Description: "ignores that a worker has drained or left the list",
 			Adjust: func(s *scenario.Scenario) {
 				withFaults(scenario.Fault{Kind: "gone", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.8}})(s)
 				s.Load.CapacityShare, s.Discovery.NoticeDelay, s.Length = 0.9, scenario.Duration(100*millisecond), scenario.Duration(10*second)
 			},
-			Policy: alterPolicy(dropOutcomes, nil),
+			Policy: alterPolicy(hideDraining, nil),
 		},
 	}
 }
 
-// warmUpMutants are the mutants that break cold.
+// warmUpMutants returns mutants that violate cold.
 func warmUpMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "cold-flooded", Rule: "cold",
-			Description: "sends a copy of each safe request to whichever worker started last",
+			Description: "sends a copy of each idempotent request to the worker that started last",
 			Adjust: func(s *scenario.Scenario) {
 				withFaults(scenario.Fault{
 					Kind: "crash", At: scenario.Duration(second), Duration: scenario.Duration(second),
@@ -285,17 +285,17 @@
 				})(s)
 				s.Load.CapacityShare = 0.9
 			},
-			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+			Wrap: wrap(hooks{input: func(f *faultInjector, input simapi.InputMessage) bool {
 				switch message := input.(type) {
 				case simapi.ListReceived:
-					for _, h := range message.List.Endpoints {
-						if n, ok := scenario.NodeIndex(h.ID, b.spec.Fleet.Workers); ok && h.Lifecycle == "up" && h.StartedAtMs > 0 {
-							b.count, b.notified = n, true
+					for _, endpoint := range message.List.Endpoints {
+						if n, ok := scenario.NodeIndex(endpoint.ID, f.spec.Fleet.Workers); ok && endpoint.Lifecycle == "up" && endpoint.StartedAtMs > 0 {
+							f.count, f.triggered = n, true
 						}
 					}
 				case simapi.RequestReceived:
-					if q := b.requests[message.Request.RequestID]; b.notified && b.idempotencyOf(q) == "safe" {
-						b.sendAttempt(q, b.count)
+					if request := f.requests[message.Request.RequestID]; f.triggered && f.idempotencyOf(request) == "safe" {
+						f.sendAttempt(request, f.count)
 					}
 				}
 				return true
@@ -304,15 +304,15 @@
 	}
 }
 
-// duplicateMutants are the mutants that break one-attempt-per-node.
+// duplicateMutants returns mutants that violate one-attempt-per-node.
 func duplicateMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "two-on-one-node", Rule: "one-attempt-per-node",
-			Description: "sends some safe requests to the same worker twice",
-			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "safe" && b.every(2) {
-					b.sendAttempt(q, attempt.Worker)
+			Description: "sends some idempotent requests to the same worker twice",
+			Wrap: wrap(hooks{attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if request := f.requests[attempt.RequestID]; request != nil && f.idempotencyOf(request) == "safe" && f.every(2) {
+					f.sendAttempt(request, attempt.Worker)
 				}
 				return true
 			}}),
@@ -320,17 +320,17 @@
 	}
 }
 
-// attemptMutants are the mutants that break attempts.
+// attemptMutants returns mutants that violate attempts.
 func attemptMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "tries-on", Rule: "attempts",
-			Description: "sends some safe requests more often than is allowed",
+			Description: "sends some idempotent requests more often than the attempt limit allows",
 			Adjust:      func(s *scenario.Scenario) { s.Schedulers.AttemptLimit = 3 },
-			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "safe" && b.every(20) {
+			Wrap: wrap(hooks{attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if request := f.requests[attempt.RequestID]; request != nil && f.idempotencyOf(request) == "safe" && f.every(20) {
 					for n := range 3 {
-						b.sendAttempt(q, b.otherWorker(attempt.Worker, n+1))
+						f.sendAttempt(request, f.otherWorker(attempt.Worker, n+1))
 					}
 				}
 				return true
@@ -338,11 +338,11 @@
 		},
 		{
 			Name: "copies-forbidden", Rule: "attempts",
-			Description: "sends hedged requests where there may be none",
+			Description: "sends hedged requests although hedging is disabled",
 			Adjust:      func(s *scenario.Scenario) { s.Schedulers.Hedging = false },
-			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "safe" && b.every(4) {
-					b.sendAttempt(q, b.otherWorker(attempt.Worker, 1))
+			Wrap: wrap(hooks{attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if request := f.requests[attempt.RequestID]; request != nil && f.idempotencyOf(request) == "safe" && f.every(4) {
+					f.sendAttempt(request, f.otherWorker(attempt.Worker, 1))
 				}
 				return true
 			}}),
@@ -350,14 +350,14 @@
 	}
 }
 
-// resultMutants are the mutants that break made-by-node.
+// resultMutants returns mutants that violate made-by-node.
 func resultMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "makes-results", Rule: "made-by-node",
 			Description: "serves some requests with a result of its own",
-			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-				if response.Status == http.StatusOK && b.every(10) {
+			Wrap: wrap(hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+				if response.Status == http.StatusOK && f.every(10) {
 					response.Result = "paid"
 				}
 				return true
@@ -365,12 +365,12 @@
 		},
 		{
 			Name: "mixes-results", Rule: "made-by-node",
-			Description: "serves some requests with the result of the one before",
-			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+			Description: "serves some requests with the result of the previous request",
+			Wrap: wrap(hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
 				if response.Status == http.StatusOK {
-					was := b.lastRequest
-					if b.lastRequest = response.Result; was != "" && b.every(10) {
-						response.Result = was
+					previous := f.lastResult
+					if f.lastResult = response.Result; previous != "" && f.every(10) {
+						response.Result = previous
 					}
 				}
 				return true
@@ -379,32 +379,32 @@
 	}
 }
 
-// promptnessMutants are the mutants that break prompt-refusal.
+// promptnessMutants returns mutants that violate prompt-refusal.
 func promptnessMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "holds-refusals", Rule: "prompt-refusal",
-			Description: "holds rejections back until nine tenths of a request's time are over",
+			Description: "delays rejections until nine tenths of a request's budget have passed",
 			Adjust:      func(s *scenario.Scenario) { s.Load.CapacityShare, s.Load.Hints = 1.6, "exact" },
 			Wrap:        wrap(delayResponses(http.StatusServiceUnavailable)),
 		},
 		{
 			Name: "holds-failures", Rule: "prompt-refusal",
-			Description: "holds failures back until nine tenths of a request's time are over",
+			Description: "delays failures until nine tenths of a request's budget have passed",
 			Adjust:      withFaults(scenario.Fault{Kind: "errors", At: scenario.Duration(second), Size: 0.5}),
 			Wrap:        wrap(delayResponses(http.StatusInternalServerError)),
 		},
 	}
 }
 
-// requestIDMutants are the mutants that break id-unknown.
+// requestIDMutants returns mutants that violate id-unknown.
 func requestIDMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "changes-ids", Rule: "id-unknown",
-			Description: "sends some requests on under an id of its own",
-			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-				if b.every(20) {
+			Description: "sends some requests to workers under an ID of its own",
+			Wrap: wrap(hooks{attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if f.every(20) {
 					attempt.RequestID = "f" + attempt.RequestID[1:] + "0"
 				}
 				return true
@@ -413,19 +413,19 @@
 	}
 }
 
-// crashMutants are the mutants that break crash.
+// crashMutants returns mutants that violate crash.
 func crashMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "crashes", Rule: "crash",
-			Description: "ends by itself in the midst of things",
-			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
-				if _, ok := input.(simapi.Start); ok && !b.notified {
-					b.notified = true
-					b.schedule(3*second, func() {
-						b.addOutput(simapi.Exited{Status: 2})
-						b.feedInput(simapi.Kill{})
-						b.reset()
+			Description: "exits by itself without SIGTERM",
+			Wrap: wrap(hooks{input: func(f *faultInjector, input simapi.InputMessage) bool {
+				if _, ok := input.(simapi.Start); ok && !f.triggered {
+					f.triggered = true
+					f.schedule(3*second, func() {
+						f.addOutput(simapi.Exited{Status: 2})
+						f.feedInput(simapi.Kill{})
+						f.reset()
 					})
 				}
 				return true
@@ -434,56 +434,57 @@
 	}
 }
 
-// withFaults puts faults into a scenario's timeline.
-func withFaults(list ...scenario.Fault) func(s *scenario.Scenario) {
-	return func(s *scenario.Scenario) { s.Faults = append(s.Faults, list...) }
+// withFaults returns an Adjust that adds faults to a scenario's timeline.
+func withFaults(faults ...scenario.Fault) func(s *scenario.Scenario) {
+	return func(s *scenario.Scenario) { s.Faults = append(s.Faults, faults...) }
 }
 
-// withLongTimeouts makes most jobs ones of an effect that are in time for long.
-func withLongTimeouts(s *scenario.Scenario, effect string) {
+// withMostJobsOf changes a scenario so that most jobs have an idempotency, and an objective of 3 s that leaves time to retry.
+func withMostJobsOf(s *scenario.Scenario, idempotency string) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		if c.Share = 0.1; c.Idempotency == effect {
+		if c.Share = 0.1; c.Idempotency == idempotency {
 			c.Share, c.LatencyObjective = 1-0.1*float64(len(s.Classes)-1), scenario.Duration(3*second)
 		}
 	}
 }
 
-// rejectAfter rejects requests of classes with an effect that were sent so long ago, in the scheduler's place.
-func rejectAfter(effect string, after time.Duration) hooks {
-	tracked := func(b *faultInjector, requestID string) *trackedRequest {
-		if q := b.requests[requestID]; q != nil && b.idempotencyOf(q) == effect {
-			return q
+// rejectAfter returns hooks that reject requests of an idempotency some time after their first attempt was sent, in place of the
+// scheduler.
+func rejectAfter(idempotency string, after time.Duration) hooks {
+	tracked := func(f *faultInjector, requestID string) *trackedRequest {
+		if request := f.requests[requestID]; request != nil && f.idempotencyOf(request) == idempotency {
+			return request
 		}
 		return nil
 	}
 	return hooks{
-		attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
-			if q := tracked(b, attempt.RequestID); q != nil && q.attempts == 1 {
-				b.schedule(b.now+after, func() {
-					if !q.answered {
-						b.respond(q, http.StatusServiceUnavailable)
+		attempt: func(f *faultInjector, attempt *simapi.AttemptWritten) bool {
+			if request := tracked(f, attempt.RequestID); request != nil && request.attempts == 1 {
+				f.schedule(f.now+after, func() {
+					if !request.answered {
+						f.respond(request, http.StatusServiceUnavailable)
 					}
 				})
 			}
 			return true
 		},
-		response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-			q := tracked(b, response.RequestID)
-			return q == nil || !q.answered
+		response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+			request := tracked(f, response.RequestID)
+			return request == nil || !request.answered
 		},
 	}
 }
 
-// delayResponses holds answers of a status back until nine tenths of a request's time are over.
+// delayResponses returns hooks that delay responses of a status until nine tenths of the request's budget have passed.
 func delayResponses(status int) hooks {
-	return hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
-		q := b.requests[response.RequestID]
-		if response.Status != status || q == nil {
+	return hooks{response: func(f *faultInjector, response *simapi.ResponseWritten) bool {
+		request := f.requests[response.RequestID]
+		if response.Status != status || request == nil {
 			return true
 		}
 		late := *response
-		b.schedule(q.receivedAt+q.Budget*9/10, func() { b.addOutput(late) })
+		f.schedule(request.receivedAt+request.Budget*9/10, func() { f.addOutput(late) })
 		return false
 	}}
 }
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -19,56 +19,59 @@
 	"valvecove/scenarios"
 )
 
-// For more runs: go test -run Honest ./internal/testbed/mutation -args -plays 200 -library 20.
+// For more runs: go test -run TestUnmodifiedScheduler ./internal/testbed/mutation -args -plays 200 -library 20.
 var (
-	plays   = flag.Int("plays", 10, "plays of the honest program")
-	first   = flag.Uint64("first", 1, "seed of the first of them")
-	library = flag.Int("library", 0, "and plays of each scenario of the library")
+	runCount    = flag.Int("plays", 10, "number of random runs of the unmodified scheduler")
+	firstSeed   = flag.Uint64("first", 1, "seed of the first random run")
+	libraryRuns = flag.Int("library", 0, "number of runs of each scenario of the library")
 )
 
-// judgeOnce are seeds of runs in which the honest program was blamed for what was the testbed's fault.
-var judgeOnce = []uint64{10833, 11002, 12212}
+// regressionSeeds are seeds of runs in which the checker once reported the unmodified scheduler for a fault of the testbed.
+var regressionSeeds = []uint64{10833, 11002, 12212}
 
-// judged plays a scenario, with a mutant or (nil) with the honest program.
-func judged(t *testing.T, spec *scenario.Scenario, seed uint64, m *Mutant) checker.Verdict {
+// runChecked runs a scenario with a mutant, or with the unmodified scheduler if m is nil, and returns the checker's verdict.
+func runChecked(t *testing.T, spec *scenario.Scenario, seed uint64, m *Mutant) checker.Verdict {
 	t.Helper()
 	if err := spec.Check(); err != nil {
 		t.Fatal(err)
 	}
-	j := checker.New(spec, checker.Options{})
-	opt := simulation.Options{}
-	opt.Observers = append(opt.Observers, j.Observe)
+	invariants := checker.New(spec, checker.Options{})
+	options := simulation.Options{}
+	options.Observers = append(options.Observers, invariants.Observe)
 	if m != nil && m.Wrap != nil {
-		opt.Wrap = func(s simapi.Scheduler) simapi.Scheduler { return m.Wrap(spec, s) }
+		options.Wrap = func(s simapi.Scheduler) simapi.Scheduler { return m.Wrap(spec, s) }
 	}
 	if m != nil && m.Policy != nil {
-		opt.Module = func(set dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
-			return m.Policy(set, seed)
+		options.Module = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+			return m.Policy(settings, seed)
 		}
 	}
-	if _, err := simulation.Run(spec, seed, opt); err != nil {
+	if _, err := simulation.Run(spec, seed, options); err != nil {
 		t.Fatalf("%s, seed %d: %v", spec.Name, seed, err)
 	}
-	return j.Verdict()
+	return invariants.Verdict()
 }
 
-// Each mutant is found by its rule's name in a run made for it, in which nobody blames the honest program.
+// TestMutants checks that the checker reports the rule of each mutant in a run of the mutant's scenario, and reports nothing in
+// the same run of the unmodified scheduler.
 func TestMutants(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range All() {
 		if names[m.Name] || !slices.Contains(checker.RuleNames[:], m.Rule) {
-			t.Errorf("%s: a name used before, or no rule: %q", m.Name, m.Rule)
+			t.Errorf("%s: the name is used twice, or the rule is unknown: %q", m.Name, m.Rule)
 		}
 		names[m.Name] = true
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			spec := m.Scenario()
-			for seed := uint64(1); ; seed++ { // a fault needs its occasion, and the program, as it changes, may give none
-				for _, b := range judged(t, spec, seed, nil).Violations {
-					t.Errorf("the honest program: %s", b)
+			// Three seeds are tried: whether the fault takes effect depends on the scheduler's decisions, which change with its
+			// code.
+			for seed := uint64(1); ; seed++ {
+				for _, violation := range runChecked(t, spec, seed, nil).Violations {
+					t.Errorf("the unmodified scheduler: %s", violation)
 				}
-				v := judged(t, spec, seed, &m)
-				i := slices.IndexFunc(v.Violations, func(b checker.Violation) bool { return b.Rule == m.Rule })
+				v := runChecked(t, spec, seed, &m)
+				i := slices.IndexFunc(v.Violations, func(violation checker.Violation) bool { return violation.Rule == m.Rule })
 				if i >= 0 {
 					t.Logf("found with seed %d\n%s", seed, v.Violations[i])
 					return
@@ -81,42 +84,43 @@
 	}
 }
 
-// The honest program is blamed for nothing, whatever befalls it.
-func TestHonest(t *testing.T) {
-	honest := func(name string, spec *scenario.Scenario, seed uint64) {
+// TestUnmodifiedScheduler checks that the checker reports nothing for the unmodified scheduler, in runs with random faults and,
+// if asked for, in runs of the library's scenarios.
+func TestUnmodifiedScheduler(t *testing.T) {
+	check := func(name string, spec *scenario.Scenario, seed uint64) {
 		t.Run(name+strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			v := judged(t, spec, seed, nil)
+			v := runChecked(t, spec, seed, nil)
 			if v.Counts.Served == 0 {
 				t.Errorf("nothing was served: %+v", v.Counts)
 			}
-			for _, b := range v.Violations {
-				t.Errorf("%s\nin\n%s", b, scenario.Encode(spec))
+			for _, violation := range v.Violations {
+				t.Errorf("%s\nin\n%s", violation, scenario.Encode(spec))
 			}
 		})
 	}
-	seeds := slices.Clone(judgeOnce)
-	for n := range uint64(*plays) {
-		seeds = append(seeds, *first+n)
+	seeds := slices.Clone(regressionSeeds)
+	for n := range uint64(*runCount) {
+		seeds = append(seeds, *firstSeed+n)
 	}
 	for _, seed := range seeds {
-		honest("", drawn(seed), seed)
+		check("", drawScenario(seed), seed)
 	}
 	for _, name := range scenarios.Names() {
-		for seed := range uint64(*library) {
+		for seed := range uint64(*libraryRuns) {
 			spec, err := scenarios.Open(name)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if spec.SupportsDriver(scenario.DriverSimulation) {
-				honest(name+"-", spec, seed+1)
+				check(name+"-", spec, seed+1)
 			}
 		}
 	}
 }
 
-// drawn is a short play with a few faults, drawn at random.
-func drawn(seed uint64) *scenario.Scenario {
+// drawScenario draws a short scenario with a few faults.
+func drawScenario(seed uint64) *scenario.Scenario {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	pick := func(of ...string) string { return pickOne(rng, of...) }
 	s := scenario.Default()
@@ -165,11 +169,11 @@
 	}
 }
 
-// faultKinds are the kinds of faults of scenarios without planners, in order.
+// faultKinds returns the sorted kinds of faults of scenarios without planners.
 func faultKinds() []string {
 	kinds := make([]string, 0, len(scenario.FaultKinds))
 	for kind, to := range scenario.FaultKinds {
-		if !strings.HasPrefix(string(to), "planner") { // there are none
+		if !strings.HasPrefix(string(to), "planner") {
 			kinds = append(kinds, kind)
 		}
 	}
@@ -193,9 +197,9 @@
 	return f
 }
 
-// addFault adds a fault with whichever size its kind takes, if it takes one.
+// addFault adds a fault with the first size that its kind allows, if any, and without a duration if the kind has none.
 func addFault(rng *rand.Rand, s *scenario.Scenario, f scenario.Fault) {
-	for _, size := range []float64{0, 4, -10} { // whichever the kind takes
+	for _, size := range []float64{0, 4, -10} {
 		f.Size = size
 		s.Faults = append(s.Faults, f)
 		if rng.IntN(2) == 0 && size == 0 && f.Kind == "reset_at" || s.Check() != nil {
@@ -211,21 +215,21 @@
 
 func pickOne[T any](rng *rand.Rand, of ...T) T { return of[rng.IntN(len(of))] }
 
-// What goes on at the border stays in order, though a mutant keeps some of it back.
-func TestLater(t *testing.T) {
-	b := &faultInjector{running: true}
+// TestScheduleKeepsOrder checks that delayed actions run in order of their time, and that mutants have lower-case names.
+func TestScheduleKeepsOrder(t *testing.T) {
+	injector := &faultInjector{running: true}
 	var done []int
 	for _, n := range []int{3, 1, 2, 1} {
-		b.schedule(time.Duration(n), func() { done = append(done, n) })
+		injector.schedule(time.Duration(n), func() { done = append(done, n) })
 	}
-	for len(b.delayed) > 0 {
-		b.delayed[0].run()
-		b.delayed = b.delayed[1:]
+	for len(injector.delayed) > 0 {
+		injector.delayed[0].run()
+		injector.delayed = injector.delayed[1:]
 	}
 	if !slices.Equal(done, []int{1, 1, 2, 3}) {
-		t.Errorf("done in the order %v", done)
+		t.Errorf("actions ran in the order %v", done)
 	}
 	if m := All()[0]; strings.ToLower(m.Name) != m.Name {
-		t.Errorf("%s is not in small letters", m.Name)
+		t.Errorf("%s is not in lower case", m.Name)
 	}
 }
--- a/internal/testbed/mutation/policy.go
+++ b/internal/testbed/mutation/policy.go
@@ -7,69 +7,70 @@
 	"valvecove/internal/requests"
 )
 
-// changeSettings is the honest module under settings that are not those it was given.
-func changeSettings(change func(set *dispatch.Settings)) func(dispatch.Settings, uint64) requests.Policy {
-	return func(set dispatch.Settings, seed uint64) requests.Policy {
-		set.Classes = append([]dispatch.Class(nil), set.Classes...)
-		change(&set)
-		return dispatch.New(set, seed)
+// changeSettings returns a Mutant.Policy that makes the unmodified dispatch policy with changed settings.
+func changeSettings(change func(settings *dispatch.Settings)) func(dispatch.Settings, uint64) requests.Policy {
+	return func(settings dispatch.Settings, seed uint64) requests.Policy {
+		settings.Classes = append([]dispatch.Class(nil), settings.Classes...)
+		change(&settings)
+		return dispatch.New(settings, seed)
 	}
 }
 
-// changeKeyedClasses changes the keyed classes.
-func changeKeyedClasses(change func(c *dispatch.Class)) func(set *dispatch.Settings) {
-	return func(set *dispatch.Settings) {
-		for i := range set.Classes {
-			if set.Classes[i].Idempotency == dispatch.IdempotentWithKey {
-				change(&set.Classes[i])
+// changeKeyedClasses returns a change of settings that changes the classes that are idempotent with a key.
+func changeKeyedClasses(change func(c *dispatch.Class)) func(settings *dispatch.Settings) {
+	return func(settings *dispatch.Settings) {
+		for i := range settings.Classes {
+			if settings.Classes[i].Idempotency == dispatch.IdempotentWithKey {
+				change(&settings.Classes[i])
 			}
 		}
 	}
 }
 
-// alteredPolicy stands between the ledger and the honest module, which it tells what is not so.
+// alteredPolicy wraps the unmodified dispatch policy. It falsifies the events that the request table passes to it, or its sends.
 type alteredPolicy struct {
 	settings      dispatch.Settings
 	inner         requests.Policy
-	onEvent       func(l *alteredPolicy, e dispatch.Event) (altered dispatch.Event, pass bool)
-	onSend        func(l *alteredPolicy, s dispatch.Send) dispatch.Send // nil: as it is
-	nonIdempotent map[uint64]bool                                       // jobs that must never run twice
+	onEvent       func(p *alteredPolicy, e dispatch.Event) (altered dispatch.Event, pass bool)
+	onSend        func(p *alteredPolicy, s dispatch.Send) dispatch.Send // nil: sends are unchanged
+	nonIdempotent map[uint64]bool                                       // by job
 	altered       []dispatch.Event
 }
 
-// alterPolicy makes a Module of hooks.
-func alterPolicy(event func(*alteredPolicy, dispatch.Event) (dispatch.Event, bool), send func(*alteredPolicy, dispatch.Send) dispatch.Send) func(
+// alterPolicy returns a Mutant.Policy that makes the dispatch policy with these hooks; send may be nil.
+func alterPolicy(onEvent func(*alteredPolicy, dispatch.Event) (dispatch.Event, bool), onSend func(*alteredPolicy, dispatch.Send) dispatch.Send) func(
 	dispatch.Settings, uint64) requests.Policy {
-	return func(set dispatch.Settings, seed uint64) requests.Policy {
-		return &alteredPolicy{settings: set, inner: dispatch.New(set, seed), onEvent: event, onSend: send, nonIdempotent: map[uint64]bool{}}
+	return func(settings dispatch.Settings, seed uint64) requests.Policy {
+		return &alteredPolicy{settings: settings, inner: dispatch.New(settings, seed), onEvent: onEvent, onSend: onSend, nonIdempotent: map[uint64]bool{}}
 	}
 }
 
-// Step has the module decide on what it is told.
-func (l *alteredPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
-	l.altered = l.altered[:0]
+// Step implements requests.Policy.
+func (p *alteredPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	p.altered = p.altered[:0]
 	for _, e := range events {
 		if j, ok := e.(dispatch.Job); ok {
-			l.nonIdempotent[j.ID] = l.settings.Classes[j.Class].Idempotency == dispatch.NonIdempotent
+			p.nonIdempotent[j.ID] = p.settings.Classes[j.Class].Idempotency == dispatch.NonIdempotent
 		}
-		if notified, pass := l.onEvent(l, e); pass {
-			l.altered = append(l.altered, notified)
+		if altered, pass := p.onEvent(p, e); pass {
+			p.altered = append(p.altered, altered)
 		}
 	}
 	first := len(dst)
-	dst = l.inner.Step(now, l.altered, dst)
+	dst = p.inner.Step(now, p.altered, dst)
 	for i := first; i < len(dst); i++ {
-		if s, ok := dst[i].(dispatch.Send); ok && l.onSend != nil {
-			dst[i] = l.onSend(l, s)
+		if s, ok := dst[i].(dispatch.Send); ok && p.onSend != nil {
+			dst[i] = p.onSend(p, s)
 		}
 	}
 	return dst
 }
 
-// reportAs has one outcome of non-idempotent jobs pass for another that proves that nothing ran.
-func reportAs(r dispatch.Result) func(l *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
-	return func(l *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
-		if o, ok := e.(dispatch.Outcome); ok && o.Result == r && l.nonIdempotent[o.Job] {
+// reportAsUnsent returns an event hook that replaces a result of non-idempotent jobs by a failed connect, which proves that the
+// attempt was not executed.
+func reportAsUnsent(result dispatch.Result) func(p *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
+	return func(p *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
+		if o, ok := e.(dispatch.Outcome); ok && o.Result == result && p.nonIdempotent[o.Job] {
 			o.Result = dispatch.ConnectFailed
 			return o, true
 		}
@@ -77,28 +78,28 @@
 	}
 }
 
-// shortenTimeout waits only so long for attempts of non-idempotent jobs.
-func shortenTimeout(timeout time.Duration) func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
-	return func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
-		if l.nonIdempotent[s.Job] {
+// shortenTimeout returns a send hook that sets the timeout of attempts of non-idempotent jobs.
+func shortenTimeout(timeout time.Duration) func(p *alteredPolicy, s dispatch.Send) dispatch.Send {
+	return func(p *alteredPolicy, s dispatch.Send) dispatch.Send {
+		if p.nonIdempotent[s.Job] {
 			s.AttemptTimeout = timeout
 		}
 		return s
 	}
 }
 
-// dropOutcomes hears of no worker that drains or is gone.
-func dropOutcomes(_ *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
+// hideDraining is an event hook that removes draining and removed workers from worker lists.
+func hideDraining(_ *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 	list, ok := e.(dispatch.WorkerList)
 	if !ok {
 		return e, true
 	}
-	notified := list
-	notified.Workers = nil
+	shown := list
+	shown.Workers = nil
 	for _, w := range list.Workers {
 		if w.Ready && !w.Removed {
-			notified.Workers = append(notified.Workers, w)
+			shown.Workers = append(shown.Workers, w)
 		}
 	}
-	return notified, list.Kind != dispatch.ListDelta || len(notified.Workers) > 0
+	return shown, list.Kind != dispatch.ListDelta || len(shown.Workers) > 0
 }
