--- a/internal/testbed/simapi/input.go
+++ b/internal/testbed/simapi/input.go
@@ -24,10 +24,10 @@
 	// Terminate is SIGTERM.
 	Terminate struct{}
 
-	// Kill is SIGKILL: the connections of the process are reset.
+	// Kill is SIGKILL. The connections of the process are reset.
 	Kill struct{}
 
-	// Freeze is SIGSTOP: the sockets of the process stay open and unread.
+	// Freeze is SIGSTOP. The sockets of the process stay open and unread.
 	Freeze struct{}
 
 	// Resume is SIGCONT.
@@ -38,10 +38,11 @@
 		Discovery int // index of the address
 	}
 
-	// Replace starts a second process, and the first gets SIGTERM once that is ready. It is for the process driver only.
+	// Replace starts a second process. The first one gets SIGTERM once the second one is ready. It is for the process driver
+	// only.
 	Replace struct{}
 
-	// SlowDown has a planner handle everything late from now on.
+	// SlowDown makes a planner handle all inputs and timers late by Delay from now on.
 	SlowDown struct {
 		Delay time.Duration
 	}
@@ -50,9 +51,9 @@
 	BreakConnections struct{}
 )
 
-// DatagramReceived is a datagram of another scheduler. The bytes may be shared, and are not to be changed.
+// DatagramReceived is a datagram of another scheduler. The bytes may be shared and must not be changed.
 type DatagramReceived struct {
-	From  int // index of the sender; -1: it is no scheduler
+	From  int // index of the sender; -1: the sender is not a scheduler
 	Bytes []byte
 }
 
@@ -60,7 +61,7 @@
 
 // Messages that reach a scheduler's sockets from clients.
 type (
-	// RequestReceived is the last byte of a client's request.
+	// RequestReceived is a client's request whose last byte has arrived.
 	RequestReceived struct {
 		Conn    Conn
 		Request *ClientRequest
@@ -71,7 +72,7 @@
 		Conn Conn
 	}
 
-	// ClientMisbehaves has a misbehaving client act on its connection. It is for the process driver only.
+	// ClientMisbehaves makes a misbehaving client act on its connection. It is for the process driver only.
 	ClientMisbehaves struct {
 		Conn      Conn
 		Kind      string // one of scenario.MisbehaviorKinds
@@ -80,7 +81,7 @@
 	}
 )
 
-// ClientRequest is a client's request as it stands on the wire.
+// ClientRequest is a client's request. The comments name the headers that carry the fields on the wire.
 type ClientRequest struct {
 	RequestID      string
 	Class          int
@@ -95,18 +96,18 @@
 
 // Messages that reach a scheduler's sockets from workers.
 type (
-	// WorkerConnected is the opening of a connection.
+	// WorkerConnected is a connection that was established.
 	WorkerConnected struct {
 		Worker     int
 		Conn       Conn
-		ResetAfter int // the worker resets the connection after it has read so many bytes; 0: it does not
+		ResetAfter int // number of bytes after which the worker resets the connection; 0: it does not
 	}
 
-	// WorkerDisconnected is a connection that was not opened, or that the worker has closed or reset.
+	// WorkerDisconnected is a connection that could not be established, or that the worker has closed or reset.
 	WorkerDisconnected struct {
 		Worker int
 		Conn   Conn
-		Reset  bool // it had been open
+		Reset  bool // the connection had been established
 	}
 
 	// ResponseReceived is the worker's response to what was last sent on the connection.
@@ -115,7 +116,7 @@
 		Conn     Conn
 		Status   int  // HTTP status
 		Rejected bool // X-Rejected: 1
-		Bytes    int  // only so many bytes of it arrive before a reset; 0: all
+		Bytes    int  // number of bytes that arrive before the connection is reset; 0: the whole response arrives
 	}
 
 	// CallbackReceived is a worker's callback, which CallbackAnswered answers.
@@ -133,29 +134,30 @@
 		List *requests.EndpointList
 	}
 
-	// WatchEnded is the end of the watch, or a call for it that failed.
+	// WatchEnded is the end of the watch, or a failed request for it.
 	WatchEnded struct{}
 
-	// WatchHeartbeat is an empty line on the watch, every 2 s; its absence is for the scheduler to detect.
+	// WatchHeartbeat is an empty line on the watch, which discovery sends every 2 s. The scheduler has to detect its absence.
 	WatchHeartbeat struct{}
 
-	// WatchConnected is the opening of the connection for the watch; with real processes the kernel knows.
+	// WatchConnected is the establishment of the connection for the watch. It is for the simulation driver only: real
+	// processes are notified by the kernel.
 	WatchConnected struct{}
 )
 
-// Messages to the process driver, where a kernel accepts connections. The simulation driver ignores them.
+// Messages to the process driver, in which the kernel accepts connections. The simulation driver ignores them.
 type (
-	// AcceptModeChanged says how a worker accepts connections from now on.
+	// AcceptModeChanged changes how a worker accepts connections.
 	AcceptModeChanged struct {
 		Worker  int
 		Machine int // which machine of the worker; 0: the first
-		Mode    int // AcceptAll and the others
+		Mode    int // AcceptAll, AcceptNone or AcceptSilently
 	}
 
-	// DiscoveryAcceptModeChanged says how an address of discovery accepts connections from now on.
+	// DiscoveryAcceptModeChanged changes how an address of discovery accepts connections.
 	DiscoveryAcceptModeChanged struct {
 		Discovery int // index of the address
-		Mode      int // AcceptAll and the others
+		Mode      int // AcceptAll, AcceptNone or AcceptSilently
 	}
 )
 
--- a/internal/testbed/simapi/output.go
+++ b/internal/testbed/simapi/output.go
@@ -9,19 +9,19 @@
 
 // Messages of a scheduler's process.
 type (
-	// Ready says that GET /up answers 200.
+	// Ready reports that GET /up is answered with 200.
 	Ready struct{}
 
-	// Unready says that GET /up answers 503 after it was ready.
+	// Unready reports that GET /up is answered with 503 after it was answered with 200.
 	Unready struct{}
 
-	// Exited says that the process has ended by itself.
+	// Exited reports that the process has ended by itself.
 	Exited struct {
 		Status int // exit code
 	}
 )
 
-// DatagramWritten is a datagram to another scheduler. The bytes are the environment's from then on.
+// DatagramWritten is a datagram to another scheduler. Its bytes belong to the environment from then on.
 type DatagramWritten struct {
 	To    int // index of the scheduler
 	Bytes []byte
@@ -31,7 +31,7 @@
 
 // Messages to clients.
 type (
-	// ResponseWritten is the last byte of a response.
+	// ResponseWritten is a response whose last byte was written.
 	ResponseWritten struct {
 		Conn       Conn
 		RequestID  string
@@ -40,13 +40,13 @@
 		Result     string        // the body
 	}
 
-	// ClientConnClosed is the scheduler's close of a connection.
+	// ClientConnClosed is a connection that the scheduler has closed.
 	ClientConnClosed struct {
 		Conn Conn
 	}
 
-	// ClientConnFailed is a connection that was never opened, so that nothing was sent on it. It comes from the process
-	// driver only.
+	// ClientConnFailed is a connection that could not be established, so that nothing was sent on it. It comes from the
+	// process driver only.
 	ClientConnFailed struct {
 		Conn Conn
 	}
@@ -54,14 +54,14 @@
 
 // Messages to workers.
 type (
-	// WorkerDialed opens a connection.
+	// WorkerDialed begins to open a connection.
 	WorkerDialed struct {
 		Worker  int
-		Machine int // which machine of the worker, 0 the first; a replacement has an ID and an address of its own
+		Machine int // which machine of the worker; 0: the first. A replacement has an ID and an address of its own
 		Conn    Conn
 	}
 
-	// AttemptWritten is the last byte of an attempt.
+	// AttemptWritten is an attempt whose last byte was written.
 	AttemptWritten struct {
 		Worker         int
 		Conn           Conn
@@ -71,15 +71,15 @@
 		FirstByteAt    time.Duration // when its first byte was written
 	}
 
-	// HealthCheckWritten is the last byte of a health check.
+	// HealthCheckWritten is a health check whose last byte was written.
 	HealthCheckWritten struct {
 		Worker          int
 		Conn            Conn
 		FirstByteAt     time.Duration // when its first byte was written
-		WantsLoadReport bool          // it asked for the load report
+		WantsLoadReport bool          // it requests the load report
 	}
 
-	// CancellationWritten is the last byte of DELETE /jobs/RequestID.
+	// CancellationWritten is a DELETE /jobs/RequestID whose last byte was written.
 	CancellationWritten struct {
 		Worker      int
 		Conn        Conn
@@ -87,7 +87,7 @@
 		FirstByteAt time.Duration // when its first byte was written
 	}
 
-	// WorkerConnClosed is the scheduler's close of a connection.
+	// WorkerConnClosed is a connection that the scheduler has closed.
 	WorkerConnClosed struct {
 		Worker int
 		Conn   Conn
@@ -97,13 +97,13 @@
 	CallbackAnswered struct {
 		Worker     int
 		CallbackID uint64
-		Status     int // HTTP status; 0: the call failed
+		Status     int // HTTP status; 0: the callback failed
 	}
 )
 
-// WatchRequested asks discovery for the watch. It is the only message to discovery.
+// WatchRequested requests the watch from discovery. It is the only message to discovery.
 type WatchRequested struct {
-	Revision int64 // the last one known; 0: none, so that a snapshot comes first
+	Revision int64 // the last known revision; 0: none, so the watch begins with a snapshot
 }
 
 func (Ready) outputMessage()               {}
--- a/internal/testbed/simapi/simapi.go
+++ b/internal/testbed/simapi/simapi.go
@@ -1,6 +1,6 @@
 // Package simapi is the interface between the testbed's environment and a scheduler under test: what reaches the
-// scheduler's sockets and process (Input) and what leaves them (Output). Network delays and losses are on the
-// environment's side of it.
+// scheduler's sockets and process (Input) and what leaves them (Output). The environment simulates network delays and
+// losses.
 //
 // Both drivers use it. The simulation driver runs the dispatch policy and the request table as a Scheduler; the process
 // driver translates the sockets of a real process to Outputs and carries out Inputs on them. A run alternates:
@@ -15,14 +15,16 @@
 
 // Scheduler is one scheduler under test, over all of its processes.
 type Scheduler interface {
-	// Step handles the inputs that have reached the scheduler by now, and appends its outputs to dst. It keeps neither slice.
+	// Step handles the inputs that have reached the scheduler by now, and appends its outputs to dst. It retains neither
+	// slice.
 	Step(now time.Duration, inputs []Input, dst []Output) []Output
-	// Next returns when Step has to be called at the latest; not ok: only once there is an input.
+	// Next returns when Step has to be called at the latest. If ok is false, Step has to be called only once there is an
+	// input.
 	Next() (at time.Duration, ok bool)
 }
 
 // Input is a message that reaches the scheduler with index Scheduler. Planners, where a scenario has any, are numbered
-// after the schedulers. Messages to the process driver alone are for no scheduler.
+// after the schedulers. In messages to the process driver itself, Scheduler has no meaning.
 type Input struct {
 	Scheduler int
 	Message   InputMessage
