--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -57,12 +57,12 @@
 	f := &forwarderProcess{process: p, network: s.network, nodeIndex: s.number, name: name, seed: seed}
 	f.members = membership.NewForwarderMembership(f.member(), membership.Config{})
 	for n := range s.spec.Planners.Count {
-		k := &plannerConn{nodeIndex: s.spec.Schedulers.Count + n, name: plannerName(n)}
-		k.retry.act = func() {
-			k.retryPlanned = false
-			f.connect(k)
+		conn := &plannerConn{nodeIndex: s.spec.Schedulers.Count + n, name: plannerName(n)}
+		conn.retry.act = func() {
+			conn.retryPlanned = false
+			f.connect(conn)
 		}
-		f.plannerConns = append(f.plannerConns, k)
+		f.plannerConns = append(f.plannerConns, conn)
 	}
 	return f
 }
@@ -88,9 +88,9 @@
 		return aperture.New(dispatch.New(set, f.seed), set, standaloneAperture)
 	})
 	f.forwarder.SetPlanners(f.wantedPlanners)
-	for _, k := range f.plannerConns {
-		if k.connected {
-			f.forwarder.SessionChanged(k.name, true)
+	for _, conn := range f.plannerConns {
+		if conn.connected {
+			f.forwarder.SessionChanged(conn.name, true)
 		}
 	}
 	return f
@@ -100,9 +100,9 @@
 func (f *forwarderProcess) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	dst = f.forwarder.Step(now, events, dst)
 	for _, e := range f.forwarder.Outbox() {
-		for _, k := range f.plannerConns {
-			if k.name == e.Planner && k.connected {
-				f.process.scheduler.send(&k.writer, e.Envelope)
+		for _, conn := range f.plannerConns {
+			if conn.name == e.Planner && conn.connected {
+				f.process.scheduler.send(&conn.writer, e.Envelope)
 			}
 		}
 	}
@@ -125,16 +125,16 @@
 // afterStep ends an iteration: it sends the encoded messages, and closes connections to draining planners.
 func (f *forwarderProcess) afterStep() {
 	f.carryOut(f.members.Step(f.process.now, nil, f.actions[:0]))
-	for _, k := range f.plannerConns {
-		if k.connected && k.writer.Len() > 0 {
-			f.network.send(k.stream, 0, k.writer.Take(f.network.buffer()))
+	for _, conn := range f.plannerConns {
+		if conn.connected && conn.writer.Len() > 0 {
+			f.network.send(conn.stream, 0, conn.writer.Take(f.network.buffer()))
 		}
 	}
 	for _, name := range f.forwarder.DrainingPlanners() {
-		for _, k := range f.plannerConns {
-			if k.name == name && k.connected {
-				f.network.closeStream(k.stream, 0)
-				f.connLost(k)
+		for _, conn := range f.plannerConns {
+			if conn.name == name && conn.connected {
+				f.network.closeStream(conn.stream, 0)
+				f.connLost(conn)
 			}
 		}
 	}
@@ -149,9 +149,9 @@
 		return
 	}
 	var conn *plannerConn
-	for _, x := range f.plannerConns {
-		if x.stream == n.stream {
-			conn = x
+	for _, candidate := range f.plannerConns {
+		if candidate.stream == n.stream {
+			conn = candidate
 		}
 	}
 	if conn == nil {
@@ -182,23 +182,23 @@
 }
 
 // connLost records that a connection or a dial has ended. It schedules the next dial if the planner is still wanted.
-func (f *forwarderProcess) connLost(k *plannerConn) {
-	wasConnected := k.connected
-	k.stream, k.connected = nil, false
+func (f *forwarderProcess) connLost(conn *plannerConn) {
+	wasConnected := conn.connected
+	conn.stream, conn.connected = nil, false
 	if wasConnected {
-		f.forwarder.SessionChanged(k.name, false)
+		f.forwarder.SessionChanged(conn.name, false)
 	}
-	if k.wanted && !k.retryPlanned {
-		k.backoff = min(max(2*k.backoff, minRedialDelay), maxRedialDelay)
-		k.retryPlanned = true
-		f.process.start(&k.retry, k.backoff/2+time.Duration(f.network.rngs[f.nodeIndex].Int64N(int64(k.backoff))))
+	if conn.wanted && !conn.retryPlanned {
+		conn.backoff = min(max(2*conn.backoff, minRedialDelay), maxRedialDelay)
+		conn.retryPlanned = true
+		f.process.start(&conn.retry, conn.backoff/2+time.Duration(f.network.rngs[f.nodeIndex].Int64N(int64(conn.backoff))))
 	}
 }
 
 // connect dials a planner if a connection is wanted and there is none.
-func (f *forwarderProcess) connect(k *plannerConn) {
-	if k.wanted && k.stream == nil {
-		k.stream = f.network.dial(f.nodeIndex, k.nodeIndex)
+func (f *forwarderProcess) connect(conn *plannerConn) {
+	if conn.wanted && conn.stream == nil {
+		conn.stream = f.network.dial(f.nodeIndex, conn.nodeIndex)
 	}
 }
 
@@ -216,8 +216,8 @@
 		case membership.SetPlanners:
 			f.wantedPlanners = action.Names
 			f.forwarder.SetPlanners(action.Names)
-			for _, k := range f.plannerConns {
-				f.updateWanted(k, action.Names)
+			for _, conn := range f.plannerConns {
+				f.updateWanted(conn, action.Names)
 			}
 		case membership.SetForwarderIndex:
 			f.forwarder.SetForwarderIndex(action.Index, action.Count)
--- a/internal/testbed/simulation/gossip.go
+++ b/internal/testbed/simulation/gossip.go
@@ -62,13 +62,13 @@
 	return r.state > other.state
 }
 
-func (g *gossip) start(t *controlNetwork) {
-	g.network = t
-	g.nodes = make([]gossipNode, len(t.nodes))
+func (g *gossip) start(network *controlNetwork) {
+	g.network = network
+	g.nodes = make([]gossipNode, len(network.nodes))
 	for i := range g.nodes {
-		g.nodes[i] = gossipNode{records: make([]memberRecord, len(t.nodes)), suspectedSince: make([]time.Duration, len(t.nodes))}
-		g.gossipRound(i, time.Duration(t.rngs[i].Int64N(int64(gossipInterval))))
-		g.probeRound(i, time.Duration(t.rngs[i].Int64N(int64(probeInterval))))
+		g.nodes[i] = gossipNode{records: make([]memberRecord, len(network.nodes)), suspectedSince: make([]time.Duration, len(network.nodes))}
+		g.gossipRound(i, time.Duration(network.rngs[i].Int64N(int64(gossipInterval))))
+		g.probeRound(i, time.Duration(network.rngs[i].Int64N(int64(probeInterval))))
 	}
 }
 
@@ -89,13 +89,13 @@
 }
 
 func (g *gossip) requestState(nodeIndex, incarnation int) {
-	t := g.network
-	permutation := t.rngs[nodeIndex].Perm(len(g.nodes))
+	network := g.network
+	permutation := network.rngs[nodeIndex].Perm(len(g.nodes))
 	for _, o := range permutation {
-		if o == nodeIndex || !g.isRunning(o) || t.isCut(nodeIndex, o) || t.isCut(o, nodeIndex) {
+		if o == nodeIndex || !g.isRunning(o) || network.isCut(nodeIndex, o) || network.isCut(o, nodeIndex) {
 			continue
 		}
-		t.schedule(t.now+t.delay(nodeIndex, o), func() {
+		network.schedule(network.now+network.delay(nodeIndex, o), func() {
 			if g.isRunning(o) {
 				g.merge(o, g.nodes[nodeIndex].records)
 				g.sendAll(o, nodeIndex)
@@ -103,7 +103,7 @@
 		})
 		return
 	}
-	t.schedule(t.now+time.Second, func() {
+	network.schedule(network.now+time.Second, func() {
 		if g.isRunning(nodeIndex) && g.nodes[nodeIndex].incarnation == incarnation {
 			g.requestState(nodeIndex, incarnation)
 		}
@@ -156,12 +156,12 @@
 
 // sendAll sends all records of a node to another one. They are lost if a partition separates the two.
 func (g *gossip) sendAll(from, to int) {
-	t := g.network
-	if t.isCut(from, to) {
+	network := g.network
+	if network.isCut(from, to) {
 		return
 	}
 	records := slices.Clone(g.nodes[from].records)
-	t.schedule(t.now+t.delay(from, to), func() {
+	network.schedule(network.now+network.delay(from, to), func() {
 		if g.isRunning(to) {
 			g.merge(to, records)
 		}
--- a/internal/testbed/simulation/levels_streams.go
+++ b/internal/testbed/simulation/levels_streams.go
@@ -41,18 +41,18 @@
 }
 
 // send writes to a stream from one of its ends. The bytes belong to the network until they have arrived.
-func (n *controlNetwork) send(w *stream, end int, bytes []byte) {
-	if w.open[end] {
-		n.enqueue(w, end, segment{kind: streamData, bytes: bytes})
+func (n *controlNetwork) send(s *stream, end int, bytes []byte) {
+	if s.open[end] {
+		n.enqueue(s, end, segment{kind: streamData, bytes: bytes})
 	}
 }
 
-func (n *controlNetwork) enqueue(w *stream, end int, x segment) {
-	p := &w.directions[end]
-	x.arrivesAt = max(p.lastArrival, n.now+n.delay(w.nodes[end], w.nodes[1-end]))
+func (n *controlNetwork) enqueue(s *stream, end int, x segment) {
+	p := &s.directions[end]
+	x.arrivesAt = max(p.lastArrival, n.now+n.delay(s.nodes[end], s.nodes[1-end]))
 	p.lastArrival = x.arrivesAt
 	if p.queue = append(p.queue, x); len(p.queue) == 1 {
-		n.schedule(x.arrivesAt, func() { n.deliverNext(w, end) })
+		n.schedule(x.arrivesAt, func() { n.deliverNext(s, end) })
 	}
 }
 
@@ -112,55 +112,55 @@
 }
 
 // closeStream closes a stream from one of its ends.
-func (n *controlNetwork) closeStream(w *stream, end int) {
-	if w.open[end] {
-		n.removeStream(w, end)
-		n.enqueue(w, end, segment{kind: streamLost})
+func (n *controlNetwork) closeStream(s *stream, end int) {
+	if s.open[end] {
+		n.removeStream(s, end)
+		n.enqueue(s, end, segment{kind: streamLost})
 	}
 }
 
 // notifyLost notifies one end that its stream is lost.
-func (n *controlNetwork) notifyLost(w *stream, end int, silent bool) {
-	if w.open[end] {
-		n.removeStream(w, end)
-		n.deliver(w.nodes[end], controlMessage{kind: streamLost, stream: w, timedOut: silent})
+func (n *controlNetwork) notifyLost(s *stream, end int, silent bool) {
+	if s.open[end] {
+		n.removeStream(s, end)
+		n.deliver(s.nodes[end], controlMessage{kind: streamLost, stream: s, timedOut: silent})
 	}
 }
 
-func (n *controlNetwork) removeStream(w *stream, end int) {
-	w.open[end] = false
-	list := n.streams[w.nodes[end]]
+func (n *controlNetwork) removeStream(s *stream, end int) {
+	s.open[end] = false
+	list := n.streams[s.nodes[end]]
 	for i, x := range list {
-		if x == w {
-			n.streams[w.nodes[end]] = append(list[:i], list[i+1:]...)
+		if x == s {
+			n.streams[s.nodes[end]] = append(list[:i], list[i+1:]...)
 			return
 		}
 	}
 }
 
 // breakStream notifies both ends that their stream is lost.
-func (n *controlNetwork) breakStream(w *stream) {
-	if w.open[0] && w.open[1] {
-		n.notifyLost(w, 0, false)
-		n.notifyLost(w, 1, false)
+func (n *controlNetwork) breakStream(s *stream) {
+	if s.open[0] && s.open[1] {
+		n.notifyLost(s, 0, false)
+		n.notifyLost(s, 1, false)
 	}
 }
 
 // breakStreams breaks all streams of a node.
 func (n *controlNetwork) breakStreams(nodeIndex int) {
-	for _, w := range append([]*stream(nil), n.streams[nodeIndex]...) {
-		n.breakStream(w)
+	for _, s := range append([]*stream(nil), n.streams[nodeIndex]...) {
+		n.breakStream(s)
 	}
 }
 
 // processEnded closes all streams of a node whose process has ended.
 func (n *controlNetwork) processEnded(nodeIndex int) {
-	for _, w := range append([]*stream(nil), n.streams[nodeIndex]...) {
+	for _, s := range append([]*stream(nil), n.streams[nodeIndex]...) {
 		end := 0
-		if w.nodes[1] == nodeIndex {
+		if s.nodes[1] == nodeIndex {
 			end = 1
 		}
-		n.closeStream(w, end)
+		n.closeStream(s, end)
 	}
 }
 
@@ -170,11 +170,11 @@
 }
 
 // peerOf returns the node at the other end of a node's stream, and which end is the node's own.
-func (w *stream) peerOf(nodeIndex int) (other, end int) {
-	if w.nodes[0] == nodeIndex {
-		return w.nodes[1], 0
+func (s *stream) peerOf(nodeIndex int) (other, end int) {
+	if s.nodes[0] == nodeIndex {
+		return s.nodes[1], 0
 	}
-	return w.nodes[0], 1
+	return s.nodes[0], 1
 }
 
 // buffer returns an empty buffer for data to send.
--- a/internal/testbed/simulation/planner_conns.go
+++ b/internal/testbed/simulation/planner_conns.go
@@ -76,11 +76,11 @@
 }
 
 // register adds a connection.
-func (p *plannerProcess) register(k *plannerPeerConn) {
-	p.sessions[planner.SessionID(k.stream.id)] = k
-	p.conns = append(p.conns, k)
-	if k.connected {
-		p.connUp(k)
+func (p *plannerProcess) register(conn *plannerPeerConn) {
+	p.sessions[planner.SessionID(conn.stream.id)] = conn
+	p.conns = append(p.conns, conn)
+	if conn.connected {
+		p.connUp(conn)
 	}
 }
 
@@ -90,10 +90,10 @@
 		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(conn.stream.id)})
 		return
 	}
-	for _, o := range append([]*plannerPeerConn(nil), p.conns...) {
-		if o != conn && o.peer == conn.peer && o.connected {
-			p.node.network.closeStream(o.stream, o.end)
-			p.unregister(o, false)
+	for _, other := range append([]*plannerPeerConn(nil), p.conns...) {
+		if other != conn && other.peer == conn.peer && other.connected {
+			p.node.network.closeStream(other.stream, other.end)
+			p.unregister(other, false)
 		}
 	}
 	p.inputs = append(p.inputs, planner.PeerConnected{Peer: conn.peer})
@@ -103,8 +103,8 @@
 // unregister removes a connection, notifies the planner, and schedules a redial if this planner is the one that dials the peer.
 func (p *plannerProcess) unregister(conn *plannerPeerConn, silent bool) {
 	delete(p.sessions, planner.SessionID(conn.stream.id))
-	for i, o := range p.conns {
-		if o == conn {
+	for i, other := range p.conns {
+		if other == conn {
 			p.conns = append(p.conns[:i], p.conns[i+1:]...)
 			break
 		}
@@ -131,8 +131,8 @@
 	for _, w := range p.wantedPeers {
 		wanted = wanted || w == name
 	}
-	for _, k := range p.conns {
-		wanted = wanted && k.peer != name
+	for _, conn := range p.conns {
+		wanted = wanted && conn.peer != name
 	}
 	if wanted && nodeIndex > p.node.number {
 		p.register(&plannerPeerConn{stream: p.node.network.dial(p.node.number, nodeIndex), nodeIndex: nodeIndex, peer: name, reader: codec.NewReader(0)})
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -91,8 +91,8 @@
 	case simapi.RequestReceived:
 		p.requestReceived(message.Conn, message.Request)
 	case simapi.ClientClosed:
-		if k := p.clients[message.Conn]; k != nil {
-			k.clientClosed()
+		if conn := p.clients[message.Conn]; conn != nil {
+			conn.clientClosed()
 		}
 	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
 		p.workerConns.handleInput(input)
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -113,10 +113,10 @@
 // Start starts an attempt.
 func (s *workerConns) Start(a *requests.Attempt) { s.startTask(a.Worker, connTask{taskAttempt, a}) }
 
-// Abandon cancels an attempt: before the worker has accepted it by closing the connection, afterwards by a DELETE.
+// Abandon cancels an attempt. Until the worker has accepted the attempt, it closes the connection; afterwards, it sends a DELETE.
 func (s *workerConns) Abandon(a *requests.Attempt) {
-	if k := s.attemptConns[a]; k != nil {
-		k.closeWith(nil)
+	if conn := s.attemptConns[a]; conn != nil {
+		conn.closeWith(nil)
 	} else if a.Stage == requests.StageAccepted {
 		s.Cancel(a)
 	}
@@ -160,9 +160,9 @@
 
 // CloseIdleConnections closes the idle connections to a worker.
 func (s *workerConns) CloseIdleConnections(worker uint64) {
-	h := s.endpoints[worker]
-	for h != nil && len(h.idle) > 0 {
-		h.idle[0].closeWith(nil)
+	endpoint := s.endpoints[worker]
+	for endpoint != nil && len(endpoint.idle) > 0 {
+		endpoint.idle[0].closeWith(nil)
 	}
 }
 
@@ -180,15 +180,15 @@
 	if s.idleCount == 0 {
 		return
 	}
-	for _, h := range s.endpointList {
-		for len(h.idle) > 0 && s.isStale(h.idle[0]) {
-			h.idle[0].closeWith(nil)
+	for _, endpoint := range s.endpointList {
+		for len(endpoint.idle) > 0 && s.isStale(endpoint.idle[0]) {
+			endpoint.idle[0].closeWith(nil)
 		}
 	}
 }
 
-func (s *workerConns) isStale(k *workerConn) bool {
-	age := s.process.now - k.idleSince
+func (s *workerConns) isStale(conn *workerConn) bool {
+	age := s.process.now - conn.idleSince
 	return s.idleTimeout > 0 && age >= s.idleTimeout || s.idleTrust > 0 && age >= s.idleTrust
 }
 
@@ -219,18 +219,18 @@
 		conn.write()
 		return
 	}
-	k := &workerConn{conns: s, endpoint: endpoint, incarnation: endpoint.incarnation, state: connConnecting}
-	k.timer.act = k.timedOut
-	k.assign(task)
-	k.dial()
+	dialed := &workerConn{conns: s, endpoint: endpoint, incarnation: endpoint.incarnation, state: connConnecting}
+	dialed.timer.act = dialed.timedOut
+	dialed.assign(task)
+	dialed.dial()
 }
 
 // evictIdle closes an idle connection of any endpoint. It returns false if there is none.
 func (s *workerConns) evictIdle() bool {
 	for s.idleCount > 0 {
 		s.evictFrom = (s.evictFrom + 1) % len(s.endpointList)
-		if h := s.endpointList[s.evictFrom]; len(h.idle) > 0 {
-			h.idle[0].closeWith(nil)
+		if endpoint := s.endpointList[s.evictFrom]; len(endpoint.idle) > 0 {
+			endpoint.idle[0].closeWith(nil)
 			return true
 		}
 	}
