--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -77,7 +77,7 @@
 	return notified
 }
 
-// isRepeatable reports whether a job of the class may be retried whatever was executed.
+// isRepeatable reports whether a job of the class may be retried regardless of which attempts were executed.
 func (c *class) isRepeatable() bool { return c.idempotent || c.idempotentWithKey && c.scope == "all" }
 
 // checkPair checks two attempts of a job, given by their indexes, against each other.
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -71,7 +71,7 @@
 	maxColdWork    = 24      // arrivals listed for a worker that was overloaded while warming up
 	maxExplained   = 16      // violations of a rule that are explained in full
 	maxOverlaps    = 256     // overlaps that wait for a decision
-	maxMisbehaving = 1 << 14 // misbehaving clients remembered before the answered ones are removed
+	maxMisbehaving = 1 << 14 // misbehaving clients retained before the answered ones are removed
 )
 
 // idempotentRetention is how long idempotent jobs are retained, besides the time that a late attempt may take. It is short
--- a/internal/testbed/checker/doc.go
+++ b/internal/testbed/checker/doc.go
@@ -13,7 +13,8 @@
 //	one-answer             each request that a running scheduler has admitted gets one final answer, seen by its client
 //	                       within its budget, the slack and the network's delay. Broken by a second answer; by none
 //	                       in time; by a connection that the scheduler ends without a whole answer; by an attempt
-//	                       whose first byte is written later than 0.1 s after its client saw its end, or left.
+//	                       whose first byte is written more than 0.1 s after the client saw the end of the request,
+//	                       or left.
 //	                       P The rules on sockets; W The contract, 1
 //	payout-once            a job of a non-idempotent class reaches no worker while an earlier attempt was possibly
 //	                       executed, and is executed once at most. It covers all requests of a job, since clients
@@ -22,12 +23,13 @@
 //	key-scope              once an attempt with a key was possibly executed, later ones go to the same cell or zone (or
 //	                       to all) and begin within the class's window from its first byte; all carry the client's
 //	                       key. W The contract, 2; P Schedulers to workers
-//	refusal-harmless       429 and 503 are for requests of which no attempt was possibly executed, or reaches a worker
-//	                       later; idempotent ones, and ones with a key that all workers share, may always be rejected.
-//	                       W The contract, 2; P The rules on sockets
+//	refusal-harmless       a request is answered with 429 or 503 only if none of its attempts was possibly executed, and
+//	                       none reaches a worker later. Idempotent requests, and those with a key that all workers
+//	                       share, may always be rejected. W The contract, 2; P The rules on sockets
 //	drain                  no request's first byte is written to a worker later than drain_grace after the scheduler
-//	                       was notified that it drains or is gone. A lost notification counts as received 6 s later,
-//	                       so a scheduler that is disconnected from discovery for longer may send nothing there.
+//	                       was notified that the worker drains or is gone. A lost notification counts as received 6 s
+//	                       later, so a scheduler that is disconnected from discovery for longer may send nothing to
+//	                       that worker.
 //	                       W The contract, 3; P The rules on sockets, Figures
 //	cold                   schedulers don't overload a worker that is warming up. Broken if it is overloaded and two
 //	                       thirds or more of its work came from schedulers that were notified of its start.
@@ -40,8 +42,7 @@
 //	                       sockets
 //	prompt-refusal         a request is answered once its scheduler has no reason to retain it: see below. LATER
 //	id-unknown             no worker gets a request that no client sent (the worker answers 400), or one without an id
-//	                       (it answers 404).
-//	                       P Schedulers to workers
+//	                       (it answers 404). P Schedulers to workers
 //	bad-clients            real processes only: a misbehaving client gets an error or a close within bad_answered of
 //	                       connecting (twice that for a huge body), and never a 200. LATER, Misbehaving clients
 //	limits                 real processes only: a scheduler stays within its limits of memory and descriptors. P, DEPLOY, Limits
@@ -53,8 +54,8 @@
 //     SIGTERM, only requests that arrived within 0.7 s of the SIGTERM are excused. A request that an exit after SIGTERM leaves
 //     unanswered is not excused, unless a cut may have delayed its answer. A request that had not arrived when the process
 //     ended was not admitted.
-//   - A request that reached a frozen scheduler, and one that was open during a freeze, unless the scheduler was resumed a slack
-//     or more before the deadline.
+//   - A request that reached a frozen scheduler. A request that was already open when its scheduler was frozen is excused, too,
+//     unless the scheduler was resumed a slack or more before the deadline.
 //   - A request whose client was disconnected from the scheduler, or delayed, by a fault of the scenario.
 //   - A close that crosses the request on the network, on a new connection or an old one. The close has to arrive within the
 //     round-trip time, and no attempt of the request may have been sent.
@@ -64,8 +65,8 @@
 //
 // one-attempt-per-node and attempts allow a scheduler to cancel an attempt, by DELETE or by closing the connection, and to
 // retry at once. The cancellation may arrive after the retry, as the two use different connections. An overlap therefore
-// counts only once another message of the same scheduler has reached the worker of the earlier attempt, which proves the path
-// open, and the attempt is still not cancelled.
+// counts only once a later message of the same scheduler has reached the worker of the earlier attempt, which proves that the
+// path is open, and the earlier attempt is still not cancelled.
 //
 // # Prompt rejections
 //
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -179,7 +179,7 @@
 	if b.step(simapi.Input{Message: simapi.WatchEnded{}}); len(b.script.Received) > 0 {
 		t.Errorf("the end of a watch without one: %+v", b.script.Received)
 	}
-	// A watch whose connection is not established is given up early, and one without a line later.
+	// A watch whose connection is not established counts as lost sooner than one without a line.
 	for _, c := range []struct {
 		ins  []simapi.Input
 		span time.Duration
--- a/internal/testbed/simulation/race_test.go
+++ b/internal/testbed/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// defaultRunCount random runs take a few seconds under the race detector, which makes each ten times as slow.
+// defaultRunCount is lower with the race detector, which makes each run ten times as slow.
 const defaultRunCount = 40
--- a/internal/testbed/starvation/class.go
+++ b/internal/testbed/starvation/class.go
@@ -22,7 +22,7 @@
 // bucketSlots returns how many slots the requests of a bucket need at most. Those of the last one may need more.
 func bucketSlots(bucket int) float64 { return float64(int(1) << bucket) }
 
-// anyKind stands for all kinds of workers.
+// anyKind means all kinds of workers.
 const anyKind = -1
 
 // idempotency says whether a job may be executed more than once.
--- a/internal/testbed/starvation/schedulers.go
+++ b/internal/testbed/starvation/schedulers.go
@@ -23,7 +23,7 @@
 	excused      int   // rejections that these have excused
 }
 
-// knowledge is what a scheduler's notifications say about a worker.
+// knowledge is the information from a scheduler's notifications of a worker's start and drain.
 type knowledge struct {
 	incarnation int // of the last start; 0: the first
 	drained     bool
