--- a/internal/requests/cancel_test.go
+++ b/internal/requests/cancel_test.go
@@ -85,7 +85,7 @@
 	f.transport.completeCancel(f.table, true)
 	f.step(4)
 	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.Cancelled}) {
-		t.Errorf("results %v", got)
+		t.Errorf("results %v, expected one cancelled attempt", got)
 	}
 }
 
@@ -99,7 +99,7 @@
 	f.transport.completeCancel(f.table, true)
 	f.step(3 * time.Millisecond)
 	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.TimedOut}) {
-		t.Errorf("results %v", got)
+		t.Errorf("results %v, expected one attempt that has timed out", got)
 	}
 }
 
@@ -115,6 +115,6 @@
 	f.transport.completeCancel(f.table, true)
 	f.step(6)
 	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.Cancelled}) {
-		t.Errorf("results %v", got)
+		t.Errorf("results %v, expected one cancelled attempt", got)
 	}
 }
--- a/internal/requests/completion.go
+++ b/internal/requests/completion.go
@@ -46,21 +46,21 @@
 	t.fail(request)
 }
 
-// serve responds to a request with a worker's result, unless it is closed.
+// serve gives an open request a worker's result as its response. It does nothing for a closed request.
 func (t *Table) serve(request *Request, result []byte) {
 	if t.closeWithResponse(request, ResponseResult) {
 		request.responder.RespondResult(result)
 	}
 }
 
-// reject responds to a request that it was not executed, unless it is closed.
+// reject gives an open request the response that it was not executed. It does nothing for a closed request.
 func (t *Table) reject(request *Request, retryAfter time.Duration) {
 	if t.closeWithResponse(request, ResponseRejected) {
 		request.responder.RespondRejected(retryAfter)
 	}
 }
 
-// fail responds to a request that it has failed, unless it is closed.
+// fail gives an open request the response that it has failed. It does nothing for a closed request.
 func (t *Table) fail(request *Request) {
 	if t.closeWithResponse(request, ResponseFailed) {
 		request.responder.RespondFailed()
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("last event: %+v, expected the outcome of attempt 0, OK and closed", outcome)
 	}
 	if responder.results != 1 || responder.total() != 1 {
-		t.Errorf("%d results of %d responses", responder.results, responder.total())
+		t.Errorf("%d results of %d responses, expected 1 of 1", responder.results, responder.total())
 	}
 }
 
@@ -67,7 +67,7 @@
 			}
 			closeAll(table, policy)
 			if len(responded) != 50 || !slices.IsSorted(responded) {
-				t.Errorf("responded in the order %v", responded)
+				t.Errorf("responded in the order %v, expected 50 responses in order of arrival", responded)
 			}
 		})
 	}
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -50,6 +50,6 @@
 	}
 	known, _ := table.Cordon("cordoned")
 	if ids := table.Cordoned(); !known || len(ids) != 1 || ids[0] != "cordoned" {
-		t.Errorf("cordoned: %v", ids)
+		t.Errorf("cordoned: %v, expected one endpoint, which is remembered", ids)
 	}
 }
--- a/internal/requests/endpointtable.go
+++ b/internal/requests/endpointtable.go
@@ -7,8 +7,8 @@
 	"valvecove/dispatch"
 )
 
-// maxRemovedEndpoints is the number of endpoints, beyond twice the number of listed ones, that are remembered before removed ones
-// are forgotten.
+// maxRemovedEndpoints bounds the memory for removed endpoints: they are forgotten once more endpoints than twice the listed ones
+// plus this number are remembered.
 const maxRemovedEndpoints = 1 << 14
 
 // endpointTable holds all endpoints that were listed and are not forgotten, and assigns a number to each. The policy hashes
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -260,10 +260,10 @@
 func TestGoldenTakeOverRestoresEndpoints(t *testing.T) {
 	g, _ := restoreGoldenTable(t)
 	if got := g.Cordoned(); !slices.Equal(got, []string{"s-2"}) {
-		t.Errorf("cordoned: %v", got)
+		t.Errorf("cordoned: %v, expected s-2", got)
 	}
 	if g.Revision() != 42 || g.ListedCount() != 4 {
-		t.Errorf("revision %d, %d listed", g.Revision(), g.ListedCount())
+		t.Errorf("revision %d, %d listed, expected 42 and 4", g.Revision(), g.ListedCount())
 	}
 	want := requests.Endpoint{
 		ID:          "s-3",
@@ -276,7 +276,7 @@
 		StartedAtMs: 1_764_633_000_003,
 	}
 	if worker, known := g.WorkerNumber("s-3"); !known || g.Endpoint(worker) != want {
-		t.Errorf("s-3 is %+v", g.Endpoint(worker))
+		t.Errorf("s-3 is %+v, expected as in the golden file", g.Endpoint(worker))
 	}
 }
 
@@ -311,17 +311,17 @@
 func TestGoldenTakeOverRestoresRequests(t *testing.T) {
 	g, _ := restoreGoldenTable(t)
 	if g.OpenCount() != 5 {
-		t.Errorf("%d are open", g.OpenCount())
+		t.Errorf("%d requests are open, expected 5", g.OpenCount())
 	}
 	queued := g.Request(2)
 	if queued == nil || queued.CallID != "waits" || queued.Deadline != goldenInstant+10*time.Millisecond+3*time.Second {
-		t.Fatalf("request 2: %+v", queued)
+		t.Fatalf("request 2 is %+v, expected as in the golden file", queued)
 	}
 	if job := queued.Job; job.Key != 0xfedcba9876543210 || !job.Retry || job.Slots != 1.5 {
-		t.Errorf("job of request 2: %+v", job)
+		t.Errorf("the job of request 2 is %+v, expected as in the golden file", job)
 	}
 	if payload := queued.Payload; payload.Path != "/run?q=<waits>" || string(payload.Body) != "body of waits" {
-		t.Errorf("payload of request 2: %+v", payload)
+		t.Errorf("the payload of request 2 is %+v, expected as in the golden file", payload)
 	}
 	if responded := g.Request(5); responded.Response() != requests.ResponseResult || responded.Outcome() != requests.OutcomeServed {
 		t.Errorf("request 5: response %d, outcome %q", responded.Response(), responded.Outcome())
@@ -337,11 +337,11 @@
 	}
 	g.callBack(t, "runs", requests.CallbackDone, "made")
 	if got := responders["runs"].got; got != "result made" {
-		t.Errorf("response of request 1: %q", got)
+		t.Errorf("the response of request 1 is %q, expected its result", got)
 	}
 	next, err := g.Admit(g.now, requests.Arrival{CallID: "next", Responder: &recordingResponder{}})
 	if err != nil || next.ID != 10 {
-		t.Errorf("the next request: %+v, %v", next, err)
+		t.Errorf("the next request is %+v, error %v, expected ID 10", next, err)
 	}
 	_, err = g.Admit(g.now, requests.Arrival{CallID: "waits"})
 	if !errors.Is(err, requests.ErrDuplicateCallID) {
--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -14,7 +14,7 @@
 // far the process's clock is ahead.
 
 const (
-	// usualListingDelay is a usual time between the start of a worker and the first list that contains it. A clock that is
+	// usualListingDelay is the usual time between the start of a worker and the first list that contains it. A clock that is
 	// ahead by less is not corrected.
 	usualListingDelay = time.Second
 
@@ -25,9 +25,9 @@
 	// maxClockError bounds the error of clocks. A start time with a greater error is invalid, and not used for the estimate.
 	maxClockError = 24 * time.Hour
 
-	// At most one in maxColdDivisor workers of a first list, or one worker of at least minFleetForOneCold, is assumed to be
-	// cold because the process's clock may be ahead. If more workers started together, they are assumed to be warm: if they
-	// were assumed to be cold, requests that they can serve would be rejected.
+	// If the process's clock may be ahead, the workers of a first list that started together with the newest one are assumed
+	// to be cold only if they are few: at most 1/maxColdDivisor of the list, or one worker of at least minFleetForOneCold. If
+	// more started together, they are assumed to be warm: otherwise requests that they can serve would be rejected.
 	maxColdDivisor     = 10
 	minFleetForOneCold = 4
 )
@@ -53,7 +53,7 @@
 	// the workers by at most this much; if it is negative, the clock is behind by at least its absolute value.
 	leastAge    time.Duration
 	hasLeastAge bool // leastAge is known
-	seemsAhead  bool // a newly listed start precedes the previous list, which a correct clock would not show
+	seemsAhead  bool // by the process's clock a newly listed start precedes the previous list, which lacked it
 
 	receipt         Receipt // of the list that was observed last
 	startedTogether bool    // the result of EndpointList.startedTogether for that list
@@ -105,18 +105,18 @@
 // correction returns the difference to add to a start time that is listed for the first time, or 0 if the process's clock may
 // be correct.
 func (s *startTimes) correction(listed time.Duration) time.Duration {
-	previousCurrentAt := s.receipt.LastViewAt
+	previousListAt := s.receipt.LastViewAt
 	switch {
 	case s.leastAge < -usualListingDelay: // the process's clock is behind
 		return s.leastAge
 	case s.leastAge <= usualListingDelay: // the clock is not ahead
 		return 0
-	case previousCurrentAt == 0 && s.startedTogether:
+	case previousListAt == 0 && s.startedTogether:
 		return 0
-	case previousCurrentAt > 0 && !s.seemsAhead && listed >= previousCurrentAt-usualListingDelay:
+	case previousListAt > 0 && !s.seemsAhead && listed >= previousListAt-usualListingDelay:
 		return 0 // the worker started after the previous list
 	default: // the process's clock may be ahead by leastAge, which assumes that the newest worker started just now
-		s.seemsAhead = s.seemsAhead || previousCurrentAt > 0
+		s.seemsAhead = s.seemsAhead || previousListAt > 0
 		return s.leastAge
 	}
 }
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -91,7 +91,7 @@
 		f.receive(false, f.started(10, 100*time.Millisecond)) // joined
 		f.expectAge(t, "joined", 10, 0, 200*time.Millisecond)
 		if ahead == 0 && (f.age(0) != 200*time.Millisecond || f.age(10) != 100*time.Millisecond) {
-			t.Errorf("by a right clock %v and %v old", f.age(0), f.age(10))
+			t.Errorf("with a correct clock the ages are %v and %v, expected the listed ones", f.age(0), f.age(10))
 		}
 		f.wait(4 * time.Second)
 		f.expectAge(t, "4 s later", 0, 4*time.Second, 4200*time.Millisecond)
@@ -107,7 +107,7 @@
 		f.expectAge(t, "first list", 1, -1, -1)
 		f.expectAge(t, "first list", 2, 23*time.Hour, 24*time.Hour)
 		if ahead == 0 && f.age(0) != 300*time.Millisecond {
-			t.Errorf("by a right clock %v old", f.age(0))
+			t.Errorf("with a correct clock the age is %v, expected the listed one", f.age(0))
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		}
 		f.expectAge(t, "after an outage", 0, 0, most)
 		if ahead == 0 && (f.age(0) != 6*time.Second || f.age(1) != 7*time.Second) {
-			t.Errorf("by a right clock %v and %v old", f.age(0), f.age(1))
+			t.Errorf("with a correct clock the ages are %v and %v, expected the listed ones", f.age(0), f.age(1))
 		}
 	}
 }
