--- a/internal/worker/benchmark_test.go
+++ b/internal/worker/benchmark_test.go
@@ -54,6 +54,6 @@
 		exchange()
 	}
 	if len(f.dialed) != 1 {
-		b.Errorf("%d connections were opened", len(f.dialed))
+		b.Errorf("%d connections were opened, expected 1", len(f.dialed))
 	}
 }
--- a/internal/worker/budget_test.go
+++ b/internal/worker/budget_test.go
@@ -118,11 +118,11 @@
 	f.runIterations()
 	(*opened)[0].Read(1 << 12)
 	if got, remaining := (*opened)[0].budgetSent(t), request.Deadline-f.now-budgetMargin; got > remaining || got < remaining-time.Millisecond {
-		t.Errorf("budget %v, remaining %v", got, remaining)
+		t.Errorf("budget %v, expected the remaining time %v", got, remaining)
 	}
 }
 
-// The time that has passed in the present iteration is subtracted from the budget.
+// The time that has passed in the current iteration is subtracted from the budget.
 func TestBudgetInLongIteration(t *testing.T) {
 	f := newFixture(t)
 	opened := f.delayConnections()
@@ -138,7 +138,7 @@
 	f.runIterations()
 	(*opened)[0].Read(1 << 12)
 	if got, remaining := (*opened)[0].budgetSent(t), request.Deadline-f.now-300*time.Millisecond; got > remaining {
-		t.Errorf("budget %v, remaining %v", got, remaining)
+		t.Errorf("budget %v, expected at most the remaining time %v", got, remaining)
 	}
 }
 
@@ -148,13 +148,13 @@
 	opened := f.delayConnections()
 	request := f.sendAttempt(0)
 	remote := (*opened)[0]
-	// As if the connect timeout were longer than the request's.
+	// Simulates a connect timeout that ends after the request's deadline.
 	f.pool.byAttempt[f.table.InFlightAttempt(request.ID, 0)].setTimeout(time.Hour)
 	f.now = request.Deadline
 	remote.release()
 	f.runIterations()
 	if remote.Read(1 << 12); len(remote.Received) > 0 || !remote.Ended {
-		t.Errorf("%q was written, closed %v", remote.Received, remote.Ended)
+		t.Errorf("%q was written, expected nothing; closed %v", remote.Received, remote.Ended)
 	}
 	f.expect("at the deadline", request, dispatch.TimedOut)
 }
@@ -171,7 +171,7 @@
 	}
 	var m http1.Request
 	if _, err := m.Parse(remote.Received); err != nil {
-		t.Fatalf("%d bytes received: %v", len(remote.Received), err)
+		t.Fatalf("%d bytes received, expected a complete request: %v", len(remote.Received), err)
 	}
 	if got, remaining := remote.budgetSent(t), request.Deadline-f.now; got > remaining {
 		t.Errorf("budget %v, remaining %v at the last byte", got, remaining)
--- a/internal/worker/cancel_test.go
+++ b/internal/worker/cancel_test.go
@@ -20,7 +20,7 @@
 	}
 	(*opened)[0].release()
 	if f.runIterations(); !(*opened)[0].hasDelete(request) {
-		t.Fatalf("the worker got %q", (*opened)[0].Received)
+		t.Fatalf("the worker got %q, expected a DELETE", (*opened)[0].Received)
 	}
 	f.expect("no response yet", request)
 	f.respondDelete((*opened)[0])
@@ -44,7 +44,7 @@
 	(*opened)[0].release()
 	(*opened)[1].release()
 	if f.runIterations(); (*opened)[0].hasDelete(request) || !(*opened)[1].hasDelete(request) {
-		t.Errorf("the worker got %q and %q", (*opened)[0].Received, (*opened)[1].Received)
+		t.Errorf("the worker got %q and %q, expected a DELETE on the second connection only", (*opened)[0].Received, (*opened)[1].Received)
 	}
 	f.expect("no response yet", request)
 	f.respondDelete((*opened)[1])
@@ -75,7 +75,7 @@
 	}
 	(*opened)[2].release()
 	if f.runIterations(); !(*opened)[2].hasDelete(request) {
-		t.Errorf("the worker got %q", (*opened)[2].Received)
+		t.Errorf("the worker got %q, expected a DELETE", (*opened)[2].Received)
 	}
 	f.expect("written again", request)
 	f.respondDelete((*opened)[2])
@@ -152,7 +152,7 @@
 	f.expect("done", request, dispatch.OK)
 	(*opened)[0].release()
 	if f.runIterations(); (*opened)[0].hasDelete(request) || !(*opened)[0].Ended {
-		t.Errorf("the worker got %q", (*opened)[0].Received)
+		t.Errorf("the worker got %q, expected no DELETE and the end of the connection", (*opened)[0].Received)
 	}
 	if len(f.pool.cancelAttempts) != 0 {
 		t.Error("the cancellation is still kept")
@@ -185,7 +185,7 @@
 	f.runIterations()
 	(*opened)[0].release()
 	if f.runIterations(); !(*opened)[0].hasDelete(request) {
-		t.Errorf("the worker got %q", (*opened)[0].Received)
+		t.Errorf("the worker got %q, expected a DELETE", (*opened)[0].Received)
 	}
 	f.expect("no response yet", request)
 	f.respondDelete((*opened)[0])
@@ -221,7 +221,7 @@
 	f.expect("accepted", request)
 	last := f.dialed[len(f.dialed)-1]
 	if last.Read(1 << 12); !last.hasDelete(request) {
-		t.Fatalf("the worker got %q", last.Received)
+		t.Fatalf("the worker got %q, expected a DELETE", last.Received)
 	}
 	f.respondDelete(last)
 	f.expect("confirmed", request, dispatch.Cancelled)
@@ -248,8 +248,8 @@
 	}
 }
 
-// A worker is sent no second attempt of a request before the first one has ended or its cancellation is confirmed, even if the
-// policy asks for it.
+// No second attempt of a request is sent to a worker before the first one has ended or its cancellation is confirmed, even if the
+// policy returns an action to send it.
 func TestNoConcurrentAttemptsAtOneWorker(t *testing.T) {
 	f := newFixture(t)
 	request := f.sendAttempt(0)
@@ -266,7 +266,7 @@
 	f.runActions(dispatch.Cancel{Job: request.ID}, secondSend)
 	f.expect("while it is being cancelled", request, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
 	if len(*opened) != 1 {
-		t.Fatalf("%d connections", len(*opened))
+		t.Fatalf("%d connections were opened for a DELETE, expected 1", len(*opened))
 	}
 	(*opened)[0].release()
 	f.runIterations()
--- a/internal/worker/connection.go
+++ b/internal/worker/connection.go
@@ -185,7 +185,7 @@
 	}
 	hasEnded := events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0
 	switch {
-	case c.delayedLocally && hasEnded:
+	case c.delayedLocally && hasEnded: // the worker did not wait for the late request
 		c.terminate(errClosedByWorker)
 	case events&unix.EPOLLOUT != 0:
 		c.writeDelayedRequest()
--- a/internal/worker/delay_test.go
+++ b/internal/worker/delay_test.go
@@ -47,7 +47,7 @@
 	if remote := f.dialed[0]; f.pool.openCount != 0 || len(f.pool.byAttempt) != 0 {
 		t.Error("the connection is still open")
 	} else if remote.Read(1 << 12); len(remote.Received) > 0 || !remote.Ended {
-		t.Errorf("%q was written, closed %v", remote.Received, remote.Ended)
+		t.Errorf("%q was written, expected nothing; closed %v", remote.Received, remote.Ended)
 	}
 }
 
--- a/internal/worker/dial_test.go
+++ b/internal/worker/dial_test.go
@@ -54,10 +54,10 @@
 			}
 			f.expect("in flight", request)
 			if len(f.dialed) != 1 {
-				t.Fatalf("%d connections", len(f.dialed))
+				t.Fatalf("%d connections were opened, expected 1", len(f.dialed))
 			}
 			if f.dialed[0].Read(1 << 12); !strings.HasPrefix(string(f.dialed[0].Received), "POST /a ") {
-				t.Errorf("the worker got %q", f.dialed[0].Received)
+				t.Errorf("the worker got %q, expected the attempt", f.dialed[0].Received)
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 			}
 			f.expect("not sent in time", request, dispatch.NotSent)
 			if dials < 4 || dials > 10 {
-				t.Errorf("%d dials", dials)
+				t.Errorf("%d dials, expected 4 to 10", dials)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 	f.now += minDialBackoff
 	f.runIterations()
 	if len(f.dialed) != 1 {
-		t.Errorf("%d connections", len(f.dialed))
+		t.Errorf("%d connections were opened, expected 1", len(f.dialed))
 	}
 	f.expect("in flight", request)
 }
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/requests"
 )
 
-// responseGrace is how long a connection is kept after the deadline of its attempt, in case the response still arrives.
+// responseGrace is how long a connection is kept after its attempt has expired, in case the response still arrives.
 const responseGrace = time.Second
 
 // exchangeKind is the purpose of an exchange.
@@ -71,7 +71,7 @@
 	}
 	pool.writeBuffer = buffer
 	c.writeDeadline = loop.Clock() + timeout
-	if c.delayWrite() { // checked last, so that the write follows at once
+	if c.delayWrite() { // called last: it checks the client's connection, and the write must follow immediately
 		return
 	}
 	c.setTimeout(timeout)
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -147,14 +147,14 @@
 	return 0
 }
 
-// runActions has the policy return actions in one step.
+// runActions makes the policy return actions in one step.
 func (f *fixture) runActions(actions ...dispatch.Action) {
 	f.policy.Next = append(f.policy.Next, actions...)
 	f.table.Wake()
 	f.runIterations()
 }
 
-// sendAttempt admits a request with a payload of size bytes, and has the policy send an attempt of it to the worker.
+// sendAttempt admits a request with a payload of size bytes, and makes the policy send an attempt of it to the worker.
 func (f *fixture) sendAttempt(size int) *requests.Request {
 	f.tb.Helper()
 	request, err := f.table.Admit(f.now, requests.Arrival{
--- a/internal/worker/model_test.go
+++ b/internal/worker/model_test.go
@@ -62,7 +62,7 @@
 	return m
 }
 
-// step has the policy or the worker act once.
+// step makes the policy or the worker act once.
 func (w *workerModel) step() {
 	if w.act(w.Pick(10)) {
 		w.runIterations()
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -63,7 +63,7 @@
 		hasRelinquished: config.HasRelinquished,
 		maxConnections:  config.MaxConnections,
 		connectTimeout:  config.ConnectTimeout,
-		idleTimeout:     config.WorkerIdleTimeout * 3 / 4, // well before the worker: a request that crosses its close is lost
+		idleTimeout:     config.WorkerIdleTimeout * 3 / 4, // shorter: a request that is sent while the worker closes is lost
 		endpoints:       map[uint64]*endpointConnections{},
 		byAttempt:       map[*requests.Attempt]*connection{},
 		cancelAttempts:  map[*requests.Attempt]int{},
--- a/internal/worker/relinquish_test.go
+++ b/internal/worker/relinquish_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// relinquish has a successor own the request table and the connections, as a hot restart does.
+// relinquish makes a successor the owner of the request table and the connections, as a hot restart does.
 func (w *workerModel) relinquish() {
 	w.pool.EndWaitingDials()
 	w.runIterations()
--- a/internal/worker/request.go
+++ b/internal/worker/request.go
@@ -21,7 +21,7 @@
 	smallWriteTimeout = 50 * time.Millisecond
 	// budgetMargin is subtracted from the time budget of an attempt, for the network latency from the client and to the worker.
 	budgetMargin = 20 * time.Millisecond
-	// maxClockAge is how old the clock reading may be from which the time budget of an attempt is computed.
+	// maxClockAge is the maximum age of the clock reading from which the time budget of an attempt is computed.
 	maxClockAge = 5 * time.Millisecond
 )
 
--- a/internal/worker/response_test.go
+++ b/internal/worker/response_test.go
@@ -130,7 +130,7 @@
 			respond(f, remote)
 			next := f.sendAttempt(0)
 			if remote.Read(1 << 12); len(remote.Received) > 0 {
-				t.Errorf("the connection got %.60q", remote.Received)
+				t.Errorf("the connection with the stray response got %.60q, expected nothing", remote.Received)
 			}
 			f.expect("first request", request)
 			f.expect("next request", next)
--- a/internal/worker/transfer_test.go
+++ b/internal/worker/transfer_test.go
@@ -30,7 +30,7 @@
 	predecessor, remote := newPredecessorWithIdle(t)
 	snapshots := predecessor.pool.Snapshot()
 	if len(snapshots) != 1 || snapshots[0].State != hotrestart.WorkerIdle {
-		t.Fatalf("transferred: %+v", snapshots)
+		t.Fatalf("transferred %+v, expected one idle connection", snapshots)
 	}
 	descriptor, err := unix.Dup(snapshots[0].Descriptor)
 	if err != nil {
