--- a/internal/client/accept_test.go
+++ b/internal/client/accept_test.go
@@ -76,7 +76,7 @@
 				t.Errorf("accept was called %d times in a second", calls)
 			}
 			if f.listener.evicted.Len() > 0 != slices.Contains(evicting, errno) {
-				t.Errorf("%d connections evicted", f.listener.evicted.Len())
+				t.Errorf("%d connections evicted, expected some only if this process has no descriptor left", f.listener.evicted.Len())
 			}
 			injector.Clear()
 			failed := injector.Calls(eventloop.CallAccept)
--- a/internal/client/closing_test.go
+++ b/internal/client/closing_test.go
@@ -118,7 +118,7 @@
 	p.Write([]byte(requestOfSize(9, 0))) // it is unread when the connection is shut down
 	f.RunIterations()
 	if err := f.readToEnd(p); err != nil {
-		f.T.Errorf("after %d bytes: %v", len(p.Received), err)
+		f.T.Errorf("reading the response failed after %d bytes: %v", len(p.Received), err)
 	}
 	var m http1.Response
 	if _, err := m.Parse(p.Received, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
@@ -152,7 +152,7 @@
 			after.Write([]byte(requestOfSize(2, 0)))
 			f.RunIterations()
 			if got := statuses(t, before); len(got) != 1 || got[0] != 200 {
-				t.Errorf("got %v", got)
+				t.Errorf("got %v, expected one 200", got)
 			}
 			if err := f.readToEnd(after); err != nil || len(after.Received) > 0 || f.table.OpenCount() != 0 {
 				t.Errorf("got %q, %v, %d requests admitted", after.Received, err, f.table.OpenCount())
@@ -162,7 +162,8 @@
 }
 
 // A request that has arrived in part when its connection is shut down gets a response. It is rejected with 503 when the listener
-// closes or connections are evicted. On a connection that was silent until its timeout, the remainder may still arrive.
+// closes or connections are evicted. On a connection that is shut down after its timeout, because nothing was read from it, the
+// remainder may still arrive, and the request is then handled.
 func TestPartialRequestAtClose(t *testing.T) {
 	admitted, up := clientRequests[0].text, clientRequests[6].text
 	for name, c := range map[string]struct {
@@ -185,7 +186,7 @@
 		for read, isRead := range map[string]bool{"read": true, "unread": false} {
 			for client, first := range map[string]string{"new": "", "known": numberedRequest(up, 1)} {
 				if name == "idle" && (isRead || first != "") {
-					continue // one that was read has timed out, and one after another request has a timeout of its own
+					continue // a partial request that was read has timed out; one after another request has its own timeout
 				}
 				t.Run(name+", "+read+", "+client, func(t *testing.T) {
 					f := newFixture(&modeltest.Steps{T: t})
@@ -197,7 +198,7 @@
 	}
 }
 
-// checkPartialRequest has a client send a request in two halves, and shuts its connection down in between.
+// checkPartialRequest sends a client's request in two halves, and shuts the connection down in between.
 func (f *fixture) checkPartialRequest(first, request string, isRead bool, shutDown func(f *fixture), want int) {
 	p := f.connect()
 	p.Write([]byte(first))
@@ -302,11 +303,11 @@
 	}
 	for name, p := range map[string]*eventlooptest.Peer{"readiness": up, "request": request} {
 		if got := statuses(t, p); len(got) != 1 || got[0] != 200 {
-			t.Errorf("%s: got %v", name, got)
+			t.Errorf("%s: got %v, expected one 200", name, got)
 		}
 	}
 	if got := statuses(t, callback); len(got) != 1 || got[0] != 204 {
-		t.Errorf("callback: got %v", got)
+		t.Errorf("callback: got %v, expected one 204", got)
 	}
 }
 
@@ -417,7 +418,7 @@
 			p.Write([]byte(request[150:]))
 			f.RunIterations()
 			if err := f.readToEnd(p); err != nil {
-				t.Fatalf("after %q: %v", p.Received, err)
+				t.Fatalf("reading failed after %q: %v", p.Received, err)
 			}
 			got := statuses(t, p)
 			if len(got) != 1 || got[0] != 503 && got[0] != 408 || f.table.OpenCount() != 0 {
@@ -447,7 +448,7 @@
 		got := statuses(t, p)
 		for _, status := range got {
 			if status != 500 {
-				t.Errorf("%d in flight: got %v", inFlight, got)
+				t.Errorf("%d in flight: got %v, expected 500 only", inFlight, got)
 			}
 		}
 		if len(got) != inFlight+1 || !p.Ended || f.table.OpenCount() != 0 {
--- a/internal/client/connection.go
+++ b/internal/client/connection.go
@@ -70,7 +70,7 @@
 	probedAt        time.Duration // the time of the last probe
 	inputEnded      bool          // everything that the peer sent before it closed its sending side was read
 	panicked        bool          // a handler panicked
-	inputOverrun    bool          // more was sent ahead of responses than is buffered: further input is discarded
+	inputOverrun    bool          // more was sent ahead of responses than may be buffered: further input is discarded
 
 	inputArrivals      []inputArrival // of the unconsumed input
 	currentRequestSize int            // bytes of the request being handled, at the start of the input; 0: none
@@ -95,12 +95,11 @@
 // advancePhase enters a phase, unless the connection is past it.
 func (c *connection) advancePhase(next phase) { c.phase = max(c.phase, next) }
 
-// advanceHistory records a request.
+// advanceHistory records a kind of request, unless a more useful one is recorded.
 func (c *connection) advanceHistory(history requestHistory) { c.history = max(c.history, history) }
 
-// Priority has the events of clients handled before those of connections to workers: the disconnect of a client is noticed before
-// its request is written to a worker, and a worker's callback is applied before the end of the connection that carried its
-// attempt.
+// Priority is higher than that of connections to workers, so that the disconnect of a client is noticed before its request is
+// written to a worker, and a worker's callback is applied before the end of the connection that carried its attempt.
 func (c *connection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
 // HandlePanic ends the connection, with a response to each request that was read. A second panic ends it at once.
--- a/internal/client/connection_test.go
+++ b/internal/client/connection_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// act has the client or the policy act once.
+// act makes the client or the policy act once.
 func (m *clientModel) act(n, what int) {
 	switch {
 	case what < 3 && m.unsent == "" && !m.last && len(m.expected) < maxResponseSlots:
@@ -115,7 +115,7 @@
 	m.Record(fmt.Sprint("write ", size))
 }
 
-// respond has the policy reject or fail any open request.
+// respond makes the policy reject or fail any open request.
 func (m *clientModel) respond() {
 	if d := &m.expected[m.Pick(len(m.expected))]; d.status == 0 && m.Pick(2) == 0 {
 		m.policy.Next = append(m.policy.Next, dispatch.Reject{Job: d.job, RetryAfter: time.Second})
@@ -180,8 +180,8 @@
 	return expected
 }
 
-// A connection on which no request is begun, or one is not completed or malformed, is closed after requestReadTimeout. One that
-// awaits a response, or is idle after a request with a response, stays open.
+// A connection is closed after requestReadTimeout if no request has begun on it, or if its request is incomplete or malformed. A
+// connection that awaits a response, or is idle after a response, stays open.
 func TestStalledConnectionsEnd(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	texts := map[string]string{
@@ -222,7 +222,7 @@
 	}
 }
 
-// A client whose request is rejected while it still sends receives the response, and no reset: its input is discarded, for a
+// A client whose request is rejected while it is still sending receives the response, and no reset: its input is discarded, for a
 // limited time and without being buffered.
 func TestInputAfterRejectionIsDiscarded(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
@@ -239,7 +239,7 @@
 		}
 	}
 	if p.Read(1 << 10); !strings.HasPrefix(string(p.Received), "HTTP/1.1 413 ") || f.listener.bufferedBytes > 2*eventloop.MaxIdleBuffer {
-		t.Errorf("got %q, %d bytes buffered", p.Received, f.listener.bufferedBytes)
+		t.Errorf("got %q, expected 413; %d bytes buffered", p.Received, f.listener.bufferedBytes)
 	}
 	f.Time += lingerIdleTimeout + expiryInterval
 	if f.RunIterations(); len(f.listener.connections) != 0 {
@@ -374,7 +374,7 @@
 		t.Errorf("a request above the limit got %q", last.Received)
 	}
 	if first.Read(1); len(first.Received) > 0 || f.listener.maxRequests >= f.listener.maxConnections {
-		t.Errorf("a request in flight got %q", first.Received)
+		t.Errorf("a request in flight got %q, expected no response yet", first.Received)
 	}
 }
 
--- a/internal/client/disconnect_test.go
+++ b/internal/client/disconnect_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// disconnectBeforeSends has a client disconnect in the iteration in which the policy sends its requests. The client has written
-// the text before, of which a number of requests are admitted, and writes the text last right before it disconnects.
+// disconnectBeforeSends disconnects a client in the iteration in which the policy sends its requests. The client has written the
+// text before, of which the given number of requests are admitted, and writes the text last right before it disconnects.
 func (f *fixture) disconnectBeforeSends(before, last string, admitted int, disconnect func(*eventlooptest.Peer)) {
 	p := f.connect()
 	f.RunIterations()
@@ -99,7 +99,7 @@
 	worker.Reset()
 	f.RunIterations()
 	if got := statuses(t, client); len(got) != 1 || got[0] != 200 || f.table.OpenCount() != 0 {
-		t.Errorf("got %v, %d requests open", got, f.table.OpenCount())
+		t.Errorf("got %v, expected one 200; %d requests open", got, f.table.OpenCount())
 	}
 }
 
@@ -115,8 +115,8 @@
 	}
 }
 
-// closeWriteAfterRequests has a client write more requests than are handled ahead of responses, with bodies of a size, and close
-// its sending side. It expects a response to each.
+// closeWriteAfterRequests writes more requests of a client than are handled ahead of responses, with bodies of a size, and closes
+// the client's sending side. It expects a response to each.
 func (f *fixture) closeWriteAfterRequests(size int) {
 	const requests = 3 * maxResponseSlots
 	p := f.connect()
@@ -136,7 +136,7 @@
 	got := statuses(f.T, p)
 	for _, status := range got {
 		if status != 503 {
-			f.T.Errorf("got %v", got)
+			f.T.Errorf("got %v, expected 503 only", got)
 		}
 	}
 	p.Read(1)
@@ -145,8 +145,8 @@
 	}
 }
 
-// The input of a client that sends more ahead of responses than is buffered is still read. The buffered requests have responses,
-// one more is rejected, and the connection ends. Buffers stay bounded.
+// The input of a client that sends more ahead of responses than may be buffered is still read. The buffered requests get their
+// responses, one more is rejected, and the connection ends. Buffers stay bounded.
 func TestExcessReadAheadIsRejected(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	f.listen()
@@ -247,7 +247,7 @@
 	}
 	f.RunIterations()
 	if open := f.table.OpenCount(); open != clients {
-		t.Fatalf("%d requests admitted", open)
+		t.Fatalf("%d requests admitted, expected one for each client", open)
 	}
 	for n, p := range peers {
 		p.Close()
--- a/internal/client/expiry.go
+++ b/internal/client/expiry.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// closeIfExpired ends the connection if its peer has exceeded a timeout. A connection that awaits a response, or is idle after a
-// useful request, has none.
+// closeIfExpired ends the connection if its peer has exceeded a timeout. None applies to a connection that awaits a response, or
+// that is idle after a complete request.
 func (c *connection) closeIfExpired() {
 	now := c.loop().Now()
 	inactive := now - c.lastActivity
--- a/internal/client/fixture_test.go
+++ b/internal/client/fixture_test.go
@@ -143,7 +143,7 @@
 // hasAnsweredAll reports whether no request is open, and every response is sent.
 func (f *fixture) hasAnsweredAll() bool { return f.table.OpenCount() == 0 && f.listener.HasSentAll() }
 
-// act has the policy return actions in the next step, and makes the step due.
+// act makes the policy return actions in the next step, and makes the step due.
 func (f *fixture) act(actions ...dispatch.Action) {
 	f.policy.Next = append(f.policy.Next, actions...)
 	f.table.Wake()
--- a/internal/client/input.go
+++ b/internal/client/input.go
@@ -82,7 +82,7 @@
 // handlePartialRequest rejects a partial request that can't be buffered, or sends the interim response that the client expects
 // before the body.
 func (c *connection) handlePartialRequest(request *http1.Request) {
-	if c.history == historyUsefulRequest {
+	if c.history == historyUsefulRequest { // such a connection is not evicted while a request is being received
 		c.leaveList()
 	}
 	switch {
@@ -123,7 +123,7 @@
 
 func (c *connection) rejectOverrun() { c.rejectInput(503, "too much sent ahead of answers\n") }
 
-// exceedsReadAhead reports whether more input was read ahead of responses than is buffered.
+// exceedsReadAhead reports whether more input was read ahead of responses than may be buffered.
 func (c *connection) exceedsReadAhead() bool {
 	size := len(c.Input())
 	buffered, limit := c.listener.bufferedBytes, c.listener.maxBufferedBytes
--- a/internal/client/presence.go
+++ b/internal/client/presence.go
@@ -18,9 +18,9 @@
 
 const endEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 
-// AttemptHold returns how long to delay the write of an attempt until it is known whether its client is still connected; 0: write
+// WriteDelay returns how long to delay the write of an attempt until it is known whether its client is still connected; 0: write
 // it now. If it finds that the client has disconnected, the attempt ends.
-func AttemptHold(attempt *requests.Attempt) time.Duration {
+func WriteDelay(attempt *requests.Attempt) time.Duration {
 	slot, ok := attempt.Request.Responder().(*responseSlot)
 	if !ok || !slot.connection.IsOpen() {
 		return 0
--- a/internal/client/proxy_test.go
+++ b/internal/client/proxy_test.go
@@ -81,7 +81,7 @@
 func checkLogAddresses(s *modeltest.Steps, log, addresses string, isRejected bool, answered int) {
 	for _, line := range strings.Split(strings.TrimSpace(log), "\n") {
 		if answered > 0 && line != "" {
-			s.Check(strings.HasSuffix(line, addresses), "%q is not about%s", line, addresses)
+			s.Check(strings.HasSuffix(line, addresses), "log line %q does not end with%s", line, addresses)
 		}
 		s.Check(line == "" || isRejected && strings.Contains(line, " client=") || answered > 0, "%q logged about a connection that was not rejected and sent no request", line)
 	}
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -57,7 +57,7 @@
 	s.workers = worker.New(worker.Config{
 		Loop:              s.Loop,
 		Dial:              func(address netip.AddrPort) (descriptor int, err error) { return s.dial(address) },
-		WriteDelay:        client.AttemptHold,
+		WriteDelay:        client.WriteDelay,
 		HasRelinquished:   s.hasRelinquished,
 		MaxConnections:    maxConnections,
 		ConnectTimeout:    connectTimeout,
