--- a/internal/scheduler/client_presence_test.go
+++ b/internal/scheduler/client_presence_test.go
@@ -12,7 +12,7 @@
 
 const (
 	maxBeginAfterClose = 100 * time.Millisecond // an attempt may begin until this long after its client's close
-	probeResponseTime  = 10 * time.Millisecond  // an attempt is held for this time while its client is probed
+	probeResponseTime  = 10 * time.Millisecond  // the write of an attempt is delayed for this time while its client is probed
 )
 
 // A client closes its connection just when the process is suspended. If that happens at any clock reading or system call before
@@ -131,7 +131,7 @@
 			}
 		}
 		if open := h.scheduler.Requests.OpenCount(); open != 0 {
-			t.Errorf("%d requests are open", open)
+			t.Errorf("%d requests are open, expected none", open)
 		}
 	}
 }
--- a/internal/scheduler/clients_test.go
+++ b/internal/scheduler/clients_test.go
@@ -93,7 +93,7 @@
 }
 
 // A client closes its connection during an attempt of its request. An attempt that is not completely written is stopped, also
-// if its connection is established in the same iteration. An accepted attempt continues. In neither case another attempt is
+// if its connection is established in the same iteration. An accepted attempt continues. In neither case is another attempt
 // sent.
 func TestClientClosesDuringAttempt(t *testing.T) {
 	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
--- a/internal/scheduler/cordon_store_test.go
+++ b/internal/scheduler/cordon_store_test.go
@@ -64,7 +64,7 @@
 	successor.awaitCordonsStored()
 	got, err := hotrestart.LoadCordonFile(disk, dir)
 	if err != nil || !slices.Equal(got, []string{"s-0"}) || len(disk.Files()) != 1 {
-		t.Errorf("stored %v, %v; files %q", got, err, disk.Files())
+		t.Errorf("stored %v, error %v, expected s-0; files %q, expected one", got, err, disk.Files())
 	}
 }
 
@@ -113,6 +113,6 @@
 	disk.SetFault(nil)
 	predecessor.awaitCordonsStored()
 	if got, err := hotrestart.LoadCordonFile(disk, dir); err != nil || !slices.Equal(got, []string{"s-0"}) {
-		t.Errorf("stored %v, %v", got, err)
+		t.Errorf("stored %v, error %v, expected s-0", got, err)
 	}
 }
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -19,9 +19,9 @@
 	faultSeedsVariable   = "VALVECOVE_FAULT_SEEDS" // environment variable with the number of seeds to run
 	defaultFaultSeeds    = 20
 	faultSteps           = 150
-	maxStall             = 150 * time.Millisecond // total of the calls of a step
+	maxStall             = 150 * time.Millisecond // total delay by the stalled calls of a step
 	maxAttemptAfterClose = 100 * time.Millisecond // an attempt may reach a worker until this long after its client's close
-	maxLateAnswer        = 500 * time.Millisecond // past the deadline, where calls fail
+	maxLateAnswer        = 500 * time.Millisecond // after the deadline, when system calls fail
 	maxUnhandledTime     = 250 * time.Millisecond // for which descriptors may have events that the loop does not handle
 )
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// workerNumber returns the ID that the policy knows the only worker by.
+// workerNumber returns the policy's number for the only worker.
 func (h *harness) workerNumber() uint64 {
 	for _, e := range h.policy.Received {
 		if list, ok := e.(dispatch.WorkerList); ok {
--- a/internal/scheduler/hotrestart_attempt_test.go
+++ b/internal/scheduler/hotrestart_attempt_test.go
@@ -48,7 +48,7 @@
 	}
 	next.runIterations()
 	if p := next.dialed[len(next.dialed)-1]; !p.hasReceivedDelete(q) {
-		t.Errorf("the worker received %q", p.Received)
+		t.Errorf("the worker received %q, expected a DELETE", p.Received)
 	}
 	next.expectOutcomes("not answered yet", q)
 	next.respondDelete(next.dialed[len(next.dialed)-1])
--- a/internal/scheduler/hotrestart_fuzz_test.go
+++ b/internal/scheduler/hotrestart_fuzz_test.go
@@ -101,7 +101,7 @@
 	h.restarts++
 	err := h.handOverTo(successor)
 	h.Check(err == nil, "hot restart: %v", err)
-	h.Check(h.scheduler.hasRelinquished() && successor.scheduler.restart.AwaitsSuccessor(), "not replaced")
+	h.Check(h.scheduler.hasRelinquished() && successor.scheduler.restart.AwaitsSuccessor(), "the successor has not replaced the predecessor")
 	h.harness = successor
 	h.Record("restart")
 }
@@ -167,7 +167,7 @@
 func (h *hotRestartModel) exchange(readSize int) {
 	h.runIterations()
 	cordoned := h.scheduler.Requests.Cordoned()
-	h.Check((len(cordoned) == 1) == h.cordoned, "cordoned %v", cordoned)
+	h.Check((len(cordoned) == 1) == h.cordoned, "cordoned %v, which differs from the model", cordoned)
 	for _, connection := range h.dialed {
 		if connection.dialedAddress != h.scheduler.watch.Server() { // a process that takes over connects to discovery too
 			h.workers = append(h.workers, connection)
@@ -190,7 +190,7 @@
 			continue
 		}
 		whole := string(message.Get("X-Call-Id")) == h.callID() && len(message.Body) == h.bodySize() && size == len(connection.Received)
-		h.Check(whole, "attempt %q", connection.Received)
+		h.Check(whole, "the worker received %q, expected exactly the latest attempt", connection.Received)
 		connection.Received = nil
 		h.attempts++
 		h.Check(h.attempts == h.requested, "%d attempts of %d requests", h.attempts, h.requested)
--- a/internal/scheduler/hotrestart_test.go
+++ b/internal/scheduler/hotrestart_test.go
@@ -138,7 +138,7 @@
 	successor.scheduler.Requests.Wake()
 	successor.runIterations()
 	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 503 ") {
-		t.Errorf("the client received %q", client.Received)
+		t.Errorf("the client received %q, expected 503", client.Received)
 	}
 }
 
@@ -215,14 +215,14 @@
 		}
 	}
 	if len(resumed) != 1 || resumed[0].Job.ID != 1 || len(resumed[0].Attempts) != 1 || resumed[0].Attempts[0].Ended {
-		t.Fatalf("resumed %+v", resumed)
+		t.Fatalf("resumed %+v, expected request 1 with an attempt in flight", resumed)
 	}
 	result := "made"
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
 	_, _ = successor.scheduler.Requests.HandleCallback(callback)
 	successor.runIterations()
 	if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
-		t.Errorf("the client received %q", client.Received)
+		t.Errorf("the client received %q, expected the worker's result", client.Received)
 	}
 }
 
@@ -240,7 +240,7 @@
 }
 
 // A forwarded cordon call that is rejected is answered while an earlier one waits for the file to be written. Each call is
-// answered with its own result, also a later one, and none is still pending at the hot restart.
+// answered with its own result, also a later one, so that no call is still pending at the hot restart.
 func TestForwardedCordonsAreAnsweredInAnyOrder(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
--- a/internal/scheduler/operators_test.go
+++ b/internal/scheduler/operators_test.go
@@ -63,14 +63,14 @@
 	client.Write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	h.runIterations()
 	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 404 ") {
-		t.Errorf("a client received %q", client.Received)
+		t.Errorf("a client received %q, expected 404", client.Received)
 	}
 	if got := h.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "200 ready" {
-		t.Errorf("serving: %q", got)
+		t.Errorf("readiness while serving: %q, expected 200", got)
 	}
 	h.scheduler.Drain()
 	if got := h.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
-		t.Errorf("draining: %q", got)
+		t.Errorf("readiness while draining: %q, expected 503", got)
 	}
 	// A client connection that is ready in the same iteration is handled later, even if its descriptor is lower.
 	var calls []string
--- a/internal/scheduler/outage_test.go
+++ b/internal/scheduler/outage_test.go
@@ -93,7 +93,7 @@
 		d.passTime(promptServiceTime, promptServiceTime, false)
 	}
 	for _, q := range d.requests {
-		d.Check(q.answers == 1, "%s has %d answers", q.id, q.answers)
+		d.Check(q.answers == 1, "%s has %d answers, expected 1", q.id, q.answers)
 	}
 }
 
@@ -145,7 +145,7 @@
 
 var discoveryFaults = []discoveryFault{
 	{name: "refused", dial: func(*deployment) error { return unix.ECONNREFUSED }, runs: 2},
-	{name: "dials hang", silent: true, dial: (*deployment).hangDial, runs: 12}, // one for each end of the outage during a dial
+	{name: "dials hang", silent: true, dial: (*deployment).hangDial, runs: 12}, // each ends at another time of a dial
 	{name: "out of ports", dial: func(*deployment) error { return unix.EADDRNOTAVAIL }, runs: 2},
 	{name: "silent", silent: true, reachable: true, runs: 2},
 }
@@ -184,7 +184,7 @@
 					d.passTime(time.Second, fineStep, true)
 					d.passTime(maxNotificationDelay, step/4, true)
 					d.awaitAllAnswers()
-					d.Check(d.openWatches() == 1, "%d open watches at the end", d.openWatches())
+					d.Check(d.openWatches() == 1, "%d open watches at the end, expected 1", d.openWatches())
 				})
 			}
 		}
@@ -300,7 +300,7 @@
 // a reset, or not at all. Each request is answered in time and retried only as its class allows, and the scheduler stops using
 // connections that were idle for that long.
 func TestSilentlyDroppedConnections(t *testing.T) {
-	for name, forget := range map[string]func(p *peer, f *remoteEnd, t *attempt){
+	for name, failAttempt := range map[string]func(p *peer, f *remoteEnd, t *attempt){
 		"reset": func(p *peer, f *remoteEnd, t *attempt) {
 			f.pending, t.ended = nil, true
 			p.Reset()
@@ -317,8 +317,8 @@
 						class["promise"] = int64(400_000)
 					}
 				})
-				if forgotten := d.sendOnDroppedConnections(forget); forgotten == 0 || 4*forgotten > len(d.requests) {
-					t.Errorf("of %d requests %d were sent on dropped connections", len(d.requests), forgotten)
+				if dropped := d.sendOnDroppedConnections(failAttempt); dropped == 0 || 4*dropped > len(d.requests) {
+					t.Errorf("of %d requests %d were sent on dropped connections, expected some, and at most a quarter", len(d.requests), dropped)
 				}
 			})
 		}
@@ -326,24 +326,24 @@
 }
 
 // sendOnDroppedConnections makes workers drop connections that were idle for longer than a limit, and sends requests at longer
-// intervals. It returns how many attempts were written to dropped connections.
-func (d *deployment) sendOnDroppedConnections(forget func(p *peer, f *remoteEnd, t *attempt)) (forgotten int) {
-	const remembered, step, rounds = 300 * time.Millisecond, 20 * time.Millisecond, 60
+// intervals. failAttempt is called for each attempt that is written to a dropped connection. It returns how many there were.
+func (d *deployment) sendOnDroppedConnections(failAttempt func(p *peer, f *remoteEnd, t *attempt)) (dropped int) {
+	const maxIdle, step, rounds = 300 * time.Millisecond, 20 * time.Millisecond, 60
 	lastUse := map[*peer]time.Duration{}
 	d.handleAttempt = func(p *peer, f *remoteEnd, t *attempt) {
 		last, used := lastUse[p]
 		lastUse[p] = d.now
-		if !used || d.now-last <= remembered {
+		if !used || d.now-last <= maxIdle {
 			d.servePromptly(p, f, t)
 			return
 		}
-		forgotten++
-		forget(p, f, t)
+		dropped++
+		failAttempt(p, f, t)
 	}
 	for range rounds {
-		d.passTime(2*remembered, step, false)
+		d.passTime(2*maxIdle, step, false)
 		d.passTime(step, step, true)
 	}
 	d.awaitAllAnswers()
-	return forgotten
+	return dropped
 }
--- a/internal/scheduler/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -215,13 +215,13 @@
 func TestPeerCounts(t *testing.T) {
 	h := newHarness(&modeltest.Steps{T: t})
 	if counts := h.scheduler.peerCounts(1); counts != (metrics.PeerCounts{}) {
-		t.Errorf("%+v without a socket", counts)
+		t.Errorf("counts %+v without a socket, expected zeros", counts)
 	}
 	h, _ = newPeerPair(t)
 	h.sendToPeer(1, queuedMessage(1))
 	before := h.scheduler.peerCounts(0)
 	if !before.Enabled || before.Sent != 1 {
-		t.Errorf("%+v after a datagram", before)
+		t.Errorf("counts %+v after a datagram, expected one sent", before)
 	}
 	h.scheduler.dispatcher = dispatch.New(dispatch.Settings{}, 1)
 	if counts := h.scheduler.peerCounts(0); counts != before {
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -49,7 +49,7 @@
 		if s.Capture != nil {
 			policy = s.Capture.Wrap(s.dispatcher)
 		}
-		if hasAperture { // outside the capture, which records the input of the dispatcher
+		if hasAperture { // wraps the capture, which must record the dispatcher's input as the aperture has changed it
 			policy = aperture.New(policy, conf.Settings.Settings, *ops.Aperture)
 		}
 		return policy
--- a/internal/scheduler/transfer_fault_test.go
+++ b/internal/scheduler/transfer_fault_test.go
@@ -37,7 +37,7 @@
 		p.Write([]byte(requestOfSize(1, 0)))
 		h.runIterations()
 		if open := h.scheduler.Requests.OpenCount(); open != 1 {
-			t.Fatalf("%d requests open", open)
+			t.Fatalf("%d requests open, expected 1", open)
 		}
 		h.failTransfers(fd, errno)
 		p.Write([]byte("more"))
