--- a/internal/hotrestart/clocks_test.go
+++ b/internal/hotrestart/clocks_test.go
@@ -35,7 +35,7 @@
 	successor := ClockReadings{Clock: goldenTime + 40*time.Microsecond, Monotonic: time.Hour}
 	for _, predecessor := range []ClockReadings{{}, {Clock: goldenTime, Monotonic: time.Hour}} {
 		if got := successor.AheadOf(predecessor); got != 0 {
-			t.Errorf("ahead of %v by %v", predecessor, got)
+			t.Errorf("ahead of %v by %v, expected 0", predecessor, got)
 		}
 	}
 }
--- a/internal/hotrestart/cordon_crash_test.go
+++ b/internal/hotrestart/cordon_crash_test.go
@@ -82,7 +82,7 @@
 		t.Error(err)
 	}
 	if got := slices.Collect(maps.Keys(disk.Files())); !slices.Equal(got, []string{cordonPath}) {
-		t.Errorf("files that are left: %q", got)
+		t.Errorf("files that are left: %q, expected the cordon file only", got)
 	}
 	if got, err := LoadCordonFile(disk, testStateDir); err != nil || !slices.Equal(got, []string{"s-3"}) {
 		t.Errorf("after the write of the next process: %v, %v", got, err)
@@ -125,6 +125,6 @@
 	first, second := newCordonFileWriter(disk, testStateDir), newCordonFileWriter(disk, testStateDir)
 	err := errors.Join(first.writeTemporary([]byte(newCordons)), second.writeTemporary([]byte("half")), first.renameTemporary())
 	if got := disk.Files()[cordonPath]; err != nil || got != newCordons {
-		t.Errorf("%v, left %q", err, got)
+		t.Errorf("error %v, left %q, expected the new content", err, got)
 	}
 }
--- a/internal/hotrestart/cordon_retry_test.go
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("reported changes %v, %d timers left", loop.changes, len(loop.timers))
 	}
 	if len(results) != 2 || !errors.Is(results[0], syscall.ENOSPC) || !errors.Is(results[1], syscall.ENOSPC) {
-		t.Errorf("callbacks received %v", results)
+		t.Errorf("callbacks received %v, expected two write errors", results)
 	}
 }
 
@@ -113,7 +113,7 @@
 	store.Unfence()
 	loop.runPosted()
 	if got, err := LoadCordonFile(disk, testStateDir); err != nil || !slices.Equal(got, []string{"s-9"}) || !store.State().Stored {
-		t.Errorf("after Unfence: %v, %v", got, err)
+		t.Errorf("after Unfence the file has %v, error %v, expected s-9", got, err)
 	}
 }
 
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -44,7 +44,7 @@
 		}
 		var unusable *CordonFileError
 		if got, err := ReadCordonFile(dir); !errors.As(err, &unusable) || got != nil {
-			t.Errorf("%.30q: %v, %v", content, got, err)
+			t.Errorf("file with %.30q: read %v, error %v, expected a CordonFileError", content, got, err)
 		}
 	}
 }
@@ -137,6 +137,6 @@
 	loop.runPosted()
 	var unusable *CordonFileError
 	if !errors.As(got, &unusable) || !errors.Is(got, fs.ErrNotExist) || store.IsWriting() {
-		t.Errorf("%v", got)
+		t.Errorf("the callback received %v, expected a CordonFileError for a missing directory", got)
 	}
 }
--- a/internal/hotrestart/frame_test.go
+++ b/internal/hotrestart/frame_test.go
@@ -52,7 +52,7 @@
 		}
 		for i := range size {
 			if _, _, short := ReadFrame(buffer[:i]); !errors.Is(short, ErrIncomplete) {
-				t.Fatalf("%d of %d bytes: %v", i, size, short)
+				t.Fatalf("%d of %d bytes of a frame: %v, expected ErrIncomplete", i, size, short)
 			}
 		}
 		if again, k, err := ReadFrame(buffer[:size]); err != nil || k != size || !bytes.Equal(again.Body, whole.Body) {
@@ -75,7 +75,7 @@
 	} {
 		var broken *FrameError
 		if _, _, err := ReadFrame(header); !errors.As(err, &broken) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, expected a FrameError", name, err)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	var tooLarge *FrameError
 	got, err := AppendMessage(buffer, SnapshotChunk(make([]byte, MaxBodySize+1)))
 	if !errors.As(err, &tooLarge) || tooLarge.Kind != KindSnapshotChunk || !bytes.Equal(got, buffer) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("%d bytes, %v, expected the unchanged buffer and a FrameError", len(got), err)
 	}
 	if _, err := AppendMessage(nil, SnapshotChunk(make([]byte, MaxBodySize))); err != nil {
 		t.Error(err)
@@ -96,10 +96,10 @@
 func TestFrameMessageRejectWithoutReason(t *testing.T) {
 	frame := Frame{Kind: KindReject, Body: []byte("{")}
 	if message, err := frame.Message(); err != nil || message.Kind() != KindReject {
-		t.Errorf("%v, %v", message, err)
+		t.Errorf("a Reject with an invalid body: %v, %v", message, err)
 	}
 	if message, err := (Frame{Kind: KindAccept, Body: []byte("{")}).Message(); err == nil {
-		t.Errorf("decoded %v", message)
+		t.Errorf("an Accept with an invalid body was decoded: %v", message)
 	}
 }
 
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// goldenRequestTableWithStarts returns the request table of builds that determine when workers started.
+// goldenRequestTableWithStarts returns the request table of builds that convert start times of workers to the process's clock.
 func goldenRequestTableWithStarts() RequestTable {
 	table := goldenRequestTable()
 	table.Starts = []requests.WorkerStart{{EndpointID: "s-0", ListedMs: 1_764_633_000_000, At: goldenTime - 600*time.Second}}
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -168,6 +168,6 @@
 	action, err := predecessor.HandleMessage(Handshake{Version: ProtocolVersion + 1})
 	var other *VersionError
 	if action != ActionReject || !errors.As(err, &other) || err.Error() != "form 2, expected 1" {
-		t.Errorf("action %d, %v", action, err)
+		t.Errorf("action %d, error %v, expected a rejection with the text of all builds", action, err)
 	}
 }
--- a/internal/hotrestart/received_test.go
+++ b/internal/hotrestart/received_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("workers %+v", workers)
 	}
 	if got := received.Descriptors(); !slices.Equal(got, []int{11, 10, 12}) {
-		t.Errorf("descriptors %v", got)
+		t.Errorf("descriptors %v, expected 11, 10 and 12", got)
 	}
 	if err := received.Check(); err != nil {
 		t.Error(err)
@@ -48,7 +48,7 @@
 	received.Add(SnapshotChunk(buffer), NoDescriptor)
 	buffer[0] = 'x'
 	if string(received.PolicySnapshot) != "ab" {
-		t.Errorf("snapshot %q", received.PolicySnapshot)
+		t.Errorf("snapshot %q, expected ab", received.PolicySnapshot)
 	}
 }
 
@@ -59,7 +59,7 @@
 		received.Add(message, NoDescriptor)
 		var missing *MissingDescriptorError
 		if err := received.Check(); !errors.As(err, &missing) || missing.Kind != message.Kind() {
-			t.Errorf("%v: %v", message.Kind(), err)
+			t.Errorf("%v without a descriptor: %v, expected a MissingDescriptorError", message.Kind(), err)
 		}
 	}
 }
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -196,7 +196,7 @@
 		}
 		var missing *MissingFramesError
 		if _, err := successor.HandleMessage(TransferEnd{announced}); !errors.As(err, &missing) || *missing != (MissingFramesError{1, announced}) {
-			t.Errorf("%d announced: %v", announced, err)
+			t.Errorf("%d frames announced: %v, expected an error with both numbers", announced, err)
 		}
 	}
 }
@@ -210,6 +210,6 @@
 		}
 	}
 	if _, err := successor.HandleMessage(SnapshotChunk{1}); !errors.Is(err, ErrSnapshotTooLarge) {
-		t.Errorf("one byte more: %v", err)
+		t.Errorf("a snapshot one byte over the limit: %v, expected ErrSnapshotTooLarge", err)
 	}
 }
--- a/internal/hotrestart/transport/transport_test.go
+++ b/internal/hotrestart/transport/transport_test.go
@@ -26,14 +26,14 @@
 	}
 	restored := successor.restored[0].ClientConnections
 	if len(restored) != 1 || string(restored[0].Input) != "GET" {
-		t.Fatalf("restored %+v", restored)
+		t.Fatalf("restored %+v, expected the client connection", restored)
 	}
 	_ = unix.Close(descriptor)
 	if _, err := unix.Write(restored[0].Descriptor, []byte("x")); err != nil {
 		t.Error(err)
 	}
 	if remote.Read(1); string(remote.Received) != "x" {
-		t.Errorf("received %q", remote.Received)
+		t.Errorf("the client received %q, expected x", remote.Received)
 	}
 	_ = unix.Close(restored[0].Descriptor)
 }
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if len(successor.restored) != 1 || string(successor.restored[0].PolicySnapshot) != string(predecessor.snapshot.Policy) {
-		t.Fatalf("restored %+v", successor.restored)
+		t.Fatalf("restored %+v, expected the snapshot once", successor.restored)
 	}
 	if !predecessor.roles.HasRelinquished() || !predecessor.isReleased || successor.isHalved || successor.socket < 0 {
 		t.Error("after the transfer, the successor is not the only owner")
