--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -49,7 +49,7 @@
 		c := s.dialFrom("127.0.0.9")
 		_, _ = io.WriteString(c, header+testRequest)
 		if line, _ := bufio.NewReader(c).ReadString('\n'); line != unavailableStatusLine {
-			t.Errorf("after %q: %q", header, line)
+			t.Errorf("a request after %q: %q, expected 503", header, line)
 		}
 		whose := " client=203.0.113.7:51514 via=" + c.LocalAddr().String()
 		s.awaitLogLine(`msg="client connection open" scheduler=n0` + whose)
@@ -76,6 +76,6 @@
 	c := s.dial()
 	_, _ = io.WriteString(c, "PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n\r\n")
 	if line, _ := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 400 ") {
-		t.Errorf("%q", line)
+		t.Errorf("a PROXY header got %q, expected 400", line)
 	}
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -82,7 +82,7 @@
 			step.act()
 		}
 		if !slices.Equal(loop.steps, want) {
-			t.Errorf("deadline %v: %q", deadline, loop.steps)
+			t.Errorf("deadline %v: unexpected steps %q", deadline, loop.steps)
 		}
 	}
 }
--- a/internal/server/metric_targets_test.go
+++ b/internal/server/metric_targets_test.go
@@ -56,7 +56,7 @@
 	}
 	writer.Close(time.Minute)
 	if log.text.String() != "first\nsecond\nthird\n" {
-		t.Errorf("%q", log.text.String())
+		t.Errorf("the log has %q, expected three complete lines", log.text.String())
 	}
 }
 
--- a/internal/server/metrics_test.go
+++ b/internal/server/metrics_test.go
@@ -46,7 +46,7 @@
 	w.callBack(`{"id":"` + id + `","from":"s-1","state":"started"}`)
 	w.callBack(`{"id":"` + id + `","from":"s-1","state":"done","result":"booked"}`)
 	if status, text := readResponse(w.T, answer); status != "200" || text != "booked" {
-		w.Errorf("%s: %s %s", id, status, text)
+		w.Errorf("%s: %s %s, expected 200 booked", id, status, text)
 	}
 }
 
@@ -82,7 +82,7 @@
 	w.stop()
 	text, err := os.ReadFile(file)
 	if err != nil || strings.Count(string(text), servedLine+"\n") != 1 {
-		t.Errorf("%v, %q", err, text)
+		t.Errorf("error %v, file %q, expected one line for the served job", err, text)
 	}
 	awaitBatch(t, l, servedLine, 1400)
 	w = startWithWorker(t, "[figures]\nflush_ms = 3600000")
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -23,7 +23,7 @@
 // process is a running scheduler process under test, with real sockets and signals.
 type process struct {
 	*testing.T
-	configPath, addr string         // of the platform's file; that clients connect to
+	configPath, addr string         // path of the platform's file; address that clients connect to
 	opsPath          string         // path of the operators' file; empty: none
 	logLines         *bufio.Scanner // of the log
 	result           chan error     // receives the result of Run
@@ -104,7 +104,7 @@
 	return l
 }
 
-// expectLine accepts a connection and expects the request line that starts with want.
+// expectLine accepts a connection, and expects a request line with the method and target in want.
 func (s *process) expectLine(l net.Listener, want string) {
 	c, err := l.Accept()
 	if err != nil {
@@ -118,7 +118,7 @@
 
 const (
 	testRequest = "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: 1\r\nContent-Length: 0\r\n\r\n"
-	// unavailableStatusLine is the response to request: the only worker refuses connections, so the policy eventually fails it.
+	// unavailableStatusLine starts the response to testRequest: the only worker refuses connections, so the request is rejected.
 	unavailableStatusLine = "HTTP/1.1 503 Service Unavailable\r\n"
 )
 
@@ -126,13 +126,13 @@
 func TestStartAndDrain(t *testing.T) {
 	s := start(t, testConfig)
 	if line, _ := s.sendRequest("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("/up: %q", line)
+		t.Errorf("/up: %q, expected 200", line)
 	}
 	answer := s.sendRequest(testRequest)
 	stoppedAt := time.Now()
 	s.signal(syscall.SIGTERM)
 	if line, _ := answer.ReadString('\n'); line != unavailableStatusLine {
-		t.Errorf("the request in flight: %q", line)
+		t.Errorf("the request in flight: %q, expected 503", line)
 	}
 	if err := <-s.result; err != nil {
 		t.Error(err)
@@ -165,7 +165,7 @@
 	s.awaitLogLine("draining")
 	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // on a connection from before the drain
 	if line, _ := bufio.NewReader(other).ReadString('\n'); line != unavailableStatusLine {
-		t.Errorf("/up while draining: %q", line)
+		t.Errorf("/up while draining: %q, expected 503", line)
 	}
 	s.configure(with(third))
 	s.signal(syscall.SIGHUP)
@@ -174,7 +174,7 @@
 	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
 	s.sendRequest("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("the request in flight: %q", line)
+		t.Errorf("the request in flight: %q, expected 200", line)
 	}
 	if err := <-s.result; err != nil {
 		t.Error(err)
@@ -225,12 +225,12 @@
 	from, to := strings.Index(testConfig, `"known"`), strings.Index(testConfig, `"settings"`)
 	s := start(t, strings.NewReplacer("80000", "50000000", "500000", "60000000").Replace(testConfig[:from]+testConfig[to:]))
 	if line, _ := s.sendRequest("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != unavailableStatusLine {
-		t.Errorf("/up: %q", line)
+		t.Errorf("/up: %q, expected 503", line)
 	}
 	answer := s.sendRequest(testRequest)
 	s.signal(syscall.SIGTERM)
 	if line, _ := answer.ReadString('\n'); line != unavailableStatusLine {
-		t.Errorf("the queued request: %q", line)
+		t.Errorf("the queued request: %q, expected 503", line)
 	}
 	if err := <-s.result; err != nil {
 		t.Error(err)
@@ -247,7 +247,7 @@
 	s.expectLine(worker, "POST /a")
 	s.signal(syscall.SIGTERM)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 500 Internal Server Error\r\n" {
-		t.Errorf("the request in flight: %q", line)
+		t.Errorf("the request in flight: %q, expected 500", line)
 	}
 	if err := <-s.result; err != nil {
 		t.Error(err)
@@ -267,7 +267,7 @@
 		}
 	}
 	if line, _ := s.sendRequest("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("/up: %q", line)
+		t.Errorf("/up: %q, expected 200", line)
 	}
 	s.configure(strings.Replace(text, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
 	s.signal(syscall.SIGHUP)
@@ -280,7 +280,7 @@
 	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
 	s.sendRequest("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("the request: %q", line)
+		t.Errorf("the request: %q, expected 200", line)
 	}
 	s.signal(syscall.SIGTERM)
 	if err := <-s.result; err != nil {
--- a/internal/server/status_test.go
+++ b/internal/server/status_test.go
@@ -47,7 +47,7 @@
 type processWithWorker struct {
 	*process
 	worker           net.Listener
-	statusReader     *bufio.Reader // reads from side
+	statusReader     *bufio.Reader // reads from statusConnection
 	statusConnection net.Conn      // connection to the status port
 }
 
@@ -80,7 +80,7 @@
 func (w *processWithWorker) callBack(callback string) {
 	r := w.sendRequest("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := r.ReadString('\n'); line != "HTTP/1.1 204 No Content\r\n" {
-		w.Errorf("%s: %q", callback, line)
+		w.Errorf("callback %s: %q, expected 204", callback, line)
 	}
 }
 
@@ -100,8 +100,8 @@
 	}
 }
 
-// A client polls the status of a job while it waits, after its start, after a progress report, and after its end, and during a
-// drain.
+// A client polls the status of a job while the job waits, after its start, after a progress report, and after its end. Another
+// job's status is polled during a drain.
 func TestStatusCall(t *testing.T) {
 	port := freePort(t)
 	w := startWithWorker(t, "[status]\nlisten_port = "+port)
@@ -123,7 +123,7 @@
 	w.expectStatus("9b1f03aa5c7e2d41", "200", start+`"state":"running","worker":"s-1","share":0.4}`)
 	callBack(`"state":"done","result":"booked"}`)
 	if status, text := readResponse(t, answer); status != "200" || text != "booked" {
-		t.Errorf("the client got %s %s", status, text)
+		t.Errorf("the client got %s %s, expected 200 booked", status, text)
 	}
 	w.expectStatus("9b1f03aa5c7e2d41", "200", start+`"state":"ended","worker":"s-1","outcome":"served"}`)
 	w.submit("2")
