--- a/internal/management/cordons_test.go
+++ b/internal/management/cordons_test.go
@@ -21,7 +21,7 @@
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC, filesystemtest.Write))
 	f.storeCordonsOn(disk, "/state")
 	if got := f.callUntilAnswered("PUT /v1/worker-nodes/s-0/suspend HTTP/1.1"); !strings.HasPrefix(got, "503 not kept: ") {
-		t.Errorf("suspend: %q", got)
+		t.Errorf("suspend: %q, expected 503", got)
 	}
 	for len(disk.Calls()) < 20 {
 		f.Time += 700 * time.Millisecond
@@ -36,22 +36,22 @@
 		t.Errorf("while it is not stored: %q, expected %s", got, want)
 	}
 	if got := f.callUntilAnswered("GET /v1/metrics HTTP/1.1"); !strings.Contains(got, "edge_proxy.hosts_out_not_kept=1") {
-		t.Errorf("metrics: %q", got)
+		t.Errorf("metrics: %q, expected an unstored cordon", got)
 	}
 	disk.SetFault(nil)
 	f.awaitStored()
 	if got, err := hotrestart.LoadCordonFile(disk, "/state"); err != nil || !slices.Equal(got, []string{"s-0"}) {
-		t.Errorf("stored %v, error %v", got, err)
+		t.Errorf("stored %v, error %v, expected s-0", got, err)
 	}
 	if got := f.callUntilAnswered("GET /v1/worker-nodes HTTP/1.1"); got != `200 {"out":["s-0"],"kept":true}` {
 		t.Errorf("once it is stored: %q", got)
 	}
 	if got := f.callUntilAnswered("GET /v1/metrics HTTP/1.1"); !strings.Contains(got, "edge_proxy.hosts_out_not_kept=0") {
-		t.Errorf("metrics: %q", got)
+		t.Errorf("metrics: %q, expected no unstored cordon", got)
 	}
 	text := f.log.String()
 	if strings.Count(text, "are not stored") != 1 || strings.Count(text, "are stored again") != 1 {
-		t.Errorf("log:\n%s", text)
+		t.Errorf("expected one line for the failure and one for the recovery, log:\n%s", text)
 	}
 }
 
@@ -76,13 +76,13 @@
 		f := newFixture(&modeltest.Steps{T: t})
 		f.role = role
 		if got := f.callOperator("PUT /v1/worker-nodes/s-0/suspend HTTP/1.1\r\n\r\n"); got != "200 forwarded" {
-			t.Errorf("%+v: %q", role, got)
+			t.Errorf("%+v: the cordon call got %q, expected that it is forwarded", role, got)
 		}
 		if len(f.role.forwarded) != 1 || f.role.changes != 0 || len(f.table.Cordoned()) != 0 {
-			t.Errorf("%+v, cordoned %v", f.role, f.table.Cordoned())
+			t.Errorf("%+v, cordoned %v, expected one forwarded call and no change", f.role, f.table.Cordoned())
 		}
 		if got := f.callOperator("GET /v1/worker-nodes HTTP/1.1\r\n\r\n"); !strings.HasPrefix(got, "503 this process ") {
-			t.Errorf("%+v: %q", role, got)
+			t.Errorf("%+v: the call for the cordons got %q, expected 503", role, got)
 		}
 	}
 }
@@ -94,13 +94,13 @@
 	f.cordons.config.LoadFile = func() ([]string, error) { return nil, syscall.EIO }
 	f.cordons.Reload()
 	if got := f.table.Cordoned(); !slices.Equal(got, []string{"s-0"}) {
-		t.Errorf("cordoned %v after a reload", got)
+		t.Errorf("cordoned %v after a reload, expected s-0", got)
 	}
 	f.cordons.Restore()
 	if got := f.table.Cordoned(); len(got) != 0 {
-		t.Errorf("cordoned %v after a start", got)
+		t.Errorf("cordoned %v after a start, expected none", got)
 	}
 	if lines := strings.Count(f.log.String(), "cordoned workers can't be read"); lines != 2 {
-		t.Errorf("log:\n%s", f.log.String())
+		t.Errorf("expected two errors, log:\n%s", f.log.String())
 	}
 }
--- a/internal/management/listener.go
+++ b/internal/management/listener.go
@@ -15,8 +15,8 @@
 // expiryInterval is the time between two checks for expired connections.
 const expiryInterval = 250 * time.Millisecond
 
-// listener accepts connections and keeps them in the order in which they are closed for others. It is embedded in Operators and
-// Status.
+// listener accepts connections, and keeps them in the order in which they are evicted at the limit of connections. It is embedded
+// in Operators and Status.
 type listener struct {
 	loop        *eventloop.Loop
 	acceptor    *eventloop.Acceptor
--- a/internal/management/status.go
+++ b/internal/management/status.go
@@ -145,7 +145,7 @@
 	s.sendResponse(statusCode, fields, body, keepAlive)
 }
 
-// recordActivity restarts the connection's time limits, and makes it the last one to be closed for others.
+// recordActivity restarts the connection's time limits, and makes it the last one to be evicted.
 func (s *statusConnection) recordActivity() {
 	s.lastActivity = s.status.loop.Now()
 	s.status.connections.MoveToBack(s.element)
