--- a/internal/eventloop/errorclass.go
+++ b/internal/eventloop/errorclass.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrorClass is the kind of a failed system call's error, by how it is to be handled.
+// ErrorClass classifies the error of a failed system call by how it must be handled.
 type ErrorClass int
 
 // The classes of errors.
--- a/internal/eventloop/faultinjection/faultinjection_test.go
+++ b/internal/eventloop/faultinjection/faultinjection_test.go
@@ -30,7 +30,7 @@
 		now += 250 * time.Millisecond
 	}
 	if !slices.Equal(failed, []int{5, 6}) {
-		t.Errorf("failed %v", failed)
+		t.Errorf("calls %v failed, expected 5 and 6", failed)
 	}
 	if i.Calls(eventloop.CallRead) != 16 || i.Injected(eventloop.CallRead) != 2 || i.TotalInjected() != 2 {
 		t.Errorf("%d calls, %d with a fault, %d of all kinds", i.Calls(eventloop.CallRead), i.Injected(eventloop.CallRead), i.TotalInjected())
@@ -69,13 +69,13 @@
 	t.Cleanup(func() { _, _ = unix.Close(pair[0]), unix.Close(pair[1]) })
 	n, err := syscalls.Write(pair[0], make([]byte, 100))
 	if err != nil || n < 1 || n > 3 {
-		t.Errorf("wrote %d: %v", n, err)
+		t.Errorf("wrote %d bytes, expected 1 to 3: %v", n, err)
 	}
 	if _, err := unix.Write(pair[0], make([]byte, 100)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err = syscalls.Read(pair[1], make([]byte, 100)); err != nil || n < 1 || n > 3 {
-		t.Errorf("read %d: %v", n, err)
+		t.Errorf("read %d bytes, expected 1 to 3: %v", n, err)
 	}
 }
 
@@ -84,7 +84,7 @@
 	i := New(1, nil)
 	i.Add(Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Stall: func() { now += 150 * time.Millisecond }})
 	if i.Intercept(eventloop.CallWrite, 3) != (eventloop.Injection{}) || now != 150*time.Millisecond {
-		t.Errorf("the clock is at %v", now)
+		t.Errorf("the clock is at %v, expected 150ms, and no injected fault", now)
 	}
 	i.Clear()
 	if i.Intercept(eventloop.CallWrite, 3); now != 150*time.Millisecond || i.Injected(eventloop.CallWrite) != 1 {
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// addEventually is Add, except that it retries later if epoll lacks memory: the peer of an accepted connection may have sent a
-// request already.
+// addEventually is Add, except that it retries later if epoll lacks memory. If the connection were closed instead, a request that
+// its peer has already sent would be lost.
 func (l *Loop) addEventually(descriptor int, events uint32, handler Handler) error {
 	err := l.Add(descriptor, events, handler)
 	if !ClassOf(err).IsMomentary() {
--- a/internal/eventloop/interest_fault_test.go
+++ b/internal/eventloop/interest_fault_test.go
@@ -58,7 +58,7 @@
 			t.Fatal("input was read though epoll_ctl has failed")
 		}
 		if l.runFor(maxInterestBackoff * 2); string(owner.Input()) != "in" {
-			t.Errorf("%v: read %q", errno, owner.Input())
+			t.Errorf("%v: read %q, expected the input", errno, owner.Input())
 		}
 		l.failTimes(5, CallEpollControl, errno)
 		owner, _ = openFaultStream(l)
@@ -74,10 +74,10 @@
 	l.failTimes(1, CallEpollControl, unix.ENOMEM)
 	ends := testSocketPair(t)
 	if err := l.Add(ends[0], unix.EPOLLIN, &faultOwner{}); ClassOf(err) != ErrorNoResource || l.has(ends[0]) {
-		t.Errorf("%v, owned %v", err, l.has(ends[0]))
+		t.Errorf("error %v, owned %v, expected ErrorNoResource and that the caller owns the descriptor", err, l.has(ends[0]))
 	}
 	if err := l.Add(ends[0], unix.EPOLLIN, &faultOwner{}); err != nil || !l.has(ends[0]) {
-		t.Errorf("%v, owned %v", err, l.has(ends[0]))
+		t.Errorf("second call: error %v, owned %v, expected success", err, l.has(ends[0]))
 	}
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -188,7 +188,7 @@
 	l.afterStep = nil
 }
 
-// dispatch has the events handled, in the order of the priorities of their handlers.
+// dispatch calls the handlers of the events, in the order of their priorities.
 func (l *Loop) dispatch(events []unix.EpollEvent) {
 	l.dispatching = true
 	for priority := range numPriorities {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -132,7 +132,7 @@
 	l.addReady(PriorityNormal, l.record("normal"))
 	l.run("normal", "step", "after step", "added")
 	if !strings.Contains(l.log.String(), "after the step") {
-		t.Errorf("log: %s", l.log.String())
+		t.Errorf("the panic is not logged: %s", l.log.String())
 	}
 
 	second := l.addReady(PriorityUrgent, nil)
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(l.calls, []string{"posted", "woken"}) {
-		t.Errorf("called %q", l.calls)
+		t.Errorf("called %q, expected posted and woken", l.calls)
 	}
 	l.run()
 	l.Wake()
--- a/internal/eventloop/stream_test.go
+++ b/internal/eventloop/stream_test.go
@@ -129,7 +129,7 @@
 	stream, _ := openTestStream(l)
 	fd := stream.FD()
 	if !stream.IsOpen() {
-		t.Error("not open")
+		t.Error("a stream that was opened is not open")
 	}
 	stream.Close()
 	stream.Close()
@@ -150,7 +150,7 @@
 		}
 	}
 	if got := AddrPort(&unix.SockaddrUnix{}); got.IsValid() {
-		t.Errorf("of a Unix socket: %v", got)
+		t.Errorf("the address of a Unix socket is converted to %v, expected none", got)
 	}
 }
 
--- a/internal/eventloop/wake.go
+++ b/internal/eventloop/wake.go
@@ -8,7 +8,7 @@
 	l.Wake()
 }
 
-// Wake has the loop call its hook Woken in its next iteration. It may be called from any goroutine.
+// Wake makes the loop call its hook Woken in its next iteration. It may be called from any goroutine.
 func (l *Loop) Wake() {
 	for range maxWakeTries {
 		_, err := l.syscalls.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
