--- a/internal/http1/chunked_test.go
+++ b/internal/http1/chunked_test.go
@@ -58,7 +58,7 @@
 		}
 		var parseError *ParseError
 		if !errors.As(err, &parseError) || parseError.StatusCode != StatusBadRequest {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, expected a ParseError with status 400", name, err)
 		}
 	}
 }
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -224,11 +224,11 @@
 	const header, chunk = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "1;extension=value\r\nx\r\n"
 	atBound := strings.Repeat(chunk, maxChunkedSize/len(chunk))
 	if _, err := request.Parse([]byte(header + atBound)); !errors.Is(err, ErrIncomplete) {
-		t.Errorf("%d bytes of chunks: %v", len(atBound), err)
+		t.Errorf("%d bytes of chunks: %v, expected ErrIncomplete", len(atBound), err)
 	}
 	var parseError *ParseError
 	if _, err := request.Parse([]byte(header + atBound + chunk)); !errors.As(err, &parseError) || parseError.StatusCode != StatusContentTooLarge {
-		t.Errorf("%d bytes of chunks: %v", len(atBound)+len(chunk), err)
+		t.Errorf("%d bytes of chunks: %v, expected a ParseError with status 413", len(atBound)+len(chunk), err)
 	}
 }
 
@@ -245,6 +245,6 @@
 		t.Errorf("%d fields, expected 2", count)
 	}
 	if value := request.Get("X-Missing"); value != nil {
-		t.Errorf("the missing field: %q", value)
+		t.Errorf("the missing field: %q, expected nil", value)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -48,7 +48,7 @@
 	budget.SetHalved(false)
 	want := []int{407, 194, 407, 407}
 	if len(reported) != len(want) {
-		t.Fatalf("reported %v", reported)
+		t.Fatalf("reported %v, expected four changes", reported)
 	}
 	for i := range want {
 		if reported[i] != want[i] {
@@ -69,6 +69,6 @@
 		t.Errorf("%d descriptors with management, status and metrics, expected 30", count)
 	}
 	if shares := SharesOf(conf, ops); shares.FeatureDescriptors != 30 {
-		t.Errorf("%+v", shares)
+		t.Errorf("shares %+v, expected 30 descriptors for features", shares)
 	}
 }
