--- a/internal/control/planner/config.go
+++ b/internal/control/planner/config.go
@@ -16,7 +16,7 @@
 	NewPolicy   func() Policy // returns a new policy, which is not shared with other planners
 
 	MaxOpenRequests      int // sum over all forwarders
-	MinCredit, MaxCredit int // bounds of a forwarder's share of MaxOpenRequests; below MinCredit with many forwarders
+	MinCredit, MaxCredit int // bounds of a forwarder's share of MaxOpenRequests; with many forwarders it is below MinCredit
 	MaxSessions          int // forwarder sessions
 	LoadReportInterval   time.Duration
 	SnapshotInterval     time.Duration // between model snapshots to a forwarder
--- a/internal/control/planner/credit.go
+++ b/internal/control/planner/credit.go
@@ -4,7 +4,7 @@
 
 const (
 	creditGrace      = time.Second // how long a forwarder may still use its previous credit after a reduction
-	peakDecayFactor  = 0.95        // factor by which a recent peak decays every creditTicks
+	peakDecayFactor  = 0.95        // factor by which a recent peak decays, once every creditTicks ticks
 	creditPeakFactor = 2           // credit demand as a multiple of the recent peak of open requests
 )
 
--- a/internal/control/planner/doc.go
+++ b/internal/control/planner/doc.go
@@ -9,8 +9,8 @@
 //
 // # Parts
 //
-// New wires the parts. Each part owns its state and declares its dependencies on other parts as small interfaces. Planner
-// passes events to the parts. The step holds the current time and collects the actions.
+// New initializes the parts and connects them. Each part owns its state and declares its dependencies on other parts as
+// small interfaces. Planner passes events to the parts. The step holds the current time and collects the actions.
 //
 //   - Forwarders: sessionLifecycle (sessions, handshakes), creditAllocator, heartbeats, snapshotSender.
 //   - Requests: requestTable, requestLifecycle, offerHandler, reportHandler, commandExecutor, placer, healthChecker.
--- a/internal/control/planner/invalid_input_test.go
+++ b/internal/control/planner/invalid_input_test.go
@@ -78,17 +78,17 @@
 }
 
 func randomNumber(rng *rand.Rand) int64 {
-	odd := [...]int64{
+	unusual := [...]int64{
 		0, 1, -1, 2, 3, 5, math.MaxInt64, math.MinInt64, 1 << 40, int64(time.Second), int64(3 * time.Millisecond),
 	}
-	return odd[rng.IntN(len(odd))]
+	return unusual[rng.IntN(len(unusual))]
 }
 
 func randomDuration(rng *rand.Rand) time.Duration { return time.Duration(randomNumber(rng)) }
 
 func randomFloat(rng *rand.Rand) float64 {
-	odd := [...]float64{0, 1, 2.5, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300}
-	return odd[rng.IntN(len(odd))]
+	unusual := [...]float64{0, 1, 2.5, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300}
+	return unusual[rng.IntN(len(unusual))]
 }
 
 func randomEvent(rng *rand.Rand) Event {
--- a/internal/control/planner/main_test.go
+++ b/internal/control/planner/main_test.go
@@ -25,8 +25,8 @@
 }
 
 // setDefault sets a flag that still has its original default.
-func setDefault(name, usual, value string) {
-	if flag.Lookup(name).Value.String() != usual {
+func setDefault(name, original, value string) {
+	if flag.Lookup(name).Value.String() != original {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
--- a/internal/control/planner/model_connection_test.go
+++ b/internal/control/planner/model_connection_test.go
@@ -15,7 +15,7 @@
 	forwarder   *modelForwarder // dialedBy, or nil once that forwarder has replaced the connection
 	toPlanner   []delivery
 	toForwarder []delivery
-	epoch       message.Epoch // of the newest handshake delivered to the planner, including the next step's
+	epoch       message.Epoch // of the newest handshake delivered to the planner, or to be delivered in its next step
 	credit      int
 }
 
@@ -25,7 +25,7 @@
 	envelope message.Envelope
 }
 
-// arrivalTime returns a random arrival time for a message sent now, not before the messages queued ahead of it.
+// arrivalTime returns a random arrival time for a message sent now, but not before that of the other messages in transit.
 func (r *randomRun) arrivalTime(others []delivery) time.Duration {
 	at := r.now + r.randomDuration(20*ms)
 	if n := len(others); n > 0 {
--- a/internal/control/planner/model_fault_test.go
+++ b/internal/control/planner/model_fault_test.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/control/message"
 )
 
-// injectFault injects a random fault into the planner, a forwarder, the workers or the peers.
+// injectFault injects a random fault into the planner, a forwarder, the workers or the peers, or none.
 func (r *randomRun) injectFault() {
 	f := r.forwarders[r.pick(len(r.forwarders))]
 	switch r.pick(13) {
--- a/internal/control/planner/new.go
+++ b/internal/control/planner/new.go
@@ -13,16 +13,16 @@
 		forwarders: forwarderTable{sessions: map[SessionID]*session{}, byName: map[string]*forwarder{}},
 		peers:      peerTable{epoch: message.Epoch(config.Incarnation)},
 	}
-	planner.wirePolicy()
-	planner.wireForwarders()
-	planner.wireRequests()
-	planner.wireWorkers()
-	planner.wirePeers()
+	planner.initPolicy()
+	planner.initForwarders()
+	planner.initRequests()
+	planner.initWorkers()
+	planner.initPeers()
 	return planner
 }
 
-// wirePolicy initializes the parts that run the policy, stop the planner and write its summary.
-func (p *Planner) wirePolicy() {
+// initPolicy initializes the parts that run the policy, stop the planner and write its summary.
+func (p *Planner) initPolicy() {
 	p.policy = policyRunner{policy: p.config.NewPolicy(), phase: &p.lifecycle}
 	p.lifecycle = lifecycle{
 		step:        &p.step,
@@ -52,8 +52,8 @@
 	}
 }
 
-// wireForwarders initializes the parts that exchange messages with forwarders, except messages about requests.
-func (p *Planner) wireForwarders() {
+// initForwarders initializes the parts that exchange messages with forwarders, except messages about requests.
+func (p *Planner) initForwarders() {
 	p.heartbeats = heartbeats{step: &p.step, timer: &p.timer, forwarders: &p.forwarders}
 	p.sessions = sessionLifecycle{
 		config:       &p.config,
@@ -87,8 +87,8 @@
 	}
 }
 
-// wireRequests initializes the parts that process requests and their attempts.
-func (p *Planner) wireRequests() {
+// initRequests initializes the parts that process requests and their attempts.
+func (p *Planner) initRequests() {
 	p.requestLifecycle = requestLifecycle{
 		maxRequests: tableSizeFactor * p.config.MaxOpenRequests,
 		stats:       &p.stats,
@@ -142,8 +142,8 @@
 	}
 }
 
-// wireWorkers initializes the parts that track the workers.
-func (p *Planner) wireWorkers() {
+// initWorkers initializes the parts that track the workers.
+func (p *Planner) initWorkers() {
 	p.policySync = policySync{
 		step:      &p.step,
 		locations: &p.locations,
@@ -169,8 +169,8 @@
 	}
 }
 
-// wirePeers initializes the parts that exchange messages with other planners.
-func (p *Planner) wirePeers() {
+// initPeers initializes the parts that exchange messages with other planners.
+func (p *Planner) initPeers() {
 	p.peerSessions = peerSessions{
 		config:   &p.config,
 		stats:    &p.stats,
--- a/internal/control/planner/offers.go
+++ b/internal/control/planner/offers.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxAttempts         = 64                    // per offer; a request has at most twice as many, with those commanded here
+	maxAttempts         = 64                    // in an offer; a request has at most twice as many, with those commanded here
 	maxReportedDuration = time.Hour             // upper bound of any duration that a forwarder reports
 	maxReportedSlots    = 1e9                   // exclusive; greater values are replaced by defaultSlotDemand
 	resumeThreshold     = 10 * time.Millisecond // a request that has waited this long is passed as JobResumed, not as Job
--- a/internal/control/planner/random_run_test.go
+++ b/internal/control/planner/random_run_test.go
@@ -18,7 +18,8 @@
 // Random runs with lost sessions, restarts, joining and leaving planners and poison requests keep these invariants:
 //   - Send commands of a request are numbered without gaps. None goes to a worker that is unavailable according to its newest
 //     status or is assigned to another planner.
-//   - A request receives one final command per offer and is transferred at most maxTransfers times.
+//   - A request receives a final command only while it is offered to the planner, and is transferred at most maxTransfers
+//     times.
 //   - The sum of credits never exceeds Config.MaxOpenRequests.
 //   - The policy receives no event that violates its contract.
 //   - All tables are empty after the run.
@@ -46,7 +47,7 @@
 // randomRun simulates a planner with random forwarders, peers and workers in virtual time.
 type randomRun struct {
 	t       *rapid.T
-	rng     *rand.Rand // for all but sizes, which rapid draws: rapid's draws would make most faults coincide
+	rng     *rand.Rand // for everything but the sizes; rapid draws only those, as its draws would make most faults coincide
 	planner *Planner
 	config  Config
 	now     time.Duration
@@ -67,8 +68,8 @@
 	peers map[string]bool
 	owner []string // by cell, modulo its length
 
-	stops         bool
-	stopped       bool
+	stops         bool // whether the planner is stopped at the end of the run
+	stopped       bool // whether it has emitted Stopped
 	noNewRequests bool // set when the run is finishing
 	faultInterval int  // mean number of steps between faults
 
--- a/internal/control/planner/state_test.go
+++ b/internal/control/planner/state_test.go
@@ -115,7 +115,7 @@
 		name := kind + " " + state.String()
 		isUnknown := state.String() == "unknown"
 		if isUnknown == isState || isState && names[name] {
-			t.Errorf("%s: is a state: %v", name, isState)
+			t.Errorf("%s: want a unique name for a defined state, else \"unknown\" (defined: %v)", name, isState)
 		}
 		names[name] = true
 	}
