--- a/internal/control/membership/assignment_test.go
+++ b/internal/control/membership/assignment_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// If an owner leaves or joins, few items move beyond those that it had or gets. The bounds are measured over 40 assignments
-// each, or 5 for 2500 items.
+// If an owner leaves or joins, few items move beyond those that it had or gets. Each bound is for the mean of 40 assignments,
+// or of 5 with 2500 items.
 func TestAssignMovesFewItemsWhenOwnersChange(t *testing.T) {
 	for _, test := range []struct {
 		items, owners int
--- a/internal/control/membership/config.go
+++ b/internal/control/membership/config.go
@@ -10,7 +10,7 @@
 	SuspicionTimeout time.Duration // a member that only gossip reports as failed is dead after this time
 	ConnectTimeout   time.Duration // a forwarder treats a new planner without a session as a candidate for this time
 	ReconnectGrace   time.Duration // delay before a planner re-admits a peer with a lost session that gossip reports as alive
-	Retention        time.Duration // an absent member is kept for this time; a forwarder still counts for its last home
+	Retention        time.Duration // an absent member is kept for this time; until then a forwarder counts for its last home
 
 	StartupTime    time.Duration // for this time after its start a forwarder changes planners without delay
 	SettleTime     time.Duration // minimum delay of a change of planner, unless the old one is lost or slow
--- a/internal/control/membership/home.go
+++ b/internal/control/membership/home.go
@@ -89,7 +89,7 @@
 }
 
 // selectHome moves to another planner if a move is due. A forwarder whose home is not slow moves only if its assignment among
-// all planners changes, even while forwarders of slow planners move.
+// all planners changes, not because forwarders leave a slow planner.
 func (f *ForwarderMembership) selectHome() {
 	f.updateTarget()
 	home := f.find(f.homePlanner)
--- a/internal/control/membership/process_test.go
+++ b/internal/control/membership/process_test.go
@@ -61,12 +61,12 @@
 }
 
 // stop ends the process gracefully or by a crash, which gossip detects late.
-func (p *process) stop(orderly bool) {
+func (p *process) stop(gracefully bool) {
 	if !p.running {
 		return
 	}
 	p.running = false
-	if orderly {
+	if gracefully {
 		p.broadcast(0, MemberLeft{p.announced.Name, p.announced.Incarnation})
 	} else {
 		p.broadcast(p.cluster.randomDelay(1000, 3000), MemberDied{p.announced.Name, p.announced.Incarnation})
--- a/internal/control/membership/script_test.go
+++ b/internal/control/membership/script_test.go
@@ -57,7 +57,7 @@
 	now        time.Duration
 	repliesAt  time.Duration            // time of the next replies
 	latencies  map[string]time.Duration // by planner that replies
-	replying   []string                 // names of these planners, in order of their setReplies
+	replying   []string                 // names of these planners, in the order of the calls of setReplies
 	transcript strings.Builder
 	cells      int
 }
--- a/internal/control/membership/self_health.go
+++ b/internal/control/membership/self_health.go
@@ -10,7 +10,7 @@
 
 // selfHealth counts this process's recent late steps and extends its timeouts accordingly.
 type selfHealth struct {
-	lateSteps int // number of recent late steps, at most maxLateness
+	lateSteps int // number of recent late steps, at most maxLateSteps
 	changedAt time.Duration
 }
 
--- a/internal/control/membership/state_test.go
+++ b/internal/control/membership/state_test.go
@@ -87,11 +87,12 @@
 		t.Error("a lost session causes no immediate partition")
 	}
 	if step(start+interval, PlannerConnected{"p2"}) != 0 || step(start+interval/2+interval) != 1 {
-		t.Error("a new session does not cause exactly one partition after the interval")
+		t.Error("a new session does not cause one partition, as soon as the interval since the last one has passed")
 	}
 }
 
-// Each late step extends the timeouts of a process by one unit, up to a limit, and each second without one shortens them by one.
+// Each late step of a process lengthens its timeouts by their original length, up to a limit. Each second without a late step
+// shortens them by the same amount again.
 func TestLateStepsExtendTimeouts(t *testing.T) {
 	health := selfHealth{}
 	for range 2 * maxLateSteps {
