--- a/internal/control/forwarder/losstrace_test.go
+++ b/internal/control/forwarder/losstrace_test.go
@@ -16,8 +16,8 @@
 
 // lossCount counts the lost requests that spent the most time at one place.
 type lossCount struct {
-	requests int
-	longest  time.Duration // total time that they spent there
+	requests  int
+	totalTime time.Duration // spent there by all of them
 }
 
 // String returns a line for each place.
@@ -25,7 +25,7 @@
 	var lines []string
 	for _, place := range slices.Sorted(maps.Keys(l)) {
 		count := l[place]
-		lines = append(lines, fmt.Sprintf("%s: %d requests, %v", place, count.requests, count.longest/time.Duration(count.requests)))
+		lines = append(lines, fmt.Sprintf("%s: %d requests, %v", place, count.requests, count.totalTime/time.Duration(count.requests)))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -61,7 +61,7 @@
 		l[longest] = &lossCount{}
 	}
 	l[longest].requests++
-	l[longest].longest += spans[longest]
+	l[longest].totalTime += spans[longest]
 }
 
 // sample records where the open requests are now, and schedules the next sample.
--- a/internal/control/forwarder/new.go
+++ b/internal/control/forwarder/new.go
@@ -27,7 +27,7 @@
 	return f
 }
 
-// initRequests creates the parts that assign requests and respond to them.
+// initRequests initializes the parts that assign requests and respond to them.
 func (f *Forwarder) initRequests(settings dispatch.Settings, config Config) {
 	f.checks = checkSchedule{step: &f.step, attempts: f.validator, commandTimeout: config.CommandTimeout}
 	f.assignments = assignments{
@@ -70,7 +70,7 @@
 	}
 }
 
-// initWorkers creates the parts that track workers and their health checks.
+// initWorkers initializes the parts that track workers and their health checks.
 func (f *Forwarder) initWorkers(settings dispatch.Settings, config Config) {
 	f.workers = workers{
 		step:         &f.step,
@@ -89,7 +89,7 @@
 	}
 }
 
-// initLocalPolicy creates the parts of standalone mode.
+// initLocalPolicy initializes the parts of standalone mode.
 func (f *Forwarder) initLocalPolicy(config Config) {
 	f.mode = modeController{
 		step:            &f.step,
@@ -128,7 +128,7 @@
 	}
 }
 
-// initSessions creates the parts that manage the sessions with planners.
+// initSessions initializes the parts that manage the sessions with planners.
 func (f *Forwarder) initSessions(config Config) {
 	f.heartbeats = heartbeats{
 		step:                &f.step,
@@ -153,7 +153,7 @@
 	}
 }
 
-// initCommands creates the parts that execute commands and report their results.
+// initCommands initializes the parts that execute commands and report their results.
 func (f *Forwarder) initCommands() {
 	f.commands = commandExecutor{
 		step:         &f.step,
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -420,7 +420,7 @@
 		}
 	}
 	if lost := ample[responseRejected] + ample[responseFailed]; lost*100 > ample[responseServed] {
-		t.Errorf("%d requests lost and %d served with ample deadlines; lost requests by where they spent the most time, with the mean of it:\n%s",
+		t.Errorf("%d requests lost and %d served with ample deadlines; lost requests by the place where they spent the most time, with the mean time there:\n%s",
 			lost, ample[responseServed], losses)
 	}
 	for _, name := range slices.Sorted(maps.Keys(tight)) {
--- a/internal/control/forwarder/transcriptscript_test.go
+++ b/internal/control/forwarder/transcriptscript_test.go
@@ -31,12 +31,12 @@
 	case "max-waiting":
 		t.config.MaxWaiting = t.number(values[0])
 	default:
-		t.applyPeerSetting(name, values)
+		t.applyEnvironmentSetting(name, values)
 	}
 }
 
-// applyPeerSetting applies a setting of the planners, the workers or the local policy.
-func (t *transcript) applyPeerSetting(name string, values []string) {
+// applyEnvironmentSetting applies a setting of the planners, the workers or the local policy.
+func (t *transcript) applyEnvironmentSetting(name string, values []string) {
 	switch name {
 	case "preferred": // planners, the most preferred first
 		t.selector.planners = values
