--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -144,7 +144,7 @@
 	case dispatch.JobResumed:
 		outside := a.jobResumed(typed)
 		visible = a.appendOwnUpdate(visible)
-		a.reportWorkers(outside) // with their status outside of the subset, which the policy receives after the job
+		a.reportWorkers(outside) // after the job, the policy receives their status as workers outside of the subset
 	}
 	return append(visible, event)
 }
--- a/internal/aperture/changes_test.go
+++ b/internal/aperture/changes_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// A worker that restarts within its cell moves at most one cell at one scheduler. A new cell, or a new worker if units are not
-// cells, moves about one unit of its size at each end of a subset.
+// A worker that restarts within its cell moves at most one cell at one scheduler. With a new cell, or a new worker if units are
+// not cells, a subset gains or loses about one unit of that size at each of its ends.
 func TestListChangesMoveFewWorkers(t *testing.T) {
 	const cellSize = 20
 	var cell []dispatch.Worker
--- a/internal/aperture/widening.go
+++ b/internal/aperture/widening.go
@@ -7,7 +7,7 @@
 	wideningInterval = time.Second // minimum interval between two widenings, so that the first one takes effect before the second
 	lowLoadFraction  = 0.25        // of Config.WidenThreshold; load is low if a smaller fraction of jobs is delayed
 	maxWaitMultiple  = 8           // maximum of widening.waitMultiple
-	undoWindowWaits  = 4           // a widening within this many required periods of low load after a narrowing undoes it
+	undoWindowWaits  = 4           // a narrowing is undone by a widening within this multiple of the required period after it
 )
 
 // widening adjusts the factor by which load widens the subset.
