--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -99,30 +99,30 @@
 // compare reports each decision that differs from the recorded one on the same subject, in the order of recording.
 func (p *player) compare(firstLine int, recorded, decided []decision) {
 	remaining := map[string][]string{}
-	for _, now := range decided {
-		remaining[now.subject] = append(remaining[now.subject], now.what)
+	for _, current := range decided {
+		remaining[current.subject] = append(remaining[current.subject], current.what)
 	}
-	for _, was := range recorded {
-		now := noDecision
-		if more := remaining[was.subject]; len(more) > 0 {
-			now = more[0]
-			remaining[was.subject] = more[1:]
+	for _, original := range recorded {
+		what := noDecision
+		if more := remaining[original.subject]; len(more) > 0 {
+			what = more[0]
+			remaining[original.subject] = more[1:]
 		}
-		p.report(was.line, was.subject, was.what, now)
+		p.report(original.line, original.subject, original.what, what)
 	}
-	for _, now := range decided {
-		for _, what := range remaining[now.subject] {
-			p.report(firstLine, now.subject, noDecision, what)
+	for _, current := range decided {
+		for _, what := range remaining[current.subject] {
+			p.report(firstLine, current.subject, noDecision, what)
 		}
-		delete(remaining, now.subject)
+		delete(remaining, current.subject)
 	}
 }
 
 // report writes a line if two decisions on a subject differ.
-func (p *player) report(line int, subject, was, now string) {
-	if was == now {
+func (p *player) report(line int, subject, recorded, decided string) {
+	if recorded == decided {
 		return
 	}
 	p.differences++
-	fmt.Fprintf(p.output, "line %d: %s was %s, now %s\n", line, subject, was, now)
+	fmt.Fprintf(p.output, "line %d: %s was %s, now %s\n", line, subject, recorded, decided)
 }
--- a/internal/config/ops_metrics.go
+++ b/internal/config/ops_metrics.go
@@ -21,7 +21,7 @@
 	minFlushMilliseconds     = 10
 	maxFlushMilliseconds     = 3_600_000
 	defaultMaxBatchBytes     = 1400
-	maxMaxBatchBytes         = 65_000
+	maxBatchBytesLimit       = 65_000
 )
 
 // decodeMetrics decodes the section figures.
@@ -31,7 +31,7 @@
 		FlushInterval: decodeFlushInterval(section),
 		UDPTarget:     section.addrPort("udp_target"),
 		File:          section.text("file"),
-		MaxBatchBytes: section.integer("max_batch_bytes", defaultMaxBatchBytes, 1, maxMaxBatchBytes),
+		MaxBatchBytes: section.integer("max_batch_bytes", defaultMaxBatchBytes, 1, maxBatchBytesLimit),
 	}
 }
 
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -46,13 +46,13 @@
 
 // Names with reserved characters and line breaks can't end a tag or a line, in either format.
 func TestTagsAreEscaped(t *testing.T) {
-	odd := requests.NameTable{Tenants: []string{"a,b=c d|e#f:g\nh\\"}, Classes: []string{strings.Repeat("x", 300)}}
+	reserved := requests.NameTable{Tenants: []string{"a,b=c d|e#f:g\nh\\"}, Classes: []string{strings.Repeat("x", 300)}}
 	for format, want := range map[string]string{
 		"statsd": "valvecove.jobs:1|c|#tenant:a_b=c_d_e_f_g_h\\,class:" + strings.Repeat("x", maxTagBytes) + ",outcome:turned_away",
 		"influx": `valvecove.jobs,tenant=a\,b\=c\ d|e#f:g_h_,class=` + strings.Repeat("x", maxTagBytes) + `,outcome=turned\ away count=1i`,
 	} {
 		t.Run(format, func(t *testing.T) {
-			f := newFixture(t, config.Metrics{Format: format, MaxBatchBytes: 1400}, odd)
+			f := newFixture(t, config.Metrics{Format: format, MaxBatchBytes: 1400}, reserved)
 			f.Table.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 			if f.flush(); len(f.target.lines()) != 1 || !strings.HasPrefix(f.target.lines()[0], want) {
 				t.Errorf("sent %q, expected %q", f.target.lines(), want)
