--- a/internal/control/forwarder/response.go
+++ b/internal/control/forwarder/response.go
@@ -35,8 +35,8 @@
 	r.validator.Apply(r.step.now(), action)
 }
 
-// sendAttempt sends a request to a worker. A timeout that is negative or beyond the deadline is dropped, so that the attempt
-// ends at the deadline. The worker may still execute it after that, which must then be reported.
+// sendAttempt sends a request to a worker. A timeout that is negative or not before the deadline is dropped, so that the attempt
+// ends at the deadline. As the worker may still execute the attempt afterwards, its end must be reported accordingly.
 func (r *responder) sendAttempt(request *openRequest, worker uint64, timeout time.Duration) {
 	if timeout < 0 || timeout >= request.deadline-r.step.now() {
 		timeout = 0
--- a/internal/control/planner/requestlifecycle.go
+++ b/internal/control/planner/requestlifecycle.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// endAttempts ends a request's attempts in flight without notifying the policy. It is for a new policy, which doesn't have
-// the request.
+// endAttempts ends a request's attempts in flight without notifying the policy. It is used after a panic, when the new policy
+// doesn't have the request.
 func (r *requestLifecycle) endAttempts(req *request) {
 	for i := range req.attempts {
 		if attempt := &req.attempts[i]; attempt.inFlight() {
