--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -102,7 +102,7 @@
 	e.add(metric{name: name, kind: gauge, value: strconv.Itoa(value), tags: tags})
 }
 
-// Gather writes the counters since its last call, and the current gauges, to the buffer.
+// Gather writes the increases of the counters since its last call, and the current gauges, to the buffer.
 func (e *Exporter) Gather() {
 	for index := range e.exported {
 		e.gatherCounts(index)
@@ -124,7 +124,7 @@
 	e.addOwnCounter("figures_send_errors", &e.sendErrors)
 }
 
-// gatherCounts writes the counters of a group since the last Gather.
+// gatherCounts writes the increases of a group's counters since the last Gather.
 func (e *Exporter) gatherCounts(index int) {
 	group := &e.counters.groups[index]
 	exported := &e.exported[index]
--- a/internal/metrics/peers.go
+++ b/internal/metrics/peers.go
@@ -58,7 +58,8 @@
 	return appendLine(dst, "lease_requests_waiting", uint64(counts.Leases.Waiting))
 }
 
-// gatherPeerCounts writes the counters of messages between schedulers since the last Gather, and the current gauges.
+// gatherPeerCounts writes the increases of the counters of messages between schedulers since the last Gather, and the current
+// gauges.
 func (e *Exporter) gatherPeerCounts() {
 	if e.PeerCounts == nil {
 		return
