--- a/internal/testbed/scenario/capacity.go
+++ b/internal/testbed/scenario/capacity.go
@@ -1,10 +1,10 @@
 package scenario
 
-// This file holds what follows from a checked scenario by arithmetic. The environment, the configuration of schedulers
-// and the metrics of a run use the same numbers, so that load, quotas and capacity agree.
+// This file computes values from a checked scenario. The environment, the configuration of schedulers and the metrics of a
+// run all use these, so that load, quotas and capacity agree.
 
-// Capacity returns what the fleet can do once it is warm, in seconds of work on standard cores per second. A job of n
-// slots is n times its run time of work. The differences between workers of one kind are not counted.
+// Capacity returns the work per second that the fleet can do once it is warm, in seconds on standard cores. The work of a
+// job of n slots is n times its run time. Differences between workers of one kind are ignored.
 func (s *Scenario) Capacity() float64 {
 	sum, shares := 0.0, 0.0
 	for i := range s.Fleet.Kinds {
@@ -18,7 +18,7 @@
 	return float64(s.Fleet.Workers) * sum / shares
 }
 
-// MeanSlots returns how many slots a job of the class takes on average; 1 where the class gives no shares.
+// MeanSlots returns how many slots a job of the class takes on average; 1 if the class has no shares of slots.
 func (c *Class) MeanSlots() float64 {
 	sum, shares, slots := 0.0, 0.0, 1.0
 	for _, share := range c.Slots {
@@ -32,7 +32,7 @@
 	return sum / shares
 }
 
-// MeanCost returns the work of the mean job, slots times run time, in seconds on standard cores.
+// MeanCost returns the mean work of a job, slots times run time, in seconds on standard cores.
 func (s *Scenario) MeanCost() float64 {
 	sum, shares := 0.0, 0.0
 	for i := range s.Classes {
@@ -46,7 +46,7 @@
 	return sum / shares
 }
 
-// CapacityRate returns how many mean jobs a second the fleet can do once it is warm.
+// CapacityRate returns how many jobs of mean work per second the fleet can do once it is warm.
 func (s *Scenario) CapacityRate() float64 {
 	cost := s.MeanCost()
 	if cost <= 0 {
@@ -55,7 +55,8 @@
 	return s.Capacity() / cost
 }
 
-// Rate returns how many jobs a second clients request on average, before any tenant's Usage; 0 where the load is closed.
+// Rate returns how many jobs per second clients request on average, without regard to Tenant.Usage; 0 if the load is
+// closed.
 func (s *Scenario) Rate() float64 {
 	switch {
 	case s.Load.ClosedClients > 0:
@@ -66,7 +67,7 @@
 	return s.Load.CapacityShare * s.CapacityRate()
 }
 
-// QuotaRate returns how many jobs a second, over all schedulers, are within the quota of the tenant at an index.
+// QuotaRate returns how many jobs per second, over all schedulers, are within the quota of the tenant at an index.
 func (s *Scenario) QuotaRate(tenant int) float64 {
 	shares := 0.0
 	for i := range s.Tenants {
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Bounds that keep a run within what a machine can hold.
+// Bounds that keep a run within the resources of one machine.
 const (
 	maxWorkers       = 100_000
 	maxSchedulers    = 1000
 	maxPlanners      = 16
 	maxEntries       = 1000 // of any list
-	maxRate          = 1e7  // jobs a second
+	maxRate          = 1e7  // jobs per second
 	maxCapacityShare = 100
 	maxClosedClients = 1_000_000
 	minLength        = 100 * millisecond
@@ -46,7 +46,7 @@
 // SupportsDriver reports whether a driver is among those of the scenario.
 func (s *Scenario) SupportsDriver(driver string) bool { return slices.Contains(s.Drivers, driver) }
 
-// checkRun checks what a run is called, how long it is and what drives it.
+// checkRun checks the name, the seed, the length and the drivers of a run.
 func (s *Scenario) checkRun(check *validator) {
 	check.validName("name", s.Name)
 	if s.Seed < 0 {
@@ -55,14 +55,14 @@
 	check.durationInRange("length", s.Length, minLength, maxLength)
 	check.durationInRange("settle", s.Settle, 0, maxLength)
 	if len(s.Drivers) == 0 {
-		check.report("drivers", "expected one at least of %s, %s", DriverSimulation, DriverProcess)
+		check.report("drivers", "expected at least one of %s, %s", DriverSimulation, DriverProcess)
 	}
 	for i, driver := range s.Drivers {
 		check.oneOf(entryKey("drivers", i), driver, DriverSimulation, DriverProcess)
 	}
 	check.distinct("drivers", s.Drivers)
 	if s.SupportsDriver(DriverProcess) && s.Fleet.Workers > MaxProcessWorkers {
-		check.report("drivers", "live ends at %d workers, and fleet.nodes is %d", MaxProcessWorkers, s.Fleet.Workers)
+		check.report("drivers", "driver live runs at most %d workers, and fleet.nodes is %d", MaxProcessWorkers, s.Fleet.Workers)
 	}
 }
 
--- a/internal/testbed/scenario/check_class.go
+++ b/internal/testbed/scenario/check_class.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxSlotShares    = 4 // shares are of jobs that take 1, 2, 4 and 8 slots
-	maxSlotsExponent = 8 // bounds the power of two for lists that are too long
+	maxSlotShares    = 4 // of jobs that take 1, 2, 4 and 8 slots
+	maxSlotsExponent = 8 // bounds the shift for lists that are too long
 )
 
 func (s *Scenario) checkClasses(check *validator) {
@@ -79,9 +79,9 @@
 	}
 	switch {
 	case !isKnown:
-		check.report(key+".kind", "%q is no kind of worker here", class.Kind)
+		check.report(key+".kind", "fleet.kind has no kind of worker %q", class.Kind)
 	case !fits:
-		check.report(key+".slots", "a job of %d slots fits no worker that may run it", slots)
+		check.report(key+".slots", "no worker that may run the class has the %d slots of its largest jobs", slots)
 	}
 }
 
@@ -98,13 +98,13 @@
 		check.inRange(key+".share", tenant.Quota, 0, 1)
 		check.inRange(key+".usage", tenant.Usage, 0, 1000)
 		if s.hasClass(tenant.Name) {
-			check.report(key+".name", "%q is a class already", tenant.Name)
+			check.report(key+".name", "%q is also the name of a class", tenant.Name)
 		}
 	}
 	check.distinct("tenant", names)
 	check.sumsToOne("tenant", sum)
 	if usage <= 0 {
-		check.report("tenant", "none asks for anything")
+		check.report("tenant", "no tenant requests any jobs: share times usage is 0 for each")
 	}
 }
 
--- a/internal/testbed/scenario/check_environment.go
+++ b/internal/testbed/scenario/check_environment.go
@@ -32,7 +32,7 @@
 	check.inRange("load.quota", load.Quota, 0.001, 100)
 }
 
-// checkClients checks the clients, and those that misbehave.
+// checkClients checks the clients and the misbehaving clients.
 func (s *Scenario) checkClients(check *validator) {
 	clients := &s.Clients
 	check.intInRange("clients.retries", clients.Retries, 0, 100)
@@ -47,12 +47,12 @@
 		check.durationInRange(key+".at", misbehaving.At, 0, s.Length-1)
 		check.durationInRange(key+".for", misbehaving.Duration, 0, maxDuration)
 		if !s.SupportsDriver(DriverProcess) {
-			check.report(key, "misbehaving clients are live only, and live is not among drivers")
+			check.report(key, "misbehaving clients need the driver live, which is not among drivers")
 		}
 	}
 }
 
-// checkDurations checks all durations of the environment, of schedulers and of rules.
+// checkDurations checks the durations of the environment, schedulers and rules.
 func (s *Scenario) checkDurations(check *validator) {
 	network, discovery, schedulers, rules := &s.Network, &s.Discovery, &s.Schedulers, &s.Rules
 	check.durationsInRange("", []durationLimit{
@@ -82,7 +82,7 @@
 
 const maxNetworkDelay = 10 * second
 
-// checkEnvironment checks what of the environment, of schedulers, planners and rules is no duration.
+// checkEnvironment checks the values of the environment, schedulers, planners and rules that checkDurations doesn't check.
 func (s *Scenario) checkEnvironment(check *validator) {
 	schedulers := &s.Schedulers
 	check.inRange("net.jitter", s.Network.Jitter, 0, 10)
@@ -92,7 +92,7 @@
 	check.intInRange("planners.idle", s.Planners.Idle, 0, s.Planners.Count)
 	check.durationInRange("planners.drops", s.Planners.Drops, 0, maxDuration)
 	if s.Planners.Count > 0 && s.SupportsDriver(DriverProcess) {
-		check.report("drivers", "planners are virtual only, and live is among the drivers")
+		check.report("drivers", "planners run only with the driver virtual, and live is among drivers")
 	}
 	check.inRange("schedulers.cores", schedulers.Cores, 0.01, 64)
 	check.intInRange("schedulers.memory_mb", schedulers.MemoryMB, 16, 65536)
--- a/internal/testbed/scenario/check_fault.go
+++ b/internal/testbed/scenario/check_fault.go
@@ -11,7 +11,7 @@
 	rule, isKnown := faultRules[fault.Kind]
 	if !isKnown {
 		kinds := slices.Sorted(maps.Keys(faultRules))
-		check.report(key+".what", "%q is none of the faults: %s", fault.Kind, strings.Join(kinds, ", "))
+		check.report(key+".what", "unknown fault %q; expected one of %s", fault.Kind, strings.Join(kinds, ", "))
 		return
 	}
 	s.checkFaultTime(check, key, fault, &rule)
@@ -27,16 +27,16 @@
 	case fault.At < 0 || fault.At >= s.Length:
 		check.report(key+".at", "%v is outside the run, which is %v long", fault.At, s.Length)
 	case fault.Spread < 0 || fault.At+fault.Spread > s.Length:
-		check.report(key+".spread", "%v reaches outside the run, which is %v long", fault.Spread, s.Length)
+		check.report(key+".spread", "%v from fault.at on ends outside the run, which is %v long", fault.Spread, s.Length)
 	case fault.Spread > 0 && !rule.canSpread():
-		check.report(key+".spread", "%s strikes all at once", fault.Kind)
+		check.report(key+".spread", "%s strikes all targets at once", fault.Kind)
 	}
 	check.durationInRange(key+".for", fault.Duration, 0, maxDuration)
 	switch {
 	case rule.needsDuration && fault.Duration == 0:
-		check.report(key+".for", "missing: %s does not hold for good", fault.Kind)
+		check.report(key+".for", "missing: %s can't last until the end of the run", fault.Kind)
 	case !rule.hasDuration && fault.Duration != 0:
-		check.report(key+".for", "%s has none", fault.Kind)
+		check.report(key+".for", "%s has no duration", fault.Kind)
 	}
 }
 
@@ -44,7 +44,7 @@
 	switch {
 	case !rule.hasSize():
 		if fault.Size != 0 {
-			check.report(key, "%s has none", fault.Kind)
+			check.report(key, "%s has no size", fault.Kind)
 		}
 	case fault.Size == 0:
 		check.report(key, "missing")
@@ -59,10 +59,10 @@
 // checkFaultFits checks that the scenario has what the fault affects.
 func (s *Scenario) checkFaultFits(check *validator, key string, fault *Fault, rule *faultRule) {
 	if fault.Kind == faultDiscoverySlow && s.Discovery.Capacity == 0 {
-		check.report(key, "discovery.capacity is 0, without limit: there is nothing to slow")
+		check.report(key, "discovery.capacity is 0, no limit: it can't be reduced")
 	}
 	if rule.scope == FaultScopeNetwork && fault.isAmongSchedulers() && !s.Peers.On {
-		check.report(key, "peers.on is false: schedulers send each other nothing")
+		check.report(key, "peers.on is false: schedulers send each other no datagrams")
 	}
 	affectsPlanners := rule.scope == FaultScopePlanner || rule.scope == FaultScopePlannerNetwork
 	if affectsPlanners && s.Planners.Count == 0 {
@@ -70,18 +70,18 @@
 	}
 }
 
-// checkFaultNetwork checks the two groups that a network fault lies between.
+// checkFaultNetwork checks the two groups between which a network fault is.
 func checkFaultNetwork(check *validator, key string, fault *Fault, rule *faultRule) {
 	pairs, isNetworkFault := networkPairs[rule.scope]
 	if !isNetworkFault {
 		if fault.Between != "" || fault.And != "" {
-			check.report(key, "%s is not done to the network between two crowds", fault.Kind)
+			check.report(key, "%s is not a network fault and has neither between nor and", fault.Kind)
 		}
 		return
 	}
 	pair, reversed := [2]string{fault.Between, fault.And}, [2]string{fault.And, fault.Between}
 	if !slices.Contains(pairs, pair) && !slices.Contains(pairs, reversed) {
-		check.report(key, "%q and %q do not speak to each other", fault.Between, fault.And)
+		check.report(key, "there is no traffic between %q and %q", fault.Between, fault.And)
 	}
 	if fault.Kind == faultDropIdle && fault.isAmongSchedulers() {
 		check.report(key, "schedulers have no connections to each other")
@@ -91,7 +91,7 @@
 	}
 }
 
-// selectable says what the target of a fault may select by.
+// selectable says by which criteria the target of a fault may select.
 type selectable struct{ workers, schedulers, planners, share, clients bool }
 
 func selectableBy(fault *Fault, rule *faultRule) selectable {
@@ -117,7 +117,7 @@
 	return may
 }
 
-// targetCriterion is a key of a target.
+// targetCriterion is a key of a target with its check.
 type targetCriterion struct {
 	name      string
 	isGiven   bool
@@ -125,7 +125,7 @@
 	check     func(check *validator, key string, target *Target)
 }
 
-// checkTarget rejects criteria that the fault does not have, and those that match nothing.
+// checkTarget rejects criteria that the kind of fault does not support, and those that match nothing.
 func (s *Scenario) checkTarget(check *validator, key string, fault *Fault, may selectable) {
 	target := &fault.Target
 	for _, criterion := range []targetCriterion{
@@ -143,7 +143,7 @@
 		switch {
 		case !criterion.isGiven:
 		case !criterion.isAllowed:
-			check.report(criterionKey, "%s is done to nobody who has one", fault.Kind)
+			check.report(criterionKey, "%s does not support this criterion", fault.Kind)
 		default:
 			criterion.check(check, criterionKey, target)
 		}
--- a/internal/testbed/scenario/check_peers.go
+++ b/internal/testbed/scenario/check_peers.go
@@ -1,6 +1,6 @@
 package scenario
 
-// checkPeers checks what schedulers send each other.
+// checkPeers checks the settings of the datagrams between schedulers.
 func (s *Scenario) checkPeers(check *validator) {
 	peers := &s.Peers
 	check.inRange("peers.price", peers.Price, 0, 1)
@@ -23,6 +23,6 @@
 	}
 	checkIndexes(check, "peers.liars", "schedulers", peers.Liars, s.Schedulers.Count)
 	if peers.On && s.Planners.Count > 0 {
-		check.report("peers.on", "forwarders of planners lease no slots")
+		check.report("peers.on", "expected false with planners: forwarders don't lease slots")
 	}
 }
--- a/internal/testbed/scenario/decode.go
+++ b/internal/testbed/scenario/decode.go
@@ -15,8 +15,8 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// decoder sets the fields of a scenario from decoded TOML by their tags, and gathers what is wrong by key. The TOML
-// library can't do it: its errors don't say which entry of a list they are about, and it gives entries no defaults.
+// decoder sets the fields of a scenario from decoded TOML by their tags, and gathers errors by key. The TOML library can't
+// do it: its errors don't say which entry of a list they are about, and it has no defaults for entries.
 type decoder struct {
 	problemList
 	given map[string]bool // keys that the text has
@@ -37,7 +37,7 @@
 	case reflect.Slice:
 		d.list(key, value, target)
 	case reflect.String:
-		target.SetString(scalar[string](d, key, value, "a text"))
+		target.SetString(scalar[string](d, key, value, "a string"))
 	case reflect.Bool:
 		target.SetBool(scalar[bool](d, key, value, "true or false"))
 	case reflect.Int:
@@ -49,7 +49,7 @@
 	}
 }
 
-// scalar returns a value of a type, and its zero value with an error reported if it has another.
+// scalar returns a value as type T. If it has another type, scalar reports an error and returns the zero value.
 func scalar[T any](d *decoder, key string, value any, expected string) T {
 	typed, ok := value.(T)
 	if !ok {
@@ -58,7 +58,7 @@
 	return typed
 }
 
-// number returns a finite number, which the text may write without a point.
+// number returns a finite number, which the text may write as an integer.
 func (d *decoder) number(key string, value any) float64 {
 	if whole, ok := value.(int64); ok {
 		return float64(whole)
@@ -74,7 +74,7 @@
 func (d *decoder) duration(key string, value any) Duration {
 	text, ok := value.(string)
 	if !ok {
-		d.report(key, "expected a span of time as in \"250ms\", got %s", describeValue(value))
+		d.report(key, "expected a duration as in \"250ms\", got %s", describeValue(value))
 		return 0
 	}
 	var duration Duration
@@ -94,7 +94,7 @@
 		innerKey := joinKeys(key, name)
 		field, exists := fieldOf(target, name)
 		if !exists {
-			d.report(innerKey, "%w; those here are %s", errNoSuchKey, strings.Join(keysOf(target.Type()), ", "))
+			d.report(innerKey, "%w; expected one of %s", errNoSuchKey, strings.Join(keysOf(target.Type()), ", "))
 			continue
 		}
 		d.decode(innerKey, table[name], field)
@@ -125,7 +125,7 @@
 	}
 }
 
-// joinKeys returns the key of a name in the table with a key.
+// joinKeys returns the full key of a name in a table, given the key of the table.
 func joinKeys(key, name string) string {
 	if key == "" {
 		return name
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -10,16 +10,16 @@
 const MaxProcessWorkers = 1000
 
 const (
-	defaultCapacityShare = 0.6        // of a load without any amount
+	defaultCapacityShare = 0.6        // if the load has none of of, rate and closed
 	defaultHintSpread    = 0.5        // log-normal spread of rough hints
 	defaultHintFactor    = 3          // of wrong hints
-	settleAfterDeadline  = 2 * second // by which a run outlasts the longest deadline
+	settleAfterDeadline  = 2 * second // added to the longest deadline
 )
 
-// hintsWrong is the word for hints that are all wrong by a factor.
+// hintsWrong is the value of load.hints for hints that are all wrong by the same factor.
 const hintsWrong = "wrong"
 
-// Default returns a run of the co-operative's deployment, without faults.
+// Default returns a run of the real deployment's fleet, classes and tenants, without faults.
 func Default() *Scenario {
 	scenario := &Scenario{
 		Length: 20 * second,
@@ -58,7 +58,7 @@
 	return scenario
 }
 
-// deployedClasses are the co-operative's classes of jobs.
+// deployedClasses returns the classes of jobs of the real deployment.
 func deployedClasses() []Class {
 	return []Class{
 		{
@@ -88,7 +88,7 @@
 	}
 }
 
-// deployedWorkerKinds are the co-operative's kinds of workers.
+// deployedWorkerKinds returns the kinds of workers of the real deployment.
 func deployedWorkerKinds() []WorkerKind {
 	standard := defaultWorkerKind()
 	standard.Name, standard.Share, standard.Speed = "std-4c", 0.51, 0.97
@@ -97,7 +97,7 @@
 	return []WorkerKind{standard, slow}
 }
 
-// defaultWorkerKind returns a kind of worker of which the text has the name only.
+// defaultWorkerKind returns the defaults for keys that an entry of fleet.kind lacks.
 func defaultWorkerKind() WorkerKind {
 	return WorkerKind{
 		Share: 1, Cores: 4, Speed: 1, Spread: 0.08, Slots: 4, Queue: 24, QueueOrder: "fifo",
@@ -108,7 +108,7 @@
 	}
 }
 
-// defaultClass returns a class of jobs of which the text has the name only.
+// defaultClass returns the defaults for keys that an entry of class lacks.
 func defaultClass() Class {
 	return Class{
 		Share: 1, Work: 200 * millisecond, Distribution: "lognormal", CV: 0.7, Noise: 0.1, Slots: []float64{1},
@@ -117,10 +117,10 @@
 	}
 }
 
-// noneGiven says of every key that the text does not have it.
+// noneGiven reports for every key that the text does not have it.
 func noneGiven(string) bool { return false }
 
-// applyDerivedDefaults sets the keys that were not given and whose defaults follow from other keys.
+// applyDerivedDefaults sets the keys that were not given and whose defaults depend on other keys.
 func (s *Scenario) applyDerivedDefaults(given func(key string) bool) {
 	if !given("drivers") {
 		s.Drivers = s.defaultDrivers()
@@ -177,7 +177,7 @@
 	}
 }
 
-// defaultEntry returns an entry of a list before its keys are read.
+// defaultEntry returns an entry of a list with its defaults, before its keys are read.
 func defaultEntry(entry reflect.Type) reflect.Value {
 	switch entry {
 	case reflect.TypeFor[WorkerKind]():
--- a/internal/testbed/scenario/duration.go
+++ b/internal/testbed/scenario/duration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written as in "250ms".
+// Duration is a time.Duration that scenario files write as in "250ms".
 type Duration time.Duration
 
 const (
@@ -24,7 +24,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("expected a span of time as in \"250ms\", got %q", text)
+		return fmt.Errorf("expected a duration as in \"250ms\", got %q", text)
 	}
 	*d = Duration(parsed)
 	return nil
--- a/internal/testbed/scenario/encode.go
+++ b/internal/testbed/scenario/encode.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Encode writes a scenario as TOML that Parse reads back as the same. Values that are the default are left out, except
-// the name.
+// Encode writes a scenario as TOML, which Parse reads back as an equal scenario. Default values are left out, except the
+// name.
 func Encode(s *Scenario) []byte {
 	base, derived := Default(), s.Clone()
 	derived.applyDerivedDefaults(noneGiven)
@@ -104,7 +104,7 @@
 	e.text.WriteByte(']')
 }
 
-// quoted writes a string: one of several lines, as operations files are, in TOML's multi-line form.
+// quoted writes a string. One of several lines, such as an operations file, is written in TOML's multi-line form.
 func (e *encoder) quoted(text string) {
 	isMultiLine := strings.Contains(text, "\n") && !strings.Contains(text, "\r")
 	opening, closing := `"`, `"`
--- a/internal/testbed/scenario/errors.go
+++ b/internal/testbed/scenario/errors.go
@@ -16,9 +16,9 @@
 // Unwrap returns the error without its key.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-var errNoSuchKey = errors.New("there is no such key")
+var errNoSuchKey = errors.New("unknown key")
 
-// problemList gathers the errors of several keys.
+// problemList collects the errors of several keys.
 type problemList struct{ problems []error }
 
 // report adds an error for a key. The format is that of fmt.Errorf.
@@ -26,5 +26,5 @@
 	p.problems = append(p.problems, &KeyError{Key: key, Err: fmt.Errorf(format, args...)})
 }
 
-// err joins the errors in the order in which they were reported; nil without any.
+// err joins the errors in the order in which they were reported; nil if there are none.
 func (p *problemList) err() error { return errors.Join(p.problems...) }
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// metricRecovery is counted in seconds; the other metrics of time are in milliseconds.
+// metricRecovery is in seconds; the other metrics of time are in milliseconds.
 const metricRecovery = "recovered_within"
 
 // Metric is a measure of a run that expectations may name.
@@ -16,7 +16,7 @@
 	Name        string
 	Description string
 	Share       bool          // from 0 to 1
-	Parts       bool          // each class and each tenant has one, too
+	Parts       bool          // each class and each tenant has a value, too
 	Time        bool          // the bound may be written as a duration
 	Unit        time.Duration // of metrics of time
 }
@@ -43,15 +43,15 @@
 	{Name: "rules_broken", Description: "how often a rule was broken"},
 }
 
-// Expectation is a bound that a metric of a run is checked against.
+// Expectation is a bound for a metric of a run.
 type Expectation struct {
 	Metric   string  // the name of one of Metrics
-	Group    string  // a class or tenant; empty: all
+	Group    string  // a class or tenant; empty: the whole run
 	Operator string  // >=, <=, >, <, =
 	Bound    float64 // of metrics of time in the metric's unit
 }
 
-// IsMet reports whether a value is as expected. NaN, for a value that is not available, never is.
+// IsMet reports whether a value is as expected. It is false for NaN, which stands for a value that is not available.
 func (e Expectation) IsMet(value float64) bool {
 	switch e.Operator {
 	case ">=":
@@ -89,7 +89,7 @@
 	return list
 }
 
-// expectation parses an expectation and checks that the scenario has its class or tenant.
+// expectation parses an expectation and checks that the scenario has the class or tenant that it names.
 func (s *Scenario) expectation(text string) (Expectation, error) {
 	parsed, err := ParseExpectation(text)
 	if err != nil || parsed.Group == "" {
@@ -113,7 +113,7 @@
 		return parsed, err
 	}
 	if parsed.Group != "" && !metric.Parts {
-		return parsed, fmt.Errorf("%s is of the whole run, not of %q", parsed.Metric, parsed.Group)
+		return parsed, fmt.Errorf("%s is available for the whole run only, not for %q", parsed.Metric, parsed.Group)
 	}
 	parsed.Bound, err = metric.parseBound(parsed.Operator, bound)
 	if err != nil {
@@ -125,11 +125,11 @@
 	return parsed, nil
 }
 
-// splitExpectation splits a text at its operator. The bound is still to be parsed.
+// splitExpectation splits a text at its operator. It returns the bound as text.
 func splitExpectation(text string) (parsed Expectation, bound string, err error) {
 	at := strings.IndexAny(text, "<>=")
 	if at < 0 {
-		return parsed, "", fmt.Errorf("expected a figure, one of >= <= > < =, and a bound, got %q", text)
+		return parsed, "", fmt.Errorf("expected a metric, one of >= <= > < =, and a bound, got %q", text)
 	}
 	parsed.Metric, parsed.Operator = strings.TrimSpace(text[:at]), text[at:at+1]
 	bound, hasEqualSign := strings.CutPrefix(text[at+1:], "=")
@@ -156,10 +156,10 @@
 		}
 		names[i] = Metrics[i].Name
 	}
-	return nil, fmt.Errorf("%q is none of the figures: %s", name, strings.Join(names, ", "))
+	return nil, fmt.Errorf("unknown metric %q; expected one of %s", name, strings.Join(names, ", "))
 }
 
-// parseBound reads a number, or a duration for a metric that may be one, and checks that the metric can reach it.
+// parseBound reads a number, or a duration for a metric of time, and checks that the metric can have this value.
 func (m *Metric) parseBound(operator, text string) (float64, error) {
 	bound, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -170,7 +170,7 @@
 		bound = float64(duration) / float64(m.Unit)
 	}
 	if math.IsNaN(bound) || math.IsInf(bound, 0) || bound < 0 || m.Share && bound > 1 {
-		return 0, fmt.Errorf("%s never comes to %q", m.Name, text)
+		return 0, fmt.Errorf("%s can't have the value %q", m.Name, text)
 	}
 	return bound, nil
 }
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -37,7 +37,7 @@
 	faultResetAt       = "reset_at"
 )
 
-// Fault is something that goes wrong in the course of a run. The package comment says what Size means for each kind.
+// Fault is a fault that is injected during a run. The package comment says what Size means for each kind.
 type Fault struct {
 	Kind     string   `toml:"what"` // a key of FaultKinds
 	At       Duration `toml:"at"`
@@ -49,13 +49,13 @@
 	Size     float64  `toml:"size"`
 }
 
-// Target selects what a fault strikes: everything that matches all criteria given.
+// Target selects what a fault strikes: everything that matches all given criteria.
 type Target struct {
 	Names      []string `toml:"names"`      // of workers: w-0, w-1, ...
 	Cells      []int    `toml:"cells"`      // of workers
 	Kind       string   `toml:"kind"`       // of workers
 	Zone       string   `toml:"zone"`       // of workers
-	Share      float64  `toml:"share"`      // of those that match otherwise, drawn by the seed, one at least; 0: all
+	Share      float64  `toml:"share"`      // of those that match the other criteria, chosen by the seed, at least one; 0: all
 	Schedulers []int    `toml:"schedulers"` // by index; empty: all
 	Planners   []int    `toml:"planners"`   // by index; empty: all
 	Tenant     string   `toml:"tenant"`
@@ -73,17 +73,17 @@
 	return scopes
 }
 
-// faultRule says which keys a kind of fault has besides what and at.
+// faultRule says which keys, besides what and at, a kind of fault has.
 type faultRule struct {
 	scope            FaultScope
-	size             float64 // default; 0: the kind has no size, or it has to be given
+	size             float64 // default; 0: there is none
 	minSize          float64
 	maxSize          float64
 	needsSize        bool
 	hasDuration      bool
 	needsDuration    bool
-	targetsWorkers   bool // the target may select workers though the scope is another
-	strikesAllAtOnce bool // the targets can't be spread over time
+	targetsWorkers   bool // the target may select workers although the scope is not FaultScopeWorker
+	strikesAllAtOnce bool // the targets can't be struck one after the other
 }
 
 // hasSize reports whether the kind has the key size.
@@ -153,7 +153,7 @@
 	"planner_cut_one_way": {scope: FaultScopePlannerNetwork, hasDuration: true},
 }
 
-// networkPairs has the pairs of groups that network faults may lie between, by scope.
+// networkPairs has, by scope, the pairs of groups between which a network fault may be.
 var networkPairs = map[FaultScope][][2]string{
 	FaultScopeNetwork: {
 		{groupSchedulers, groupWorkers},
@@ -170,15 +170,15 @@
 	},
 }
 
-// isBetween reports whether a network fault has the group on one of its sides.
+// isBetween reports whether the group is one side of a network fault.
 func (f *Fault) isBetween(group string) bool { return f.Between == group || f.And == group }
 
-// isAmongSchedulers reports whether a network fault lies between schedulers and schedulers.
+// isAmongSchedulers reports whether a network fault is between schedulers and other schedulers.
 func (f *Fault) isAmongSchedulers() bool {
 	return f.Between == groupSchedulers && f.And == groupSchedulers
 }
 
-// NodeIndex returns the index of the worker that is named w-N in a fleet of a size, and false if there is none.
+// NodeIndex returns the index N of the worker named w-N, and false if a fleet of the given size has no such worker.
 func NodeIndex(name string, workers int) (int, bool) {
 	digits, hasPrefix := strings.CutPrefix(name, workerNamePrefix)
 	if !hasPrefix {
--- a/internal/testbed/scenario/golden_test.go
+++ b/internal/testbed/scenario/golden_test.go
@@ -10,8 +10,8 @@
 	"valvecove/internal/storedform"
 )
 
-// The golden files were written by the build of d2a7518. Scenarios are stored, and other builds read them: the files are
-// never regenerated except under a new form number.
+// The golden files were written by the build of commit d2a7518. Scenarios are stored, and other builds read them: the files
+// are never regenerated, except under a new form number.
 const (
 	goldenSimulation = "scenario-virtual-1.toml" // every key that the simulation driver supports
 	goldenProcess    = "scenario-live-1.toml"    // the keys for the process driver only, and a closed load
@@ -36,7 +36,7 @@
 	}
 }
 
-// field is one value of a scenario that was read, with the value that its file has.
+// field is one value of a scenario that was read, and the value that the golden file has.
 type field struct {
 	key       string
 	got, want any
@@ -51,7 +51,7 @@
 	}
 }
 
-// At least one value of each table is checked.
+// Parse reads the values of the golden files. At least one value of each table is checked.
 func TestParseGoldenIsRead(t *testing.T) {
 	s := goldenScenario(t, goldenSimulation)
 	kind, class, fault := s.Fleet.Kinds[0], s.Classes[0], s.Faults[0]
@@ -102,7 +102,7 @@
 	}}})
 }
 
-// The golden files have every key of a scenario, and no other.
+// The golden files together have every key of a scenario, and no others.
 func TestParseGoldenHasEveryKey(t *testing.T) {
 	found := map[string]bool{}
 	for _, name := range goldenScenarios {
@@ -119,7 +119,7 @@
 		delete(found, key)
 	}
 	if len(found) > 0 {
-		t.Errorf("keys that there are not: %v", found)
+		t.Errorf("keys that a scenario does not have: %v", found)
 	}
 }
 
@@ -154,5 +154,5 @@
 	return keys
 }
 
-// Each key stands in a tag, so that renaming a Go field does not change it.
+// Each field has its key in a tag, so that renaming the field does not change the key.
 func TestScenarioIsTagged(t *testing.T) { storedform.CheckTagsBy(t, "toml", Scenario{}) }
--- a/internal/testbed/scenario/placement.go
+++ b/internal/testbed/scenario/placement.go
@@ -1,8 +1,8 @@
 package scenario
 
-// WorkerPlacement returns the cells and zones of the workers, by number. Workers are dealt to zones in rotation, and cells
-// are filled zone by zone, apart from those in which a zone ends and the next begins. The environment deals them by itself
-// to the same effect, so that what checks a run doesn't depend on what ran it.
+// WorkerPlacement returns the cells and zones of the workers, by number. Workers are assigned to zones in turn. Cells are
+// filled zone by zone, so that a cell has workers of two zones only where one zone ends and the next begins. The environment
+// computes the same placement in code of its own, so that the checker does not depend on the code that it checks.
 func (s *Scenario) WorkerPlacement() (cells, zones []int) {
 	workers, cellSize, zoneCount := s.Fleet.Workers, max(1, s.Fleet.CellSize), max(1, len(s.Fleet.Zones))
 	cells = make([]int, workers)
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -12,7 +12,7 @@
 
 const fileExtension = ".toml"
 
-// Open reads a scenario from a file. Without a name of its own it is named after the file.
+// Open reads a scenario from a file. If the text has no name, the scenario is named after the file.
 func Open(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return parsed, nil
 }
 
-// Parse reads a scenario from its text, sets the defaults of absent keys and checks the whole. The name is used if the
-// text gives none. The error joins a KeyError for each faulty key, unless the text is no TOML.
+// Parse reads a scenario from its text, sets the defaults of absent keys and checks the whole. The given name is used if
+// the text has none. The error joins a KeyError for each faulty key, unless the text is not valid TOML.
 func Parse(name string, text []byte) (*Scenario, error) {
 	parsed, err := read(name, text)
 	if err != nil {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -6,17 +6,17 @@
 	DriverProcess    = "live"
 )
 
-// Scenario describes a run, but for its seed.
+// Scenario describes a run. The seed is given when the run is started.
 type Scenario struct {
-	Name         string               `toml:"name"`    // default: the file's
+	Name         string               `toml:"name"`    // default: the name of the file
 	Description  string               `toml:"about"`   // one sentence
-	Seed         int                  `toml:"seed"`    // of the run that the scenario is kept for; 0: of none
-	Length       Duration             `toml:"length"`  // for how long jobs become due
-	Settle       Duration             `toml:"settle"`  // for how long the run goes on after that, at most; default: the longest deadline and 2 s
-	Drivers      []string             `toml:"drivers"` // default both
+	Seed         int                  `toml:"seed"`    // of the run for which the scenario was saved; 0: none
+	Length       Duration             `toml:"length"`  // time in which jobs become due
+	Settle       Duration             `toml:"settle"`  // maximum time after that; default: the longest deadline plus 2 s
+	Drivers      []string             `toml:"drivers"` // default: both
 	Fleet        Fleet                `toml:"fleet"`
-	Classes      []Class              `toml:"class"`  // default: the co-operative's four
-	Tenants      []Tenant             `toml:"tenant"` // default: the co-operative's three
+	Classes      []Class              `toml:"class"`  // default: the four of the deployment
+	Tenants      []Tenant             `toml:"tenant"` // default: the three of the deployment
 	Load         Load                 `toml:"load"`
 	Clients      Clients              `toml:"clients"`
 	Misbehaving  []MisbehavingClients `toml:"bad"`
@@ -24,8 +24,8 @@
 	Discovery    Discovery            `toml:"discovery"`
 	LoadBalancer LoadBalancer         `toml:"front"`
 	Schedulers   Schedulers           `toml:"schedulers"`
-	Planners     Planners             `toml:"planners"` // default none
-	Peers        Peers                `toml:"peers"`    // default off
+	Planners     Planners             `toml:"planners"` // default: none
+	Peers        Peers                `toml:"peers"`    // default: off
 	Rules        Rules                `toml:"rules"`
 	Faults       []Fault              `toml:"fault"`
 	Expect       []string             `toml:"expect"` // "in_time >= 0.95", "recovered_within <= 5s"
@@ -37,7 +37,7 @@
 	Zones    []string     `toml:"zones"`     // assigned to workers in turn; default one, "a"
 	CellSize int          `toml:"cell_size"` // workers that share the idempotency keys they have seen; default 4
 	Weights  string       `toml:"weights"`   // the weights that discovery publishes: off, nominal, rough (default)
-	Kinds    []WorkerKind `toml:"kind"`      // default: the co-operative's two
+	Kinds    []WorkerKind `toml:"kind"`      // default: the two of the deployment
 }
 
 // WorkerKind describes the workers of one kind. The speed of each is drawn at random.
@@ -45,31 +45,31 @@
 	Name                    string   `toml:"name"`
 	Share                   float64  `toml:"share"` // of the fleet
 	Cores                   float64  `toml:"cores"`
-	Speed                   float64  `toml:"speed"`         // of a core, relative to a standard one
+	Speed                   float64  `toml:"speed"`         // of a core, relative to a standard core
 	Spread                  float64  `toml:"spread"`        // coefficient of variation of the speed between workers
-	Slots                   int      `toml:"slots"`         // jobs at once; beyond the cores they share them
-	Queue                   int      `toml:"queue"`         // jobs that may be queued; it rejects more as full
-	QueueOrder              string   `toml:"order"`         // fifo (the first job waits until it fits) or backfill (the first job that fits)
-	WarmUpCapacity          float64  `toml:"cold_from"`     // share of the capacity after a start
-	WarmUp                  Duration `toml:"cold"`          // until it has its whole capacity
-	WarmUpBy                string   `toml:"warm_by"`       // time or work
-	PauseEvery              Duration `toml:"pause_every"`   // mean; 0: never
+	Slots                   int      `toml:"slots"`         // jobs at a time; more jobs than cores share the cores
+	Queue                   int      `toml:"queue"`         // jobs that may be queued; further ones are rejected as full
+	QueueOrder              string   `toml:"order"`         // fifo (the first waits to fit), backfill (the first that fits)
+	WarmUpCapacity          float64  `toml:"cold_from"`     // share of the capacity directly after a start
+	WarmUp                  Duration `toml:"cold"`          // from the start until the whole capacity is available
+	WarmUpBy                string   `toml:"warm_by"`       // what warms it up: time or work
+	PauseEvery              Duration `toml:"pause_every"`   // mean interval; 0: never
 	Pause                   Duration `toml:"pause"`         // mean length
 	ErrorRate               float64  `toml:"error_rate"`    // share of jobs that end with an error after they ran
 	ConnLimit               int      `toml:"conns"`         // open connections at most
-	Handshake               Duration `toml:"handshake"`     // work that a new connection costs it, and the delay of its first request
+	Handshake               Duration `toml:"handshake"`     // work for each new connection, and the delay of its first request
 	ConnIdleTimeout         Duration `toml:"idle"`          // after which it closes idle connections
-	ExpiredJobs             string   `toml:"expired"`       // what it does with queued jobs whose deadline has passed: run or drop
+	ExpiredJobs             string   `toml:"expired"`       // what it does with queued jobs past their deadline: run or drop
 	CancellationStops       bool     `toml:"cancel_stops"`  // DELETE stops a running job; else it has no effect
 	ReturnsQueued           bool     `toml:"hands_back"`    // when it drains, it returns the jobs that have not started
-	OmitsStartNotifications bool     `toml:"starts_untold"` // it sends no notifications of starts and of progress
-	ProgressInterval        Duration `toml:"progress"`      // between notifications of progress; 0: none
+	OmitsStartNotifications bool     `toml:"starts_untold"` // it sends no callbacks for starts and progress
+	ProgressInterval        Duration `toml:"progress"`      // between callbacks for progress; 0: none
 	HealthCheckWork         Duration `toml:"probe_work"`    // work of a health check
 	Accept                  Duration `toml:"accept"`        // from the last byte of an attempt to the 202
-	CallbackDelay           Duration `toml:"note_late"`     // mean further delay of notifications
-	CallbackEarlyShare      float64  `toml:"note_early"`    // share of jobs whose start is notified before the 202
-	CallbackTwiceShare      float64  `toml:"note_twice"`    // share of notifications sent again though answered
-	CallbackLossShare       float64  `toml:"note_lost"`     // share of attempts at notifications that never arrive; each is attempted up to ten times
+	CallbackDelay           Duration `toml:"note_late"`     // mean additional delay of callbacks
+	CallbackEarlyShare      float64  `toml:"note_early"`    // share of jobs whose start callback is sent before the 202
+	CallbackTwiceShare      float64  `toml:"note_twice"`    // share of callbacks that are sent again although they were answered
+	CallbackLossShare       float64  `toml:"note_lost"`     // share of a callback's tries that never arrive; ten tries at most
 }
 
 // Class describes a class of jobs and its service objectives.
@@ -79,14 +79,14 @@
 	Work                Duration  `toml:"work"`  // mean run time on one standard core
 	Distribution        string    `toml:"dist"`  // fixed, exp, lognormal, pareto
 	CV                  float64   `toml:"cv"`    // of lognormal and pareto
-	Noise               float64   `toml:"noise"` // log-normal spread of one job's runs
+	Noise               float64   `toml:"noise"` // log-normal spread between runs of the same job
 	Slots               []float64 `toml:"slots"` // shares of the jobs that take 1, 2, 4, 8 slots
 	LatencyObjective    Duration  `toml:"aim"`
 	ObjectiveStretch    float64   `toml:"stretch"`
 	Deadline            Duration  `toml:"deadline"`
 	PriorityWeight      float64   `toml:"worth"`
 	Idempotency         string    `toml:"effect"` // safe, keyed, unsafe
-	DeduplicationScope  string    `toml:"group"`  // of keyed: cell, zone, all
+	DeduplicationScope  string    `toml:"group"`  // of keyed classes: cell, zone, all
 	DeduplicationWindow Duration  `toml:"window"`
 	Kind                string    `toml:"kind"` // the only kind of worker that runs it; empty: any
 }
@@ -102,22 +102,22 @@
 type Load struct {
 	CapacityShare   float64 `toml:"of"`          // work requested, as a share of the capacity of the warm fleet
 	Rate            float64 `toml:"rate"`        // jobs a second
-	Shape           string  `toml:"shape"`       // steady, bursty, swell (rises to a peak at 2/3), month_start (falls off from the start)
+	Shape           string  `toml:"shape"`       // steady, bursty, swell (peak at 2/3), month_start (declines from the start)
 	Swing           float64 `toml:"swing"`       // of bursty, swell and month_start: deviation from the mean, as a share of it
-	Hints           string  `toml:"hints"`       // of the work of a job: none, exact, rough (log-normal), wrong (all by hint_factor)
+	Hints           string  `toml:"hints"`       // of a job's work: none, exact, rough (log-normal), wrong (by hint_factor)
 	HintFactor      float64 `toml:"hint_factor"` // log-normal spread of rough hints, default 0.5; factor of wrong ones, default 3
 	OverQuotaWeight float64 `toml:"over_worth"`  // factor of the priority weight beyond a tenant's quota, default 0.1
-	Quota           float64 `toml:"quota"`       // the part of the capacity that tenants' quotas share, default 0.8
-	ClosedClients   int     `toml:"closed"`      // clients that each send the next request on the response to the last
+	Quota           float64 `toml:"quota"`       // share of the capacity that is divided into the tenants' quotas, default 0.8
+	ClosedClients   int     `toml:"closed"`      // number of clients that each send a request when the last one is answered
 }
 
 // Clients describes how clients behave.
 type Clients struct {
 	Retries             int      `toml:"retries"`    // of a request, at most
-	Backoff             Duration `toml:"backoff"`    // before the first retry, doubling, with a factor drawn from 0.5 to 1.5
+	Backoff             Duration `toml:"backoff"`    // before the first retry; then doubled; times a random 0.5 to 1.5
 	HonourRetryAfter    float64  `toml:"honour"`     // share of clients that follow Retry-After
-	Impatient           float64  `toml:"impatient"`  // share of jobs whose client leaves early, at a time drawn evenly up to its deadline
-	RequestTimeoutShare float64  `toml:"try_share"`  // of a class's deadline that one request may take; default 1
+	Impatient           float64  `toml:"impatient"`  // share of jobs whose client leaves at a random time before the deadline
+	RequestTimeoutShare float64  `toml:"try_share"`  // share of a class's deadline that one request may take; default 1
 	MarkRetry           bool     `toml:"mark_retry"` // retries carry X-Again: 1
 }
 
@@ -131,7 +131,7 @@
 // MisbehavingClients describes a group of misbehaving clients, for the process driver only.
 type MisbehavingClients struct {
 	Kind     string   `toml:"kind"` // one of MisbehaviorKinds
-	Rate     float64  `toml:"rate"` // connections a second
+	Rate     float64  `toml:"rate"` // connections per second
 	At       Duration `toml:"at"`
 	Duration Duration `toml:"for"` // 0: to the end of the run
 }
@@ -146,13 +146,13 @@
 	DropsIdleAfter Duration `toml:"drops_idle"` // after which the network forgets idle connections; 0: never
 }
 
-// Discovery describes the discovery service, and how fast it notices changes of the fleet.
+// Discovery describes the discovery service, and how fast it notices changes in the fleet.
 type Discovery struct {
 	NoticeDelay       Duration `toml:"notice"`        // of a worker that ended or is draining
 	SilentNoticeDelay Duration `toml:"silent_notice"` // of a worker that vanished or is partitioned
 	AddDelay          Duration `toml:"add"`           // of a worker that started
 	Period            Duration `toml:"period"`        // between updates of its list
-	Capacity          float64  `toml:"capacity"`      // endpoints listed a second; calls are queued and fail after timeout; 0: no limit
+	Capacity          float64  `toml:"capacity"`      // endpoints listed per second; calls queue up to timeout; 0: no limit
 	Timeout           Duration `toml:"timeout"`
 }
 
@@ -174,45 +174,45 @@
 	MaxRetryAfter   Duration `toml:"max_retry_after"`
 	ConnIdleTimeout Duration `toml:"conn_idle"`
 	ConnTimeout     Duration `toml:"conn_timeout"`
-	OperationsFile  string   `toml:"ops"`        // text of a file for valvecove --config, for the process driver only
-	StartSpread     Duration `toml:"start_over"` // time over which they start at the beginning
+	OperationsFile  string   `toml:"ops"`        // contents of a file for valvecove --config, for the process driver only
+	StartSpread     Duration `toml:"start_over"` // time over which their starts are spread at the beginning
 }
 
 // Planners describes the planners, for the simulation driver only. With planners, schedulers are forwarders.
 type Planners struct {
 	Count int      `toml:"count"` // 0: schedulers decide themselves
-	Idle  int      `toml:"idle"`  // the last ones, which only the fault planner_start starts
-	Drops Duration `toml:"drops"` // mean time until a connection of theirs breaks; 0: never by itself
+	Idle  int      `toml:"idle"`  // how many of them, the last, are started only by the fault planner_start
+	Drops Duration `toml:"drops"` // mean time until one of their connections breaks; 0: only by faults
 }
 
-// Words for Peers.Lie.
+// Values of Peers.Lie.
 const (
 	LieFull       = "full"        // the shard never has a free slot
-	LieSameWorker = "same_worker" // every lease is granted at once, and all at the same worker
+	LieSameWorker = "same_worker" // every lease is granted at once, all of them at the same worker
 )
 
-// Peers describes the datagrams that schedulers send each other. Shares are of datagrams, each drawn for itself.
+// Peers describes the datagrams that schedulers send each other. Shares are probabilities for each datagram.
 type Peers struct {
-	On        bool     `toml:"on"`        // they may send any
-	Price     float64  `toml:"price"`     // share of the result that 256 bytes for each job cost
-	Delay     Duration `toml:"delay"`     // least further delay of a datagram, besides the network's
-	DelayMax  Duration `toml:"delay_max"` // greatest further delay; drawn evenly
+	On        bool     `toml:"on"`        // they may send datagrams
+	Price     float64  `toml:"price"`     // deducted from the result for every 256 bytes per job
+	Delay     Duration `toml:"delay"`     // minimum additional delay of a datagram, on top of the network's
+	DelayMax  Duration `toml:"delay_max"` // maximum additional delay; uniformly distributed
 	Loss      float64  `toml:"loss"`      // share that never arrives
 	Duplicate float64  `toml:"duplicate"` // share that arrives twice
-	Reorder   float64  `toml:"reorder"`   // share that arrives after others that were sent later
-	Torn      float64  `toml:"torn"`      // share that arrives short or with a wrong byte
-	Forged    float64  `toml:"forged"`    // share that arrives once more from an address that is no peer's
+	Reorder   float64  `toml:"reorder"`   // share that arrives after datagrams that were sent later
+	Torn      float64  `toml:"torn"`      // share that arrives truncated or with a wrong byte
+	Forged    float64  `toml:"forged"`    // share that arrives a second time from an address of no peer
 	Liars     []int    `toml:"liars"`     // schedulers, by index, that lie as coordinators; simulation driver only
 	Lie       string   `toml:"lie"`       // one of LieFull, LieSameWorker
 }
 
 // Rules are the parameters of the invariants that the checker checks.
 type Rules struct {
-	Slack               Duration `toml:"slack"`          // by which a response may be late; default 50 ms with processes, 16 ms in simulation
+	Slack               Duration `toml:"slack"`          // how late a response may be; default 50 ms, in simulation 16 ms
 	DrainGrace          Duration `toml:"drain_grace"`    // default 500 ms
 	PollInterval        Duration `toml:"ask_every"`      // default 10 s
 	OverloadFactor      float64  `toml:"fall_factor"`    // default 3
 	OverloadWindow      Duration `toml:"fall"`           // default 2 s
-	MisbehaviorDeadline Duration `toml:"bad_answered"`   // until a misbehaving client is answered with an error or disconnected, default 3 s
+	MisbehaviorDeadline Duration `toml:"bad_answered"`   // until an error or disconnection for misbehaving clients; default 3 s
 	RejectionDeadline   Duration `toml:"give_up_within"` // until a rejection is due, default 250 ms: see package checker
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -183,11 +183,11 @@
 	} {
 		_, err := Parse("x", []byte(test.text))
 		if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("key %q:", test.key)) {
-			t.Errorf("%s\nwants key %q named, got: %v", test.text, test.key, err)
+			t.Errorf("%s\nwant an error that names key %q, got: %v", test.text, test.key, err)
 		}
 		var keyErr *KeyError
 		if !errors.As(err, &keyErr) {
-			t.Errorf("%s\ngot an error without a key: %v", test.text, err)
+			t.Errorf("%s\nwant a KeyError, got: %v", test.text, err)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	}
 }
 
-// checkOperator checks what values around the bound meet an expectation.
+// checkOperator checks which values around its bound meet an expectation.
 func checkOperator(t *testing.T, e Expectation) {
 	t.Helper()
 	for _, test := range []struct {
@@ -234,7 +234,7 @@
 	}
 }
 
-// Parse reads what Encode writes as the same scenario, whatever its values.
+// Parse reads the text that Encode writes as an equal scenario, whatever its values.
 func TestEncodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
@@ -246,15 +246,15 @@
 			t.Fatalf("%v\n%s", err, text)
 		}
 		if !reflect.DeepEqual(got, s) {
-			t.Fatalf("%s\nreads back as %+v\nand was %+v", text, got, s)
+			t.Fatalf("%s\nis read back as %+v\nwant %+v", text, got, s)
 		}
 		if c := s.Clone(); !reflect.DeepEqual(c, s) {
-			t.Fatalf("cloned as %+v\nand was %+v", c, s)
+			t.Fatalf("cloned as %+v\nwant %+v", c, s)
 		}
 	})
 }
 
-// mutate changes some of the values. The lists that need an entry keep one.
+// mutate changes some of the values. Lists that must not be empty keep an entry.
 func mutate(t *rapid.T, key string, v reflect.Value) {
 	minLength := 0
 	if key == "class" || key == "tenant" || key == "kind" {
@@ -287,7 +287,7 @@
 	}
 }
 
-// An empty file is the default scenario, and that is valid.
+// An empty file is read as the default scenario, which is valid.
 func TestDefaultIsEmptyFile(t *testing.T) {
 	s, err := Parse("calm", nil)
 	if err != nil {
@@ -344,7 +344,7 @@
 	}
 }
 
-// Each kind of fault has its rule, and its line in the package comment.
+// Each kind of fault has a rule, and a line in the package comment.
 func TestFaultKindsAreDescribed(t *testing.T) {
 	page, err := os.ReadFile("doc.go")
 	if err != nil {
@@ -352,10 +352,10 @@
 	}
 	for kind := range FaultKinds {
 		if _, ok := faultRules[kind]; !ok || !strings.Contains(string(page), "\n//\t"+kind+" ") {
-			t.Errorf("%s is not described", kind)
+			t.Errorf("%s has no rule or no line in doc.go", kind)
 		}
 	}
 	if len(faultRules) != len(FaultKinds) {
-		t.Error("a rule is of no kind")
+		t.Error("faultRules and FaultKinds differ in length")
 	}
 }
--- a/internal/testbed/scenario/set.go
+++ b/internal/testbed/scenario/set.go
@@ -9,12 +9,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Set replaces the value of one key by a value in TOML, as in Set("fault[2].size", "3.5"), and checks the whole. If it
+// Set replaces the value of one key by a value in TOML, as in Set("fault[2].size", "3.5"), and checks the scenario. If it
 // returns an error, the scenario is unchanged. Setting one of load.of, load.rate and load.closed clears the others.
 func (s *Scenario) Set(key, value string) error {
 	var table map[string]any
 	if _, err := toml.Decode("value = "+value, &table); err != nil || len(table) != 1 {
-		return &KeyError{key, fmt.Errorf("expected a value as TOML has it, got %q", value)}
+		return &KeyError{key, fmt.Errorf("expected a value in TOML, got %q", value)}
 	}
 	next := s.Clone()
 	target, err := lookUp(reflect.ValueOf(next).Elem(), key)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// clearOthers clears the amounts of load that exclude the one with a key.
+// clearOthers clears the amounts of load that can't be combined with the one that a key names.
 func (l *Load) clearOthers(key string) {
 	switch key {
 	case "load.of":
@@ -62,7 +62,7 @@
 	return value, nil
 }
 
-// lookUpStep returns a field of a table, or an entry of a list there, as in "fault[2]".
+// lookUpStep returns a field of a table or, as for "fault[2]", an entry of a field that is a list.
 func lookUpStep(table reflect.Value, step string) (reflect.Value, error) {
 	name, index, isIndexed := strings.Cut(step, "[")
 	field, exists := fieldOf(table, name)
--- a/internal/testbed/scenario/validator.go
+++ b/internal/testbed/scenario/validator.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// shareTolerance is how far the sum of shares may lie from 1.
+// shareTolerance is how much the sum of shares may differ from 1.
 const shareTolerance = 0.005
 
 // maxNameLength is in bytes.
 const maxNameLength = 64
 
-// validator checks values, and gathers what is wrong by key.
+// validator checks values and collects errors by key.
 type validator struct{ problemList }
 
 // entryKey is the key of an entry of a list.
@@ -56,21 +56,21 @@
 	}
 }
 
-// notEmpty checks that a list has an entry.
+// notEmpty checks that a list has at least one entry.
 func (v *validator) notEmpty(key string, length int) {
 	if length == 0 {
-		v.report(key, "expected one at least")
+		v.report(key, "expected at least one entry")
 	}
 }
 
-// sumsToOne checks a sum of shares.
+// sumsToOne checks that a sum of shares is 1.
 func (v *validator) sumsToOne(key string, sum float64) {
 	if !(math.Abs(sum-1) <= shareTolerance) {
-		v.report(key, "the shares make %.4g, and have to make 1", sum)
+		v.report(key, "expected shares whose sum is 1, got the sum %.4g", sum)
 	}
 }
 
-// validName checks a name that goes into paths, headers and file names.
+// validName checks a name that is used in paths, headers and file names.
 func (v *validator) validName(key, name string) {
 	valid := name != "" && len(name) <= maxNameLength && name[0] != '.' && name[0] != '-'
 	for _, char := range []byte(name) {
@@ -89,11 +89,11 @@
 	return char == '-' || char == '_' || char == '.'
 }
 
-// distinct checks that no name is there twice.
+// distinct checks that no name occurs twice.
 func (v *validator) distinct(key string, names []string) {
 	for i, name := range names {
 		if slices.Index(names, name) < i {
-			v.report(entryKey(key, i), "%q is there twice", name)
+			v.report(entryKey(key, i), "%q occurs twice", name)
 		}
 	}
 }
