--- a/internal/testbed/baseline/attempts.go
+++ b/internal/testbed/baseline/attempts.go
@@ -11,7 +11,7 @@
 	return slices.ContainsFunc(j.attempts, (*attempt).possiblyExecuted)
 }
 
-// possiblyExecuted reports whether nothing proves that the attempt was not executed.
+// possiblyExecuted reports whether the worker may have executed the attempt: no result proves that it did not.
 func (a *attempt) possiblyExecuted() bool {
 	return !a.ended || a.result != dispatch.WorkerFull && a.result != dispatch.ConnectFailed && a.result != dispatch.NotSent
 }
@@ -21,7 +21,7 @@
 	return slices.ContainsFunc(j.attempts, func(earlier *attempt) bool { return earlier.worker == target })
 }
 
-// isAllowed reports whether the rules allow to send a job to a ready worker now.
+// isAllowed reports whether the rules allow a job to be sent to a ready worker now.
 func (b *base) isAllowed(job *job, worker *worker) bool {
 	class := job.class
 	if class.Kinds != nil && !slices.Contains(class.Kinds, worker.Kind) {
@@ -58,7 +58,7 @@
 		(class.DeduplicationScope != dispatch.ScopeCell || earlier.cell == target.Cell)
 }
 
-// allowsAttempt reports whether a job may have another attempt, and its objective has not passed.
+// allowsAttempt reports whether a job is open, below its limit of attempts and before its objective.
 func (b *base) allowsAttempt(job *job) bool {
 	return !job.closed && b.now < job.objective && len(job.attempts) < b.settings.AttemptLimit
 }
@@ -82,7 +82,7 @@
 	b.track(worker)
 }
 
-// start handles the start of an attempt, once.
+// start handles the first event that shows that an attempt has started.
 func (b *base) start(id uint64, number int) {
 	job := b.jobs[id]
 	if job == nil || number < 0 || number >= len(job.attempts) {
--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	retryAfter          = 500 * time.Millisecond // of a rejection, at most
-	windowMarginDivisor = 20                     // part of a deduplication window, at its end, in which no retry is sent
+	retryAfter          = 500 * time.Millisecond // of a rejection; Settings.MaxRetryAfter may lower it
+	windowMarginDivisor = 20                     // no retry is sent in this last fraction of a deduplication window
 )
 
-// policy is the part in which baseline policies differ: the choice of a worker for a job.
+// policy is the part in which baseline policies differ: when a job is sent, and to which worker.
 type policy interface {
 	offer(j *job)            // the job needs a worker
 	drop(j *job)             // the job needs no worker any more
 	track(w *worker)         // its readiness has changed, or its number of attempts in flight
-	attemptEnded(a *attempt) // the attempt has started or ended
-	settle()                 // ends each step
+	attemptEnded(a *attempt) // the attempt has started, or ended
+	settle()                 // is called at the end of each step
 	wake() time.Duration     // the time of the next step needed; 0: none
 }
 
-// base is the common part of all baseline policies: the state of jobs, attempts and workers, and the rules for schedulers.
+// base is the common part of all baseline policies: the state of jobs, attempts and workers, and the rules that schedulers
+// follow.
 type base struct {
 	policy
 	settings       dispatch.Settings
@@ -36,27 +37,27 @@
 	ready          []*worker // to which new attempts may be sent
 	deadlines      deadline.Queue[*job]
 	inFlight       []*attempt
-	fullUntil      []time.Duration // by class: the remaining time of a job's first request
+	fullUntil      []time.Duration // by class: the longest remaining time of any request, taken as that of a job's first request
 	timer          time.Duration   // the caller's timer; 0: none
-	listed         bool            // this step had an update of the worker list
+	listUpdated    bool            // the worker list was updated in this step
 	watchRequested bool
 	watching       bool
-	pollAt         time.Duration // when to subscribe again
+	pollAt         time.Duration // when to subscribe to the worker list again
 	pollDelay      time.Duration
 }
 
-// job is a job without a response, or with attempts in flight. Its deadline.Item has its deadline.
+// job is a job that is not closed or has attempts in flight. Its deadline.Item holds its deadline.
 type job struct {
 	deadline.Item
 	dispatch.Job
 	class      *dispatch.Class
-	arrivedAt  time.Duration // of its client's first request, as estimated
-	objective  time.Duration // a response after it has no utility
+	arrivedAt  time.Duration // estimated arrival of its client's first request
+	objective  time.Duration // a response after this time has no value
 	attempts   []*attempt
 	inFlight   int
 	closed     bool
 	queueIndex int     // index in the policy's queue, plus one; 0: not queued
-	work       float64 // its true work in seconds, for omniscient; 0: unknown
+	work       float64 // its true work in seconds, which only omniscient knows; 0: unknown
 	overQuota  bool    // its tenant exceeded its quota
 }
 
@@ -74,14 +75,14 @@
 	result  dispatch.Result
 }
 
-// worker is a worker of the list, or one that was removed from it.
+// worker is a worker that is in the worker list or was removed from it.
 type worker struct {
 	dispatch.Worker
 	readyIndex int // index in base.ready, plus one; 0: not ready
 	inFlight   int // attempts in flight
 	level      int // index in leastOutstanding.levels, plus one; 0: in none
 	levelIndex int // index in that level
-	workerView     // of omniscient
+	workerView     // used by omniscient
 }
 
 // newBase returns the common part of a policy, without the policy itself. The seed determines its random draws.
@@ -107,7 +108,7 @@
 		case dispatch.Started:
 			b.start(event.Job, event.Attempt)
 		case dispatch.Progressed:
-			b.start(event.Job, event.Attempt) // the callback of its start may have been lost
+			b.start(event.Job, event.Attempt) // the start callback may have been lost
 		case dispatch.ClientDisconnected:
 			b.closeJob(b.jobs[event.Job])
 		}
@@ -117,17 +118,18 @@
 	}
 	b.requestWatch()
 	b.settle()
-	b.listed = false
+	b.listUpdated = false
 	b.setTimer()
 	actions := b.actions
 	b.actions = nil
 	return actions
 }
 
-// emit adds an action to those of the present step.
+// emit adds an action to those of the current step.
 func (b *base) emit(action dispatch.Action) { b.actions = append(b.actions, action) }
 
-// setTimer sets the caller's timer to the next deadline, poll or time that the policy needs.
+// setTimer sets the caller's timer to the next deadline, the next subscription or the policy's next wake, whichever is
+// first.
 func (b *base) setTimer() {
 	if b.timer <= b.now {
 		b.timer = 0
@@ -145,7 +147,7 @@
 	}
 }
 
-// seconds converts seconds, a million at most, to a duration.
+// seconds converts a number of seconds to a duration of at most a million seconds.
 func seconds(count float64) time.Duration {
 	return time.Duration(math.Min(count, 1e6) * float64(time.Second))
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,14 +1,15 @@
 // Package baseline has reference policies with which the dispatcher is compared in the same environment. Each is a
-// requests.Policy that follows the rules for schedulers, and differs from the others only in its choice of a worker. Random
-// choice is the lower bound, the policy that sees the true state of all workers the upper one.
+// requests.Policy that follows the rules for schedulers, and differs from the others only in when it sends a job and to which
+// worker. Random choice is the lower bound; the policy that sees the true state of all workers is the upper bound.
 //
-// The common part (base): a job is sent to workers that its class allows, and to none that is draining or removed; a worker
-// that is warming up is skipped as often as it lacks capacity; an attempt that was not executed is retried at another worker,
-// one that was possibly executed only as far as its class allows; a job that can't be sent any more is rejected where its
-// client may retry, and fails otherwise. Decisions are the same for the same seed.
+// The common part (base): a job is sent only to workers that its class allows and that are neither draining nor removed. A
+// worker that is warming up is skipped with a probability that grows with the capacity that it lacks. An attempt that was not
+// executed is retried at another worker; one that was possibly executed is retried only if the job's class allows that. A job
+// that can't be sent any more is rejected if its client may retry, and fails otherwise. Decisions are the same for the same
+// seed.
 //
 // Files: base.go (the step), jobs.go, attempts.go and workers.go (the common part), simple.go (the policies that see only
-// their own requests), omniscient.go with flight.go and heap.go (the one that sees all).
+// their own requests), omniscient.go with flight.go and heap.go (the policy that sees the true state).
 package baseline
 
 import (
@@ -23,25 +24,25 @@
 type Oracle interface {
 	// WorkerIndex returns the environment's number of a worker, given its ID; ok is false if there is none.
 	WorkerIndex(worker uint64) (node int, ok bool)
-	// View returns the true state of a worker by its number, and of its network to the scheduler.
+	// View returns the true state of a worker, given its number, and of the network between it and the scheduler.
 	View(node int) environment.View
-	// Work returns the true work of a job that arrived in the present step: seconds on a standard core, and slots.
-	// Execution times vary around it by the noise of the job's class.
+	// Work returns the true work of a job that arrived in the current step: seconds on a standard core, and slots. Each
+	// execution takes that time with the random variation of the job's class.
 	Work(job uint64) (work, slots float64, ok bool)
 }
 
-// Maker returns a policy in its initial state.
+// Maker creates a policy in its initial state.
 type Maker func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy
 
 // Policy is one baseline policy.
 type Policy struct {
 	Name        string
 	Description string // one sentence
-	// ForRun returns the maker of the policies of one run, one for each scheduler. They may share state.
+	// ForRun returns the Maker for one run, which is called for each scheduler. The policies of a run may share state.
 	ForRun func() Maker
 }
 
-// All returns the baseline policies, from the lower bound to the upper one.
+// All returns the baseline policies, from the lower bound to the upper bound.
 func All() []Policy {
 	return []Policy{
 		{"random", "any worker, each as likely", withChooser(func(b *base) chooser { return random{b} })},
@@ -76,7 +77,7 @@
 	return all[index], true
 }
 
-// withChooser returns the makers of a policy that sends each job at once to the worker of a chooser.
+// withChooser returns Policy.ForRun for a policy that sends each job at once to the worker that a chooser selects.
 func withChooser(choose func(b *base) chooser) func() Maker {
 	return func() Maker {
 		return func(set dispatch.Settings, seed uint64, _ Oracle) requests.Policy {
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -10,31 +10,31 @@
 	"valvecove/internal/testbed/environment"
 )
 
-// fakeOracle is an Oracle over workers that a test sets: worker n+1 is node n.
+// fakeOracle is an Oracle whose views of workers a test sets. The worker with ID n+1 has the number n.
 type fakeOracle struct {
-	truth []environment.View
+	views []environment.View
 	work  func(job uint64) float64
 }
 
 func (f *fakeOracle) WorkerIndex(worker uint64) (int, bool) {
-	return int(worker) - 1, worker <= uint64(len(f.truth))
+	return int(worker) - 1, worker <= uint64(len(f.views))
 }
-func (f *fakeOracle) View(node int) environment.View          { return f.truth[node] }
+func (f *fakeOracle) View(node int) environment.View          { return f.views[node] }
 func (f *fakeOracle) Work(job uint64) (w, s float64, ok bool) { return f.work(job), 0, true }
 
-func clearView() environment.View {
+func idleView() environment.View {
 	return environment.View{WorkerState: environment.WorkerState{Up: true, Cores: 4, Speed: 1, Slots: 4, Free: 4}, Reachable: true, Connectable: true}
 }
 
 func newFakeOracle(nodes int) *fakeOracle {
 	oracle := &fakeOracle{work: func(uint64) float64 { return 0.1 }}
 	for range nodes {
-		oracle.truth = append(oracle.truth, clearView())
+		oracle.views = append(oracle.views, idleView())
 	}
 	return oracle
 }
 
-var plain = dispatch.Settings{
+var testSettings = dispatch.Settings{
 	Replicas: 1, AttemptLimit: 4, Hedging: true, WarmUp: 10 * time.Second, WarmUpCapacity: 0.25,
 	MaxRetryAfter: time.Second, Classes: []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent}},
 }
@@ -54,7 +54,7 @@
 	return all
 }
 
-// sends is where a step sent what.
+// sends returns the Send actions of a step.
 func sends(actions []dispatch.Action) (all []dispatch.Send) {
 	for _, action := range actions {
 		if sent, ok := action.(dispatch.Send); ok {
@@ -64,11 +64,11 @@
 	return all
 }
 
-func module(t *testing.T, name string, settings dispatch.Settings, oracle Oracle) requests.Policy {
+func newPolicy(t *testing.T, name string, settings dispatch.Settings, oracle Oracle) requests.Policy {
 	t.Helper()
 	policy, ok := Find(name)
 	if !ok {
-		t.Fatalf("no yardstick %s", name)
+		t.Fatalf("no baseline policy %s", name)
 	}
 	return policy.ForRun()(settings, 1, oracle)
 }
@@ -84,7 +84,7 @@
 		{"two-choices", each - 4, each + 4},
 		{"least-outstanding", each, each},
 	} {
-		policy := module(t, test.name, plain, nil)
+		policy := newPolicy(t, test.name, testSettings, nil)
 		received := map[uint64]int{}
 		policy.Step(1, []dispatch.Event{listOf(nodes)}, nil)
 		for _, sent := range sends(policy.Step(2, jobs(1, nodes*each), nil)) {
@@ -98,9 +98,9 @@
 	}
 }
 
-// A cold worker gets less, and one that has ended its jobs is the next of the least outstanding.
-func TestColdAndIdleWorkers(t *testing.T) {
-	policy := module(t, "random", plain, nil)
+// The random policy sends a worker that is warming up fewer jobs. Least outstanding selects a worker whose job has ended.
+func TestWarmingUpAndIdleWorkers(t *testing.T) {
+	policy := newPolicy(t, "random", testSettings, nil)
 	list := listOf(2)
 	list.Workers[0].BootAt = time.Second
 	policy.Step(time.Second, []dispatch.Event{list}, nil)
@@ -110,91 +110,91 @@
 			cold++
 		}
 	}
-	if cold < 120 || cold > 280 { // a quarter as likely: 200 of 1,000
+	if cold < 120 || cold > 280 { // a quarter of the probability: 200 of 1,000 expected
 		t.Errorf("%d of 1000 jobs at a worker with a quarter of its capacity", cold)
 	}
-	policy = module(t, "least-outstanding", plain, nil)
+	policy = newPolicy(t, "least-outstanding", testSettings, nil)
 	policy.Step(1, []dispatch.Event{listOf(3)}, nil)
 	first := sends(policy.Step(2, jobs(1, 3), nil))[1]
 	policy.Step(3, []dispatch.Event{dispatch.Outcome{Job: first.Job, Worker: first.Worker, Closed: true}}, nil)
 	if next := sends(policy.Step(4, jobs(4, 1), nil)); next[0].Worker != first.Worker {
-		t.Errorf("sent to %d, though %d has nothing out", next[0].Worker, first.Worker)
+		t.Errorf("sent to %d, though %d has nothing in flight", next[0].Worker, first.Worker)
 	}
 }
 
-func TestAllSeeing(t *testing.T) {
+func TestAllSeeingSendsStartableJobs(t *testing.T) {
 	oracle := newFakeOracle(3)
-	oracle.truth[0].Up = false
-	oracle.truth[1].Queued = 1
-	oracle.work = func(job uint64) float64 { return 1 / float64(job) } // a later one can wait longer
+	oracle.views[0].Up = false
+	oracle.views[1].Queued = 1
+	oracle.work = func(job uint64) float64 { return 1 / float64(job) } // a later job has less work, so that it can wait longer
 	maker := All()[4].ForRun()
-	first := maker(plain, 1, oracle)
-	second := maker(plain, 2, oracle)
+	first := maker(testSettings, 1, oracle)
+	second := maker(testSettings, 2, oracle)
 	first.Step(1, []dispatch.Event{listOf(3)}, nil)
 	second.Step(1, []dispatch.Event{listOf(3)}, nil)
-	// Four slots are free at one node, so the four that can wait least go there; the next are held.
+	// Only worker 3 has free slots, four: it gets the four jobs that can wait least, and the others are queued.
 	got := sends(first.Step(2, jobs(2, 6), nil))
 	if len(got) != 4 || slices.ContainsFunc(got, func(s dispatch.Send) bool { return s.Worker != 3 }) ||
 		got[0].Job != 2 || got[3].Job != 5 {
 		t.Fatalf("sent %+v", got)
 	}
-	// What is on its way counts, whoever sent it; and goes on counting until it has begun.
+	// Attempts that have not started count as using their slots for all schedulers, whichever sent them.
 	if other := sends(second.Step(3, jobs(8, 1), nil)); len(other) > 0 {
 		t.Errorf("another scheduler sent %+v", other)
 	}
-	oracle.truth[2].Free = 0
+	oracle.views[2].Free = 0
 	for _, s := range got {
 		first.Step(4, []dispatch.Event{dispatch.Started{Job: s.Job, Worker: s.Worker}}, nil)
 	}
-	oracle.truth[2].Free = 1
+	oracle.views[2].Free = 1
 	later := 3*time.Millisecond + 5
 	if next := sends(first.Step(later, []dispatch.Event{dispatch.TimerFired{}}, nil)); len(next) != 1 || next[0].Job != 6 {
 		t.Errorf("with one slot free: %+v", next)
 	}
-	// Job 7 has a seventh of a second of work, and a second from its arrival: then it is refused.
-	oracle.truth[2].Free = 0
+	// Job 7 has 1/7 s of work and an objective of 1 s from its arrival: after 900 ms it can't meet that, and is rejected.
+	oracle.views[2].Free = 0
 	acts := first.Step(900*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil)
 	if !slices.ContainsFunc(acts, func(first dispatch.Action) bool { r, ok := first.(dispatch.Reject); return ok && r.Job == 7 }) {
-		t.Errorf("a job that can't be in time is held on: %v", acts)
+		t.Errorf("a job that can't meet its objective is not rejected: %v", acts)
 	}
 }
 
-// One large job among many small ones has a worker kept free for it.
-func TestAllSeeingKeepsRoom(t *testing.T) {
+// A worker is reserved for a large job, so that small jobs do not take each slot that becomes free.
+func TestAllSeeingReservesWorkerForLargeJob(t *testing.T) {
 	oracle := newFakeOracle(2)
-	oracle.truth[0].Free = 2
-	oracle.truth[0].BacklogSeconds = 0.1
-	oracle.truth[1].Free = 1
-	oracle.truth[1].BacklogSeconds = 0.3
-	policy := module(t, "all-seeing", plain, oracle)
+	oracle.views[0].Free = 2
+	oracle.views[0].BacklogSeconds = 0.1
+	oracle.views[1].Free = 1
+	oracle.views[1].BacklogSeconds = 0.3
+	policy := newPolicy(t, "all-seeing", testSettings, oracle)
 	policy.Step(1, []dispatch.Event{listOf(2)}, nil)
 	policy.Step(2, []dispatch.Event{dispatch.Job{ID: 1, Remaining: 5 * time.Second, Slots: 3}}, nil)
-	now := 850 * time.Millisecond // most of its slack is gone
+	now := 850 * time.Millisecond // little of its slack is left
 	policy.Step(now, []dispatch.Event{dispatch.TimerFired{}}, nil)
 	small := sends(policy.Step(now+5*time.Millisecond, jobs(2, 2), nil))
 	if len(small) != 1 || small[0].Worker != 2 {
 		t.Errorf("small jobs went to %+v", small)
 	}
-	oracle.truth[0].Free = 3
+	oracle.views[0].Free = 3
 	got := sends(policy.Step(now+10*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil))
 	if len(got) != 1 || got[0].Job != 1 {
-		t.Errorf("with room for the large one: %+v", got)
+		t.Errorf("with free slots for the large job: sent %+v", got)
 	}
 }
 
-// A job at a worker that has stopped answering goes elsewhere too, if it may run twice.
-func TestAllSeeingRescues(t *testing.T) {
-	for effect, want := range map[dispatch.Idempotency]int{dispatch.Idempotent: 1, dispatch.NonIdempotent: 0} {
+// A job at a worker that has become unreachable is also sent to another worker, if it may be executed twice.
+func TestAllSeeingHedgesAtUnreachableWorker(t *testing.T) {
+	for idempotency, want := range map[dispatch.Idempotency]int{dispatch.Idempotent: 1, dispatch.NonIdempotent: 0} {
 		oracle := newFakeOracle(2)
-		settings := plain
-		settings.Classes = []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: effect}}
-		policy := module(t, "all-seeing", settings, oracle)
+		settings := testSettings
+		settings.Classes = []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: idempotency}}
+		policy := newPolicy(t, "all-seeing", settings, oracle)
 		policy.Step(1, []dispatch.Event{listOf(2)}, nil)
 		first := sends(policy.Step(2, jobs(1, 1), nil))[0]
-		oracle.truth[first.Worker-1].Up = false
+		oracle.views[first.Worker-1].Up = false
 		again := sends(policy.Step(100*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil))
 		if len(again) != want || want == 1 && again[0].Worker == first.Worker {
-			t.Errorf("effect %d: sent %+v after %+v", effect, again, first)
+			t.Errorf("idempotency %d: sent %+v after %+v", idempotency, again, first)
 		}
 	}
 }
--- a/internal/testbed/baseline/heap.go
+++ b/internal/testbed/baseline/heap.go
@@ -1,7 +1,8 @@
 package baseline
 
-// before orders jobs within their tenants' quotas first, and of these the one with the least slack.
-func before(first, second *job) bool {
+// startsBefore is the order of the heap: jobs within their tenant's quota come before those over quota, and then the job with
+// the earliest latest start comes first.
+func startsBefore(first, second *job) bool {
 	if first.overQuota != second.overQuota {
 		return second.overQuota
 	}
@@ -22,7 +23,7 @@
 // siftUp moves the job at an index up to its place in the heap.
 func (o *omniscient) siftUp(index int) {
 	job := o.queue[index]
-	for index > 0 && before(job, o.queue[(index-1)/2]) {
+	for index > 0 && startsBefore(job, o.queue[(index-1)/2]) {
 		o.placeAt(index, o.queue[(index-1)/2])
 		index = (index - 1) / 2
 	}
@@ -37,10 +38,10 @@
 		if least >= len(o.queue) {
 			break
 		}
-		if least+1 < len(o.queue) && before(o.queue[least+1], o.queue[least]) {
+		if least+1 < len(o.queue) && startsBefore(o.queue[least+1], o.queue[least]) {
 			least++
 		}
-		if !before(o.queue[least], job) {
+		if !startsBefore(o.queue[least], job) {
 			break
 		}
 		o.placeAt(index, o.queue[least])
--- a/internal/testbed/baseline/jobs.go
+++ b/internal/testbed/baseline/jobs.go
@@ -12,7 +12,7 @@
 	added := &job{Job: arrival, class: &b.settings.Classes[arrival.Class]}
 	added.At = b.now + max(arrival.Remaining, 0)
 	added.Slots = max(1, arrival.Slots)
-	// A client's retry has less remaining time than its first request, and the objective of that.
+	// A client's retry has less remaining time than its first request, but its objective still counts from the first request.
 	full := &b.fullUntil[arrival.Class]
 	*full = max(*full, min(arrival.Remaining, added.class.ClientTimeout))
 	added.arrivedAt = b.now - max(0, *full-max(arrival.Remaining, 0))
@@ -23,8 +23,8 @@
 	b.offer(added)
 }
 
-// estimateWork returns the estimated work of a job in seconds: its hint, or without one the work whose objective is half of its
-// client's timeout.
+// estimateWork returns the estimated work of a job in seconds: its hint or, if it has none, the work for which
+// ObjectiveStretch allows half of the client's timeout.
 func (b *base) estimateWork(job *job) float64 {
 	if job.Hint > 0 {
 		return job.Hint.Seconds()
@@ -32,7 +32,7 @@
 	return job.class.ClientTimeout.Seconds() / 2 / max(job.class.ObjectiveStretch, 1)
 }
 
-// retryOrFail offers a job whose attempt has ended to the policy again, or fails it if the rules allow no attempt.
+// retryOrFail offers a job whose attempt has ended to the policy again, or fails it if the rules allow no further attempt.
 func (b *base) retryOrFail(job *job) {
 	switch {
 	case job.inFlight > 0 || job.queueIndex > 0:
@@ -43,7 +43,7 @@
 	}
 }
 
-// failJob ends a job without a result: it is rejected where the client may retry, and fails otherwise.
+// failJob ends a job without a result: it is rejected if the client may retry, and fails otherwise.
 func (b *base) failJob(job *job) {
 	if job.closed {
 		return
@@ -59,7 +59,7 @@
 	b.closeJob(job)
 }
 
-// closeJob ends a job for its client. It is removed once no attempt is in flight.
+// closeJob marks a job as ended for its client. The job is removed once no attempt is in flight.
 func (b *base) closeJob(job *job) {
 	if job == nil {
 		return
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	scanInterval          = 2 * time.Millisecond   // between scans while a job is queued, as other schedulers' jobs end too
-	scanIntervalPerWorker = time.Microsecond       // added for each ready worker, as a scan examines all
-	rescueInterval        = 50 * time.Millisecond  // between checks for unreachable workers
-	maxFlightAge          = 250 * time.Millisecond // after which slots of unstarted attempts are released
-	scanChunk             = 24                     // candidates that suffice for a choice
-	maxDeferred           = 32                     // jobs that one scan skips because no worker can start them
-	sizeMargin            = 1.15                   // factor of an execution time, for its noise
-	faultyErrorRate       = 0.2                    // part of attempts that fail at a worker from which on it is not used
-	overloadMargin        = 0.7                    // part of the overload limit of a worker that is warming up which may be used
+	scanInterval          = 2 * time.Millisecond   // while a job is queued: other schedulers' jobs free slots too
+	scanIntervalPerWorker = time.Microsecond       // added to it for each ready worker, as a scan examines all
+	hedgeCheckInterval    = 50 * time.Millisecond  // between checks for unreachable workers
+	maxFlightAge          = 250 * time.Millisecond // after which slots of attempts not yet started count as free
+	enoughCandidates      = 24                     // candidates after which a choice ends if it has found a worker
+	maxSkipped            = 32                     // jobs that one scan skips because no worker can start them, at most
+	durationMargin        = 1.15                   // factor of an execution time, as execution times vary
+	faultyErrorRate       = 0.2                    // a worker is not used if this share of its attempts fails, or more
+	overloadMargin        = 0.7                    // share of the overload limit that a worker that is warming up may be given
 )
 
-// omniscient is the policy that sees the true state of all workers, and the true work of each job. Jobs do not queue at
-// workers: a job that can't start now is queued here, and the one with the least slack is sent first.
+// omniscient is the policy that sees the true state of all workers and the true work of each job. Jobs are not queued at
+// workers: a job that can't start now is queued here, and the job with the earliest latest start is sent first.
 type omniscient struct {
 	*base
-	oracle       Oracle
-	shared       *sharedFlight
-	queue        []*job        // a heap, the least slack first
-	candidates   []*worker     // workers with free slots, found in this scan
-	scanned      int           // ready workers examined in this scan
-	scanStart    int           // index of the first of them in base.ready
-	nextScanAt   time.Duration // until then only workers with an attempt of this scheduler that ended are examined
-	deferred     []*job        // the memory of the jobs that a scan skips
-	arrived      []*job        // offered in this step
-	latestStarts deadline.Queue[*latestStart]
-	freedWorkers []*worker // with an attempt of this scheduler that ended in this step
-	scanID       uint64
-	maxSpeed     float64 // the largest speed of a core of any worker examined
-	reserved     *worker // reserved for reservedFor, a large job
-	reservedFor  *job
-	rescueAt     time.Duration // of the next check for unreachable workers
+	oracle        Oracle
+	shared        *sharedFlight
+	queue         []*job        // a heap in the order of startsBefore
+	candidates    []*worker     // workers with free slots, found in this scan
+	scanned       int           // ready workers examined in this scan
+	scanStart     int           // index of the first of them in base.ready
+	nextScanAt    time.Duration // until then only freedWorkers are examined
+	skippedBuffer []*job        // reused memory for the jobs that a scan skips
+	arrived       []*job        // offered in this step
+	latestStarts  deadline.Queue[*latestStart]
+	freedWorkers  []*worker // workers at which an attempt of this scheduler ended in this step
+	scanID        uint64
+	maxSpeed      float64 // the largest speed of a core of any worker examined
+	reserved      *worker // reserved for reservedFor, a large job
+	reservedFor   *job
+	nextHedgeAt   time.Duration // when to look for attempts at unreachable workers again
 }
 
-// newOmniscient returns the policy of one scheduler; flight is shared by those of a run.
+// newOmniscient returns the policy of one scheduler; flight is shared by all policies of a run.
 func newOmniscient(b *base, oracle Oracle, flight *sharedFlight) *omniscient {
 	return &omniscient{base: b, oracle: oracle, shared: flight, maxSpeed: 1}
 }
@@ -55,7 +55,7 @@
 		o.shared.workers = append(o.shared.workers, workerFlight{})
 	}
 	flight := &o.shared.workers[worker.index]
-	if o.now-flight.since > maxFlightAge+worker.state.ReadDelay { // whoever sent it may be gone
+	if o.now-flight.since > maxFlightAge+worker.state.ReadDelay { // the scheduler that sent them may have ended
 		flight.slots = 0
 	}
 	return flight
@@ -102,14 +102,14 @@
 			job.Slots = slots
 		}
 		job.objective = min(job.arrivedAt+job.class.LatencyObjective+seconds(job.class.ObjectiveStretch*work), job.At)
-		job.overQuota = job.arrivedAt == o.now && o.shared.isOverQuota(o.base, job) // a retry is not metered
+		job.overQuota = job.arrivedAt == o.now && o.shared.isOverQuota(o.base, job) // retries are not charged to the quota
 	}
 	o.queue = append(o.queue, job)
 	o.siftUp(len(o.queue) - 1)
 	o.arrived = append(o.arrived, job)
 }
 
-// drop removes a job that needs no worker any more.
+// drop removes a job that no longer needs a worker, and its reservation.
 func (o *omniscient) drop(job *job) {
 	o.releaseReserved(job)
 	o.remove(job)
@@ -146,16 +146,16 @@
 	case len(o.queue) > 0:
 		return o.nextScanAt
 	case len(o.inFlight) > 0:
-		return o.rescueAt
+		return o.nextHedgeAt
 	}
 	return 0
 }
 
-// settle ends each step: it expires jobs, sends those that can start, and offers those at unreachable workers again.
+// settle ends each step: it offers jobs at unreachable workers again, expires jobs, and sends those that can start.
 func (o *omniscient) settle() {
-	if o.now >= o.rescueAt {
-		o.rescueAt = o.now + rescueInterval
-		o.rescueAll()
+	if o.now >= o.nextHedgeAt {
+		o.nextHedgeAt = o.now + hedgeCheckInterval
+		o.hedgeUnreachable()
 	}
 	for o.latestStarts.Len() > 0 && o.latestStarts.First().At <= o.now {
 		latest := o.latestStarts.First()
@@ -178,13 +178,13 @@
 	o.freedWorkers = o.freedWorkers[:0]
 }
 
-// latestStart is the time from which on a queued job can't meet its objective at any worker.
+// latestStart is when a queued job can no longer meet its objective, even at the fastest worker.
 type latestStart struct {
 	deadline.Item
 	job *job
 }
 
-// expire fails a job that can't meet its objective any more, unless an attempt in flight may still end with a result.
+// expire fails a job that can no longer meet its objective, unless an attempt in flight may still end with a result.
 func (o *omniscient) expire(job *job) {
 	o.remove(job)
 	if job.inFlight == 0 {
@@ -192,8 +192,8 @@
 	}
 }
 
-// rescueAll offers jobs whose attempt is at an unreachable worker again, where the rules allow a hedged request.
-func (o *omniscient) rescueAll() {
+// hedgeUnreachable offers jobs whose only attempt is at an unreachable worker again, if the rules allow a hedged request.
+func (o *omniscient) hedgeUnreachable() {
 	for _, attempt := range o.inFlight {
 		job := attempt.job
 		isOnlyAttempt := !job.closed && job.queueIndex == 0 && job.inFlight == 1
@@ -212,14 +212,14 @@
 	for _, worker := range o.freedWorkers {
 		o.inspect(worker)
 	}
-	blind := o.now < o.nextScanAt
-	if blind {
+	freedOnly := o.now < o.nextScanAt
+	if freedOnly {
 		o.scanned = len(o.ready)
 	} else if len(o.ready) > 0 {
 		o.scanStart = o.rng.IntN(len(o.ready))
 	}
-	skipped := o.deferred[:0]
-	for len(o.queue) > 0 && len(skipped) < maxDeferred {
+	skipped := o.skippedBuffer[:0]
+	for len(o.queue) > 0 && len(skipped) < maxSkipped {
 		job := o.queue[0]
 		o.remove(job)
 		if !o.allowsAttempt(job) || o.now+seconds(job.work/o.maxSpeed) > job.objective {
@@ -237,7 +237,7 @@
 	}
 	if len(skipped) == 0 {
 		o.nextScanAt = o.now
-	} else if !blind {
+	} else if !freedOnly {
 		o.nextScanAt = o.now + max(scanInterval, time.Duration(len(o.ready))*scanIntervalPerWorker)
 	}
 	for _, job := range skipped {
@@ -245,7 +245,7 @@
 		o.siftUp(len(o.queue) - 1)
 	}
 	clear(skipped)
-	o.deferred = skipped[:0]
+	o.skippedBuffer = skipped[:0]
 }
 
 // sendNow sends a job to a worker, and accounts for it until the worker's state shows it.
@@ -284,26 +284,26 @@
 	if worker.state.Queued > 0 {
 		return
 	}
-	// Slots beyond the cores only share them.
+	// A worker with more slots than cores counts as full once all cores are busy: further jobs would share cores.
 	worker.freeSlots = min(worker.state.Free, worker.state.Free-worker.state.Slots+worker.state.Cores) - o.flightOf(worker).slots
 	if worker.freeSlots >= 1 {
 		o.candidates = append(o.candidates, worker)
 	}
 }
 
-// choose returns a worker that can start the job now and meet its objective, or nil: the one with the fewest free slots, and
-// of those the fastest.
+// choose returns a worker that can start the job now and meet its objective, or nil if there is none. It prefers the worker
+// with the fewest free slots, and among those the fastest.
 func (o *omniscient) choose(job *job) (pick *worker) {
 	for next := 0; ; next++ {
 		for next >= len(o.candidates) && o.scanned < len(o.ready) {
 			o.inspect(o.ready[(o.scanStart+o.scanned)%len(o.ready)])
 			o.scanned++
 		}
-		if next >= len(o.candidates) || pick != nil && next >= scanChunk {
+		if next >= len(o.candidates) || pick != nil && next >= enoughCandidates {
 			break
 		}
 		candidate := o.candidates[next]
-		duration := candidate.state.ReadDelay + seconds(sizeMargin*job.work/candidate.state.Speed)
+		duration := candidate.state.ReadDelay + seconds(durationMargin*job.work/candidate.state.Speed)
 		isReservedForOther := candidate == o.reserved && o.reservedFor != job
 		if candidate.freeSlots < job.Slots || o.now+duration > job.objective || isReservedForOther ||
 			!o.isAllowed(job, candidate) || !o.fitsWarmUp(job, candidate) {
@@ -337,7 +337,8 @@
 	return work <= overloadMargin*o.settings.OverloadFactor*worker.state.Cores*worker.state.Speed*o.settings.OverloadWindow.Seconds()
 }
 
-// reserveWorker reserves the worker with the least backlog for a large job, which would starve behind smaller ones.
+// reserveWorker reserves the worker with the least backlog for a large job. Without that, smaller jobs would take each free
+// slot, and the large job would starve.
 func (o *omniscient) reserveWorker(job *job) {
 	minBacklog := math.Inf(1)
 	for _, worker := range o.ready {
--- a/internal/testbed/baseline/rules_test.go
+++ b/internal/testbed/baseline/rules_test.go
@@ -10,28 +10,28 @@
 	"valvecove/internal/requests"
 )
 
-// ruledJob is the referee's state of a job.
-type ruledJob struct {
+// checkedJob is the checker's record of a job.
+type checkedJob struct {
 	dispatch.Job
 	deadline time.Duration
 	ended    bool
-	attempts []ruledAttempt
+	attempts []checkedAttempt
 }
 
-// ruledAttempt is the referee's state of an attempt.
-type ruledAttempt struct {
+// checkedAttempt is the checker's record of an attempt.
+type checkedAttempt struct {
 	worker dispatch.Worker
 	sentAt time.Duration
 	ended  bool
 	result dispatch.Result
 }
 
-func (r ruledAttempt) possiblyExecuted() bool {
+func (r checkedAttempt) possiblyExecuted() bool {
 	return !r.ended || r.result != dispatch.WorkerFull && r.result != dispatch.ConnectFailed && r.result != dispatch.NotSent
 }
 
-// Every policy follows the rules, against random events.
-func TestRules(t *testing.T) {
+// Every policy follows the rules for schedulers, whatever events it gets.
+func TestPoliciesFollowRules(t *testing.T) {
 	for _, policy := range All() {
 		for seed := range uint64(60) {
 			checkRules(t, policy, seed)
@@ -39,29 +39,29 @@
 	}
 }
 
-// referee checks a policy against the rules.
-type referee struct {
+// ruleChecker checks a policy against the rules.
+type ruleChecker struct {
 	t        *testing.T
 	policy   Policy
 	seed     uint64
 	settings dispatch.Settings
-	module   requests.Policy
+	tested   requests.Policy
 	now      time.Duration
-	jobs     map[uint64]*ruledJob
+	jobs     map[uint64]*checkedJob
 	ids      []uint64
 	ready    map[uint64]dispatch.Worker
 	list     dispatch.WorkerList
 }
 
-func (r *referee) fail(format string, args ...any) {
+func (r *ruleChecker) fail(format string, args ...any) {
 	r.t.Helper()
 	r.t.Fatalf("%s, seed %d, at %v: "+format, append([]any{r.policy.Name, r.seed, r.now}, args...)...)
 }
 
 // step has the policy handle events, and checks what it does.
-func (r *referee) step(events ...dispatch.Event) {
+func (r *ruleChecker) step(events ...dispatch.Event) {
 	r.t.Helper()
-	for _, action := range r.module.Step(r.now, events, nil) {
+	for _, action := range r.tested.Step(r.now, events, nil) {
 		r.check(action)
 	}
 	for _, id := range r.ids {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *referee) check(action dispatch.Action) {
+func (r *ruleChecker) check(action dispatch.Action) {
 	r.t.Helper()
 	switch a := action.(type) {
 	case dispatch.Send:
@@ -80,13 +80,13 @@
 		job := r.jobs[a.Job]
 		class := r.settings.Classes[job.Class]
 		if job.ended || class.Idempotency != dispatch.Idempotent && (class.Idempotency != dispatch.IdempotentWithKey || class.DeduplicationScope != dispatch.ScopeAll) &&
-			slices.ContainsFunc(job.attempts, ruledAttempt.possiblyExecuted) {
-			r.fail("job %+v refused", job)
+			slices.ContainsFunc(job.attempts, checkedAttempt.possiblyExecuted) {
+			r.fail("job %+v rejected, though it may have been executed or has ended", job)
 		}
 		job.ended = true
 	case dispatch.Fail:
 		if r.jobs[a.Job].ended {
-			r.fail("job %d answered twice", a.Job)
+			r.fail("job %d ended twice", a.Job)
 		}
 		r.jobs[a.Job].ended = true
 	case dispatch.SetTimer:
@@ -96,36 +96,36 @@
 	}
 }
 
-func (r *referee) checkSend(job *ruledJob, worker dispatch.Worker) {
+func (r *ruleChecker) checkSend(job *checkedJob, worker dispatch.Worker) {
 	r.t.Helper()
 	if job.ended || worker.ID == 0 || len(job.attempts) >= r.settings.AttemptLimit || r.now >= job.deadline {
-		r.fail("job %+v sent to worker %+v", job, worker)
+		r.fail("job %+v sent to worker %+v, though it has ended or is at its limit, or the worker is not ready", job, worker)
 	}
 	class := r.settings.Classes[job.Class]
 	if class.Kinds != nil && !slices.Contains(class.Kinds, worker.Kind) {
-		r.fail("a job sent to a kind that its class may not go to")
+		r.fail("a job sent to a kind of worker that its class does not allow")
 	}
 	for _, earlier := range job.attempts {
 		if !earlier.ended && (!r.settings.Hedging || earlier.worker.ID == worker.ID) {
-			r.fail("a second copy")
+			r.fail("a hedged request, though hedging is off or the worker has an attempt of the job")
 		}
 		if earlier.possiblyExecuted() && !r.mayRepeat(&class, earlier, worker) {
-			r.fail("class %d sent again though it may have run", job.Class)
+			r.fail("a job of class %d sent again, though it may have been executed", job.Class)
 		}
 	}
-	job.attempts = append(job.attempts, ruledAttempt{worker: worker, sentAt: r.now})
+	job.attempts = append(job.attempts, checkedAttempt{worker: worker, sentAt: r.now})
 }
 
 // mayRepeat reports whether a job may be sent to a worker after an attempt that was possibly executed.
-func (r *referee) mayRepeat(class *dispatch.Class, earlier ruledAttempt, worker dispatch.Worker) bool {
+func (r *ruleChecker) mayRepeat(class *dispatch.Class, earlier checkedAttempt, worker dispatch.Worker) bool {
 	same := class.DeduplicationScope == dispatch.ScopeAll || class.DeduplicationScope == dispatch.ScopeZone && earlier.worker.Zone == worker.Zone ||
 		class.DeduplicationScope == dispatch.ScopeCell && earlier.worker.Cell == worker.Cell
 	return class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.IdempotentWithKey && same && r.now-earlier.sentAt <= class.DeduplicationWindow
 }
 
-// setReady sets whether a worker of the list is ready; the policy is notified with the next list.
-func (r *referee) setReady(index int, ready bool) {
+// setReady sets whether a worker of the list is ready. The policy gets that with the next list.
+func (r *ruleChecker) setReady(index int, ready bool) {
 	r.list.Workers[index].Ready = ready
 	delete(r.ready, uint64(index+1))
 	if ready {
@@ -133,9 +133,9 @@
 	}
 }
 
-// ruledSettings are the settings of a seed: a class of each idempotency.
-func ruledSettings(seed uint64) dispatch.Settings {
-	settings := plain
+// settingsOf returns the settings for a seed, with a class of each idempotency.
+func settingsOf(seed uint64) dispatch.Settings {
+	settings := testSettings
 	settings.Hedging = seed%2 == 0
 	settings.MustSubscribe = seed%3 == 0
 	settings.PollInterval = time.Second
@@ -158,51 +158,51 @@
 	const nodes = 6
 	rng := rand.New(rand.NewPCG(seed, 9))
 	oracle := newFakeOracle(nodes)
-	referee := &referee{
-		t: t, policy: policy, seed: seed, settings: ruledSettings(seed), now: time.Second, jobs: map[uint64]*ruledJob{},
+	checker := &ruleChecker{
+		t: t, policy: policy, seed: seed, settings: settingsOf(seed), now: time.Second, jobs: map[uint64]*checkedJob{},
 		ready: map[uint64]dispatch.Worker{}, list: listOf(nodes),
 	}
-	referee.module = policy.ForRun()(referee.settings, seed, oracle)
+	checker.tested = policy.ForRun()(checker.settings, seed, oracle)
 	for worker := range nodes {
-		referee.setReady(worker, true)
+		checker.setReady(worker, true)
 	}
-	referee.step(referee.list)
+	checker.step(checker.list)
 	for range 400 {
-		referee.now += time.Duration(rng.IntN(40)) * time.Millisecond
+		checker.now += time.Duration(rng.IntN(40)) * time.Millisecond
 		switch rng.IntN(6) {
 		case 0:
 			worker := rng.IntN(nodes)
-			oracle.truth[worker].Up = rng.IntN(4) > 0
-			referee.setReady(worker, rng.IntN(3) > 0)
-			referee.step(referee.list)
+			oracle.views[worker].Up = rng.IntN(4) > 0
+			checker.setReady(worker, rng.IntN(3) > 0)
+			checker.step(checker.list)
 		case 1:
-			referee.step(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
+			checker.step(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
 		case 2, 3:
-			id := uint64(len(referee.ids) + 1)
-			job := &ruledJob{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
-			job.deadline = referee.now + job.Remaining
-			referee.jobs[id] = job
-			referee.ids = append(referee.ids, id)
-			referee.step(job.Job)
+			id := uint64(len(checker.ids) + 1)
+			job := &checkedJob{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
+			job.deadline = checker.now + job.Remaining
+			checker.jobs[id] = job
+			checker.ids = append(checker.ids, id)
+			checker.step(job.Job)
 		default:
-			if len(referee.ids) == 0 {
+			if len(checker.ids) == 0 {
 				continue
 			}
-			job := referee.jobs[referee.ids[max(0, len(referee.ids)-1-rng.IntN(12))]]
-			index := slices.IndexFunc(job.attempts, func(attempt ruledAttempt) bool { return !attempt.ended })
+			job := checker.jobs[checker.ids[max(0, len(checker.ids)-1-rng.IntN(12))]]
+			index := slices.IndexFunc(job.attempts, func(attempt checkedAttempt) bool { return !attempt.ended })
 			if index < 0 {
-				referee.step(dispatch.TimerFired{})
+				checker.step(dispatch.TimerFired{})
 				continue
 			}
 			attempt := &job.attempts[index]
 			attempt.ended = true
 			attempt.result = dispatch.Result(rng.IntN(int(dispatch.NotSent) + 1))
 			job.ended = job.ended || attempt.result == dispatch.OK
-			referee.step(dispatch.Outcome{Job: job.ID, Attempt: index, Worker: attempt.worker.ID, Result: attempt.result, Closed: job.ended})
+			checker.step(dispatch.Outcome{Job: job.ID, Attempt: index, Worker: attempt.worker.ID, Result: attempt.result, Closed: job.ended})
 		}
 	}
 	for range 100 { // all deadlines pass
-		referee.now += 30 * time.Millisecond
-		referee.step(dispatch.TimerFired{})
+		checker.now += 30 * time.Millisecond
+		checker.step(dispatch.TimerFired{})
 	}
 }
--- a/internal/testbed/baseline/simple.go
+++ b/internal/testbed/baseline/simple.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// chooser selects a worker for a job, of those that the rules allow, or nil. It is notified of workers as a policy is.
+// chooser selects a worker for a job from those that the rules allow, or nil if there is none. Its track is called as that of
+// a policy.
 type chooser interface {
 	choose(j *job) *worker
 	track(w *worker)
 }
 
-// immediate is a policy that sends each job as soon as it arrives, and queues only those that no worker may execute.
+// immediate is a policy that sends each job as soon as it arrives. It queues only jobs that the rules allow at no worker.
 type immediate struct {
 	*base
 	chooser
-	queue []*job // some may need no worker any more
+	queue []*job // may hold dropped jobs, whose queueIndex is 0
 }
 
 func (i *immediate) track(worker *worker)  { i.chooser.track(worker) }
 func (i *immediate) attemptEnded(*attempt) {}
 
-// wake returns when the first objective of a queued job passes.
+// wake returns the earliest objective of all queued jobs.
 func (i *immediate) wake() (at time.Duration) {
 	for _, job := range i.queue {
 		if job.queueIndex > 0 && (at == 0 || job.objective < at) {
@@ -48,7 +49,7 @@
 		case job.queueIndex == 0: // dropped
 		case !i.allowsAttempt(job):
 			i.failJob(job)
-		case i.listed:
+		case i.listUpdated:
 			job.queueIndex = 0
 			i.offer(job)
 		default:
@@ -59,11 +60,11 @@
 	clear(i.queue[len(i.queue):len(queued)])
 }
 
-// maxDraws is the number of random draws of a worker before all workers are searched.
+// maxDraws is how many workers a choice tries before it searches all of them.
 const maxDraws = 8
 
-// drawWorker draws a worker that the rules allow for a job: if possible one to which it was not sent before. A worker that is
-// warming up is drawn less often.
+// drawWorker returns a random worker that the rules allow for a job, if possible one to which the job was not sent before. A
+// worker that is warming up is drawn less often.
 func (b *base) drawWorker(job *job) *worker {
 	count := len(b.ready)
 	if count == 0 {
@@ -77,8 +78,8 @@
 	return b.firstUsable(job, b.rng.IntN(count))
 }
 
-// firstUsable returns the first ready worker from an index on that the rules allow for a job, if possible one to which it was
-// not sent before, or nil.
+// firstUsable returns the first ready worker, from an index on, that the rules allow for a job, if possible one to which the
+// job was not sent before. It returns nil if there is none.
 func (b *base) firstUsable(job *job, from int) (second *worker) {
 	for i := range b.ready {
 		candidate := b.ready[(from+i)%len(b.ready)]
@@ -101,10 +102,11 @@
 func (r random) choose(job *job) *worker { return r.drawWorker(job) }
 func (r random) track(*worker)           {}
 
-// roundRobin selects the workers in turn, from a random one on: schedulers that begin with the same worker would stay in step.
+// roundRobin selects the workers in turn, beginning with a random one: schedulers that all begin with the same worker would
+// keep sending to the same worker at the same time.
 type roundRobin struct {
 	*base
-	next    int // index of the last selected worker in base.ready
+	next    int // index in base.ready of the worker that was selected last
 	started bool
 }
 
@@ -131,7 +133,7 @@
 	return candidate
 }
 
-// twoChoices selects the one with fewer attempts in flight of two random workers.
+// twoChoices draws two random workers and selects the one with fewer attempts in flight.
 type twoChoices struct{ *base }
 
 func (t twoChoices) track(*worker) {}
@@ -151,7 +153,7 @@
 	levels [][]*worker // the ready workers, by attempts in flight
 }
 
-// track moves a worker to its level.
+// track moves a worker to the level of its attempts in flight, or to none if it is not ready.
 func (l *leastOutstanding) track(worker *worker) {
 	if worker.level > 0 {
 		level := l.levels[worker.level-1]
--- a/internal/testbed/baseline/workers.go
+++ b/internal/testbed/baseline/workers.go
@@ -6,7 +6,7 @@
 	"valvecove/dispatch"
 )
 
-// warmUpShare returns the part of its capacity that a worker has, by the age of its process: 1 once it is warm.
+// warmUpShare returns the share of its capacity that a worker has at the age of its process: 1 once it is warm.
 func (b *base) warmUpShare(worker *worker) float64 {
 	age := b.now - worker.BootAt
 	if worker.BootAt <= 0 || b.settings.WarmUp <= 0 || age >= b.settings.WarmUp {
@@ -15,8 +15,8 @@
 	return b.settings.WarmUpCapacity + (1-b.settings.WarmUpCapacity)*max(0, age.Seconds())/b.settings.WarmUp.Seconds()
 }
 
-// skipsWarmingUp draws whether a worker that is warming up is skipped this time. It has at most the mean number of attempts
-// in flight, times the part of its capacity that it has.
+// skipsWarmingUp decides, with a random draw, whether a worker that is warming up is skipped this time. It is always skipped
+// if it has more attempts in flight than the mean of all ready workers times its share of its capacity.
 func (b *base) skipsWarmingUp(worker *worker) bool {
 	share := b.warmUpShare(worker)
 	if share >= 1 {
@@ -25,7 +25,7 @@
 	return b.rng.Float64() >= share || float64(worker.inFlight) > share*float64(len(b.inFlight))/float64(len(b.ready))
 }
 
-// applyList handles an update of the worker list, or that it is unavailable.
+// applyList handles an update of the worker list, or the event that the list is unavailable.
 func (b *base) applyList(workerList dispatch.WorkerList) {
 	if workerList.Kind == dispatch.ListUnavailable {
 		b.watching = false
@@ -36,7 +36,7 @@
 		b.pollAt = b.now + b.pollDelay/2 + time.Duration(b.rng.Int64N(int64(b.pollDelay)+1))
 		return
 	}
-	b.listed = true
+	b.listUpdated = true
 	if workerList.Kind != dispatch.ListCached && b.watchRequested {
 		b.watchRequested = false
 		b.watching = true
@@ -47,7 +47,7 @@
 		for _, entry := range workerList.Workers {
 			listed[entry.ID] = true
 		}
-		for i := len(b.ready) - 1; i >= 0; i-- { // backward: the last worker replaces one that is removed
+		for i := len(b.ready) - 1; i >= 0; i-- { // backward, as setReady moves the last worker to the place of a removed one
 			if known := b.ready[i]; !listed[known.ID] {
 				b.setReady(known, false)
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-// setReady adds a worker to the ready ones, or removes it.
+// setReady adds a worker to base.ready, or removes it.
 func (b *base) setReady(worker *worker, ready bool) {
 	if ready == (worker.readyIndex > 0) {
 		return
