--- a/internal/testbed/report/run_effort.go
+++ b/internal/testbed/report/run_effort.go
@@ -43,7 +43,7 @@
 		{"health checks", effort.HealthChecks},
 		{"connections opened to workers", effort.Connections},
 		{"warming workers overloaded", effort.Overloads},
-		{"attempts of requests long over", effort.Duplicates},
+		{"attempts of requests long over", effort.OrphanedEvents},
 		{"trace events of what is not open", effort.Unknown},
 	} {
 		counts.addRow(entry.name, formatCount(entry.count), formatNumber(float64(entry.count)/float64(max(1, jobs))))
--- a/internal/testbed/score/attempts.go
+++ b/internal/testbed/score/attempts.go
@@ -7,19 +7,19 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// duplicateText marks in a trace the start of an attempt whose idempotency key the cell knows.
+// duplicateText is the text of an AttemptStarted event if the worker's cell has seen the attempt's idempotency key before.
 const duplicateText = "repeat"
 
-// attempt is an attempt that reached a worker and has not ended there. It is in two lists: that of its request and that of
-// its worker.
+// attempt is an attempt that reached a worker and has not ended there. It is in two linked lists, that of its request and
+// that of its worker.
 type attempt struct {
 	request      *request
 	worker       int
 	started      bool
-	duplicate    bool // the cell knows its idempotency key: it does no work
+	duplicate    bool // the cell has seen its idempotency key before: it does no work
 	cancelled    bool
 	startedAt    time.Duration
-	next         *attempt // of its request; in the free list
+	next         *attempt // in the list of its request, or in the free list
 	prevOfWorker *attempt
 	nextOfWorker *attempt
 }
@@ -31,10 +31,11 @@
 	attemptNotRun attemptEnding = iota // it was rejected or returned
 	attemptFinished
 	attemptFailed // it finished with an error
-	attemptDied   // with its worker's process, or alone
+	attemptDied   // it ended without a result, with its worker's process or alone
 )
 
-// findAttempt returns an attempt of an event's request at its worker that has started or not, or nil.
+// findAttempt returns an attempt of the event's request at the event's worker that has started, or one that has not; nil if
+// there is none.
 func (s *Score) findAttempt(event *trace.Event, started bool) *attempt {
 	sent := s.requests[event.RequestID]
 	if sent == nil {
@@ -54,7 +55,7 @@
 	s.processOf(event.Scheduler).attempts++
 	sent := s.requests[event.RequestID]
 	if sent == nil {
-		s.effort.Duplicates++
+		s.effort.OrphanedEvents++
 		return
 	}
 	s.classes[sent.class].bin(s.now).attempts++
@@ -129,7 +130,7 @@
 	if started == nil {
 		sent := s.requests[event.RequestID]
 		if sent == nil {
-			s.effort.Duplicates++
+			s.effort.OrphanedEvents++
 			return
 		}
 		started = s.addAttempt(sent, event.Worker)
@@ -138,7 +139,7 @@
 	started.startedAt = s.now
 	started.duplicate = event.Text == duplicateText
 	if started.duplicate { // it takes no slot
-		started.request.reruns++
+		started.request.deduplicated++
 		s.effort.DuplicatesDropped++
 		return
 	}
@@ -174,7 +175,7 @@
 		finished = s.findAttempt(event, false)
 	}
 	if finished == nil {
-		s.effort.Duplicates++
+		s.effort.OrphanedEvents++
 		return
 	}
 	ending := attemptFinished
@@ -184,7 +185,7 @@
 	s.endAttempt(finished, ending)
 }
 
-// attemptEnded ends an attempt that did not finish: one that has not started, if there is one.
+// attemptEnded ends an attempt that did not finish. If several match the event, it ends one that has not started.
 func (s *Score) attemptEnded(event *trace.Event, ending attemptEnding) {
 	ended := s.findAttempt(event, false)
 	if ended == nil {
@@ -195,7 +196,7 @@
 	}
 }
 
-// endAttempt counts the end of an attempt and forgets it.
+// endAttempt counts the end of an attempt and removes it.
 func (s *Score) endAttempt(ended *attempt, ending attemptEnding) {
 	sent := ended.request
 	if ended.started && !ended.duplicate {
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -7,15 +7,15 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Evaluation is an expectation with the value that a run has for it.
+// Evaluation is an expectation with the value of its metric in a run.
 type Evaluation struct {
 	Expectation scenario.Expectation
-	Value       float64 // NaN: not available; +Inf: not seen to end
+	Value       float64 // NaN: not available; +Inf: no recovery was observed
 	OK          bool
 	Reason      string // why the value is not available
 }
 
-// MarshalJSON writes the expectation as a scenario does, and null for a value that is no number.
+// MarshalJSON writes the expectation as in a scenario file, and null for a value that is NaN or infinite.
 func (e Evaluation) MarshalJSON() ([]byte, error) {
 	form := struct {
 		Expectation string   `json:"expectation"`
@@ -29,8 +29,8 @@
 	return json.Marshal(form)
 }
 
-// Check evaluates expectations. Violations is how many violations of invariants the checker found. Shares and latencies
-// of groups without a job that counts meet nothing.
+// Check evaluates expectations. violations is how many violations of invariants the checker found. An expectation about a
+// group without jobs is not met, nor is one about the latency of a group without served jobs.
 func Check(expectations []scenario.Expectation, result *Result, violations int) []Evaluation {
 	evaluations := make([]Evaluation, len(expectations))
 	for i, expectation := range expectations {
@@ -45,9 +45,9 @@
 	return evaluations
 }
 
-// MetricValue returns the value of a metric by its name in expectations, of a class, a tenant (its value earned is that
-// within its quota) or, without a group, of all. A value that is not available is NaN, or +Inf for a disturbance that was
-// not seen to end; the reason is given then.
+// MetricValue returns the value of a metric, by its name in expectations, for a class or a tenant or, if group is empty, for
+// all jobs. For a tenant, in_time counts only jobs within its quota. A value that is not available is NaN, and
+// recovered_within is +Inf if no recovery was observed; reason then says why.
 func (r *Result) MetricValue(metric, group string, violations int) (value float64, reason string) {
 	switch metric {
 	case "rules_broken":
@@ -97,7 +97,7 @@
 	return math.NaN(), "no figure " + metric
 }
 
-// latencyValue returns a latency in milliseconds, if a job was served.
+// latencyValue returns a latency in milliseconds, or NaN if no job was served.
 func (g *Group) latencyValue(latency float64) (value float64, reason string) {
 	if g.Latency.Count == 0 {
 		return math.NaN(), "no job was served"
@@ -105,7 +105,7 @@
 	return latency, ""
 }
 
-// earnedWithinQuota returns the share of the value that a tenant requested within its quota.
+// earnedWithinQuota returns the share of the value requested within a tenant's quota that was earned.
 func (g *Group) earnedWithinQuota() (value float64, reason string) {
 	if g.RequestedWithinQuota <= 0 {
 		return math.NaN(), "no job within its share was due"
--- a/internal/testbed/score/compare.go
+++ b/internal/testbed/score/compare.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Sense is which values of a metric are better.
+// Sense says whether higher or lower values of a metric are better.
 type Sense int
 
 // Senses of metrics.
@@ -19,20 +19,20 @@
 	Neither
 )
 
-// Paired is a comparison of one metric between two sides over the same seeds. Differences are B less A.
+// Paired is a comparison of one metric between two sides over the same seeds. Differences are B minus A.
 type Paired struct {
 	Metric       string  `json:"figure"`
 	A            string  `json:"a"`
 	B            string  `json:"b"`
 	Seeds        int     `json:"seeds"`
-	SeedsLeftOut int     `json:"seeds_left_out"` // in which the value of a side is not available, or infinite
+	SeedsLeftOut int     `json:"seeds_left_out"` // seeds for which the value of a side is not available or infinite
 	MeanA        float64 `json:"mean_a"`
 	MeanB        float64 `json:"mean_b"`
 	Difference   float64 `json:"difference"`
 	SD           float64 `json:"sd"` // of the differences
 	Low          float64 `json:"low"`
 	High         float64 `json:"high"` // Low to High is the 95% confidence interval of the mean difference
-	P            float64 `json:"p"`    // probability of a mean difference this far from 0 if the sides are equal
+	P            float64 `json:"p"`    // probability of a mean difference at least this far from 0 if the sides are equal
 	Significant  bool    `json:"seen"` // the interval excludes 0
 	Verdict      string  `json:"says"`
 }
@@ -64,7 +64,7 @@
 	return result
 }
 
-// Compare compares the values of a metric on two sides, of which a[i] and b[i] are of the same seed. The interval is that of
+// Compare compares the values of a metric on two sides; a[i] and b[i] have the same seed. The interval is that of
 // Student's t-test for paired samples, which assumes that the differences are distributed normally. Pairs in which a value
 // is not available (NaN) or infinite are left out.
 func Compare(metric, nameA, nameB string, a, b []float64, better Sense) Paired {
@@ -90,7 +90,7 @@
 	return paired
 }
 
-// setInterval sets the confidence interval and what follows from it. It needs two differences at least.
+// setInterval sets the confidence interval, P and Significant. It needs at least two differences.
 func (p *Paired) setInterval(differences []float64) {
 	p.SD = stat.StdDev(differences, nil)
 	distribution := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(p.Seeds - 1)}
@@ -128,7 +128,7 @@
 		formatNumber(math.Abs(p.Difference)), formatNumber(min(low, high)), formatNumber(max(low, high)), seeds)
 }
 
-// comparative returns the word for side B against side A.
+// comparative returns the word for how side B compares with side A.
 func (p *Paired) comparative(better Sense) string {
 	isHigher := p.Difference > 0
 	switch {
@@ -142,7 +142,7 @@
 	return "worse"
 }
 
-// formatNumber writes whole numbers from 1000 on, and three digits below.
+// formatNumber writes numbers from 1000 on without decimals, and smaller ones with three significant digits.
 func formatNumber(number float64) string {
 	if math.Abs(number) >= 1000 {
 		return strconv.FormatFloat(number, 'f', 0, 64)
--- a/internal/testbed/score/effort.go
+++ b/internal/testbed/score/effort.go
@@ -1,43 +1,43 @@
 package score
 
-// Effort counts what was done to serve, as observed at clients and workers.
+// Effort counts the requests, attempts and work of a run, as observed at clients and workers.
 type Effort struct {
 	Requests           int     `json:"tries"`
-	Retries            int     `json:"retries"`         // requests after a job's first
-	RequestsUnreached  int     `json:"tries_unreached"` // found no scheduler; not among Requests
-	Resent             int     `json:"resent"`          // the same request once more on a new connection
-	RequestsServed     int     `json:"tries_served"`    // requests that were answered
-	RequestsRejected   int     `json:"tries_refused"`   // by schedulers
-	RequestsFailed     int     `json:"tries_failed"`
-	Attempts           int     `json:"attempts"` // that reached workers
+	Retries            int     `json:"retries"`         // requests of jobs other than their first
+	RequestsUnreached  int     `json:"tries_unreached"` // requests that found no scheduler; not among Requests
+	Resent             int     `json:"resent"`          // requests that were sent again, unchanged, on a new connection
+	RequestsServed     int     `json:"tries_served"`    // answered with 200
+	RequestsRejected   int     `json:"tries_refused"`   // by schedulers, with 429 or 503
+	RequestsFailed     int     `json:"tries_failed"`    // answered with any other status
+	Attempts           int     `json:"attempts"`        // that reached workers
 	PerJob             float64 `json:"attempts_per_job"`
 	MaxAttempts        int     `json:"attempts_most"` // of one job, over all its requests
-	Hedged             int     `json:"second_copies"` // attempts while an earlier one of the request had neither ended nor been cancelled
+	Hedged             int     `json:"second_copies"` // attempts while an earlier one of the request was open and not cancelled
 	Accepted           int     `json:"accepted"`
 	Rejected           int     `json:"turned_away"` // by workers
-	Full               int     `json:"full"`        // of these, 503 and 504
-	Returned           int     `json:"returned"`    // by workers, not started
+	Full               int     `json:"full"`        // of Rejected, those with 503 or 504
+	Returned           int     `json:"returned"`    // by workers, without having started
 	Cancelled          int     `json:"withdrawn"`
-	DuplicatesDropped  int     `json:"repeats_dropped"` // by a cell that knew the idempotency key
+	DuplicatesDropped  int     `json:"repeats_dropped"` // by a cell that had seen the idempotency key before
 	Callbacks          int     `json:"notes"`
 	CallbacksLost      int     `json:"notes_lost"`
 	HealthChecks       int     `json:"probes"`
 	Connections        int     `json:"links"`          // connections opened to workers
 	Overloads          int     `json:"pushed_over"`    // of workers that are warming up
-	Duplicates         int     `json:"strays"`         // events of attempts whose request is not known, or ended long ago
-	Unknown            int     `json:"unknown"`        // events of jobs or requests that are not open
+	OrphanedEvents     int     `json:"strays"`         // events of attempts whose request is unknown or ended long ago
+	Unknown            int     `json:"unknown"`        // events of jobs or requests that are not open; repeated JobDue events
 	WorkAfterObjective float64 `json:"work_after_aim"` // of jobs served late; not waste
 	WorkRequested      float64 `json:"work_asked"`     // once for each job
 	WorkRun            float64 `json:"work_run"`       // by workers
-	WorkUseful         float64 `json:"work_useful"`    // it gave the response of a request that was served
-	WorkPending        float64 `json:"work_pending"`   // for requests that were open when the run ended
+	WorkUseful         float64 `json:"work_useful"`    // work whose result was the response of a served request
+	WorkPending        float64 `json:"work_pending"`   // work for requests that were open when the run ended
 }
 
-// Waste is work that served nobody. An attempt that was killed counts for as long as it ran, at most its work.
+// Waste is work whose result no client got. An attempt that was killed counts with the time that it ran, up to its work.
 type Waste struct {
 	Share      float64 `json:"share"` // of the work requested
 	Work       float64 `json:"work"`
-	Repeated   float64 `json:"repeated"`    // another attempt gave the response
+	Repeated   float64 `json:"repeated"`    // the response came from another attempt
 	TooLate    float64 `json:"too_late"`    // its client had timed out
 	ClientLeft float64 `json:"client_left"` // its client had left
 	Unused     float64 `json:"unused"`      // its client was rejected, got an error or lost its connection
@@ -45,10 +45,10 @@
 	Killed     float64 `json:"killed"`      // its worker died
 }
 
-// roundingShare is the part of the work run below which work pending is an error of rounding.
+// roundingShare is the share of WorkRun below which WorkPending is taken for a rounding error.
 const roundingShare = 1e-9
 
-// result returns the counts and sums, given the number of responses by kind and of jobs due.
+// result returns the effort and the waste, given the number of responses by kind and the number of jobs due.
 func (e *effort) result(responses responseCounts, jobsDue int) (Effort, Waste) {
 	result := e.Effort
 	result.RequestsServed = responses.of(requestServed)
--- a/internal/testbed/score/faults.go
+++ b/internal/testbed/score/faults.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Fault is a fault of the scenario as it happened.
+// Fault is a fault of the scenario, with the times at which it began and ended in the run.
 type Fault struct {
 	Text string  `json:"text"`
 	On   float64 `json:"on"`
@@ -24,14 +24,14 @@
 type MisbehavingCounts struct {
 	Kind      string  `json:"kind"`
 	Connected int     `json:"connected"`
-	Errors    int     `json:"errors"` // were answered 4xx or 5xx
-	Closed    int     `json:"closed"`
+	Errors    int     `json:"errors"` // were answered with 4xx or 5xx
+	Closed    int     `json:"closed"` // were closed without an answer
 	Served    int     `json:"served"` // were answered otherwise
-	Open      int     `json:"open"`   // neither, when the run ended
+	Open      int     `json:"open"`   // were open, without an answer, when the run ended
 	MaxWaitMs float64 `json:"longest_ms"`
 }
 
-// notEnded is Fault.Off while the fault lasts.
+// notEnded is the value of Fault.Off while the fault is active.
 const notEnded = -1
 
 // misbehavingConn is an open connection of a misbehaving client.
@@ -48,7 +48,7 @@
 	s.faults = append(s.faults, Fault{Text: event.Text, On: s.now.Seconds(), Off: notEnded})
 }
 
-// faultEnded ends the first fault of the event's text that lasts.
+// faultEnded ends the first active fault that has the event's text.
 func (s *Score) faultEnded(event *trace.Event) {
 	for i := range s.faults {
 		if fault := &s.faults[i]; fault.Off < 0 && fault.Text == event.Text {
@@ -74,7 +74,7 @@
 	}
 }
 
-// misbehavingKind returns the index of the counts of a kind, which it adds if need be.
+// misbehavingKind returns the index of the counts of a kind, and adds them if they are missing.
 func (s *Score) misbehavingKind(kind string) int {
 	for i := range s.misbehaving {
 		if s.misbehaving[i].Kind == kind {
--- a/internal/testbed/score/group.go
+++ b/internal/testbed/score/group.go
@@ -8,14 +8,14 @@
 	Requested              float64           `json:"worth_asked"`
 	Earned                 float64           `json:"worth_earned"`
 	EarnedShare            float64           `json:"in_time"`            // Earned over Requested
-	RequestedWithinQuota   float64           `json:"worth_asked_within"` // of jobs within their tenant's quota
+	RequestedWithinQuota   float64           `json:"worth_asked_within"` // of jobs within their tenants' quotas
 	EarnedWithinQuota      float64           `json:"worth_earned_within"`
 	EarnedShareWithinQuota float64           `json:"in_time_within"` // EarnedWithinQuota over RequestedWithinQuota
 	JobsDue                int               `json:"due"`
 	Open                   int               `json:"open"` // not settled when the run ended
 	Outcomes               [outcomeCount]int `json:"outcomes"`
 	Shares                 OutcomeShares     `json:"shares"`
-	Attempts               float64           `json:"attempts"` // per settled job, of attempts that reached a worker
+	Attempts               float64           `json:"attempts"` // mean number of attempts at workers per settled job
 	Latency                Latency           `json:"latency"`  // of jobs served, from when they were due
 	histogram              *hdrhistogram.Histogram
 }
@@ -81,7 +81,7 @@
 	return whole
 }
 
-// setShares sets what follows from the sums, and from the attempts of the settled jobs.
+// setShares computes Open, the shares and Attempts from the sums and the number of attempts of the settled jobs.
 func (g *Group) setShares(attempts int) {
 	settled := 0
 	for _, count := range g.Outcomes {
@@ -102,7 +102,7 @@
 	g.Attempts = share(float64(attempts), float64(settled))
 }
 
-// shareOf returns the share of the jobs due that had one of some outcomes.
+// shareOf returns the share of the jobs due that had one of the given outcomes.
 func (g *Group) shareOf(outcomes ...JobOutcome) float64 {
 	count := 0
 	for _, outcome := range outcomes {
--- a/internal/testbed/score/headline.go
+++ b/internal/testbed/score/headline.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Headline is a metric of a whole run by which runs are compared. It has the name that expectations use, if they have it.
+// Headline is a metric of a whole run by which runs are compared. A metric that expectations have too has the same name
+// there.
 type Headline struct {
 	Name        string
 	Description string
@@ -48,7 +49,7 @@
 	},
 }
 
-// metricOf returns the function that computes a metric of expectations, of all jobs.
+// metricOf returns a function that computes, for all jobs, a metric that expectations have.
 func metricOf(metric string) func(*Result) float64 {
 	return func(result *Result) float64 {
 		value, _ := result.MetricValue(metric, "", 0)
--- a/internal/testbed/score/jobs.go
+++ b/internal/testbed/score/jobs.go
@@ -13,12 +13,12 @@
 // Outcomes of jobs.
 const (
 	OutcomeInTime     JobOutcome = iota // served within its latency objective
-	OutcomeLate                         // served after it
+	OutcomeLate                         // served after its latency objective
 	OutcomeRejected                     // its last response was 429 or 503
-	OutcomeFailed                       // its last response was another error
-	OutcomeUnanswered                   // its client timed out
-	OutcomeLost                         // its last connection ended without a response
-	OutcomeClientLeft                   // its client left
+	OutcomeFailed                       // its last response was an error of another status
+	OutcomeUnanswered                   // its client timed out, or found no scheduler
+	OutcomeLost                         // the connection of its last request ended without a response
+	OutcomeClientLeft                   // its client left before a response
 	outcomeCount
 )
 
@@ -34,7 +34,7 @@
 	dueAt      time.Duration
 	objective  time.Duration
 	value      float64
-	work       float64 // seconds at speed 1, over all slots
+	work       float64 // seconds at speed 1, times slots
 	slots      float64
 	class      int
 	tenant     int
@@ -42,8 +42,8 @@
 	requests   int
 	attempts   int
 	lastEnding requestEnding // of its last request
-	wasteCount int           // attempts of its requests that have served nobody so far
-	lastWaste  wasteCause    // of the last of these
+	wasteCount int           // finished attempts of its requests whose result no client got so far
+	lastWaste  wasteCause    // of the last of those attempts
 	next       *job          // in the free list
 }
 
@@ -57,7 +57,7 @@
 }
 
 func (s *Score) jobDue(event *trace.Event) {
-	if s.jobs[event.JobID] != nil { // a job is due once
+	if s.jobs[event.JobID] != nil { // a job becomes due only once
 		s.effort.Unknown++
 		return
 	}
@@ -89,7 +89,7 @@
 	second.requested += added.value
 }
 
-// addDue counts a job that is added.
+// addDue counts a job that becomes due.
 func (g *group) addDue(added *job) {
 	g.jobsDue++
 	g.value.requested += added.value
@@ -113,7 +113,7 @@
 	}
 }
 
-// bin returns the sums of the second of an instant.
+// bin returns the sums of the second in which an instant lies.
 func (g *group) bin(at time.Duration) *bin {
 	second := secondOf(at)
 	g.bins = growTo(g.bins, second)
@@ -155,7 +155,7 @@
 	s.freeJobs = settled
 }
 
-// classifyOutcome returns the outcome of a job by its last response, or without one by the end of its last request.
+// classifyOutcome returns the outcome of a job from the status that it was settled with and the end of its last request.
 func classifyOutcome(settled *job, status int, latency time.Duration) JobOutcome {
 	switch {
 	case status == http.StatusOK && latency <= settled.objective:
@@ -174,12 +174,12 @@
 	return OutcomeFailed
 }
 
-// isRejection reports whether a scheduler rejected a request by a response of a status.
+// isRejection reports whether a status is one with which schedulers reject requests.
 func isRejection(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// advanceSecond summarises the latency of the last second with responses, once it has ended.
+// advanceSecond stores the latency of the last second with responses once that second has ended.
 func (s *Score) advanceSecond() {
 	now := secondOf(s.now)
 	if now == s.currentSecondIndex {
--- a/internal/testbed/score/knee.go
+++ b/internal/testbed/score/knee.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	minKneeDistance = 0.1 // from the chord, in normalised axes
+	minKneeDistance = 0.1 // from the chord, with both axes normalised to 0..1
 	minKneePoints   = 3
 )
 
-// Knee returns the index of the point at which a curve bends most, and false if it has no knee. The points are in order of
-// x, and both axes are normalised to 0..1. The knee is the point farthest from the chord between the first and the last, on
-// its better side: where a metric that is better higher begins to fall, or has risen most of its way. With Neither both
-// sides count. A curve has no knee if it has fewer than three points, a value that is no number, or no point that is a tenth
-// away from the chord.
+// Knee returns the index of the point at which a curve bends most, and false if it has no knee. The points must be in order
+// of x. Both axes are normalised to 0..1. The knee is the point farthest from the chord between the first and the last point,
+// on the side of better values: of a metric for which higher is better, it is where the curve begins to fall, or where it has
+// done most of its rise. With Neither, points on both sides count. A curve has no knee if it has fewer than minKneePoints
+// points, a value that is not a number, or no point that is minKneeDistance away from the chord.
 func Knee(x, y []float64, better Sense) (index int, ok bool) {
 	count := min(len(x), len(y))
 	if count < minKneePoints {
@@ -52,7 +52,7 @@
 	return normal, true
 }
 
-// bounds returns the smallest and the largest value; NaN, if one is no number.
+// bounds returns the smallest and the largest value, or NaN for both if any value is NaN.
 func bounds(values []float64) (low, high float64) {
 	low, high = values[0], values[0]
 	for _, value := range values {
--- a/internal/testbed/score/knee_test.go
+++ b/internal/testbed/score/knee_test.go
@@ -10,7 +10,7 @@
 		ok     bool
 	}{
 		{[]float64{1, 1, 1, 0.9, 0.4, 0.1}, Higher, 3, true},
-		{[]float64{1, 1, 1, 0.1, 0, 0}, Higher, 2, true}, // not the foot of the fall
+		{[]float64{1, 1, 1, 0.1, 0, 0}, Higher, 2, true}, // where the fall begins, not where it ends
 		{[]float64{1, 1, 1, 0.1, 0, 0}, Lower, 3, true},
 		{[]float64{1, 2, 3, 4, 5, 6}, Neither, 0, false},
 		{[]float64{1, 1, 1, 1, 1, 1}, Neither, 0, false},
--- a/internal/testbed/score/meter.go
+++ b/internal/testbed/score/meter.go
@@ -6,13 +6,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxBins bounds every series over time: a day by the second. What is later counts in the last bin.
+// maxBins is the maximum length of each series over time, a day of seconds. The last bin also has everything after it.
 const maxBins = 86_400
 
-// rounding is what sums of floating-point numbers may differ from 0 by.
-const rounding = 1e-9
+// roundingTolerance is how much a sum of floating-point numbers that should be 0 may differ from 0.
+const roundingTolerance = 1e-9
 
-// meter integrates a level over time, as in slots in use, in seconds.
+// meter integrates a level, such as the slots in use, over time in seconds.
 type meter struct {
 	updatedAt time.Duration
 	level     float64
@@ -63,7 +63,7 @@
 	}
 }
 
-// addFromStart counts a quantity as if it had been there from the start until the present.
+// addFromStart counts a quantity as if it had been part of the level from the start of the run until updatedAt.
 func (b *binnedMeter) addFromStart(quantity float64) {
 	for i := range b.integrals {
 		from := time.Duration(i) * b.width
@@ -71,19 +71,19 @@
 	}
 }
 
-// means returns the mean level of each bin. The last bin is taken as far as it has passed.
+// means returns the mean level of each bin. The mean of the last bin is over the part of it that has passed.
 func (b *binnedMeter) means() Series {
 	means := make(Series, len(b.integrals))
 	for i, integral := range b.integrals {
 		from := time.Duration(i) * b.width
 		if passed := min(b.width, b.updatedAt-from); i < maxBins-1 && passed > 0 {
-			means[i] = clean(integral / passed.Seconds())
+			means[i] = withoutRoundingError(integral / passed.Seconds())
 		}
 	}
 	return means
 }
 
-// growTo returns a slice that has an index.
+// growTo returns the slice, extended with zero values if it does not have the index.
 func growTo[T any](slice []T, index int) []T {
 	if index < len(slice) {
 		return slice
@@ -94,29 +94,30 @@
 	return append(slice, make([]T, index+1-len(slice))...)
 }
 
-// secondOf returns the bin of an instant, where bins are seconds.
+// secondOf returns the index of the bin of an instant in a series by the second.
 func secondOf(at time.Duration) int { return min(int(max(at, 0)/time.Second), maxBins-1) }
 
-// clean returns 0 for what is 0 but for errors of rounding.
-func clean(value float64) float64 {
-	if value < rounding && value > -rounding {
+// withoutRoundingError returns a value, or 0 if it differs from 0 only by a rounding error.
+func withoutRoundingError(value float64) float64 {
+	if value < roundingTolerance && value > -roundingTolerance {
 		return 0
 	}
 	return value
 }
 
-// share returns a part as a share of a whole; 0 if the whole is nothing.
+// share returns a part as a share of a whole; 0 if the whole is 0.
 func share(part, whole float64) float64 {
 	if whole <= 0 {
 		return 0
 	}
-	return clean(part / whole)
+	return withoutRoundingError(part / whole)
 }
 
-// maxLatency is the longest latency of a histogram; longer ones count as that. Histograms are in microseconds.
+// maxLatency is the longest latency that a histogram records; longer ones are recorded as maxLatency. Histograms are in
+// microseconds.
 const maxLatency = 10 * time.Minute
 
-// Digits of histograms: of a whole run, and of a second, whose histogram is reset for the next.
+// Significant digits of histograms, of the whole run and of the current second.
 const (
 	latencyDigits = 3
 	secondDigits  = 2
@@ -128,7 +129,7 @@
 
 // record adds a latency to a histogram.
 func record(histogram *hdrhistogram.Histogram, latency time.Duration) {
-	// A histogram accepts every value within its bounds.
+	// RecordValue fails only for values beyond the histogram's bounds.
 	_ = histogram.RecordValue(min(max(latency, time.Microsecond), maxLatency).Microseconds())
 }
 
--- a/internal/testbed/score/model_test.go
+++ b/internal/testbed/score/model_test.go
@@ -16,7 +16,7 @@
 	modelWorkerSlots = 2
 )
 
-// model computes from plain lists what a score should come to.
+// model drives a score with random events, and computes the expected sums in a simple way.
 type model struct {
 	t        *rapid.T
 	s        *Score
@@ -36,7 +36,7 @@
 	class, tenant int
 	overQuota     bool
 	work, slots   float64
-	request       string     // the open one
+	request       string     // its open request; empty: none
 	outcome       JobOutcome // once it is settled
 	lastOutcome   JobOutcome // of the last request
 	hasRequest    bool
@@ -57,10 +57,10 @@
 	m.s.Observe(&event)
 }
 
-// draw returns a number below a count.
+// draw returns a random number from 0 to count-1.
 func (m *model) draw(count int, what string) int { return rapid.IntRange(0, count-1).Draw(m.t, what) }
 
-// step does one random thing that a run may have.
+// step does one random step of a run.
 func (m *model) step() {
 	m.now += time.Duration(rapid.IntRange(0, 400).Draw(m.t, "ms")) * ms
 	switch m.draw(8, "what") {
@@ -103,7 +103,7 @@
 	})
 }
 
-// sendSomething sends a request of a job without one, and an attempt of a request else.
+// sendSomething sends a request for a job that has no open one, and otherwise an attempt of the open request.
 func (m *model) sendSomething(sender *modelJob) {
 	if sender.request == "" {
 		m.requests++
@@ -141,7 +141,7 @@
 	}
 }
 
-// endAttempt ends an attempt. One that ends with its worker has no event of its own.
+// endAttempt ends an attempt. An attempt that ends with its worker has no event of its own.
 func (m *model) endAttempt(i int, kind trace.Kind, status int) {
 	attempt := m.attempts[i]
 	m.attempts = append(m.attempts[:i], m.attempts[i+1:]...)
@@ -169,7 +169,7 @@
 	m.observe(trace.Event{Kind: trace.WorkerStarted, Worker: worker, Slots: modelWorkerSlots})
 }
 
-// requestEndings are the ways in which a request ends, with the outcome of a job whose last request it is.
+// requestEndings are the ways in which a request ends, with the outcome of a job whose last request ends so.
 var requestEndings = []struct {
 	kind    trace.Kind
 	status  int
@@ -209,14 +209,14 @@
 	m.settled = append(m.settled, sender)
 }
 
-// same checks a number but for errors of rounding.
-func (m *model) same(what string, got, want float64) {
+// checkEqual checks that two numbers are equal except for rounding errors.
+func (m *model) checkEqual(what string, got, want float64) {
 	if math.Abs(got-want) > 1e-6*(1+math.Abs(want)) {
 		m.t.Fatalf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-// check compares the sums: each job has one outcome, and parts make the whole.
+// check compares the score's result with the model, and the sums of its parts with the whole.
 func (m *model) check() {
 	m.observe(trace.Event{Kind: trace.HealthChecked}) // brings the score's clock up to now
 	result := m.s.Result()
@@ -225,13 +225,13 @@
 	m.checkGroups(&result.Whole, result.Tenants, tenants)
 	m.checkSeconds(result)
 	m.checkWork(result)
-	if result.Effort.Duplicates+result.Effort.Unknown > 0 {
-		m.t.Fatalf("duplicates %d, unknown %d", result.Effort.Duplicates, result.Effort.Unknown)
+	if result.Effort.OrphanedEvents+result.Effort.Unknown > 0 {
+		m.t.Fatalf("duplicates %d, unknown %d", result.Effort.OrphanedEvents, result.Effort.Unknown)
 	}
 	m.checkOccupancy(result)
 }
 
-// groups returns the sums of classes and of tenants.
+// groups returns the expected sums of the classes and the tenants.
 func (m *model) groups() (classes, tenants []Group) {
 	classes, tenants = make([]Group, 2), make([]Group, 2)
 	for _, list := range [][]*modelJob{m.settled, m.open} {
@@ -274,8 +274,8 @@
 		if got.JobsDue != want.JobsDue || got.Open != want.Open || got.Outcomes != want.Outcomes {
 			m.t.Fatalf("%s: got %+v, want %+v", got.Name, got, want)
 		}
-		m.same("requested", got.Requested, want.Requested)
-		m.same("earned", got.Earned, want.Earned)
+		m.checkEqual("requested", got.Requested, want.Requested)
+		m.checkEqual("earned", got.Earned, want.Earned)
 		sum.JobsDue += got.JobsDue
 		sum.Open += got.Open
 		sum.Requested += got.Requested
@@ -288,22 +288,22 @@
 	if sum.JobsDue != whole.JobsDue || sum.Open != whole.Open || sum.Outcomes != whole.Outcomes || served != whole.Latency.Count {
 		m.t.Fatalf("parts %+v with %d served, whole %+v", sum, served, whole)
 	}
-	m.same("requested of all", sum.Requested, whole.Requested)
-	m.same("earned of all", sum.Earned, whole.Earned)
+	m.checkEqual("requested of all", sum.Requested, whole.Requested)
+	m.checkEqual("earned of all", sum.Earned, whole.Earned)
 }
 
 func (m *model) checkSeconds(result *Result) {
 	seconds := &result.Seconds
-	m.same("due by second", seconds.DueJobs.Sum(), float64(result.Whole.JobsDue))
-	m.same("value by second due", seconds.DueValueEarned.Sum(), result.Whole.Earned)
-	m.same("goodput by second", seconds.GoodputValue.Sum(), result.Whole.Earned)
-	m.same("jobs in time by second", seconds.GoodputJobs.Sum(), float64(result.Whole.Outcomes[OutcomeInTime]))
+	m.checkEqual("due by second", seconds.DueJobs.Sum(), float64(result.Whole.JobsDue))
+	m.checkEqual("value by second due", seconds.DueValueEarned.Sum(), result.Whole.Earned)
+	m.checkEqual("goodput by second", seconds.GoodputValue.Sum(), result.Whole.Earned)
+	m.checkEqual("jobs in time by second", seconds.GoodputJobs.Sum(), float64(result.Whole.Outcomes[OutcomeInTime]))
 }
 
 func (m *model) checkWork(result *Result) {
 	effort := &result.Effort
-	m.same("work run", effort.WorkRun, m.workRun)
-	m.same("work", effort.WorkUseful+result.Waste.Work+effort.WorkPending, m.workRun)
+	m.checkEqual("work run", effort.WorkRun, m.workRun)
+	m.checkEqual("work", effort.WorkUseful+result.Waste.Work+effort.WorkPending, m.workRun)
 }
 
 func (m *model) checkOccupancy(result *Result) {
@@ -317,11 +317,12 @@
 				used += attempt.slots * (m.now - attempt.startedAt).Seconds()
 			}
 		}
-		m.same("occupancy", result.Fleet.Workers[worker].Use, used/available)
+		m.checkEqual("occupancy", result.Fleet.Workers[worker].Use, used/available)
 	}
 }
 
-// Totals balance whatever happens, while a run goes on and at its end.
+// After random events, the sums of a score agree with those of the model and with each other, both during a run and at its
+// end.
 func TestScoreTotalsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, s: New(spec(90), Options{})}
@@ -334,7 +335,7 @@
 			}
 		}
 		m.check()
-		m.now += 2 * settleGrace // what has ended is forgotten
+		m.now += 2 * requestRetention // ended requests are removed
 		for len(m.attempts) > 0 {
 			m.endAttempt(0, trace.AttemptDied, 0)
 		}
--- a/internal/testbed/score/occupancy.go
+++ b/internal/testbed/score/occupancy.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Occupancy is the slot seconds in use over the slot seconds up, while jobs became due.
+// Occupancy is slot seconds in use divided by slot seconds of workers that were up, in the time in which jobs became due.
 type Occupancy struct {
 	Whole         float64     `json:"whole"`
-	Mean          float64     `json:"mean"` // over the workers that were up for a second or more
+	Mean          float64     `json:"mean"` // of the workers that were up for at least a second
 	Busiest       float64     `json:"busiest"`
 	BusiestWorker int         `json:"busiest_node"`
 	OverMean      float64     `json:"busiest_over_mean"`
 	Workers       []WorkerUse `json:"nodes"`
 	CellSeconds   float64     `json:"strip_cell_s"`
-	Strip         []StripLine `json:"strip"` // to the end of the run
+	Strip         []StripLine `json:"strip"` // until the end of the run
 }
 
 // WorkerUse is the occupancy of a worker.
 type WorkerUse struct {
 	Worker    int     `json:"node"`
 	Use       float64 `json:"use"`
-	Up        float64 `json:"up"` // share of the time
+	Up        float64 `json:"up"` // share of the time in which it was up
 	Slots     float64 `json:"slots"`
 	Attempts  int     `json:"attempts"`
 	Full      int     `json:"full,omitempty"`
@@ -32,7 +32,7 @@
 	Use   Series `json:"use"`
 }
 
-// notUp is the occupancy in the strip where no worker was up.
+// notUp is the value in the strip where no worker was up.
 const notUp = -1
 
 // occupancy computes the occupancy of the fleet and of each worker.
@@ -40,10 +40,10 @@
 	result := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.strip[0].available.width.Seconds()}
 	var used, available, sum float64
 	counted := 0
-	window := s.settleWindow()
+	window := s.occupancyTime()
 	for i := range s.workers {
 		usage := &s.workers[i]
-		if !usage.known {
+		if !usage.isKnown {
 			continue
 		}
 		line := usage.result(i, window)
@@ -66,7 +66,7 @@
 	return result
 }
 
-// result returns the occupancy of a worker up to the end of a window.
+// result returns the occupancy of a worker from the start of the run to the end of a window.
 func (u *workerUsage) result(worker int, window time.Duration) WorkerUse {
 	u.occupancy.advanceTo(window)
 	u.availability.advanceTo(window)
@@ -97,14 +97,14 @@
 	return lines
 }
 
-// series returns the occupancy bin by bin, with a value for bins in which nothing was up.
+// series returns the occupancy of each bin, and none for bins in which no worker was up.
 func (r *stripRow) series(now time.Duration, none float64) Series {
 	r.use.advanceTo(now)
 	r.available.advanceTo(now)
 	series := make(Series, len(r.available.integrals))
 	for i, available := range r.available.integrals {
 		series[i] = none
-		if available > rounding {
+		if available > roundingTolerance {
 			series[i] = share(r.use.integrals[i], available)
 		}
 	}
--- a/internal/testbed/score/process.go
+++ b/internal/testbed/score/process.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Process is what the processes of a scheduler used, one after the other, or those of the testbed.
+// Process has the counts and resources of a scheduler, over all its processes in the run, or of the testbed.
 type Process struct {
 	Scheduler      int     `json:"scheduler"` // -1: the testbed
 	Starts         int     `json:"starts"`
@@ -15,15 +15,15 @@
 	Terms          int     `json:"terms"`
 	Freezes        int     `json:"freezes"`
 	Reloads        int     `json:"reloads"`
-	Exits          int     `json:"exits"` // by itself, after SIGTERM or not
+	Exits          int     `json:"exits"` // by itself, whether after SIGTERM or not
 	Requests       int     `json:"tries"`
 	Attempts       int     `json:"attempts"`
 	CPU            float64 `json:"cpu_s"`
-	Cores          float64 `json:"cores"`  // CPU over the time of the run
+	Cores          float64 `json:"cores"`  // CPU divided by the time of the run
 	PeakMemory     int64   `json:"memory"` // peak, bytes
 	PeakFiles      int     `json:"files"`  // peak, descriptors
 	CPUBySecond    Series  `json:"cpu_by_second"`
-	MemoryBySecond Series  `json:"memory_by_second"` // bytes, peak of the second; 0: not sampled
+	MemoryBySecond Series  `json:"memory_by_second"` // peak of each second, bytes; 0: not sampled
 	FilesBySecond  Series  `json:"files_by_second"`
 }
 
@@ -35,15 +35,15 @@
 	requests  int
 	attempts  int
 	sampledAt time.Duration // of the last sample
-	cpu       time.Duration // of the present process at the last sample
+	cpu       time.Duration // of the scheduler's current process, at the last sample
 }
 
 func (s *Score) processOf(scheduler int) *process {
 	if scheduler < 0 {
 		return &s.testbed
 	}
-	s.processFigures = growTo(s.processFigures, scheduler)
-	return &s.processFigures[scheduler]
+	s.schedulerProcesses = growTo(s.schedulerProcesses, scheduler)
+	return &s.schedulerProcesses[scheduler]
 }
 
 func (s *Score) schedulerStarted(event *trace.Event) {
@@ -85,7 +85,7 @@
 	s.markScheduler(event.Scheduler, "ended with "+strconv.Itoa(event.Status))
 }
 
-// schedulerSeen lists a scheduler among the processes.
+// schedulerSeen makes sure that a scheduler is among the processes.
 func (s *Score) schedulerSeen(event *trace.Event) { s.processOf(event.Scheduler) }
 
 func (s *Score) resourceUsage(event *trace.Event) {
@@ -96,7 +96,7 @@
 	s.addMark("scheduler " + strconv.Itoa(scheduler) + " " + text)
 }
 
-// addSample counts a sample of a process's resources.
+// addSample adds a sample of a process's resources.
 func (p *process) addSample(now time.Duration, event *trace.Event) {
 	p.PeakMemory = max(p.PeakMemory, event.Memory)
 	p.PeakFiles = max(p.PeakFiles, event.OpenFiles)
@@ -129,11 +129,11 @@
 	}
 }
 
-// processes returns the processes of all schedulers, and of the testbed if it was sampled.
+// processes returns the processes of all schedulers, and that of the testbed if it was sampled.
 func (s *Score) processes() []Process {
-	list := make([]Process, 0, len(s.processFigures)+1)
-	for i := range s.processFigures {
-		list = append(list, s.processFigures[i].result(i, s.now))
+	list := make([]Process, 0, len(s.schedulerProcesses)+1)
+	for i := range s.schedulerProcesses {
+		list = append(list, s.schedulerProcesses[i].result(i, s.now))
 	}
 	if s.testbed.PeakMemory > 0 || s.testbed.CPU > 0 {
 		list = append(list, s.testbed.result(testbedProcess, s.now))
@@ -153,5 +153,5 @@
 	return result
 }
 
-// cloneSeries returns a copy that is not nil, as a nil series is the same in JSON as an empty one.
+// cloneSeries returns a copy that is never nil: MarshalJSON writes a nil series like an empty one.
 func cloneSeries(series Series) Series { return append(make(Series, 0, len(series)), series...) }
--- a/internal/testbed/score/process_test.go
+++ b/internal/testbed/score/process_test.go
@@ -7,9 +7,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Processes, misbehaving clients and marks.
+// The events of scheduler processes and misbehaving clients are counted, also over a restart, and restarts and kills are
+// marks.
 func TestScoreProcesses(t *testing.T) {
-	s := eventTape{New(spec(10), Options{})}
+	s := timedScore{New(spec(10), Options{})}
 	s.at(0, trace.Event{Kind: trace.SchedulerStarted})
 	s.at(500, trace.Event{Kind: trace.ResourceUsage, CPU: 100 * ms, Memory: 10, OpenFiles: 5})
 	s.at(1500, trace.Event{Kind: trace.ResourceUsage, CPU: 300 * ms, Memory: 30, OpenFiles: 4})
--- a/internal/testbed/score/recovery.go
+++ b/internal/testbed/score/recovery.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// Disturbance is one fault, or several: faults that overlap are one disturbance, and so is a fault that begins before the
-// run recovered from the last one.
+// Disturbance is one fault or several. Faults that overlap are one disturbance; a fault that begins before the run has
+// recovered from a disturbance belongs to that disturbance too.
 //
-// Its effect is measured by the share of value earned, by the second in which jobs were due, as a mean over two seconds:
-// the share at a whole second is that of the two seconds that follow. Before is the share over the 10 s before the
-// disturbance, without seconds that it or the one before it touches; if none is left, it is that of the one before it, and
-// for the first disturbance 1. The share is down where it is below 95% of Before. A dip is searched for from the
+// The effect is measured by the share of value earned. Jobs count in the second in which they were due, and the share at a
+// whole second is that of the two seconds that follow it. Before is the share over the 10 s before the disturbance, without
+// the seconds that this disturbance or the previous one affects. If no second is left, Before is that of the previous
+// disturbance, or 1 for the first. The share is down if it is below 95% of Before. A dip is searched for from the
 // disturbance's first second until 5 s after its end, or after its start if it does not end while jobs become due. The run
 // has recovered at the first whole second after the dip's start, and after the disturbance's end, at which the share is not
-// down. A second in which nothing was due is ignored.
+// down. Seconds at which no job was due are ignored.
 type Disturbance struct {
 	Faults    []string `json:"faults"`
 	From      float64  `json:"from"`
-	To        float64  `json:"to"` // its end; From, if it did not end while jobs became due
-	Lasting   bool     `json:"lasting"`
+	To        float64  `json:"to"`      // latest end of its faults; a fault that lasts counts with its start
+	Lasting   bool     `json:"lasting"` // one of its faults did not end while jobs became due
 	Before    float64  `json:"before"`
 	HasDip    bool     `json:"dip"`        // the share was down at some time
 	Lowest    float64  `json:"low"`        // the smallest share from the dip until the recovery
-	FromStart float64  `json:"from_start"` // seconds until the share was first not down; 0 without a dip
-	FromEnd   float64  `json:"from_end"`   // seconds from its end until the recovery; 0 if that came before
-	Recovered bool     `json:"recovered"`  // if not, FromEnd is for how long no recovery was observed
+	FromStart float64  `json:"from_start"` // seconds until the share was first not down after the dip; 0: no dip
+	FromEnd   float64  `json:"from_end"`   // seconds from its end until the recovery; 0 if the recovery came first
+	Recovered bool     `json:"recovered"`  // if false, FromEnd is how long no recovery was observed
 }
 
 // Recovery summarises the disturbances of a run.
@@ -37,14 +37,14 @@
 }
 
 const (
-	recoveredShare   = 0.95 // of the share before, below which the share is down
+	recoveredShare   = 0.95 // of Before: the share is down if it is below that
 	smoothingSeconds = 2
 	baselineSeconds  = 10
 	dipWindowSeconds = 5
 )
 
-// disturbances groups faults and measures their effects on the value requested and earned by second. Length is for how
-// many seconds jobs became due.
+// disturbances groups faults, and measures their effects from the value requested and earned in each second. length is the
+// number of seconds in which jobs became due.
 func disturbances(faults []Fault, requested, earned Series, length float64) []Disturbance {
 	faults = slices.Clone(faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.On, b.On) })
@@ -55,7 +55,7 @@
 	for len(faults) > 0 {
 		disturbance := Disturbance{From: faults[0].On, To: faults[0].On}
 		disturbance.Before = ratios.before(disturbance.From, list)
-		faults = ratios.joinAndMeasure(&disturbance, faults)
+		faults = ratios.gatherAndMeasure(&disturbance, faults)
 		list = append(list, disturbance)
 	}
 	return list
@@ -71,14 +71,14 @@
 	return len(faults)
 }
 
-// joinAndMeasure adds faults to a disturbance until the run recovers before the next one begins, and measures the effect.
-// The first fault always belongs to it. It returns the faults that are left.
-func (r valueRatios) joinAndMeasure(disturbance *Disturbance, faults []Fault) []Fault {
+// gatherAndMeasure adds faults to a disturbance, the first one in any case, until the run recovers before the next fault
+// begins, and measures the effect. It returns the remaining faults.
+func (r valueRatios) gatherAndMeasure(disturbance *Disturbance, faults []Fault) []Fault {
 	for {
-		disturbance.join(faults[0], r.length)
+		disturbance.addFault(faults[0], r.length)
 		faults = faults[1:]
 		for len(faults) > 0 && faults[0].On <= disturbance.To {
-			disturbance.join(faults[0], r.length)
+			disturbance.addFault(faults[0], r.length)
 			faults = faults[1:]
 		}
 		if len(faults) == 0 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// join adds a fault.
-func (d *Disturbance) join(fault Fault, length float64) {
+// addFault adds a fault to the disturbance.
+func (d *Disturbance) addFault(fault Fault, length float64) {
 	d.Faults = append(d.Faults, fault.Text)
 	if fault.Off < 0 || fault.Off >= length {
 		d.Lasting = true
@@ -141,13 +141,13 @@
 	isDown  bool
 }
 
-// stateAt returns the share at a second, from what was due before an end, as against the share before a disturbance.
+// stateAt returns the share at a second, from jobs due before end, and compares it with the share before a disturbance.
 func (r valueRatios) stateAt(second, end int, before float64) shareState {
 	earned, ok := r.between(second, min(second+smoothingSeconds, end))
 	return shareState{share: earned, isKnown: ok, isDown: ok && earned < recoveredShare*before}
 }
 
-// measure finds the dip of a disturbance before a limit, in seconds, and the recovery from it.
+// measure finds the dip of a disturbance and the recovery from it, from the seconds before a limit only.
 func (r valueRatios) measure(disturbance *Disturbance, limit float64) {
 	end := min(int(limit), len(r.requested))
 	if limit >= r.length {
@@ -167,7 +167,7 @@
 	d.HasDip, d.Recovered, d.FromStart, d.FromEnd, d.Lowest = false, false, 0, 0, 0
 }
 
-// findDip returns the first second at which the share is down.
+// findDip returns the first second, until 5 s after the disturbance's end, at which the share is down.
 func (r valueRatios) findDip(disturbance *Disturbance, end int) (second int, found bool) {
 	for second = int(disturbance.From); second < end && float64(second) <= disturbance.To+dipWindowSeconds; second++ {
 		if r.stateAt(second, end, disturbance.Before).isDown {
@@ -177,7 +177,7 @@
 	return 0, false
 }
 
-// findRecovery sets what follows from the recovery after a dip, or from its absence.
+// findRecovery finds the recovery after a dip, and sets Lowest, FromStart, FromEnd and Recovered.
 func (r valueRatios) findRecovery(disturbance *Disturbance, dip, end int, limit float64) {
 	wasUp := false
 	for second := dip; second < end; second++ {
--- a/internal/testbed/score/recovery_test.go
+++ b/internal/testbed/score/recovery_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The recovery on curves of which it is obvious.
+// Disturbances and recoveries are as expected on curves with dips to 40% of the value requested.
 func TestDisturbances(t *testing.T) {
 	curve := func(n int, dips ...[2]int) (requested, earned Series) {
 		for i := range n {
@@ -23,41 +23,41 @@
 		name   string
 		faults []Fault
 		dips   [][2]int
-		want   []Disturbance // Faults by number only
+		want   []Disturbance // without Faults, Before and Lowest
 	}{
 		{"no dip", []Fault{{"a", 10, 15}}, nil, []Disturbance{{From: 10, To: 15, Recovered: true}}},
 		{
-			"back before its end",
+			"recovery before the fault ends",
 			[]Fault{{"a", 10, 20}},
 			[][2]int{{10, 13}},
 			[]Disturbance{{From: 10, To: 20, HasDip: true, FromStart: 3, Recovered: true}},
 		},
 		{
-			"back after its end",
+			"recovery after the fault ends",
 			[]Fault{{"a", 10.5, 15.5}},
 			[][2]int{{10, 18}},
 			[]Disturbance{{From: 10.5, To: 15.5, HasDip: true, FromStart: 7.5, FromEnd: 2.5, Recovered: true}},
 		},
 		{
-			"for good",
+			"a fault that does not end",
 			[]Fault{{"a", 10, -1}},
 			[][2]int{{11, 14}},
 			[]Disturbance{{From: 10, To: 10, Lasting: true, HasDip: true, FromStart: 4, FromEnd: 4, Recovered: true}},
 		},
 		{
-			"never back",
+			"no recovery",
 			[]Fault{{"a", 10, 12}},
 			[][2]int{{10, 40}},
 			[]Disturbance{{From: 10, To: 12, HasDip: true, FromStart: 30, FromEnd: 28}},
 		},
 		{
-			"one into the other",
+			"three faults, one disturbance",
 			[]Fault{{"a", 10, 12}, {"b", 11, 13}, {"c", 15, 16}},
 			[][2]int{{10, 19}},
 			[]Disturbance{{From: 10, To: 16, HasDip: true, FromStart: 9, FromEnd: 3, Recovered: true}},
 		},
 		{
-			"two",
+			"two disturbances",
 			[]Fault{{"a", 10, 12}, {"b", 20, 22}},
 			[][2]int{{10, 14}, {20, 21}},
 			[]Disturbance{
@@ -65,7 +65,7 @@
 				{From: 20, To: 22, HasDip: true, FromStart: 1, Recovered: true},
 			},
 		},
-		{"after the load", []Fault{{"a", 41, 42}}, nil, []Disturbance{}},
+		{"a fault after the load", []Fault{{"a", 41, 42}}, nil, []Disturbance{}},
 	}
 	for _, c := range cases {
 		requested, earned := curve(40, c.dips...)
--- a/internal/testbed/score/requests.go
+++ b/internal/testbed/score/requests.go
@@ -7,11 +7,11 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// A request that has ended is known for a while, and up to a number of them: an attempt that a scheduler sent before may
-// reach its worker later, and much later after a network partition.
+// A request is kept for this time after its end, and at most so many of them are kept: an attempt that a scheduler sent
+// before the end may reach its worker later, much later after a network partition.
 const (
-	settleGrace    = 30 * time.Second
-	maxSettleGrace = 1 << 14
+	requestRetention    = 30 * time.Second
+	maxRetainedRequests = 1 << 14
 )
 
 // requestEnding is how a request ended for its client.
@@ -27,31 +27,31 @@
 	requestTimedOut
 )
 
-// isResponse reports whether the request ended by a response.
+// isResponse reports whether the request ended with a response.
 func (e requestEnding) isResponse() bool { return e >= requestServed && e <= requestFailed }
 
-// responseCounts counts requests by the endings that are responses.
+// responseCounts counts the requests that ended with a response, by their ending.
 type responseCounts [requestFailed - requestServed + 1]int
 
 func (c *responseCounts) add(ending requestEnding) { c[ending-requestServed]++ }
 
 func (c *responseCounts) of(ending requestEnding) int { return c[ending-requestServed] }
 
-// request is a request of a client, until none of its attempts can arrive any more.
+// request is a request of a client that is open, or whose attempts may still arrive at workers.
 type request struct {
-	id       string
-	job      *job // the job while its id is jobID; later it is settled
-	jobID    uint64
-	class    int
-	work     float64
-	slots    float64
-	ending   requestEnding
-	attempts int      // that finished well while the client waits
-	reruns   int      // attempts that a cell deduplicated
-	first    *attempt // of those that have not ended, oldest first
-	retained bool
-	endedAt  time.Duration
-	next     *request // in the free list
+	id           string
+	job          *job // its job if job.id is jobID; else that is settled and the memory reused
+	jobID        uint64
+	class        int
+	work         float64
+	slots        float64
+	ending       requestEnding
+	attempts     int      // that finished without an error while the request was open
+	deduplicated int      // number of its attempts that a cell deduplicated
+	first        *attempt // list of its attempts that have not ended, oldest first
+	retained     bool
+	endedAt      time.Duration
+	next         *request // in the free list
 }
 
 // openJob returns the request's job, or nil if that is settled.
@@ -100,7 +100,7 @@
 	s.requests[event.RequestID] = sent
 }
 
-// requestResent counts a request that is sent again on a new connection, as the first one closed while idle.
+// requestResent counts a request that is sent again on a new connection, as its idle connection was closed.
 func (s *Score) requestResent(resent *request, sender *job) {
 	s.effort.Resent++
 	if resent.ending == requestLost && sender != nil {
@@ -124,7 +124,7 @@
 func (s *Score) clientLeft(event *trace.Event)     { s.endRequest(event, requestClientLeft) }
 func (s *Score) clientTimedOut(event *trace.Event) { s.endRequest(event, requestTimedOut) }
 
-// schedulerUnreachable counts a request that found no scheduler, and so was not sent.
+// schedulerUnreachable counts a request that was not sent as its client found no scheduler.
 func (s *Score) schedulerUnreachable(event *trace.Event) {
 	s.effort.RequestsUnreached++
 	if sender := s.jobs[event.JobID]; sender != nil {
@@ -156,7 +156,7 @@
 		case ended.attempts > 0:
 			s.effort.workUseful += ended.work
 			unused--
-		case ended.reruns > 0 && sender != nil && sender.wasteCount > 0: // the result is that of an earlier request's attempt
+		case ended.deduplicated > 0 && sender != nil && sender.wasteCount > 0: // the result is of an earlier request's attempt
 			sender.wasteCount--
 			s.effort.workUseful += ended.work
 			s.effort.wasted[sender.lastWaste] -= ended.work
@@ -166,11 +166,11 @@
 	s.retainRequest(ended)
 }
 
-// wasteCause is why the work of an attempt served nobody.
+// wasteCause is why no client got the result of an attempt.
 type wasteCause uint8
 
 const (
-	wasteRepeated   wasteCause = iota // another attempt gave the response
+	wasteRepeated   wasteCause = iota // the response came from another attempt
 	wasteTooLate                      // its client had timed out
 	wasteClientLeft                   // its client had left
 	wasteUnused                       // its client was rejected, got an error or lost its connection
@@ -179,7 +179,7 @@
 	wasteCauses
 )
 
-// countWaste counts finished attempts of a request that has ended, which served nobody.
+// countWaste counts a number of finished attempts of an ended request as waste.
 func (s *Score) countWaste(ended *request, attempts int) {
 	if attempts == 0 {
 		return
@@ -200,8 +200,8 @@
 	}
 }
 
-// retainRequest queues a request to be forgotten, if it has ended and has no open attempt, and forgets those whose time
-// has come.
+// retainRequest queues a request for removal if it has ended and has no open attempt. It also removes requests that have been
+// queued for longer than requestRetention, and the oldest beyond maxRetainedRequests.
 func (s *Score) retainRequest(ended *request) {
 	if ended.ending == requestOpen || ended.first != nil || ended.retained {
 		return
@@ -209,12 +209,12 @@
 	ended.retained = true
 	ended.endedAt = s.now
 	s.retained.push(ended)
-	for s.retained.length > 0 && (s.now-s.retained.first().endedAt > settleGrace || s.retained.length > maxSettleGrace) {
+	for s.retained.length > 0 && (s.now-s.retained.first().endedAt > requestRetention || s.retained.length > maxRetainedRequests) {
 		s.forgetRequest(s.retained.pop())
 	}
 }
 
-// forgetRequest forgets a request, unless an attempt has arrived after all or it was sent again.
+// forgetRequest removes a request, unless an attempt has arrived or the request was sent again since it was queued.
 func (s *Score) forgetRequest(ended *request) {
 	ended.retained = false
 	if ended.first != nil || ended.ending == requestOpen {
@@ -225,7 +225,7 @@
 	s.freeRequests = ended
 }
 
-// requestQueue is a queue in a ring buffer.
+// requestQueue is a queue of requests in a ring buffer.
 type requestQueue struct {
 	ring       []*request // its length is a power of two
 	firstIndex int
--- a/internal/testbed/score/requests_test.go
+++ b/internal/testbed/score/requests_test.go
@@ -8,11 +8,11 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Work is wasted by how its request ended.
+// The cause of waste follows from how the client's request ended.
 func TestScoreWaste(t *testing.T) {
 	ends := map[string]struct {
 		end  trace.Event
-		late bool // the attempt ends after the client's request
+		late bool // the attempt finishes after the end of the client's request
 		of   func(*Waste) float64
 	}{
 		"repeated":  {trace.Event{Kind: trace.ResponseReceived, Status: 200}, true, func(w *Waste) float64 { return w.Repeated }},
@@ -23,7 +23,7 @@
 		"it served": {trace.Event{Kind: trace.ResponseReceived, Status: 200}, false, func(w *Waste) float64 { return 4 - w.Work }},
 	}
 	for name, c := range ends {
-		s := eventTape{New(spec(60), Options{})}
+		s := timedScore{New(spec(60), Options{})}
 		s.at(0, trace.Event{Kind: trace.JobDue, JobID: 1, Work: 2, Slots: 2, LatencyObjective: time.Second})
 		s.at(0, trace.Event{Kind: trace.RequestSent, JobID: 1, RequestID: "a"})
 		run := func(node, at int) {
@@ -54,10 +54,10 @@
 	}
 }
 
-// An attempt whose result a later request gets by deduplication is useful after all; a request that is sent once more is
-// the same request; and a job that found no scheduler is unanswered.
+// An attempt is no waste if a later request gets its result by deduplication. A request that is sent again on a new
+// connection counts once, and a job whose client found no scheduler is unanswered.
 func TestScoreRequestsOfOneJob(t *testing.T) {
-	s := eventTape{New(spec(60), Options{})}
+	s := timedScore{New(spec(60), Options{})}
 	s.at(0, trace.Event{Kind: trace.JobDue, JobID: 1, Work: 3, Slots: 1, LatencyObjective: time.Minute})
 	for i, call := range []string{"a", "b"} {
 		s.at(i*1000, trace.Event{Kind: trace.RequestSent, JobID: 1, RequestID: call})
@@ -71,7 +71,7 @@
 	}
 	s.at(1500, trace.Event{Kind: trace.AttemptFinished, RequestID: "a", Worker: 0, Status: 200})
 	if w := s.Result().Waste; w.TooLate != 3 {
-		t.Errorf("before the answer: %+v", w)
+		t.Errorf("before the response: %+v", w)
 	}
 	s.at(1600, trace.Event{Kind: trace.AttemptFinished, RequestID: "b", Worker: 1, Status: 200})
 	s.at(1600, trace.Event{Kind: trace.ResponseReceived, RequestID: "b", Status: 200})
--- a/internal/testbed/score/result.go
+++ b/internal/testbed/score/result.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Result is the result of a run. Shares are from 0 to 1, work is in seconds at speed 1 times slots, instants are in seconds
-// since the start of the run, latencies in milliseconds. Series have a value for each second.
+// Result is the result of a run. Shares are from 0 to 1, work is in seconds at speed 1 times slots, times are in seconds
+// since the start of the run, and latencies are in milliseconds. Series have a value for each second.
 type Result struct {
 	Name        string  `json:"name"`
 	Description string  `json:"about,omitempty"`
 	Driver      string  `json:"driver,omitempty"`
 	Seed        uint64  `json:"seed"`
-	Length      float64 `json:"length_s"` // for how long jobs became due
+	Length      float64 `json:"length_s"` // the time in which jobs became due
 	End         float64 `json:"end_s"`    // the time of the last event
-	Capacity    float64 `json:"capacity"` // of the warm fleet, in work per second, by the scenario
+	Capacity    float64 `json:"capacity"` // of the warm fleet according to the scenario, in work per second
 
 	Value        Value               `json:"worth"`
 	Whole        Group               `json:"whole"`
@@ -34,14 +34,14 @@
 	Lateness     Lateness            `json:"lab_lateness"`
 }
 
-// Lateness is by how much the testbed itself was late.
+// Lateness is how late the testbed itself was.
 type Lateness struct {
 	Count int64   `json:"count"`
 	P999  float64 `json:"p99_9_ms"`
 	Max   float64 `json:"max_ms"`
 }
 
-// Result computes the result so far. The run may go on; what is open counts as open.
+// Result computes the result so far. The run may go on: jobs and requests that have not ended are reported as open.
 func (s *Score) Result() *Result {
 	result := &Result{
 		Name:        s.spec.Name,
@@ -92,20 +92,20 @@
 	return list
 }
 
-// Snapshot is the state of a run while it goes on. It is cheap to take.
+// Snapshot is the state of a run while it goes on. Taking one is cheap.
 type Snapshot struct {
 	At        time.Duration
 	JobsDue   int
 	InTime    int
 	Settled   int
-	Rejected  int // requests
-	InFlight  int
+	Rejected  int // requests rejected by schedulers
+	InFlight  int // jobs
 	WorkersUp int
 	Workers   int
-	Faults    []string // that last
+	Faults    []string // those that are active
 }
 
-// Snapshot sets a snapshot to the present. It reuses the memory of snapshot.Faults.
+// Snapshot sets a snapshot to the current state. It reuses the memory of snapshot.Faults.
 func (s *Score) Snapshot(snapshot *Snapshot) {
 	*snapshot = Snapshot{
 		At:        s.now,
--- a/internal/testbed/score/score.go
+++ b/internal/testbed/score/score.go
@@ -9,10 +9,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Bounds of what a score keeps.
+// Bounds on the memory of a score.
 const (
 	defaultStripRows = 200
-	maxStripCells    = 600 // of a row, about: a cell is a whole number of seconds
+	maxStripCells    = 600 // of a row, approximately: a cell is a whole number of seconds
 	maxFaults        = 10_000
 	maxMarks         = 1_000
 	maxMisbehaving   = 100_000 // open connections of misbehaving clients
@@ -29,12 +29,12 @@
 type Score struct {
 	spec    *scenario.Scenario
 	options Options
-	length  time.Duration // occupancy counts until then; 0: to the end
+	length  time.Duration // occupancy is measured until then; 0: until the end
 	now     time.Duration // the time of the latest event
 
 	jobs         map[uint64]*job
 	requests     map[string]*request
-	retained     requestQueue // requests that have ended, until no attempt of theirs can arrive any more
+	retained     requestQueue // ended requests whose attempts may still arrive
 	freeJobs     *job
 	freeRequests *request
 	freeAttempts *attempt
@@ -43,7 +43,7 @@
 	tenants            []group
 	currentSecond      *hdrhistogram.Histogram // latency of this second's responses
 	currentSecondIndex int
-	latency            []latencyPoint // of the seconds before
+	latency            []latencyPoint // of earlier seconds
 
 	workers        []workerUsage
 	strip          []stripRow
@@ -51,11 +51,11 @@
 	workersUp      int
 	workersUpCurve binnedMeter
 
-	processFigures []process
-	testbed        process
+	schedulerProcesses []process
+	testbed            process
 
 	faults          []Fault
-	omitted         int // faults and marks beyond their maximum
+	omitted         int // faults and marks beyond maxFaults and maxMarks
 	marks           []Mark
 	lateness        *hdrhistogram.Histogram
 	effort          effort
@@ -83,7 +83,7 @@
 // valueSum is the value of jobs.
 type valueSum struct{ requested, earned float64 }
 
-// bin has the sums of a second of a class.
+// bin has the sums of a class for one second.
 type bin struct {
 	requested float64 // by the second in which jobs were due
 	earned    float64 // likewise
@@ -92,10 +92,10 @@
 	inTime    int32   // likewise
 	served    int32   // likewise
 	rejected  int32   // requests, by the second of the response
-	attempts  int32   // by the second in which they reached a worker
+	attempts  int32   // by the second in which they reached workers
 }
 
-// effort has the sums of work besides the counts of Effort.
+// effort has the counts of Effort and sums of work.
 type effort struct {
 	Effort
 	workRequested float64
@@ -104,7 +104,7 @@
 	wasted        [wasteCauses]float64
 }
 
-// New returns the score of a run that has not begun. The scenario has passed its check.
+// New returns the score of a run that has not begun. The scenario must have passed Check.
 func New(spec *scenario.Scenario, options Options) *Score {
 	if options.StripRows <= 0 {
 		options.StripRows = defaultStripRows
@@ -112,22 +112,22 @@
 	runLength := spec.Length.Std() + spec.Settle.Std()
 	seconds := secondOf(runLength) + 2
 	score := &Score{
-		spec:            spec,
-		options:         options,
-		length:          spec.Length.Std(),
-		jobs:            map[uint64]*job{},
-		requests:        map[string]*request{},
-		misbehavingOpen: map[uint64]misbehavingConn{},
-		currentSecond:   newHistogram(secondDigits),
-		lateness:        newHistogram(latencyDigits),
-		classes:         make([]group, len(spec.Classes)),
-		tenants:         make([]group, max(1, len(spec.Tenants))),
-		processFigures:  make([]process, spec.Schedulers.Count),
-		latency:         make([]latencyPoint, 0, seconds),
-		workersUpCurve:  newBinnedMeter(time.Second, seconds),
-		fleet:           newStripRow(time.Second, seconds),
-		strip:           make([]stripRow, min(options.StripRows, max(1, spec.Fleet.Workers))),
-		workers:         make([]workerUsage, spec.Fleet.Workers),
+		spec:               spec,
+		options:            options,
+		length:             spec.Length.Std(),
+		jobs:               map[uint64]*job{},
+		requests:           map[string]*request{},
+		misbehavingOpen:    map[uint64]misbehavingConn{},
+		currentSecond:      newHistogram(secondDigits),
+		lateness:           newHistogram(latencyDigits),
+		classes:            make([]group, len(spec.Classes)),
+		tenants:            make([]group, max(1, len(spec.Tenants))),
+		schedulerProcesses: make([]process, spec.Schedulers.Count),
+		latency:            make([]latencyPoint, 0, seconds),
+		workersUpCurve:     newBinnedMeter(time.Second, seconds),
+		fleet:              newStripRow(time.Second, seconds),
+		strip:              make([]stripRow, min(options.StripRows, max(1, spec.Fleet.Workers))),
+		workers:            make([]workerUsage, spec.Fleet.Workers),
 	}
 	for i := range score.classes {
 		score.classes[i] = group{
@@ -146,7 +146,7 @@
 	return score
 }
 
-// handlers has the method for each kind of event that counts.
+// handlers has the function for each kind of event that affects the score.
 var handlers = [...]func(*Score, *trace.Event){
 	trace.JobDue:                     (*Score).jobDue,
 	trace.RequestSent:                (*Score).requestSent,
@@ -199,8 +199,8 @@
 	}
 }
 
-// settleWindow returns the present, as far as occupancy counts.
-func (s *Score) settleWindow() time.Duration {
+// occupancyTime returns the current time, but at most the end of the time in which occupancy is measured.
+func (s *Score) occupancyTime() time.Duration {
 	if s.length > 0 {
 		return min(s.now, s.length)
 	}
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// Random steps are the same in every run, unless the command line asks for others.
+// Sets the seed of rapid, so that random steps are the same in every run unless the command line has another seed.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// spec is a small scenario: two classes, two tenants, three workers of two slots.
+// spec returns a small scenario: two classes, two tenants, three workers of two slots.
 func spec(seconds int) *scenario.Scenario {
 	s := scenario.Default()
 	s.Name, s.Length, s.Settle = "test", scenario.Duration(seconds)*scenario.Duration(time.Second), scenario.Duration(5*time.Second)
@@ -35,18 +35,18 @@
 	return s
 }
 
-// eventTape observes events at instants in milliseconds.
-type eventTape struct{ *Score }
+// timedScore is a score that observes events at times in milliseconds.
+type timedScore struct{ *Score }
 
-func (t eventTape) at(at int, event trace.Event) {
+func (t timedScore) at(at int, event trace.Event) {
 	event.At = time.Duration(at) * ms
 	t.Observe(&event)
 }
 
-// valueTape is a run of ten jobs a second for 30 s. Those due from 10 to 14 s are late; of the second class none is served
-// in the last 5 s; and of the second tenant's jobs some are over quota, and rejected.
-func valueTape() eventTape {
-	tape := eventTape{New(spec(30), Options{})}
+// valueRun returns the score of a run of ten jobs per second for 30 s. Jobs due from 10 to 14 s are served late, no job of
+// the second class is served in the last 5 s, and some jobs of the second tenant are over quota and rejected.
+func valueRun() timedScore {
+	timed := timedScore{New(spec(30), Options{})}
 	for i := range 300 {
 		at, status, latency := i*100, 200, 100
 		if at >= 10_000 && at < 14_000 {
@@ -60,18 +60,18 @@
 			status = 503
 		}
 		id := fmt.Sprint(event.JobID)
-		tape.at(at, event)
-		tape.at(at, trace.Event{Kind: trace.RequestSent, RequestID: id, JobID: event.JobID})
-		tape.at(at+min(latency, 99), trace.Event{Kind: trace.CallbackAnswered})
-		tape.at(at+latency, trace.Event{Kind: trace.ResponseReceived, RequestID: id, Status: status})
-		tape.at(at+latency, trace.Event{Kind: trace.JobSettled, JobID: event.JobID, Status: status})
+		timed.at(at, event)
+		timed.at(at, trace.Event{Kind: trace.RequestSent, RequestID: id, JobID: event.JobID})
+		timed.at(at+min(latency, 99), trace.Event{Kind: trace.CallbackAnswered})
+		timed.at(at+latency, trace.Event{Kind: trace.ResponseReceived, RequestID: id, Status: status})
+		timed.at(at+latency, trace.Event{Kind: trace.JobSettled, JobID: event.JobID, Status: status})
 	}
-	return tape
+	return timed
 }
 
-// The mix, its parts, and the value of what a tenant requests over its quota.
+// Checks the mix, its parts, and the reduced value of jobs over quota.
 func TestScoreValue(t *testing.T) {
-	result := valueTape().Result()
+	result := valueRun().Result()
 	value := result.Value
 	if value.Worst10At < 4 || value.Worst10At > 10 || value.WorstClass.Name != result.Classes[1].Name || value.Worst10 >= value.Whole {
 		t.Errorf("%+v", value)
@@ -87,14 +87,14 @@
 }
 
 func TestScoreLatency(t *testing.T) {
-	result := valueTape().Result()
+	result := valueRun().Result()
 	latency := result.Whole.Latency
 	if latency.P50 < 99 || latency.P50 > 101 || latency.Max < 599 || result.Seconds.P99[12] < 590 {
-		t.Errorf("latency %+v, in the 12th second %v", latency, result.Seconds.P99[12])
+		t.Errorf("latency %+v, p99 of second 12 %v", latency, result.Seconds.P99[12])
 	}
 }
 
-// evaluations are of a value tape, with one violation of an invariant.
+// evaluations evaluates expectations for a result of valueRun and one violation of an invariant.
 func evaluations(result *Result) []Evaluation {
 	tenant := &result.Tenants[1]
 	return Check([]scenario.Expectation{
@@ -107,7 +107,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	list := evaluations(valueTape().Result())
+	list := evaluations(valueRun().Result())
 	for i, want := range []bool{true, false, true, false, false} {
 		if list[i].OK != want {
 			t.Errorf("%v: got %v %s", list[i].Expectation, list[i].Value, list[i].Reason)
@@ -115,9 +115,9 @@
 	}
 }
 
-// Each metric of expectations has a value.
+// Each metric that expectations may name has a value.
 func TestResultMetricValue(t *testing.T) {
-	result := valueTape().Result()
+	result := valueRun().Result()
 	for _, metric := range scenario.Metrics {
 		if value, reason := result.MetricValue(metric.Name, "", 0); math.IsNaN(value) {
 			t.Errorf("%s: %s", metric.Name, reason)
@@ -125,9 +125,9 @@
 	}
 }
 
-// A result and its evaluations are valid JSON, which is read back.
+// A result with its evaluations is written as valid JSON, from which the result is read back.
 func TestResultJSON(t *testing.T) {
-	result := valueTape().Result()
+	result := valueRun().Result()
 	text, err := json.Marshal(struct {
 		*Result
 		Evaluations []Evaluation
--- a/internal/testbed/score/seconds.go
+++ b/internal/testbed/score/seconds.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Seconds has the series of a run. Those named Due count a job in the second in which it was due, the others count what
-// happened in the second.
+// Seconds has the series of a run. Those named Due count a job in the second in which it was due; the others count events in
+// the second in which they happened.
 type Seconds struct {
 	DueJobs        Series        `json:"due_jobs"`
 	DueValue       Series        `json:"due_worth"`
@@ -22,7 +22,7 @@
 	InFlight       Series        `json:"in_flight"` // jobs due and not settled, mean over the second
 	Occupancy      Series        `json:"occupancy"`
 	WorkersUp      Series        `json:"nodes_up"`
-	P50            Series        `json:"p50_ms"` // of jobs served, in time or late; 0: none
+	P50            Series        `json:"p50_ms"` // of jobs served in the second, in time or late; 0: none
 	P99            Series        `json:"p99_ms"`
 	MaxLatency     Series        `json:"max_ms"`
 	Classes        []ClassSeries `json:"classes"`
@@ -40,13 +40,13 @@
 	InFlight       Series `json:"in_flight"`
 }
 
-// Series has a value for each second. In JSON its numbers have six digits.
+// Series has a value for each second. In JSON its numbers have six significant digits.
 type Series []float64
 
 // seriesDigits is the number of significant digits in JSON.
 const seriesDigits = 6
 
-// MarshalJSON writes a list of numbers, with null for what is no number.
+// MarshalJSON writes a list of numbers, with null for NaN and infinite values.
 func (s Series) MarshalJSON() ([]byte, error) {
 	text := append(make([]byte, 0, 2+8*len(s)), '[')
 	for i, value := range s {
@@ -71,7 +71,7 @@
 	return sum
 }
 
-// Max returns the largest value, or 0 if there is none above.
+// Max returns the largest value, or 0 if no value is above 0.
 func (s Series) Max() float64 {
 	largest := 0.0
 	for _, value := range s {
@@ -80,7 +80,7 @@
 	return largest
 }
 
-// add adds the values of another series to those of the same seconds.
+// add adds the values of another series, which is not longer, second by second.
 func (s Series) add(other Series) {
 	for i, value := range other {
 		s[i] += value
@@ -133,9 +133,9 @@
 func (s *Score) secondCount() int {
 	count := secondOf(s.now) + 1
 	if s.now > 0 && s.now%time.Second == 0 && count > 1 {
-		count-- // nothing of the next has passed
+		count-- // nothing of the last second has passed yet
 	}
-	for i := range s.classes { // a job may be counted at the very end
+	for i := range s.classes { // a job may be counted at the very end of the run
 		count = max(count, len(s.classes[i].bins))
 	}
 	return count
--- a/internal/testbed/score/value.go
+++ b/internal/testbed/score/value.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Value is the value earned in time, and shares of the value requested.
+// Value is the value requested and earned, and the shares of it that make up the mix.
 type Value struct {
 	Requested   float64 `json:"asked"`
 	Earned      float64 `json:"earned"`
@@ -30,7 +30,7 @@
 
 const worstWindowSeconds = 10
 
-// value computes the value of a result from its groups and series.
+// value computes the Value of a result from its groups and series.
 func (r *Result) value() Value {
 	value := Value{Requested: r.Whole.Requested, Earned: r.Whole.Earned, Whole: r.Whole.EarnedShare}
 	value.Worst10, value.Worst10At = worstWindow(r.Seconds.DueValue, r.Seconds.DueValueEarned, int(math.Ceil(r.Length)))
@@ -45,8 +45,8 @@
 	return value
 }
 
-// worstWindow returns the smallest share of value earned over any 10 s, from whole second to whole second, and the window's
-// start. A run that is shorter is one window; windows in which nothing was requested don't count.
+// worstWindow returns the smallest share of value earned in any window of 10 s that begins at a whole second, and the start
+// of that window. A shorter run is one window. Windows in which nothing was requested are ignored.
 func worstWindow(requested, earned Series, length int) (worst, start float64) {
 	length = min(length, len(requested))
 	found := false
@@ -63,7 +63,8 @@
 	return worst, start
 }
 
-// worstGroup returns the smallest share of those that requested something; without any, that of the whole.
+// worstGroup returns the group with the smallest share among those that requested something, or the share of the whole if
+// there is none.
 func worstGroup(groups []Group, whole float64, valueOf func(*Group) (requested, share float64)) Named {
 	worst := Named{Value: whole}
 	for i := range groups {
--- a/internal/testbed/score/workers.go
+++ b/internal/testbed/score/workers.go
@@ -7,14 +7,14 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// workerUsage is the record of a worker.
+// workerUsage is the record of a worker's occupancy, attempts and overloads.
 type workerUsage struct {
-	known        bool
+	isKnown      bool
 	isUp         bool
 	slots        float64
 	occupancy    meter
 	availability meter
-	first        *attempt // of those that have not ended
+	first        *attempt // list of its attempts that have not ended
 	attempts     int
 	full         int
 	overloads    int
@@ -29,21 +29,21 @@
 
 func workerName(worker int) string { return "w-" + strconv.Itoa(worker) }
 
-// addOccupancy counts slots of a worker as used from now on, or as free if negative.
+// addOccupancy counts slots of a worker as used from now on or, if slots is negative, as free.
 func (s *Score) addOccupancy(worker int, slots float64) {
-	s.workerAt(worker).occupancy.add(s.settleWindow(), slots)
+	s.workerAt(worker).occupancy.add(s.occupancyTime(), slots)
 	s.stripRow(worker).use.add(s.now, slots)
 	s.fleet.use.add(s.now, slots)
 }
 
-// workerAt returns the record of a worker. A worker without an event of its start has been up from the beginning.
+// workerAt returns the record of a worker. A worker whose start was not observed counts as up since the beginning of the run.
 func (s *Score) workerAt(worker int) *workerUsage {
 	s.workers = growTo(s.workers, worker)
 	usage := &s.workers[worker]
-	if !usage.known {
+	if !usage.isKnown {
 		slots := s.defaultSlots()
 		s.setUp(worker, slots)
-		usage.availability.integral = slots * s.settleWindow().Seconds()
+		usage.availability.integral = slots * s.occupancyTime().Seconds()
 		s.stripRow(worker).available.addFromStart(slots)
 		s.fleet.available.addFromStart(slots)
 		s.workersUpCurve.addFromStart(1)
@@ -51,7 +51,7 @@
 	return usage
 }
 
-// defaultSlots returns the slots of a worker whose start was not observed: the mean of the kinds.
+// defaultSlots returns the slots of a worker whose start was not observed: the mean over the kinds of workers.
 func (s *Score) defaultSlots() float64 {
 	var slots, shares float64
 	for i := range s.spec.Fleet.Kinds {
@@ -67,7 +67,7 @@
 
 func (s *Score) stripRow(worker int) *stripRow { return &s.strip[s.stripRowOf(worker)] }
 
-// stripRowOf returns the index of the strip's row that has a worker.
+// stripRowOf returns the index of the strip's row for a worker.
 func (s *Score) stripRowOf(worker int) int {
 	return min(worker*len(s.strip)/max(1, s.spec.Fleet.Workers), len(s.strip)-1)
 }
@@ -75,9 +75,9 @@
 // setUp counts a worker as up from now on.
 func (s *Score) setUp(worker int, slots float64) {
 	usage := &s.workers[worker]
-	usage.known, usage.isUp, usage.slots = true, true, slots
+	usage.isKnown, usage.isUp, usage.slots = true, true, slots
 	s.workersUp++
-	usage.availability.add(s.settleWindow(), slots)
+	usage.availability.add(s.occupancyTime(), slots)
 	s.stripRow(worker).available.add(s.now, slots)
 	s.fleet.available.add(s.now, slots)
 	s.workersUpCurve.add(s.now, 1)
@@ -85,7 +85,7 @@
 
 func (s *Score) workerStarted(event *trace.Event) {
 	s.workers = growTo(s.workers, event.Worker)
-	if usage := &s.workers[event.Worker]; usage.known && usage.isUp {
+	if usage := &s.workers[event.Worker]; usage.isKnown && usage.isUp {
 		s.workerStopped(event)
 	}
 	slots := event.Slots
@@ -105,7 +105,7 @@
 	}
 	usage.isUp = false
 	s.workersUp--
-	usage.availability.add(s.settleWindow(), -usage.slots)
+	usage.availability.add(s.occupancyTime(), -usage.slots)
 	s.stripRow(event.Worker).available.add(s.now, -usage.slots)
 	s.fleet.available.add(s.now, -usage.slots)
 	s.workersUpCurve.add(s.now, -1)
