--- a/internal/testbed/report/axis.go
+++ b/internal/testbed/report/axis.go
@@ -21,7 +21,7 @@
 	from, to  pixels
 }
 
-// at returns the coordinate of a value. Values beyond the scale are brought to its nearer end.
+// at returns the coordinate of a value. Values outside the scale are clamped to its ends.
 func (s *scale) at(value float64) pixels {
 	low, high := s.low, s.high
 	if s.log {
@@ -41,13 +41,13 @@
 	Text string
 }
 
-// Tolerances: how far rounding may bring a value beyond a bound of a scale, as a fraction.
+// Tolerances for values that rounding errors place outside a scale: as a fraction of a step, and of the scale's end.
 const (
 	linearTolerance = 1e-9
 	logTolerance    = 1e-3
 )
 
-// ticks returns ticks at round values, about maxTicks at most, labelled by format.
+// ticks returns ticks at round values, labelled by format. There may be slightly more than maxTicks.
 func (s *scale) ticks(maxTicks int, format func(float64) string) []tick {
 	values := s.linearTickValues(maxTicks)
 	if s.log {
@@ -74,7 +74,7 @@
 	return values
 }
 
-// logTickValues returns the powers of ten, with their double and fivefold unless those are too many.
+// logTickValues returns the powers of ten and, unless there would be too many ticks, two and five times each.
 func (s *scale) logTickValues(maxTicks int) []float64 {
 	factors := []float64{1, 2, 5}
 	if math.Log10(s.high/s.low) > float64(maxTicks)/2 {
@@ -92,11 +92,11 @@
 	return values
 }
 
-// floorPowerOfTen returns the greatest power of ten that is not above a positive value.
+// floorPowerOfTen returns the largest power of ten that is not above a positive value.
 func floorPowerOfTen(value float64) float64 { return math.Pow(10, math.Floor(math.Log10(value))) }
 
-// roundUp returns the least of 1, 2, 5, 10 and so on that is not below a value, and 0 for a value that is not positive
-// and finite.
+// roundUp returns the smallest number of the form 1, 2 or 5 times a power of ten that is not below a value, and 0 for a value
+// that is not positive and finite.
 func roundUp(value float64) float64 {
 	if value <= 0 || isNotFinite(value) {
 		return 0
--- a/internal/testbed/report/bands.go
+++ b/internal/testbed/report/bands.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/score"
 )
 
-// Labels of bands stand above each other in levels, as far as there is room.
+// Labels of bands are placed in several levels, one below the other, so that they do not overlap.
 const (
 	maxLabelLevels          = 4
 	maxLabelRunes           = 34
@@ -16,10 +16,11 @@
 	firstLabelY      pixels = 18
 	labelGap         pixels = 4 // between labels of one level
 	minBandWidth     pixels = 1.5
-	beforeFirstLabel pixels = 100 // how far left of the area a level's labels begin to count as placed
+	beforeFirstLabel pixels = 100 // an empty level counts as occupied up to this far left of the area
 )
 
-// addBands adds the faults as bands and the marks as lines. It returns how many levels of labels the bands take.
+// addBands adds the faults as bands and the marks as lines. Labels of bands have the faults' texts if named is set, or else
+// only their numbers. It returns how many levels the labels take.
 func (t *timeline) addBands(plot *plot, named bool) (levels int) {
 	xScale := scale{high: max(t.end, 1), from: plot.LeftEdge, to: plot.RightEdge}
 	labels := newLabelPlacer(plot, named)
@@ -31,7 +32,7 @@
 		}
 		plot.Bands = append(plot.Bands, band)
 	}
-	for _, mark := range t.marks[:min(len(t.marks), maxBands)] {
+	for _, mark := range t.marks[:min(len(t.marks), maxTimelineEntries)] {
 		plot.Marks = append(plot.Marks, markLine{xScale.at(mark.At), formatSeconds(mark.At) + " " + mark.Text})
 	}
 	return labels.levels
@@ -56,7 +57,7 @@
 	levels    int // in use
 }
 
-// newLabelPlacer returns a placer for a plot. Labels that are numbers only have one level.
+// newLabelPlacer returns a placer for a plot. Labels that are only numbers have a single level.
 func newLabelPlacer(plot *plot, named bool) *labelPlacer {
 	levels := 1
 	if named {
@@ -69,8 +70,8 @@
 	return placer
 }
 
-// place labels a band in the first level that has room, and reports whether there is one. A label that would go beyond
-// the plot's right edge ends there.
+// place labels a band in the first level that has room, and reports whether there is one. A label that would extend beyond
+// the plot's right edge is moved to the left.
 func (l *labelPlacer) place(b *band, text string) bool {
 	width := labelRuneWidth * pixels(len([]rune(text)))
 	from, end := b.X, b.X+width
--- a/internal/testbed/report/comparison.go
+++ b/internal/testbed/report/comparison.go
@@ -6,24 +6,24 @@
 	"valvecove/internal/testbed/score"
 )
 
-// Side is what ran on one side of a comparison. Results[i] has the same seed on all sides.
+// Side is one side of a comparison with its runs. Results[i] has the same seed on all sides.
 type Side struct {
 	Name    string
 	Results []*score.Result
 	Broken  int // violations, over all runs
-	Invalid int // runs that were no result and are not among Results
+	Invalid int // invalid runs, which are not among Results
 }
 
-// Comparison is several sides in the same runs. The first is the one that the others are compared with.
+// Comparison compares several sides over the same seeds. The others are compared with the first.
 type Comparison struct {
 	Title       string
 	Description string
 	Sides       []Side
-	Scenario    string // its text
+	Scenario    string // text of its file
 	Build       string
 }
 
-// Pairs returns the paired differences of each further side from the first, by every headline.
+// Pairs returns, for every other side, the paired differences from the first side in each headline.
 func (c *Comparison) Pairs() [][]score.Paired {
 	pairs := make([][]score.Paired, 0, len(c.Sides))
 	for i := 1; i < len(c.Sides); i++ {
@@ -33,16 +33,16 @@
 	return pairs
 }
 
-// chanceRemark says how to read many intervals at once.
+// chanceRemark explains how to read a table of many intervals. It is part of the stored form.
 const chanceRemark = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
 	"one will seem to have one."
 
-// means are the spreads of all headlines, by name.
-type means map[string]score.Spread
+// spreadsByName has the spreads of all headlines, by their names.
+type spreadsByName map[string]score.Spread
 
 // spreads returns the spread of every headline over some runs.
-func spreads(results []*score.Result) means {
-	spreads := means{}
+func spreads(results []*score.Result) spreadsByName {
+	spreads := spreadsByName{}
 	for _, headline := range score.Headlines {
 		spreads[headline.Name] = score.SpreadOf(headline.Values(results))
 	}
@@ -50,8 +50,8 @@
 }
 
 // spreads returns the spreads of every side.
-func (c *Comparison) spreads() []means {
-	bySide := make([]means, len(c.Sides))
+func (c *Comparison) spreads() []spreadsByName {
+	bySide := make([]spreadsByName, len(c.Sides))
 	for i := range c.Sides {
 		bySide[i] = spreads(c.Sides[i].Results)
 	}
@@ -63,7 +63,7 @@
 	Name    string         `json:"name"`
 	Broken  int            `json:"rules_broken"`
 	Invalid int            `json:"plays_void"`
-	Figures means          `json:"figures"`
+	Figures spreadsByName  `json:"figures"`
 	Results []jsonHeadline `json:"plays"`
 }
 
@@ -119,7 +119,8 @@
 	return &value
 }
 
-// pairClass returns the style class of a paired difference: good, poor, or none if it says neither.
+// pairClass returns the style class of a paired difference: good, poor, or none if it is not significant or neither better
+// nor worse.
 func pairClass(pair *score.Paired) string {
 	headline, _ := score.HeadlineOf(pair.Metric)
 	switch {
--- a/internal/testbed/report/comparison_html.go
+++ b/internal/testbed/report/comparison_html.go
@@ -8,14 +8,14 @@
 	"valvecove/internal/testbed/score"
 )
 
-// maxComparedSides is how many sides the plots of a comparison show.
+// maxComparedSides is how many sides the plots of a comparison show at most.
 const maxComparedSides = 5
 
 // spreadCaption is the caption of tables of spreads.
-const spreadCaption = "Means over the seeds, and how far the 95% interval of each reaches"
+const spreadCaption = "Means over the seeds, ± half the width of the 95% interval of each"
 
-// WriteCompare writes a comparison as one file of HTML: the sides' figures, their goodput over each other, and the
-// paired differences. The error is that of the writer or the template.
+// WriteCompare writes a comparison as one HTML file: the sides' figures, a plot of their goodput, and the paired differences.
+// The error is that of the writer or the template.
 func WriteCompare(w io.Writer, comparison *Comparison) error {
 	document := &document{Title: comparison.Title, Description: comparison.Description}
 	document.addBuild(comparison.Build)
@@ -30,7 +30,7 @@
 			ID:     fmt.Sprint("pairs-", i+1),
 			Title:  comparison.Sides[i+1].Name + " against " + comparison.Sides[0].Name,
 			Tables: []table{pairTable(pairs)},
-			Text:   []string{"Differences are of runs with the same seed. " + chanceRemark},
+			Text:   []string{"Each difference is between runs with the same seed. " + chanceRemark},
 		})
 	}
 	document.addScenario(comparison.Scenario)
@@ -58,11 +58,11 @@
 	}
 	addSides("rules broken", func(side int) string { return formatCount(c.Sides[side].Broken) })
 	addSides("runs", func(side int) string { return formatCount(len(c.Sides[side].Results)) })
-	addSides("runs that were void, left out", func(side int) string { return formatCount(c.Sides[side].Invalid) })
+	addSides("void runs, left out", func(side int) string { return formatCount(c.Sides[side].Invalid) })
 	return figures
 }
 
-// timeline returns the timeline as long as the longest run, with the faults of the first run that has any.
+// timeline returns a timeline of the length of the longest run, with the faults of the first run that has any.
 func (c *Comparison) timeline() *timeline {
 	timeline := &timeline{}
 	for _, side := range c.Sides {
@@ -76,7 +76,7 @@
 	return timeline
 }
 
-// untargetedFaults returns faults without the workers or schedulers that they hit, which each seed draws anew.
+// untargetedFaults returns faults without the workers or schedulers that they struck, which differ from seed to seed.
 func untargetedFaults(faults []score.Fault) []score.Fault {
 	var untargeted []score.Fault
 	for _, fault := range faults {
@@ -98,15 +98,15 @@
 	}
 	return section{
 		ID: "seconds", Title: "Over time",
-		Text: []string{"Means over the seeds. Faults strike whom the seed draws; their bands are those of the first."},
+		Text: []string{"Means over the seeds. Each seed chooses the targets of faults; the bands show the faults of the first run."},
 		Plots: []*plot{
 			timeline.plot(timePlot{
-				id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: formatNumber, labels: true,
+				id: "goodput", title: "Goodput", yName: "worth per second", height: 300, text: formatNumber, labels: true,
 				lines: goodput,
 			}),
 			timeline.plot(timePlot{
-				id: "kept", title: "Share of the worth due in a second that was earned",
-				yName: "mean of two seconds", height: 240, top: 1, text: formatPercent, lines: earned,
+				id: "kept", title: "Earned share of the worth due in each second",
+				yName: "mean over two seconds", height: 240, top: 1, text: formatPercent, lines: earned,
 			}),
 		},
 	}
@@ -123,7 +123,7 @@
 	return ratio(requested, earned, length)
 }
 
-// pairTable returns the table of the paired differences of one side from the first.
+// pairTable returns a table of the paired differences between one side and the first.
 func pairTable(pairs []score.Paired) table {
 	const verdictColumn = 5
 	differences := table{
--- a/internal/testbed/report/comparison_test.go
+++ b/internal/testbed/report/comparison_test.go
@@ -20,7 +20,7 @@
 
 func TestComparison(t *testing.T) {
 	comparison := sampleComparison()
-	comparison.Sides[1].Results[0].Recovery.All = false // recovered_within has no value there
+	comparison.Sides[1].Results[0].Recovery.All = false // so that recovered_within has no value for this run
 	var page bytes.Buffer
 	if err := ComparePage(&page, comparison); err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	}
 	checkGoldenText(t, "compare.outline", outline(t, page.String()))
 	if !strings.Contains(page.String(), "new is worse: by") {
-		t.Error("nothing is said in words")
+		t.Error("the verdict in words is missing")
 	}
 	checkJSONKeys(t, comparison, "sides", "paired")
 }
--- a/internal/testbed/report/comparison_text.go
+++ b/internal/testbed/report/comparison_text.go
@@ -10,9 +10,9 @@
 
 // Widths of the columns of a comparison on a terminal.
 const (
-	headlineWidth  = 18 // of the first column
+	headlineWidth  = 18 // of the first column, which has names of headlines
 	maxSideWidth   = 20
-	minSpreadWidth = 18 // least width of a side's column that has room for an interval
+	minSpreadWidth = 18 // minimum width at which a side's column shows intervals
 )
 
 // ComparePage writes a comparison for a terminal. The error is that of the writer.
@@ -55,7 +55,7 @@
 	writeCells(plain, "rules broken", func(side int) string { return fmt.Sprint(sides[side].Broken) })
 }
 
-// writePairs writes the paired differences of one side from the first.
+// writePairs writes the paired differences between one side and the first.
 func (p *textPage) writePairs(pairs []score.Paired) {
 	styles := map[string]string{classGood: good, classPoor: poor}
 	for i := range pairs {
--- a/internal/testbed/report/document.go
+++ b/internal/testbed/report/document.go
@@ -17,10 +17,10 @@
 const (
 	classGood = "good"
 	classPoor = "poor"
-	classText = "text" // a cell of running text, aligned to the left
+	classText = "text" // a cell of prose, aligned to the left
 )
 
-// document is a page of HTML as the template knows it. The template escapes all of its text.
+// document is the data of an HTML page for the template, which escapes all of its text.
 type document struct {
 	Title, Description string
 	Summary            []string
@@ -29,10 +29,10 @@
 	Sections           []section
 }
 
-// badge is the verdict in the head of the page.
+// badge is the verdict at the top of the page.
 type badge struct{ Class, Text string }
 
-// tile is a figure in the head of the page.
+// tile is a figure at the top of the page.
 type tile struct{ Name, Value, Remark string }
 
 // section is a part of the page that the navigation links to.
@@ -55,19 +55,19 @@
 // table is a table of text.
 type table struct {
 	Caption     string
-	Summary     string // what the table is folded up under; empty: it is not
-	TextColumns bool   // the last column is running text
+	Summary     string // summary under which the table is collapsed; empty: it is not
+	TextColumns bool   // the last column is prose
 	Columns     []string
-	Lines       [][]cell // a line of one cell is a heading of the lines that follow
+	Lines       [][]cell // a line of one cell is a heading for the lines that follow
 }
 
 // cell is a cell of a table.
 type cell struct{ Text, Class string }
 
-// addBuild says which build the figures are of, if that is known.
+// addBuild adds to the summary which build the figures are of, if that is known.
 func (d *document) addBuild(build string) {
 	if build != "" {
-		d.Summary = append(d.Summary, "Played with "+build)
+		d.Summary = append(d.Summary, "Run with "+build)
 	}
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// write writes the page, with spaces for control characters, which HTML does not allow and the template keeps.
+// write writes the page. It replaces control characters, which HTML does not allow but the template keeps, by spaces.
 func (d *document) write(w io.Writer) error {
 	var page bytes.Buffer
 	if err := pageTemplate.ExecuteTemplate(&page, "page", d); err != nil {
@@ -101,10 +101,10 @@
 	return err
 }
 
-// isControl reports whether a character is a control character of ASCII.
+// isControl reports whether a character is an ASCII control character.
 func isControl(char rune) bool { return char < ' ' || char == 0x7f }
 
-// addRow adds a line to the table. With no further cells it is a heading.
+// addRow adds a line to the table. A line without further cells is a heading.
 func (t *table) addRow(first string, further ...string) {
 	line := make([]cell, 0, len(further)+1)
 	line = append(line, cell{Text: first})
@@ -114,7 +114,7 @@
 	t.Lines = append(t.Lines, line)
 }
 
-// setClass gives some cells of the last line a style class.
+// setClass sets the style class of some cells of the last line.
 func (t *table) setClass(class string, columns ...int) {
 	line := t.Lines[len(t.Lines)-1]
 	for _, column := range columns {
@@ -122,8 +122,8 @@
 	}
 }
 
-// ColumnCount is how many columns a heading spans, for the template.
+// ColumnCount returns how many columns a heading spans. The template calls it.
 func (t table) ColumnCount() int { return len(t.Columns) }
 
-// Last is the index of the last column, for the template.
+// Last returns the index of the last column. The template calls it.
 func (t table) Last() int { return len(t.Columns) - 1 }
--- a/internal/testbed/report/drawing.go
+++ b/internal/testbed/report/drawing.go
@@ -22,7 +22,7 @@
 type plot struct {
 	ID, Title, Description, YName, XName     string
 	Width, Height                            pixels
-	LeftEdge, RightEdge, TopEdge, BottomEdge pixels // borders of the area
+	LeftEdge, RightEdge, TopEdge, BottomEdge pixels // borders of the plot's area
 	XTicks, YTicks                           []tick
 	Bands                                    []band
 	Marks                                    []markLine
@@ -36,7 +36,7 @@
 type band struct {
 	X, Width pixels
 	Text     string // shown on hovering
-	Label    string // empty: there was no room for one
+	Label    string // empty: there is no room for one
 	LabelX   pixels
 	LabelY   pixels
 }
@@ -50,13 +50,13 @@
 // curve is a line or a filled area.
 type curve struct {
 	Class  string // s1 to s6
-	Name   string // empty: it is not in the legend
-	D      string // path data of SVG
+	Name   string // in the legend; empty: not in it
+	D      string // SVG path data
 	Area   bool
 	Strong bool
 }
 
-// dot is a point with its interval.
+// dot is a point with its confidence interval.
 type dot struct {
 	X, Y, Low, High pixels
 	Class, Text     string
@@ -85,29 +85,29 @@
 	}
 }
 
-// AreaH is the height of the area, for the template.
+// AreaH returns the height of the area. The template calls it.
 func (p *plot) AreaH() pixels { return p.BottomEdge - p.TopEdge }
 
-// TickX is where labels of the vertical axis end, for the template.
+// TickX returns where labels of the vertical axis end. The template calls it.
 func (p *plot) TickX() pixels { return p.LeftEdge - 6 }
 
-// TickY is where ticks of the horizontal axis end, for the template.
+// TickY returns where ticks of the horizontal axis end. The template calls it.
 func (p *plot) TickY() pixels { return p.BottomEdge + 4 }
 
-// TextY is the base line of the horizontal axis's labels, for the template.
+// TextY returns the baseline of the horizontal axis's labels. The template calls it.
 func (p *plot) TextY() pixels { return p.BottomEdge + 16 }
 
-// NameY is the base line of the horizontal axis's name, for the template.
+// NameY returns the baseline of the horizontal axis's name. The template calls it.
 func (p *plot) NameY() pixels { return p.BottomEdge + 30 }
 
-// addHeadroom makes the plot higher above its area.
+// addHeadroom adds space above the plot's area.
 func (p *plot) addHeadroom(height pixels) {
 	p.TopEdge += height
 	p.Height += height
 	p.BottomEdge += height
 }
 
-// setAxes sets the scales and their ticks. The borders of the area do not change afterwards.
+// setAxes sets the scales and their ticks. The borders of the area must not change afterwards.
 func (p *plot) setAxes(x, y scale, formatX, formatY func(float64) string) {
 	x.from, x.to = p.LeftEdge, p.RightEdge
 	y.from, y.to = p.BottomEdge, p.TopEdge
@@ -131,26 +131,26 @@
 	p.Curves = append(p.Curves, drawn)
 }
 
-// seriesClass is the style class of the curve at an index.
+// seriesClass returns the style class of the curve at an index.
 func seriesClass(index int) string { return "s" + strconv.Itoa(index%seriesColors+1) }
 
 // pathWriter writes the path data of a curve, which consists of segments with gaps between them.
 type pathWriter struct {
 	text    strings.Builder
 	bottom  pixels // of an area
-	area    bool
-	drawing bool   // within a segment
+	area    bool   // the curve is a filled area
+	drawing bool   // a segment is open
 	lastX   pixels // of the last point
 }
 
-// drawTo draws to a point, and begins a segment if none is open. isLast: no point of the segment follows.
+// drawTo draws to a point, and begins a segment if none is open. isLast is set for the last point of a segment.
 func (w *pathWriter) drawTo(toX, toY pixels, isLast bool) {
 	switch {
 	case w.drawing:
 		fmt.Fprintf(&w.text, "L%s %s", toX, toY)
 	case w.area:
 		fmt.Fprintf(&w.text, "M%s %sV%s", toX, w.bottom, toY)
-	case isLast: // a single point shows as a short line
+	case isLast: // a single point is drawn as a short line
 		fmt.Fprintf(&w.text, "M%s %sh1.5", toX, toY)
 	default:
 		fmt.Fprintf(&w.text, "M%s %s", toX, toY)
--- a/internal/testbed/report/fixture_test.go
+++ b/internal/testbed/report/fixture_test.go
@@ -16,7 +16,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-var update = flag.Bool("update", false, "write the golden files of pages and outlines anew")
+var update = flag.Bool("update", false, "rewrite the golden files of pages and outlines")
 
 // checkGoldenText compares a text with a file of testdata.
 func checkGoldenText(t *testing.T, name, got string) {
@@ -54,13 +54,13 @@
 	}
 }
 
-// hostileText does harm on a page that does not escape it, or on a terminal.
+// hostileText would inject markup into a page that does not escape it, and an escape sequence into a terminal.
 const hostileText = `</title><script>alert("1")</script>&'` + "\x1b[31m\n"
 
-// sampleResult returns the result of a written run, in which each job takes a course by its number. All responses are
-// slowed down by a number of milliseconds.
+// sampleResult returns the result of a run of made-up events, in which the events of a job depend on its number. All
+// responses are delayed by slowdown milliseconds.
 func sampleResult(seed uint64, slowdown int) *score.Result {
-	return sampleTrace(slowdown, "crash: w-3, for 5s").score(sampleSpec(), seed)
+	return newSampleEvents(slowdown, "crash: w-3, for 5s").score(sampleSpec(), seed)
 }
 
 // hostileResult is sampleResult with hostileText in all names.
@@ -71,7 +71,7 @@
 		spec.Classes[i].Name += hostileText
 	}
 	spec.Tenants[0].Name = hostileText
-	return sampleTrace(0, hostileText).score(spec, seed)
+	return newSampleEvents(0, hostileText).score(spec, seed)
 }
 
 func sampleSpec() *scenario.Scenario {
@@ -87,13 +87,13 @@
 	trace.Event
 }
 
-// writtenTrace is the events of a run, in any order.
-type writtenTrace []timedEvent
+// sampleEvents is a list of the events of a run, in any order.
+type sampleEvents []timedEvent
 
-func (w *writtenTrace) add(at int, event trace.Event) { *w = append(*w, timedEvent{at, event}) }
+func (w *sampleEvents) add(at int, event trace.Event) { *w = append(*w, timedEvent{at, event}) }
 
 // score returns the result of the run.
-func (w writtenTrace) score(spec *scenario.Scenario, seed uint64) *score.Result {
+func (w sampleEvents) score(spec *scenario.Scenario, seed uint64) *score.Result {
 	scorer := score.New(spec, score.Options{Seed: seed, Driver: scenario.DriverSimulation})
 	slices.SortStableFunc(w, func(a, b timedEvent) int { return a.at - b.at })
 	for i := range w {
@@ -103,8 +103,8 @@
 	return scorer.Result()
 }
 
-func sampleTrace(slowdown int, fault string) writtenTrace {
-	var events writtenTrace
+func newSampleEvents(slowdown int, fault string) sampleEvents {
+	var events sampleEvents
 	for i := range 10 {
 		events.add(0, trace.Event{Kind: trace.WorkerStarted, Worker: i, Slots: 4})
 	}
@@ -131,8 +131,8 @@
 	return events
 }
 
-// addJob adds the events of a job. Every third job of the first fault is rejected.
-func (w *writtenTrace) addJob(number, slowdown int) {
+// addJob adds the events of a job. Every third job that is due from second 12 to 17, around the first fault, is rejected.
+func (w *sampleEvents) addJob(number, slowdown int) {
 	dueAt, request, job, worker := number*33, fmt.Sprint("c", number), uint64(number+1), number*7%10
 	took, status := 120+number*37%400+slowdown, 200
 	if at := dueAt / 1000; at >= 12 && at < 18 && number%3 == 0 {
@@ -152,7 +152,7 @@
 	w.add(dueAt+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
 }
 
-// sampleEvaluations returns what some expectations come to for a result.
+// sampleEvaluations evaluates some expectations for a result.
 func sampleEvaluations(result *score.Result, violations int) []score.Evaluation {
 	return score.Check([]scenario.Expectation{
 		{Metric: "in_time", Operator: ">=", Bound: 0.5},
--- a/internal/testbed/report/format.go
+++ b/internal/testbed/report/format.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/score"
 )
 
-// noValue stands for a figure that is not a number or not finite.
+// noValue is shown for a figure that is NaN or infinite.
 const noValue = "–"
 
 // Numbers of decimals.
@@ -33,7 +33,7 @@
 	return strconv.FormatFloat(100*fraction, 'f', 1, 64) + "%"
 }
 
-// formatNumber formats a number to about three digits, without an exponent.
+// formatNumber formats a number with about three significant digits, without an exponent.
 func formatNumber(value float64) string {
 	if math.IsInf(value, 1) {
 		return "∞"
@@ -58,7 +58,7 @@
 // trimZeros removes the zeros at the end of a decimal fraction.
 func trimZeros(text string) string { return strings.TrimRight(strings.TrimRight(text, "0"), ".") }
 
-// formatMillis formats milliseconds, as seconds from one second on.
+// formatMillis formats a time in milliseconds. From one second on it is shown in seconds.
 func formatMillis(millis float64) string {
 	switch {
 	case isNotFinite(millis):
@@ -73,7 +73,7 @@
 	return formatNumber(millis) + " ms"
 }
 
-// formatSeconds formats seconds.
+// formatSeconds formats a time in seconds.
 func formatSeconds(seconds float64) string { return strconv.FormatFloat(seconds, 'f', 1, 64) + " s" }
 
 // formatFixed formats a number with three decimals.
@@ -100,7 +100,7 @@
 	return formatNumber(size) + " " + units[unit]
 }
 
-// plural formats a count of things.
+// plural formats a count with a noun in the singular or plural.
 func plural[T int | int64](count T, singular, plural string) string {
 	if count == 1 {
 		return "1 " + singular
@@ -108,8 +108,8 @@
 	return formatCount(count) + " " + plural
 }
 
-// shorten removes the zeros at the end of a number's decimals, before its unit, for the ticks of an axis.
-func shorten(text string) string {
+// trimTickZeros removes trailing zeros from the decimals of a number that a unit may follow. Ticks of axes are shown so.
+func trimTickZeros(text string) string {
 	end := strings.LastIndexAny(text, "0123456789") + 1
 	number, unit := text[:end], text[end:]
 	if strings.Contains(number, ".") {
@@ -118,7 +118,7 @@
 	return number + unit
 }
 
-// capitalize makes the first letter of a text, which is ASCII, a capital.
+// capitalize changes the first letter of a text, which must be ASCII, to upper case.
 func capitalize(text string) string { return strings.ToUpper(text[:1]) + text[1:] }
 
 // percentHeadlines are the headlines that are fractions of jobs or work.
@@ -135,7 +135,7 @@
 	return formatFixed(value)
 }
 
-// formatValue formats the value that an expectation's metric has, in its unit.
+// formatValue formats the value of an expectation's metric in its unit.
 func formatValue(evaluation *score.Evaluation) string {
 	metric := evaluation.Expectation.Metric
 	if text, ok := formatWithUnit(metric, evaluation.Value); ok {
@@ -147,7 +147,7 @@
 	return strconv.FormatFloat(evaluation.Value, 'f', expectationDecimals, 64)
 }
 
-// formatWithUnit formats the value of a metric that is a time, and any that is not finite. ok is false for all others.
+// formatWithUnit formats a value that is a time or not finite. For any other value, ok is false.
 func formatWithUnit(metric string, value float64) (text string, ok bool) {
 	switch {
 	case isNotFinite(value):
@@ -160,10 +160,10 @@
 	return "", false
 }
 
-// intervalSeparator stands between a mean and how far its interval reaches.
+// intervalSeparator is the text between a mean and half the width of its confidence interval.
 const intervalSeparator = " ± "
 
-// formatSpread formats the mean of a headline and how far its interval reaches.
+// formatSpread formats the mean of a headline and half the width of its confidence interval.
 func formatSpread(headline string, spread score.Spread) string {
 	if spread.N == 0 {
 		return noValue
@@ -175,7 +175,7 @@
 	return text
 }
 
-// withoutInterval returns the mean alone of a text of formatSpread.
+// withoutInterval returns only the mean from a text that formatSpread returned.
 func withoutInterval(text string) string {
 	mean, _, _ := strings.Cut(text, intervalSeparator)
 	return mean
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -12,15 +12,16 @@
 	"valvecove/internal/testbed/starvation"
 )
 
-// The files of testdata/golden hold figures as the testbed of d2a7518 writes them, with a value in every field. Figures are
-// kept, and each build of the testbed reads those of others: the files are never regenerated except under a new form number.
+// The files of testdata/golden hold reports as the testbed of commit d2a7518 writes them, with a value in every field.
+// Reports are stored, and each build of the testbed reads those of others: the files are never regenerated, except under a
+// new form number.
 const (
 	goldenRun         = "play-1.json"
 	goldenComparisons = "compare-1.json"
 	goldenVariations  = "sweep-1.json"
 )
 
-// readGoldenRun reads the golden report of a run, but for its expectations, which are never read.
+// readGoldenRun reads the golden report of a run, without its expectations, which no code reads back.
 func readGoldenRun(t *testing.T) Document {
 	t.Helper()
 	var read struct {
@@ -39,7 +40,7 @@
 	return Document{Result: read.Result, Verdict: read.Verdict, Starvation: read.Findings, Build: read.Build, Scenario: read.Scenario}
 }
 
-// goldenEvaluations returns the expectations of the golden file: one met, one not, and two without a figure.
+// goldenEvaluations returns the expectations of the golden file: one that is met, one that is not, and two without a value.
 func goldenEvaluations() []score.Evaluation {
 	return []score.Evaluation{
 		{Expectation: scenario.Expectation{Metric: "in_time", Operator: ">=", Bound: 0.5}, Value: 0.75, OK: true},
@@ -58,11 +59,11 @@
 	storedform.CheckGolden(t, name, b.Bytes())
 }
 
-func TestGoldenRunIsRead(t *testing.T) {
+func TestGoldenRunFillsEveryField(t *testing.T) {
 	doc := readGoldenRun(t)
 	for _, part := range []any{*doc.Result, *doc.Verdict, *doc.Starvation} {
 		for _, zero := range storedform.Zero(part) {
-			t.Errorf("nothing is read into %s", zero)
+			t.Errorf("%s has no value after reading", zero)
 		}
 	}
 }
@@ -73,7 +74,7 @@
 	checkGoldenBytes(t, goldenRun, doc)
 }
 
-// goldenResults returns three results whose figures are those of the golden run, but for a few.
+// goldenResults returns three results that differ from the golden run only in their seeds and mixes.
 func goldenResults(t *testing.T, gain float64) (results []*score.Result) {
 	t.Helper()
 	for seed := range uint64(3) {
@@ -91,7 +92,7 @@
 		{Name: "old", Broken: 1, Results: goldenResults(t, 0)},
 		{Name: "new", Invalid: 2, Results: goldenResults(t, 0.25)},
 	}}
-	c.Sides[1].Results[0].Recovery.All = false // no figure there
+	c.Sides[1].Results[0].Recovery.All = false // so that recovered_within has no value
 	return c
 }
 
@@ -118,8 +119,8 @@
 	checkGoldenBytes(t, goldenVariations, goldenVariation(t))
 }
 
-// The stored names of figures stand in tags. An expectation writes itself; the golden files pin its bytes.
+// The stored names of fields are in tags. Evaluations have a MarshalJSON of their own, whose output the golden files check.
 func TestStoredFormsAreTagged(t *testing.T) {
-	storedform.CheckTags(t, Document{}, jsonComparison{}, jsonSide{}, jsonHeadline{}, jsonVariation{}, jsonCurve{}, jsonPoint{}, means{},
+	storedform.CheckTags(t, Document{}, jsonComparison{}, jsonSide{}, jsonHeadline{}, jsonVariation{}, jsonCurve{}, jsonPoint{}, spreadsByName{},
 		score.Paired{})
 }
--- a/internal/testbed/report/outline_test.go
+++ b/internal/testbed/report/outline_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// outline reads a page of HTML as a browser would have to, and returns its structure: sections, plots, and the columns of
-// tables. It fails the test for references to anything outside the page, and for plots without a description.
+// outline parses an HTML page and returns its structure: sections, plots, and the columns of tables. It fails the test if the
+// page refers to anything outside itself, or if a plot has no title or description.
 func outline(t *testing.T, text string) string {
 	t.Helper()
-	checkNoReferences(t, text)
+	checkSelfContained(t, text)
 	decoder := xml.NewDecoder(strings.NewReader(text))
 	decoder.Strict, decoder.AutoClose, decoder.Entity = false, []string{"meta", "link"}, xml.HTMLEntity
 	reader := outlineReader{t: t, ids: map[string]bool{}}
@@ -34,15 +34,16 @@
 	return reader.outline.String()
 }
 
-// checkNoReferences fails the test if a page refers to anything outside, or the template rejected a value.
-func checkNoReferences(t *testing.T, text string) {
+// checkSelfContained fails the test if a page refers to anything outside itself, or if the template rejected a value, for
+// which it writes ZgotmplZ.
+func checkSelfContained(t *testing.T, text string) {
 	t.Helper()
 	for _, reference := range []string{
 		"http://", "https://", "src=", "url(", "@import", "<script", "<link", "<iframe",
 		"srcset", "ZgotmplZ",
 	} {
 		if strings.Contains(text, reference) {
-			t.Errorf("%s is in the page", reference)
+			t.Errorf("the page has %s", reference)
 		}
 	}
 }
@@ -77,7 +78,7 @@
 	switch attribute.Name.Local {
 	case "id":
 		if r.ids[value] {
-			r.t.Errorf("id %s twice", value)
+			r.t.Errorf("duplicate id %s", value)
 		}
 		r.ids[value] = true
 		if element == "section" {
@@ -85,7 +86,7 @@
 		}
 	case "href":
 		if !strings.HasPrefix(value, "#") {
-			r.t.Errorf("refers to %s", value)
+			r.t.Errorf("the page refers to %s", value)
 		}
 	case "aria-labelledby":
 		r.plots++
@@ -99,6 +100,6 @@
 	case strings.HasSuffix(path, "thead tr th") && strings.TrimSpace(text) != "":
 		fmt.Fprintln(&r.outline, "  column", strings.TrimSpace(text))
 	case strings.HasSuffix(path, "figure svg desc") && len(text) < 20:
-		r.t.Errorf("plot described as %q", text)
+		r.t.Errorf("plot with the short description %q", text)
 	}
 }
--- a/internal/testbed/report/progress.go
+++ b/internal/testbed/report/progress.go
@@ -10,15 +10,15 @@
 	"valvecove/internal/testbed/score"
 )
 
-// How often progress is shown. Where lines stay, they become rarer after slowAfter.
+// How often progress is shown, in time of the run. Where lines can't be overwritten, there are fewer after slowAfter.
 const (
 	progressPeriod     = time.Second
 	slowProgressPeriod = 10 * time.Second
 	slowAfter          = time.Minute
 )
 
-// Progress writes how a run stands while it runs: on a terminal one line that changes, elsewhere a line for each second
-// of the run, and after a minute for every ten. It serves one goroutine.
+// Progress writes the state of a run while it runs: on a terminal one line that is overwritten, elsewhere a line for each
+// second of the run and, after a minute, for every ten seconds. It is for use by one goroutine.
 type Progress struct {
 	w         io.Writer
 	tty       bool
@@ -30,7 +30,7 @@
 // NewProgress returns a progress that writes to w.
 func NewProgress(w io.Writer) *Progress { return &Progress{w: w, tty: isTerminal(w)} }
 
-// Wants reports whether Show would write a line at this time of the run, so that no snapshot is made for nothing.
+// Wants reports whether Show would write a line at this time of the run, so that callers take no needless snapshots.
 func (p *Progress) Wants(at time.Duration) bool {
 	period := progressPeriod
 	if !p.tty && at > slowAfter {
@@ -39,14 +39,14 @@
 	return at > p.last.At && at/period != p.last.At/period
 }
 
-// Show writes a line about a snapshot of the run if it is time for one. It keeps no reference to the snapshot.
+// Show writes a line about a snapshot of the run if one is due. It keeps no reference to the snapshot.
 func (p *Progress) Show(snapshot *score.Snapshot) {
 	if !p.Wants(snapshot.At) {
 		return
 	}
 	line := p.line(snapshot)
 	p.last = *snapshot
-	p.last.Faults = nil // the caller's
+	p.last.Faults = nil // their memory belongs to the caller
 	p.isShown = true
 	if !p.tty {
 		fmt.Fprintln(p.w, line)
@@ -57,7 +57,7 @@
 	p.lineWidth = width
 }
 
-// line returns the line about a snapshot, with rates since the one before.
+// line returns the line about a snapshot, with rates since the previous one.
 func (p *Progress) line(snapshot *score.Snapshot) string {
 	elapsed := (snapshot.At - p.last.At).Seconds()
 	rate := func(now, before int) string { return formatNumber(float64(now-before) / elapsed) }
@@ -71,7 +71,7 @@
 	return truncateLine(line, pageWidth-1)
 }
 
-// faultKinds returns the texts of faults without the workers or schedulers that they hit.
+// faultKinds returns the texts of faults without the workers or schedulers that they struck.
 func faultKinds(faults []string) []string {
 	kinds := make([]string, 0, len(faults))
 	for _, fault := range faults {
@@ -81,7 +81,7 @@
 	return kinds
 }
 
-// Done ends the line on a terminal.
+// Done ends the line if it is on a terminal.
 func (p *Progress) Done() {
 	if p.tty && p.isShown {
 		fmt.Fprintln(p.w)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,6 +1,6 @@
 // Package report shows the results of runs: a line of progress while one runs, a page on the terminal at its end, JSON,
-// and HTML. It owns the forms of the reports and how figures are written in them. It never measures or judges: scores
-// and verdicts come from other packages. A page of HTML is one file without scripts and without references to others.
+// and HTML. It owns the forms of the reports and the formatting of figures in them. It measures and checks nothing: scores
+// and verdicts come from other packages. An HTML page is a single file without scripts or references to other files.
 package report
 
 import (
@@ -16,12 +16,12 @@
 // Verdict is what the invariant checker found.
 type Verdict struct {
 	Violations     []Violation `json:"broken"`
-	ViolationCount int         `json:"broken_count"`   // with those that Violations leaves out; 0: as many as Violations
-	Invalid        string      `json:"void,omitempty"` // why the run is no result; empty: it is one
-	NotChecked     []string    `json:"left_out"`       // what the driver can't show, a sentence each
+	ViolationCount int         `json:"broken_count"`   // including those that Violations leaves out; 0: len(Violations)
+	Invalid        string      `json:"void,omitempty"` // why the run is invalid; empty: it is valid
+	NotChecked     []string    `json:"left_out"`       // what the driver does not allow to check, one sentence each
 }
 
-// Violation is an invariant that was violated, with the request's history in order of time.
+// Violation is a violation of an invariant. Explanation is the request's history in chronological order.
 type Violation struct {
 	Rule        string        `json:"rule"`
 	At          time.Duration `json:"at_ns"` // since the run's start
@@ -37,7 +37,7 @@
 	return max(v.ViolationCount, len(v.Violations))
 }
 
-// String returns the verdict in a few words. A nil verdict is one of a run that was not checked.
+// String returns the verdict in a few words. A nil verdict means that the run was not checked.
 func (v *Verdict) String() string {
 	switch {
 	case v == nil:
@@ -59,7 +59,7 @@
 	Expectations []score.Evaluation  `json:"expectations"`
 	Starvation   *starvation.Verdict `json:"starved,omitempty"`  // nil: not checked
 	Build        string              `json:"build,omitempty"`    // version and policy of the scheduler
-	Scenario     string              `json:"scenario,omitempty"` // its text
+	Scenario     string              `json:"scenario,omitempty"` // text of its file
 }
 
 // WriteJSON writes a Document, a Comparison or a Variation as indented JSON. The error is that of the writer or of a
--- a/internal/testbed/report/run_effort.go
+++ b/internal/testbed/report/run_effort.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// countTable returns what was counted at clients and workers, in all and for each job.
+// countTable returns the counts taken at clients and workers, as totals and per job.
 func countTable(effort *score.Effort, jobs int) table {
 	counts := table{Caption: "Counted at clients and workers", Columns: []string{"", "in all", "a job"}}
 	for _, entry := range []struct {
@@ -26,7 +26,7 @@
 		{"requests of clients", effort.Requests},
 		{"retries of clients", effort.Retries},
 		{"requests that found no scheduler", effort.RequestsUnreached},
-		{"sent once more on a new connection", effort.Resent},
+		{"requests sent again on a new connection", effort.Resent},
 		{"requests served", effort.RequestsServed},
 		{"requests rejected by schedulers", effort.RequestsRejected},
 		{"requests failed", effort.RequestsFailed},
@@ -35,16 +35,16 @@
 		{"accepted", effort.Accepted},
 		{"rejected by workers", effort.Rejected},
 		{"of these, full", effort.Full},
-		{"returned unstarted", effort.Returned},
+		{"returned before their start", effort.Returned},
 		{"cancelled", effort.Cancelled},
-		{"repeats that a cell dropped", effort.DuplicatesDropped},
+		{"duplicates dropped by a cell", effort.DuplicatesDropped},
 		{"callbacks", effort.Callbacks},
 		{"callbacks lost", effort.CallbacksLost},
 		{"health checks", effort.HealthChecks},
 		{"connections opened to workers", effort.Connections},
-		{"warming workers overloaded", effort.Overloads},
-		{"attempts of requests long over", effort.OrphanedEvents},
-		{"trace events of what is not open", effort.Unknown},
+		{"overloads of workers that were warming up", effort.Overloads},
+		{"events of attempts of unknown or long-ended requests", effort.OrphanedEvents},
+		{"events of jobs and requests that are not open", effort.Unknown},
 	} {
 		counts.addRow(entry.name, formatCount(entry.count), formatNumber(float64(entry.count)/float64(max(1, jobs))))
 	}
@@ -52,9 +52,9 @@
 	return counts
 }
 
-// workTable returns the work of workers and what it was wasted on, in all and as a fraction of the work requested.
+// workTable returns the work of workers and the causes of waste, as totals and as fractions of the work requested.
 func workTable(effort *score.Effort, waste *score.Waste) table {
-	const minWork = 1e-9 // that fractions are of
+	const minWork = 1e-9 // divisor of fractions at least, as 0 is possible
 	works := table{
 		Caption: "Work, in seconds at speed 1 times slots",
 		Columns: []string{"", "work", "of the work asked for"},
@@ -65,15 +65,15 @@
 	}{
 		{"asked for", effort.WorkRequested},
 		{"run by workers", effort.WorkRun},
-		{"of which an answer came", effort.WorkUseful},
-		{"of which it came after the latency objective", effort.WorkAfterObjective},
+		{"of which served a request", effort.WorkUseful},
+		{"of jobs served after their latency objective", effort.WorkAfterObjective},
 		{"waste", waste.Work},
-		{"waste: another run had given the answer", waste.Repeated},
-		{"waste: the client's time was up", waste.TooLate},
-		{"waste: the client had gone", waste.ClientLeft},
-		{"waste: the client was rejected, failed or cut off", waste.Unused},
+		{"waste: the answer came from another attempt", waste.Repeated},
+		{"waste: the client had timed out", waste.TooLate},
+		{"waste: the client had left", waste.ClientLeft},
+		{"waste: the client was rejected, got an error or lost its connection", waste.Unused},
 		{"waste: it ended with an error", waste.Errors},
-		{"waste: it died on the way", waste.Killed},
+		{"waste: the attempt died", waste.Killed},
 		{"for requests that were open at the end", effort.WorkPending},
 	} {
 		works.addRow(entry.name, formatNumber(entry.work), formatPercent(entry.work/max(effort.WorkRequested, minWork)))
@@ -81,15 +81,15 @@
 	return works
 }
 
-// maxDrawnProcesses is how many processes the plots of a run show.
+// maxDrawnProcesses is how many processes the plots of a run show at most.
 const maxDrawnProcesses = 6
 
-// processSection shows the processes and what they used.
+// processSection shows the processes and their resources.
 func processSection(result *score.Result, timeline *timeline) (processes section, hasContent bool) {
 	processes = section{ID: "processes", Title: "Processes", Tables: []table{processTable(result.Processes)}}
 	measured := mostCPUFirst(result.Processes)
 	if len(measured) > maxDrawnProcesses {
-		processes.Text = append(processes.Text, "Drawn are the six that took the most CPU.")
+		processes.Text = append(processes.Text, "The plots show the six processes with the most CPU time.")
 		measured = measured[:maxDrawnProcesses]
 	}
 	if len(measured) > 0 {
@@ -105,7 +105,7 @@
 	return processes, len(measured) > 0 || slices.ContainsFunc(result.Processes, wasStarted)
 }
 
-// mostCPUFirst returns the processes whose CPU time was measured, sorted with the greatest first.
+// mostCPUFirst returns the processes whose CPU time was measured, sorted by it in descending order.
 func mostCPUFirst(processes []score.Process) []score.Process {
 	measured := slices.DeleteFunc(slices.Clone(processes), func(process score.Process) bool {
 		return len(process.CPUBySecond) == 0
@@ -114,7 +114,7 @@
 	return measured
 }
 
-// processPlots returns the plots of what processes used.
+// processPlots returns the plots of the resources of processes.
 func processPlots(processes []score.Process) []timePlot {
 	const peak = "peak of each second"
 	var cpu, memory, files []lineSpec
--- a/internal/testbed/report/run_tables.go
+++ b/internal/testbed/report/run_tables.go
@@ -34,18 +34,18 @@
 	return []table{outcomes.table, latency}
 }
 
-// outcomeTable is the table of outcomes, with columns for the usual ones and for the others that occurred.
+// outcomeTable is the table of outcomes. It always has columns for the usual outcomes, and for the others if they occurred.
 type outcomeTable struct {
 	table    table
-	outcomes []int // that have a column
-	hasOpen  bool  // there is a column for open jobs
+	outcomes []int // those that have a column
+	hasOpen  bool  // it has a column for open jobs
 }
 
-// newOutcomeTable returns a table without lines, for the outcomes of all jobs.
+// newOutcomeTable returns a table without lines. whole, which has the outcomes of all jobs, determines the columns.
 func newOutcomeTable(whole *score.Group) *outcomeTable {
 	outcomes := &outcomeTable{
 		table: table{
-			Caption: "Jobs by what became of them, and worth earned over worth asked for",
+			Caption: "Jobs by outcome, and worth earned over worth asked for",
 			Columns: []string{"", "jobs", "worth", "earned", "in share"},
 		},
 		hasOpen: whole.Open > 0,
@@ -133,11 +133,11 @@
 // faultTable lists the faults of the timeline.
 func faultTable(faults []score.Fault) table {
 	list := table{
-		Caption: "The timeline, as numbered in the plots",
+		Caption: "Faults, numbered as in the plots",
 		Columns: []string{"fault", "from", "to"},
-		Summary: plural(len(faults), "fault", "faults") + " of the timeline",
+		Summary: plural(len(faults), "fault", "faults") + " of the scenario",
 	}
-	for i, fault := range faults[:min(len(faults), maxBands)] {
+	for i, fault := range faults[:min(len(faults), maxTimelineEntries)] {
 		off := "the end"
 		if fault.Off >= 0 {
 			off = formatSeconds(fault.Off)
@@ -147,14 +147,14 @@
 	return list
 }
 
-// markTable lists the marks of the timeline.
+// markTable lists the marks of the timeline: events of schedulers, and overloads of workers.
 func markTable(marks []score.Mark) table {
 	list := table{
-		Caption: "What befell schedulers, and workers that were overloaded",
+		Caption: "Restarts, signals and exits of schedulers, and overloads of workers",
 		Columns: []string{"what", "when"},
 		Summary: plural(len(marks), "mark", "marks"),
 	}
-	for _, mark := range marks[:min(len(marks), maxBands)] {
+	for _, mark := range marks[:min(len(marks), maxTimelineEntries)] {
 		list.addRow(mark.Text, formatSeconds(mark.At))
 	}
 	return list
--- a/internal/testbed/report/run_test.go
+++ b/internal/testbed/report/run_test.go
@@ -33,7 +33,7 @@
 	coloured := write(true)
 	stripped := regexp.MustCompile("\x1b\\[[0-9]*m").ReplaceAllString(coloured, "")
 	if stripped != write(false) || stripped == coloured {
-		t.Error("colours change the text, or there are none")
+		t.Error("colours change the text, or there are no colours")
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// sampleSnapshot returns how a run stands after some milliseconds. Two faults are active in its third second.
+// sampleSnapshot returns a snapshot of a run after some milliseconds. Two faults are active in the third second.
 func sampleSnapshot(ms int) *score.Snapshot {
 	snapshot := &score.Snapshot{
 		At: time.Duration(ms) * time.Millisecond, JobsDue: ms / 10, InTime: ms / 20, Rejected: ms / 1000,
@@ -121,7 +121,7 @@
 		"a rule broken once", "prefers-color-scheme: dark", "scheduler 0 killed",
 	} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("%q is not in the page", want)
+			t.Errorf("the page lacks %q", want)
 		}
 	}
 }
--- a/internal/testbed/report/run_text.go
+++ b/internal/testbed/report/run_text.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/score"
 )
 
-// How many entries of each list a page has room for.
+// How many lines of each list a page has room for.
 const (
 	maxPageViolations   = 4
 	maxPageNotChecked   = 2
@@ -31,8 +31,8 @@
 	faultActiveMark = '!'
 )
 
-// WritePage writes the page of figures that ends a run: at most 60 lines of 100 columns, with colours only where w is a
-// terminal and NO_COLOR is not set. The verdict may be nil. The error is that of the writer.
+// WritePage writes the page of figures that is shown at the end of a run: at most 60 lines of 100 columns, with colours only
+// if w is a terminal and NO_COLOR is not set. The verdict may be nil. The error is that of the writer.
 func WritePage(w io.Writer, result *score.Result, verdict *Verdict, evaluations []score.Evaluation) error {
 	page := &textPage{colour: useColors(w)}
 	page.write(result, verdict, evaluations)
@@ -50,10 +50,10 @@
 	p.writeSeconds(result)
 	p.writeEffort(result)
 	p.writeDisturbances(result.Disturbances)
-	writeSome(p, evaluations, maxPageExpectations, "expectations", p.writeEvaluation)
+	writeAtMost(p, evaluations, maxPageExpectations, "expectations", p.writeEvaluation)
 }
 
-// summaryOf returns the few words under a run's name.
+// summaryOf returns the line under a run's name: driver, seed, numbers of workers and schedulers, and times.
 func summaryOf(result *score.Result) string {
 	var parts []string
 	if result.Driver != "" {
@@ -86,10 +86,10 @@
 	if verdict == nil {
 		return
 	}
-	writeSome(p, verdict.Violations, maxPageViolations, "violations", func(violation *Violation) {
+	writeAtMost(p, verdict.Violations, maxPageViolations, "violations", func(violation *Violation) {
 		p.line(poor, "  %s at %s: %s", violation.Rule, formatSeconds(violation.At.Seconds()), violation.Text)
 	})
-	writeSome(p, verdict.NotChecked, maxPageNotChecked, "things left out", func(reason *string) {
+	writeAtMost(p, verdict.NotChecked, maxPageNotChecked, "things left out", func(reason *string) {
 		p.line(faint, "  left out: %s", *reason)
 	})
 }
@@ -107,8 +107,8 @@
 	p.line(faint, "%-18s%7s%8s%7s%8s%7s%9s%6s  %8s%8s%8s", "", "jobs", "in time", "late", "refused", "failed", "unansw.",
 		"lost", "p50", "p99", "max")
 	p.writeGroup(&result.Whole)
-	writeSome(p, result.Classes, maxPageClasses, "classes", p.writeGroup)
-	writeSome(p, worstFirst(result.Tenants, maxPageTenants), maxPageTenants, "tenants", p.writeGroup)
+	writeAtMost(p, result.Classes, maxPageClasses, "classes", p.writeGroup)
+	writeAtMost(p, worstFirst(result.Tenants, maxPageTenants), maxPageTenants, "tenants", p.writeGroup)
 	p.line(plain, "")
 }
 
@@ -126,7 +126,8 @@
 	return formatPercent(float64(group.Outcomes[outcome]) / float64(max(1, group.JobsDue)))
 }
 
-// worstFirst returns a list of at most maxGroups groups as it is, and a longer one sorted with the worst first.
+// worstFirst returns a list of at most maxGroups groups as it is, and a longer one sorted by the earned share within quota,
+// the lowest first.
 func worstFirst(groups []score.Group, maxGroups int) []score.Group {
 	if len(groups) <= maxGroups {
 		return groups
@@ -138,12 +139,12 @@
 	return sorted
 }
 
-// secondsLine is a series as a page shows it.
+// secondsLine is a series that a page shows as a sparkline.
 type secondsLine struct {
 	name      string
 	series    score.Series
 	summarize func(score.Series) float64
-	top       float64 // that a full character stands for; 0: the greatest value
+	top       float64 // value of a full character; 0: the greatest value of the series
 	format    func(float64) string
 }
 
@@ -170,7 +171,7 @@
 	p.line(plain, "")
 }
 
-// activeSeconds returns after how many seconds, at least one, nothing happened any more.
+// activeSeconds returns the number of seconds until the last one with jobs, at least 1.
 func activeSeconds(seconds *score.Seconds) int {
 	end := len(seconds.DueValue)
 	for end > 1 && seconds.DueValue[end-1] == 0 && seconds.InFlight[end-1] == 0 && seconds.GoodputJobs[end-1] == 0 {
@@ -188,7 +189,7 @@
 	p.line(plain, "%-12s%-*s  max %s", line.name, sparklineWidth, sparkline(series, top), line.format(series.Max()))
 }
 
-// faultMarks returns a mark for each part of the run in which a fault was active, and a space for each other part.
+// faultMarks returns a character for each part of the run: a mark if a fault was active in it, and else a space.
 func faultMarks(faults []score.Fault, parts, secondsPerMark int) string {
 	marks := []byte(strings.Repeat(" ", parts))
 	for part := range marks {
@@ -240,7 +241,7 @@
 	measured := slices.DeleteFunc(slices.Clone(result.Processes), func(process score.Process) bool {
 		return process.PeakMemory <= 0 && process.CPU <= 0
 	})
-	writeSome(p, measured, maxPageProcesses, "processes", func(process *score.Process) {
+	writeAtMost(p, measured, maxPageProcesses, "processes", func(process *score.Process) {
 		p.line(plain, "%-12s%s cores; peak memory %s, descriptors %s", processName(process.Scheduler),
 			formatNumber(process.Cores), formatBytes(float64(process.PeakMemory)), formatCount(process.PeakFiles))
 	})
@@ -259,7 +260,7 @@
 }
 
 func (p *textPage) writeDisturbances(disturbances []score.Disturbance) {
-	writeSome(p, disturbances, maxPageDisturbances, "disturbances", func(disturbance *score.Disturbance) {
+	writeAtMost(p, disturbances, maxPageDisturbances, "disturbances", func(disturbance *score.Disturbance) {
 		style := plain
 		if !disturbance.Recovered {
 			style = poor
@@ -272,7 +273,7 @@
 	}
 }
 
-// recoveryText says how goodput recovered from a disturbance.
+// recoveryText describes how goodput recovered from a disturbance.
 func recoveryText(disturbance *score.Disturbance) string {
 	if !disturbance.HasDip {
 		return "no dip;"
--- a/internal/testbed/report/run_timeline.go
+++ b/internal/testbed/report/run_timeline.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/testbed/score"
 )
 
-// maxDrawnClasses is how many classes the plots of a run show.
+// maxDrawnClasses is how many classes the plots of a run show at most.
 const maxDrawnClasses = 5
 
 // timelineSection draws a run over time.
@@ -16,7 +16,7 @@
 		overTime.Plots = append(overTime.Plots, timeline.plot(spec))
 	}
 	if len(result.Seconds.Classes) > maxDrawnClasses {
-		overTime.Text = []string{"Of the classes the first five are drawn."}
+		overTime.Text = []string{"The plots show the first five classes."}
 	}
 	return overTime
 }
@@ -26,14 +26,14 @@
 	seconds := &result.Seconds
 	return []timePlot{
 		{
-			id: "goodput", title: "Asked for and answered in time", yName: "worth a second", height: 300,
+			id: "goodput", title: "Asked for and answered in time", yName: "worth per second", height: 300,
 			text: formatNumber, labels: true, lines: []lineSpec{
 				{name: "asked for, when due", series: seconds.DueValue, area: true},
 				{name: "answered in time, when answered", series: seconds.GoodputValue, strong: true},
 			},
 		},
 		{
-			id: "kept", title: "Share of the worth due in a second that was earned", yName: "mean of two seconds",
+			id: "kept", title: "Earned share of the worth due in each second", yName: "mean over two seconds",
 			height: 220, top: 1, text: formatPercent, lines: earnedShareLines(result),
 		},
 		{
@@ -45,11 +45,11 @@
 			},
 		},
 		{
-			id: "flight", title: "In flight", yName: "jobs due and not over", height: 220, text: formatNumber,
+			id: "flight", title: "In flight", yName: "jobs due and not ended", height: 220, text: formatNumber,
 			lines: inFlightLines(seconds),
 		},
 		{
-			id: "rejections", title: "Rejections and attempts", yName: "a second", height: 200, text: formatNumber,
+			id: "rejections", title: "Rejections and attempts", yName: "per second", height: 200, text: formatNumber,
 			lines: []lineSpec{
 				{name: "jobs due", series: seconds.DueJobs, area: true},
 				{name: "requests rejected by schedulers", series: seconds.Rejected, strong: true},
@@ -75,7 +75,7 @@
 	return lines
 }
 
-// inFlightLines returns the jobs in flight, all and of each class.
+// inFlightLines returns the jobs in flight, in total and of each class.
 func inFlightLines(seconds *score.Seconds) []lineSpec {
 	lines := []lineSpec{{name: "all", series: seconds.InFlight, area: true}}
 	for _, class := range drawnClasses(seconds) {
@@ -84,7 +84,7 @@
 	return lines
 }
 
-// maxListedWorkers is how many workers the table of workers shows.
+// maxListedWorkers is how many workers the table of workers shows at most.
 const maxListedWorkers = 30
 
 // fleetSection shows the occupancy of workers.
@@ -95,7 +95,7 @@
 		upShare[i] = workersUp / float64(max(1, len(fleet.Workers)))
 	}
 	occupancy := timePlot{
-		id: "occupancy", title: "Occupancy of the fleet, and workers up", yName: "of slots up, and of all",
+		id: "occupancy", title: "Occupancy of the fleet, and workers up", yName: "share of slots up, and of all workers",
 		height: 180, top: 1, text: formatPercent, lines: []lineSpec{
 			{name: "occupancy", series: result.Seconds.Occupancy, area: true},
 			{name: "workers up", series: upShare},
@@ -103,7 +103,7 @@
 	}
 	return section{
 		ID: "fleet", Title: "Workers",
-		Text: []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
+		Text: []string{fmt.Sprintf("The occupancy of the fleet is %s; that of the busiest worker, w-%d, is %s, %s times the mean.",
 			formatPercent(fleet.Whole), fleet.BusiestWorker, formatPercent(fleet.Busiest), formatNumber(fleet.OverMean))},
 		Strip:  timeline.strip(fleet),
 		Plots:  []*plot{timeline.plot(occupancy)},
--- a/internal/testbed/report/series.go
+++ b/internal/testbed/report/series.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/testbed/score"
 )
 
-// thinSeries returns a series of at most maxPoints values, each of which summarizes some seconds, and how many. A series
-// that is short enough is returned as it is.
+// thinSeries returns a series of at most maxPoints values, each of which summarizes secondsPerPoint seconds. A series that is
+// short enough is returned as it is.
 func thinSeries(series score.Series, maxPoints int, summarize func(part score.Series) float64) (
 	thinned score.Series, secondsPerPoint int,
 ) {
@@ -21,7 +21,7 @@
 	return thinned, secondsPerPoint
 }
 
-// divideUp divides whole numbers that are not negative and rounds up.
+// divideUp divides integers that are not negative, and rounds up.
 func divideUp(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
 
 // meanOf returns the mean of the finite values; NaN if there are values but none is finite, 0 for an empty series.
@@ -50,8 +50,8 @@
 	return greatest
 }
 
-// ratio returns earned over requested by the second, up to end, each as a mean with the second that follows. It is NaN where
-// nothing was requested.
+// ratio returns, for each second up to end, earned over requested in that second and the next. It is NaN if nothing was
+// requested in them.
 func ratio(requested, earned score.Series, end float64) score.Series {
 	const window = 2
 	ratios := make(score.Series, min(len(requested), int(math.Ceil(end))))
@@ -65,7 +65,7 @@
 	return ratios
 }
 
-// meanSeries returns the mean of a series over those runs that reach each second.
+// meanSeries returns the mean of a series over several runs, in each second over those runs that reach it.
 func meanSeries(results []*score.Result, seriesOf func(*score.Seconds) score.Series) score.Series {
 	var means score.Series
 	var counts []float64
--- a/internal/testbed/report/strip.go
+++ b/internal/testbed/report/strip.go
@@ -13,15 +13,15 @@
 	maxStripColumns            = 240
 	stripShades                = 8
 	stripTopEdge        pixels = 8
-	stripHeight                = 320 // that a strip is brought to by the height of its lines
+	stripHeight                = 320 // height that the height of lines is chosen for
 	minStripLineHeight         = 8
 	maxStripLineHeight         = 22
-	manyStripLines             = 100 // above it, lines have the height that follows
+	manyStripLines             = 100 // with more lines than this, each has manyStripLineHeight
 	manyStripLineHeight pixels = 3
-	stripTickHeight            = 14 // room for a label of a line
+	stripTickHeight            = 14 // room for the label of a line
 )
 
-// strip shows the occupancy of workers over time: a line for each, or for some that lie side by side.
+// strip shows the occupancy of workers over time, with a line for each worker or for several with consecutive numbers.
 type strip struct {
 	ID, Title, Description           string
 	Remark                           string
@@ -38,17 +38,17 @@
 	Class, D, Name string
 }
 
-// Bottom is the lower border of the area, for the template.
+// Bottom returns the lower border of the area. The template calls it.
 func (s *strip) Bottom() pixels { return s.TopEdge + s.AreaH }
 
-// TextY is the base line of the horizontal axis's labels, for the template.
+// TextY returns the baseline of the horizontal axis's labels. The template calls it.
 func (s *strip) TextY() pixels { return s.Bottom() + 16 }
 
-// stripGrid is the occupancy in the cells of a strip, each of which stands for some seconds.
+// stripGrid is the occupancy in the cells of a strip. A cell stands for a line's workers in some seconds.
 type stripGrid struct {
 	lines           []score.StripLine
 	columns         int
-	cellsPerColumn  int     // cells of the result that one column stands for
+	cellsPerColumn  int     // cells of the result in one column
 	secondsInColumn float64 // length of a column
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// strip draws the occupancy of workers; nil: there are no figures.
+// strip draws the occupancy of workers. It returns nil if there are no figures.
 func (t *timeline) strip(occupancy *score.Occupancy) *strip {
 	grid := newStripGrid(occupancy)
 	if grid.columns == 0 {
@@ -93,7 +93,7 @@
 		strip.Bands = append(strip.Bands, band{X: xScale.at(fault.On), Text: fmt.Sprintf("%d. %s", i+1, fault.Text)})
 	}
 	if workers := divideUp(len(occupancy.Workers), len(grid.lines)); workers > 1 {
-		strip.Remark = fmt.Sprintf("each line up to %d workers side by side", workers)
+		strip.Remark = fmt.Sprintf("each line up to %d consecutive workers", workers)
 	}
 	strip.Description = fmt.Sprintf("%s in %s, each cell %s. The fleet's occupancy is %s; the busiest, w-%d, has %s.",
 		plural(len(occupancy.Workers), "worker", "workers"), plural(len(grid.lines), "line", "lines"),
@@ -127,7 +127,7 @@
 	return min(int(sum/float64(count)*stripShades), stripShades-1)
 }
 
-// levels draws the cells of each shade. Idle cells are not drawn: they show the ground.
+// levels draws the cells of each shade. Idle cells are not drawn: the background shows them.
 func (g *stripGrid) levels() []stripLevel {
 	paths := make([]strings.Builder, stripShades+1)
 	for line := range g.lines {
--- a/internal/testbed/report/textpage.go
+++ b/internal/testbed/report/textpage.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// A page is for a terminal of this size.
+// A page fits a terminal of this size.
 const (
 	pageWidth = 100
 	pageLines = 60
 )
 
-// Styles of a line: the escape sequence that it begins with.
+// Styles of a line: the escape sequences that begin it.
 const (
 	plain  = ""
 	strong = "\x1b[1m"
@@ -37,7 +37,7 @@
 	return err == nil
 }
 
-// useColors reports whether w is a terminal that shows colours, and the user wants them.
+// useColors reports whether w is a terminal that shows colours, and NO_COLOR is not set.
 func useColors(w io.Writer) bool {
 	return os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && isTerminal(w)
 }
@@ -63,8 +63,9 @@
 	return err
 }
 
-// writeSome writes at most maxLines lines of a list, the last of which says how many entries are left, if any are.
-func writeSome[T any](p *textPage, list []T, maxLines int, name string, write func(entry *T)) {
+// writeAtMost writes a list in at most maxLines lines. If the list is longer, the last line says how many entries are left
+// out.
+func writeAtMost[T any](p *textPage, list []T, maxLines int, name string, write func(entry *T)) {
 	for i := range list {
 		if i == maxLines-1 && len(list) > maxLines {
 			p.line(faint, "  … and %d more %s", len(list)-i, name)
@@ -74,7 +75,7 @@
 	}
 }
 
-// truncateLine cuts a line to a number of characters, and puts spaces for control characters.
+// truncateLine cuts a line to a number of characters, and replaces control characters by spaces.
 func truncateLine(line string, width int) string {
 	line = strings.Map(func(char rune) rune {
 		if isControl(char) || char > 0x7f && char < 0xa0 {
@@ -88,7 +89,7 @@
 	return string([]rune(line)[:width-1]) + "…"
 }
 
-// barBlocks fill a character from the left by eighths.
+// barBlocks are characters that are filled from the left by 0 to 8 eighths.
 var barBlocks = []rune(" ▏▎▍▌▋▊▉█")
 
 // bar draws a fraction as a bar of a number of characters.
@@ -104,10 +105,11 @@
 	return strings.TrimRight(text.String(), " ")
 }
 
-// sparkBlocks fill a character from below by eighths.
+// sparkBlocks are characters that are filled from below by 0 to 8 eighths.
 var sparkBlocks = []rune(" ▁▂▃▄▅▆▇█")
 
-// sparkline draws a series, a character for each value, with top as the greatest. A value above 0 always shows.
+// sparkline draws a series with a character for each value. A full character stands for top; values above 0 fill at least an
+// eighth.
 func sparkline(series []float64, top float64) string {
 	full := len(sparkBlocks) - 1
 	var text strings.Builder
--- a/internal/testbed/report/timeline.go
+++ b/internal/testbed/report/timeline.go
@@ -10,16 +10,16 @@
 
 // Bounds of plots over time.
 const (
-	maxCurvePoints    = 500  // of a curve; each may stand for several seconds
-	maxBands          = 400  // faults and marks that are drawn or listed
-	yHeadroom         = 1.04 // how far a linear vertical axis goes beyond the greatest value
-	minLogValue       = 0.1  // least value that a logarithmic axis begins with
-	minLogMaxValue    = 1.0  // least value that it ends with
-	minLogSpan        = 2.0  // how many times its begin it ends at least
-	defaultLinearHigh = 1.0  // end of a linear axis without values
+	maxCurvePoints     = 500  // of a curve; a point may stand for several seconds
+	maxTimelineEntries = 400  // faults, and marks, that are drawn or listed
+	yHeadroom          = 1.04 // end of a linear vertical axis, as a multiple of the greatest value
+	minLogValue        = 0.1  // minimum beginning of a logarithmic axis
+	minLogMaxValue     = 1.0  // minimum end of a logarithmic axis
+	minLogSpan         = 2.0  // minimum ratio of its end and its beginning
+	defaultLinearHigh  = 1.0  // end of a linear axis without values
 )
 
-// timeline is what all plots of a run have in common.
+// timeline has the data that all plots over time of a run share.
 type timeline struct {
 	end    float64 // seconds since the run's start
 	faults []score.Fault
@@ -29,12 +29,12 @@
 // lineSpec describes a curve of a plot over time.
 type lineSpec struct {
 	name      string
-	class     string // empty: by its index among the lines
+	class     string // style class; empty: chosen by the line's index
 	series    score.Series
 	area      bool
 	strong    bool
-	gaps      bool                       // 0 is no value
-	summarize func(score.Series) float64 // of the seconds that a point stands for; nil: their mean
+	gaps      bool                       // 0 means that there is no value
+	summarize func(score.Series) float64 // value of a point from its seconds; nil: their mean
 }
 
 // timePlot describes a plot of series by the second, with the run's faults.
@@ -42,14 +42,16 @@
 	id, title, yName string
 	height           pixels
 	lines            []lineSpec
-	top              float64 // end of the vertical axis; 0: as high as the values are
+	top              float64 // end of the vertical axis; 0: that of the greatest value
 	log              bool
 	text             func(float64) string // formats a value
-	labels           bool                 // faults are named, not just numbered
+	labels           bool                 // faults are labelled with their texts, not only numbers
 }
 
 // drawnFaults are the faults that plots show.
-func (t *timeline) drawnFaults() []score.Fault { return t.faults[:min(len(t.faults), maxBands)] }
+func (t *timeline) drawnFaults() []score.Fault {
+	return t.faults[:min(len(t.faults), maxTimelineEntries)]
+}
 
 // plot draws a plot over time.
 func (t *timeline) plot(spec timePlot) *plot {
@@ -57,7 +59,7 @@
 	labelLevels := t.addBands(plot, spec.labels)
 	plot.addHeadroom(labelHeight * pixels(max(0, labelLevels-1)))
 	spec.lines = t.padded(spec.lines)
-	formatY := func(value float64) string { return shorten(spec.text(value)) }
+	formatY := func(value float64) string { return trimTickZeros(spec.text(value)) }
 	plot.setAxes(scale{high: max(t.end, 1)}, spec.yScale(), formatTick, formatY)
 	descriptions := make([]string, 0, len(spec.lines))
 	var hovers hoverTexts
@@ -82,7 +84,7 @@
 	return plot
 }
 
-// padded returns copies of lines whose series are all as long as the longest of them, but no longer than the plot.
+// padded returns copies of the lines with series of equal length: that of the longest, but not longer than the plot.
 func (t *timeline) padded(lines []lineSpec) []lineSpec {
 	length := 0
 	for i := range lines {
@@ -129,14 +131,14 @@
 	return low
 }
 
-// logScale returns a logarithmic scale from a power of ten at or below low to high.
+// logScale returns a logarithmic scale for values from low to high. It begins with a power of ten.
 func logScale(low, high float64) scale {
 	low = max(low, minLogValue)
 	high = max(high, minLogMaxValue)
 	return scale{low: floorPowerOfTen(min(low, high/minLogSpan)), high: high, log: true}
 }
 
-// points returns the values of the line's points, and how many seconds each stands for.
+// points returns the values of the line's points, and the number of seconds in each.
 func (l *lineSpec) points() (values score.Series, secondsPerPoint int) {
 	summarize := l.summarize
 	if summarize == nil {
@@ -145,7 +147,7 @@
 	return thinSeries(l.series, maxCurvePoints, summarize)
 }
 
-// coordinates returns the times, up to end, and the values of the line's points; NaN is a gap.
+// coordinates returns the times, at most end, and the values of the line's points. NaN stands for a gap.
 func (l *lineSpec) coordinates(points score.Series, secondsPerPoint int, end float64, log bool) (xs, ys []float64) {
 	xs, ys = make([]float64, len(points)), make([]float64, len(points))
 	for i, value := range points {
@@ -158,7 +160,7 @@
 	return xs, ys
 }
 
-// hoverTexts are the texts that a plot shows on hovering, one for each point in time.
+// hoverTexts are the texts that a plot shows on hovering, one for each point.
 type hoverTexts struct {
 	secondsPerPoint int
 	texts           []string
--- a/internal/testbed/report/variation.go
+++ b/internal/testbed/report/variation.go
@@ -10,28 +10,29 @@
 	"valvecove/internal/testbed/score"
 )
 
-// Variation is runs over the values of a parameter, and perhaps of a second one: a curve for each value of that.
+// Variation has the runs over several values of a parameter. There may be a second parameter, with a curve for each of its
+// values.
 type Variation struct {
 	Title       string
 	Description string
 	Param       string
-	Second      string // empty: there is one curve only
+	Second      string // name of the second parameter; empty: there is none
 	Metric      string // the headline that is drawn; empty: mix
 	Curves      []Curve
-	Scenario    string // its text
+	Scenario    string // text of its file
 	Build       string
 }
 
-// Curve is the runs with one value of the second parameter.
+// Curve has the runs with one value of the second parameter.
 type Curve struct {
 	Name   string
 	Points []Point // in order of X
 }
 
-// Point is the runs with one value of the parameter, over some seeds.
+// Point has the runs with one value of the parameter, over several seeds.
 type Point struct {
 	X       float64
-	Label   string // of a value that is no number, whose X is its index from 1 on
+	Label   string // the value if it is not a number; X is its index then, from 1 on
 	Results []*score.Result
 	Broken  int // violations, over all runs
 }
@@ -71,8 +72,8 @@
 	return score.SpreadOf(headline.Values(p.Results))
 }
 
-// Knee returns the index of the point of a curve where the drawn headline bends most, as score.Knee finds it. ok is false
-// if there is none, as for values that are not numbers.
+// Knee returns the index of the point of a curve at which the drawn headline bends most, as score.Knee finds it. ok is false
+// if there is none, or if values of the parameter are not numbers.
 func (v *Variation) Knee(curve *Curve) (index int, ok bool) {
 	headline := v.headline()
 	var xs, ys []float64
@@ -87,7 +88,7 @@
 	return score.Knee(xs, ys, headline.Better)
 }
 
-// describeKnee says where a curve's knee is, or that it has none.
+// describeKnee returns a text that says where a curve's knee is, or that there is none.
 func (v *Variation) describeKnee(curve *Curve) string {
 	name := v.Param
 	if curve.Name != "" {
@@ -104,10 +105,10 @@
 
 // jsonPoint is the stored form of a point.
 type jsonPoint struct {
-	X       float64 `json:"x"`
-	Label   string  `json:"label,omitempty"`
-	Broken  int     `json:"rules_broken"`
-	Figures means   `json:"figures"`
+	X       float64       `json:"x"`
+	Label   string        `json:"label,omitempty"`
+	Broken  int           `json:"rules_broken"`
+	Figures spreadsByName `json:"figures"`
 }
 
 // jsonCurve is the stored form of a curve.
@@ -157,7 +158,7 @@
 	return stored
 }
 
-// variationMetrics are the headlines in the table of a variation. The first gives way to the one that is drawn.
+// variationMetrics are the headlines in the table of a variation. The headline that is drawn replaces the first.
 var variationMetrics = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
 
 // table returns the table of a variation, with the knees marked.
--- a/internal/testbed/report/variation_html.go
+++ b/internal/testbed/report/variation_html.go
@@ -10,20 +10,20 @@
 
 // Scales of the plot of a variation.
 const (
-	minLogRatio = 50   // greatest over least value from which on the horizontal axis is logarithmic
-	xPadding    = 0.02 // room beside the points on a linear axis, as a fraction of its length
+	minLogRatio = 50   // ratio of greatest and least value from which on the horizontal axis is logarithmic
+	xPadding    = 0.02 // room beside the points on a linear axis, as a fraction of their range
 )
 
-// WriteVariation writes a variation as one file of HTML: the curves with their knees, and a table. The error is that of
-// the writer or the template.
+// WriteVariation writes a variation as one HTML file: the curves with their knees, and a table. The error is that of the
+// writer or the template.
 func WriteVariation(w io.Writer, variation *Variation) error {
 	document := &document{Title: variation.Title, Description: variation.Description}
 	document.addBuild(variation.Build)
 	curves := section{
 		ID: "curve", Title: "The curve and its knee", Plots: []*plot{variation.plot()},
-		Text: []string{"Each point is the mean over the seeds, with its 95% interval. With both axes brought to 0 to 1, " +
-			"the knee is the point farthest from the straight line between the first point and the last, on its better " +
-			"side; a curve that does not leave that line by a tenth there has none."},
+		Text: []string{"Each point is the mean over the seeds, with its 95% interval. The knee is the point farthest " +
+			"from the straight line between the first point and the last, on the side of better values, with both axes scaled to the " +
+			"range from 0 to 1. A curve without a point that is a tenth away from that line has no knee."},
 	}
 	for i := range variation.Curves {
 		curves.Text = append(curves.Text, capitalize(variation.describeKnee(&variation.Curves[i]))+".")
@@ -38,7 +38,7 @@
 	headline := v.headline()
 	plot := newPlot("sweep", headline.Name+" over "+v.Param, v.Param, headline.Description, 380)
 	labels := v.valueLabels()
-	formatY := func(value float64) string { return shorten(formatFigure(headline.Name, value)) }
+	formatY := func(value float64) string { return trimTickZeros(formatFigure(headline.Name, value)) }
 	plot.setAxes(v.xScale(len(labels) > 0), v.yScale(&headline), formatTick, formatY)
 	if len(labels) > 0 {
 		plot.XTicks = v.labelTicks(&plot.xScale, labels)
@@ -52,8 +52,8 @@
 	return plot
 }
 
-// xScale returns the horizontal scale that fits all points. It is logarithmic for numbers of several magnitudes, such as
-// fleets of 10 to 10,000 workers.
+// xScale returns the horizontal scale that fits all points. It is logarithmic for numbers that range over several orders of
+// magnitude, such as fleets of 10 to 10,000 workers.
 func (v *Variation) xScale(labelled bool) scale {
 	low, high := math.Inf(1), math.Inf(-1)
 	for point := range v.points() {
@@ -69,7 +69,7 @@
 	return scale{low: low - padding, high: high + padding}
 }
 
-// yScale returns the vertical scale that fits all intervals of a headline, and 0.
+// yScale returns a vertical scale that fits 0 and all intervals of a headline.
 func (v *Variation) yScale(headline *score.Headline) scale {
 	yScale := scale{}
 	for point := range v.points() {
@@ -84,7 +84,7 @@
 	return yScale
 }
 
-// valueLabels returns the labels of the values that are not numbers, by X.
+// valueLabels returns, by X, the labels of values that are not numbers.
 func (v *Variation) valueLabels() map[float64]string {
 	labels := map[float64]string{}
 	for point := range v.points() {
@@ -110,7 +110,7 @@
 	return ticks
 }
 
-// drawCurve draws a curve with a dot for each of its points that has figures.
+// drawCurve draws a curve with a dot for each point that has a value.
 func (v *Variation) drawCurve(plot *plot, source *Curve, class string, headline *score.Headline) {
 	knee, hasKnee := v.Knee(source)
 	var values, means []float64
--- a/internal/testbed/report/variation_test.go
+++ b/internal/testbed/report/variation_test.go
@@ -36,7 +36,7 @@
 	}
 	checkGoldenText(t, "sweep.outline", outline(t, page.String()))
 	if strings.Count(page.String(), `class="knee"`) != 1 {
-		t.Error("not one knee")
+		t.Error("expected exactly one knee in the page")
 	}
 	checkJSONKeys(t, variation, "curves", "figure")
 }
--- a/internal/testbed/report/variation_text.go
+++ b/internal/testbed/report/variation_text.go
@@ -7,15 +7,15 @@
 	"valvecove/internal/testbed/score"
 )
 
-// textColumn is a column of the table of a variation as a terminal shows it.
+// textColumn is a column of a variation's table on a terminal.
 type textColumn struct {
-	index        int // in the table; negative: from its end
+	index        int // in the table; negative: counted from its end
 	width        int // negative: aligned to the left
 	title        string
 	withInterval bool
 }
 
-// variationColumns are the columns that fit a terminal.
+// variationColumns are the columns of the table that are shown on a terminal.
 var variationColumns = []textColumn{
 	{index: 0, width: -24, withInterval: true},
 	{index: 1, width: 16, withInterval: true},
@@ -44,7 +44,7 @@
 	return page.writeTo(w)
 }
 
-// writeVariationTable writes the columns of a variation's table that fit.
+// writeVariationTable writes the variationColumns of a variation's table.
 func (p *textPage) writeVariationTable(figures table) {
 	titles := ""
 	for _, column := range variationColumns {
