--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -31,15 +31,15 @@
 	Work(job uint64) (work, slots float64, ok bool)
 }
 
-// Maker creates a policy in its initial state.
-type Maker func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy
+// Factory creates a policy in its initial state.
+type Factory func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy
 
 // Policy is one baseline policy.
 type Policy struct {
 	Name        string
 	Description string // one sentence
-	// ForRun returns the Maker for one run, which is called for each scheduler. The policies of a run may share state.
-	ForRun func() Maker
+	// ForRun returns the Factory for one run, which is called for each scheduler. The policies of a run may share state.
+	ForRun func() Factory
 }
 
 // All returns the baseline policies, from the lower bound to the upper bound.
@@ -56,7 +56,7 @@
 			withChooser(func(b *base) chooser { return &leastOutstanding{base: b} }),
 		},
 		{"all-seeing", "the request first whose start can wait least, to a worker that truly can start it now and" +
-			" be in time; what can't be in time is rejected", func() Maker {
+			" be in time; what can't be in time is rejected", func() Factory {
 			flight := &sharedFlight{}
 			return func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy {
 				b := newBase(set, seed)
@@ -78,8 +78,8 @@
 }
 
 // withChooser returns Policy.ForRun for a policy that sends each job at once to the worker that a chooser selects.
-func withChooser(choose func(b *base) chooser) func() Maker {
-	return func() Maker {
+func withChooser(choose func(b *base) chooser) func() Factory {
+	return func() Factory {
 		return func(set dispatch.Settings, seed uint64, _ Oracle) requests.Policy {
 			b := newBase(set, seed)
 			b.policy = &immediate{base: b, chooser: choose(b)}
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -127,9 +127,9 @@
 	oracle.views[0].Up = false
 	oracle.views[1].Queued = 1
 	oracle.work = func(job uint64) float64 { return 1 / float64(job) } // a later job has less work, so that it can wait longer
-	maker := All()[4].ForRun()
-	first := maker(testSettings, 1, oracle)
-	second := maker(testSettings, 2, oracle)
+	factory := All()[4].ForRun()
+	first := factory(testSettings, 1, oracle)
+	second := factory(testSettings, 2, oracle)
 	first.Step(1, []dispatch.Event{listOf(3)}, nil)
 	second.Step(1, []dispatch.Event{listOf(3)}, nil)
 	// Only worker 3 has free slots, four: it gets the four jobs that can wait least, and the others are queued.
--- a/internal/testbed/baseline/heap.go
+++ b/internal/testbed/baseline/heap.go
@@ -1,7 +1,7 @@
 package baseline
 
-// startsBefore is the order of the heap: jobs within their tenant's quota come before those over quota, and then the job with
-// the earliest latest start comes first.
+// startsBefore is the order of the heap: jobs within their tenant's quota come before those over quota. In each of these sets
+// the job that must start first to meet its objective comes first.
 func startsBefore(first, second *job) bool {
 	if first.overQuota != second.overQuota {
 		return second.overQuota
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	scanInterval          = 2 * time.Millisecond   // while a job is queued: other schedulers' jobs free slots too
-	scanIntervalPerWorker = time.Microsecond       // added to it for each ready worker, as a scan examines all
+	scanInterval          = 2 * time.Millisecond   // between scans with queued jobs: other schedulers' jobs free slots too
+	scanIntervalPerWorker = time.Microsecond       // for each ready worker, if that is longer: a scan examines all of them
 	hedgeCheckInterval    = 50 * time.Millisecond  // between checks for unreachable workers
 	maxFlightAge          = 250 * time.Millisecond // after which slots of attempts not yet started count as free
 	enoughCandidates      = 24                     // candidates after which a choice ends if it has found a worker
@@ -23,7 +23,7 @@
 )
 
 // omniscient is the policy that sees the true state of all workers and the true work of each job. Jobs are not queued at
-// workers: a job that can't start now is queued here, and the job with the earliest latest start is sent first.
+// workers: a job that can't start now is queued here, in the order of startsBefore.
 type omniscient struct {
 	*base
 	oracle        Oracle
--- a/internal/testbed/report/format.go
+++ b/internal/testbed/report/format.go
@@ -108,7 +108,7 @@
 	return formatCount(count) + " " + plural
 }
 
-// trimTickZeros removes trailing zeros from the decimals of a number that a unit may follow. Ticks of axes are shown so.
+// trimTickZeros removes trailing zeros from the decimals of a number, which a unit may follow, for the ticks of an axis.
 func trimTickZeros(text string) string {
 	end := strings.LastIndexAny(text, "0123456789") + 1
 	number, unit := text[:end], text[end:]
--- a/internal/testbed/report/run_effort.go
+++ b/internal/testbed/report/run_effort.go
@@ -54,7 +54,7 @@
 
 // workTable returns the work of workers and the causes of waste, as totals and as fractions of the work requested.
 func workTable(effort *score.Effort, waste *score.Waste) table {
-	const minWork = 1e-9 // divisor of fractions at least, as 0 is possible
+	const minWork = 1e-9 // minimum divisor of fractions, as the work requested may be 0
 	works := table{
 		Caption: "Work, in seconds at speed 1 times slots",
 		Columns: []string{"", "work", "of the work asked for"},
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -10,7 +10,7 @@
 const MaxProcessWorkers = 1000
 
 const (
-	defaultCapacityShare = 0.6        // if the load has none of of, rate and closed
+	defaultCapacityShare = 0.6        // load.of, if load.rate and load.closed are absent too
 	defaultHintSpread    = 0.5        // log-normal spread of rough hints
 	defaultHintFactor    = 3          // of wrong hints
 	settleAfterDeadline  = 2 * second // added to the longest deadline
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -15,30 +15,30 @@
 type Metric struct {
 	Name        string
 	Description string
-	Share       bool          // from 0 to 1
-	Parts       bool          // each class and each tenant has a value, too
-	Time        bool          // the bound may be written as a duration
+	IsShare     bool          // from 0 to 1
+	PerGroup    bool          // each class and each tenant has a value, too
+	IsTime      bool          // the bound may be written as a duration
 	Unit        time.Duration // of metrics of time
 }
 
 // Metrics has all metrics that expectations may name.
 var Metrics = []Metric{
-	{Name: "in_time", Description: "worth answered in time over worth asked for", Share: true, Parts: true},
-	{Name: "served", Description: "jobs served, late ones included, over jobs", Share: true, Parts: true},
-	{Name: "refused", Description: "jobs whose last answer was a rejection, over jobs", Share: true, Parts: true},
-	{Name: "failed", Description: "jobs whose last answer was a failure, over jobs", Share: true, Parts: true},
-	{Name: "lost", Description: "jobs whose last request ended with its connection, over jobs", Share: true, Parts: true},
-	{Name: "unanswered", Description: "jobs whose clients gave up without an answer, over jobs", Share: true, Parts: true},
+	{Name: "in_time", Description: "worth answered in time over worth asked for", IsShare: true, PerGroup: true},
+	{Name: "served", Description: "jobs served, late ones included, over jobs", IsShare: true, PerGroup: true},
+	{Name: "refused", Description: "jobs whose last answer was a rejection, over jobs", IsShare: true, PerGroup: true},
+	{Name: "failed", Description: "jobs whose last answer was a failure, over jobs", IsShare: true, PerGroup: true},
+	{Name: "lost", Description: "jobs whose last request ended with its connection, over jobs", IsShare: true, PerGroup: true},
+	{Name: "unanswered", Description: "jobs whose clients gave up without an answer, over jobs", IsShare: true, PerGroup: true},
 	{
-		Name: "p50_ms", Description: "median time from when a job fell due to its served answer, in ms", Parts: true, Time: true,
+		Name: "p50_ms", Description: "median time from when a job fell due to its served answer, in ms", PerGroup: true, IsTime: true,
 		Unit: time.Millisecond,
 	},
-	{Name: "p99_ms", Description: "its 99th percentile, in ms", Parts: true, Time: true, Unit: time.Millisecond},
+	{Name: "p99_ms", Description: "its 99th percentile, in ms", PerGroup: true, IsTime: true, Unit: time.Millisecond},
 	{Name: "waste", Description: "work done that no client got an answer from, over work asked for"},
 	{Name: "attempts", Description: "attempts that reached workers, over jobs"},
 	{
 		Name: metricRecovery, Description: "seconds from the end of the last fault until goodput is back where it was",
-		Time: true, Unit: time.Second,
+		IsTime: true, Unit: time.Second,
 	},
 	{Name: "rules_broken", Description: "how often a rule was broken"},
 }
@@ -112,7 +112,7 @@
 	if err != nil {
 		return parsed, err
 	}
-	if parsed.Group != "" && !metric.Parts {
+	if parsed.Group != "" && !metric.PerGroup {
 		return parsed, fmt.Errorf("%s is available for the whole run only, not for %q", parsed.Metric, parsed.Group)
 	}
 	parsed.Bound, err = metric.parseBound(parsed.Operator, bound)
@@ -164,12 +164,12 @@
 	bound, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		duration, durationErr := time.ParseDuration(text)
-		if durationErr != nil || !m.Time {
+		if durationErr != nil || !m.IsTime {
 			return 0, fmt.Errorf("expected a number after %s, got %q", operator, text)
 		}
 		bound = float64(duration) / float64(m.Unit)
 	}
-	if math.IsNaN(bound) || math.IsInf(bound, 0) || bound < 0 || m.Share && bound > 1 {
+	if math.IsNaN(bound) || math.IsInf(bound, 0) || bound < 0 || m.IsShare && bound > 1 {
 		return 0, fmt.Errorf("%s can't have the value %q", m.Name, text)
 	}
 	return bound, nil
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -76,7 +76,7 @@
 // faultRule says which keys, besides what and at, a kind of fault has.
 type faultRule struct {
 	scope            FaultScope
-	size             float64 // default; 0: there is none
+	size             float64 // default; 0: the kind has no size, or needsSize is set
 	minSize          float64
 	maxSize          float64
 	needsSize        bool
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -102,21 +102,21 @@
 type Load struct {
 	CapacityShare   float64 `toml:"of"`          // work requested, as a share of the capacity of the warm fleet
 	Rate            float64 `toml:"rate"`        // jobs a second
-	Shape           string  `toml:"shape"`       // steady, bursty, swell (peak at 2/3), month_start (declines from the start)
+	Shape           string  `toml:"shape"`       // steady, bursty, swell (rises to a peak at 2/3), month_start (declines)
 	Swing           float64 `toml:"swing"`       // of bursty, swell and month_start: deviation from the mean, as a share of it
-	Hints           string  `toml:"hints"`       // of a job's work: none, exact, rough (log-normal), wrong (by hint_factor)
+	Hints           string  `toml:"hints"`       // of a job's work: none, exact, rough (log-normal), wrong (all by hint_factor)
 	HintFactor      float64 `toml:"hint_factor"` // log-normal spread of rough hints, default 0.5; factor of wrong ones, default 3
 	OverQuotaWeight float64 `toml:"over_worth"`  // factor of the priority weight beyond a tenant's quota, default 0.1
 	Quota           float64 `toml:"quota"`       // share of the capacity that is divided into the tenants' quotas, default 0.8
-	ClosedClients   int     `toml:"closed"`      // number of clients that each send a request when the last one is answered
+	ClosedClients   int     `toml:"closed"`      // number of clients that each send a request once their last one is answered
 }
 
 // Clients describes how clients behave.
 type Clients struct {
 	Retries             int      `toml:"retries"`    // of a request, at most
-	Backoff             Duration `toml:"backoff"`    // before the first retry; then doubled; times a random 0.5 to 1.5
+	Backoff             Duration `toml:"backoff"`    // before the first retry; doubles; times a random factor of 0.5 to 1.5
 	HonourRetryAfter    float64  `toml:"honour"`     // share of clients that follow Retry-After
-	Impatient           float64  `toml:"impatient"`  // share of jobs whose client leaves at a random time before the deadline
+	Impatient           float64  `toml:"impatient"`  // share of jobs whose client leaves early, uniformly up to the deadline
 	RequestTimeoutShare float64  `toml:"try_share"`  // share of a class's deadline that one request may take; default 1
 	MarkRetry           bool     `toml:"mark_retry"` // retries carry X-Again: 1
 }
@@ -194,7 +194,7 @@
 // Peers describes the datagrams that schedulers send each other. Shares are probabilities for each datagram.
 type Peers struct {
 	On        bool     `toml:"on"`        // they may send datagrams
-	Price     float64  `toml:"price"`     // deducted from the result for every 256 bytes per job
+	Price     float64  `toml:"price"`     // share of the result deducted for every 256 bytes per job
 	Delay     Duration `toml:"delay"`     // minimum additional delay of a datagram, on top of the network's
 	DelayMax  Duration `toml:"delay_max"` // maximum additional delay; uniformly distributed
 	Loss      float64  `toml:"loss"`      // share that never arrives
@@ -213,6 +213,6 @@
 	PollInterval        Duration `toml:"ask_every"`      // default 10 s
 	OverloadFactor      float64  `toml:"fall_factor"`    // default 3
 	OverloadWindow      Duration `toml:"fall"`           // default 2 s
-	MisbehaviorDeadline Duration `toml:"bad_answered"`   // until an error or disconnection for misbehaving clients; default 3 s
+	MisbehaviorDeadline Duration `toml:"bad_answered"`   // until misbehaving clients get an error or are cut off; default 3 s
 	RejectionDeadline   Duration `toml:"give_up_within"` // until a rejection is due, default 250 ms: see package checker
 }
--- a/internal/testbed/score/meter.go
+++ b/internal/testbed/score/meter.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxBins is the maximum length of each series over time, a day of seconds. The last bin also has everything after it.
+// maxBins is the maximum length of each series over time, a day of seconds. The last bin also counts everything later.
 const maxBins = 86_400
 
 // roundingTolerance is how much a sum of floating-point numbers that should be 0 may differ from 0.
--- a/internal/testbed/score/model_test.go
+++ b/internal/testbed/score/model_test.go
@@ -226,7 +226,7 @@
 	m.checkSeconds(result)
 	m.checkWork(result)
 	if result.Effort.OrphanedEvents+result.Effort.Unknown > 0 {
-		m.t.Fatalf("duplicates %d, unknown %d", result.Effort.OrphanedEvents, result.Effort.Unknown)
+		m.t.Fatalf("orphaned events %d, unknown %d", result.Effort.OrphanedEvents, result.Effort.Unknown)
 	}
 	m.checkOccupancy(result)
 }
--- a/internal/testbed/score/process_test.go
+++ b/internal/testbed/score/process_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// The events of scheduler processes and misbehaving clients are counted, also over a restart, and restarts and kills are
-// marks.
+// The resources of a scheduler are summed over its restarts, misbehaving clients are counted, and kills and restarts are
+// recorded as marks.
 func TestScoreProcesses(t *testing.T) {
 	s := timedScore{New(spec(10), Options{})}
 	s.at(0, trace.Event{Kind: trace.SchedulerStarted})
--- a/internal/testbed/score/value.go
+++ b/internal/testbed/score/value.go
@@ -4,18 +4,18 @@
 
 // Value is the value requested and earned, and the shares of it that make up the mix.
 type Value struct {
-	Requested   float64 `json:"asked"`
-	Earned      float64 `json:"earned"`
-	Whole       float64 `json:"whole"`
-	Worst10     float64 `json:"worst_10s"`
-	Worst10At   float64 `json:"worst_10s_at"` // the start of that window
-	WorstClass  Named   `json:"worst_class"`
-	WorstTenant Named   `json:"worst_tenant"` // within its quota
-	Mix         float64 `json:"mix"`          // 0.40 Whole + 0.15 Worst10 + 0.20 WorstClass + 0.25 WorstTenant
+	Requested   float64    `json:"asked"`
+	Earned      float64    `json:"earned"`
+	Whole       float64    `json:"whole"`
+	Worst10     float64    `json:"worst_10s"`
+	Worst10At   float64    `json:"worst_10s_at"` // the start of that window
+	WorstClass  GroupShare `json:"worst_class"`
+	WorstTenant GroupShare `json:"worst_tenant"` // within its quota
+	Mix         float64    `json:"mix"`          // 0.40 Whole + 0.15 Worst10 + 0.20 WorstClass + 0.25 WorstTenant
 }
 
-// Named is a share of a class or a tenant.
-type Named struct {
+// GroupShare is a share of a class or a tenant.
+type GroupShare struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 }
@@ -65,12 +65,12 @@
 
 // worstGroup returns the group with the smallest share among those that requested something, or the share of the whole if
 // there is none.
-func worstGroup(groups []Group, whole float64, valueOf func(*Group) (requested, share float64)) Named {
-	worst := Named{Value: whole}
+func worstGroup(groups []Group, whole float64, valueOf func(*Group) (requested, share float64)) GroupShare {
+	worst := GroupShare{Value: whole}
 	for i := range groups {
 		requested, share := valueOf(&groups[i])
 		if requested > 0 && (worst.Name == "" || share < worst.Value) {
-			worst = Named{Name: groups[i].Name, Value: share}
+			worst = GroupShare{Name: groups[i].Name, Value: share}
 		}
 	}
 	return worst
