--- a/internal/testbed/score/value.go
+++ b/internal/testbed/score/value.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// Value is the value earned in time, and shares of the value requested.
+// Value is the value requested and earned, and the shares of it that make up the mix.
 type Value struct {
-	Requested   float64 `json:"asked"`
-	Earned      float64 `json:"earned"`
-	Whole       float64 `json:"whole"`
-	Worst10     float64 `json:"worst_10s"`
-	Worst10At   float64 `json:"worst_10s_at"` // the start of that window
-	WorstClass  Named   `json:"worst_class"`
-	WorstTenant Named   `json:"worst_tenant"` // within its quota
-	Mix         float64 `json:"mix"`          // 0.40 Whole + 0.15 Worst10 + 0.20 WorstClass + 0.25 WorstTenant
+	Requested   float64    `json:"asked"`
+	Earned      float64    `json:"earned"`
+	Whole       float64    `json:"whole"`
+	Worst10     float64    `json:"worst_10s"`
+	Worst10At   float64    `json:"worst_10s_at"` // the start of that window
+	WorstClass  GroupShare `json:"worst_class"`
+	WorstTenant GroupShare `json:"worst_tenant"` // within its quota
+	Mix         float64    `json:"mix"`          // 0.40 Whole + 0.15 Worst10 + 0.20 WorstClass + 0.25 WorstTenant
 }
 
-// Named is a share of a class or a tenant.
-type Named struct {
+// GroupShare is a share of a class or a tenant.
+type GroupShare struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 }
@@ -30,7 +30,7 @@
 
 const worstWindowSeconds = 10
 
-// value computes the value of a result from its groups and series.
+// value computes the Value of a result from its groups and series.
 func (r *Result) value() Value {
 	value := Value{Requested: r.Whole.Requested, Earned: r.Whole.Earned, Whole: r.Whole.EarnedShare}
 	value.Worst10, value.Worst10At = worstWindow(r.Seconds.DueValue, r.Seconds.DueValueEarned, int(math.Ceil(r.Length)))
@@ -45,8 +45,8 @@
 	return value
 }
 
-// worstWindow returns the smallest share of value earned over any 10 s, from whole second to whole second, and the window's
-// start. A run that is shorter is one window; windows in which nothing was requested don't count.
+// worstWindow returns the smallest share of value earned in any window of 10 s that begins at a whole second, and the start
+// of that window. A shorter run is one window. Windows in which nothing was requested are ignored.
 func worstWindow(requested, earned Series, length int) (worst, start float64) {
 	length = min(length, len(requested))
 	found := false
@@ -63,13 +63,14 @@
 	return worst, start
 }
 
-// worstGroup returns the smallest share of those that requested something; without any, that of the whole.
-func worstGroup(groups []Group, whole float64, valueOf func(*Group) (requested, share float64)) Named {
-	worst := Named{Value: whole}
+// worstGroup returns the group with the smallest share among those that requested something, or the share of the whole if
+// there is none.
+func worstGroup(groups []Group, whole float64, valueOf func(*Group) (requested, share float64)) GroupShare {
+	worst := GroupShare{Value: whole}
 	for i := range groups {
 		requested, share := valueOf(&groups[i])
 		if requested > 0 && (worst.Name == "" || share < worst.Value) {
-			worst = Named{Name: groups[i].Name, Value: share}
+			worst = GroupShare{Name: groups[i].Name, Value: share}
 		}
 	}
 	return worst
