--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -267,7 +267,7 @@
 func (a *arrivals) drawJob(rng *rand.Rand, source *jobSource) *job {
 	spec := &a.clients.env.Spec.Classes[source.class]
 	load, clientSpec := &a.clients.env.Spec.Load, &a.clients.env.Spec.Clients
-	job := &job{class: source.class, tenant: source.tenant, firstRiskAt: -1}
+	job := &job{class: source.class, tenant: source.tenant, firstUncertainAt: -1}
 	job.work = drawWork(rng, spec)
 	job.slots = drawSlots(rng, spec.Slots)
 	hint := 0.0
@@ -387,7 +387,7 @@
 			l.burstyJumps = append(l.burstyJumps, last+1+time.Duration(l.rng.ExpFloat64()*float64(burstyMeanHold)))
 			n++
 		}
-		for n > 1 && l.burstyJumps[n-2] > instant { // a late step asks for a past time, before jumps that are drawn
+		for n > 1 && l.burstyJumps[n-2] > instant { // a late step may ask for a time before changes that are drawn already
 			n--
 		}
 		if l.burstyStartsLow == (n%2 == 1) {
--- a/internal/testbed/environment/client_jobs.go
+++ b/internal/testbed/environment/client_jobs.go
@@ -27,7 +27,7 @@
 	costHint          time.Duration
 	dueAt, deadline   time.Duration
 	leavesAfter       time.Duration // time from arrival until its client gives up; 0: it doesn't
-	firstRiskAt       time.Duration // when the first request that may have run was sent; -1: none was
+	firstUncertainAt  time.Duration // when the first request that may have run was sent; -1: none was
 	key               string
 	openRequest       *request
 	client            *closedClient // the client, in a closed load
@@ -100,36 +100,36 @@
 	if job.settled {
 		return
 	}
-	t := &request{
+	request := &request{
 		jobID: job.number, number: job.requests, class: job.class, tenant: int32(job.tenant), key: job.key, work: job.work,
 		slots: job.slots, job: job,
 	}
-	t.id = c.requestID(job.number, job.requests)
-	t.previous = c.jobs.setRequest(t)
+	request.id = c.requestID(job.number, job.requests)
+	request.previous = c.jobs.setRequest(request)
 	job.requests++
-	job.openRequest, job.status = t, 0
-	c.connPools[job.zone].acquire(t)
+	job.openRequest, job.status = request, 0
+	c.connPools[job.zone].acquire(request)
 }
 
 // writeRequest writes a request to a connection; not ok: too little time is left, or the deduplication window is over.
-func (c *clients) writeRequest(t *request, clientConn *clientConn) (ok bool) {
-	job, class, now := t.job, c.classes[t.class], c.env.now
+func (c *clients) writeRequest(request *request, clientConn *clientConn) (ok bool) {
+	job, class, now := request.job, c.classes[request.class], c.env.now
 	budget := min(job.deadline-now, class.requestTimeout) / time.Millisecond * time.Millisecond
 	if budget < minBudget || class.outsideWindow(job, now) {
 		return false
 	}
-	t.stage, t.sentAt, t.conn, t.readByScheduler, clientConn.request = requestSent, now, clientConn, false, t
+	request.stage, request.sentAt, request.conn, request.readByScheduler, clientConn.request = requestSent, now, clientConn, false, request
 	c.inFlight++
-	c.recentRequests[c.recentNext%len(c.recentRequests)] = t
+	c.recentRequests[c.recentNext%len(c.recentRequests)] = request
 	c.recentNext++
 	if class.requestTimeout < class.Deadline.Std() && job.deadline-now > class.requestTimeout {
-		class.requestDeadlines.add(t.jobID<<requestBits | uint64(t.number))
+		class.requestDeadlines.add(request.jobID<<requestBits | uint64(request.number))
 	}
 	message := &simapi.ClientRequest{
-		RequestID: t.id, Class: t.class, Tenant: job.tenant, IdempotencyKey: t.key, Budget: budget, CostHint: job.costHint,
-		Slots: t.slots, BodyLength: job.bodyLength, Retry: t.number > 0 && c.env.Spec.Clients.MarkRetry,
+		RequestID: request.id, Class: request.class, Tenant: job.tenant, IdempotencyKey: request.key, Budget: budget, CostHint: job.costHint,
+		Slots: request.slots, BodyLength: job.bodyLength, Retry: request.number > 0 && c.env.Spec.Clients.MarkRetry,
 	}
-	c.env.record(c.describe(t, trace.Event{
+	c.env.record(c.describe(request, trace.Event{
 		Kind: trace.RequestSent, Scheduler: clientConn.conn.scheduler, Conn: uint64(clientConn.conn.id), Budget: budget,
 		Resent: message.Retry,
 	}))
@@ -138,15 +138,15 @@
 }
 
 // endRequest ends a request, and settles its job or plans the next request. retryAfter is the scheduler's advice; 0: none.
-func (c *clients) endRequest(t *request, outcome requestOutcome, retryAfter time.Duration) {
-	job, class := t.job, c.classes[t.class]
-	if t.stage == requestSent {
+func (c *clients) endRequest(request *request, outcome requestOutcome, retryAfter time.Duration) {
+	job, class := request.job, c.classes[request.class]
+	if request.stage == requestSent {
 		c.inFlight--
 	}
-	if outcome == outcomeFailed && job.firstRiskAt < 0 {
-		job.firstRiskAt = t.sentAt
+	if outcome == outcomeFailed && job.firstUncertainAt < 0 {
+		job.firstUncertainAt = request.sentAt
 	}
-	t.stage, t.job, t.conn, job.openRequest = requestEnded, nil, nil, nil
+	request.stage, request.job, request.conn, job.openRequest = requestEnded, nil, nil, nil
 	if outcome == outcomeServed || job.requests > c.env.Spec.Clients.Retries || job.requests >= maxRequests ||
 		outcome == outcomeFailed && !class.idempotent && !class.retryableWithKey {
 		c.settleJob(job)
@@ -162,7 +162,7 @@
 
 // outsideWindow reports whether a job that needs its key for a retry may no longer be retried at a time.
 func (c *class) outsideWindow(j *job, at time.Duration) bool {
-	return c.retryableWithKey && j.firstRiskAt >= 0 && at >= j.firstRiskAt+c.DeduplicationWindow.Std()
+	return c.retryableWithKey && j.firstUncertainAt >= 0 && at >= j.firstUncertainAt+c.DeduplicationWindow.Std()
 }
 
 // retryDelay returns the time that a client waits before its job's next request. It is retryAfter, the scheduler's advice, if
@@ -215,23 +215,23 @@
 
 // abandonRequest ends a job's open request without a response, if it has one.
 func (c *clients) abandonRequest(job *job, kind trace.Kind) {
-	t := job.openRequest
-	if t == nil {
+	request := job.openRequest
+	if request == nil {
 		return
 	}
-	if t.stage == requestSent {
+	if request.stage == requestSent {
 		c.inFlight--
-		c.closeConn(t, kind)
+		c.closeConn(request, kind)
 	} else {
-		c.env.record(c.describe(t, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: -1}))
+		c.env.record(c.describe(request, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: -1}))
 	}
-	t.stage, t.job, t.conn, job.openRequest = requestEnded, nil, nil, nil
+	request.stage, request.job, request.conn, job.openRequest = requestEnded, nil, nil, nil
 }
 
 // requestUnreached ends a request that reached no scheduler. sched is the one that it was assigned to; -1: none was.
-func (c *clients) requestUnreached(t *request, sched int) {
-	c.env.record(c.describe(t, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: sched}))
-	c.endRequest(t, outcomeUnreached, 0)
+func (c *clients) requestUnreached(request *request, sched int) {
+	c.env.record(c.describe(request, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: sched}))
+	c.endRequest(request, outcomeUnreached, 0)
 }
 
 // isOpenRequest reports whether a request has been sent and has not ended.
@@ -242,25 +242,25 @@
 
 // requestDeadline handles the timeout of an open request. Its job's deadline is later, so that there may be a retry.
 func (c *clients) requestDeadline(id uint64) {
-	t := c.jobs.openJob(id >> requestBits).openRequest
-	if c.env.now < t.sentAt+c.classes[t.class].requestTimeout+c.deadlineSlack { // it was sent again, and has a later timeout
+	request := c.jobs.openJob(id >> requestBits).openRequest
+	if c.env.now < request.sentAt+c.classes[request.class].requestTimeout+c.deadlineSlack { // it was sent again, and has a later timeout
 		return
 	}
-	c.closeConn(t, trace.ClientTimedOut)
-	c.endRequest(t, outcomeFailed, 0)
+	c.closeConn(request, trace.ClientTimedOut)
+	c.endRequest(request, outcomeFailed, 0)
 }
 
 // closeConn closes the connection on which a request awaits its response, and records the given kind of event.
-func (c *clients) closeConn(t *request, kind trace.Kind) {
-	conn := t.conn
-	c.env.record(c.describe(t, trace.Event{Kind: kind, Scheduler: conn.conn.scheduler, Conn: uint64(conn.conn.id)}))
+func (c *clients) closeConn(request *request, kind trace.Kind) {
+	conn := request.conn
+	c.env.record(c.describe(request, trace.Event{Kind: kind, Scheduler: conn.conn.scheduler, Conn: uint64(conn.conn.id)}))
 	conn.request = nil
 	conn.close()
 }
 
 // describe sets the fields of a trace event that identify a request.
-func (c *clients) describe(t *request, event trace.Event) trace.Event {
-	event.RequestID, event.JobID, event.Number, event.Class, event.Tenant, event.IdempotencyKey = t.id, t.jobID, t.number, t.class, int(t.tenant), t.key
+func (c *clients) describe(request *request, event trace.Event) trace.Event {
+	event.RequestID, event.JobID, event.Number, event.Class, event.Tenant, event.IdempotencyKey = request.id, request.jobID, request.number, request.class, int(request.tenant), request.key
 	return event
 }
 
@@ -292,26 +292,26 @@
 // responseReceived handles the arrival of a response. Each response is recorded; one that does not answer the request on the
 // connection ends no request.
 func (c *clientConn) responseReceived(response response) {
-	clients, t := c.pool.clients, c.request
+	clients, request := c.pool.clients, c.request
 	event := trace.Event{
 		Kind: trace.ResponseReceived, Status: response.status, RetryAfter: response.retryAfter, Text: response.body, Scheduler: c.conn.scheduler,
 		Conn: uint64(c.conn.id),
 	}
-	expected := t != nil && t.id == response.requestID
+	expected := request != nil && request.id == response.requestID
 	if expected {
-		event = clients.describe(t, event)
-	} else if request := clients.findRequest(response.requestID); request != nil {
 		event = clients.describe(request, event)
+	} else if answered := clients.findRequest(response.requestID); answered != nil {
+		event = clients.describe(answered, event)
 	}
 	event.RequestID = response.requestID
 	clients.env.record(event)
 	if !expected {
-		if t == nil {
+		if request == nil {
 			c.close() // its responses can't be matched to requests any more
 		}
 		return
 	}
-	t.job.status, c.request = response.status, nil
+	request.job.status, c.request = response.status, nil
 	c.release()
-	clients.endRequest(t, response.outcome(), response.retryAfter)
+	clients.endRequest(request, response.outcome(), response.retryAfter)
 }
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -264,7 +264,7 @@
 
 // At a scheduler's limit of connections a request waits, until another connection is closed after its response.
 func TestRequestWaitsForConnection(t *testing.T) {
-	s := newSingleJobHarness(2, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = clientConnShare })
+	s := newSingleJobHarness(2, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = clientConnDivisor })
 	s.env.schedule(100*time.Millisecond, func() {
 		s.env.clients.jobDue(s.env.clients.arrivals.drawJob(s.env.rng("one", 1), &jobSource{class: 2}), s.env.now)
 	})
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -19,10 +19,10 @@
 	scheduler         int
 	incarnation       int              // of the scheduler's process that it belongs to
 	worker            int              // number of the worker, of a worker's connection
-	workerIncarnation int              // of the worker's process that it leads to, likewise
+	workerIncarnation int              // of the worker's process that it leads to, of a worker's connection
 	up                bool             // it is established
-	closed            [2]bool          // by side: closed by that side, or that side was notified of the close
-	resetUnnoticed    [2]bool          // by side: closed, unnoticed by the other side as a middlebox dropped it
+	closed            [2]bool          // by side: that side has closed it, or was notified that the other has
+	resetUnnoticed    [2]bool          // by side: closed there, unknown to the other side as a middlebox dropped the notification
 	arrivesBy         [2]time.Duration // by side: when the last data sent to it arrives
 	lastUsed          time.Duration    // when data was last sent over it, either way
 	far               farEnd
@@ -42,8 +42,8 @@
 }
 
 // toSched sends data over a connection to its scheduler: do is called when it arrives, in order, unless the scheduler's side is
-// closed by then. Data that a partition holds up arrives after that. Data for a connection that a middlebox has forgotten
-// never arrives: whoever waits for it has a timeout.
+// closed by then. Data that a partition holds up arrives once the partition has ended. Data for a connection that a middlebox has
+// forgotten never arrives: whoever waits for it has a timeout.
 func (e *Environment) toSched(c *conn, do func()) { e.transmit(c, schedulerSide, do) }
 
 // toFarEnd does the same in the other direction.
@@ -59,7 +59,7 @@
 		return
 	}
 	if d := e.network.idleDropAfter(from, target); d > 0 && e.now-conn.lastUsed > d {
-		conn.resetUnnoticed[1-side] = conn.closed[1-side] // what is dropped here is the sender's close
+		conn.resetUnnoticed[1-side] = conn.closed[1-side] // a close by the sender is what is dropped here
 		e.sendReset(conn, 1-side)
 		return
 	}
@@ -136,7 +136,7 @@
 			own = append(own, c)
 		}
 	}
-	sortConns(own) // the random map order must not affect the run
+	sortConns(own) // the order of a map is random, and must not affect the run
 	for _, c := range own {
 		e.closeSide(c, schedulerSide)
 	}
--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -10,31 +10,31 @@
 // Events run in order of time, and at the same time in the order in which they were scheduled, however schedule and pop
 // alternate.
 func TestEventQueueKeepsOrder(t *testing.T) {
-	type put struct {
+	type event struct {
 		at  time.Duration
 		seq int
 	}
 	for seed := uint64(180_800); seed < 181_000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var a eventQueue
-		var want, got []put
+		var queue eventQueue
+		var want, got []event
 		for seq := range 60 + rng.IntN(200) {
-			if len(a.items) > 0 && rng.IntN(3) == 0 {
-				a.pop()()
+			if len(queue.items) > 0 && rng.IntN(3) == 0 {
+				queue.pop()()
 			}
 			// Not before the last event that was popped, as time doesn't go back.
 			low := time.Duration(0)
 			if len(got) > 0 {
 				low = got[len(got)-1].at
 			}
-			p := put{low + time.Duration(rng.IntN(50)), seq}
+			p := event{low + time.Duration(rng.IntN(50)), seq}
 			want = append(want, p)
-			a.schedule(p.at, func() { got = append(got, p) })
+			queue.schedule(p.at, func() { got = append(got, p) })
 		}
-		for len(a.items) > 0 {
-			a.pop()()
+		for len(queue.items) > 0 {
+			queue.pop()()
 		}
-		slices.SortFunc(want, func(x, y put) int {
+		slices.SortFunc(want, func(x, y event) int {
 			if x.at != y.at {
 				return int(x.at - y.at)
 			}
@@ -50,7 +50,7 @@
 // found, until it reached the children of the thirteenth entry, which are smaller than the entry that had been moved up. The
 // heap below leads to that case.
 func TestEventQueueDeepHeap(t *testing.T) {
-	lines := []struct{ n, at int }{
+	groups := []struct{ count, at int }{ // events to schedule, in this order
 		{1, 0},
 		{1, 1},
 		{1, 2},
@@ -80,18 +80,18 @@
 		{4, 6},
 		{4, 200},
 	}
-	var a eventQueue
-	for _, r := range lines {
-		for range r.n {
-			a.schedule(time.Duration(r.at), func() {})
+	var queue eventQueue
+	for _, group := range groups {
+		for range group.count {
+			queue.schedule(time.Duration(group.at), func() {})
 		}
 	}
-	for last := time.Duration(0); len(a.items) > 0; {
-		at, _ := a.nextAt()
+	for last := time.Duration(0); len(queue.items) > 0; {
+		at, _ := queue.nextAt()
 		if at < last {
 			t.Fatalf("event at %d popped after one at %d", at, last)
 		}
 		last = at
-		a.pop()
+		queue.pop()
 	}
 }
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -145,12 +145,12 @@
 }
 
 type jobHistory struct {
-	dueEvent    trace.Event
-	openRequest *trace.Event // event of the request that was sent and has not ended
-	requests    int          // started so far
-	status      int
-	firstRiskAt time.Duration
-	settled     bool
+	dueEvent         trace.Event
+	openRequest      *trace.Event // event of the request that was sent and has not ended
+	requests         int          // started so far
+	status           int
+	firstUncertainAt time.Duration
+	settled          bool
 }
 
 func newClientChecker(spec *scenario.Scenario, s *modeltest.Steps) *clientChecker {
@@ -164,7 +164,7 @@
 	}
 	w.check(event.Kind == trace.JobDue == (job == nil), "trace event %d of job %d, known: %v", event.Kind, event.JobID, job != nil)
 	if event.Kind == trace.JobDue {
-		w.jobs[event.JobID] = &jobHistory{dueEvent: *event, firstRiskAt: -1}
+		w.jobs[event.JobID] = &jobHistory{dueEvent: *event, firstUncertainAt: -1}
 		w.check(event.LatencyObjective <= event.Deadline && event.Work > 0 && event.Slots >= 1, "invalid job: %+v", *event)
 		return
 	}
@@ -210,10 +210,10 @@
 	w.check(event.Budget >= time.Millisecond && event.Budget%time.Millisecond == 0 && event.At+event.Budget <= deadline,
 		"budget %v with %v left", event.Budget, deadline-event.At)
 	w.check(event.IdempotencyKey == job.dueEvent.IdempotencyKey && (event.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", event.IdempotencyKey)
-	if job.firstRiskAt >= 0 {
-		within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && event.At < job.firstRiskAt+class.DeduplicationWindow.Std()
+	if job.firstUncertainAt >= 0 {
+		within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && event.At < job.firstUncertainAt+class.DeduplicationWindow.Std()
 		w.check(class.Idempotency == "safe" || within, "%s retried %v after a request that may have run", class.Name,
-			event.At-job.firstRiskAt)
+			event.At-job.firstUncertainAt)
 	}
 	open := *event
 	job.openRequest = &open
@@ -221,8 +221,8 @@
 
 // requestEnded checks the end of the open request.
 func (w *clientChecker) requestEnded(job *jobHistory, event *trace.Event) {
-	if job.status = event.Status; event.Status != 200 && event.Status != 429 && event.Status != 503 && job.firstRiskAt < 0 {
-		job.firstRiskAt = job.openRequest.At
+	if job.status = event.Status; event.Status != 200 && event.Status != 429 && event.Status != 503 && job.firstUncertainAt < 0 {
+		job.firstUncertainAt = job.openRequest.At
 	}
 	waited, slack := event.At-job.openRequest.At, w.spec.Rules.Slack.Std()
 	w.check(waited <= job.openRequest.Budget+slack+time.Millisecond, "waited %v with a budget of %v", waited, job.openRequest.Budget)
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -9,8 +9,8 @@
 
 // loadBalancer distributes clients' connections over the schedulers that it considers healthy: round robin over those of the
 // client's zone, or over all if there are none in that zone. It admits a scheduler as soon as that is ready. It drops an unready
-// scheduler after half of NoticeDelay, which is the interval of the readiness checks, and a dead or frozen one after all of
-// NoticeDelay. Until then that scheduler is still assigned connections.
+// scheduler after half of NoticeDelay (readiness is checked that often), and a dead or frozen one after the whole
+// NoticeDelay. Until then it still assigns connections to that scheduler.
 type loadBalancer struct {
 	env        *Environment
 	admitted   []bool
@@ -20,9 +20,9 @@
 	next       []int           // by zone: the scheduler to try first
 }
 
-// clientConnShare is the divisor of a scheduler's file descriptors that gives the limit of client connections: a third.
-// Requests wait for a connection while all are busy.
-const clientConnShare = 3
+// clientConnDivisor limits the client connections of a scheduler to a third of its file descriptors. While all of them are busy,
+// requests wait for one.
+const clientConnDivisor = 3
 
 // connectTimeout is a client's timeout for the establishment of a connection. One that takes longer is never used.
 const connectTimeout = time.Second
@@ -37,7 +37,7 @@
 		balancer.dropAt[i] = -1
 	}
 	if balancer.maxConns = int(^uint(0) >> 1); environment.Spec.Schedulers.Sockets > 0 {
-		balancer.maxConns = max(1, environment.Spec.Schedulers.Sockets/clientConnShare)
+		balancer.maxConns = max(1, environment.Spec.Schedulers.Sockets/clientConnDivisor)
 	}
 	return balancer
 }
@@ -122,8 +122,8 @@
 	}
 	for _, connPool := range l.env.clients.connPools {
 		for connPool.waitingForDial.len() > 0 {
-			t := *connPool.waitingForDial.first()
-			if t.stage != requestConnecting {
+			request := *connPool.waitingForDial.first()
+			if request.stage != requestConnecting {
 				connPool.waitingForDial.pop()
 				continue
 			}
@@ -132,7 +132,7 @@
 				break
 			}
 			connPool.waitingForDial.pop()
-			connPool.dial(t, sched)
+			connPool.dial(request, sched)
 		}
 	}
 }
@@ -155,7 +155,8 @@
 	request   *request // request whose response is awaited on this connection
 	idleIndex int      // index in connPool.idle; -1: it is not idle
 
-	// The request and the response in transit. There is rarely more than one of each; these fields save a closure for each.
+	// The request and the response in transit. There is rarely more than one of each: with these fields, a message needs no
+	// closure of its own.
 	pendingRequest  *simapi.ClientRequest
 	deliverRequest  func()
 	pendingResponse response
@@ -164,45 +165,45 @@
 }
 
 // acquire sends a request on an idle connection, or makes it wait for one.
-func (c *connPool) acquire(t *request) {
-	t.stage = requestConnecting
+func (c *connPool) acquire(request *request) {
+	request.stage = requestConnecting
 	if n := len(c.idle); n > 0 {
-		conn := c.idle[c.clients.randomBits(t.jobID, t.number, drawForConn)%uint64(n)]
+		conn := c.idle[c.clients.randomBits(request.jobID, request.number, drawForConn)%uint64(n)]
 		conn.removeIdle()
-		if !c.clients.writeRequest(t, conn) {
+		if !c.clients.writeRequest(request, conn) {
 			conn.addIdle()
-			c.clients.requestUnreached(t, -1)
+			c.clients.requestUnreached(request, -1)
 		}
 		return
 	}
-	c.waitingForConn.push(t)
+	c.waitingForConn.push(request)
 	sched, exists := c.clients.env.balancer.pick(c.zone, c.clients.env.balancer.maxConns)
 	if exists && sched < 0 {
-		c.waitingForDial.push(t)
+		c.waitingForDial.push(request)
 		return
 	}
-	c.dial(t, sched)
+	c.dial(request, sched)
 }
 
 // dial opens a connection to a scheduler for a request; -1: the load balancer has no scheduler and refuses the connection.
-func (c *connPool) dial(t *request, sched int) {
+func (c *connPool) dial(request *request, sched int) {
 	environment, balancer := c.clients.env, c.clients.env.balancer
 	if sched < 0 {
-		environment.after(2*environment.Spec.Network.ClientDelay.Std(), func() { c.requestFailed(t, sched) })
+		environment.after(2*environment.Spec.Network.ClientDelay.Std(), func() { c.requestFailed(request, sched) })
 		return
 	}
 	balancer.connCounts[sched]++
 	delay, returnDelay, ok := environment.network.connectDelays(endpoint{clientEndpoint, c.zone}, endpoint{schedulerEndpoint, sched})
 	if !ok || delay+returnDelay+environment.Spec.Network.Handshake.Std() > connectTimeout {
-		environment.after(connectTimeout, func() { c.dialFailed(t, sched) })
+		environment.after(connectTimeout, func() { c.dialFailed(request, sched) })
 		return
 	}
 	environment.after(delay, func() {
 		if !environment.schedulers[sched].alive {
-			environment.after(returnDelay, func() { c.dialFailed(t, sched) })
+			environment.after(returnDelay, func() { c.dialFailed(request, sched) })
 			return
 		}
-		clientConn := &clientConn{pool: c, dialedFor: t, idleIndex: -1}
+		clientConn := &clientConn{pool: c, dialedFor: request, idleIndex: -1}
 		clientConn.deliverRequest = func() { a := clientConn.pendingRequest; clientConn.pendingRequest = nil; clientConn.requestArrived(a) }
 		clientConn.deliverResponse = func() {
 			a := clientConn.pendingResponse
@@ -220,16 +221,16 @@
 }
 
 // dialFailed handles a connection that was not established.
-func (c *connPool) dialFailed(t *request, sched int) {
+func (c *connPool) dialFailed(request *request, sched int) {
 	c.clients.env.balancer.connCounts[sched]--
-	c.requestFailed(t, sched)
+	c.requestFailed(request, sched)
 	c.clients.env.balancer.assignRequests()
 }
 
 // requestFailed ends a request whose connection was not established, unless it has another connection by now.
-func (c *connPool) requestFailed(t *request, sched int) {
-	if t.stage == requestConnecting {
-		c.clients.requestUnreached(t, sched)
+func (c *connPool) requestFailed(request *request, sched int) {
+	if request.stage == requestConnecting {
+		c.clients.requestUnreached(request, sched)
 	}
 }
 
@@ -271,15 +272,15 @@
 	}
 	pool := c.pool
 	for pool.waitingForConn.len() > 0 {
-		t := *pool.waitingForConn.first()
+		request := *pool.waitingForConn.first()
 		pool.waitingForConn.pop()
-		if t.stage != requestConnecting {
+		if request.stage != requestConnecting {
 			continue
 		}
-		if pool.clients.writeRequest(t, c) {
+		if pool.clients.writeRequest(request, c) {
 			return
 		}
-		pool.clients.requestUnreached(t, -1)
+		pool.clients.requestUnreached(request, -1)
 	}
 	c.addIdle()
 }
--- a/internal/testbed/environment/scheduler_faults.go
+++ b/internal/testbed/environment/scheduler_faults.go
@@ -20,8 +20,8 @@
 	s.processEnded(restartDelay)
 }
 
-// terminate sends SIGTERM, as at a planned restart. The load balancer stops new connections a little later, and SIGKILL
-// follows unless the process has exited by then; see balancerMinDelay.
+// terminate sends SIGTERM, as at a planned restart. A little later the load balancer opens no new connections to the process, and
+// SIGKILL follows if it has not exited by then; see balancerMinDelay.
 func (s *scheduler) terminate(restartDelay time.Duration) {
 	if !s.alive || s.terminated {
 		return
--- a/internal/testbed/environment/schedulers.go
+++ b/internal/testbed/environment/schedulers.go
@@ -55,9 +55,9 @@
 }
 
 // record records a trace event of a scheduler, not of a planner.
-func (s *scheduler) record(what trace.Kind, status int) {
+func (s *scheduler) record(kind trace.Kind, status int) {
 	if !s.planner {
-		s.env.record(trace.Event{Kind: what, Scheduler: s.number, Status: status})
+		s.env.record(trace.Event{Kind: kind, Scheduler: s.number, Status: status})
 	}
 }
 
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -24,8 +24,8 @@
 	incarnation int           // of the process that received it
 
 	class             int
-	conn              *workerConn // on which it awaits its response; nil: answered, or cancelled before
-	mayNotify         bool        // its 202 is sent, or would be on an open connection: callbacks may be sent
+	conn              *workerConn // on which its 202 is to be sent; nil: it was sent, or the connection has closed before
+	mayNotify         bool        // callbacks may be sent: its 202 has been sent, or was due on a connection that has closed
 	notifiesEarly     bool        // callbacks may be sent before its 202
 	expiresAt         time.Duration
 	slots             float64
@@ -59,9 +59,9 @@
 
 // How a worker applies the protocol:
 //   - An ID that no client sent, or an idempotency key other than the client's, is answered 400; a missing ID, 404.
-//   - An attempt for which there is no room is rejected: 503 with X-Rejected. So is one whose ID is in flight, cancelled or
-//     not, whose class the worker's kind may not run, that needs more slots than the worker has, or that arrives while the
-//     worker drains.
+//   - An attempt for which there is no room is rejected: 503 with X-Rejected. So is one that arrives while the worker drains,
+//     that needs more slots than the worker has, whose class the worker's kind may not run, or whose request has another
+//     attempt at the worker that has not ended, even if that was cancelled.
 //   - A job of k slots does k times its run time of work. While more slots are in use than there are cores, all jobs
 //     share the cores evenly.
 //   - Of attempts that end with an error, a quarter get a 500 in place of the 202. The others are reported as failed
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -12,9 +12,9 @@
 type workerConn struct {
 	worker              *worker
 	conn                *conn
-	machine             int // number of the machine that it leads to; -1: it is never established
-	index               int // in its list of workerConnSet; -1: in neither
-	fresh               bool
+	machine             int      // number of the machine that it leads to; -1: it is never established
+	index               int      // in its list of workerConnSet; -1: in neither
+	fresh               bool     // no request has arrived on it: the first one waits for the handshake
 	reading             int      // requests that are being read
 	abandoned           bool     // the process no longer handles it
 	halfOpen            bool     // the machine has fallen silent, see workerConnSet
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -18,9 +18,9 @@
 	keyedRand     keyedRand
 	overloadSlack float64 // work that a cold worker tolerates beyond its budget, in seconds at speed 1
 
-	findRequest func(call string) *request
-	knowsStart  func(sched int, n *worker) bool
-	onLifeEvent func(n *worker, what lifeEvent)
+	findRequest func(id string) *request
+	knowsStart  func(sched int, worker *worker) bool
+	onLifeEvent func(worker *worker, event lifeEvent)
 }
 
 // classRules is what a worker needs of a class's settings.
@@ -38,9 +38,9 @@
 		env: environment, keyedRand: newKeyedRand(environment.seed, "attempts"), keys: newKeyStore(len(spec.Classes)),
 		overloadSlack: overloadSlack * spec.MeanCost(),
 	}
-	shared.findRequest = func(call string) *request { return environment.clients.findRequest(call) }
-	shared.knowsStart = func(sched int, n *worker) bool { return environment.discovery.knowsStart(sched, n) }
-	shared.onLifeEvent = func(n *worker, what lifeEvent) { environment.discovery.workerEvent(n, what) }
+	shared.findRequest = func(id string) *request { return environment.clients.findRequest(id) }
+	shared.knowsStart = func(sched int, worker *worker) bool { return environment.discovery.knowsStart(sched, worker) }
+	shared.onLifeEvent = func(worker *worker, event lifeEvent) { environment.discovery.workerEvent(worker, event) }
 	for i := range spec.Classes {
 		class := &spec.Classes[i]
 		shared.classes = append(shared.classes, classRules{
