--- a/internal/testbed/checker/doc.go
+++ b/internal/testbed/checker/doc.go
@@ -8,7 +8,7 @@
 // An attempt counts as possibly executed from when it reached a worker until that worker rejects it or returns it unstarted.
 // An attempt that reached no worker was not executed, whatever its scheduler assumes. The later of two attempts is the one
 // whose first byte was written later. Each rule ends with the documents and sections that it follows from: P is PROTOCOL,
-// W is WIRE.
+// W is WIRE; LATER and DEPLOY are documents, too.
 //
 //	one-answer             each request that a running scheduler has admitted gets one final answer, seen by its client
 //	                       within its budget, the slack and the network's delay. Broken by a second answer; by none
@@ -21,7 +21,7 @@
 //	                       retry such a job only after a rejection; a client's retry after another end of a request is
 //	                       no violation by schedulers. W The contract, 2
 //	key-scope              once an attempt with a key was possibly executed, later ones go to the same cell or zone (or
-//	                       to all) and begin within the class's window from its first byte; all carry the client's
+//	                       to all) and begin within the class's window after its first byte; all have the client's
 //	                       key. W The contract, 2; P Schedulers to workers
 //	refusal-harmless       a request is answered with 429 or 503 only if none of its attempts was possibly executed, and
 //	                       none reaches a worker later. Idempotent requests, and those with a key that all workers
@@ -63,10 +63,10 @@
 //
 // # Attempts that overlap
 //
-// one-attempt-per-node and attempts allow a scheduler to cancel an attempt, by DELETE or by closing the connection, and to
-// retry at once. The cancellation may arrive after the retry, as the two use different connections. An overlap therefore
-// counts only once a later message of the same scheduler has reached the worker of the earlier attempt, which proves that the
-// path is open, and the earlier attempt is still not cancelled.
+// The rules one-attempt-per-node and attempts allow a scheduler to cancel an attempt, by DELETE or by closing the connection,
+// and to retry at once. The cancellation may arrive after the retry, as the two use different connections. An overlap is
+// therefore a violation only if a later message of the same scheduler has reached the worker of the earlier attempt, which
+// proves that the path is open, and the earlier attempt is still not cancelled after that.
 //
 // # Prompt rejections
 //
@@ -76,10 +76,10 @@
 //     scheduler has answered the callback with that state. Then a rejection or failure is due within give_up_within.
 //   - The objective is out of reach: a response after its objective has no utility, so a request is queued in vain once no worker
 //     could meet the objective. That depends on the job's work, which schedulers only estimate. The checker assumes the
-//     largest estimate that the scenario's hints allow (objectiveHorizon), bounded by the budget, and a larger one where
-//     executions seem long: missing start notifications, pauses, freezes, slowness. A rejection is late if it is seen more
-//     than give_up_within after that, with no attempt of the request in flight for as long. Jobs whose estimate may exceed
-//     the budget are not checked.
+//     largest estimate that the scenario's hints allow (objectiveHorizon), bounded by the budget. It assumes a larger one in
+//     scenarios in which executions seem long: without start notifications, or with pauses, freezes or slowness. A rejection
+//     is late if it is seen more than give_up_within after that, with no attempt of the request in flight for as long. Jobs
+//     whose estimate may exceed the budget are not checked.
 //
 // The following attempts count as in flight, too:
 //
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -14,7 +14,7 @@
 // of the checker's memory.
 type logEntry struct {
 	at        time.Duration
-	duration  time.Duration // budget, first byte or Retry-After; of the start of a process, its incarnation
+	duration  time.Duration // by kind: budget, time of the first byte, or Retry-After; a started worker's incarnation
 	worker    int32
 	scheduler int16
 	status    int16
@@ -123,7 +123,7 @@
 	}
 }
 
-// attachExplanation adds a job's explanation to its violations, before the job is released.
+// attachExplanation adds a job's explanation to its violations. It is called before the job is released.
 func (c *Checker) attachExplanation(job *job) {
 	if len(job.violations) == 0 {
 		return
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -223,7 +223,7 @@
 	rule              rule
 	early, late       int           // indexes of the attempts in the job
 	scheduler, worker int           // the ends of the path on which the early one would be cancelled
-	provedOpenAt      time.Duration // when a later message arrived on that path; 0: none has
+	provedOpenAt      time.Duration // when a message that was sent later arrived on that path; 0: none has
 }
 
 // retainedJob is a settled job in a retention queue.
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -25,6 +25,7 @@
 
 func (h *history) draw(n int) int { return rapid.IntRange(0, n-1).Draw(h.t, "n") }
 
+// wait advances the time by a random span, at least 1 ns.
 func (h *history) wait(most time.Duration) {
 	h.at += time.Duration(1 + h.draw(int(most)))
 }
@@ -113,7 +114,7 @@
 	return worker
 }
 
-// attempt draws one sending of a request, to its end.
+// attempt draws one attempt at a worker, to its end. ran reports whether it was possibly executed.
 func (h *history) attempt(c *scenario.Class, requestID string, worker int) (result string, ran bool) {
 	h.wait(time.Millisecond)
 	first := h.at
@@ -168,7 +169,7 @@
 		spec.Classes[3].DeduplicationScope = rapid.SampledFrom([]string{"cell", "all"}).Draw(t, "scope")
 		events := drawHistories(t, spec)
 		for _, violation := range verdictOf(spec, events).Violations {
-			t.Errorf("legal history reported: %s", violation)
+			t.Errorf("violation in a history that keeps the rules: %s", violation)
 		}
 		// The same history with one response duplicated, or one result changed.
 		responses := []int{}
@@ -189,7 +190,7 @@
 			events = slices.Insert(events, i, events[i])
 		}
 		if verdict := verdictOf(spec, events); len(verdict.Violations) != 1 || verdict.Violations[0].Rule != rule {
-			t.Errorf("want %s, found %v", rule, verdict.Violations)
+			t.Errorf("after the change of one event: want one violation of %s, found %v", rule, verdict.Violations)
 		}
 	})
 }
--- a/internal/testbed/checker/overlap_rules.go
+++ b/internal/testbed/checker/overlap_rules.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// This file holds the rules for overlapping attempts of a request. An overlap is decided some time after the later attempt has
-// arrived, as a cancellation of the earlier attempt may still be on its way.
+// This file holds the rules for overlapping attempts of a request. Whether an overlap is a violation is decided some time after
+// the later attempt has arrived, as a cancellation of the earlier attempt may still be in transit.
 
 // resolveOverlaps reports or drops the overlaps that a trace event decides.
 func (c *Checker) resolveOverlaps(event *trace.Event) {
@@ -31,8 +31,8 @@
 	c.overlaps = kept
 }
 
-// isConfirmed reports whether the earlier attempt of an overlap was still in flight when a cancellation of it would have
-// arrived on the path that proved open.
+// isConfirmed reports whether an overlap is a violation: the earlier attempt was still in flight when a cancellation of it would
+// have arrived, on a path that is known to be open.
 func (c *Checker) isConfirmed(overlap overlap, now time.Duration) bool {
 	if overlap.provedOpenAt == 0 {
 		return false
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -12,11 +12,11 @@
 // Constants of the real process: the shutdown of internal/server, and the descriptors, memory and discovery timeouts of
 // internal/scheduler.
 const (
-	stopTimeout         = 3 * time.Second
-	stopMargin          = 700 * time.Millisecond
-	stopAdmittingBefore = 900 * time.Millisecond
-	flushTime           = 300 * time.Millisecond
-	finalFlushTime      = 150 * time.Millisecond
+	stopTimeout         = 3 * time.Second        // longer client timeouts don't delay SIGKILL further
+	stopMargin          = 700 * time.Millisecond // from the end of the longest client timeout to SIGKILL
+	stopAdmittingBefore = 900 * time.Millisecond // before SIGKILL; from then on new requests are rejected
+	flushTime           = 300 * time.Millisecond // before SIGKILL; then recent requests and those without an attempt are answered
+	finalFlushTime      = 150 * time.Millisecond // before SIGKILL; then all other requests are answered
 
 	ownDescriptors    = 24
 	fullRetryAfter    = time.Second // Retry-After of a scheduler at its request limit
--- a/internal/testbed/simulation/process_stop.go
+++ b/internal/testbed/simulation/process_stop.go
@@ -3,17 +3,17 @@
 // drain begins a shutdown: the process serves until shortly before it would be killed, and then answers every open request.
 func (p *process) drain() {
 	p.draining, p.listChanged = true, true
-	killed := stopMargin
+	killAfter := stopMargin
 	for _, c := range p.scheduler.settings.Classes {
-		killed = max(killed, stopMargin+min(c.ClientTimeout, stopTimeout))
+		killAfter = max(killAfter, stopMargin+min(c.ClientTimeout, stopTimeout))
 	}
-	p.after(max(killed-stopAdmittingBefore, killed/2), p.close)
-	p.after(killed-flushTime, func() {
-		p.requests.CloseSince(p.now - (killed - flushTime - stopMargin))
+	p.after(max(killAfter-stopAdmittingBefore, killAfter/2), p.close)
+	p.after(killAfter-flushTime, func() {
+		p.requests.CloseSince(p.now - (killAfter - flushTime - stopMargin))
 		p.requests.RejectQueued()
 	})
-	p.after(killed-finalFlushTime, func() { p.requests.CloseSince(0) })
-	p.after(killed, func() { p.finished = true })
+	p.after(killAfter-finalFlushTime, func() { p.requests.CloseSince(0) })
+	p.after(killAfter, func() { p.finished = true })
 }
 
 // close rejects new requests, and closes idle client connections.
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -11,14 +11,14 @@
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
 		"CPU, memory and descriptors of the schedulers' processes are not measured: deciding, reading and writing take" +
-			" no time, and a process has as much memory as it wants.",
-		"Requests and responses pass whole between environment and scheduler: nothing is seen of how bytes are read, written and framed.",
+			" no time, and the memory of a process is not limited.",
+		"Requests and responses pass whole between environment and scheduler: how bytes are read, written and framed is not simulated.",
 	}
 	listed := map[string]bool{}
 	for _, b := range spec.Misbehaving {
 		if !listed[b.Kind] {
 			listed[b.Kind] = true
-			all = append(all, fmt.Sprintf("Misbehaving clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
+			all = append(all, fmt.Sprintf("Misbehaving clients (%s) are left out: what they do is defined in bytes on sockets.", b.Kind))
 		}
 	}
 	for _, f := range spec.Faults {
@@ -28,11 +28,11 @@
 		}
 	}
 	if spec.Planners.Count > 0 {
-		all = append(all, "What forwarders and planners say to each other is written and read in frames, but connections and"+
-			" gossip are models: nothing is seen of sockets, of the time that a hop takes in a process, or of the engine.")
+		all = append(all, "Messages between forwarders and planners are written and read in frames, but connections and"+
+			" gossip are models: sockets, the time that a hop takes in a process, and the engine are not simulated.")
 	}
 	if spec.Schedulers.OperationsFile != "" {
-		all = append(all, "Of the operators' file [aperture] counts alone: the other features have to do with sockets and files.")
+		all = append(all, "Of the operators' file only [aperture] has an effect: its other sections concern sockets and files.")
 	}
 	return all
 }
@@ -41,7 +41,7 @@
 var partlySupportedFaults = map[string]string{
 	"reset_at": "a request that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
-	"slow_read":     "requests arrive late as a whole; a write that takes its time is not seen.",
+	"slow_read":     "requests arrive late as a whole; the scheduler's writes do not take longer.",
 	"sched_replace": "a process that replaces another takes over at once, and loses nothing.",
-	"sched_reload":  "of the configuration file read anew, only the address of discovery counts.",
+	"sched_reload":  "of the configuration file that is read again, only the address of discovery has an effect.",
 }
--- a/internal/testbed/simulation/worker_conn.go
+++ b/internal/testbed/simulation/worker_conn.go
@@ -51,7 +51,7 @@
 	task          connTask
 	lastTask      taskKind // kind of the current or last task
 	idleSince     time.Duration
-	idleFor       time.Duration // how long it was idle before its task; 0: the connection is new
+	idleFor       time.Duration // how long it was idle before its task; 0: it is new and was never idle
 }
 
 func (c *workerConn) dial() {
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -21,7 +21,7 @@
 	retireInterval     = time.Second
 	minIdleTrust       = 20 * time.Millisecond
 	idleTrustGrowth    = 10 * time.Second
-	maxIdleTrust       = time.Minute // beyond that there is no limit
+	maxIdleTrust       = time.Minute // once idleTrust exceeds this, there is no limit any more
 
 	reuseDelay       = 10 * time.Millisecond // before a connection carries the next attempt
 	cancelAttempts   = 4                     // limit on the connections tried for a DELETE
--- a/internal/testbed/starvation/checker.go
+++ b/internal/testbed/starvation/checker.go
@@ -23,11 +23,11 @@
 // Estimates of how a scheduler divides its limit on sockets, from which follows how many requests it admits.
 const (
 	processSockets      = 24  // of a process, besides its connections
-	workerSocketDivisor = 6   // connections, of which one is to a worker
-	minWorkerSockets    = 8   // connections to workers, at least
-	spareSocketDivisor  = 10  // client connections, of which one is reserved
-	minSpareSockets     = 8   // reserved client connections, at least
-	crowdedShare        = 0.9 // of the requests that it admits, from which on rejections are excused
+	workerSocketDivisor = 6   // one connection in six is to a worker
+	minWorkerSockets    = 8   // least number of connections to workers
+	spareSocketDivisor  = 10  // one client connection in ten is reserved
+	minSpareSockets     = 8   // least number of reserved client connections
+	crowdedShare        = 0.9 // a scheduler with this share of the requests that it admits may reject
 )
 
 // Checker finds starvation in one run from its trace. It is used by one goroutine.
--- a/internal/testbed/starvation/detection.go
+++ b/internal/testbed/starvation/detection.go
@@ -9,13 +9,13 @@
 const (
 	windowShare    = 0.9 // of the window of an idempotency key, in which a scheduler has to retry
 	maxExamined    = 64  // idle workers examined for one request, besides those that are still to be reserved
-	reserveDivisor = 20  // number of workers of which one is reserved where several schedulers share the fleet
+	reserveDivisor = 20  // one worker in twenty is reserved where several schedulers share the fleet
 )
 
 // Bounds on a scheduler's estimates of work.
 const (
 	minClassEnds     = 30   // executions after which a process has estimated the error of a class's hints
-	maxEstimateError = 2    // largest factor of the error then: an execution shows hint and speed as one quotient only
+	maxEstimateError = 2    // factor by which it may be wrong after that, as an execution shows only hint divided by speed
 	meanFactor       = 2    // by which work may differ from the mean of its class without hints
 	roughDeviation   = 2    // standard deviations by which rough hints may be wrong
 	minWork          = 1e-9 // seconds
--- a/internal/testbed/starvation/requests.go
+++ b/internal/testbed/starvation/requests.go
@@ -26,7 +26,7 @@
 	open         bool          // its client waits for the response
 	reported     bool          // as starved
 	index        int           // in its scheduler's requests
-	overdueIndex int           // in its set of overdue requests, or notOld
+	overdueIndex int           // in its set of overdue requests, or notOverdue
 	attempts     []*attempt
 }
 
