--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -434,7 +434,7 @@
 	r.doNow(func() { n.setSilent(false) })
 	n.setResetBytes(8)
 	if in := requireLastMessage[simapi.WorkerConnected](r, request("reset while it is read")); in.ResetAfter != 8 {
-		t.Fatalf("%+v", in)
+		t.Fatalf("connection message with a reset after 8 bytes read: %+v, want ResetAfter 8", in)
 	}
 	n.setResetBytes(-9)
 	c = request("reset in its answer")
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -41,7 +41,7 @@
 		got, err := Run(spec, seed, Options{Digest: true})
 		x := got.Control
 		if err != nil || !got.Finished || x.Requests < 100 || x.Commands < x.Requests || x.EncodingFailures > 0 {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("run with planners is not finished, has too few requests or commands, or failed to encode: %+v, %v", got, err)
 		}
 		return got.Digest
 	}
--- a/internal/testbed/simulation/peers_test.go
+++ b/internal/testbed/simulation/peers_test.go
@@ -32,7 +32,7 @@
 	run := func(seed uint64) *Outcome {
 		got, err := Run(spec, seed, Options{Digest: true})
 		if err != nil || !got.Finished || got.Peers.Datagrams == 0 || got.Peers.Bytes < got.Peers.Datagrams {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("run with peer messages is not finished or has no datagrams: %+v, %v", got, err)
 		}
 		return got
 	}
@@ -56,7 +56,7 @@
 	for _, text := range []string{manyFaults, manyFaults + off} {
 		got, err := Run(parse(t, text), 1, Options{Digest: true})
 		if err != nil || got.Peers != (PeerTraffic{}) {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("run without peer messages has datagrams, or failed: %+v, %v", got, err)
 		}
 		digests[got.Digest] = true
 	}
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -57,7 +57,7 @@
 func expect(t *testing.T, what string, got []string, want ...string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%s: %v, expected %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -58,7 +58,7 @@
 	digestOf := func(seed uint64, name string) uint64 {
 		got, err := Run(spec, seed, Options{Model: policy(name), Digest: true})
 		if err != nil || !got.Finished || got.Requests < 100 || got.Responses < got.Requests*3/4 {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("%s: run is not finished, or has too few requests or responses: %+v, %v", name, got, err)
 		}
 		return got.Digest
 	}
@@ -129,7 +129,7 @@
 		return s
 	}, Trace: func(_ time.Duration, ins []simapi.Input, outs []simapi.Output) { traced += len(ins) + len(outs) }})
 	if err != nil || wrapped != 1 || traced == 0 || got.End != time.Second || got.Finished {
-		t.Errorf("%+v, %d wrapped, %d traced, %v", got, wrapped, traced, err)
+		t.Errorf("run with Until, Wrap and Trace: %+v, %d schedulers wrapped, %d messages traced, %v", got, wrapped, traced, err)
 	}
 	_, err = Run(spec, 1, Options{Wrap: func(s simapi.Scheduler) simapi.Scheduler { return endlessScheduler{s} }})
 	if err == nil || !strings.Contains(err.Error(), "in a loop") {
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -486,7 +486,7 @@
 		c.far(b, b.openConns[0].conn)
 		o, _ := b.script.Received[len(b.script.Received)-1].(dispatch.Outcome)
 		if o.Result != c.want || b.violation != "" {
-			t.Errorf("%s: %v, expected %v; %s", c.name, o.Result, c.want, b.violation)
+			t.Errorf("%s: result %v, want %v; violation: %s", c.name, o.Result, c.want, b.violation)
 		}
 	}
 }
--- a/internal/testbed/starvation/attempts.go
+++ b/internal/testbed/starvation/attempts.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// States that callbacks report, and the text of a cancellation that a fault of the network caused: the attempt's scheduler does
-// not know of it.
+// States that callbacks report, and the text of a cancellation that a fault of the network caused: the attempt's scheduler is
+// not notified of it.
 const (
 	stateStarted     = "started"
 	stateRunning     = "running"
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -73,7 +73,7 @@
 			}
 			for _, finding := range verdict.Findings {
 				if finding.Class != spec.Classes[0].Name || finding.Rejected != test.rejects {
-					t.Errorf("%+v", finding)
+					t.Errorf("finding in another class, or of the other way to starve: %+v", finding)
 				}
 			}
 		})
