--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -151,12 +151,12 @@
 		if x.status > 0 {
 			o := expectOutput[simapi.ResponseWritten](r)
 			if o != (simapi.ResponseWritten{Conn: conn, RequestID: x.call, Status: x.status, Result: x.result, RetryAfter: x.after}) {
-				t.Errorf("%s: %+v", x.call, o)
+				t.Errorf("%s: unexpected response: %+v", x.call, o)
 			}
 		}
 		if x.status == 0 || x.ends {
 			if o := expectOutput[simapi.ClientConnClosed](r); o.Conn != conn {
-				t.Errorf("%s: %+v", x.call, o)
+				t.Errorf("%s: another connection is reported as closed: %+v", x.call, o)
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 			"X-Call-Info": "slots=2", "X-Again": "1",
 		} {
 			if got := q.Header.Get(name); got != value {
-				t.Errorf("%s: %q, expected %q", name, got, value)
+				t.Errorf("header field %s: got %q, want %q", name, got, value)
 			}
 		}
 		if len(body) != 300 || !strings.HasPrefix(string(body), call) {
@@ -247,7 +247,7 @@
 	}
 	respond(c)
 	if o := expectOutput[simapi.ResponseWritten](r); o.RequestID != "b" {
-		t.Errorf("%+v", o)
+		t.Errorf("response to the request that was sent again: %+v, want one to b", o)
 	}
 	request("c")
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
@@ -302,7 +302,7 @@
 	s := r.connect(1)
 	dial := expectOutput[simapi.WorkerDialed](r)
 	if dial.Worker != 1 || dial.Conn != simapi.WorkerConn(0, 1) {
-		t.Fatalf("%+v", dial)
+		t.Fatalf("first connection: %+v, want one to worker 1", dial)
 	}
 	up := simapi.Input{Message: simapi.WorkerConnected{Conn: dial.Conn}}
 	body := string(appendBody(nil, "c1", 40))
@@ -313,7 +313,7 @@
 	r.carryOut(up)
 	o := expectOutput[simapi.AttemptWritten](r)
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
-		t.Errorf("%+v", o)
+		t.Errorf("attempt reported to the environment: %+v", o)
 	}
 	s.respond(dial.Conn, 202)
 	if got := s.status(); got != 202 {
@@ -349,12 +349,12 @@
 	} {
 		_, _ = io.WriteString(s, x.text)
 		if got := withoutFirstByte(s.r.nextOutput().Message); got != x.want {
-			s.r.Errorf("%s: %+v", x.text, got)
+			s.r.Errorf("%s: unexpected output %+v", x.text, got)
 		}
 		s.respond(conn, 503)
 		a, err := http.ReadResponse(s.in, nil)
 		if err != nil || a.StatusCode != 503 || a.Header.Get("X-Rejected") != "1" {
-			s.r.Errorf("%s: %v, %v", x.text, a, err)
+			s.r.Errorf("%s: got response %v, %v, want a rejection with 503", x.text, a, err)
 		}
 	}
 }
@@ -392,7 +392,7 @@
 	} {
 		_, _ = io.WriteString(s, request)
 		if got := s.status(); got != status {
-			s.r.Errorf("%s: %d, expected %d", request, got, status)
+			s.r.Errorf("%s: got status %d, want %d", request, got, status)
 		}
 	}
 }
@@ -425,7 +425,7 @@
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
 		// A reset may overtake bytes that were written before it, as on any network.
 		if !errors.Is(err, syscall.ECONNRESET) || len(b) > 0 {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("response that is reset after 9 bytes: read %q, %v", b, err)
 		}
 	}
 	expectOutput[simapi.WorkerConnClosed](r)
@@ -505,7 +505,7 @@
 	expectAnswer := func(id uint64, status int) {
 		t.Helper()
 		if o := expectOutput[simapi.CallbackAnswered](r); o.CallbackID != id || o.Status != status || o.Worker != 1 {
-			t.Errorf("%+v, expected callback %d with %d", o, id, status)
+			t.Errorf("outcome of a callback: %+v, want callback %d with status %d", o, id, status)
 		}
 	}
 	sendCallback(1, "done")
@@ -547,7 +547,7 @@
 		got[o.CallbackID] = o.Status
 	}
 	if len(got) != 50 || got[10] != 204 || got[59] != 204 {
-		t.Errorf("%v", got)
+		t.Errorf("statuses of 50 callbacks at once: %v", got)
 	}
 }
 
@@ -577,7 +577,7 @@
 		r.d.addresses.worker(2+1, 0)) // the second machines' addresses follow those of the two workers' first machines
 	go func() {
 		if o := expectOutput[simapi.WatchRequested](r); o.Revision != 41 {
-			t.Errorf("%+v", o)
+			t.Errorf("request for a watch: %+v, want revision 41", o)
 		}
 		received := simapi.Input{Message: simapi.ListReceived{List: list}}
 		r.carryOut(received, simapi.Input{Message: simapi.WatchHeartbeat{}}, received)
@@ -585,7 +585,7 @@
 	_, lines := request(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
 	for _, x := range []string{wantLine, "", wantLine} {
 		if line, err := lines.ReadString('\n'); err != nil || line != x+"\n" {
-			t.Errorf("%q, %v, expected %q", line, err, x)
+			t.Errorf("line of the watch: %q, %v, want %q", line, err, x)
 		}
 	}
 	r.carryOut(simapi.Input{Message: simapi.WatchEnded{}})
@@ -608,7 +608,7 @@
 		expectOutput[simapi.WatchRequested](r)
 		r.carryOut(simapi.Input{Message: simapi.WatchEnded{}})
 		if o := expectOutput[simapi.WatchRequested](r); o.Revision != 0 {
-			t.Errorf("%+v", o)
+			t.Errorf("request for a snapshot: %+v, want revision 0", o)
 		}
 		r.carryOut(simapi.Input{Message: simapi.ListReceived{List: list}})
 	}()
@@ -617,11 +617,11 @@
 	}
 	a, body := request(r.d.addresses.discovery(1, 0), "/discovery/hosts")
 	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != wantLine {
-		t.Errorf("%d %s", a.StatusCode, text)
+		t.Errorf("snapshot: status %d, body %s", a.StatusCode, text)
 	}
 	for path, status := range map[string]int{"/else": 404, "/discovery/hosts?stream=1&index=x": 400} {
 		if a, _ := request(r.d.addresses.discovery(1, 0), path); a.StatusCode != status {
-			t.Errorf("%s: %d", path, a.StatusCode)
+			t.Errorf("GET %s: status %d", path, a.StatusCode)
 		}
 	}
 }
@@ -651,10 +651,10 @@
 			conn = message.Conn
 		case simapi.ResponseWritten:
 			if conn = message.Conn; message.Status < 400 {
-				t.Errorf("%s: %+v", kinds[conn], o)
+				t.Errorf("%s: want an error status, got %+v", kinds[conn], o)
 			}
 		default:
-			t.Fatalf("%T: %+v", o.Message, o)
+			t.Fatalf("unexpected output of type %T: %+v", o.Message, o)
 		}
 		delete(kinds, conn)
 	}
@@ -722,32 +722,32 @@
 		t.Fatal(err)
 	}
 	var usage trace.Event
-	looked := make(chan struct{})
+	sampled := make(chan struct{})
 	r := newTestDriver(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Observer: func(s *trace.Event) {
 		if s.Kind == trace.ResourceUsage && s.Scheduler == 0 && usage.Kind == 0 {
 			usage = *s
-			close(looked)
+			close(sampled)
 		}
 	}})
 	known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
-	boot := simapi.Start{Name: "s1", Seed: 5, KnownEndpoints: known}
-	r.carryOut(simapi.Input{Message: boot})
+	start := simapi.Start{Name: "s1", Seed: 5, KnownEndpoints: known}
+	r.carryOut(simapi.Input{Message: start})
 	r.expectPoll(9, true) // the revision that it was started with
-	<-looked
+	<-sampled
 	if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
-		t.Errorf("%+v", usage)
+		t.Errorf("sample of the process lacks memory, descriptors or processor time: %+v", usage)
 	}
 	r.carryOut(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Resume{}}, simapi.Input{Message: simapi.Reload{Discovery: 1}})
 	r.expectPoll(9, false)
 	r.carryOut(simapi.Input{Message: simapi.Terminate{}})
 	if o := expectOutput[simapi.Exited](r); o.Status != 7 {
-		t.Errorf("%+v", o)
+		t.Errorf("exit after SIGTERM: %+v, want status 7", o)
 	}
-	boot.KnownEndpoints.Revision = 10
-	r.carryOut(simapi.Input{Message: boot})
+	start.KnownEndpoints.Revision = 10
+	r.carryOut(simapi.Input{Message: start})
 	r.expectPoll(10, true)
 	r.carryOut(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Kill{}}) // no exit is reported
-	r.carryOut(simapi.Input{Message: boot})
+	r.carryOut(simapi.Input{Message: start})
 	r.expectPoll(10, true)
 	log, err := os.ReadFile(r.d.schedulers[0].log.path)
 	text := string(log)
@@ -769,7 +769,7 @@
 		case !sent && o.Message == simapi.OutputMessage(simapi.WatchRequested{Revision: after}):
 			sent = true
 		default:
-			r.Fatalf("%+v", o)
+			r.Fatalf("unexpected output while waiting for a request to discovery or readiness: %+v", o)
 		}
 	}
 }
--- a/internal/testbed/process/run.go
+++ b/internal/testbed/process/run.go
@@ -72,7 +72,7 @@
 	return runDriver(ctx, spec, opt, w, func(start time.Time) { w.Epoch = time.Duration(start.UnixNano()) })
 }
 
-// runDriver runs an environment model. It calls begins with the wall-clock time of the environment's time zero, and again
+// runDriver runs an environment model. It calls onStart with the wall-clock time of the environment's time zero, and again
 // whenever a pause of the environment's time has moved that.
 func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, model environmentModel, onStart func(time.Time)) (
 	_ *Outcome, err error,
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -43,7 +43,7 @@
 func TestRun(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
 	if outputs, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, outputs)
+		t.Fatalf("building the program: %v: %s", err, outputs)
 	}
 	history := &jobHistory{TB: t, settled: map[uint64]int{}, open: map[string]bool{}}
 	var progress atomic.Int32
@@ -65,7 +65,7 @@
 	}
 	for _, p := range o.Schedulers {
 		if p.Starts != 2 || len(p.Exits) > 0 {
-			t.Errorf("%+v", p)
+			t.Errorf("want two starts and no exit of a scheduler: %+v", p)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	refused := func(o Options, why string) {
 		t.Helper()
 		if _, err := Run(t.Context(), spec, 1, o); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%v, expected %s", err, why)
+			t.Errorf("got error %v, want one with %s", err, why)
 		}
 	}
 	refused(Options{Binary: "/no/such/program"}, "no such file")
@@ -201,7 +201,7 @@
 	if got.Scheduled < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
 		uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Scheduled ||
 		(got.Failed > 0) != (len(statuses) > 1) {
-		t.Errorf("%s: %+v", target, got)
+		t.Errorf("load on %s: requests are missing, or counted twice: %+v", target, got)
 	}
 }
 
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -30,7 +30,7 @@
 
 // connUser is notified of what happens on its socketConn. It is this side's party of the connection.
 type connUser interface {
-	// dataReceived reports that the last fresh bytes of received are new. The user removes bytes by consume.
+	// dataReceived reports that received has grown by fresh bytes. The user removes bytes by consume.
 	dataReceived(fresh int)
 	// connClosed reports that the other side has closed the connection (nil), or that it was reset or could not be
 	// established. The connection is closed on this side already; received is still available.
@@ -144,7 +144,7 @@
 	case err == unix.EAGAIN || err == unix.EINTR:
 	case err != nil:
 		s.fail(err)
-	case n == 0: // a later write may have met a reset, which is reported then
+	case n == 0: // the other side has closed it, or a write has met a reset, which socketError returns
 		s.fail(s.socketError())
 	default:
 		s.received = append(s.received, s.poller.readBuffer[:n]...)
