--- a/internal/testbed/fleet/clients_test.go
+++ b/internal/testbed/fleet/clients_test.go
@@ -21,7 +21,7 @@
 	}
 	if got.All != (OutcomeCounts{Served: 36, Rejected: 12, Failed: 24}) || got.Requested != 72 || got.Settled != 72 ||
 		got.FailureReasons["status 500"] != 12 || got.FailureReasons["another request's answer"] != 12 {
-		t.Errorf("%+v", got)
+		t.Errorf("outcomes of 72 requests: %+v", got)
 	}
 }
 
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if got.All != (OutcomeCounts{Served: 30, Rejected: 10, Failed: 20}) || got.Requested != 60 || got.Settled != 60 {
-		t.Errorf("%+v", got)
+		t.Errorf("outcomes of 60 requests: %+v", got)
 	}
 }
 
@@ -70,6 +70,6 @@
 	t.Helper()
 	if header.Get("X-Call-Cost") != "30000" || header.Get("X-Budget-Ms") != "5000" ||
 		header.Get("X-Call-Class") != jobClass {
-		t.Errorf("%v", header)
+		t.Errorf("header of a request: %v", header)
 	}
 }
--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -215,13 +215,13 @@
 	}
 }
 
-// fail closes the connection and tells its owner.
+// fail closes the connection and notifies its owner.
 func (c *conn) fail(err error) {
 	c.close()
 	c.owner.connClosed(err)
 }
 
-// close closes the connection. The owner is not told.
+// close closes the connection. The owner is not notified.
 func (c *conn) close() {
 	if c.closed || c.engine == nil {
 		return
@@ -234,7 +234,7 @@
 	c.received, c.unsent = nil, nil
 }
 
-// reset closes the connection in such a way that the peer sees a reset. The owner is not told.
+// reset closes the connection in such a way that the peer sees a reset. The owner is not notified.
 func (c *conn) reset() {
 	if !c.closed && c.engine != nil {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
--- a/internal/testbed/fleet/descriptors_test.go
+++ b/internal/testbed/fleet/descriptors_test.go
@@ -13,6 +13,6 @@
 		}
 	}
 	if got := (descriptorPlan{limit: 20_000}).workerLimit(200); got != 6439 {
-		t.Errorf("%d", got)
+		t.Errorf("up to %d workers with 20,000 descriptors and 200 clients, want 6439", got)
 	}
 }
--- a/internal/testbed/fleet/discovery_test.go
+++ b/internal/testbed/fleet/discovery_test.go
@@ -61,10 +61,10 @@
 func checkSnapshot(t *testing.T, name string, list requests.EndpointList, rig *Rig) {
 	t.Helper()
 	if !list.Reset || list.Revision != 1 || len(list.Endpoints) != 7 {
-		t.Fatalf("%s: %+v", name, list)
+		t.Fatalf("%s: not the first snapshot of seven workers: %+v", name, list)
 	}
 	last := list.Endpoints[6]
 	if last.ID != "w-6" || last.StartedAtMs != 0 || last.Addr != rig.Addresses().Workers[6] {
-		t.Errorf("%s: %+v", name, list)
+		t.Errorf("%s: unexpected last entry: %+v", name, list)
 	}
 }
--- a/internal/testbed/fleet/doc.go
+++ b/internal/testbed/fleet/doc.go
@@ -7,9 +7,10 @@
 // behaviour of clients, workers and the network is simplified; the process driver models it in detail.
 //
 // The scheduler has a core to itself, and the rig has others. The rig measures its own lateness and processor time, and
-// a run in which the rig may have been the limit is void (see Result.InvalidReason). For comparison, the same clients
-// and workers also run with the standard library's reverse proxy, which picks the worker with the fewest requests in
-// flight (Proxy), and with nothing between them (Direct), which is the best that the clients could have.
+// a run in which the rig may have been the limit is invalid (see Result.InvalidReason); reports call it void. For
+// comparison, the same clients and workers also run with the standard library's reverse proxy, which picks the worker with
+// the fewest requests in flight (Proxy), and with nothing between them (Direct), which is the best that the clients could
+// have.
 //
 // A client that is rejected sends its next request at once and ignores Retry-After, so that needless rejections show in the
 // results. A client whose request failed waits for 10 ms.
--- a/internal/testbed/fleet/growth_test.go
+++ b/internal/testbed/fleet/growth_test.go
@@ -32,7 +32,7 @@
 			t.Logf("%s: %v, %v, allowed %v", verdict.Name, verdict.Usual, verdict.Large, verdict.Allowed)
 		}
 		if verdict.IsCount && !verdict.IsKept() {
-			t.Errorf("%+v", verdict)
+			t.Errorf("bound exceeded: %+v", verdict)
 		}
 	}
 }
@@ -64,6 +64,6 @@
 	checkVerdicts(false)
 	var b strings.Builder
 	if err := report.Write(&b); err != nil || strings.Count(b.String(), "EXCEEDED") != 6 || !strings.Contains(b.String(), "void") {
-		t.Errorf("%v: %s", err, b.String())
+		t.Errorf("table of six exceeded bounds and a void run: %v: %s", err, b.String())
 	}
 }
--- a/internal/testbed/fleet/hint_test.go
+++ b/internal/testbed/fleet/hint_test.go
@@ -8,7 +8,7 @@
 		"none": "none",
 	} {
 		if f, err := ParseHint(text); err != nil || hintText(f) != want {
-			t.Errorf("%s: %v, %v", text, f, err)
+			t.Errorf("hint %s: parsed as %v, %v", text, f, err)
 		}
 	}
 	for _, text := range []string{"", "x", "1/0", "0", "-1", "1/x"} {
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -26,8 +26,8 @@
 	Disturbances []float64 `json:"trouble,omitempty"`
 }
 
-// InvalidReason says why the run is void; empty if it is valid. A run of Ceiling always is: there the rig is meant to
-// be the limit.
+// InvalidReason says why the run is invalid; empty if it is valid. A run of Ceiling is always valid: there the rig is meant
+// to be the limit.
 func (m *Measurement) InvalidReason() string {
 	if m.Subject == Ceiling {
 		return ""
@@ -62,7 +62,7 @@
 }
 
 // Measure runs one row: it starts the rig and the subject as separate processes, and ends both before it returns.
-// A run whose figures are void is no error; see Measurement.InvalidReason.
+// An invalid run is no error; see Measurement.InvalidReason.
 func Measure(ctx context.Context, tableRow TableRow, options Options) (Measurement, error) {
 	figures, _, err := measure(ctx, tableRow, options)
 	return figures, err
--- a/internal/testbed/fleet/measure_test.go
+++ b/internal/testbed/fleet/measure_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "valvecove")
 	if output, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("building the program: %v: %s", err, output)
 	}
 	return binary
 }
@@ -44,14 +44,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := Measure(ctx, scheduler, options); err == nil {
-			t.Error("a run after the end of its context")
+			t.Error("Measure returned no error after the end of its context")
 		}
 	})
 	t.Run("program that ends", func(t *testing.T) {
 		options.Binary = "/bin/false"
 		_, err := Measure(t.Context(), scheduler, options)
 		if err == nil || !strings.Contains(err.Error(), "build ended") {
-			t.Errorf("a program that ends: %v", err)
+			t.Errorf("a scheduler's program that ends: got error %v, want one with \"build ended\"", err)
 		}
 	})
 }
@@ -62,26 +62,26 @@
 	t.Helper()
 	figures, err := Measure(t.Context(), measured, options)
 	if err != nil {
-		t.Fatalf("%v: %v", measured, err)
+		t.Fatalf("measuring %v: %v", measured, err)
 	}
 	hasSubject := measured.Subject != Direct
 	if figures.All.Served != 50 || figures.Settled != 50+figures.All.Rejected || figures.All.Failed > 0 ||
 		figures.Unexpected > 0 || figures.CallbacksLost > 0 || (figures.Descriptors > 0) != hasSubject ||
 		len(figures.FailureReasons) > 0 {
 		text, _ := json.Marshal(figures)
-		t.Errorf("%v: %s", measured, text)
+		t.Errorf("%v: not every job is served once: %s", measured, text)
 	}
 	figures.MaxCPU, figures.Lateness50, figures.Lateness99 = 0, 0, 0
 	return figures
 }
 
-// checkTable expects a table of two header lines and four rows, one of which has a void run.
+// checkTable expects a table of two header lines and four rows, one of which has an invalid run.
 func checkTable(t *testing.T, report *Report) {
 	t.Helper()
 	var b strings.Builder
 	if err := report.Table(&b); err != nil || strings.Count(b.String(), "\n") != 6 ||
 		!strings.Contains(b.String(), "(1 void)") || !strings.Contains(b.String(), "| build | 5 | yes | right | ") {
-		t.Errorf("%v: %s", err, b.String())
+		t.Errorf("unexpected table: %v: %s", err, b.String())
 	}
 }
 
@@ -92,10 +92,10 @@
 		figures.Seconds = append(figures.Seconds, OutcomeCounts{Served: served})
 	}
 	if got := figures.RecoveredAfter(); got != 2 {
-		t.Errorf("%d", got)
+		t.Errorf("recovered after %d s, want 2", got)
 	}
 	figures.Seconds = figures.Seconds[:6]
 	if got := figures.RecoveredAfter(); got != -1 {
-		t.Errorf("%d", got)
+		t.Errorf("never recovered: got %d, want -1", got)
 	}
 }
--- a/internal/testbed/fleet/message_test.go
+++ b/internal/testbed/fleet/message_test.go
@@ -16,7 +16,7 @@
 		}
 	}
 	if n, err := reader.read([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.lastOnConn {
-		t.Errorf("%d, %v, %+v", n, err, m)
+		t.Errorf("whole message: length %d, %v, parsed as %+v", n, err, m)
 	}
 }
 
--- a/internal/testbed/fleet/options.go
+++ b/internal/testbed/fleet/options.go
@@ -76,7 +76,7 @@
 // check validates the options.
 func (o *Options) check() error {
 	if o.Clients < 1 || o.Length <= 0 || o.WarmUp < 0 || o.Burst < 0 || o.SilentShare < 0 || o.SilentShare >= 1 {
-		return errors.New("a run needs a client and a positive length, no setting may be negative, and a silent share is below 1")
+		return errors.New("a run needs a client and a positive length, no setting may be negative, and the share of silent workers must be below 1")
 	}
 	disturbances := o.disturbances()
 	if disturbances != nil && disturbances[1] > (o.WarmUp+o.Length).Seconds() {
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -29,7 +29,7 @@
 	FailureReasons map[string]int  `json:"why,omitempty"` // number of failures by reason
 	Requested      int             `json:"asked"`         // requests sent
 	Settled        int             `json:"settled"`       // requests whose outcome is known
-	Unexpected     int             `json:"odd"`           // requests that workers could not use
+	Unexpected     int             `json:"odd"`           // malformed requests at workers, and those without an identifier
 	CallbacksLost  int             `json:"notes_lost"`    // callbacks given up after the last attempt
 	Descriptors    int             `json:"rig_descriptors"`
 	Limit          int             `json:"descriptor_limit"` // of the rig's process
--- a/internal/testbed/fleet/spec.go
+++ b/internal/testbed/fleet/spec.go
@@ -29,11 +29,11 @@
 	Length             time.Duration `json:"length"`  // of the window
 	Seed               uint64        `json:"seed"`    // of the request identifiers
 	Rate               float64       `json:"rate"`    // requests a second, in place of the clients' own pace; 0: theirs
-	ChangeInterval     time.Duration `json:"changes"` // between two changes that discovery tells; 0: it tells none
+	ChangeInterval     time.Duration `json:"changes"` // between two changes of the endpoint list; 0: it does not change
 	Cores              []int         `json:"cores"`   // one engine is bound to each; empty: one engine on any core
 
 	Restarts       time.Duration `json:"restarts"`    // every third worker restarts in the course of this; 0: none does
-	SilentShare    float64       `json:"silent"`      // share of the workers, on consecutive addresses, that goes silent
+	SilentShare    float64       `json:"silent"`      // share of the workers, with consecutive addresses, that falls silent
 	SilentFor      time.Duration `json:"silent_for"`  // how long they are silent
 	DisturbancesAt time.Duration `json:"troubles_at"` // when both begin, from the clients' start
 	restartDown    time.Duration // how long a restarting worker is down; default 500 ms
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -78,7 +78,7 @@
 	"the busiest worker, over the mean of all workers. memory and descriptors: the most that the process had. rig: share " +
 	"of time that its busiest core was in use, and its own lateness, 99th percentile.\n"
 
-// Table writes a Markdown table with a line for each row. Void runs are left out and counted.
+// Table writes a Markdown table with a line for each row. Invalid runs are left out, and their number is shown.
 func (r *Report) Table(w io.Writer) error {
 	var b strings.Builder
 	writeLine := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
--- a/internal/testbed/fleet/worker_test.go
+++ b/internal/testbed/fleet/worker_test.go
@@ -41,7 +41,7 @@
 		{"DELETE", "/jobs/a2", "", 204},
 	} {
 		if got, _ := do(t, step.method, worker+step.path, step.requestID); got != step.status {
-			t.Errorf("%s %s: %d, expected %d", step.method, step.path, got, step.status)
+			t.Errorf("%s %s: got status %d, want %d", step.method, step.path, got, step.status)
 		}
 	}
 	for range len(expected) {
@@ -56,7 +56,7 @@
 	return func(w http.ResponseWriter, request *http.Request) {
 		var callback requests.Callback
 		if err := json.NewDecoder(request.Body).Decode(&callback); err != nil || request.URL.Path != "/v1/job-events" {
-			t.Errorf("%s: %v", request.URL, err)
+			t.Errorf("callback to %s: %v", request.URL, err)
 		}
 		if received.Add(1) <= 2 {
 			w.WriteHeader(http.StatusInternalServerError)
