--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -48,7 +48,7 @@
 
 // Help is appended to the subcommand's help.
 func (c *fleetCommand) Help() string {
-	return `One scheduler on a core to itself, fake workers with four slots each, and clients that each wait for their
+	return `One scheduler on a core to itself, simulated workers with four slots each, and clients that each wait for their
 response, on sockets of 127.0.0.0/8. Stop everything else on the machine first: processor time and delay are measured.`
 }
 
--- a/cmd/valvecove-testbed/search.go
+++ b/cmd/valvecove-testbed/search.go
@@ -37,7 +37,7 @@
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
-	fmt.Fprintf(streams.stdout, "%d runs, mean regret %.3f, %d with a rule broken or stopped; kept:\n",
+	fmt.Fprintf(streams.stdout, "%d runs, mean regret %.3f, %d broke a rule or failed; kept:\n",
 		result.Runs, result.MeanRegret, result.Violations)
 	for i := range result.Worst {
 		if err := c.writeFinding(i+1, &result.Worst[i], streams); err != nil {
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -42,7 +42,7 @@
 			},
 		})
 		if err != nil || result.Violations() > 0 {
-			t.Fatalf("%s: %v, %v", policy, err, result)
+			t.Fatalf("%s: run failed or broke a rule: %v, %v", policy, err, result)
 		}
 		b, err := json.Marshal(result.Result())
 		if err != nil {
@@ -65,7 +65,7 @@
 		job := Job{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation, Subject: Subject{Policy: policy}}
 		if _, err := Run(context.Background(), job); err == nil || !strings.Contains(err.Error(), "none") &&
 			!strings.Contains(err.Error(), policy) {
-			t.Errorf("%s: %v", policy, err)
+			t.Errorf("%s: want an error that names what is invalid, got %v", policy, err)
 		}
 	}
 }
--- a/internal/testbed/experiment/baseline_table.go
+++ b/internal/testbed/experiment/baseline_table.go
@@ -35,7 +35,7 @@
 	Bytes     uint64 `json:"bytes"`
 }
 
-// bytesPerPrice is the number of bytes per job that costs Peers.Price of a scenario, as a share of the result.
+// bytesPerPrice is the number of bytes per job that cost a scenario's Peers.Price once. The price is a share of the result.
 const bytesPerPrice = 256
 
 // add adds a run.
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -43,7 +43,7 @@
 	} {
 		_, err := ApplyChanges(baseScenario(), []string{c.change})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, expected it to name %s", c.change, err, c.want)
+			t.Errorf("%s: got error %v, want one that names %s", c.change, err, c.want)
 		}
 	}
 	from := baseScenario()
@@ -66,7 +66,7 @@
 	} {
 		varied, err := ParseVariedKey(text)
 		if err != nil || !slices.Equal(varied.Values, want) {
-			t.Errorf("%s: %v, %v", text, varied.Values, err)
+			t.Errorf("%s: parsed as %v, %v", text, varied.Values, err)
 		}
 	}
 	for _, text := range []string{"load.of", "load.of=", "load.of=1..2", "load.of=1..x/3", "load.of=1..2/1", "load.of=1,,2"} {
@@ -261,7 +261,7 @@
 	for _, f := range result.Worst {
 		remaining = append(remaining, f.Description())
 	}
-	want := []string{"rule drain broken", "worth 0.000 where 0.500 can be had"}
+	want := []string{"rule drain broken", "value 0.000, the baseline has 0.500"}
 	if !slices.Equal(remaining, want) {
 		t.Errorf("kept %v", remaining)
 	}
@@ -285,7 +285,7 @@
 	}
 	table[0].Cells[0] = newCell(nil)
 	if b, err := json.Marshal(table); err != nil || !strings.Contains(string(b), `"mean":null`) {
-		t.Errorf("%v: %s", err, b)
+		t.Errorf("a mean without runs is not encoded as null: %v: %s", err, b)
 	}
 	if text := baselines.Markdown(table); strings.Count(text, "\n") != 4 || !strings.Contains(text, "| all-seeing |") {
 		t.Errorf("table:\n%s", text)
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -42,7 +42,7 @@
 	OnSnapshot func(snapshot *score.Snapshot)
 	// Unchecked leaves the invariant checker out, for runs of which only the speed or the value is of interest.
 	Unchecked bool
-	// Starvation enables the check for attempts that wait or are rejected while workers are idle.
+	// Starvation enables the check for requests that are queued or rejected while workers are idle (package starvation).
 	Starvation bool
 	Process    process.Options // its Observer is overwritten
 }
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -125,7 +125,7 @@
 	return len(r.Worst) < limit || severity > r.Worst[len(r.Worst)-1].severity()
 }
 
-// keep adds a minimised finding to the worst ones, of which there is one of each kind, and reports whether it is among them.
+// keep adds a minimised finding to the worst ones, which have one finding of each kind, and reports whether it was kept.
 func (r *SearchResult) keep(finding *Finding, limit int) bool {
 	if i := r.indexOfKind(finding.kind()); i >= 0 {
 		if r.Worst[i].severity() >= finding.severity() {
@@ -196,7 +196,7 @@
 type Finding struct {
 	Spec            *scenario.Scenario // its Seed is the run's
 	Rule            string             // the broken rule, or starvation.Rule; empty: none
-	StarvationCount int                // number of attempts that starved
+	StarvationCount int                // number of requests that starved
 	Value           float64            // mixed value of the run
 	BaselineValue   float64            // mixed value of the baseline
 	RemainingFaults int                // number of the drawn faults that are still in Spec
@@ -212,13 +212,13 @@
 func (f *Finding) Description() string {
 	switch {
 	case f.Error != "":
-		return "it stopped: " + firstLine(f.Error)
+		return "the run failed: " + firstLine(f.Error)
 	case f.Rule == starvation.Rule:
 		return fmt.Sprintf("%d requests starved", f.StarvationCount)
 	case f.Rule != "":
 		return "rule " + f.Rule + " broken"
 	}
-	return fmt.Sprintf("worth %.3f where %.3f can be had", f.Value, f.BaselineValue)
+	return fmt.Sprintf("value %.3f, the baseline has %.3f", f.Value, f.BaselineValue)
 }
 
 // File returns the finding as a scenario file that repeats the run.
@@ -247,7 +247,7 @@
 
 // Severity of findings. That of a finding without an error or a broken rule is its regret, at most 1.
 const (
-	severityStopped   = 3
+	severityError     = 3
 	severityViolation = 2
 	minRegret         = 0.05 // a finding with no more than this regret is not kept
 )
@@ -256,7 +256,7 @@
 func (f *Finding) severity() float64 {
 	switch {
 	case f.Error != "":
-		return severityStopped
+		return severityError
 	case f.Rule != "":
 		return severityViolation
 	}
