--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -23,7 +23,7 @@
 // Subject is what a run tests: a policy, a mutant, a changed scenario, a program or another build.
 type Subject struct {
 	Name    string
-	Policy  string   // PolicyDispatch (or empty) or a baseline's name, with or without ApertureSuffix or PeersSuffix; simulation
+	Policy  string   // PolicyDispatch (or empty) or a baseline's name, also with ApertureSuffix or PeersSuffix; simulation only
 	Mutant  string   // name of a mutant to run; simulation only; empty: none
 	Set     []string // changes to the scenario, "key=value" with the value in TOML
 	Binary  string   // the scheduler's program; process driver only
