--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -23,7 +23,7 @@
 // Subject is what a run tests: a policy, a mutant, a changed scenario, a program or another build.
 type Subject struct {
 	Name    string
-	Policy  string   // PolicyDispatch (or empty) or a baseline's name, with or without ApertureSuffix or PeersSuffix; simulation
+	Policy  string   // PolicyDispatch (or empty) or a baseline's name, also with ApertureSuffix or PeersSuffix; simulation only
 	Mutant  string   // name of a mutant to run; simulation only; empty: none
 	Set     []string // changes to the scenario, "key=value" with the value in TOML
 	Binary  string   // the scheduler's program; process driver only
@@ -42,7 +42,7 @@
 	OnSnapshot func(snapshot *score.Snapshot)
 	// Unchecked leaves the invariant checker out, for runs of which only the speed or the value is of interest.
 	Unchecked bool
-	// Starvation enables the check for attempts that wait or are rejected while workers are idle.
+	// Starvation enables the check for requests that are queued or rejected while workers are idle (package starvation).
 	Starvation bool
 	Process    process.Options // its Observer is overwritten
 }
