--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -58,7 +58,7 @@
 		return r.Effort.PerJob, ""
 	case "recovered_within":
 		if !r.Recovery.All {
-			return math.Inf(1), "not back when no more jobs fell due"
+			return math.Inf(1), "goodput had not recovered when the last job became due"
 		}
 		return r.Recovery.Seconds, ""
 	}
@@ -94,7 +94,7 @@
 	case "p99_ms":
 		return g.latencyValue(g.Latency.P99)
 	}
-	return math.NaN(), "no figure " + metric
+	return math.NaN(), "unknown metric " + metric
 }
 
 // latencyValue returns a latency in milliseconds, or NaN if no job was served.
--- a/internal/testbed/score/compare_test.go
+++ b/internal/testbed/score/compare_test.go
@@ -18,7 +18,7 @@
 	p := Compare("x", "old", "new", make([]float64, 5), []float64{1, 2, 3, 4, 5}, Higher)
 	if math.Abs(p.Low-1.0368) > 1e-4 || math.Abs(p.High-4.9632) > 1e-4 || math.Abs(p.P-0.013236) > 1e-5 || !p.Significant ||
 		p.Verdict != "new is better: by 3, 95% sure of 1.04 to 4.96 over 5 seeds" {
-		t.Errorf("%+v", p)
+		t.Errorf("comparison of differences 1 to 5: %+v", p)
 	}
 	for _, c := range []struct {
 		b    []float64
--- a/internal/testbed/score/knee.go
+++ b/internal/testbed/score/knee.go
@@ -9,8 +9,8 @@
 
 // Knee returns the index of the point at which a curve bends most, and false if it has no knee. The points must be in order
 // of x. Both axes are normalised to 0..1. The knee is the point farthest from the chord between the first and the last point,
-// on the side of better values: of a metric for which higher is better, it is where the curve begins to fall, or where it has
-// done most of its rise. With Neither, points on both sides count. A curve has no knee if it has fewer than minKneePoints
+// on the side of better values: if higher is better, it is where a falling curve begins to fall, or where a rising one levels
+// off. With Neither, points on both sides count. A curve has no knee if it has fewer than minKneePoints
 // points, a value that is not a number, or no point that is minKneeDistance away from the chord.
 func Knee(x, y []float64, better Sense) (index int, ok bool) {
 	count := min(len(x), len(y))
--- a/internal/testbed/score/knee_test.go
+++ b/internal/testbed/score/knee_test.go
@@ -18,7 +18,7 @@
 		{[]float64{0, 4, 4.5, 4.8, 4.9, 5}, Lower, 0, false},
 	} {
 		if at, ok := Knee([]float64{1, 2, 3, 4, 5, 6}, c.ys, c.better); ok != c.ok || ok && at != c.at {
-			t.Errorf("%v: knee at %d, %v", c.ys, at, ok)
+			t.Errorf("%v: knee at %d, %v, want %d, %v", c.ys, at, ok, c.at, c.ok)
 		}
 	}
 }
--- a/internal/testbed/score/process_test.go
+++ b/internal/testbed/score/process_test.go
@@ -24,15 +24,15 @@
 	r := s.Result()
 	p := r.Processes[0]
 	if p.Starts != 2 || p.Kills != 1 || p.PeakMemory != 30 || p.PeakFiles != 9 || math.Abs(p.CPU-0.35) > 1e-9 {
-		t.Errorf("%+v", p)
+		t.Errorf("process of the scheduler: %+v", p)
 	}
 	if math.Abs(p.CPUBySecond[0]-0.2) > 1e-9 || math.Abs(p.CPUBySecond[1]-0.1) > 1e-9 || math.Abs(p.CPUBySecond[2]-0.05) > 1e-9 {
-		t.Errorf("by second: %v", p.CPUBySecond)
+		t.Errorf("CPU seconds by second: %v, want 0.2, 0.1, 0.05", p.CPUBySecond)
 	}
 	if len(r.Processes) != 2 || r.Processes[1].Scheduler != -1 || len(r.Marks) != 2 || r.Lateness.Max < 2.99 {
-		t.Errorf("%+v %+v %+v", r.Processes, r.Marks, r.Lateness)
+		t.Errorf("processes %+v, marks %+v, lateness %+v", r.Processes, r.Marks, r.Lateness)
 	}
 	if b := r.Misbehaving; len(b) != 1 || b[0] != (MisbehavingCounts{Kind: "garbage", Connected: 1, Errors: 1, MaxWaitMs: 10}) {
-		t.Errorf("%+v", b)
+		t.Errorf("misbehaving clients: %+v", b)
 	}
 }
--- a/internal/testbed/score/recovery.go
+++ b/internal/testbed/score/recovery.go
@@ -19,14 +19,14 @@
 type Disturbance struct {
 	Faults    []string `json:"faults"`
 	From      float64  `json:"from"`
-	To        float64  `json:"to"`      // latest end of its faults; a fault that lasts counts with its start
+	To        float64  `json:"to"`      // latest end of its faults; for a fault that does not end, its start
 	Lasting   bool     `json:"lasting"` // one of its faults did not end while jobs became due
 	Before    float64  `json:"before"`
 	HasDip    bool     `json:"dip"`        // the share was down at some time
 	Lowest    float64  `json:"low"`        // the smallest share from the dip until the recovery
 	FromStart float64  `json:"from_start"` // seconds until the share was first not down after the dip; 0: no dip
 	FromEnd   float64  `json:"from_end"`   // seconds from its end until the recovery; 0 if the recovery came first
-	Recovered bool     `json:"recovered"`  // if false, FromEnd is how long no recovery was observed
+	Recovered bool     `json:"recovered"`  // if false, FromEnd is the time that was observed without recovery
 }
 
 // Recovery summarises the disturbances of a run.
@@ -147,7 +147,7 @@
 	return shareState{share: earned, isKnown: ok, isDown: ok && earned < recoveredShare*before}
 }
 
-// measure finds the dip of a disturbance and the recovery from it, from the seconds before a limit only.
+// measure finds the dip of a disturbance and the recovery from it. It uses only the seconds before a limit.
 func (r valueRatios) measure(disturbance *Disturbance, limit float64) {
 	end := min(int(limit), len(r.requested))
 	if limit >= r.length {
--- a/internal/testbed/score/recovery_test.go
+++ b/internal/testbed/score/recovery_test.go
@@ -72,7 +72,7 @@
 		got := disturbances(c.faults, requested, earned, 40)
 		for i := range got {
 			if got[i].Before != 1 || got[i].HasDip != (got[i].Lowest >= 0.4 && got[i].Lowest < 0.95) {
-				t.Errorf("%s: %+v", c.name, got[i])
+				t.Errorf("%s: wrong Before, HasDip or Lowest: %+v", c.name, got[i])
 			}
 			got[i].Before, got[i].Lowest, got[i].Faults = 0, 0, nil
 		}
--- a/internal/testbed/score/requests.go
+++ b/internal/testbed/score/requests.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// A request is kept for this time after its end, and at most so many of them are kept: an attempt that a scheduler sent
-// before the end may reach its worker later, much later after a network partition.
+// Ended requests are kept for requestRetention, at most maxRetainedRequests of them: an attempt that a scheduler sent before
+// the end may reach its worker later, after a network partition much later.
 const (
 	requestRetention    = 30 * time.Second
 	maxRetainedRequests = 1 << 14
@@ -40,7 +40,7 @@
 // request is a request of a client that is open, or whose attempts may still arrive at workers.
 type request struct {
 	id           string
-	job          *job // its job if job.id is jobID; else that is settled and the memory reused
+	job          *job // valid only while job.id is jobID: the memory of a settled job is reused
 	jobID        uint64
 	class        int
 	work         float64
@@ -156,7 +156,7 @@
 		case ended.attempts > 0:
 			s.effort.workUseful += ended.work
 			unused--
-		case ended.deduplicated > 0 && sender != nil && sender.wasteCount > 0: // the result is of an earlier request's attempt
+		case ended.deduplicated > 0 && sender != nil && sender.wasteCount > 0: // an earlier request's attempt gave the result
 			sender.wasteCount--
 			s.effort.workUseful += ended.work
 			s.effort.wasted[sender.lastWaste] -= ended.work
--- a/internal/testbed/score/requests_test.go
+++ b/internal/testbed/score/requests_test.go
@@ -49,7 +49,7 @@
 		}
 		r := s.Result()
 		if got := c.of(&r.Waste); math.Abs(got-4) > 0.999 || math.Abs(r.Waste.Killed-0.998) > 1e-9 {
-			t.Errorf("%s: %+v", name, r.Waste)
+			t.Errorf("%s: waste %+v", name, r.Waste)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	s.at(1500, trace.Event{Kind: trace.AttemptFinished, RequestID: "a", Worker: 0, Status: 200})
 	if w := s.Result().Waste; w.TooLate != 3 {
-		t.Errorf("before the response: %+v", w)
+		t.Errorf("before the response: waste %+v, want 3 s too late", w)
 	}
 	s.at(1600, trace.Event{Kind: trace.AttemptFinished, RequestID: "b", Worker: 1, Status: 200})
 	s.at(1600, trace.Event{Kind: trace.ResponseReceived, RequestID: "b", Status: 200})
@@ -85,6 +85,6 @@
 	}
 	if r.Effort.Requests != 2 || r.Effort.Resent != 2 || r.Effort.RequestsUnreached != 1 || r.Whole.Outcomes[OutcomeInTime] != 1 ||
 		r.Whole.Outcomes[OutcomeUnanswered] != 1 {
-		t.Errorf("%+v %v", r.Effort, r.Whole.Outcomes)
+		t.Errorf("effort %+v, outcomes %v", r.Effort, r.Whole.Outcomes)
 	}
 }
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -74,7 +74,7 @@
 	result := valueRun().Result()
 	value := result.Value
 	if value.Worst10At < 4 || value.Worst10At > 10 || value.WorstClass.Name != result.Classes[1].Name || value.Worst10 >= value.Whole {
-		t.Errorf("%+v", value)
+		t.Errorf("wrong worst 10 s or worst class: %+v", value)
 	}
 	want := 0.4*value.Whole + 0.15*value.Worst10 + 0.2*value.WorstClass.Value + 0.25*value.WorstTenant.Value
 	if value.Mix != want {
@@ -110,7 +110,7 @@
 	list := evaluations(valueRun().Result())
 	for i, want := range []bool{true, false, true, false, false} {
 		if list[i].OK != want {
-			t.Errorf("%v: got %v %s", list[i].Expectation, list[i].Value, list[i].Reason)
+			t.Errorf("%v: want OK %v with value %v %s", list[i].Expectation, want, list[i].Value, list[i].Reason)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	result := valueRun().Result()
 	for _, metric := range scenario.Metrics {
 		if value, reason := result.MetricValue(metric.Name, "", 0); math.IsNaN(value) {
-			t.Errorf("%s: %s", metric.Name, reason)
+			t.Errorf("%s has no value: %s", metric.Name, reason)
 		}
 	}
 }
--- a/internal/testbed/score/steady_test.go
+++ b/internal/testbed/score/steady_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("%v allocations per job", n)
 	}
 	if len(p.s.jobs) != 0 || len(p.s.requests) > maxRetainedRequests || p.s.effort.Unknown+p.s.effort.Resent+p.s.effort.OrphanedEvents > 0 {
-		t.Errorf("%d jobs and %d requests are kept; %+v", len(p.s.jobs), len(p.s.requests), p.s.effort.Effort)
+		t.Errorf("%d jobs and %d requests are kept, or events matched nothing: %+v", len(p.s.jobs), len(p.s.requests), p.s.effort.Effort)
 	}
 }
 
