--- a/internal/testbed/report/run_test.go
+++ b/internal/testbed/report/run_test.go
@@ -164,7 +164,7 @@
 	}
 	outline(t, page.String())
 	if page.Len() > maxBytes {
-		t.Errorf("%d bytes", page.Len())
+		t.Errorf("the page has %d bytes, want at most %d", page.Len(), maxBytes)
 	}
 }
 
--- a/internal/testbed/report/strip.go
+++ b/internal/testbed/report/strip.go
@@ -13,7 +13,7 @@
 	maxStripColumns            = 240
 	stripShades                = 8
 	stripTopEdge        pixels = 8
-	stripHeight                = 320 // height that the height of lines is chosen for
+	stripHeight                = 320 // intended height of all lines, from which that of a line is derived
 	minStripLineHeight         = 8
 	maxStripLineHeight         = 22
 	manyStripLines             = 100 // with more lines than this, each has manyStripLineHeight
--- a/internal/testbed/report/timeline.go
+++ b/internal/testbed/report/timeline.go
@@ -13,9 +13,9 @@
 	maxCurvePoints     = 500  // of a curve; a point may stand for several seconds
 	maxTimelineEntries = 400  // faults, and marks, that are drawn or listed
 	yHeadroom          = 1.04 // end of a linear vertical axis, as a multiple of the greatest value
-	minLogValue        = 0.1  // minimum beginning of a logarithmic axis
-	minLogMaxValue     = 1.0  // minimum end of a logarithmic axis
-	minLogSpan         = 2.0  // minimum ratio of its end and its beginning
+	minLogValue        = 0.1  // lowest value at which a logarithmic axis may begin
+	minLogMaxValue     = 1.0  // lowest value at which it may end
+	minLogSpan         = 2.0  // minimum ratio of its end to its beginning
 	defaultLinearHigh  = 1.0  // end of a linear axis without values
 )
 
@@ -42,7 +42,7 @@
 	id, title, yName string
 	height           pixels
 	lines            []lineSpec
-	top              float64 // end of the vertical axis; 0: that of the greatest value
+	top              float64 // end of the vertical axis; 0: that of yScale, from the greatest value
 	log              bool
 	text             func(float64) string // formats a value
 	labels           bool                 // faults are labelled with their texts, not only numbers
