--- a/internal/testbed/scenario/capacity_test.go
+++ b/internal/testbed/scenario/capacity_test.go
@@ -31,7 +31,7 @@
 	near("rate", s.Rate(), 0.5*s.Capacity()/s.MeanCost())
 	near("quota", s.QuotaRate(1), 0.8*0.75*s.CapacityRate())
 	if s.ZoneOf(0) != 0 || s.ZoneOf(3) != 1 {
-		t.Errorf("zones %d and %d", s.ZoneOf(0), s.ZoneOf(3))
+		t.Errorf("schedulers 0 and 3 are in zones %d and %d, expected 0 and 1", s.ZoneOf(0), s.ZoneOf(3))
 	}
 	s.Load = Load{Rate: 7}
 	near("given rate", s.Rate(), 7)
--- a/internal/testbed/scenario/check_environment.go
+++ b/internal/testbed/scenario/check_environment.go
@@ -19,7 +19,7 @@
 		}
 	}
 	if given != 1 {
-		check.report("load", "expected one of load.of, load.rate and load.closed above 0, got %d", given)
+		check.report("load", "expected exactly one of load.of, load.rate and load.closed above 0, got %d of them", given)
 	}
 	check.oneOf("load.shape", load.Shape, "steady", "bursty", "swell", "month_start")
 	check.inRange("load.swing", load.Swing, 0, 1)
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// noneGiven reports for every key that the text does not have it.
+// noneGiven reports that a key was not given, whatever the key.
 func noneGiven(string) bool { return false }
 
 // applyDerivedDefaults sets the keys that were not given and whose defaults depend on other keys.
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -69,20 +69,20 @@
 	CallbackDelay           Duration `toml:"note_late"`     // mean additional delay of callbacks
 	CallbackEarlyShare      float64  `toml:"note_early"`    // share of jobs whose start callback is sent before the 202
 	CallbackTwiceShare      float64  `toml:"note_twice"`    // share of callbacks that are sent again although they were answered
-	CallbackLossShare       float64  `toml:"note_lost"`     // share of a callback's tries that never arrive; ten tries at most
+	CallbackLossShare       float64  `toml:"note_lost"`     // share of a callback's sendings, ten at most, that never arrive
 }
 
 // Class describes a class of jobs and its service objectives.
 type Class struct {
 	Name                string    `toml:"name"`
-	Share               float64   `toml:"share"` // of the jobs
-	Work                Duration  `toml:"work"`  // mean run time on one standard core
-	Distribution        string    `toml:"dist"`  // fixed, exp, lognormal, pareto
-	CV                  float64   `toml:"cv"`    // of lognormal and pareto
-	Noise               float64   `toml:"noise"` // log-normal spread between runs of the same job
-	Slots               []float64 `toml:"slots"` // shares of the jobs that take 1, 2, 4, 8 slots
-	LatencyObjective    Duration  `toml:"aim"`
-	ObjectiveStretch    float64   `toml:"stretch"`
+	Share               float64   `toml:"share"`   // of the jobs
+	Work                Duration  `toml:"work"`    // mean run time on one standard core
+	Distribution        string    `toml:"dist"`    // fixed, exp, lognormal, pareto
+	CV                  float64   `toml:"cv"`      // of lognormal and pareto
+	Noise               float64   `toml:"noise"`   // log-normal spread between runs of the same job
+	Slots               []float64 `toml:"slots"`   // shares of the jobs that take 1, 2, 4, 8 slots
+	LatencyObjective    Duration  `toml:"aim"`     // fixed part of the latency objective, from when a job is due
+	ObjectiveStretch    float64   `toml:"stretch"` // times a job's work: the other part; their sum is at most Deadline
 	Deadline            Duration  `toml:"deadline"`
 	PriorityWeight      float64   `toml:"worth"`
 	Idempotency         string    `toml:"effect"` // safe, keyed, unsafe
@@ -181,7 +181,7 @@
 // Planners describes the planners, for the simulation driver only. With planners, schedulers are forwarders.
 type Planners struct {
 	Count int      `toml:"count"` // 0: schedulers decide themselves
-	Idle  int      `toml:"idle"`  // how many of them, the last, are started only by the fault planner_start
+	Idle  int      `toml:"idle"`  // how many of them, those with the highest indexes, are started only by the fault planner_start
 	Drops Duration `toml:"drops"` // mean time until one of their connections breaks; 0: only by faults
 }
 
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -205,7 +205,7 @@
 	} {
 		got, err := ParseExpectation(text)
 		if err != nil || got != want {
-			t.Errorf("%q: got %v, %v", text, got, err)
+			t.Errorf("%q: got %v, %v, want %v", text, got, err, want)
 		}
 		if again, err := ParseExpectation(got.String()); err != nil || again != got {
 			t.Errorf("%q: written as %q, which reads as %v, %v", text, got.String(), again, err)
--- a/internal/testbed/scenario/validator.go
+++ b/internal/testbed/scenario/validator.go
@@ -77,7 +77,7 @@
 		valid = valid && isNameByte(char)
 	}
 	if !valid {
-		v.report(key, "expected up to %d letters, digits, '-', '_' or '.', got %q", maxNameLength, name)
+		v.report(key, "expected 1 to %d letters, digits, '-', '_' or '.', the first not '-' or '.', got %q", maxNameLength, name)
 	}
 }
 
