--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -37,7 +37,7 @@
 	ready          []*worker // to which new attempts may be sent
 	deadlines      deadline.Queue[*job]
 	inFlight       []*attempt
-	fullUntil      []time.Duration // by class: the longest remaining time of any request, taken as that of a job's first request
+	maxRemaining   []time.Duration // by class: the longest Remaining of any job so far, taken as that of a client's first request
 	timer          time.Duration   // the caller's timer; 0: none
 	listUpdated    bool            // the worker list was updated in this step
 	watchRequested bool
@@ -89,7 +89,7 @@
 func newBase(settings dispatch.Settings, seed uint64) *base {
 	return &base{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), jobs: map[uint64]*job{}, workers: map[uint64]*worker{},
-		fullUntil: make([]time.Duration, len(settings.Classes)),
+		maxRemaining: make([]time.Duration, len(settings.Classes)),
 	}
 }
 
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -55,8 +55,8 @@
 			"least-outstanding", "the one with the fewest of the scheduler's own requests in flight",
 			withChooser(func(b *base) chooser { return &leastOutstanding{base: b} }),
 		},
-		{"all-seeing", "the request whose start can wait least first, to a worker that can start it now and in" +
-			" time by its true state; requests that can't be in time are rejected", func() Factory {
+		{"all-seeing", "by the true state of workers: the request that must start soonest first, to a worker that can start" +
+			" it now and end it in time; requests that can't be in time are rejected", func() Factory {
 			flight := &sharedFlight{}
 			return func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy {
 				b := newBase(set, seed)
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -111,14 +111,14 @@
 		}
 	}
 	if cold < 120 || cold > 280 { // a quarter of the probability: 200 of 1,000 expected
-		t.Errorf("%d of 1000 jobs at a worker with a quarter of its capacity", cold)
+		t.Errorf("%d of 1000 jobs at a worker with a quarter of its capacity, want 120 to 280", cold)
 	}
 	policy = newPolicy(t, "least-outstanding", testSettings, nil)
 	policy.Step(1, []dispatch.Event{listOf(3)}, nil)
 	first := sends(policy.Step(2, jobs(1, 3), nil))[1]
 	policy.Step(3, []dispatch.Event{dispatch.Outcome{Job: first.Job, Worker: first.Worker, Closed: true}}, nil)
 	if next := sends(policy.Step(4, jobs(4, 1), nil)); next[0].Worker != first.Worker {
-		t.Errorf("sent to %d, though %d has nothing in flight", next[0].Worker, first.Worker)
+		t.Errorf("sent to worker %d, though worker %d has nothing in flight", next[0].Worker, first.Worker)
 	}
 }
 
@@ -136,11 +136,11 @@
 	got := sends(first.Step(2, jobs(2, 6), nil))
 	if len(got) != 4 || slices.ContainsFunc(got, func(s dispatch.Send) bool { return s.Worker != 3 }) ||
 		got[0].Job != 2 || got[3].Job != 5 {
-		t.Fatalf("sent %+v", got)
+		t.Fatalf("sent %+v, want jobs 2 to 5, all to worker 3", got)
 	}
 	// Attempts that have not started count as using their slots for all schedulers, whichever sent them.
 	if other := sends(second.Step(3, jobs(8, 1), nil)); len(other) > 0 {
-		t.Errorf("another scheduler sent %+v", other)
+		t.Errorf("another scheduler sent %+v to slots that are taken", other)
 	}
 	oracle.views[2].Free = 0
 	for _, s := range got {
@@ -149,7 +149,7 @@
 	oracle.views[2].Free = 1
 	later := 3*time.Millisecond + 5
 	if next := sends(first.Step(later, []dispatch.Event{dispatch.TimerFired{}}, nil)); len(next) != 1 || next[0].Job != 6 {
-		t.Errorf("with one slot free: %+v", next)
+		t.Errorf("with one slot free: sent %+v, want job 6", next)
 	}
 	// Job 7 has 1/7 s of work and an objective of 1 s from its arrival: after 900 ms it can't meet that, and is rejected.
 	oracle.views[2].Free = 0
@@ -173,7 +173,7 @@
 	policy.Step(now, []dispatch.Event{dispatch.TimerFired{}}, nil)
 	small := sends(policy.Step(now+5*time.Millisecond, jobs(2, 2), nil))
 	if len(small) != 1 || small[0].Worker != 2 {
-		t.Errorf("small jobs went to %+v", small)
+		t.Errorf("small jobs: sent %+v, want one, to worker 2", small)
 	}
 	oracle.views[0].Free = 3
 	got := sends(policy.Step(now+10*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil))
--- a/internal/testbed/baseline/jobs.go
+++ b/internal/testbed/baseline/jobs.go
@@ -13,9 +13,9 @@
 	added.At = b.now + max(arrival.Remaining, 0)
 	added.Slots = max(1, arrival.Slots)
 	// A client's retry has less remaining time than its first request, but its objective still counts from the first request.
-	full := &b.fullUntil[arrival.Class]
-	*full = max(*full, min(arrival.Remaining, added.class.ClientTimeout))
-	added.arrivedAt = b.now - max(0, *full-max(arrival.Remaining, 0))
+	longest := &b.maxRemaining[arrival.Class]
+	*longest = max(*longest, min(arrival.Remaining, added.class.ClientTimeout))
+	added.arrivedAt = b.now - max(0, *longest-max(arrival.Remaining, 0))
 	objective := added.class.LatencyObjective + seconds(added.class.ObjectiveStretch*b.estimateWork(added))
 	added.objective = min(added.arrivedAt+objective, added.At)
 	b.jobs[arrival.ID] = added
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -14,9 +14,9 @@
 	scanInterval          = 2 * time.Millisecond   // between scans with queued jobs: other schedulers' jobs free slots too
 	scanIntervalPerWorker = time.Microsecond       // for each ready worker, if that is longer: a scan examines all of them
 	hedgeCheckInterval    = 50 * time.Millisecond  // between checks for unreachable workers
-	maxFlightAge          = 250 * time.Millisecond // after which slots of attempts not yet started count as free
-	enoughCandidates      = 24                     // candidates after which a choice ends if it has found a worker
-	maxSkipped            = 32                     // jobs that one scan skips because no worker can start them, at most
+	maxFlightAge          = 250 * time.Millisecond // after this time, slots of attempts that have not started count as free
+	enoughCandidates      = 24                     // a choice that has found a worker ends after this many candidates
+	maxSkipped            = 32                     // a scan ends after this many jobs that no worker can start
 	durationMargin        = 1.15                   // factor of an execution time, as execution times vary
 	faultyErrorRate       = 0.2                    // a worker is not used if this share of its attempts fails, or more
 	overloadMargin        = 0.7                    // share of the overload limit that a worker that is warming up may be given
--- a/internal/testbed/baseline/simple.go
+++ b/internal/testbed/baseline/simple.go
@@ -80,7 +80,7 @@
 
 // firstUsable returns the first ready worker, from an index on, that the rules allow for a job, if possible one to which the
 // job was not sent before. It returns nil if there is none.
-func (b *base) firstUsable(job *job, from int) (second *worker) {
+func (b *base) firstUsable(job *job, from int) (fallback *worker) {
 	for i := range b.ready {
 		candidate := b.ready[(from+i)%len(b.ready)]
 		if !b.isAllowed(job, candidate) {
@@ -89,11 +89,11 @@
 		if !job.wasSentTo(candidate) {
 			return candidate
 		}
-		if second == nil {
-			second = candidate
+		if fallback == nil {
+			fallback = candidate
 		}
 	}
-	return second
+	return fallback
 }
 
 // random selects any worker with equal probability.
