--- a/internal/testbed/fakeplatform/process.go
+++ b/internal/testbed/fakeplatform/process.go
@@ -73,8 +73,8 @@
 	return p.command.ProcessState.ExitCode()
 }
 
-// CallOperators sends a request to the management address. A status of 0 means that there was no response.
-func (p *Process) CallOperators(method, path string) (status int, body string) {
+// CallManagement sends a request to the management address. A status of 0 means that there was no response.
+func (p *Process) CallManagement(method, path string) (status int, body string) {
 	request, err := http.NewRequest(method, "http://"+p.ManagementAddress+path, nil)
 	if err != nil {
 		return 0, ""
@@ -96,19 +96,19 @@
 
 // callWorker sends a management request about a worker and returns the status of the response.
 func (p *Process) callWorker(worker, action string) int {
-	status, _ := p.CallOperators(http.MethodPut, "/v1/worker-nodes/"+worker+"/"+action)
+	status, _ := p.CallManagement(http.MethodPut, "/v1/worker-nodes/"+worker+"/"+action)
 	return status
 }
 
 // Ready reports whether the scheduler's readiness endpoint responds with 200.
 func (p *Process) Ready() bool {
-	status, _ := p.CallOperators(http.MethodGet, "/v1/readyz")
+	status, _ := p.CallManagement(http.MethodGet, "/v1/readyz")
 	return status == http.StatusOK
 }
 
-// Metric returns the value of a whole-number metric by its name without prefix, or -1 if the scheduler has none.
+// Metric returns the value of a whole-number metric by its name without prefix, or -1 if the scheduler has no such metric.
 func (p *Process) Metric(name string) int {
-	_, text := p.CallOperators(http.MethodGet, "/v1/metrics")
+	_, text := p.CallManagement(http.MethodGet, "/v1/metrics")
 	_, after, _ := strings.Cut(text, metricPrefix+name+"=")
 	line, _, _ := strings.Cut(after, "\n")
 	value, err := strconv.Atoi(line)
