--- a/internal/testbed/simapi/input.go
+++ b/internal/testbed/simapi/input.go
@@ -76,7 +76,7 @@
 	ClientMisbehaves struct {
 		Conn      Conn
 		Kind      string // one of scenario.MisbehaviorKinds
-		Number    uint64 // counts the clients of this kind; random draws follow from it
+		Number    uint64 // of the client among those of its kind; seeds its random choices
 		RequestID string // of another client's open request, for the kinds that use one
 	}
 )
