--- a/internal/testbed/trace/trace.go
+++ b/internal/testbed/trace/trace.go
@@ -14,8 +14,8 @@
 	// IdempotencyKey, Lateness (of the testbed).
 	JobDue Kind = iota
 	// RequestSent is the last byte of a request that was written: RequestID, JobID, Number, Scheduler, Conn, IdempotencyKey,
-	// Budget; Resent as on the wire. It is repeated for a RequestID whose connection the scheduler closed unread; the second
-	// one counts.
+	// Budget, Resent (the request carries X-Again: 1). It is repeated for a RequestID whose connection the scheduler closed
+	// unread; the second one counts.
 	RequestSent
 	// ResponseReceived is the last byte of a response that arrived: RequestID, Status, RetryAfter, Text (the body).
 	ResponseReceived
@@ -67,8 +67,8 @@
 	HealthChecked
 	// WorkerConnected is a connection that was established: Scheduler, Worker, Conn.
 	WorkerConnected
-	// ColdWorkReceived is work that arrived at a worker that is warming up: Worker, Scheduler, Work and Slots (the product of
-	// which it has to do), Share (the worker's capacity then, in cores at speed 1).
+	// ColdWorkReceived is work that arrived at a worker that is warming up: Worker, Scheduler, Work and Slots (it has to do
+	// their product), Share (the worker's capacity then, in cores at speed 1).
 	ColdWorkReceived
 	// WorkerOverloaded is a worker that collapsed while it was warming up: Worker, Share (the share of the work from
 	// schedulers that were notified of its start).
