--- a/internal/testbed/report/outline_test.go
+++ b/internal/testbed/report/outline_test.go
@@ -29,7 +29,7 @@
 	}
 	plots := reader.plots
 	if plots == 0 || plots != strings.Count(text, "<desc") || plots != strings.Count(text, `role="img"`) {
-		t.Error("a plot without title or description")
+		t.Error("no plots, or a plot without title or description")
 	}
 	return reader.outline.String()
 }
--- a/internal/testbed/report/run_test.go
+++ b/internal/testbed/report/run_test.go
@@ -55,11 +55,11 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(page.String(), "\n"), "\n")
 	if len(lines) > pageLines {
-		t.Errorf("%d lines", len(lines))
+		t.Errorf("%d lines, want at most %d", len(lines), pageLines)
 	}
 	for _, line := range lines {
 		if utf8.RuneCountInString(line) > pageWidth || strings.ContainsRune(line, '\x1b') {
-			t.Errorf("line %q", line)
+			t.Errorf("a line is too wide, or has an escape character: %q", line)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			progress.Done()
 			lines := strings.FieldsFunc(written.String(), func(char rune) bool { return char == '\n' || char == '\r' })
 			if len(lines) != test.wantLines || test.tty != strings.HasPrefix(written.String(), "\r") {
-				t.Errorf("%d lines, want %d", len(lines), test.wantLines)
+				t.Errorf("%d lines, want %d, overwritten only on a terminal", len(lines), test.wantLines)
 			}
 			const wantSecond = "   2 s  asked  100/s  in time   50/s  refused    1/s  in flight    12  nodes 9/10  ! crash, burst 4"
 			if lines[1] != wantSecond {
--- a/internal/testbed/report/timeline.go
+++ b/internal/testbed/report/timeline.go
@@ -42,7 +42,7 @@
 	id, title, yName string
 	height           pixels
 	lines            []lineSpec
-	top              float64 // end of the vertical axis; 0: that of yScale, from the greatest value
+	top              float64 // end of the vertical axis; 0: it follows from the greatest value
 	log              bool
 	text             func(float64) string // formats a value
 	labels           bool                 // faults are labelled with their texts, not only numbers
--- a/internal/testbed/report/variation_test.go
+++ b/internal/testbed/report/variation_test.go
@@ -23,7 +23,7 @@
 func TestVariation(t *testing.T) {
 	variation := sampleVariation()
 	if index, ok := variation.Knee(&variation.Curves[0]); !ok || index != 2 {
-		t.Errorf("knee at %d, %v", index, ok)
+		t.Errorf("knee at index %d, %v, want index 2", index, ok)
 	}
 	var page bytes.Buffer
 	if err := VariationPage(&page, variation); err != nil {
