--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -322,7 +322,7 @@
 	load := Load{Rate: 40, Shape: "steady", Swing: 0.3, Hints: "rough", HintFactor: 0.5, OverQuotaWeight: 0.1, Quota: 0.8}
 	if s.Faults[0].Size != 3.5 || s.Load != load || s.Fleet.Workers != 12 || s.Classes[2].Deadline != 3*second ||
 		len(s.Faults[0].Target.Names) != 1 {
-		t.Errorf("set to %s", Encode(s))
+		t.Errorf("after valid changes the scenario is\n%s", Encode(s))
 	}
 	before := s.Clone()
 	for _, change := range []struct{ key, value string }{
@@ -336,7 +336,7 @@
 		{"", "1"},
 	} {
 		if err := s.Set(change.key, change.value); err == nil || !strings.Contains(err.Error(), "key ") {
-			t.Errorf("%s = %s: got %v", change.key, change.value, err)
+			t.Errorf("%s = %s: want an error that names a key, got: %v", change.key, change.value, err)
 		}
 	}
 	if !reflect.DeepEqual(s, before) {
