--- a/internal/testbed/simapi/input.go
+++ b/internal/testbed/simapi/input.go
@@ -100,7 +100,7 @@
 	WorkerConnected struct {
 		Worker     int
 		Conn       Conn
-		ResetAfter int // number of bytes after which the worker resets the connection; 0: it does not
+		ResetAfter int // number of bytes that the worker reads before it resets the connection; 0: it does not reset it
 	}
 
 	// WorkerDisconnected is a connection that could not be established, or that the worker has closed or reset.
