--- a/internal/testbed/report/fixture_test.go
+++ b/internal/testbed/report/fixture_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s differs; got\n%s", name, got)
+		t.Errorf("the text differs from testdata/%s; got\n%s", name, got)
 	}
 }
 
@@ -49,7 +49,7 @@
 	}
 	for _, key := range keys {
 		if read[key] == nil {
-			t.Errorf("no %s", key)
+			t.Errorf("the JSON has no value for the key %s", key)
 		}
 	}
 }
--- a/internal/testbed/score/model_test.go
+++ b/internal/testbed/score/model_test.go
@@ -226,7 +226,7 @@
 	m.checkSeconds(result)
 	m.checkWork(result)
 	if result.Effort.OrphanedEvents+result.Effort.Unknown > 0 {
-		m.t.Fatalf("orphaned events %d, unknown %d", result.Effort.OrphanedEvents, result.Effort.Unknown)
+		m.t.Fatalf("%d orphaned events and %d unknown ones, want none", result.Effort.OrphanedEvents, result.Effort.Unknown)
 	}
 	m.checkOccupancy(result)
 }
@@ -286,7 +286,7 @@
 		}
 	}
 	if sum.JobsDue != whole.JobsDue || sum.Open != whole.Open || sum.Outcomes != whole.Outcomes || served != whole.Latency.Count {
-		m.t.Fatalf("parts %+v with %d served, whole %+v", sum, served, whole)
+		m.t.Fatalf("the parts sum to %+v with %d served, but the whole is %+v", sum, served, whole)
 	}
 	m.checkEqual("requested of all", sum.Requested, whole.Requested)
 	m.checkEqual("earned of all", sum.Earned, whole.Earned)
