--- a/internal/testbed/simapi/input.go
+++ b/internal/testbed/simapi/input.go
@@ -76,7 +76,7 @@
 	ClientMisbehaves struct {
 		Conn      Conn
 		Kind      string // one of scenario.MisbehaviorKinds
-		Number    uint64 // counts the clients of this kind; random draws follow from it
+		Number    uint64 // of the client among those of its kind; seeds its random choices
 		RequestID string // of another client's open request, for the kinds that use one
 	}
 )
@@ -100,7 +100,7 @@
 	WorkerConnected struct {
 		Worker     int
 		Conn       Conn
-		ResetAfter int // number of bytes after which the worker resets the connection; 0: it does not
+		ResetAfter int // number of bytes that the worker reads before it resets the connection; 0: it does not reset it
 	}
 
 	// WorkerDisconnected is a connection that could not be established, or that the worker has closed or reset.
