--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -99,7 +99,8 @@
 	}
 }
 
-func TestOnlyInstancesWithEventsAct(t *testing.T) {
+// An instance that has no event in a batch has no line in the reply, and the reply to a batch without events is empty.
+func TestInstancesWithoutEventsDoNotAct(t *testing.T) {
 	batches := transcript(1, 2)
 	batches[36] = []string{"WAKEUP i=2 tag=1"}
 	got := runInput(t, encodeBatches(batches))
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -7,7 +7,7 @@
 
 // A job that is running when its objective passes is rechecked when the run fails. As it can no longer meet its objective, it is
 // rejected then, and not seconds later at its deadline.
-func TestJobWhoseRunFailsPastItsObjectiveIsAnsweredAtOnce(t *testing.T) {
+func TestJobThatFailsPastItsObjectiveIsRejectedAtOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.step(s.job(1, 2, 300*ms)) // an answer past its objective of 1 s has no utility
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-func TestAttemptLimitEndsInAnAnswer(t *testing.T) {
+// A job whose last allowed attempt has failed is rejected at once, and does not stay queued until its deadline.
+func TestJobIsRejectedAfterLastAttempt(t *testing.T) {
 	set := testSettings()
 	set.AttemptLimit = 2
 	s := newHarness(t, set)
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -74,7 +74,7 @@
 }
 
 // A worker that does not start an attempt in time has a queue, and is sent nothing more.
-func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
+func TestWorkerWithLateStartGetsNoFurtherJobs(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.d.fleet.byID[1].slots.limit = 8
@@ -85,9 +85,9 @@
 	expectJobs(t, taken[Send](s))
 }
 
-// Regression test for an incident: the load report of an outcome is older than the outcome. The slot that was released counted as
-// used, and the worker was sent nothing.
-func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
+// Regression test for an incident: the load report that comes with an outcome is made before the attempt ends, and does not count
+// the released slot as free. The dispatcher did not either, and sent the worker nothing.
+func TestSlotReleasedByOutcomeIsUsable(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.startOnWorker1(1)
@@ -212,9 +212,9 @@
 	expectJobs(t, taken[Send](s), 1, 2)
 }
 
-// Found by randomised search: one job of four slots that waited at a worker stopped all dispatch, as if most attempts in flight
-// were waiting.
-func TestLateWideJobCountsOnce(t *testing.T) {
+// Found by randomised search: one late job counted once for each of its four slots, so that most attempts in flight seemed to be
+// late, and no other job was sent to any worker.
+func TestLateJobOfSeveralSlotsDoesNotStopDispatch(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(10)
 	wide := s.job(1, 1, 300*ms) // non-idempotent: never hedged
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-func TestBadInputIsHarmless(t *testing.T) {
+// Events with unknown IDs, invalid numbers or a second job of the same ID, list entries that contradict each other, and a clock
+// that steps back have no effect: the only valid job is sent, no other one is, and none stays queued.
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	nan := math.NaN()
 	s := newHarness(t, testSettings())
 	s.workers(2)
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -149,7 +149,7 @@
 }
 
 // Failures reported by one peer alone suspend no worker, as the fault may be the peer's. Those of two peers do.
-func TestOnePeerSuspendsNoWorker(t *testing.T) {
+func TestFailuresReportedByOnePeerSuspendNoWorker(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 1, noChange)
 	fail := func(peer int, id LeaseID) bool {
@@ -248,7 +248,7 @@
 }
 
 // Whatever messages peers send, the rules hold, and each job gets exactly one answer.
-func FuzzRulesAmongPeerMessages(f *testing.F) {
+func FuzzRulesWithPeerMessages(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed, uint16(200))
 	}
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -349,12 +349,12 @@
 	}
 }
 
-// A coordinator that sends false answers does limited harm: most jobs are still sent.
-func TestFalseAnswersOfCoordinatorDoBoundedHarm(t *testing.T) {
+// If a coordinator sends false answers, at least 0.6 attempts for each job are still sent.
+func TestMostJobsAreSentDespiteFalseAnswersOfCoordinator(t *testing.T) {
 	t.Parallel()
 	coordinator := func(f *leaseFleet) int { return f.members[0].d.leases.directory.rank(Shard{})[0] }
 	for name, lie := range map[string]func(m PeerMessage) PeerMessage{
-		"grants of the same worker always": func(m PeerMessage) PeerMessage {
+		"all grants of the same worker": func(m PeerMessage) PeerMessage {
 			if granted, ok := m.(LeaseGranted); ok {
 				granted.Worker = 1
 				return granted
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-func TestFastFailuresAttractNoWork(t *testing.T) {
+// A worker that fails each job at once has the fewest slots in use, and would attract most jobs if it were not ejected.
+func TestWorkerThatFailsImmediatelyGetsFewJobs(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(3)
 	sent := map[uint64]int{}
@@ -89,7 +90,7 @@
 
 // Regression test for an incident: most workers were ejected for late starts, so that ejections were disregarded. The failed
 // workers then counted as healthy too and attracted all jobs.
-func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
+func TestFailedWorkerStaysEjectedWhenMostWorkersAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
@@ -101,7 +102,7 @@
 	}
 	s.wait(300 * ms)
 	if !s.d.outliers.isEjected(s.d.fleet.byID[1]) || s.d.outliers.isEjected(s.d.fleet.byID[2]) {
-		t.Fatal("expected only the broken worker to stay ejected")
+		t.Fatal("expected only the failed worker to stay ejected")
 	}
 }
 
@@ -143,9 +144,9 @@
 	}
 }
 
-// If a part of the fleet becomes silent at once, idle connections are not considered the cause, as attempts on those to the other
-// workers succeed.
-func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
+// 30 failures on idle connections set no bound on idle times if more attempts on idle connections have succeeded just before: a
+// part of the fleet is silent, and the connections are not the cause.
+func TestIdleConnectionsStayUsableWhilePartOfFleetIsSilent(t *testing.T) {
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
 	for range 30 {
@@ -158,7 +159,7 @@
 }
 
 // After a stall of this process, measurements from the time of the stall neither change estimates of workers nor eject them.
-func TestOwnStallsChangeNoWorkerEstimates(t *testing.T) {
+func TestStallOfProcessChangesNoWorkerEstimates(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
 	before := f.d.fleet.workers[3].speed.log
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -44,7 +44,7 @@
 // The estimates of speeds and work stay near the true values for 1 to 10,000 jobs in flight with varying run times. If runs were
 // compared with what was expected when they were sent, each of n jobs in flight would correct the same error, a gain of
 // n x sizeCorrectionGain: from some 60 jobs on, estimates oscillated over factors of thousands.
-func TestLearningIsStableWhateverIsInFlight(t *testing.T) {
+func TestEstimatesAreStableForAnyNumberOfJobsInFlight(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		inFlight int
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -71,7 +71,7 @@
 
 // The position of each worker in the order depends on the latest list alone, not on earlier ones, and the dispatchers' starting
 // points are evenly spaced.
-func TestPreferencesFollowFromTheList(t *testing.T) {
+func TestPreferencesDependOnLatestListOnly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	settings := testSettings()
 	settings.Replicas = 5
--- a/dispatch/purity_test.go
+++ b/dispatch/purity_test.go
@@ -24,6 +24,8 @@
 	"fmt":  {"Errorf", "Sprintf", "Sprint"},
 }
 
+// Decisions depend on the events and the seed only: the package imports and uses nothing that reads a clock, does I/O or has state
+// outside of a Dispatcher.
 func TestPackageIsPure(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
@@ -48,7 +50,8 @@
 	}
 }
 
-func TestImpuritiesAreFound(t *testing.T) {
+// The check of TestPackageIsPure reports each import and name that is not allowed, also under another import name, and no other.
+func TestImpureImportsAndNamesAreReported(t *testing.T) {
 	for source, want := range map[string]string{
 		`import "os"; var _ = os.Args`:                                     "imports os",
 		`import "valvecove/internal/scheduler"; var _ scheduler.Scheduler`: "imports valvecove/internal/scheduler",
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -156,8 +156,8 @@
 }
 
 // Found by randomised search: a dozen queued jobs that no free worker was allowed to run took up each dispatch cycle. The jobs
-// behind them waited or were rejected, though there were workers for them. The next cycle has to try other jobs first.
-func TestJobsThatFitNowhereBlockNoOthers(t *testing.T) {
+// behind them waited or were rejected, although there were workers for them. The next cycle has to try those jobs first.
+func TestUnplaceableJobsBlockNoOtherJobs(t *testing.T) {
 	set := testSettings()
 	set.ReportFields = nil
 	s := newHarness(t, set)
--- a/internal/control/planner/state_test.go
+++ b/internal/control/planner/state_test.go
@@ -41,7 +41,7 @@
 }
 
 // An attempt never returns to an earlier state, and repeated starts don't change its start time.
-func TestAttemptStateNeverGoesBack(t *testing.T) {
+func TestAttemptStatesOnlyAdvance(t *testing.T) {
 	a := attempt{}
 	a.confirmStart(time.Second)
 	a.confirmStart(2 * time.Second)
@@ -90,7 +90,7 @@
 }
 
 // A planner never returns to an earlier phase, and passes no event to its policy once it is stopping.
-func TestPhaseNeverGoesBack(t *testing.T) {
+func TestPhasesOnlyAdvance(t *testing.T) {
 	p := newTestPlanner(Config{})
 	p.Step(time.Hour, nil, nil)
 	for _, to := range []phase{phaseRunning, phaseStopping, phaseRunning, phaseStopped, phaseStopping} {
--- a/internal/control/validator/dispatcher_test.go
+++ b/internal/control/validator/dispatcher_test.go
@@ -151,9 +151,9 @@
 	return dispatcher.Step(agreementNow, []dispatch.Event{resumed}, nil)
 }
 
-// A dispatcher that is connected directly to the request table needs no validator: all its actions are valid, whatever their
-// outcomes.
-func TestAllowsWhatDispatcherDoes(t *testing.T) {
+// The validator allows all actions of a dispatcher that is connected directly to the request table, whatever the outcomes of its
+// attempts.
+func TestDispatcherActionsAreAllowed(t *testing.T) {
 	commands := 0
 	for seed := range uint64(30) {
 		run := newDispatcherRun(t, seed)
--- a/internal/scheduler/operators_test.go
+++ b/internal/scheduler/operators_test.go
@@ -50,9 +50,9 @@
 const initialMetrics = "edge_proxy.success.a=0\nedge_proxy.busy.a=0\nedge_proxy.failure.a=0\nedge_proxy.backend_calls=0\n" +
 	"edge_proxy.inflight=0\nedge_proxy.hosts_listed=1\nedge_proxy.hosts_down=0\nedge_proxy.hosts_out_not_kept=0"
 
-// Operators' calls are served at the management address only, with the metrics and the readiness of the scheduler, and before
-// clients.
-func TestOperatorBeforeClients(t *testing.T) {
+// Operators' calls for the metrics and the readiness of the scheduler are served at the management address only. In an iteration
+// they are handled before clients.
+func TestOperatorsAreServedBeforeClients(t *testing.T) {
 	s := &modeltest.Steps{T: t}
 	h := newOperatorHarness(s)
 	if got := h.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+initialMetrics {
--- a/scenarios/baseline_test.go
+++ b/scenarios/baseline_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// The same for the scenarios in which the dispatcher's value is known to be below the baseline's.
+// The comparison of TestDispatcherEarnsNoLessThanBaseline for the scenarios in which the dispatcher's value is known to be lower.
 func TestScenariosBelowBaseline(t *testing.T) {
 	for _, name := range belowBaseline {
 		t.Run(name, func(t *testing.T) {
--- a/scenarios/leases_test.go
+++ b/scenarios/leases_test.go
@@ -16,11 +16,11 @@
 	testLeases(t, "peers_8", "peers_40", "peers_lossy", "peers_restart", "peers_split", "peers_torn")
 }
 
-// The same with a further delay of 20 to 400 ms for each datagram.
+// TestLeasesEarnNoLess with a further delay of 20 to 400 ms for each datagram.
 func TestLeasesEarnNoLessWithLateDatagrams(t *testing.T) { testLeases(t, "peers_late") }
 
-// The same with a faulty coordinator for half of the workers, which sends false answers.
-func TestLeasesEarnNoLessUnderLiars(t *testing.T) {
+// TestLeasesEarnNoLess with a faulty coordinator for half of the workers, which sends false answers.
+func TestLeasesEarnNoLessWithFalseAnswers(t *testing.T) {
 	testLeases(t, "peers_liar_full", "peers_liar_same")
 }
 
