--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -4,8 +4,8 @@
 // A Dispatcher holds the queue, the state of workers and attempts, and estimates of run times and speeds. It
 // does no I/O, reads no clock, starts no goroutine and has no globals: the caller passes events to
 // Dispatcher.Step and carries out the returned actions in order. All points in time and durations are
-// time.Duration; points in time count from an origin of the caller's choice. A Dispatcher is for one
-// goroutine. All its randomness comes from one seed: the same events give the same actions.
+// time.Duration; points in time count from an origin of the caller's choice. A Dispatcher is not safe for
+// concurrent use. All its random choices depend on one seed: the same events result in the same actions.
 //
 // Contradictory input is tolerated. An event about a job, attempt or worker that is unknown or finished is
 // ignored, and so is a second job with the ID of an open one. If a list has several entries for one worker,
@@ -21,8 +21,8 @@
 //     admit. In a large fleet preference.go says which of them are evaluated first. healthcheck.go checks
 //     workers before a choice.
 //   - attempts.go sends the job. startmonitor.go says whether it starts promptly, overdue.go acts on attempts
-//     that are late, and results.go on the result of each. These update concurrency.go, learning.go,
-//     machine.go and connections.go.
+//     that are late, and results.go handles the result of each. They update the state and the estimates in
+//     concurrency.go, learning.go, machine.go and connections.go.
 //   - retry.go and hedging.go decide when it is sent again. admission.go gives the final answer.
 //   - maintenance.go updates estimates at a fixed interval. subscription.go requests the list of workers.
 //
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -26,12 +26,12 @@
 // ListKind says what a WorkerList contains.
 type ListKind int
 
-// The kinds of worker list.
+// The kinds of worker list. ListFull and ListCached replace the whole list.
 const (
 	ListDelta       ListKind = iota // the entries that have changed
 	ListFull                        // every worker
 	ListCached                      // every worker of an earlier list, which may be outdated
-	ListUnavailable                 // no entries: a request failed, or the watch was disconnected
+	ListUnavailable                 // no entries, and no change: a Subscribe failed, or the watch has ended
 )
 
 // Result is the result of an attempt or a health check.
@@ -46,7 +46,7 @@
 	ConnectFailed          // not executed
 	ConnectionReset        // possibly executed
 	Cancelled              // possibly executed
-	NotSent                // not executed: the job was closed, out of time or over the attempt limit
+	NotSent                // not executed: the job was closed, out of time, over its limit or not sendable
 )
 
 // The events.
@@ -57,28 +57,31 @@
 		Workers  []Worker
 		Revision int64 // of the list; 0: unknown
 	}
-	// Job is a new job. It must get exactly one final answer, within Remaining. Captures and hot restarts
-	// store it under the names in the tags.
+	// Job is a new job. Unless its client disconnects, it gets exactly one final answer within Remaining: the
+	// response of an attempt, a Reject or a Fail. Captures and hot restarts store it under the names in the
+	// tags.
 	Job struct {
 		ID        uint64        `json:"ID"`
 		Class     int           `json:"Class"`  // index into Settings.Classes
 		Tenant    int           `json:"Tenant"` // index into Settings.TenantQuota; out of its range: no quota
 		Key       uint64        `json:"Key"`    // identifies jobs of similar work; 0: none
 		Remaining time.Duration `json:"Left"`   // until the client gives up
-		Hint      time.Duration `json:"Hint"`   // expected work on a standard core; 0: unknown
-		Slots     float64       `json:"Slots"`
+		Hint      time.Duration `json:"Hint"`   // expected run time on a standard core; 0: unknown
+		Slots     float64       `json:"Slots"`  // slots of a worker that it uses; less than 1 counts as 1
 		Memory    float64       `json:"Memory"` // in units of one slot's memory
 		Retry     bool          `json:"Retry"`  // the client has sent it before
 	}
-	// Outcome ends an attempt. Closed: the job has had its final answer. Report is the worker's load report,
-	// with the values of Settings.ReportFields in their order. It was made before the attempt ended.
+	// Outcome ends an attempt. Each Send gets one Outcome, also after a Cancel.
 	Outcome struct {
 		Job     uint64
-		Attempt int
+		Attempt int // as numbered by Send
 		Worker  uint64
 		Result  Result
-		Closed  bool
-		Report  []float64
+		Closed  bool // the job has had its final answer, and is not attempted again
+		// Report is the worker's load report: the values of Settings.ReportFields, in their order. A missing
+		// value is NaN; nil: no report. It was made before the attempt ended, so that the attempt's slots
+		// count as used in it.
+		Report []float64
 	}
 	// Started says that a worker has started an attempt.
 	Started struct {
@@ -94,7 +97,7 @@
 		Share   float64
 	}
 	// ResponseStarted says that the response of an attempt is being sent to the client. From then on the job
-	// has no deadline and gets no other answer.
+	// gets no other answer, even after its deadline.
 	ResponseStarted struct {
 		Job     uint64
 		Attempt int
@@ -102,7 +105,7 @@
 	}
 	// ClientDisconnected closes a job without an answer.
 	ClientDisconnected struct{ Job uint64 }
-	// HealthChecked ends a health check.
+	// HealthChecked ends a health check. Report is as in Outcome; it is used if Result is OK.
 	HealthChecked struct {
 		Worker uint64
 		Result Result
@@ -110,35 +113,34 @@
 	}
 	// TimerFired says that the duration of the last SetTimer has passed.
 	TimerFired struct{}
-	// JobResumed is a job that another dispatcher has admitted, or this one under another ID. Its further
-	// attempts are numbered after Attempts. Those of Attempts that have not ended are in flight: their
-	// Outcomes refer to them by their indexes in Attempts.
+	// JobResumed is a job that another dispatcher has admitted, or this one under another ID.
 	JobResumed struct {
-		Job          Job
+		Job          Job           // Remaining is the time that is left now
 		Age          time.Duration // since its first arrival
-		QuotaCharged bool          // to its tenant; implied if there are Attempts
-		Attempts     []PastAttempt
+		QuotaCharged bool          // it was charged to its tenant's quota; implied if there are Attempts
+		// Attempts are numbered by their indexes; the next Send has the number len(Attempts). Those that have
+		// not ended are in flight, and get an Outcome.
+		Attempts []PastAttempt
 	}
-	// ReplicasChanged replaces Settings.Replicas and Settings.ReplicaIndex. QuotaShare is this dispatcher's
-	// share of each tenant's quota; 0: an equal share.
+	// ReplicasChanged replaces Settings.Replicas and Settings.ReplicaIndex for warm-up budgets, preferences
+	// and quotas; other rules keep the values of the settings. QuotaShare is this dispatcher's share of each
+	// tenant's quota, from 0 to 1; 0: an equal share.
 	ReplicasChanged struct {
 		Replicas, ReplicaIndex int
 		QuotaShare             float64
 	}
-	// Cordoned stops new attempts at a worker until Uncordoned, whatever lists say. It may precede the
-	// worker's entry.
+	// Cordoned stops new attempts at a worker until Uncordoned, also if a list says that the worker is ready.
+	// The worker need not be listed yet.
 	Cordoned struct{ Worker uint64 }
-	// Uncordoned ends the cordon of a worker, even after several Cordoned. The worker's process counts as
-	// restarted; see handleUncordoned.
+	// Uncordoned ends the cordon of a worker, even after several Cordoned. The worker counts as restarted: it
+	// warms up, and its attempts in flight use no slots any more.
 	Uncordoned struct{ Worker uint64 }
-	// ModelUpdate contains the estimates that another dispatcher had Age ago, as written by
-	// Dispatcher.ModelSnapshot. It is for a dispatcher without observations of its own, which has the list of
-	// workers and gets the share LoadShare of the other's load. A snapshot that is malformed, or for other
-	// classes, is ignored.
+	// ModelUpdate contains the estimates of another dispatcher. It is for a dispatcher that has the list of
+	// workers but no observations of its own.
 	ModelUpdate struct {
-		Snapshot  []byte
-		Age       time.Duration
-		LoadShare float64
+		Snapshot  []byte        // of Dispatcher.ModelSnapshot; ignored if malformed, or for other classes
+		Age       time.Duration // since the snapshot
+		LoadShare float64       // fraction of the other's load that this dispatcher gets, from 0 to 1
 	}
 	// PeerMessageReceived is a message from another dispatcher.
 	PeerMessageReceived struct {
@@ -147,10 +149,11 @@
 	}
 )
 
-// PastAttempt is an earlier attempt of a resumed job. An unlisted worker belongs to no cell and no zone.
+// PastAttempt is an earlier attempt of a resumed job. Its worker need not be listed; one that is not belongs
+// to no cell and no zone.
 type PastAttempt struct {
 	Worker     uint64
-	SentAgo    time.Duration
+	SentAgo    time.Duration // time since it was sent
 	StartedAgo time.Duration // 0: no start notification was received
 	Ended      bool
 	Result     Result // if it has ended
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -213,15 +213,15 @@
 		excluded = append(excluded, attempt.worker.ID)
 	}
 	return LeaseRequest{
-		ID:         lease.id,
-		Shard:      lease.shard,
-		Class:      job.Class,
-		Demand:     job.demand,
-		Work:       l.jobs.warmUpWork(job),
-		LongChance: job.longProbability,
-		Demoted:    job.isDeprioritized(),
-		PromoteIn:  job.promoteAt - now,
-		Excluded:   excluded[max(0, len(excluded)-MaxExcluded):],
+		ID:              lease.id,
+		Shard:           lease.shard,
+		Class:           job.Class,
+		Demand:          job.demand,
+		Work:            l.jobs.warmUpWork(job),
+		LongProbability: job.longProbability,
+		Demoted:         job.isDeprioritized(),
+		PromoteIn:       job.promoteAt - now,
+		Excluded:        excluded[max(0, len(excluded)-MaxExcluded):],
 	}
 }
 
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -64,11 +64,11 @@
 	far := time.Hour
 	s.receive(1,
 		LeaseRequest{ID: 11, Demand: 1, Demoted: true, PromoteIn: -time.Second},
-		LeaseRequest{ID: 12, Demand: 1, LongChance: 0.9, PromoteIn: -time.Second},
-		LeaseRequest{ID: 13, Demand: 1, LongChance: 0.95, PromoteIn: -2 * time.Second},
-		LeaseRequest{ID: 14, Demand: 1, LongChance: 0.5, PromoteIn: far},
-		LeaseRequest{ID: 15, Demand: 1, LongChance: 0.2, PromoteIn: far},
-		LeaseRequest{ID: 16, Demand: 1, LongChance: 0.1, PromoteIn: far},
+		LeaseRequest{ID: 12, Demand: 1, LongProbability: 0.9, PromoteIn: -time.Second},
+		LeaseRequest{ID: 13, Demand: 1, LongProbability: 0.95, PromoteIn: -2 * time.Second},
+		LeaseRequest{ID: 14, Demand: 1, LongProbability: 0.5, PromoteIn: far},
+		LeaseRequest{ID: 15, Demand: 1, LongProbability: 0.2, PromoteIn: far},
+		LeaseRequest{ID: 16, Demand: 1, LongProbability: 0.1, PromoteIn: far},
 	)
 	s.receive(1, LeaseRequest{ID: 16, Demand: 1, Demoted: true}) // its job has been deprioritized since
 	var got []LeaseID
@@ -283,14 +283,14 @@
 	shard := s.d.leases.directory.shardOf(&s.d.fleet.workers[0].Worker)
 	for range 2000 {
 		lastID++
-		granted := s.receive(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
+		granted := s.receive(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongProbability: float64(lastID % 97)})
 		held = append(held, grantedIDs(granted)...)
 	}
 	b.ResetTimer()
 	for b.Loop() {
 		id := held[0]
 		lastID++
-		request := LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)}
+		request := LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongProbability: float64(lastID % 97)}
 		s.receive(int(lastID)%800, request)
 		held = append(held[1:], grantedIDs(s.receive(int(id)%800, LeaseReleased{ID: id, Result: OK}))...)
 	}
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -260,7 +260,7 @@
 	switch rng.IntN(8) {
 	case 0:
 		return LeaseRequest{
-			ID: id, Shard: Shard{number(), number()}, Class: number(), Demand: value(), Work: value(), LongChance: value(),
+			ID: id, Shard: Shard{number(), number()}, Class: number(), Demand: value(), Work: value(), LongProbability: value(),
 			Demoted: rng.IntN(2) == 0, PromoteIn: time.Duration(number()), Excluded: make([]uint64, rng.IntN(9)),
 		}
 	case 1:
--- a/dispatch/leasemessages.go
+++ b/dispatch/leasemessages.go
@@ -21,12 +21,12 @@
 	// LeaseRequest requests slots at any worker of a shard, for one job. It is repeated, with the same ID,
 	// until it is granted.
 	LeaseRequest struct {
-		ID         LeaseID `json:"id"`
-		Shard      Shard   `json:"shard"`
-		Class      int     `json:"class"`  // index into Settings.Classes
-		Demand     float64 `json:"demand"` // slots
-		Work       float64 `json:"work"`   // seconds on a standard core, times slots
-		LongChance float64 `json:"score"`  // the job's score, from 0 to 1
+		ID              LeaseID `json:"id"`
+		Shard           Shard   `json:"shard"`
+		Class           int     `json:"class"`  // index into Settings.Classes
+		Demand          float64 `json:"demand"` // slots
+		Work            float64 `json:"work"`   // seconds on a standard core, times slots
+		LongProbability float64 `json:"score"`  // that the job runs long: its score
 		// Demoted: the job's answer can no longer have its full utility. The request is granted after those
 		// of jobs that still can.
 		Demoted bool `json:"demoted"`
@@ -35,20 +35,20 @@
 		PromoteIn time.Duration `json:"promote_ns"`
 		Excluded  []uint64      `json:"excluded,omitempty"` // workers not to be granted, MaxExcluded at most
 	}
-	// LeaseStarted reports the start of the attempt on a lease. If it is not Prompt, the attempt is late and
+	// LeaseStarted reports the start of the attempt on a lease. If Prompt is false, the attempt is late, and
 	// may not have started yet.
 	LeaseStarted struct {
 		ID     LeaseID `json:"id"`
 		Prompt bool    `json:"prompt"`
 	}
-	// LeaseReleased ends a lease, or withdraws a request. Result is that of the attempt; NotSent: no
+	// LeaseReleased ends a lease, or withdraws a request. Result is that of the attempt, or NotSent if no
 	// attempt was sent.
 	LeaseReleased struct {
 		ID     LeaseID `json:"id"`
 		Result Result  `json:"result"`
 	}
-	// LeaseReport lists the leases in use, and slots in use that were taken without a lease. If it is
-	// Complete, the sender uses no others.
+	// LeaseReport lists leases in use, and slots in use without a lease. If Complete is true, the sender uses
+	// no others of the coordinator's shards.
 	LeaseReport struct {
 		Complete bool        `json:"complete"`
 		Leases   []HeldLease `json:"leases,omitempty"` // MaxReported at most
@@ -75,7 +75,7 @@
 // previous one.
 type PeerRestarted struct{}
 
-// HeldLease is a lease in use.
+// HeldLease is a lease in use, or slots that are in use without a lease.
 type HeldLease struct {
 	ID      LeaseID `json:"id"`
 	Worker  uint64  `json:"number"`
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -202,7 +202,7 @@
 	codec.leaseID(&l.ID)
 	codec.shard(&l.Shard)
 	codec.int(&l.Class)
-	codec.float(&l.Demand, &l.Work, &l.LongChance)
+	codec.float(&l.Demand, &l.Work, &l.LongProbability)
 	codec.flags(&l.Demoted)
 	codec.duration(&l.PromoteIn)
 	list(codec, &l.Excluded, func(worker *uint64) { codec.uint(worker) })
--- a/dispatch/leasewaiting.go
+++ b/dispatch/leasewaiting.go
@@ -121,7 +121,7 @@
 		return cmp.Compare(a.promoteAt, b.promoteAt)
 	}
 	return cmp.Or(
-		cmp.Compare(a.request.LongChance, b.request.LongChance),
+		cmp.Compare(a.request.LongProbability, b.request.LongProbability),
 		cmp.Compare(a.receivedAt, b.receivedAt),
 	)
 }
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -17,7 +17,7 @@
 // goldenPeerMessages contains a message of each type, with a value in each field.
 var goldenPeerMessages = []dispatch.PeerMessage{
 	dispatch.LeaseRequest{
-		ID: 7, Shard: dispatch.Shard{Zone: 1, Number: 2}, Class: 3, Demand: 1.5, Work: 0.1, LongChance: 1.0 / 3, Demoted: true,
+		ID: 7, Shard: dispatch.Shard{Zone: 1, Number: 2}, Class: 3, Demand: 1.5, Work: 0.1, LongProbability: 1.0 / 3, Demoted: true,
 		PromoteIn: -5, Excluded: []uint64{1<<64 - 1, 2},
 	},
 	dispatch.LeaseStarted{ID: 7, Prompt: true},
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -123,7 +123,7 @@
 	b = appendIndex(b, request.Class)
 	b = appendScaled(b, request.Demand, slotParts, maxSlots)
 	b = appendScaled(b, request.Work, workParts, maxWork)
-	b = binary.LittleEndian.AppendUint16(b, uint16(math.Round(inRange(request.LongChance, 1)*probabilitySteps)))
+	b = binary.LittleEndian.AppendUint16(b, uint16(math.Round(inRange(request.LongProbability, 1)*probabilitySteps)))
 	b = appendBool(b, request.Demoted)
 	b = appendInt(b, request.PromoteIn.Milliseconds())
 	b = append(b, byte(min(len(request.Excluded), dispatch.MaxExcluded)))
@@ -222,14 +222,14 @@
 // leaseRequest decodes the fields that appendLeaseRequest encodes.
 func (r *reader) leaseRequest() dispatch.LeaseRequest {
 	request := dispatch.LeaseRequest{
-		ID:         r.id(),
-		Shard:      dispatch.Shard{Zone: r.index(), Number: r.index()},
-		Class:      r.index(),
-		Demand:     r.scaled(slotParts, maxSlots),
-		Work:       r.scaled(workParts, maxWork),
-		LongChance: float64(r.uint16()) / probabilitySteps,
-		Demoted:    r.bool(),
-		PromoteIn:  time.Duration(r.int()) * time.Millisecond,
+		ID:              r.id(),
+		Shard:           dispatch.Shard{Zone: r.index(), Number: r.index()},
+		Class:           r.index(),
+		Demand:          r.scaled(slotParts, maxSlots),
+		Work:            r.scaled(workParts, maxWork),
+		LongProbability: float64(r.uint16()) / probabilitySteps,
+		Demoted:         r.bool(),
+		PromoteIn:       time.Duration(r.int()) * time.Millisecond,
 	}
 	count := int(r.byte())
 	if count > dispatch.MaxExcluded {
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -83,15 +83,15 @@
 		{
 			dispatch.LeaseRequest{
 				Shard: dispatch.Shard{Zone: math.MinInt, Number: -1}, Class: math.MaxInt, Demand: math.NaN(), Work: math.Inf(1),
-				LongChance: math.NaN(), PromoteIn: math.MaxInt64, Excluded: []uint64{1, 2, 3, 4, 5},
+				LongProbability: math.NaN(), PromoteIn: math.MaxInt64, Excluded: []uint64{1, 2, 3, 4, 5},
 			},
 			dispatch.LeaseRequest{
 				Class: maxIndex, Work: maxWork, PromoteIn: math.MaxInt32 * time.Millisecond, Excluded: []uint64{1, 2, 3, 4},
 			},
 		},
 		{
-			dispatch.LeaseRequest{Demand: -1, Work: 0.0001, LongChance: 2},
-			dispatch.LeaseRequest{Work: 1.0 / workParts, LongChance: 1},
+			dispatch.LeaseRequest{Demand: -1, Work: 0.0001, LongProbability: 2},
+			dispatch.LeaseRequest{Work: 1.0 / workParts, LongProbability: 1},
 		},
 		{dispatch.LeaseGranted{FreeSlots: math.MaxInt}, dispatch.LeaseGranted{FreeSlots: math.MaxInt32}},
 		{dispatch.LeaseQueued{FreeSlots: math.MinInt}, dispatch.LeaseQueued{FreeSlots: math.MinInt32}},
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -12,7 +12,7 @@
 func sampleMessages() map[string]dispatch.PeerMessage {
 	return map[string]dispatch.PeerMessage{
 		"lease-request": dispatch.LeaseRequest{
-			ID: 70_001, Shard: dispatch.Shard{Zone: 2, Number: 5}, Class: 3, Demand: 1.5, Work: 0.25, LongChance: 1,
+			ID: 70_001, Shard: dispatch.Shard{Zone: 2, Number: 5}, Class: 3, Demand: 1.5, Work: 0.25, LongProbability: 1,
 			Demoted: true, PromoteIn: -120 * time.Millisecond, Excluded: []uint64{7, math.MaxUint64},
 		},
 		"lease-started":  dispatch.LeaseStarted{ID: 300, Prompt: true},
@@ -41,7 +41,7 @@
 	return []dispatch.PeerMessage{
 		dispatch.LeaseRequest{
 			ID: math.MaxUint32, Shard: dispatch.Shard{Zone: maxIndex, Number: maxIndex}, Class: maxIndex, Demand: maxSlots,
-			Work: maxWork, LongChance: 1, Demoted: true, PromoteIn: math.MinInt32 * time.Millisecond, Excluded: excluded,
+			Work: maxWork, LongProbability: 1, Demoted: true, PromoteIn: math.MinInt32 * time.Millisecond, Excluded: excluded,
 		},
 		dispatch.LeaseStarted{ID: math.MaxUint32, Prompt: true},
 		dispatch.LeaseReleased{ID: math.MaxUint32, Result: dispatch.NotSent},
@@ -60,8 +60,8 @@
 		request := dispatch.LeaseRequest{
 			ID: id, Shard: dispatch.Shard{Zone: rng.IntN(maxIndex), Number: rng.IntN(1000)}, Class: rng.IntN(20),
 			Demand: slots, Work: float64(rng.IntN(maxWork*workParts)) / workParts,
-			LongChance: float64(rng.IntN(probabilitySteps+1)) / probabilitySteps,
-			Demoted:    rng.IntN(2) == 0, PromoteIn: time.Duration(int32(rng.Uint32())) * time.Millisecond,
+			LongProbability: float64(rng.IntN(probabilitySteps+1)) / probabilitySteps,
+			Demoted:         rng.IntN(2) == 0, PromoteIn: time.Duration(int32(rng.Uint32())) * time.Millisecond,
 		}
 		for range rng.IntN(dispatch.MaxExcluded + 1) {
 			request.Excluded = append(request.Excluded, rng.Uint64())
