--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -89,9 +89,9 @@
 	target.events = append(target.events, event)
 }
 
-// step steps the policy with its events, and writes the actions and datagrams. It does nothing without events: the instance was
-// stopped, or was stepped already, as its number may occur twice in adapter.active. A panic of the policy is reported in the
-// reply.
+// step steps the policy with its events, and writes the actions and datagrams. It does nothing if there are no events: the
+// instance was stopped, or it was stepped already, as adapter.active contains its number twice if it was stopped or started
+// between two events of the batch. A panic of the policy is reported in the reply.
 func (i *instance) step(number int, now time.Duration, writer *simwire.Writer) {
 	if len(i.events) == 0 || i.dispatcher == nil {
 		return
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -158,7 +158,7 @@
 		"bad settings":         {"ROUND sim_time=1\nENLIST i=0 seed=1 boot_info={\"me\":\n", "line 2: boot_info: expected a settings object"},
 		"end within a batch":   {prefix, "line 6: expected EOF_BATCH"},
 		"batch within a batch": {prefix + "ROUND sim_time=8000001\n", "line 6: expected an event or EOF_BATCH"},
-		"number out of range":  {prefix + "REQUEST i=0 txn=1 service=0 left=99999999999999999\n", "line 6: left: expected a span"},
+		"number out of range":  {prefix + "REQUEST i=0 txn=1 service=0 left=99999999999999999\n", "line 6: left: expected a duration in microseconds"},
 	}
 	names := make([]string, 0, len(cases))
 	for name := range cases {
--- a/cmd/simadapter/peers_test.go
+++ b/cmd/simadapter/peers_test.go
@@ -50,8 +50,8 @@
 	return lines
 }
 
-// peerTranscript runs two instances with jobs. events returns the additional lines of a batch, given the datagrams in the
-// previous reply. It returns the batches and the replies.
+// peerTranscript runs two instances with jobs, and returns the batches and the replies. events returns the additional lines of
+// batch n, given the datagrams in the previous reply.
 func peerTranscript(t *testing.T, events func(n int, sent []datagram) []string) (batches [][]string, all []string) {
 	t.Helper()
 	batches = [][]string{append(enlistPeerLines(0), enlistPeerLines(1)...)}
--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -30,16 +30,16 @@
 
 // run prints the errors of both files, or the preview if there are none.
 func (c *checkCommand) run(env environment) int {
-	variable := c.overridePlatform(env.getenv)
-	conf, ops, faults := config.LoadAll(variable, env.opsFile)
-	faults = append(faults, checkPaths(ops, env.opsFile)...)
-	for _, fault := range faults {
-		env.printError("valvecove check", fault)
+	getenv := c.overridePlatform(env.getenv)
+	conf, ops, errs := config.LoadAll(getenv, env.opsFile)
+	errs = append(errs, checkPaths(ops, env.opsFile)...)
+	for _, err := range errs {
+		env.printError("valvecove check", err)
 	}
-	if len(faults) > 0 {
+	if len(errs) > 0 {
 		return exitFailure
 	}
-	files := configFiles{platform: variable("PROXY_CONFIG"), ops: env.opsFile}
+	files := configFiles{platform: getenv("PROXY_CONFIG"), ops: env.opsFile}
 	if err := writePreview(env.stdout, files, conf, ops); err != nil {
 		env.printError("valvecove check", err)
 		return exitFailure
@@ -47,26 +47,25 @@
 	return exitOK
 }
 
-// overridePlatform returns a function that looks up environment variables, with the file of --platform, if given, as
-// PROXY_CONFIG.
-func (c *checkCommand) overridePlatform(variable func(name string) string) func(name string) string {
+// overridePlatform returns getenv, or if --platform is given, a function like getenv that returns that file for PROXY_CONFIG.
+func (c *checkCommand) overridePlatform(getenv func(name string) string) func(name string) string {
 	if c.Platform == "" {
-		return variable
+		return getenv
 	}
 	return func(name string) string {
 		if name == "PROXY_CONFIG" {
 			return c.Platform
 		}
-		return variable(name)
+		return getenv(name)
 	}
 }
 
 // checkPaths returns an error for each file or directory of a feature that serve could not write to. It changes nothing.
 func checkPaths(ops config.Ops, opsFile string) []error {
-	var faults []error
+	var errs []error
 	add := func(key string, err error) {
 		if err != nil {
-			faults = append(faults, fmt.Errorf("%s: key %q: %w", opsFile, key, err))
+			errs = append(errs, fmt.Errorf("%s: key %q: %w", opsFile, key, err))
 		}
 	}
 	if ops.Capture != nil && ops.Capture.Dir != "" {
@@ -79,7 +78,7 @@
 		}
 		add("figures.file", err)
 	}
-	return faults
+	return errs
 }
 
 // checkWritable returns an error unless this process may write to a path, which must be a directory if wantDir is set, and a file
--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -55,7 +55,7 @@
 func main() { os.Exit(execute(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
 // execute runs the subcommand of a command line and returns the exit code.
-func execute(args []string, variable func(name string) string, stdout, stderr io.Writer) int {
+func execute(args []string, getenv func(name string) string, stdout, stderr io.Writer) int {
 	var line commands
 	helpExitCode := -1 // set when help is printed
 	parser := kong.Must(&line, kong.Name("valvecove"), kong.Description(programDescription), kong.Writers(stdout, stderr),
@@ -70,5 +70,5 @@
 		return exitUsage
 	}
 	selected := parsed.Selected().Target.Addr().Interface().(subcommand)
-	return selected.run(environment{opsFile: line.Config, getenv: variable, stdout: stdout, stderr: stderr})
+	return selected.run(environment{opsFile: line.Config, getenv: getenv, stdout: stdout, stderr: stderr})
 }
--- a/cmd/valvecove/main_test.go
+++ b/cmd/valvecove/main_test.go
@@ -86,8 +86,8 @@
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			var stdout, stderr bytes.Buffer
-			variable := func(name string) string { return map[string]string{"PROXY_CONFIG": c.platform}[name] }
-			code := execute(strings.Fields(c.args), variable, &stdout, &stderr)
+			getenv := func(name string) string { return map[string]string{"PROXY_CONFIG": c.platform}[name] }
+			code := execute(strings.Fields(c.args), getenv, &stdout, &stderr)
 			if code != c.code || !containsInOrder(stdout.String(), c.stdout) || !containsInOrder(stderr.String(), c.stderr) {
 				t.Errorf("exit %d, expected %d\n%s--\n%s", code, c.code, &stdout, &stderr)
 			}
--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -16,7 +16,7 @@
 	"valvecove/internal/server"
 )
 
-// configFiles contains the names of both configuration files.
+// configFiles contains the paths of both configuration files.
 type configFiles struct {
 	platform string
 	ops      string // empty: none
@@ -239,8 +239,8 @@
 	return format + ", " + strings.ToLower(log.Level.String()) + " and above"
 }
 
-// describeIdempotency describes whether requests of the class may be executed twice, with the values that the settings have for
-// it.
+// describeIdempotency describes whether requests of the class may be executed twice, in the words of the platform's file where it
+// has one.
 func describeIdempotency(class dispatch.Class) string {
 	switch class.Idempotency {
 	case dispatch.Idempotent:
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -40,7 +40,7 @@
 	t.Run("abstract socket name", func(t *testing.T) { testReplacement(t, "", files) })
 }
 
-// The same as TestReplacedUnderLoad, with processes of two builds in turns, so that each takes over from the other.
+// TestReplacedUnderLoad with processes of two builds in turns, so that each build takes over from the other.
 // scripts/handover-between-builds builds them and sets the variables with their files.
 func TestReplacedByOtherBuild(t *testing.T) {
 	before, after := os.Getenv("VALVECOVE_BEFORE"), os.Getenv("VALVECOVE_AFTER")
@@ -178,7 +178,7 @@
 		r.sent.Add(1)
 		status, result, err := client.Send("pay", id, strings.Repeat("x", 100*number), 50*(i%5))
 		if err != nil || status != http.StatusOK || !strings.HasPrefix(result, fakeplatform.Result(id, "s-")) {
-			t.Errorf("%s: %d %q, %v", id, status, result, err)
+			t.Errorf("request %s: status %d, result %q, %v", id, status, result, err)
 			return
 		}
 		r.responses.Add(1)
@@ -249,7 +249,7 @@
 		executions, _ := worker.Runs()
 		for id, times := range executions {
 			if times != 1 {
-				t.Errorf("%s ran %d times at %s", id, times, worker.ID)
+				t.Errorf("job %s ran %d times at worker %s, expected once", id, times, worker.ID)
 			}
 		}
 	}
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -46,7 +46,7 @@
 	ConnectFailed          // not executed
 	ConnectionReset        // possibly executed
 	Cancelled              // possibly executed
-	NotSent                // not executed: the job was closed, out of time, over its limit or not sendable
+	NotSent                // not executed: closed, out of time, over the attempt limit, or sending failed
 )
 
 // The events.
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -44,8 +44,8 @@
 }
 
 // Dispatchers that each prefer some workers together load all workers evenly, and send jobs to the same worker at the same time
-// less often than if each used all workers. Before there were preferences, the busiest worker had 1.15 times the mean here, and
-// 0.20 of the attempts waited for a slot at a load of 0.56.
+// less often than if each used all workers. Without preferences the busiest worker had 1.15 times the mean load here, and 0.20 of
+// the attempts waited for a slot at a load of 0.56.
 func TestPreferencesLoadAllWorkersEvenly(t *testing.T) {
 	even := func(int) float64 { return 40 }
 	uneven := func(index int) float64 { return []float64{12, 20, 28, 36, 104}[index%5] }
--- a/internal/address/accesslists.go
+++ b/internal/address/accesslists.go
@@ -52,8 +52,8 @@
 	return contains(l.lists.TrustedProxies, address)
 }
 
-// contains reports whether a prefix contains an address. IPv4-mapped IPv6 addresses are treated as IPv4. The zone, an interface
-// of this machine, is ignored.
+// contains reports whether one of the prefixes contains an address. IPv4-mapped IPv6 addresses are treated as IPv4. The zone, an
+// interface of this machine, is ignored.
 func contains(prefixes []netip.Prefix, address netip.Addr) bool {
 	address = address.Unmap().WithZone("")
 	return slices.ContainsFunc(prefixes, func(prefix netip.Prefix) bool { return prefix.Contains(address) })
--- a/internal/address/proxyheader_test.go
+++ b/internal/address/proxyheader_test.go
@@ -94,7 +94,7 @@
 }
 
 // checkPrefix checks that a proper prefix of a valid header is incomplete, that input after the header does not change the
-// result, and that no prefix is accepted of input without a header or with an incomplete one.
+// result, and that no prefix is accepted if the whole input has no header or an incomplete one.
 func checkPrefix(t *testing.T, data []byte, length int) {
 	t.Helper()
 	client, size, err := ParseHeader(data)
--- a/internal/asyncwriter/queue_test.go
+++ b/internal/asyncwriter/queue_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A task that never ends does not block Enqueue, and does not block Close for longer than the timeout.
+// A task that never ends does not block Enqueue, and blocks Close only until the timeout.
 func TestBlockedTaskDoesNotBlockCallers(t *testing.T) {
 	queue, stuck := NewQueue(10), make(chan struct{})
 	defer close(stuck)
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// enqueueDropNotice enqueues a notice if pieces were dropped since the last one. It returns false if there is no space for it. In
-// that case the notice is counted as dropped, instead of the text that was to follow it.
+// enqueueDropNotice enqueues a notice if pieces were dropped since the last one. If there is no space for the notice, it returns
+// false. The caller then drops its text, and the notice is counted in place of that text.
 func (w *Writer) enqueueDropNotice() bool {
 	dropped := w.Dropped()
 	if dropped == w.reportedDrops || w.dropNotice == nil {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,8 +16,8 @@
 func Now() time.Time { return time.Now() }
 
 // SinceEpoch returns a clock that returns the time since the Unix epoch, so that all start times listed by discovery are
-// positive. It reads the wall clock once, when SinceEpoch is called, and is monotonic from then on. now is Now, or a fake of it
-// in tests.
+// positive. The wall clock is read once, when SinceEpoch is called; the returned clock is monotonic from then on. now is Now, or
+// a fake of it in tests.
 func SinceEpoch(now func() time.Time) func() time.Duration {
 	origin := now()
 	return func() time.Duration { return time.Duration(origin.UnixNano()) + now().Sub(origin) }
@@ -34,8 +34,8 @@
 }
 
 const (
-	maxPairReadings = 10                     // readings of both clocks by Together
-	pairPrecision   = 100 * time.Microsecond // difference between the two instants at which Together stops reading again
+	maxPairReadings = 10                     // times that Together reads both clocks, at most
+	pairPrecision   = 100 * time.Microsecond // readings of monotonic that are at most this far apart are accepted
 )
 
 // Together returns readings of two clocks at nearly the same instant. The process may be paused between the readings, so they
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -22,7 +22,7 @@
 	for _, passed := range []time.Duration{0, time.Nanosecond, time.Hour} {
 		reading = origin.Add(passed)
 		if got := clock(); got != time.Duration(origin.UnixNano())+passed {
-			t.Errorf("%v after the origin: %v, expected %v more than %v", passed, got, passed, origin.UnixNano())
+			t.Errorf("%v after the origin: got %v, expected %v more than %v", passed, got, passed, origin.UnixNano())
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	"golang.org/x/sys/unix": {"ClockGettime", "Gettimeofday", "Time"},
 }
 
-// The packages of the deployed scheduler and the package dispatch read clocks by this package only.
+// The packages of the deployed scheduler and the package dispatch read clocks through this package only.
 func TestClocksAreReadInThisPackageOnly(t *testing.T) {
 	const root = "../.."
 	var deploy struct {
--- a/internal/filesystem/filesystemtest/crash.go
+++ b/internal/filesystem/filesystemtest/crash.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// maxPendingChanges is the maximum number of name changes that are not synced when AfterPowerLoss is called, which returns at
-// least one disk for each subset of them.
+// maxPendingChanges is the maximum number of unsynced name changes for which AfterPowerLoss can be called: it returns at least
+// one disk for each subset of them.
 const maxPendingChanges = 8
 
 // AfterKill returns the disk after a kill of the process at this time. It contains all written data, durable or not.
--- a/internal/filesystem/filesystemtest/disk.go
+++ b/internal/filesystem/filesystemtest/disk.go
@@ -58,14 +58,14 @@
 	calls   []Call
 	killed  bool
 	names   map[string]*inode
-	durable map[string]*inode // the synced names, which survive a power failure
+	durable map[string]*inode // the names as of the last sync, which survive a power failure
 	pending []nameChange      // changes since the last sync of the names, oldest first
 }
 
 // inode is a file, regardless of its name.
 type inode struct {
 	content []byte
-	durable []byte // the synced content, which survives a power failure
+	durable []byte // the content as of the last sync, which survives a power failure
 }
 
 // nameChange is one change of a directory. A rename is a single change that removes a name and adds another.
--- a/internal/filesystem/lines_test.go
+++ b/internal/filesystem/lines_test.go
@@ -23,8 +23,8 @@
 	return file
 }
 
-// Of the disk's calls, 40% fail, and a write that fails may be partial. Each line of the file is one that was written, in the
-// order of the writes, and no text is missing whose write returned no error.
+// 40% of the calls of the disk fail, and a write that fails may be partial. Each line of the file is one that was written, in the
+// order of the writes. The lines of each write that returned no error are in the file.
 func TestLineFileUnderRandomFaults(t *testing.T) {
 	lost, total := 0, 0
 	for seed := range uint64(100) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// checkLines expects that got contains only lines of all, in their order, and each of the required lines.
+// checkLines checks that got contains only lines of all, in the same order, and contains each of the required lines.
 func checkLines(t *testing.T, seed uint64, got, all, required []string) {
 	t.Helper()
 	next := 0
--- a/internal/filesystem/retry_test.go
+++ b/internal/filesystem/retry_test.go
@@ -44,7 +44,7 @@
 		})
 		written, err := filesystem.WriteAll(file, []byte("abcdef"))
 		if got := disk.Files()["/f"]; got != test.want || written != len(test.want) || !errors.Is(err, test.err) {
-			t.Errorf("%s: wrote %q (%d), %v", test.name, got, written, err)
+			t.Errorf("%s: wrote %q (%d bytes), %v; expected %q, %v", test.name, got, written, err, test.want, test.err)
 		}
 	}
 }
--- a/internal/modeltest/modeltest.go
+++ b/internal/modeltest/modeltest.go
@@ -14,8 +14,8 @@
 	seedIncrement = 4  // number of bytes by which each one is longer than the one before
 )
 
-// maxSteps is the maximum number of bytes of a run, and so of its steps, as each uses at least one byte. Longer runs find no
-// faults that shorter ones do not find.
+// maxSteps is the maximum number of bytes of a run. It also bounds the steps, each of which uses at least one byte. Longer runs
+// find no faults that shorter ones do not find.
 const maxSteps = 1000
 
 // Steps makes the random choices of one run, until the bytes of the run are used up.
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -83,7 +83,7 @@
 func (f *fields) id(name string) uint64 {
 	id := f.integer(name, required)
 	if id < 0 {
-		f.fail(name, "a number from 0", f.text(name))
+		f.fail(name, "a whole number of at least 0", f.text(name))
 	}
 	return uint64(id)
 }
@@ -101,7 +101,7 @@
 	const limit = int64(math.MaxInt64 / time.Microsecond)
 	microseconds := f.integer(name, must)
 	if microseconds > limit || microseconds < -limit {
-		f.fail(name, "a span in microseconds", f.text(name))
+		f.fail(name, "a duration in microseconds", f.text(name))
 	}
 	return time.Duration(microseconds) * time.Microsecond
 }
--- a/internal/storedform/storedform.go
+++ b/internal/storedform/storedform.go
@@ -93,7 +93,7 @@
 }
 
 // Zero lists the exported fields at any depth of a value that are zero, and the lists that are empty. If it lists nothing, a
-// golden file of the value contains every field of the format.
+// golden file of that value contains every field of the format.
 func Zero(value any) []string {
 	return unsetFields(reflect.ValueOf(value), fmt.Sprintf("%T", value))
 }
@@ -136,7 +136,7 @@
 //
 // Golden files contain what an earlier build has written. They are never regenerated to make a test pass: a build that can't read
 // them, or writes other bytes, can't continue with the data of the builds that run today. A format that has to change gets a new
-// number and additional golden files.
+// version number and additional golden files.
 func Golden(tb testing.TB, name string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
