--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Regression test for an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, because
-// of hints that are only rough.
+// Regression test for an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, as they
+// would have been late by their hints, which are only rough.
 func TestJobLikelyToBeLateIsSentToIdleWorker(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -68,7 +68,7 @@
 		sent      int
 	}{
 		{"late within the error of hints", 1800 * ms, 1},
-		{"late far beyond that", 500 * ms, 0},
+		{"late beyond the error of hints", 500 * ms, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -353,7 +353,7 @@
 func TestMostJobsAreSentDespiteFalseAnswersOfCoordinator(t *testing.T) {
 	t.Parallel()
 	coordinator := func(f *leaseFleet) int { return f.members[0].d.leases.directory.rank(Shard{})[0] }
-	for name, lie := range map[string]func(m PeerMessage) PeerMessage{
+	for name, falsify := range map[string]func(m PeerMessage) PeerMessage{
 		"all grants of the same worker": func(m PeerMessage) PeerMessage {
 			if granted, ok := m.(LeaseGranted); ok {
 				granted.Worker = 1
@@ -380,7 +380,7 @@
 			f := newLeaseFleet(t, 8, 6, leaseSettings(), 1)
 			f.tamper = func(from int, m PeerMessage) PeerMessage {
 				if from == coordinator(f) {
-					return lie(m)
+					return falsify(m)
 				}
 				return m
 			}
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -65,8 +65,8 @@
 }
 
 // ModelSnapshot appends the estimates of this dispatcher to b: of the sizes of jobs, of machine kinds and of
-// workers. It takes up about size bytes: if there are too many workers, those with the fewest observations
-// are left out. The event ModelUpdate applies it to another dispatcher.
+// workers. It appends about size bytes: if there are too many workers, those with the fewest observations
+// are left out. The event ModelUpdate passes the snapshot to another dispatcher.
 func (d *Dispatcher) ModelSnapshot(size int, b []byte) []byte {
 	estimates := d.model()
 	from := len(b)
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -20,12 +20,12 @@
 // ErrInvalidSnapshot is the error of Restore for bytes that are not a snapshot for the settings.
 var ErrInvalidSnapshot = errors.New("not a snapshot for these settings")
 
-// Snapshot appends the state between two steps to b, without leases.
+// Snapshot appends the state, without leases, to b. It must not be called during a step.
 func (d *Dispatcher) Snapshot(b []byte) []byte {
 	return d.write(&codec{b: b, writing: true})
 }
 
-// SnapshotWithLeases appends the state between two steps to b, for RestoreWithLeases.
+// SnapshotWithLeases is Snapshot with leases, for RestoreWithLeases.
 func (d *Dispatcher) SnapshotWithLeases(b []byte) []byte {
 	return d.write(&codec{b: b, writing: true, withLeases: true})
 }
@@ -35,8 +35,9 @@
 	return codec.b
 }
 
-// Restore returns a dispatcher with the state of a snapshot. The settings may differ from those under which
-// it was taken, except for the number of classes and tenants. The error is ErrInvalidSnapshot.
+// Restore returns a dispatcher with the state of a snapshot that was taken by Snapshot. The settings may
+// differ from those of the original, except for the numbers of classes and tenants. Any error is
+// ErrInvalidSnapshot.
 func Restore(settings Settings, b []byte) (*Dispatcher, error) { return RestoreOnClock(settings, b, 0) }
 
 // RestoreOnClock is Restore for a process whose clock is ahead, by clockAhead, of that of the process that
--- a/internal/capture/disk_test.go
+++ b/internal/capture/disk_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("%d files, expected 2", len(contents))
 	}
 	for _, content := range contents {
-		checkReplaysSame(t, []byte(content))
+		checkReplaysWithoutDifference(t, []byte(content))
 	}
 	got := replay(t, concatenated(disk)[len("kept\n"):], "")
 	if got.differences != 0 || got.err != nil || !strings.Contains(got.warnings, "the capture has a gap") {
@@ -125,7 +125,7 @@
 	s.Now += segmentRetryInterval
 	s.runWithDisk(100)
 	s.recorder.Close(time.Minute)
-	if sends := checkReplaysSame(t, concatenated(disk)); sends == 0 {
+	if sends := checkReplaysWithoutDifference(t, concatenated(disk)); sends == 0 {
 		t.Error("no sends are recorded")
 	}
 }
--- a/internal/capture/files_test.go
+++ b/internal/capture/files_test.go
@@ -12,7 +12,7 @@
 
 // Each file replays without a difference. A second process continues the numbers of the files, and the maximum number of files
 // includes those of the first one.
-func TestFilesReplaySame(t *testing.T) {
+func TestFilesReplayWithoutDifference(t *testing.T) {
 	directory := t.TempDir()
 	for process := range 2 {
 		s := newScheduler(t, uint64(process), config.Capture{Dir: directory, FileMB: 1, Files: 3})
@@ -27,7 +27,7 @@
 		t.Errorf("files: %v", paths)
 	}
 	for _, path := range paths[:2] {
-		checkReplaysSame(t, readFile(t, path))
+		checkReplaysWithoutDifference(t, readFile(t, path))
 	}
 }
 
@@ -65,7 +65,7 @@
 		t.Fatalf("files: %v", paths)
 	}
 	for _, path := range paths {
-		checkReplaysSame(t, readFile(t, path))
+		checkReplaysWithoutDifference(t, readFile(t, path))
 	}
 	if !bytes.Contains(readFile(t, paths[1]), []byte(reasonGap)) {
 		t.Error("the second file does not contain the gap as the reason of its segment")
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -186,14 +186,14 @@
 	return replayed{differences, output.String(), warnings.String(), err}
 }
 
-// checkReplaysSame expects that a capture replays without a difference or a warning, and contains no payload. It returns the
-// number of recorded sends.
-func checkReplaysSame(t *testing.T, text []byte) int {
+// checkReplaysWithoutDifference checks that a capture replays without a difference or a warning, and contains no payload. It
+// returns the number of recorded sends.
+func checkReplaysWithoutDifference(t *testing.T, text []byte) int {
 	t.Helper()
 	return checkReplaysWithWarnings(t, text, "")
 }
 
-// checkReplaysWithWarnings is checkReplaysSame for a capture whose replay writes the given warnings.
+// checkReplaysWithWarnings is checkReplaysWithoutDifference for a capture whose replay writes the given warnings.
 func checkReplaysWithWarnings(t *testing.T, text []byte, warnings string) int {
 	t.Helper()
 	got := replay(t, text, "")
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -123,7 +123,7 @@
 		}
 		for _, peer := range peers {
 			dump := peer.recorder.Dump()
-			if sends := checkReplaysSame(t, dump); sends == 0 {
+			if sends := checkReplaysWithoutDifference(t, dump); sends == 0 {
 				t.Error("nothing was sent")
 			}
 			text = append(text, dump...)
@@ -153,7 +153,7 @@
 		}
 		for _, peer := range peers {
 			text := peer.recorder.Dump()
-			if sends := checkReplaysSame(t, text); sends == 0 || !bytes.Contains(text, []byte(reasonSegmentFull)) {
+			if sends := checkReplaysWithoutDifference(t, text); sends == 0 || !bytes.Contains(text, []byte(reasonSegmentFull)) {
 				t.Errorf("%d sends, or no segment after the first one", sends)
 			}
 		}
@@ -207,7 +207,7 @@
 	s := newSchedulerWithPlatform(t, withoutPeers, filesystem.Disk, slog.New(slog.DiscardHandler), 1, config.Capture{MemoryKB: 4 << 10})
 	s.run(200)
 	text := s.recorder.Dump()
-	if sends := checkReplaysSame(t, text); sends == 0 || bytes.Contains(text, []byte(`"out":"message sent"`)) {
+	if sends := checkReplaysWithoutDifference(t, text); sends == 0 || bytes.Contains(text, []byte(`"out":"message sent"`)) {
 		t.Errorf("%d sends, or messages to peers", sends)
 	}
 }
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -38,7 +38,7 @@
 		successor.jobs = predecessor.jobs
 		successor.run(150)
 		text := successor.recorder.Dump()
-		if sends := checkReplaysSame(t, text); sends == 0 || !bytes.Contains(text, []byte(`"why":"taken over"`)) || len(open) == 0 {
+		if sends := checkReplaysWithoutDifference(t, text); sends == 0 || !bytes.Contains(text, []byte(`"why":"taken over"`)) || len(open) == 0 {
 			t.Errorf("%d sends, %d requests taken over", sends, len(open))
 		}
 	}
--- a/internal/capture/ring_test.go
+++ b/internal/capture/ring_test.go
@@ -9,7 +9,7 @@
 
 // The content of a ring replays without a difference, whether its oldest segments were overwritten or not. The ring exceeds its
 // size by one step at most.
-func TestRingReplaysSame(t *testing.T) {
+func TestRingReplaysWithoutDifference(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newScheduler(t, seed, config.Capture{MemoryKB: 48})
 		hasWrapped, sends := false, 0
@@ -20,7 +20,7 @@
 			if len(text) > 60<<10 {
 				t.Errorf("%d bytes in a ring of %d", len(text), 48<<10)
 			}
-			sends += checkReplaysSame(t, text)
+			sends += checkReplaysWithoutDifference(t, text)
 		}
 		if !hasWrapped || sends < 100 || s.recorder.Lost() > 0 {
 			t.Errorf("wrapped %v, %d sends, %d lost", hasWrapped, sends, s.recorder.Lost())
@@ -38,7 +38,7 @@
 			t.Errorf("%d lost, %d bytes in a ring of %d KB", s.recorder.Lost(), len(text), kb)
 		}
 		if len(text) > 0 {
-			checkReplaysSame(t, text)
+			checkReplaysWithoutDifference(t, text)
 		}
 	}
 }
--- a/internal/eventloop/faultinjection/faultinjection_test.go
+++ b/internal/eventloop/faultinjection/faultinjection_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-func TestShareFollowsSeed(t *testing.T) {
+// A rule with a share makes about that share of the calls fail. The seed determines which ones.
+func TestFailingShareDependsOnSeed(t *testing.T) {
 	const calls = 10_000
 	inject := func(seed uint64) (failed []bool, count int) {
 		i := New(seed, nil)
@@ -51,7 +52,7 @@
 	again, _ := inject(1)
 	other, _ := inject(2)
 	if !slices.Equal(first, again) || slices.Equal(first, other) {
-		t.Error("the faults do not follow the seed")
+		t.Error("the same seed injected other faults, or another seed the same ones")
 	}
 	if count < calls/4 || count > calls*7/20 {
 		t.Errorf("%d of %d calls with a fault", count, calls)
