--- a/dispatch/prediction.go
+++ b/dispatch/prediction.go
@@ -17,7 +17,7 @@
 	logisticLearningRate = 0.05 // of the weights, per run
 	minHintWeight        = 0.1  // above 0, so that a longer hint never predicts a shorter run
 	maxLogFeature        = 4.0  // log, about a factor of fifty
-	sizeCorrectionGain   = 0.03 // low, as sizes are averaged over workers: no slow one distorts them
+	sizeCorrectionGain   = 0.03 // low: the mean over many workers is not distorted by a slow one
 	maxLogSizeError      = 2.0  // log, of one run
 	minWorkSeconds       = 1e-4
 	overrunDeviations    = 2.5 // mean absolute log errors beyond the expected run that are still plausible
--- a/dispatch/workload.go
+++ b/dispatch/workload.go
@@ -7,7 +7,7 @@
 
 const (
 	overrunDecayTime      = 60 * time.Second // time constant of the decay of a class's overrun ratio
-	minExpectedRunSeconds = 1e-3             // the shortest expected run that an overrun is measured against
+	minExpectedRunSeconds = 1e-3             // shorter expected runs count as this in an overrun ratio
 	maxKnownKeys          = 10000            // keys whose past work is stored
 )
 
