--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -7,7 +7,7 @@
 
 // A job that is running when its objective passes is rechecked when the run fails. As it can no longer meet its objective, it is
 // rejected then, and not seconds later at its deadline.
-func TestJobWhoseRunFailsPastItsObjectiveIsAnsweredAtOnce(t *testing.T) {
+func TestJobThatFailsPastItsObjectiveIsRejectedAtOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.step(s.job(1, 2, 300*ms)) // an answer past its objective of 1 s has no utility
@@ -59,8 +59,8 @@
 	}
 }
 
-// Regression test for an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, because
-// of hints that are only rough.
+// Regression test for an incident: jobs of the highest priority were rejected without an attempt while a worker was idle, as they
+// would have been late by their hints, which are only rough.
 func TestJobLikelyToBeLateIsSentToIdleWorker(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -68,7 +68,7 @@
 		sent      int
 	}{
 		{"late within the error of hints", 1800 * ms, 1},
-		{"late far beyond that", 500 * ms, 0},
+		{"late beyond the error of hints", 500 * ms, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -260,7 +260,7 @@
 	switch rng.IntN(8) {
 	case 0:
 		return LeaseRequest{
-			ID: id, Shard: Shard{number(), number()}, Class: number(), Demand: value(), Work: value(), LongChance: value(),
+			ID: id, Shard: Shard{number(), number()}, Class: number(), Demand: value(), Work: value(), LongProbability: value(),
 			Demoted: rng.IntN(2) == 0, PromoteIn: time.Duration(number()), Excluded: make([]uint64, rng.IntN(9)),
 		}
 	case 1:
@@ -349,12 +349,12 @@
 	}
 }
 
-// A coordinator that sends false answers does limited harm: most jobs are still sent.
-func TestFalseAnswersOfCoordinatorDoBoundedHarm(t *testing.T) {
+// If a coordinator sends false answers, at least 0.6 attempts for each job are still sent.
+func TestMostJobsAreSentDespiteFalseAnswersOfCoordinator(t *testing.T) {
 	t.Parallel()
 	coordinator := func(f *leaseFleet) int { return f.members[0].d.leases.directory.rank(Shard{})[0] }
-	for name, lie := range map[string]func(m PeerMessage) PeerMessage{
-		"grants of the same worker always": func(m PeerMessage) PeerMessage {
+	for name, falsify := range map[string]func(m PeerMessage) PeerMessage{
+		"all grants of the same worker": func(m PeerMessage) PeerMessage {
 			if granted, ok := m.(LeaseGranted); ok {
 				granted.Worker = 1
 				return granted
@@ -380,7 +380,7 @@
 			f := newLeaseFleet(t, 8, 6, leaseSettings(), 1)
 			f.tamper = func(from int, m PeerMessage) PeerMessage {
 				if from == coordinator(f) {
-					return lie(m)
+					return falsify(m)
 				}
 				return m
 			}
