--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -58,7 +58,7 @@
 		target.events = target.events[:0]
 		target.node = gossip.New(gossip.Config{
 			Self:        message.Settings.ReplicaIndex,
-			Peers:       message.Settings.Replicas,
+			Schedulers:  message.Settings.Replicas,
 			Incarnation: uint32(now / incarnationUnit),
 		})
 	case simwire.Stop:
@@ -98,7 +98,7 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			writer.Fault(number, fmt.Sprint(cause))
+			writer.InternalError(number, fmt.Sprint(cause))
 		}
 		clear(i.events)
 		i.events = i.events[:0]
--- a/cmd/valvecove-testbed/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -38,14 +38,14 @@
 		target = responder.Addr
 	}
 	result, err := process.Load(ctx, process.LoadOptions{
-		Target: target, Rate: c.Rate, Conns: c.Conns, Cores: c.Cores, Length: c.For,
+		Target: target, Rate: c.Rate, Conns: c.Conns, Threads: c.Cores, Length: c.For,
 		WarmUp: loadWarmUp, Seed: c.Seed,
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(streams.stdout, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", result.Scheduled, result.Answered,
-		result.Rate, result.Failed, result.Open)
+		result.Rate, result.Failed, result.Unanswered)
 	for status, responses := range result.Status {
 		fmt.Fprintf(streams.stdout, "  status %d: %d\n", status, responses)
 	}
--- a/internal/address/accesslists.go
+++ b/internal/address/accesslists.go
@@ -15,8 +15,8 @@
 	lists config.Addresses
 }
 
-// New returns the access lists of a configuration.
-func New(lists config.Addresses) *AccessLists { return &AccessLists{lists} }
+// NewAccessLists returns the access lists of a configuration.
+func NewAccessLists(lists config.Addresses) *AccessLists { return &AccessLists{lists} }
 
 // RejectionReason returns which list prevents an address from connecting, or an empty string if the address may connect.
 func (l *AccessLists) RejectionReason(address netip.Addr) string {
--- a/internal/address/accesslists_test.go
+++ b/internal/address/accesslists_test.go
@@ -17,11 +17,11 @@
 }
 
 func TestAccessLists(t *testing.T) {
-	lists := New(config.Addresses{
+	lists := NewAccessLists(config.Addresses{
 		Allow: parsePrefixes("10.20.0.0/16", "fd00:5a::/48"), Deny: parsePrefixes("10.20.9.0/24"),
 		TrustedProxies: parsePrefixes("10.20.0.9/32"),
 	})
-	open := New(config.Addresses{Deny: parsePrefixes("10.0.0.0/8", "::/0")})
+	open := NewAccessLists(config.Addresses{Deny: parsePrefixes("10.0.0.0/8", "::/0")})
 	for text, want := range map[string][2]string{
 		"10.20.0.1":        {"", "in addresses.deny"},
 		"::ffff:10.20.0.1": {"", "in addresses.deny"},
--- a/internal/capture/disk_test.go
+++ b/internal/capture/disk_test.go
@@ -91,7 +91,7 @@
 	for seed := range uint64(12) {
 		disk := filesystemtest.New(nil)
 		s := newSchedulerWithDisk(t, disk, slog.New(slog.DiscardHandler), seed, config.Capture{Dir: "/dir", FileMB: 1, Files: 100})
-		fail := filesystemtest.FailShare(seed, 0.1)
+		fail := filesystemtest.FailRandomly(seed, 0.1)
 		disk.SetFault(func(call filesystemtest.Call) filesystemtest.Fault {
 			if call.Operation == filesystemtest.Truncate {
 				return filesystemtest.Fault{Err: syscall.EIO}
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -48,7 +48,7 @@
 // Messages between schedulers are encoded as by the first build that recorded them, and decoding returns the original messages.
 func TestGoldenPeerMessages(t *testing.T) {
 	for _, message := range goldenPeerMessages {
-		if unset := storedform.Zero(message); len(unset) > 0 && !isPeerRestarted(message) {
+		if unset := storedform.ZeroFields(message); len(unset) > 0 && !isPeerRestarted(message) {
 			t.Errorf("fields without a value: %q", unset)
 		}
 	}
--- a/internal/client/accept_test.go
+++ b/internal/client/accept_test.go
@@ -33,7 +33,7 @@
 			f.listen()
 			f.listener.SetLimits(testLimits(2 * clients))
 			injector := f.injectFaults(uint64(errno), faultinjection.Rule{
-				Calls: []eventloop.Call{eventloop.CallAccept}, Share: 0.3, Errnos: []unix.Errno{errno},
+				Calls: []eventloop.Call{eventloop.CallAccept}, Probability: 0.3, Errnos: []unix.Errno{errno},
 			})
 			atOnce := 0
 			for n := range clients {
--- a/internal/client/proxy_test.go
+++ b/internal/client/proxy_test.go
@@ -92,7 +92,7 @@
 	return newFixtureWith(s, func(listenerConfig *Config) {
 		listenerConfig.ConnectionLog = logging.NewFactory(config.Log{}, "n0", log).NewLogger()
 		listenerConfig.Log = listenerConfig.ConnectionLog
-		listenerConfig.AccessLists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
+		listenerConfig.AccessLists = address.NewAccessLists(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
 	})
 }
 
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -38,10 +38,10 @@
 	pairPrecision   = 100 * time.Microsecond // readings of monotonic that are at most this far apart are accepted
 )
 
-// Together returns readings of two clocks at nearly the same instant. The process may be paused between the readings, so they
+// ReadPair returns readings of two clocks at nearly the same instant. The process may be paused between the readings, so they
 // are repeated, maxPairReadings times at most, until the readings of monotonic before and after the other clock differ by at
 // most pairPrecision. The pair of readings with the smallest difference is returned.
-func Together(clock, monotonic func() time.Duration) (clockReading, monotonicReading time.Duration) {
+func ReadPair(clock, monotonic func() time.Duration) (clockReading, monotonicReading time.Duration) {
 	least := time.Duration(math.MaxInt64)
 	for range maxPairReadings {
 		before := monotonic()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -49,7 +49,7 @@
 			return now
 		}
 		clock := func() time.Duration { return now + time.Hour }
-		reading, at := Together(clock, monotonic)
+		reading, at := ReadPair(clock, monotonic)
 		if off := reading - at - time.Hour; off.Abs() > time.Microsecond {
 			t.Errorf("%d pauses: the clocks were read %v apart", pauses, off)
 		}
--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -35,7 +35,7 @@
 	}
 	bench.forwarder.SetPlanners(planners)
 	for _, planner := range planners {
-		bench.forwarder.SessionChanged(planner, true)
+		bench.forwarder.ConnectionChanged(planner, true)
 	}
 	bench.step(list)
 	bench.now++
@@ -147,13 +147,13 @@
 			bench.now += stepInterval
 		}
 		b.StartTimer()
-		bench.forwarder.SessionChanged(lost, false)
+		bench.forwarder.ConnectionChanged(lost, false)
 		if offers, _ := bench.step(); offers != open {
 			b.Fatalf("%d requests offered, want %d", offers, open)
 		}
 		bench.now += stepInterval
 		b.StopTimer()
-		bench.forwarder.SessionChanged(lost, true)
+		bench.forwarder.ConnectionChanged(lost, true)
 		lost, other = other, lost
 		b.StartTimer()
 	}
--- a/internal/control/forwarder/connection_test.go
+++ b/internal/control/forwarder/connection_test.go
@@ -32,7 +32,7 @@
 	c.established = true
 	c.reportedEnds = map[uint64]map[int]bool{}
 	c.inbox = nil
-	c.env.forwarder.SessionChanged(c.name, true)
+	c.env.forwarder.ConnectionChanged(c.name, true)
 }
 
 func (c *connection) disconnect() {
@@ -44,7 +44,7 @@
 	c.newestEpoch = 0
 	c.generation++
 	c.endAssignments()
-	c.env.forwarder.SessionChanged(c.name, false)
+	c.env.forwarder.ConnectionChanged(c.name, false)
 }
 
 // deliver delivers a message from the forwarder to the planner.
--- a/internal/control/forwarder/doc.go
+++ b/internal/control/forwarder/doc.go
@@ -22,7 +22,7 @@
 //
 // # Use
 //
-// Receive, SessionChanged and SetPlanners only record inputs. The next Step processes the events of the request table
+// Receive, ConnectionChanged and SetPlanners only record inputs. The next Step processes the events of the request table
 // first, then the recorded inputs in the order in which they were recorded. HasPending reports whether there are any. Outbox
 // returns the messages that the last Step produced for planners.
 //
--- a/internal/control/forwarder/forwarder.go
+++ b/internal/control/forwarder/forwarder.go
@@ -46,7 +46,7 @@
 }
 
 // LastEpoch returns the epoch of the newest session. A Forwarder that replaces one that has panicked continues from that epoch
-// (Config.LastEpoch), and SessionChanged must be called on it for each existing connection.
+// (Config.LastEpoch), and ConnectionChanged must be called on it for each existing connection.
 func (f *Forwarder) LastEpoch() message.Epoch { return f.sessions.lastEpoch }
 
 // Outbox returns the messages of the last Step, in order. They are valid until the next Step.
@@ -62,8 +62,8 @@
 // SetPlanners records the names of all known planners. The caller should keep a connection to each of them.
 func (f *Forwarder) SetPlanners(names []string) { f.inputs.addNames(names) }
 
-// SessionChanged records that a connection to a planner was established or lost.
-func (f *Forwarder) SessionChanged(planner string, connected bool) {
+// ConnectionChanged records that a connection to a planner was established or lost.
+func (f *Forwarder) ConnectionChanged(planner string, connected bool) {
 	f.inputs.addConnection(planner, connectionChange(connected))
 }
 
--- a/internal/control/forwarder/transcriptscript_test.go
+++ b/internal/control/forwarder/transcriptscript_test.go
@@ -95,9 +95,9 @@
 		forwarder.SetForwarderIndex(t.number(arguments[0]), t.number(arguments[1]))
 	case "connect":
 		t.planners[arguments[0]] = &transcriptPlanner{}
-		forwarder.SessionChanged(arguments[0], true)
+		forwarder.ConnectionChanged(arguments[0], true)
 	case "disconnect":
-		forwarder.SessionChanged(arguments[0], false)
+		forwarder.ConnectionChanged(arguments[0], false)
 	case "freeze":
 		t.planners[arguments[0]].frozen = true
 	case "thaw":
--- a/internal/control/planner/recovery.go
+++ b/internal/control/planner/recovery.go
@@ -143,7 +143,7 @@
 // another planner, or fails it if it was returned before.
 func (r *recovery) returnPoisonRequest(req *request) {
 	if req.state.isOpen() {
-		r.stats.Poison++
+		r.stats.PoisonRequests++
 		r.step.log("poison request returned", "request_id", req.forwarderID, "forwarder", req.forwarder.name)
 		r.step.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID})
 	}
--- a/internal/control/planner/stats.go
+++ b/internal/control/planner/stats.go
@@ -14,7 +14,7 @@
 	Rejected            int // requests rejected by command
 	Failed              int // requests failed by command
 	Transferred         int // requests transferred to another planner
-	Poison              int // requests returned to their forwarder because they made the policy panic
+	PoisonRequests      int // requests returned to their forwarder because they made the policy panic
 	OffersRejected      int // offers beyond the forwarder's credit or with an invalid summary
 	Expired             int // attempts assumed to have ended without a report
 	StatusUpdates       int // worker statuses forwarded
--- a/internal/discovery/watch/exchange.go
+++ b/internal/discovery/watch/exchange.go
@@ -128,7 +128,7 @@
 		c.config.Log.Info("watch started", "discovery", c.server.String(), "after", c.requestedRevision, "revision", list.Revision,
 			"snapshot", list.Reset, "entries", len(list.Endpoints))
 	}
-	list.Receipt = requests.Receipt{At: c.loop.Now(), LastViewAt: c.previousLineAt}
+	list.Receipt = requests.Receipt{At: c.loop.Now(), PreviousCurrentAt: c.previousLineAt}
 	c.config.Table.UpdateEndpoints(list)
 	return nil
 }
--- a/internal/eventloop/faultinjection/faultinjection.go
+++ b/internal/eventloop/faultinjection/faultinjection.go
@@ -21,7 +21,7 @@
 	From, Until time.Duration             // when the rule applies, by the injector's clock, Until excluded; 0: no limit
 	Skip        int                       // number of matching calls without a fault before the first one with a fault
 	Times       int                       // maximum number of calls with a fault; 0: no limit
-	Share       float64                   // probability that the rule applies to a matching call; 0: it always applies
+	Probability float64                   // probability that the rule applies to a matching call; 0: it always applies
 
 	Errnos    []unix.Errno // the call fails with one of these, chosen at random; empty: it does not fail
 	MaxLength int          // reads and writes transfer at most a random length from 1 to this; 0: no limit
@@ -128,7 +128,7 @@
 		rule.From > 0 && i.clock() < rule.From,
 		rule.Until > 0 && i.clock() >= rule.Until,
 		rule.Times > 0 && rule.injected >= rule.Times,
-		rule.Share > 0 && i.rng.Float64() >= rule.Share:
+		rule.Probability > 0 && i.rng.Float64() >= rule.Probability:
 		return false
 	case rule.skipped < rule.Skip:
 		rule.skipped++
--- a/internal/eventloop/faultinjection/faultinjection_test.go
+++ b/internal/eventloop/faultinjection/faultinjection_test.go
@@ -42,7 +42,7 @@
 	const calls = 10_000
 	inject := func(seed uint64) (failed []bool, count int) {
 		i := New(seed, nil)
-		i.Add(Rule{Share: 0.3, Errnos: []unix.Errno{unix.ENFILE, unix.EINTR}})
+		i.Add(Rule{Probability: 0.3, Errnos: []unix.Errno{unix.ENFILE, unix.EINTR}})
 		for range calls {
 			failed = append(failed, i.Intercept(eventloop.CallAccept, 3).Errno != 0)
 		}
--- a/internal/filesystem/filesystemtest/disk.go
+++ b/internal/filesystem/filesystemtest/disk.go
@@ -46,9 +46,9 @@
 
 // Fault describes how a call fails.
 type Fault struct {
-	Err   error // nil: it does not fail
-	Bytes int   // number of bytes that a failing write writes nevertheless
-	After bool  // the call takes full effect before it fails
+	Err         error // nil: it does not fail
+	Bytes       int   // number of bytes that a failing write writes nevertheless
+	AfterEffect bool  // the call takes full effect before it fails
 }
 
 // Disk is a file system in memory.
@@ -135,7 +135,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	fault := d.begin(operation, path, 0)
-	if fault.Err != nil && !fault.After {
+	if fault.Err != nil && !fault.AfterEffect {
 		return &fs.PathError{Op: string(operation), Path: path, Err: fault.Err}
 	}
 	if err := effect(); err != nil {
@@ -264,7 +264,7 @@
 	defer f.disk.mu.Unlock()
 	fault := f.disk.begin(Write, f.path, len(data))
 	size := len(data)
-	if fault.Err != nil && !fault.After {
+	if fault.Err != nil && !fault.AfterEffect {
 		size = min(fault.Bytes, len(data))
 	}
 	f.inode.content = append(slices.Clip(f.inode.content), data[:size]...)
--- a/internal/filesystem/filesystemtest/faults.go
+++ b/internal/filesystem/filesystemtest/faults.go
@@ -38,17 +38,17 @@
 	}
 }
 
-// FailShare makes each call fail with a probability, with one of Errors. A write that fails may have written any part of
+// FailRandomly makes each call fail with a probability, with one of Errors. A write that fails may have written any part of
 // its data. An open that fails has no effect; any other call that fails may have its full effect or none. All choices depend on
 // the seed.
-func FailShare(seed uint64, probability float64) func(Call) Fault {
+func FailRandomly(seed uint64, probability float64) func(Call) Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(call Call) Fault {
 		if random.Float64() >= probability {
 			return Fault{}
 		}
 		fault := Fault{Err: Errors[random.IntN(len(Errors))], Bytes: random.IntN(call.Size + 1)}
-		fault.After = call.Operation != Open && call.Operation != Write && random.IntN(2) == 0
+		fault.AfterEffect = call.Operation != Open && call.Operation != Write && random.IntN(2) == 0
 		return fault
 	}
 }
--- a/internal/filesystem/lines_test.go
+++ b/internal/filesystem/lines_test.go
@@ -30,7 +30,7 @@
 	for seed := range uint64(100) {
 		disk := filesystemtest.New(nil)
 		file := openLineFile(t, disk)
-		disk.SetFault(filesystemtest.FailShare(seed, 0.4))
+		disk.SetFault(filesystemtest.FailRandomly(seed, 0.4))
 		var written, kept []string
 		for number := range 40 {
 			lines := []string{fmt.Sprintf("%d-a", number), fmt.Sprintf("%d-b", number)}
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -29,7 +29,7 @@
 // Config configures a Node.
 type Config struct {
 	Self        int    // number of this scheduler, from 0
-	Peers       int    // number of schedulers, including this one
+	Schedulers  int    // number of schedulers, including this one
 	Incarnation uint32 // identifies this process; greater than in any earlier process, unless the clock was set back
 }
 
@@ -129,7 +129,7 @@
 
 // receive is Receive without the counters.
 func (n *Node) receive(now time.Duration, from int, datagram []byte) ([]dispatch.PeerMessage, error) {
-	if from < 0 || from >= n.config.Peers || from == n.config.Self {
+	if from < 0 || from >= n.config.Schedulers || from == n.config.Self {
 		return nil, ErrUnknownSender
 	}
 	header, encoded, err := parseHeader(datagram)
@@ -201,7 +201,7 @@
 
 // Queue queues a message for a peer until the next Flush. If the number is not that of a peer, the message is dropped.
 func (n *Node) Queue(to int, message dispatch.PeerMessage) {
-	if to < 0 || to >= n.config.Peers || to == n.config.Self {
+	if to < 0 || to >= n.config.Schedulers || to == n.config.Self {
 		return
 	}
 	if n.queuedMessages >= maxQueuedMessages {
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -19,10 +19,12 @@
 
 // newSender returns a node of the sender, whose process has the given incarnation.
 func newSender(incarnation uint32) *Node {
-	return New(Config{Self: senderNumber, Peers: peerCount, Incarnation: incarnation})
+	return New(Config{Self: senderNumber, Schedulers: peerCount, Incarnation: incarnation})
 }
 
-func newReceiver() *Node { return New(Config{Self: receiverNumber, Peers: peerCount, Incarnation: 50}) }
+func newReceiver() *Node {
+	return New(Config{Self: receiverNumber, Schedulers: peerCount, Incarnation: 50})
+}
 
 // datagramOf returns one datagram of a node to the receiver, with the given messages.
 func datagramOf(t *testing.T, node *Node, messages ...dispatch.PeerMessage) []byte {
@@ -66,7 +68,7 @@
 		if len(datagram.Bytes) > MaxDatagram {
 			t.Errorf("datagram of %d bytes, want at most %d", len(datagram.Bytes), MaxDatagram)
 		}
-		messages, err := New(Config{Self: datagram.To, Peers: peerCount}).Receive(0, senderNumber, datagram.Bytes)
+		messages, err := New(Config{Self: datagram.To, Schedulers: peerCount}).Receive(0, senderNumber, datagram.Bytes)
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/gossip/socket/counts_test.go
+++ b/internal/gossip/socket/counts_test.go
@@ -14,7 +14,7 @@
 	f, _ := newFixtureWithPeer(t)
 	f.settings = dispatch.Settings{PeerCost: 0.01, PeerBudget: 0.02, Replicas: 2}
 	node := f.socket.node
-	other := gossip.New(gossip.Config{Self: 1, Peers: 2, Incarnation: 1})
+	other := gossip.New(gossip.Config{Self: 1, Schedulers: 2, Incarnation: 1})
 	node.Queue(1, dispatch.LeaseQueued{ID: 1})
 	sent := node.Flush()
 	node.CountUnsent()
--- a/internal/gossip/socket/fixture_test.go
+++ b/internal/gossip/socket/fixture_test.go
@@ -32,7 +32,7 @@
 	f.socket = New(f.Loop.Loop, Config{
 		Listen:          peers[0],
 		Peers:           peers,
-		Count:           len(peers),
+		Schedulers:      len(peers),
 		Receiver:        f,
 		HasRelinquished: func() bool { return f.hasRelinquished },
 		Log:             slog.New(slog.DiscardHandler),
@@ -98,7 +98,7 @@
 // newFixtureWithPeer returns schedulers 0 and 1 of two. The socket of scheduler 0 is open.
 func newFixtureWithPeer(t *testing.T) (*fixture, *remotePeer) {
 	t.Helper()
-	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Peers: 2, Incarnation: 1})}
+	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Schedulers: 2, Incarnation: 1})}
 	remote.fd, remote.address = eventlooptest.OpenDatagramSocket(t, "127.0.0.3")
 	t.Cleanup(func() { _ = unix.Close(remote.fd) })
 	f := newFixture(t, eventlooptest.FreeDatagramAddress(t, "127.0.0.2"), remote.address)
--- a/internal/gossip/socket/socket.go
+++ b/internal/gossip/socket/socket.go
@@ -30,10 +30,10 @@
 
 // Config configures a Socket.
 type Config struct {
-	Listen netip.AddrPort
-	Peers  []netip.AddrPort // addresses of all schedulers by number, including this one
-	Self   int              // number of this scheduler
-	Count  int              // number of schedulers, including this one
+	Listen     netip.AddrPort
+	Peers      []netip.AddrPort // addresses of all schedulers by number, including this one
+	Self       int              // number of this scheduler
+	Schedulers int              // number of schedulers, including this one
 
 	Receiver        MessageReceiver
 	HasRelinquished func() bool // reports whether a successor serves instead of this process
@@ -67,7 +67,7 @@
 		peerNumbers: map[netip.AddrPort]int{},
 		node: gossip.New(gossip.Config{
 			Self:        config.Self,
-			Peers:       config.Count,
+			Schedulers:  config.Schedulers,
 			Incarnation: uint32(loop.Now() / incarnationUnit),
 		}),
 	}
--- a/internal/gossip/socket/socket_test.go
+++ b/internal/gossip/socket/socket_test.go
@@ -125,7 +125,7 @@
 	_ = unix.Close(other)
 	f.Time += maxReopenBackoff
 	f.RunIterations()
-	peer := remotePeer{node: gossip.New(gossip.Config{Self: 1, Peers: 2})}
+	peer := remotePeer{node: gossip.New(gossip.Config{Self: 1, Schedulers: 2})}
 	f.sendFrom(remote, peer.datagram(queued(1)))
 	f.RunIterations()
 	f.expectReceived(queuedFrom1(1))
--- a/internal/hotrestart/clocks.go
+++ b/internal/hotrestart/clocks.go
@@ -48,9 +48,9 @@
 		r.OpenRequests[i] = r.OpenRequests[i].OnClock(ahead)
 	}
 	for i := range r.ClientConnections {
-		r.ClientConnections[i].LastActivity = requests.MoveInstant(r.ClientConnections[i].LastActivity, ahead)
+		r.ClientConnections[i].LastActivity = requests.ShiftInstant(r.ClientConnections[i].LastActivity, ahead)
 	}
 	for i := range r.WorkerConnections {
-		r.WorkerConnections[i].IdleSince = requests.MoveInstant(r.WorkerConnections[i].IdleSince, ahead)
+		r.WorkerConnections[i].IdleSince = requests.ShiftInstant(r.WorkerConnections[i].IdleSince, ahead)
 	}
 }
--- a/internal/hotrestart/clocks_test.go
+++ b/internal/hotrestart/clocks_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("stepped by %v: a duration, or an instant of 0, was changed", step)
 		}
 	}
-	if requests.MoveInstant(0, time.Hour) != 0 {
+	if requests.ShiftInstant(0, time.Hour) != 0 {
 		t.Error("an instant of 0 was changed")
 	}
 }
--- a/internal/hotrestart/cordon_crash_test.go
+++ b/internal/hotrestart/cordon_crash_test.go
@@ -40,7 +40,7 @@
 		for size := range call.Size + 1 {
 			points = append(points, filesystemtest.KillAt(call.Number, size))
 		}
-		after := filesystemtest.Fault{Err: filesystemtest.ErrKilled, After: true}
+		after := filesystemtest.Fault{Err: filesystemtest.ErrKilled, AfterEffect: true}
 		points = append(points, filesystemtest.FailCall(call.Number, after))
 	}
 	return append(points, filesystemtest.KillAt(len(calls), 0)) // after the last call
@@ -98,7 +98,7 @@
 		for _, failure := range filesystemtest.Errors {
 			for _, after := range []bool{false, true} {
 				disk := diskWithOldCordons()
-				disk.SetFault(filesystemtest.FailCall(call.Number, filesystemtest.Fault{Err: failure, Bytes: call.Size / 2, After: after}))
+				disk.SetFault(filesystemtest.FailCall(call.Number, filesystemtest.Fault{Err: failure, Bytes: call.Size / 2, AfterEffect: after}))
 				checkFailedWrite(t, disk, failure)
 			}
 		}
--- a/internal/hotrestart/cordon_retry_test.go
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -28,7 +28,7 @@
 	checkDelays(t, loop)
 	save("s-2")
 	state := store.State()
-	if state.Stored || state.UnsavedFrom != time.Hour || !errors.Is(state.LastError, syscall.ENOSPC) || len(loop.changes) != 1 {
+	if state.Stored || state.UnsavedSince != time.Hour || !errors.Is(state.LastError, syscall.ENOSPC) || len(loop.changes) != 1 {
 		t.Errorf("while writes fail: %+v, reported changes %v", state, loop.changes)
 	}
 	disk.SetFault(nil)
@@ -106,7 +106,7 @@
 	close(proceed)
 	loop.runPosted()
 	disk.SetFault(nil)
-	store.Keep([]string{"s-9"})
+	store.SaveWithoutCallback([]string{"s-9"})
 	if got := disk.Files()[cordonPath]; got != oldCordons || !errors.Is(result, errFenced) || store.IsWriting() || len(loop.timers) != 0 {
 		t.Errorf("fenced: the file is %q, the callback received %v, writing %v", got, result, store.IsWriting())
 	}
@@ -123,7 +123,7 @@
 		random := rand.New(rand.NewPCG(seed, 2))
 		disk, loop := filesystemtest.New(nil), newEventLoop()
 		store := loop.newStore(disk, testStateDir)
-		disk.SetFault(filesystemtest.FailShare(seed, 0.05+0.6*random.Float64()))
+		disk.SetFault(filesystemtest.FailRandomly(seed, 0.05+0.6*random.Float64()))
 		newest := ""
 		for number := range 20 {
 			newest = "s-" + strconv.Itoa(number)
--- a/internal/hotrestart/cordon_store.go
+++ b/internal/hotrestart/cordon_store.go
@@ -39,9 +39,9 @@
 
 // CordonStoreState is the state of a CordonStore, for the status call.
 type CordonStoreState struct {
-	Stored      bool          // the IDs that were saved last are on the disk
-	UnsavedFrom time.Duration // time of the first change that is not on the disk, on the loop's clock
-	LastError   error         // of the last write; nil if it succeeded
+	Stored       bool          // the IDs that were saved last are on the disk
+	UnsavedSince time.Duration // time of the first change that is not on the disk, on the loop's clock
+	LastError    error         // of the last write; nil if it succeeded
 }
 
 // CordonStore writes the file of cordoned workers on its own goroutine, so that the event loop does not wait for the disk. If
@@ -86,7 +86,7 @@
 
 // State returns whether the IDs that were saved last are on the disk.
 func (c *CordonStore) State() CordonStoreState {
-	return CordonStoreState{Stored: !c.unsaved, UnsavedFrom: c.unsavedSince, LastError: c.lastError}
+	return CordonStoreState{Stored: !c.unsaved, UnsavedSince: c.unsavedSince, LastError: c.lastError}
 }
 
 // IsWriting reports whether a write is in progress.
@@ -108,8 +108,8 @@
 	c.startWrite()
 }
 
-// Keep starts a write of the IDs, like Save, without a callback.
-func (c *CordonStore) Keep(workerIDs []string) {
+// SaveWithoutCallback starts a write of the IDs, like Save, without a callback.
+func (c *CordonStore) SaveWithoutCallback(workerIDs []string) {
 	c.setNewest(workerIDs)
 	c.startWrite()
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -74,20 +74,20 @@
 		Started: true, Ended: true, Cancelling: true, Result: dispatch.ConnectionReset,
 	}
 	return OpenRequest{
-		ID:              7,
-		CallID:          "call <7>",
-		Payload:         payload,
-		Job:             job,
-		Deadline:        goldenTime + time.Second,
-		ArrivedAt:       goldenTime - time.Second,
-		FirstSentAt:     goldenTime - 900*time.Millisecond,
-		Attempts:        []requests.OpenAttempt{attempt},
-		EndedByCallback: []string{"s-0"},
-		Closed:          true,
-		ClientLeft:      true,
-		Reported:        true,
-		Outcome:         requests.OutcomeConnectionLost,
-		Response:        requests.ResponseFailed,
+		ID:                 7,
+		CallID:             "call <7>",
+		Payload:            payload,
+		Job:                job,
+		Deadline:           goldenTime + time.Second,
+		ArrivedAt:          goldenTime - time.Second,
+		FirstSentAt:        goldenTime - 900*time.Millisecond,
+		Attempts:           []requests.OpenAttempt{attempt},
+		EndedByCallback:    []string{"s-0"},
+		Closed:             true,
+		ClientDisconnected: true,
+		Reported:           true,
+		Outcome:            requests.OutcomeConnectionLost,
+		Response:           requests.ResponseFailed,
 	}
 }
 
@@ -153,7 +153,7 @@
 func checkGoldenFrame(t *testing.T, name string, want Message) {
 	t.Helper()
 	if hasFields(want) && !earlierForms[name] {
-		for _, field := range storedform.Zero(want) {
+		for _, field := range storedform.ZeroFields(want) {
 			t.Errorf("%s: %s is not set", name, field)
 		}
 	}
--- a/internal/hotrestart/transport/roles.go
+++ b/internal/hotrestart/transport/roles.go
@@ -222,7 +222,7 @@
 
 // readClocks reads the loop's clock and the monotonic clock, which both processes share, at the same time.
 func (r *Roles) readClocks() hotrestart.ClockReadings {
-	reading, monotonic := clock.Together(r.loop.Clock, r.config.Monotonic)
+	reading, monotonic := clock.ReadPair(r.loop.Clock, r.config.Monotonic)
 	return hotrestart.ClockReadings{Clock: reading, Monotonic: monotonic}
 }
 
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -211,8 +211,8 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", false, false},
 	} {
 		_, err := response.Parse([]byte(step.text), false)
-		if !errors.Is(err, ErrIncomplete) || response.IsChunked() != step.isChunked || response.EndsWithConnection() != step.endsWithConnection {
-			t.Errorf("%q: %v, chunked %v, ends with the connection %v", step.text, err, response.IsChunked(), response.EndsWithConnection())
+		if !errors.Is(err, ErrIncomplete) || response.IsChunked() != step.isChunked || response.IsCloseDelimited() != step.endsWithConnection {
+			t.Errorf("%q: %v, chunked %v, ends with the connection %v", step.text, err, response.IsChunked(), response.IsCloseDelimited())
 		}
 	}
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -54,9 +54,9 @@
 	return len(input), nil
 }
 
-// EndsWithConnection reports whether the body is delimited by the end of the connection. It is valid after Parse, also if Parse
+// IsCloseDelimited reports whether the body is delimited by the end of the connection. It is valid after Parse, also if Parse
 // has returned ErrIncomplete, and is false while the header is not complete.
-func (r *Response) EndsWithConnection() bool { return r.framing == framingCloseDelimited }
+func (r *Response) IsCloseDelimited() bool { return r.framing == framingCloseDelimited }
 
 // ParseHeader parses the status line and the header fields of one final or interim response from the start of input, and
 // returns their length in bytes. The caller reads the body, for example with a ChunkDecoder. The error is ErrIncomplete or a
--- a/internal/management/cordons.go
+++ b/internal/management/cordons.go
@@ -110,7 +110,7 @@
 // Store stores the cordoned workers. A successor calls it after a takeover: its predecessor may have failed to store them.
 func (c *Cordons) Store() {
 	if c.config.Store != nil {
-		c.config.Store.Keep(c.config.Table.Cordoned())
+		c.config.Store.SaveWithoutCallback(c.config.Table.Cordoned())
 	}
 }
 
@@ -152,7 +152,7 @@
 	} else if state := c.config.Store.State(); state.Stored {
 		report.Stored = true
 	} else {
-		report.UnstoredMs = (c.loop.Now() - state.UnsavedFrom).Milliseconds()
+		report.UnstoredMs = (c.loop.Now() - state.UnsavedSince).Milliseconds()
 		if state.LastError != nil {
 			report.LastError = state.LastError.Error()
 		}
--- a/internal/management/cordons_test.go
+++ b/internal/management/cordons_test.go
@@ -30,7 +30,7 @@
 			_ = f.RunOnce(1000)
 		}
 	}
-	since := f.Now() - f.store.State().UnsavedFrom
+	since := f.Now() - f.store.State().UnsavedSince
 	want := fmt.Sprintf(`200 {"out":["s-0"],"kept":false,"not_kept_ms":%d,"error":"cordoned workers in `, since.Milliseconds())
 	if got := f.callUntilAnswered("GET /v1/worker-nodes HTTP/1.1"); !strings.HasPrefix(got, want) || !strings.Contains(got, syscall.ENOSPC.Error()) {
 		t.Errorf("while it is not stored: %q, expected %s", got, want)
--- a/internal/requests/clockdifference.go
+++ b/internal/requests/clockdifference.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// MoveInstant converts an instant of one process's clock to the clock of another process, which is ahead by the given difference,
+// ShiftInstant converts an instant of one process's clock to the clock of another process, which is ahead by the given difference,
 // or behind if that is negative. 0 means no instant, and is returned unchanged.
-func MoveInstant(at, ahead time.Duration) time.Duration {
+func ShiftInstant(at, ahead time.Duration) time.Duration {
 	if at == 0 {
 		return 0
 	}
 	return at + ahead
 }
 
-// OnClock returns the state with all instants converted by MoveInstant.
+// OnClock returns the state with all instants converted by ShiftInstant.
 func (s State) OnClock(ahead time.Duration) State {
-	s.PolicyTimer = MoveInstant(s.PolicyTimer, ahead)
-	s.LeastAge = MoveInstant(s.LeastAge, ahead)
+	s.PolicyTimer = ShiftInstant(s.PolicyTimer, ahead)
+	s.LeastAge = ShiftInstant(s.LeastAge, ahead)
 	if ahead != 0 {
 		s.Starts = s.allStarts()
 		for i := range s.Starts {
-			s.Starts[i].At = MoveInstant(s.Starts[i].At, ahead)
+			s.Starts[i].At = ShiftInstant(s.Starts[i].At, ahead)
 		}
 	}
 	return s
 }
 
-// OnClock returns the request with all instants converted by MoveInstant.
+// OnClock returns the request with all instants converted by ShiftInstant.
 func (o OpenRequest) OnClock(ahead time.Duration) OpenRequest {
-	o.Deadline = MoveInstant(o.Deadline, ahead)
-	o.ArrivedAt = MoveInstant(o.ArrivedAt, ahead)
-	o.FirstSentAt = MoveInstant(o.FirstSentAt, ahead)
+	o.Deadline = ShiftInstant(o.Deadline, ahead)
+	o.ArrivedAt = ShiftInstant(o.ArrivedAt, ahead)
+	o.FirstSentAt = ShiftInstant(o.FirstSentAt, ahead)
 	o.Attempts = slices.Clone(o.Attempts)
 	for i := range o.Attempts {
-		o.Attempts[i].ExpiresAt = MoveInstant(o.Attempts[i].ExpiresAt, ahead)
+		o.Attempts[i].ExpiresAt = ShiftInstant(o.Attempts[i].ExpiresAt, ahead)
 	}
 	return o
 }
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -37,20 +37,20 @@
 	return t.endpoints.number(endpointID)
 }
 
-// AwaitsEndpoints reports whether requests wait for the first update of the endpoint list; see AwaitEndpoints.
-func (t *Table) AwaitsEndpoints() bool { return t.awaitUntil > 0 }
+// IsAwaitingEndpoints reports whether requests wait for the first update of the endpoint list; see AwaitEndpoints.
+func (t *Table) IsAwaitingEndpoints() bool { return t.awaitUntil > 0 }
 
 // Ready reports whether a request that arrived now could be forwarded at once.
-func (t *Table) Ready() bool { return !t.AwaitsEndpoints() && t.HasReadyWorker() }
+func (t *Table) Ready() bool { return !t.IsAwaitingEndpoints() && t.HasReadyWorker() }
 
 // HasReadyWorker reports whether a listed worker is ready and not cordoned.
 func (t *Table) HasReadyWorker() bool {
 	return t.endpoints.hasReady(t.cordons)
 }
 
-// MayReceive reports whether a worker is listed as ready, and not cordoned, according to the current list. It is called when
+// IsAvailable reports whether a worker is listed as ready, and not cordoned, according to the current list. It is called when
 // the connection of an attempt is established, as the list may have changed since the attempt was started.
-func (t *Table) MayReceive(worker uint64) bool {
+func (t *Table) IsAvailable(worker uint64) bool {
 	return t.endpoints.isReady(worker) && !t.cordons.contains(worker)
 }
 
--- a/internal/requests/snapshot.go
+++ b/internal/requests/snapshot.go
@@ -34,20 +34,20 @@
 // OpenRequest is the serialisable form of a request that is open or has attempts in flight. The requestState is encoded by its
 // booleans.
 type OpenRequest struct {
-	ID              uint64        `json:"ID"`
-	CallID          string        `json:"Call"`
-	Payload         Payload       `json:"Parcel"`
-	Job             dispatch.Job  `json:"Job"`
-	Deadline        time.Duration `json:"Deadline"`
-	ArrivedAt       time.Duration `json:"Came"`
-	FirstSentAt     time.Duration `json:"Sent"` // 0: none of its attempts was started
-	Attempts        []OpenAttempt `json:"Attempts"`
-	EndedByCallback []string      `json:"Noted"`
-	Closed          bool          `json:"Closed"` // not open
-	ClientLeft      bool          `json:"Left"`
-	Reported        bool          `json:"Over"` // the observers were notified that it has ended
-	Outcome         Outcome       `json:"Outcome"`
-	Response        Response      `json:"Answer"`
+	ID                 uint64        `json:"ID"`
+	CallID             string        `json:"Call"`
+	Payload            Payload       `json:"Parcel"`
+	Job                dispatch.Job  `json:"Job"`
+	Deadline           time.Duration `json:"Deadline"`
+	ArrivedAt          time.Duration `json:"Came"`
+	FirstSentAt        time.Duration `json:"Sent"` // 0: none of its attempts was started
+	Attempts           []OpenAttempt `json:"Attempts"`
+	EndedByCallback    []string      `json:"Noted"`
+	Closed             bool          `json:"Closed"` // not open
+	ClientDisconnected bool          `json:"Left"`
+	Reported           bool          `json:"Over"` // the observers were notified that it has ended
+	Outcome            Outcome       `json:"Outcome"`
+	Response           Response      `json:"Answer"`
 }
 
 // OpenAttempt is the serialisable state of an attempt of an OpenRequest. Its number is its index there.
@@ -81,19 +81,19 @@
 // snapshot returns the serialisable state of the request.
 func (r *Request) snapshot() OpenRequest {
 	open := OpenRequest{
-		ID:              r.ID,
-		CallID:          r.CallID,
-		Payload:         r.Payload,
-		Job:             r.Job,
-		Deadline:        r.Deadline,
-		ArrivedAt:       r.ArrivedAt,
-		FirstSentAt:     r.FirstSentAt,
-		EndedByCallback: r.endedByCallback,
-		Closed:          r.IsClosed(),
-		ClientLeft:      r.state == requestDisconnected,
-		Reported:        r.state == requestEnded,
-		Outcome:         r.outcome,
-		Response:        r.response,
+		ID:                 r.ID,
+		CallID:             r.CallID,
+		Payload:            r.Payload,
+		Job:                r.Job,
+		Deadline:           r.Deadline,
+		ArrivedAt:          r.ArrivedAt,
+		FirstSentAt:        r.FirstSentAt,
+		EndedByCallback:    r.endedByCallback,
+		Closed:             r.IsClosed(),
+		ClientDisconnected: r.state == requestDisconnected,
+		Reported:           r.state == requestEnded,
+		Outcome:            r.outcome,
+		Response:           r.response,
 	}
 	for _, attempt := range r.attempts {
 		open.Attempts = append(open.Attempts, attempt.snapshot())
@@ -122,7 +122,7 @@
 		return requestOpen
 	case o.Reported:
 		return requestEnded
-	case o.ClientLeft:
+	case o.ClientDisconnected:
 		return requestDisconnected
 	}
 	return requestResponded
--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -34,8 +34,8 @@
 
 // Receipt contains the instants that belong to the receipt of an endpoint list, by the process's clock.
 type Receipt struct {
-	At         time.Duration // 0: not known; start times are used as listed
-	LastViewAt time.Duration // when the previous list was last known to be current; 0: there was no list
+	At                time.Duration // 0: not known; start times are used as listed
+	PreviousCurrentAt time.Duration // when the previous list was last known to be current; 0: there was no list
 }
 
 // startTime is the start time of a worker.
@@ -105,7 +105,7 @@
 // correction returns the difference to add to a start time that is listed for the first time, or 0 if the process's clock may
 // be correct.
 func (s *startTimes) correction(listed time.Duration) time.Duration {
-	previousListAt := s.receipt.LastViewAt
+	previousListAt := s.receipt.PreviousCurrentAt
 	switch {
 	case s.leastAge < -usualListingDelay: // the process's clock is behind
 		return s.leastAge
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -39,7 +39,7 @@
 
 // receive applies a list.
 func (s *startTimesFixture) receive(isReset bool, endpoints ...Endpoint) {
-	receipt := Receipt{At: s.now + s.clockAhead, LastViewAt: s.listCurrentAt}
+	receipt := Receipt{At: s.now + s.clockAhead, PreviousCurrentAt: s.listCurrentAt}
 	s.table.UpdateEndpoints(EndpointList{Reset: isReset, Endpoints: endpoints, Receipt: receipt})
 }
 
--- a/internal/scheduler/connections.go
+++ b/internal/scheduler/connections.go
@@ -108,7 +108,7 @@
 		Listen:          conf.PeerListen,
 		Peers:           conf.Peers,
 		Self:            conf.Settings.ReplicaIndex,
-		Count:           conf.Settings.Replicas,
+		Schedulers:      conf.Settings.Replicas,
 		Receiver:        s.Requests,
 		HasRelinquished: s.hasRelinquished,
 		Log:             s.log,
--- a/internal/scheduler/features.go
+++ b/internal/scheduler/features.go
@@ -114,7 +114,7 @@
 		return "draining"
 	case s.restart.NotReadyReason() != "":
 		return s.restart.NotReadyReason()
-	case s.Requests.AwaitsEndpoints():
+	case s.Requests.IsAwaitingEndpoints():
 		return "no word from discovery yet"
 	case !s.Requests.HasReadyWorker():
 		return "no worker node known"
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -52,23 +52,23 @@
 	reads := []eventloop.Call{eventloop.CallRead, eventloop.CallReceive}
 	transfers := append([]eventloop.Call{eventloop.CallWrite}, reads...)
 	for _, rule := range []faultinjection.Rule{
-		{Calls: []eventloop.Call{eventloop.CallAccept}, Share: share(), Errnos: []unix.Errno{
+		{Calls: []eventloop.Call{eventloop.CallAccept}, Probability: share(), Errnos: []unix.Errno{
 			unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENETUNREACH, unix.EPROTO, unix.EINTR, unix.ETIMEDOUT, unix.EPERM,
 		}},
-		{Calls: []eventloop.Call{eventloop.CallSocket}, Share: share(), Errnos: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
-		{Calls: []eventloop.Call{eventloop.CallConnect}, Share: share(), Errnos: []unix.Errno{
+		{Calls: []eventloop.Call{eventloop.CallSocket}, Probability: share(), Errnos: []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
+		{Calls: []eventloop.Call{eventloop.CallConnect}, Probability: share(), Errnos: []unix.Errno{
 			unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 		}},
-		{Calls: transfers, Share: share() / 3, Errnos: []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM}},
-		{Calls: transfers, Share: share() / 30, Descriptor: func(fd int) bool { return faults.remoteEndOfDescriptor[fd] != nil }, Errnos: []unix.Errno{
+		{Calls: transfers, Probability: share() / 3, Errnos: []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM}},
+		{Calls: transfers, Probability: share() / 30, Descriptor: func(fd int) bool { return faults.remoteEndOfDescriptor[fd] != nil }, Errnos: []unix.Errno{
 			unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ECONNRESET, unix.EPIPE,
 		}},
-		{Calls: []eventloop.Call{eventloop.CallEpollWait}, Share: share(), Errnos: []unix.Errno{unix.EINTR}},
-		{Calls: []eventloop.Call{eventloop.CallEpollControl}, Share: share() / 3, Errnos: []unix.Errno{unix.ENOMEM}},
-		{Calls: []eventloop.Call{eventloop.CallClose}, Share: share(), Errnos: []unix.Errno{unix.EINTR}},
-		{Calls: []eventloop.Call{eventloop.CallSetOption}, Share: share(), Errnos: []unix.Errno{unix.ENOBUFS}},
-		{Calls: transfers, Share: 0.003, Stall: faults.stall},
-		{Calls: transfers, Share: share(), MaxLength: 40},
+		{Calls: []eventloop.Call{eventloop.CallEpollWait}, Probability: share(), Errnos: []unix.Errno{unix.EINTR}},
+		{Calls: []eventloop.Call{eventloop.CallEpollControl}, Probability: share() / 3, Errnos: []unix.Errno{unix.ENOMEM}},
+		{Calls: []eventloop.Call{eventloop.CallClose}, Probability: share(), Errnos: []unix.Errno{unix.EINTR}},
+		{Calls: []eventloop.Call{eventloop.CallSetOption}, Probability: share(), Errnos: []unix.Errno{unix.ENOBUFS}},
+		{Calls: transfers, Probability: 0.003, Stall: faults.stall},
+		{Calls: transfers, Probability: share(), MaxLength: 40},
 	} {
 		faults.injector.Add(rule)
 	}
--- a/internal/scheduler/open.go
+++ b/internal/scheduler/open.go
@@ -58,7 +58,7 @@
 func (s *Scheduler) openParts(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets []metrics.Target) error {
 	ops.ApplyTo(&conf.Settings)
 	if ops.Addresses != nil {
-		s.addressLists = address.New(*ops.Addresses)
+		s.addressLists = address.NewAccessLists(*ops.Addresses)
 	}
 	s.openBudget(conf.Limits, limits.FeatureDescriptors(conf, ops))
 	s.openWorkerPool(s.budget.Shares().WorkerConnections, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
--- a/internal/scheduler/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -86,7 +86,7 @@
 func newPeerPair(t *testing.T) (*harness, *remotePeer) {
 	t.Helper()
 	h := newHarness(&modeltest.Steps{T: t})
-	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Peers: 2, Incarnation: 1})}
+	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Schedulers: 2, Incarnation: 1})}
 	remote.fd, remote.address = eventlooptest.OpenDatagramSocket(t, "127.0.0.3")
 	t.Cleanup(func() { _ = unix.Close(remote.fd) })
 	h.openPeers(0, eventlooptest.FreeDatagramAddress(t, "127.0.0.2"), remote.address)
@@ -132,7 +132,7 @@
 func TestHotRestartHandsOverPeerSocket(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Peers: 2})}
+	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Schedulers: 2})}
 	remote.fd, remote.address = eventlooptest.OpenDatagramSocket(t, "127.0.0.3")
 	defer func() { _ = unix.Close(remote.fd) }()
 	own := eventlooptest.FreeDatagramAddress(t, "127.0.0.2")
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -64,8 +64,10 @@
 	fmt.Fprintf(w.output, "MEMO_TO i=%d peer=%d payload=%s\n", instance, to, base64.StdEncoding.EncodeToString(payload))
 }
 
-// Fault adds to the reply an internal error of an instance.
-func (w *Writer) Fault(instance int, text string) { w.writeText("INTERNAL_ERROR", instance, text) }
+// InternalError adds to the reply an internal error of an instance.
+func (w *Writer) InternalError(instance int, text string) {
+	w.writeText("INTERNAL_ERROR", instance, text)
+}
 
 // End completes the reply and flushes it.
 func (w *Writer) End() error {
--- a/internal/storedform/storedform.go
+++ b/internal/storedform/storedform.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Zero lists the exported fields at any depth of a value that are zero, and the lists that are empty. If it lists nothing, a
+// ZeroFields lists the exported fields at any depth of a value that are zero, and the lists that are empty. If it lists nothing, a
 // golden file of that value contains every field of the format.
-func Zero(value any) []string {
+func ZeroFields(value any) []string {
 	return unsetFields(reflect.ValueOf(value), fmt.Sprintf("%T", value))
 }
 
--- a/internal/storedform/storedform_test.go
+++ b/internal/storedform/storedform_test.go
@@ -63,7 +63,7 @@
 func TestZero(t *testing.T) {
 	value := outer{Embedded: Embedded{"b"}, List: []inner{{Named: 1, hidden: 1}}, Raw: json.RawMessage("1")}
 	want := []string{"storedform.outer.List[0].Unnamed", "storedform.outer.Table", "storedform.outer.Any", "storedform.outer.Itself"}
-	if got := Zero(value); !slices.Equal(got, want) {
+	if got := ZeroFields(value); !slices.Equal(got, want) {
 		t.Errorf("%q, expected %q", got, want)
 	}
 }
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -26,7 +26,7 @@
 				continue
 			}
 			for _, endpoint := range start.KnownEndpoints.Endpoints {
-				n, _ := scenario.NodeIndex(endpoint.ID, spec.Fleet.Workers)
+				n, _ := scenario.WorkerIndex(endpoint.ID, spec.Fleet.Workers)
 				if listed++; cells[n] != endpoint.Cell || spec.Fleet.Zones[zones[n]] != endpoint.Zone {
 					t.Errorf("%s is in cell %d of zone %s, the checker has cell %d of zone %d",
 						endpoint.ID, endpoint.Cell, endpoint.Zone, cells[n], zones[n])
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -97,7 +97,7 @@
 		}
 		return aperture.New(recorder.Wrap(policy), settings, narrowing)
 	}
-	options := simulation.Options{Model: simulation.Model{Module: module}}
+	options := simulation.Options{Model: simulation.Model{NewPolicy: module}}
 	if _, err := simulation.Run(spec, 1, options); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -51,7 +51,7 @@
 			return options, fmt.Errorf("unknown policy %q, expected one of %v", name, PolicyNames())
 		}
 		newPolicy := policy.ForRun()
-		options.Module = func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy {
+		options.NewPolicy = func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy {
 			return newPolicy(settings, seed, oracle)
 		}
 	}
@@ -61,7 +61,7 @@
 		}
 	}
 	if narrowing != nil {
-		options.Module = withAperture(options.Module, *narrowing)
+		options.NewPolicy = withAperture(options.NewPolicy, *narrowing)
 	}
 	return options, nil
 }
@@ -88,7 +88,7 @@
 		options.Wrap = func(scheduler simapi.Scheduler) simapi.Scheduler { return mutant.Wrap(spec, scheduler) }
 	}
 	if mutant.Policy != nil {
-		options.Module = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+		options.NewPolicy = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
 			return mutant.Policy(settings, seed)
 		}
 	}
--- a/internal/testbed/fleet/golden_test.go
+++ b/internal/testbed/fleet/golden_test.go
@@ -27,7 +27,7 @@
 
 func TestGoldenReportIsRead(t *testing.T) {
 	read := readReport(t)
-	for _, zero := range storedform.Zero(read) {
+	for _, zero := range storedform.ZeroFields(read) {
 		t.Errorf("field %s was not read", zero)
 	}
 	if p := read.Measurements[0]; p.Subject != "valvecove" || p.Workers != 1000 || p.Rate != 2412.5 || p.All.Served != 24125 ||
--- a/internal/testbed/fleet/message.go
+++ b/internal/testbed/fleet/message.go
@@ -59,7 +59,7 @@
 func (r *messageReader) readResponse(b []byte, parsed *message) (int, error) {
 	response := &r.response
 	size, err := response.Parse(b, false)
-	if response.IsChunked() || response.EndsWithConnection() {
+	if response.IsChunked() || response.IsCloseDelimited() {
 		return 0, errFraming
 	}
 	if err != nil {
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -289,7 +289,7 @@
 				switch message := input.(type) {
 				case simapi.ListReceived:
 					for _, endpoint := range message.List.Endpoints {
-						if n, ok := scenario.NodeIndex(endpoint.ID, f.spec.Fleet.Workers); ok && endpoint.Lifecycle == "up" && endpoint.StartedAtMs > 0 {
+						if n, ok := scenario.WorkerIndex(endpoint.ID, f.spec.Fleet.Workers); ok && endpoint.Lifecycle == "up" && endpoint.StartedAtMs > 0 {
 							f.count, f.triggered = n, true
 						}
 					}
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -42,7 +42,7 @@
 		options.Wrap = func(s simapi.Scheduler) simapi.Scheduler { return m.Wrap(spec, s) }
 	}
 	if m != nil && m.Policy != nil {
-		options.Module = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+		options.NewPolicy = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
 			return m.Policy(settings, seed)
 		}
 	}
--- a/internal/testbed/process/load.go
+++ b/internal/testbed/process/load.go
@@ -27,7 +27,7 @@
 	Target   string                            // address and port, on 127.0.0.0/8
 	Rate     float64                           // requests a second
 	Conns    int                               // connections, kept alive; default 256
-	Cores    int                               // threads that generate the load; default 2
+	Threads  int                               // threads that generate the load; default 2
 	PinCores []int                             // processor cores for the threads, assigned in turn; empty: any
 	Length   time.Duration                     // of the measurement, after the warm-up
 	WarmUp   time.Duration                     // of the warm-up, whose requests are not counted
@@ -38,13 +38,13 @@
 
 // LoadResult has the outcome of a load, without the warm-up.
 type LoadResult struct {
-	Scheduled uint64 // requests that became due
-	Answered  uint64 // requests with a response of any status
-	Failed    uint64 // requests whose connection was lost, or for which the queue had no place
-	Open      uint64 // requests without a response at the end
-	Status    map[int]uint64
-	Length    time.Duration
-	Rate      float64 // responses a second
+	Scheduled  uint64 // requests that became due
+	Answered   uint64 // requests with a response of any status
+	Failed     uint64 // requests whose connection was lost, or for which the queue had no place
+	Unanswered uint64 // requests without a response at the end
+	Status     map[int]uint64
+	Length     time.Duration
+	Rate       float64 // responses a second
 	// Latency is the time from when a request was due to the last byte of its response, so that it includes the time in
 	// which the request waited for earlier ones. Lateness is the part that the load generator caused: from when the
 	// request was due to when its thread handled it. Both are in microseconds.
@@ -70,13 +70,13 @@
 		return LoadResult{}, errInvalidLoad
 	}
 	setDefault(&loadOptions.Conns, 256)
-	setDefault(&loadOptions.Cores, 2)
+	setDefault(&loadOptions.Threads, 2)
 	setDefault(&loadOptions.Grace, time.Second)
 	if loadOptions.Request == nil {
 		up := append(http1.AppendRequestStart(nil, http.MethodGet, "/up", loadOptions.Target), "\r\n"...)
 		loadOptions.Request = func(int, uint64) []byte { return up }
 	}
-	threads := make([]*loadThread, loadOptions.Cores)
+	threads := make([]*loadThread, loadOptions.Threads)
 	for i := range threads {
 		if threads[i], err = newLoadThread(&loadOptions, address, i); err != nil {
 			for _, t := range threads[:i] {
@@ -114,7 +114,7 @@
 	r.Scheduled += o.Scheduled
 	r.Answered += o.Answered
 	r.Failed += o.Failed
-	r.Open += o.Open
+	r.Unanswered += o.Unanswered
 	for s, n := range o.Status {
 		r.Status[s] += n
 	}
@@ -156,10 +156,10 @@
 	}
 	t := &loadThread{
 		poller: created, options: o, target: address, number: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), reader: newReader(),
-		meanGap: float64(time.Second) * float64(o.Cores) / o.Rate,
+		meanGap: float64(time.Second) * float64(o.Threads) / o.Rate,
 	}
 	t.result = LoadResult{Status: map[int]uint64{}, Latency: newLatenessMeter().spans, Lateness: newLatenessMeter().spans}
-	for range max(1, o.Conns/o.Cores) {
+	for range max(1, o.Conns/o.Threads) {
 		c := &loadConn{thread: t}
 		if err := created.dial(&c.socketConn, netip.AddrPort{}, address, c); err != nil {
 			t.close()
@@ -212,7 +212,7 @@
 			return err
 		}
 	}
-	t.result.Open = t.result.Scheduled - t.result.Answered - t.result.Failed
+	t.result.Unanswered = t.result.Scheduled - t.result.Answered - t.result.Failed
 	return ctx.Err()
 }
 
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -198,7 +198,7 @@
 	for _, status := range statuses {
 		sum += got.Status[status]
 	}
-	if got.Scheduled < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
+	if got.Scheduled < 400 || got.Unanswered != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
 		uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Scheduled ||
 		(got.Failed > 0) != (len(statuses) > 1) {
 		t.Errorf("load on %s: requests are missing, or counted twice: %+v", target, got)
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -87,7 +87,7 @@
 
 // workerOf returns the worker of an entry of the endpoint list, and the index of its machine; nil if there is no such worker.
 func (d *driver) workerOf(h *requests.Endpoint) (n *worker, which int) {
-	i, which := simulation.NodeOf(h.ID)
+	i, which := simulation.ParseWorkerID(h.ID)
 	if i < 0 || i >= len(d.workers) {
 		return nil, 0
 	}
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -62,7 +62,7 @@
 func TestGoldenRunFillsEveryField(t *testing.T) {
 	doc := readGoldenRun(t)
 	for _, part := range []any{*doc.Result, *doc.Verdict, *doc.Starvation} {
-		for _, zero := range storedform.Zero(part) {
+		for _, zero := range storedform.ZeroFields(part) {
 			t.Errorf("%s has no value after reading", zero)
 		}
 	}
--- a/internal/testbed/scenario/check_fault.go
+++ b/internal/testbed/scenario/check_fault.go
@@ -152,7 +152,7 @@
 
 func (s *Scenario) checkTargetNames(check *validator, key string, target *Target) {
 	for i, name := range target.Names {
-		if _, exists := NodeIndex(name, s.Fleet.Workers); !exists {
+		if _, exists := WorkerIndex(name, s.Fleet.Workers); !exists {
 			check.report(entryKey(key, i), "%q matches nothing: workers are w-0 to w-%d", name, s.Fleet.Workers-1)
 		}
 	}
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -178,8 +178,8 @@
 	return f.Between == groupSchedulers && f.And == groupSchedulers
 }
 
-// NodeIndex returns the index N of the worker named w-N, and false if a fleet of the given size has no such worker.
-func NodeIndex(name string, workers int) (int, bool) {
+// WorkerIndex returns the index N of the worker named w-N, and false if a fleet of the given size has no such worker.
+func WorkerIndex(name string, workers int) (int, bool) {
 	digits, hasPrefix := strings.CutPrefix(name, workerNamePrefix)
 	if !hasPrefix {
 		return 0, false
--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -90,7 +90,7 @@
 	f.forwarder.SetPlanners(f.wantedPlanners)
 	for _, conn := range f.plannerConns {
 		if conn.connected {
-			f.forwarder.SessionChanged(conn.name, true)
+			f.forwarder.ConnectionChanged(conn.name, true)
 		}
 	}
 	return f
@@ -161,7 +161,7 @@
 	case streamConnected:
 		conn.connected, conn.backoff = true, 0
 		conn.reader, conn.writer = codec.NewReader(0), codec.Writer{}
-		f.forwarder.SessionChanged(conn.name, true)
+		f.forwarder.ConnectionChanged(conn.name, true)
 	case streamRefused, streamLost:
 		f.connLost(conn)
 	case streamData:
@@ -186,7 +186,7 @@
 	wasConnected := conn.connected
 	conn.stream, conn.connected = nil, false
 	if wasConnected {
-		f.forwarder.SessionChanged(conn.name, false)
+		f.forwarder.ConnectionChanged(conn.name, false)
 	}
 	if conn.wanted && !conn.retryPlanned {
 		conn.backoff = min(max(2*conn.backoff, minRedialDelay), maxRedialDelay)
--- a/internal/testbed/simulation/level_counts.go
+++ b/internal/testbed/simulation/level_counts.go
@@ -54,7 +54,7 @@
 	stats := p.Stats()
 	c.AssumedEnded += stats.Expired
 	c.PlannerPanics += stats.Panics
-	c.PoisonReturned += stats.Poison
+	c.PoisonReturned += stats.PoisonRequests
 	c.InvalidMessages += stats.InvalidMessages
 }
 
--- a/internal/testbed/simulation/oracle.go
+++ b/internal/testbed/simulation/oracle.go
@@ -6,7 +6,7 @@
 
 // WorkerIndex returns the environment's number of a worker's machine; ok is false if it is unknown.
 func (p *process) WorkerIndex(worker uint64) (node int, ok bool) {
-	node, machine := NodeOf(p.requests.Endpoint(worker).ID)
+	node, machine := ParseWorkerID(p.requests.Endpoint(worker).ID)
 	workers := p.scheduler.spec.Fleet.Workers
 	return node + machine*workers, node >= 0 && node < workers && p.scheduler.model.source != nil
 }
--- a/internal/testbed/simulation/peers.go
+++ b/internal/testbed/simulation/peers.go
@@ -29,7 +29,7 @@
 	spec, settings := &proc.scheduler.spec.Peers, &proc.scheduler.settings
 	socket := &peerSocket{process: proc, node: peergossip.New(peergossip.Config{
 		Self:        settings.ReplicaIndex,
-		Peers:       settings.Replicas,
+		Schedulers:  settings.Replicas,
 		Incarnation: uint32(proc.now / incarnationUnit),
 	})}
 	if slices.Contains(spec.Liars, proc.scheduler.number) {
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -67,10 +67,10 @@
 			return proc.forwarder.newPolicy()
 		}
 		seed++
-		if scheduler.model.Module == nil {
+		if scheduler.model.NewPolicy == nil {
 			return dispatch.New(scheduler.settings.Settings, seed)
 		}
-		return scheduler.model.Module(scheduler.settings.Settings, seed, proc)
+		return scheduler.model.NewPolicy(scheduler.settings.Settings, seed, proc)
 	}
 	if scheduler.network != nil {
 		proc.forwarder = newForwarder(proc, start.Name, seed)
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -88,7 +88,7 @@
 	supported.Misbehaving = nil // see Unsupported
 	sim.environment = environment.New(&supported, seed, StartTime, combineObservers(opt.Observers))
 	if spec.Planners.Count > 0 {
-		if opt.Module != nil {
+		if opt.NewPolicy != nil {
 			return nil, errors.New("a scenario with planners runs only with the dispatch policy of the real program")
 		}
 		sim.network = newControlNetwork(spec, seed)
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -46,7 +46,7 @@
 
 func policy(name string) (m Model) {
 	if p, ok := baseline.Find(name); ok {
-		m.Module = p.ForRun()
+		m.NewPolicy = p.ForRun()
 	}
 	return m
 }
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -37,8 +37,8 @@
 
 // Model selects the policy and the log of each scheduler.
 type Model struct {
-	// Module returns a new policy without any state; nil: dispatch.New.
-	Module func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy
+	// NewPolicy returns a new policy without any state; nil: dispatch.New.
+	NewPolicy func(settings dispatch.Settings, seed uint64, oracle baseline.Oracle) requests.Policy
 	// Log returns the logger of scheduler n; nil: nothing is logged.
 	Log func(n int) *slog.Logger
 
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -83,7 +83,7 @@
 	endpoint, now := s.endpoints[worker], s.process.requests.Endpoint(worker)
 	if endpoint == nil {
 		endpoint = &endpointConns{worker: worker}
-		endpoint.workerIndex, endpoint.machine = NodeOf(now.ID)
+		endpoint.workerIndex, endpoint.machine = ParseWorkerID(now.ID)
 		s.endpoints[worker] = endpoint
 		s.endpointList = append(s.endpointList, endpoint)
 	}
@@ -95,9 +95,9 @@
 	return endpoint
 }
 
-// NodeOf returns the environment's number of the worker with a discovery id, and the number of its machine: "w-12" is
+// ParseWorkerID returns the environment's number of the worker with a discovery id, and the number of its machine: "w-12" is
 // machine 0 of worker 12, "w-12.1" the machine that replaced it. For any other id, node is -1.
-func NodeOf(id string) (node, machine int) {
+func ParseWorkerID(id string) (node, machine int) {
 	digits, ok := strings.CutPrefix(id, "w-")
 	digits, replacement, isReplacement := strings.Cut(digits, ".")
 	node, err := strconv.Atoi(digits)
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -62,7 +62,7 @@
 	}
 	b := &harness{script: &modeltest.ScriptedPolicy{}, conns: map[simapi.Conn]*workerSideConn{}, idleConns: map[int][]simapi.Conn{}}
 	var err error
-	b.scheduler, err = NewScheduler(spec, 0, StartTime, Model{Module: func(dispatch.Settings, uint64, baseline.Oracle) requests.Policy {
+	b.scheduler, err = NewScheduler(spec, 0, StartTime, Model{NewPolicy: func(dispatch.Settings, uint64, baseline.Oracle) requests.Policy {
 		return b.script
 	}}, nil)
 	if err != nil {
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -57,7 +57,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			checker := starvation.New(spec)
 			options := simulation.Options{Observers: []trace.Observer{checker.Observe}}
-			options.Module = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+			options.NewPolicy = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
 				dispatcher := dispatch.New(settings, seed)
 				if test.isFaulty {
 					return faultyPolicy{dispatcher, test.rejects}
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -131,7 +131,7 @@
 // attempts any more, the attempt ends as not sent.
 func (c *connection) writeDelayedRequest() {
 	attempt, table := c.exchange.attempt, c.pool.table
-	if c.exchange.kind == exchangeAttempt && !table.MayReceive(attempt.Worker) {
+	if c.exchange.kind == exchangeAttempt && !table.IsAvailable(attempt.Worker) {
 		table.EndAttempt(attempt, nil, &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonNotSent})
 		c.terminate(nil)
 		return
--- a/internal/worker/table.go
+++ b/internal/worker/table.go
@@ -16,8 +16,8 @@
 	Endpoint(worker uint64) requests.Endpoint
 	// WorkerNumber returns the number of a worker by the ID of its endpoint.
 	WorkerNumber(endpointID string) (worker uint64, known bool)
-	// MayReceive reports whether an attempt may still be written to a worker: whether the worker is listed and not draining.
-	MayReceive(worker uint64) bool
+	// IsAvailable reports whether an attempt may still be written to a worker: whether the worker is listed and not draining.
+	IsAvailable(worker uint64) bool
 }
 
 // AttemptReporter finds attempts in flight and is notified of their progress and end.
