--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -144,7 +144,7 @@
 
 // A repeated attempt reaches its worker within the deduplication window even if the worker is chosen as late as allowed: opening
 // the connection may take its whole timeout, the process may stall, and the request may be written in parts.
-func TestRepeatArrivesWithinItsWindow(t *testing.T) {
+func TestRepeatArrivesWithinDeduplicationWindow(t *testing.T) {
 	const inParts = 50 * ms
 	for _, window := range []time.Duration{500 * ms, time.Second, 2 * time.Second, 20 * time.Second} {
 		set := testSettings()
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -16,7 +16,7 @@
 }
 
 // The number of a dispatcher's connections follows from its traffic, not from the size of the fleet.
-func TestConnectionsFollowTheTraffic(t *testing.T) {
+func TestConnectionCountDependsOnTraffic(t *testing.T) {
 	const rate, busyAtOnce = 40, 12 // jobs per second, and at most in flight; the mean in flight is 2.4
 	for _, workers := range []int{60, 200, 3200} {
 		for _, kinds := range []int{1, 4} {
@@ -31,7 +31,7 @@
 }
 
 // Health checks are sent to workers that selections scan, and open no connections to others.
-func TestHealthChecksFollowTheTraffic(t *testing.T) {
+func TestHealthChecksOpenNoOtherConnections(t *testing.T) {
 	settings := sharedSettings()
 	settings.HealthChecks, settings.HealthCheckCost = true, 0.004
 	for _, workers := range []int{200, 3200} {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -233,7 +233,7 @@
 
 // Hundreds of dispatchers share one warming worker, and each restarts at random times. The work that they send together in any
 // window stays within the budget, and the worker is not left idle either.
-func TestWarmUpBudgetSharedByHundreds(t *testing.T) {
+func TestWarmUpBudgetOfHundredsOfDispatchers(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{3, 40, 300} {
 		m := newManyDispatchers(t, replicas)
@@ -420,7 +420,7 @@
 
 // Operators end a cordon at all dispatchers at once. The worker counts as restarted and is used at once, and the jobs that all
 // dispatchers send it stay within its capacity, however many dispatchers there are.
-func TestUncordonByAllStaysWithinTheBudget(t *testing.T) {
+func TestUncordonAtAllDispatchersStaysWithinBudget(t *testing.T) {
 	const run = 100 * ms
 	for _, replicas := range []int{1, 2, 3, 8, 40, 300} {
 		set := testSettings()
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -91,7 +91,7 @@
 
 // The deployed program is not fitted to any one deployment: no name from a deployment occurs as a separate word in a string of
 // its code, or in the files that it is deployed with.
-func TestNoDeploymentIsNamed(t *testing.T) {
+func TestNoDeploymentNamesInProgram(t *testing.T) {
 	names := deploymentNames(t)
 	for _, required := range []string{"tile-render", "north-clinic", "status-check", "khyber-society", "wanchaq"} {
 		if !slices.Contains(names, required) {
--- a/internal/client/closing_test.go
+++ b/internal/client/closing_test.go
@@ -138,7 +138,7 @@
 
 // A request that arrived before its connection is shut down is handled and has its response. The client of one that arrives later
 // finds the end of the connection, and no reset.
-func TestRequestsThatCrossClose(t *testing.T) {
+func TestRequestsBeforeAndAfterShutdown(t *testing.T) {
 	for name, shutDown := range shutdownCauses() {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(&modeltest.Steps{T: t})
--- a/internal/client/connection_test.go
+++ b/internal/client/connection_test.go
@@ -307,7 +307,7 @@
 }
 
 // Connections without a useful request are evicted first.
-func TestUselessConnectionsAreEvictedFirst(t *testing.T) {
+func TestConnectionsWithoutRequestAreEvictedFirst(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t})
 	var peers []*eventlooptest.Peer
 	for _, text := range []string{
--- a/internal/worker/response_test.go
+++ b/internal/worker/response_test.go
@@ -79,7 +79,7 @@
 
 // A second response to a request is never taken for the response to the next request, whenever it is received: the connection is
 // closed, or not reused until reuseDelay has passed.
-func TestStrayResponse(t *testing.T) {
+func TestSecondResponseIsNotReused(t *testing.T) {
 	const rejected = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, respond := range map[string]func(f *fixture, remote *peer){
 		"right after the first": func(f *fixture, remote *peer) {
