--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -169,7 +169,8 @@
 func (l *leaseCoordinator) isValid(request *LeaseRequest) bool {
 	isKnownClass := request.Class >= 0 && request.Class < len(l.settings.Classes)
 	isValidWork := request.Work >= 0 && request.Work <= maxLeaseWorkSeconds
-	return isKnownClass && isLeaseDemand(request.Demand) && isValidWork && !math.IsNaN(request.LongProbability)
+	return isKnownClass && isLeaseDemand(request.Demand) && isValidWork &&
+		!math.IsNaN(request.LongProbability)
 }
 
 func isLeaseDemand(demand float64) bool { return demand > 0 && demand <= maxLeaseSlots }
