--- /dev/null
+++ b/internal/testbed/checker/explanation_test.go
@@ -0,0 +1,24 @@
+package checker
+
+import (
+	"testing"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// An explanation describes each event of a scheduler's process. SchedulerReplaced has no text in the table of describeFleet, so
+// that the explanation of a violation in a run with a replaced scheduler panics.
+func TestSchedulerEventsAreDescribed(t *testing.T) {
+	for kind := trace.SchedulerStarted; kind <= trace.SchedulerExited; kind++ {
+		if text, reason := describeSchedulerEvent(kind); reason != nil || text == "" {
+			t.Errorf("event %d after SchedulerStarted: described as %q, panic %v", kind-trace.SchedulerStarted, text, reason)
+		}
+	}
+}
+
+// describeSchedulerEvent returns the description of an event, or the value of the panic that describing it causes.
+func describeSchedulerEvent(kind trace.Kind) (text string, reason any) {
+	defer func() { reason = recover() }()
+	checker := &Checker{}
+	return checker.describeFleet(&logEntry{kind: kind}, "", ""), nil
+}
